--- a/bench/router_bench.cpp
+++ b/bench/router_bench.cpp
@@ -18,22 +18,22 @@
   const auto replicas = static_cast<ReplicaId>(state.range(0));
   Settings s;
   s.classes.resize(1);
-  s.classes[0].aim = 2'000'000;
-  s.classes[0].late_worth = 0.3;
-  s.classes[0].stream = true;
-  s.nodes = static_cast<int>(state.range(1));
+  s.classes[0].latency_objective = 2'000'000;
+  s.classes[0].late_weight_share = 0.3;
+  s.classes[0].streaming = true;
+  s.node_count = static_cast<int>(state.range(1));
   s.max_attempts = 3;
-  s.load_fields = {LoadField::kInflight};
-  s.load_in_answers = true;
+  s.load_fields = {LoadField::kInFlight};
+  s.load_reports_in_responses = true;
   const std::size_t before = mallinfo2().uordblks;
   Time now = 1'000'000'000;
   Router router(s, 7, now);
   std::vector<Action> actions;
-  ReplicaList list;
+  EndpointList list;
   for (ReplicaId i = 0; i < replicas; ++i) {
-    ReplicaEntry e;
+    Endpoint e;
     e.id = i;
-    list.entries.push_back(e);
+    list.endpoints.push_back(e);
   }
   router.Handle(now, list, actions);
   struct Out {
@@ -45,7 +45,7 @@
   const auto arrive = [&] {
     RequestArrived a;
     a.id = ++id;
-    a.patience = 10'000'000;
+    a.time_budget = 10'000'000;
     a.prompt_tokens = 700;
     a.max_answer_tokens = 200;
     a.prefix = 1 + id % 64;
@@ -61,14 +61,14 @@
     const Out o = out.front();
     out.pop_front();
     actions.clear();
-    router.Handle(now, AnswerStarted{o.id, 0, o.replica, 100'000}, actions);
+    router.Handle(now, ResponseStarted{o.id, 0, o.replica, 100'000}, actions);
     router.Handle(now, AttemptEnded{o.id, 0, o.replica, Outcome::kServed, 600'000, true, 0, {2}}, actions);
     for (const Action& x : actions) {
       if (const auto* send = std::get_if<SendAttempt>(&x)) out.push_back({send->id, send->replica});
     }
   };
   // This node's part of two requests a replica.
-  const std::size_t wanted = std::max<std::size_t>(1, 2 * replicas / static_cast<std::size_t>(s.nodes));
+  const std::size_t wanted = std::max<std::size_t>(1, 2 * replicas / static_cast<std::size_t>(s.node_count));
   for (std::size_t n = 0; n < 20 * wanted && out.size() < wanted; ++n) {
     now += 1000;
     arrive();
@@ -77,9 +77,9 @@
   for (auto _ : state) {
     now += step;
     arrive();
-    if (out.size() >= wanted || router.held() > 8) end();
+    if (out.size() >= wanted || router.queued_requests() > 8) end();
   }
-  state.counters["held"] = static_cast<double>(router.held());
+  state.counters["held"] = static_cast<double>(router.queued_requests());
   state.counters["kB"] = static_cast<double>(mallinfo2().uordblks - before) / 1000;
 }
 BENCHMARK(OneRequest)
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -17,7 +17,7 @@
   cs::Router router(settings, /*seed=*/42, now);
   std::vector<cs::Action> actions;
 
-  cs::ReplicaList list;
+  cs::EndpointList list;
   list.entries.resize(2);
   list.entries[0].id = 10;
   list.entries[1].id = 11;
@@ -33,7 +33,7 @@
   for (const cs::Action& action : std::vector<cs::Action>(actions)) {
     const auto* send = std::get_if<cs::SendAttempt>(&action);
     if (send == nullptr) continue;  // a node carries out the others too: timers, refusals, cancels
-    router.Handle(now += 120'000, cs::AnswerStarted{send->id, 0, send->replica, 120'000}, actions);
+    router.Handle(now += 120'000, cs::ResponseStarted{send->id, 0, send->replica, 120'000}, actions);
     cs::AttemptEnded end;
     end.id = send->id;
     end.replica = send->replica;
--- a/fuzz/membership_fuzz.cpp
+++ b/fuzz/membership_fuzz.cpp
@@ -33,7 +33,7 @@
   model.See(kNow, fleet, false);
   model.Learn(kNow, t);
   for (const auto& event : model.Turn(kNow, 3)) {
-    if (const auto* e = std::get_if<ryeglade::policy::TierEvidence>(&event)) {
+    if (const auto* e = std::get_if<ryeglade::policy::PeerReportsReceived>(&event)) {
       for (const auto& told : e->replicas) {
         if (!std::isfinite(told.slow) || told.rests_until > kNow || told.slow_n < 0) std::abort();
       }
--- a/lab/emulator/policies.cpp
+++ b/lab/emulator/policies.cpp
@@ -20,9 +20,9 @@
   void Handle(Time now, const Event& event, std::vector<Action>& actions) override {
     router_.Handle(now, event, actions);
   }
-  std::size_t held() const override { return router_.held(); }
-  double cap_total() const override { return router_.cap_total(); }
-  ReplicaView seen(ReplicaId id) const override { return router_.seen(id); }
+  std::size_t held() const override { return router_.queued_requests(); }
+  double total_concurrency_limit() const override { return router_.total_concurrency_limit(); }
+  ReplicaView seen(ReplicaId id) const override { return router_.replica(id); }
 
  private:
   Router router_;
@@ -40,13 +40,13 @@
       : settings_(settings), random_(seed, Concern::kPolicy) {}
 
   void Handle(Time, const Event& event, std::vector<Action>& actions) override {
-    if (const auto* list = std::get_if<ReplicaList>(&event)) return Take(*list);
+    if (const auto* list = std::get_if<EndpointList>(&event)) return Take(*list);
     if (const auto* arrived = std::get_if<RequestArrived>(&event)) {
       open_[arrived->id] = {*arrived, {}};
       return Send(arrived->id, actions);
     }
     if (const auto* ended = std::get_if<AttemptEnded>(&event)) return Ended(*ended, actions);
-    if (const auto* gone = std::get_if<ClientGone>(&event)) {
+    if (const auto* gone = std::get_if<ClientDisconnected>(&event)) {
       const auto it = open_.find(gone->id);
       if (it == open_.end()) return;
       if (it->second.out)
@@ -68,15 +68,15 @@
     bool out = false, gone = false, started = false;
   };
 
-  void Take(const ReplicaList& list) {
-    if (list.scope == ListScope::kFailed) return;
-    if (list.scope != ListScope::kDelta) {
+  void Take(const EndpointList& list) {
+    if (list.scope == EndpointListScope::kFailed) return;
+    if (list.scope != EndpointListScope::kDelta) {
       for (Known& k : fleet_) k.ready = false;
     }
-    for (const ReplicaEntry& e : list.entries) {
+    for (const Endpoint& e : list.endpoints) {
       if (fleet_.size() <= e.id) fleet_.resize(e.id + 1);
       fleet_[e.id].id = e.id;
-      fleet_[e.id].ready = e.phase == Phase::kReady;
+      fleet_[e.id].ready = e.state == EndpointState::kReady;
     }
     ready_.clear();
     for (const Known& k : fleet_) {
@@ -95,7 +95,7 @@
       options = &options_;
     }
     if (options->empty() || o.tried.size() >= static_cast<std::size_t>(settings_.max_attempts)) {
-      actions.emplace_back(Refuse{id, settings_.max_retry_after});
+      actions.emplace_back(RejectRequest{id, settings_.max_retry_after});
       open_.erase(id);
       return;
     }
@@ -116,7 +116,7 @@
       return;
     }
     if (e.outcome == Outcome::kTimeout) {  // no time is left for another
-      actions.emplace_back(Refuse{e.id, settings_.max_retry_after});
+      actions.emplace_back(RejectRequest{e.id, settings_.max_retry_after});
       open_.erase(it);
       return;
     }
--- a/lab/emulator/policies.h
+++ b/lab/emulator/policies.h
@@ -19,7 +19,7 @@
   virtual ~NodePolicy() = default;
   virtual void Handle(Time now, const policy::Event& event, std::vector<policy::Action>& actions) = 0;
   virtual std::size_t held() const { return 0; }
-  virtual double cap_total() const { return 0; }
+  virtual double total_concurrency_limit() const { return 0; }
   virtual policy::ReplicaView seen(policy::ReplicaId) const { return {}; }  // what the node itself has seen
 };
 
--- a/lab/emulator/talk_world.cpp
+++ b/lab/emulator/talk_world.cpp
@@ -60,8 +60,8 @@
     n.alone.assign(spec.failing, 0);
     n.fleet.resize(spec.replicas);
     for (std::size_t r = 0; r < spec.replicas; ++r) {
-      n.fleet[r].entry.id = static_cast<policy::ReplicaId>(r + 1);
-      n.fleet[r].entry.started_at = kBegin;
+      n.fleet[r].endpoint.id = static_cast<policy::ReplicaId>(r + 1);
+      n.fleet[r].endpoint.started_at = kBegin;
     }
   }
   TalkResult result;
@@ -76,12 +76,12 @@
       if (random.Chance(spec.rate * 0.1)) {
         n.tier->Arrived(now, 1 + random.Zipf(40, 1.0));
         policy::ReplicaView& v = n.fleet[random.Below(spec.replicas)];
-        const bool fails = now >= kFailsAt && v.entry.id <= spec.failing;
-        v.slow_at = now;
-        v.slow_n = std::min(20.0, v.slow_n + 1);
-        v.slow = 0.8 * v.slow + 0.2 * (fails ? 1.1 : random.Unit() - 0.5);
-        v.failures = fails ? v.failures + 1 : 0;
-        if (v.failures > 1) v.blocked_until = now + 4'000'000;
+        const bool fails = now >= kFailsAt && v.endpoint.id <= spec.failing;
+        v.slowness_updated_at = now;
+        v.slowness_samples = std::min(20.0, v.slowness_samples + 1);
+        v.slowness = 0.8 * v.slowness + 0.2 * (fails ? 1.1 : random.Unit() - 0.5);
+        v.consecutive_failures = fails ? v.consecutive_failures + 1 : 0;
+        if (v.consecutive_failures > 1) v.ejected_until = now + 4'000'000;
       }
       if ((now - kBegin) % kTurn < kTick) {
         n.tier->View(now, members, members[i].zone, true, true);
--- a/lab/emulator/tier_world.cpp
+++ b/lab/emulator/tier_world.cpp
@@ -89,7 +89,7 @@
     word.claims.clear();
     for (const policy::ReplicaView& v : fleet_) {
       if (word.claims.size() == tier::kMostClaims) break;
-      word.claims.push_back({v.entry.id, v.entry.started_at, 9, tier::kMostRest, -1, 4, 255, 255});
+      word.claims.push_back({v.endpoint.id, v.endpoint.started_at, 9, tier::kMostRest, -1, 4, 255, 255});
     }
   }
   const auto shared = std::make_shared<const tier::Word>(std::move(word));
@@ -109,7 +109,7 @@
       const double share = whole > 0 ? weights_[i] / whole : 1;
       if (!nodes_[i].up || std::abs(share - nodes_[i].told) < 1e-9) continue;
       nodes_[i].told = share;
-      told.emplace_back(i, policy::TierShare{share});
+      told.emplace_back(i, policy::TrafficShareChanged{share});
     }
     return told;
   }
--- a/lab/emulator/world.cpp
+++ b/lab/emulator/world.cpp
@@ -163,7 +163,7 @@
   };
   struct Host {
     std::unique_ptr<Replica> replica;
-    ReplicaEntry entry;
+    Endpoint entry;
     ReplicaSpec spec;
     int rack = 0;
     std::uint32_t plan = 0;  // of its next event; older ones are void
@@ -250,11 +250,11 @@
     const auto sight = [this](std::size_t n, std::vector<ReplicaView>* fleet) {
       for (const Host& h : hosts_) {
         ReplicaView v = nodes_[n].policy->seen(h.entry.id);
-        if (v.entry.id == h.entry.id) fleet->push_back(v);
+        if (v.endpoint.id == h.entry.id) fleet->push_back(v);
       }
     };
     for (const auto& [n, event] : tier_->Turn(now_, sight)) {
-      if (const auto* share = std::get_if<TierShare>(&event)) parts_[n] = share->share;
+      if (const auto* share = std::get_if<TrafficShareChanged>(&event)) parts_[n] = share->share;
       Give(n, event);
     }
     if (day_.fleet.tier.oracle()) TellTruth();
@@ -267,18 +267,18 @@
   // What no node can know: which replicas are bad, how slow each is, what beginnings the traffic has.
   void TellTruth() {
     const TierSpec& t = day_.fleet.tier;
-    TierEvidence truth;
+    PeerReportsReceived truth;
     for (const Host& h : hosts_) {
       const bool bad = !h.up || h.silent || h.hangs || h.fails >= 0.5;
       const double slow = bad ? 1.1 : std::log(h.slow);  // what fails looks slow to the module too
       truth.replicas.push_back({h.entry.id, h.entry.started_at, slow, slow != 0 ? 8.0 : 0.0,
                                 bad ? now_ + 2 * TierWorld::kEvery : 0, 0});
     }
-    TierKeys keys;
+    PrefixTrafficReceived keys;
     double all = 0;
-    for (const auto& [key, use] : prefix_use_) all += use.Now(now_, kPrefixMemory);
+    for (const auto& [key, use] : prefix_use_) all += use.ValueAt(now_, kPrefixMemory);
     for (const auto& [key, use] : prefix_use_)
-      keys.shares.emplace_back(key, all > 0 ? use.Now(now_, kPrefixMemory) / all : 0);
+      keys.shares.emplace_back(key, all > 0 ? use.ValueAt(now_, kPrefixMemory) / all : 0);
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
       if (t.evidence()) Give(n, truth);
       if (t.beginnings()) Give(n, keys);
@@ -364,9 +364,9 @@
         Send(n, *send);
       } else if (const auto* cancel = std::get_if<CancelAttempt>(&a)) {
         CancelOf(cancel->id, cancel->attempt);
-      } else if (const auto* refuse = std::get_if<Refuse>(&a)) {
+      } else if (const auto* refuse = std::get_if<RejectRequest>(&a)) {
         Final(refuse->id, false, refuse->retry_after);
-      } else if (const auto* fail = std::get_if<Fail>(&a)) {
+      } else if (const auto* fail = std::get_if<FailRequest>(&a)) {
         Final(fail->id, true, 0);
       } else if (const auto* timer = std::get_if<SetTimer>(&a)) {
         Push(now_ + timer->delay, What::kTimer, static_cast<std::uint32_t>(n), node.life, timer->token);
@@ -452,7 +452,7 @@
     if (c == nullptr) return;
     if (!h.replica->Offer(now_, {handle, c->prompt, c->answer, c->prefix, c->session, c->prefix_tokens})) {
       return Push(now_ + Delay(h.entry.zone, zone), What::kEnded, 0,
-                  static_cast<std::uint32_t>(Outcome::kFull), handle);
+                  static_cast<std::uint32_t>(Outcome::kAtCapacity), handle);
     }
     a->at_replica = true;
     Plan(replica);
@@ -524,7 +524,7 @@
     if (t == nullptr || !nodes_[a->node].up) return;
     t->started = true;
     if (Call* c = calls_.Get(t->call); c != nullptr && c->first == 0) c->first = now_ + ClientDelay();
-    Give(a->node, AnswerStarted{a->tried, a->n, a->replica, now_ - a->sent});
+    Give(a->node, ResponseStarted{a->tried, a->n, a->replica, now_ - a->sent});
   }
 
   void OnEnded(std::uint64_t handle, Outcome outcome) {
@@ -536,7 +536,7 @@
     Try* t = tries_.Get(ended.tried);
     if (t != nullptr) NoLongerOut(*t, handle);
     if (outcome != Outcome::kServed) ++wasted_;
-    if (outcome == Outcome::kFull) ++result_.full;
+    if (outcome == Outcome::kAtCapacity) ++result_.full;
     if (outcome == Outcome::kError || outcome == Outcome::kReset || outcome == Outcome::kTimeout ||
         outcome == Outcome::kConnectFailed)
       ++result_.errors;
@@ -546,8 +546,8 @@
         ended.tried, ended.n, ended.replica, outcome, now_ - ended.sent, outcome == Outcome::kServed,
         ended.kept,  {}};
     const Host& h = hosts_[ended.replica];
-    if (outcome == Outcome::kServed || outcome == Outcome::kFull)
-      e.load = {static_cast<double>(h.replica->busy() + h.replica->waiting())};
+    if (outcome == Outcome::kServed || outcome == Outcome::kAtCapacity)
+      e.load_report = {static_cast<double>(h.replica->busy() + h.replica->waiting())};
     const std::uint64_t tried = ended.tried;
     if (outcome == Outcome::kServed) {
       if (!ended.made) ++result_.breaks.not_made;
@@ -696,17 +696,17 @@
     if (day_.fleet.tier.oracle()) prefix_use_[c->prefix].Add(now_, kPrefixMemory, 1);
     RequestArrived r;
     r.id = tried;
-    r.cls = c->cls;
+    r.class_index = c->cls;
     r.session = c->session;
     r.prefix = c->prefix;
     r.prompt_tokens = c->prompt;
     r.prefix_tokens = std::min(c->prefix_tokens, c->prompt);
     r.max_answer_tokens = day_.classes[static_cast<std::size_t>(c->cls)].most_answer;
-    r.patience = std::max<Time>(0, c->gives_up - now_);
+    r.time_budget = std::max<Time>(0, c->gives_up - now_);
     r.client_retry = c->tries > 1;
     // What the real node's upstream does: an attempt without a first token ends when time is nearly up.
-    const Time margin = std::max<Time>(10'000, r.patience / 100);
-    if (r.patience > margin) Push(now_ + r.patience - margin, What::kGuard, n, 0, tried);
+    const Time margin = std::max<Time>(10'000, r.time_budget / 100);
+    if (r.time_budget > margin) Push(now_ + r.time_budget - margin, What::kGuard, n, 0, tried);
     Give(n, r);
   }
 
@@ -800,7 +800,7 @@
 
   void OnGone(std::uint32_t node, std::uint64_t tried) {
     if (tries_.Get(tried) == nullptr) return;
-    Give(node, ClientGone{tried});
+    Give(node, ClientDisconnected{tried});
     const Try* t = tries_.Get(tried);
     if (t != nullptr && t->out == 0) tries_.Remove(tried);
   }
@@ -821,48 +821,48 @@
   void OnList(std::uint32_t n, std::uint32_t generation, std::uint64_t kind) {
     Node& node = nodes_[n];
     if (!node.up) return;
-    ReplicaList list;
+    EndpointList list;
     if (kind == kFailedList) {
       if (!dark_) return;
-      list.scope = ListScope::kFailed;
+      list.scope = EndpointListScope::kFailed;
       return Give(n, list);
     }
     if (dark_ && kind == kDeltaList) return;
     const auto it = pending_.find(generation);
     // An older change that comes late must not undo a newer one: then the whole list is sent.
     if (kind == kDeltaList && generation == node.told + 1 && it != pending_.end()) {
-      list.scope = ListScope::kDelta;
-      list.entries = it->second;
+      list.scope = EndpointListScope::kDelta;
+      list.endpoints = it->second;
     } else {
       if (kind == kDeltaList && generation <= node.told) return;
-      list.scope = ListScope::kFull;
+      list.scope = EndpointListScope::kFull;
       for (const Host& h : hosts_) {
-        if (h.listed) list.entries.push_back(h.entry);
+        if (h.listed) list.endpoints.push_back(h.entry);
       }
       generation = generation_;
     }
     node.told = generation;
     list.version = generation;
     std::vector<bool> seen(hosts_.size());
-    for (const ReplicaEntry& e : list.entries) {
+    for (const Endpoint& e : list.endpoints) {
       seen[e.id] = true;
       Time& drained = node.drained[e.id];
-      if (e.phase == Phase::kReady) {
+      if (e.state == EndpointState::kReady) {
         drained = 0;
       } else if (drained == 0) {
         drained = now_;
       }
     }
-    if (list.scope == ListScope::kFull) {
+    if (list.scope == EndpointListScope::kFull) {
       for (std::size_t r = 0; r < seen.size(); ++r) {
         if (!seen[r] && node.drained[r] == 0) node.drained[r] = now_;
       }
     }
     // Contradicted nodes are told that those which drain are ready.
     if (contradict_ && n % 2 == 1) {
-      for (ReplicaEntry& e : list.entries) {
-        if (e.phase == Phase::kDraining) {
-          e.phase = Phase::kReady;
+      for (Endpoint& e : list.endpoints) {
+        if (e.state == EndpointState::kDraining) {
+          e.state = EndpointState::kReady;
           node.drained[e.id] = 0;
         }
       }
@@ -885,7 +885,8 @@
   void OnFault(const FaultSpec& f, bool begins) {
     const std::vector<std::uint32_t> those = Those(f);
     if (f.what == "drain") {
-      for (const std::uint32_t r : those) hosts_[r].entry.phase = begins ? Phase::kDraining : Phase::kReady;
+      for (const std::uint32_t r : those)
+        hosts_[r].entry.state = begins ? EndpointState::kDraining : EndpointState::kReady;
       Tell(those);
     } else if (f.what == "restart" || f.what == "replace" || f.what == "rack" || f.what == "zone") {
       for (const std::uint32_t r : those) {
@@ -893,12 +894,12 @@
         if (begins) {
           Kill(r, false);
           h.up = false;
-          h.entry.phase = Phase::kGone;
+          h.entry.state = EndpointState::kRemoved;
           h.listed = false;
         } else {
           h.up = true;
           h.listed = true;
-          h.entry.phase = Phase::kReady;
+          h.entry.state = EndpointState::kReady;
           h.entry.started_at = now_;
           h.replica = std::make_unique<Replica>(h.spec, now_);
         }
@@ -915,7 +916,7 @@
         } else {
           h.silent = false;
           h.listed = true;
-          h.entry.phase = Phase::kReady;
+          h.entry.state = EndpointState::kReady;
           h.entry.started_at = now_;
           h.replica = std::make_unique<Replica>(h.spec, now_);
         }
@@ -1025,7 +1026,7 @@
     for (const Node& n : nodes_) {
       if (!n.up) continue;
       s.held += static_cast<double>(n.policy->held());
-      s.caps += n.policy->cap_total();
+      s.caps += n.policy->total_concurrency_limit();
     }
     double slots = 0, most = 0, all = 0;
     for (Host& h : hosts_) {
@@ -1087,7 +1088,7 @@
       case What::kSilence: {
         Host& h = hosts_[e.a];
         if (!h.silent) return;
-        h.entry.phase = Phase::kGone;
+        h.entry.state = EndpointState::kRemoved;
         h.listed = false;
         return Tell({e.a});
       }
@@ -1132,13 +1133,13 @@
   std::vector<int> cut_;
   std::vector<double> class_upto_, traffic_upto_, parts_;
   std::unique_ptr<TierWorld> tier_;
-  std::map<std::uint64_t, Faded> prefix_use_;  // as all nodes together see it
+  std::map<std::uint64_t, DecayingCounter> prefix_use_;  // as all nodes together see it
   Slots<Call> calls_, turns_;
   Slots<Try> tries_;
   Slots<Attempt> attempts_;
   std::vector<JobEvent> job_events_;
   std::vector<Action> actions_;
-  std::map<std::uint32_t, std::vector<ReplicaEntry>> pending_;  // changes by generation
+  std::map<std::uint32_t, std::vector<Endpoint>> pending_;  // changes by generation
   std::uint32_t generation_ = 1;
   bool dark_ = false, contradict_ = false;
   double late_ = 1, rate_ = 1, kept_ = 0, asked_ = 0, crowds_ = 0;
@@ -1185,29 +1186,29 @@
   for (const ClassSpec& c : day.classes) {
     ClassSettings k;
     k.name = c.name;
-    k.aim = c.aim;
-    k.deadline = c.deadline;
-    k.worth = c.worth;
-    k.late_worth = c.late_worth;
-    k.stream = true;
+    k.latency_objective = c.aim;
+    k.time_budget = c.deadline;
+    k.priority_weight = c.worth;
+    k.late_weight_share = c.late_worth;
+    k.streaming = true;
     s.classes.push_back(k);
   }
-  s.load_fields = {LoadField::kInflight};
-  s.load_in_answers = true;
-  s.nodes = day.fleet.nodes;
-  s.me = node;
-  s.zones = day.fleet.zones;
+  s.load_fields = {LoadField::kInFlight};
+  s.load_reports_in_responses = true;
+  s.node_count = day.fleet.nodes;
+  s.node_index = node;
+  s.zone_count = day.fleet.zones;
   s.zone = node % day.fleet.zones;
-  s.kinds = static_cast<int>(day.fleet.kinds.size());
+  s.replica_kind_count = static_cast<int>(day.fleet.kinds.size());
   s.max_attempts = day.max_attempts;
   s.connect_timeout = Micros(day.fleet.connect_timeout);
-  s.answer_slack = 16'000;
+  s.response_grace = 16'000;
   s.drain_grace = day.drain_grace;
   for (const KindSpec& k : day.fleet.kinds) {
-    s.cold_span = std::max(s.cold_span, k.replica.cold_span);
-    s.cold_from = std::min(s.cold_from, k.replica.cold_from);
+    s.slow_start_window = std::max(s.slow_start_window, k.replica.cold_span);
+    s.slow_start_min_share = std::min(s.slow_start_min_share, k.replica.cold_from);
   }
-  if (day.fleet.zones > 1) s.fee_cross_zone = 0.02;
+  if (day.fleet.zones > 1) s.cross_zone_penalty = 0.02;
   return s;
 }
 
--- a/lab/hours.cpp
+++ b/lab/hours.cpp
@@ -50,7 +50,7 @@
 // Each concern draws from a stream of its own, so that a changed setting does not reshuffle the rest.
 enum Stream : std::uint64_t { kArrivals = 1, kPrompts, kSpeeds, kServing, kFailing };
 
-class Hour : public Observer {
+class Hour : public DecisionObserver {
  public:
   Hour(const HourOptions& o, const std::function<void(const Record&)>& sink)
       : o_(o),
@@ -61,7 +61,7 @@
         failing_(o.seed, kFailing),
         router_(wire::ReadSettings(kSettings), o.seed, o.begin + o.clock),
         now_(o.begin) {
-    if (o.reasons) router_.Observe(this);
+    if (o.reasons) router_.SetObserver(this);
   }
 
   HourResult Play() {
@@ -77,14 +77,14 @@
       servers_.emplace(s.entry.id, std::move(s));
     }
     result_.victim = 0x1000U + static_cast<ReplicaId>(o_.seed % static_cast<std::uint64_t>(o_.replicas));
-    List(ListScope::kFull, "watch");
+    List(EndpointListScope::kFull, "watch");
     const Time from = o_.begin + static_cast<Time>(o_.at * 1e6),
                to = from + static_cast<Time>(o_.lasts * 1e6);
     result_.from = from + o_.clock;
     result_.to = to + o_.clock;
     // The list changes a little now and then, so that generations pass.
     for (int k = 1; k * 30 < static_cast<int>(o_.seconds); ++k)
-      After(static_cast<Time>(k) * 30'000'000, [this] { List(ListScope::kDelta, "watch"); });
+      After(static_cast<Time>(k) * 30'000'000, [this] { List(EndpointListScope::kDelta, "watch"); });
     if (o_.thing != BadThing::kNone) {
       At(from, [this] { Begin(); });
       At(to, [this] { End(); });
@@ -102,9 +102,9 @@
     return result_;
   }
 
-  void OnSend(const SendNote& n) override { notes_.push_back({Clock(), n}); }
-  void OnEnd(const EndNote& n) override { notes_.push_back({Clock(), n}); }
-  void OnRest(const RestNote& n) override { notes_.push_back({Clock(), n}); }
+  void OnDispatch(const DispatchRecord& n) override { notes_.push_back({Clock(), n}); }
+  void OnConclusion(const ConclusionRecord& n) override { notes_.push_back({Clock(), n}); }
+  void OnEjection(const EjectionRecord& n) override { notes_.push_back({Clock(), n}); }
 
  private:
   struct Running {
@@ -114,7 +114,7 @@
     Time sent;
   };
   struct Server {
-    ReplicaEntry entry;
+    Endpoint entry;
     std::string name, address;
     double speed = 1;
     int running = 0;
@@ -156,14 +156,14 @@
     Decide(event, [this](const SendAttempt& send) { Send(send); });
   }
 
-  void List(ListScope scope, const char* source) {
+  void List(EndpointListScope scope, const char* source) {
     if (dark_) return;
     ++generation_;
-    ReplicaList list{scope, generation_, {}};
+    EndpointList list{scope, generation_, {}};
     for (auto& [id, s] : servers_) {
-      if (scope == ListScope::kDelta && id != result_.victim) continue;
-      list.entries.push_back(s.entry);
-      sink_(Member{Clock(), id, s.name, s.address, s.entry.started_at, s.entry.phase, false});
+      if (scope == EndpointListScope::kDelta && id != result_.victim) continue;
+      list.endpoints.push_back(s.entry);
+      sink_(Member{Clock(), id, s.name, s.address, s.entry.started_at, s.entry.state, false});
     }
     sink_(Roster{Clock(), source, generation_, "", false});
     Give(list);
@@ -183,7 +183,7 @@
       while (r > 8 - at) r -= 8 - at++;
       a.prefix = 0xbe91 + static_cast<std::uint64_t>(at);
       a.prefix_tokens = std::min(300.0, a.prompt_tokens / 2);
-      a.patience = 8'000'000;
+      a.time_budget = 8'000'000;
       answers_[a.id] = a.max_answer_tokens;
       prompts_of_[a.id] = a.prompt_tokens;
       sink_(timeline::Named{Clock(), a.id, fmt::format("call-{}", a.id)});
@@ -208,10 +208,10 @@
     boost::random::bernoulli_distribution<double> background(kBackground), half(0.5), six(0.6), three(0.3);
     if (background(failing_)) return fail(0.02, Outcome::kReset);
     if (Bad(send.replica, BadThing::kErrors) && half(failing_)) return fail(0.01, Outcome::kError);
-    if (Bad(send.replica, BadThing::kFull) && six(failing_)) return fail(0.003, Outcome::kFull);
+    if (Bad(send.replica, BadThing::kFull) && six(failing_)) return fail(0.003, Outcome::kAtCapacity);
     if (AllBad(BadThing::kFleetErrors) && three(failing_)) return fail(0.01, Outcome::kError);
     Server& s = it->second;
-    if (s.waiting.size() >= kQueue) return fail(0.003, Outcome::kFull);
+    if (s.waiting.size() >= kQueue) return fail(0.003, Outcome::kAtCapacity);
     boost::random::lognormal_distribution<double> noise(0, 0.25);
     const double slow = Bad(send.replica, BadThing::kSlow) || AllBad(BadThing::kFleetSlow) ? 4 : 1;
     const double first = (0.03 + prompts_of_[send.id] / 6000) * noise(serving_) * s.speed * slow;
@@ -227,7 +227,7 @@
       ++s.running;
       After(r.first, [this, id, r] {
         if (!servers_.contains(id)) return Over(r.id, r.attempt, id, Outcome::kReset, now_ - r.sent);
-        Give(AnswerStarted{r.id, r.attempt, id, now_ - r.sent});
+        Give(ResponseStarted{r.id, r.attempt, id, now_ - r.sent});
         After(r.rest, [this, id, r] {
           if (!servers_.contains(id)) return Over(r.id, r.attempt, id, Outcome::kReset, now_ - r.sent);
           --servers_.at(id).running;
@@ -243,7 +243,7 @@
     const auto it = servers_.find(replica);
     if (it != servers_.end() && outcome != Outcome::kConnectFailed) {
       const double load = it->second.running + static_cast<double>(it->second.waiting.size());
-      e.load = {Bad(replica, BadThing::kLoaded) ? 3 * load + 6 : load};
+      e.load_report = {Bad(replica, BadThing::kLoaded) ? 3 * load + 6 : load};
     }
     Give(e);
     if (outcome == Outcome::kServed) {
@@ -258,7 +258,7 @@
     if (o_.thing == BadThing::kDark) {
       dark_ = true;
       sink_(Roster{Clock(), "watch", generation_, "silent", false});
-      Give(ReplicaList{ListScope::kFailed, 0, {}});
+      Give(EndpointList{EndpointListScope::kFailed, 0, {}});
       // Half of the fleet goes meanwhile, and nobody says so.
       int n = 0;
       std::vector<ReplicaId> gone;
@@ -268,11 +268,11 @@
       for (const ReplicaId id : gone) PutAnother(id);
     } else if (o_.thing == BadThing::kReplaced) {
       PutAnother(result_.victim);
-      List(ListScope::kFull, "watch");
+      List(EndpointListScope::kFull, "watch");
     } else if (o_.thing == BadThing::kDrained) {
       rate_ = 2;
-      servers_.at(result_.victim).entry.phase = Phase::kDraining;
-      List(ListScope::kDelta, "watch");
+      servers_.at(result_.victim).entry.state = EndpointState::kDraining;
+      List(EndpointListScope::kDelta, "watch");
     }
     if (o_.burst_failures > 0) Burst();
   }
@@ -280,10 +280,10 @@
   void End() {
     on_ = false;
     rate_ = 1;
-    if (std::exchange(dark_, false)) List(ListScope::kFull, "watch");
+    if (std::exchange(dark_, false)) List(EndpointListScope::kFull, "watch");
     if (o_.thing == BadThing::kDrained) {
-      servers_.at(result_.victim).entry.phase = Phase::kReady;
-      List(ListScope::kDelta, "watch");
+      servers_.at(result_.victim).entry.state = EndpointState::kReady;
+      List(EndpointListScope::kDelta, "watch");
     }
   }
 
@@ -314,7 +314,7 @@
       RequestArrived a;
       a.id = (std::uint64_t{1} << 40) + ++requests_;
       a.prompt_tokens = 10;
-      a.patience = 100'000;
+      a.time_budget = 100'000;
       Decide(a, [this](const SendAttempt& send) {
         Give(AttemptEnded{send.id, attempts_[send.id]++, send.replica, Outcome::kReset, 300, false, 0, {}});
       });
--- a/lab/soak/checker_model.cpp
+++ b/lab/soak/checker_model.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using policy::DedupScope;
-using policy::Effect;
+using policy::Idempotency;
 
 constexpr Time kMillisecond = 1'000;
 constexpr Time kSecond = 1'000'000;
@@ -286,7 +286,8 @@
     const std::vector<ClassRules> rules = RulesOf(r);
     if (rules.empty()) return Unknown(r, "no settings are known for its class");
     const bool harmless = std::any_of(rules.begin(), rules.end(), [](const ClassRules& c) {
-      return c.effect == Effect::kSafe || (c.effect == Effect::kKeyed && c.scope == DedupScope::kAll);
+      return c.effect == Idempotency::kIdempotent ||
+             (c.effect == Idempotency::kIdempotencyKey && c.scope == DedupScope::kAll);
     });
     if (harmless) return;
     Broken(Rule::kRefusal, r, r.ended,
@@ -295,8 +296,8 @@
   }
 
   bool MayRepeat(const ClassRules& c, const Attempt& first, const Attempt& next) const {
-    if (c.effect == Effect::kSafe) return true;
-    if (c.effect == Effect::kUnsafe) return false;
+    if (c.effect == Idempotency::kIdempotent) return true;
+    if (c.effect == Idempotency::kNotIdempotent) return false;
     const Replica &a = h_.replicas[first.replica], &b = h_.replicas[next.replica];
     if (c.scope == DedupScope::kZone && a.zone != b.zone) return false;
     if (c.scope == DedupScope::kCell && a.cell != b.cell) return false;
--- a/lab/soak/history_model.h
+++ b/lab/soak/history_model.h
@@ -18,7 +18,7 @@
 
 // What the settings say of a class, as far as the rules go by it.
 struct ClassRules {
-  policy::Effect effect = policy::Effect::kSafe;
+  policy::Idempotency effect = policy::Idempotency::kIdempotent;
   policy::DedupScope scope = policy::DedupScope::kAll;
   Time window = 0;
   Time deadline = 0;
--- a/lab/soak/plan.cpp
+++ b/lab/soak/plan.cpp
@@ -16,7 +16,7 @@
 using emulator::Stream;
 using nlohmann::json;
 using policy::DedupScope;
-using policy::Effect;
+using policy::Idempotency;
 
 constexpr Time kSecond = 1'000'000;
 constexpr Time kMillisecond = 1'000;
@@ -46,14 +46,14 @@
 ClassTable MakeClasses(Stream& chance) {
   struct Row {
     const char* name;
-    Effect effect;
+    Idempotency effect;
     DedupScope scope;
   };
-  static constexpr std::array<Row, 5> kRows = {{{"free", Effect::kSafe, DedupScope::kAll},
-                                                {"single", Effect::kUnsafe, DedupScope::kAll},
-                                                {"all", Effect::kKeyed, DedupScope::kAll},
-                                                {"zone", Effect::kKeyed, DedupScope::kZone},
-                                                {"cell", Effect::kKeyed, DedupScope::kCell}}};
+  static constexpr std::array<Row, 5> kRows = {{{"free", Idempotency::kIdempotent, DedupScope::kAll},
+                                                {"single", Idempotency::kNotIdempotent, DedupScope::kAll},
+                                                {"all", Idempotency::kIdempotencyKey, DedupScope::kAll},
+                                                {"zone", Idempotency::kIdempotencyKey, DedupScope::kZone},
+                                                {"cell", Idempotency::kIdempotencyKey, DedupScope::kCell}}};
   const Time most = chance.Chance(0.2) ? 1'500 * kMillisecond : 8 * kSecond;
   ClassTable table;
   for (const Row& row : kRows) {
@@ -73,7 +73,7 @@
   for (auto& [name, c] : other) c.deadline = Between(chance, 500 * kMillisecond, 6 * kSecond);
   ClassRules& changed =
       std::next(other.begin(), static_cast<std::ptrdiff_t>(chance.Below(other.size())))->second;
-  changed.effect = static_cast<Effect>(chance.Below(3));
+  changed.effect = static_cast<Idempotency>(chance.Below(3));
   return other;
 }
 
@@ -229,7 +229,7 @@
   ClassTable table;
   for (const auto& [name, c] : in.items()) {
     ClassRules rules;
-    rules.effect = static_cast<Effect>(IndexOf(kEffects, c.at("effect").get<std::string>(), "effect"));
+    rules.effect = static_cast<Idempotency>(IndexOf(kEffects, c.at("effect").get<std::string>(), "effect"));
     rules.scope = static_cast<DedupScope>(IndexOf(kScopes, c.at("scope").get<std::string>(), "scope"));
     rules.window = c.at("window_us").get<Time>();
     rules.deadline = c.at("deadline_us").get<Time>();
--- a/simhost/codec.cpp
+++ b/simhost/codec.cpp
@@ -35,27 +35,27 @@
   return load;
 }
 
-ReplicaList DecodeList(Reader& in) {
-  ReplicaList list;
+EndpointList DecodeList(Reader& in) {
+  EndpointList list;
   const std::uint8_t scope = in.U8("scope");
   if (scope > 3) in.Defect("unknown scope " + std::to_string(scope));
-  list.scope = static_cast<ListScope>(scope);
+  list.scope = static_cast<EndpointListScope>(scope);
   list.version = in.U32("stamp");
   const std::size_t n = in.U32("entries count");
   if (n > in.left() / kEntryBytes) in.Defect("entries count runs past the record");
-  list.entries.reserve(n);
+  list.endpoints.reserve(n);
   for (std::size_t i = 0; i < n; ++i) {
-    ReplicaEntry entry;
+    Endpoint entry;
     entry.weight = in.F32("nominal");
     entry.kind = in.U16("shape");
     entry.zone = in.U8("site");
     entry.started_at = static_cast<Time>(in.U64("started-at"));
     const std::uint8_t phase = in.U8("phase");
     if (phase > 2) in.Defect("unknown phase " + std::to_string(phase));
-    entry.phase = static_cast<Phase>(phase);
+    entry.state = static_cast<EndpointState>(phase);
     entry.id = in.U32("engine");
     entry.cell = in.U16("cohort");
-    list.entries.push_back(entry);
+    list.endpoints.push_back(entry);
   }
   return list;
 }
@@ -68,15 +68,16 @@
   r.cost_hint = in.U32("predicted");
   r.prefix = in.U64("system-prompt");
   r.max_answer_tokens = in.F32("n-max");
-  r.patience = in.U32("patience-left");
+  r.time_budget = in.U32("patience-left");
   r.prefix_tokens = in.F32("n-prefix");
   const std::uint8_t bits = in.U8("opts");
   if ((bits & 1) == 0) r.cost_hint = 0;
   r.client_retry = (bits & 2) != 0;
   r.write = (bits & 4) != 0;
   r.resumed = (bits & 16) != 0;
-  r.tenant = static_cast<int>(std::min<std::uint32_t>(in.U32("realm"), std::numeric_limits<int>::max()));
-  r.cls = in.U8("service");
+  r.tenant_index =
+      static_cast<int>(std::min<std::uint32_t>(in.U32("realm"), std::numeric_limits<int>::max()));
+  r.class_index = in.U8("service");
   return r;
 }
 
@@ -88,8 +89,8 @@
   e.outcome = DecodeOutcome(in);
   e.elapsed = in.U32("delay-seen");
   e.request_concluded = in.U8("final") != 0;
-  e.kept_tokens = in.U32("note");
-  e.load = DecodeLoad(in);
+  e.cached_tokens = in.U32("note");
+  e.load_report = DecodeLoad(in);
   return e;
 }
 
@@ -152,12 +153,12 @@
   };
   switch (code) {
     case 2:
-      return whole("abandoned", [](Reader& in) { return ClientGone{in.U64("corr")}; });
+      return whole("abandoned", [](Reader& in) { return ClientDisconnected{in.U64("corr")}; });
     case 3:
       return whole("elapsed", [](Reader& in) { return TimerFired{in.U64("ref")}; });
     case 4:
       return whole("headers", [](Reader& in) {
-        AnswerStarted e;
+        ResponseStarted e;
         e.id = in.U64("corr");
         e.attempt = in.U16("n");
         e.replica = in.U32("engine");
@@ -166,11 +167,11 @@
       });
     case 6:
       return whole("probed", [](Reader& in) {
-        ProbeAnswered e;
+        HealthCheckCompleted e;
         e.replica = in.U32("engine");
         e.outcome = DecodeOutcome(in);
         e.elapsed = in.U32("delay-seen");
-        e.load = DecodeLoad(in);
+        e.load_report = DecodeLoad(in);
         return e;
       });
     case 7:
@@ -203,23 +204,23 @@
                      out.U16(static_cast<std::uint16_t>(a.attempt));
                    });
                  },
-                 [&](const Refuse& a) {
+                 [&](const RejectRequest& a) {
                    Record(out, 5, [&] {
                      out.U64(a.id);
                      out.U32(Delay(a.retry_after));
                    });
                  },
-                 [&](const Fail& a) { Record(out, 6, [&] { out.U64(a.id); }); },
-                 [&](const MoveStream& a) { Record(out, 10, [&] { out.U64(a.id); }); },
+                 [&](const FailRequest& a) { Record(out, 6, [&] { out.U64(a.id); }); },
+                 [&](const MigrateStream& a) { Record(out, 10, [&] { out.U64(a.id); }); },
                  [&](const SetTimer& a) {
                    Record(out, 11, [&] {
                      out.U64(a.token);
                      out.U32(Delay(a.delay));
                    });
                  },
-                 [&](const ProbeReplica& a) { Record(out, 4, [&] { out.U32(a.replica); }); },
-                 [&](const SubscribeList& a) { Record(out, 2, [&] { out.U8(a.on ? 1 : 0); }); },
-                 [&](const FetchList&) { Record(out, 7, [] {}); },
+                 [&](const CheckHealth& a) { Record(out, 4, [&] { out.U32(a.replica); }); },
+                 [&](const WatchEndpoints& a) { Record(out, 2, [&] { out.U8(a.enabled ? 1 : 0); }); },
+                 [&](const PollEndpoints&) { Record(out, 7, [] {}); },
              },
              action);
 }
--- a/simhost/settings.cpp
+++ b/simhost/settings.cpp
@@ -111,10 +111,10 @@
 
 LoadField FieldOf(const std::string& name) {
   static const std::map<std::string, LoadField> kFields = {
-      {"inflight", LoadField::kInflight}, {"queue", LoadField::kQueue},
-      {"util", LoadField::kUtil},         {"latency_ms", LoadField::kLatencyMs},
-      {"qps", LoadField::kQps},           {"eps", LoadField::kErrorsPerS},
-      {"x0", LoadField::kMemoryShare},    {"x1", LoadField::kUnreadPrompt},
+      {"inflight", LoadField::kInFlight},    {"queue", LoadField::kQueueLength},
+      {"util", LoadField::kUtilization},     {"latency_ms", LoadField::kLatencyMs},
+      {"qps", LoadField::kQueriesPerSecond}, {"eps", LoadField::kErrorsPerSecond},
+      {"x0", LoadField::kMemoryShare},       {"x1", LoadField::kTokensToPrefill},
   };
   const auto it = kFields.find(name);
   return it == kFields.end() ? LoadField::kOther : it->second;
@@ -134,20 +134,22 @@
     const std::string at = "classes." + std::to_string(i) + ".";
     ClassSettings c;
     c.name = t.Text(at + "name", "");
-    c.aim = t.Micros(at + "promise", c.aim);
-    c.deadline = t.Micros(at + "deadline", c.deadline);
-    c.worth = t.Number(at + "worth", c.worth);
-    c.late_worth = t.Number(at + "late-worth", c.late_worth);
-    c.effect = Choice<Effect>(
-        t, at + "effect",
-        {{"free", Effect::kSafe}, {"guarded", Effect::kKeyed}, {"single_shot", Effect::kUnsafe}}, c.effect);
+    c.latency_objective = t.Micros(at + "promise", c.latency_objective);
+    c.time_budget = t.Micros(at + "deadline", c.time_budget);
+    c.priority_weight = t.Number(at + "worth", c.priority_weight);
+    c.late_weight_share = t.Number(at + "late-worth", c.late_weight_share);
+    c.idempotency = Choice<Idempotency>(t, at + "effect",
+                                        {{"free", Idempotency::kIdempotent},
+                                         {"guarded", Idempotency::kIdempotencyKey},
+                                         {"single_shot", Idempotency::kNotIdempotent}},
+                                        c.idempotency);
     c.dedup_scope = Choice<DedupScope>(
         t, at + "dedup-scope",
         {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}, {"cell", DedupScope::kCell}}, c.dedup_scope);
     c.dedup_window = t.Micros(at + "window", c.dedup_window);
-    c.stream = t.Bool(at + "stream", c.stream);
-    if (i < prompt_aims.size()) c.aim_per_1000_tokens = static_cast<Time>(prompt_aims[i]);
-    if (i < token_aims.size()) c.token_aim = static_cast<Time>(token_aims[i]);
+    c.streaming = t.Bool(at + "stream", c.streaming);
+    if (i < prompt_aims.size()) c.objective_per_1000_tokens = static_cast<Time>(prompt_aims[i]);
+    if (i < token_aims.size()) c.inter_token_objective = static_cast<Time>(token_aims[i]);
     s.classes.push_back(c);
   }
   const std::size_t tenants = t.Count("tenants");
@@ -160,35 +162,35 @@
   if (how != "none") {
     for (const std::string& field : t.List("stats.fields")) s.load_fields.push_back(FieldOf(field));
   }
-  s.load_in_answers = how == "answers";
-  s.nodes = t.Int("balancers", s.nodes, 1);
-  s.me = t.Int("me", s.me, 0);
+  s.load_reports_in_responses = how == "answers";
+  s.node_count = t.Int("balancers", s.node_count, 1);
+  s.node_index = t.Int("me", s.node_index, 0);
   s.zone = t.Int("az", s.zone, 0);
-  s.zones = std::max<int>(1, static_cast<int>(t.List("localities").size()));
-  s.kinds = std::max<int>(1, static_cast<int>(t.List("shapes").size()));
-  s.ask_for_list = t.Text("membership-mode", "push") == "ask";
+  s.zone_count = std::max<int>(1, static_cast<int>(t.List("localities").size()));
+  s.replica_kind_count = std::max<int>(1, static_cast<int>(t.List("shapes").size()));
+  s.poll_endpoints = t.Text("membership-mode", "push") == "ask";
   s.weights_known = t.Text("weights", "none") != "none";
-  s.over_share_worth = t.Number("over-share-worth", s.over_share_worth);
-  s.fee_cross_zone = t.Number("fees.cross-zone", 0);
-  s.fee_waste = t.Number("fees.waste", 0);
-  s.fee_late_fail = t.Number("fees.late-fail", 0);
-  s.fee_probe = t.Number("fees.probe", 0);
-  s.fee_moves = t.Number("fees.moves", 0);
-  s.may_cancel = t.Bool("limits.cancel", s.may_cancel);
-  s.may_probe = t.Bool("limits.probes", s.may_probe);
-  s.parallel_attempts = t.Bool("limits.parallel-tries", s.parallel_attempts);
-  s.retry_after_honoured = t.Bool("limits.retry-after", s.retry_after_honoured);
-  s.can_move_streams = t.Bool("family-info.resume", s.can_move_streams);
+  s.over_quota_weight = t.Number("over-share-worth", s.over_quota_weight);
+  s.cross_zone_penalty = t.Number("fees.cross-zone", 0);
+  s.wasted_work_penalty = t.Number("fees.waste", 0);
+  s.late_failure_penalty = t.Number("fees.late-fail", 0);
+  s.health_check_penalty = t.Number("fees.probe", 0);
+  s.migration_penalty = t.Number("fees.moves", 0);
+  s.can_cancel = t.Bool("limits.cancel", s.can_cancel);
+  s.can_check_health = t.Bool("limits.probes", s.can_check_health);
+  s.can_hedge = t.Bool("limits.parallel-tries", s.can_hedge);
+  s.clients_honor_retry_after = t.Bool("limits.retry-after", s.clients_honor_retry_after);
+  s.can_migrate_streams = t.Bool("family-info.resume", s.can_migrate_streams);
   s.max_attempts = t.Int("limits.max-attempts", s.max_attempts, 1);
   s.max_retry_after = t.Micros("limits.max-retry-after", s.max_retry_after);
   s.connect_timeout = t.Micros("limits.connect-timeout", s.connect_timeout);
-  s.answer_slack = t.Micros("obligations.answer-slack", s.answer_slack);
+  s.response_grace = t.Micros("obligations.answer-slack", s.response_grace);
   s.drain_grace = t.Micros("obligations.drain-grace", s.drain_grace);
-  s.ask_within = t.Micros("obligations.ask-within", s.ask_within);
-  s.cold_span = t.Micros("obligations.cold", s.cold_span);
-  s.cold_from = std::clamp(t.Number("obligations.cold-from", s.cold_from), 0.01, 1.0);
+  s.max_poll_interval = t.Micros("obligations.ask-within", s.max_poll_interval);
+  s.slow_start_window = t.Micros("obligations.cold", s.slow_start_window);
+  s.slow_start_min_share = std::clamp(t.Number("obligations.cold-from", s.slow_start_min_share), 0.01, 1.0);
   s.overload_factor = t.Number("obligations.overload-factor", s.overload_factor);
-  s.overload_span = t.Micros("obligations.overload-for", s.overload_span);
+  s.overload_window = t.Micros("obligations.overload-for", s.overload_window);
   return s;
 }
 
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -166,7 +166,7 @@
     if (taking_ || starting_ || !failed_.empty()) return;
     starting_ = true;
     if (inherited_) {
-      if (!config_.settings.ask_for_list) discovery_.KeepWatch();
+      if (!config_.settings.poll_endpoints) discovery_.KeepWatch();
       return TakeClients();
     }
     discovery_.Known(core_.config->known);
@@ -180,7 +180,7 @@
     // this long pass.
     discovery_.OnFirstAnswer([this] { deadlines_.Set(Now(), [this] { TakeClients(); }); });
     deadlines_.Set(Now() + kFirstListWithin, [this] { TakeClients(); });
-    if (!config_.settings.ask_for_list) discovery_.KeepWatch();
+    if (!config_.settings.poll_endpoints) discovery_.KeepWatch();
   }
 
   void TakeClients() {
@@ -210,12 +210,13 @@
     inherited_ = true;
     discovery_.Known(inherits ? state.roster : known);
     handover::FitTo(ClassNames(config_.settings), &state);
-    decisions_.Post(policy::Inherited{std::make_shared<const policy::Learned>(std::move(state.learned))});
+    decisions_.Post(
+        policy::StateRestored{std::make_shared<const policy::LearnedState>(std::move(state.learned))});
   }
   void Beside(handover::Out out) override {
     if (out.empty() && !beside_) return;
     beside_ = !out.empty();
-    decisions_.Post(policy::OutBeside{std::move(out)});
+    decisions_.Post(policy::SiblingInFlightChanged{std::move(out)});
   }
   handover::State Known() override {
     return {config_.name,
@@ -223,7 +224,7 @@
             discovery_.address(),
             discovery_.Roster(),
             ClassNames(config_.settings),
-            decisions_.router().Export()};
+            decisions_.router().ExportState()};
   }
   handover::Out OutNow() override {
     handover::Out out;
@@ -283,7 +284,7 @@
   void SetUpMembership(const Config& config) {
     membership_ = std::make_unique<membership::Membership>(
         &core_, settings_.membership, config.name.empty() ? "node" : config.name,
-        static_cast<std::size_t>(std::max(1, config.settings.nodes)), &decisions_, flight_.get(),
+        static_cast<std::size_t>(std::max(1, config.settings.node_count)), &decisions_, flight_.get(),
         HandOverPath("tier", config));
     if (settings_.tier.on) {
       tier_ = std::make_unique<tier::Tier>(&core_, settings_.tier, membership_->name(), membership_->uid(),
@@ -490,8 +491,8 @@
   // The tier's side.
   void Fleet(std::vector<policy::ReplicaView>* all) const override {
     for (const auto& [id, yes] : discovery_.hosts()) {
-      policy::ReplicaView seen = decisions_.router().seen(id);
-      if (seen.entry.id == id) all->push_back(seen);
+      policy::ReplicaView seen = decisions_.router().replica(id);
+      if (seen.endpoint.id == id) all->push_back(seen);
     }
   }
   std::string NameOf(policy::ReplicaId id) const override { return discovery_.NameOf(id); }
@@ -506,7 +507,7 @@
     view.hosts_listed = discovery_.listed();
     view.closed = downstream_.closed();
     for (const auto& [id, yes] : discovery_.hosts()) {
-      if (discovery_.avoided(id) || decisions_.router().rests_until(id) > Now()) ++view.hosts_down;
+      if (discovery_.avoided(id) || decisions_.router().ejected_until(id) > Now()) ++view.hosts_down;
     }
     return ryeglade::CountersText(view);
   }
@@ -522,7 +523,7 @@
     f.most_descriptors = config_.sockets;
     for (const std::size_t i : config_.in_force) {
       const policy::ClassSettings& c = config_.settings.classes[i];
-      f.classes[c.name].worth = c.worth;
+      f.classes[c.name].worth = c.priority_weight;
     }
     for (const auto& [name, e] : tally_.by_class) {
       rollout::ClassFigures& c = f.classes[name];
--- a/src/app/termination_policy.cpp
+++ b/src/app/termination_policy.cpp
@@ -19,7 +19,7 @@
 
 TerminationPlan PlanTermination(const std::vector<policy::ClassSettings>& classes) {
   Time longest = 0;
-  for (const policy::ClassSettings& c : classes) longest = std::max(longest, c.deadline);
+  for (const policy::ClassSettings& c : classes) longest = std::max(longest, c.time_budget);
   TerminationPlan plan;
   plan.killed_from = std::min(longest, kLongestCounted) + kAfterDeadline;
   plan.answer_by = plan.killed_from - std::min(kBeforeKill, plan.killed_from / 4);
--- a/src/app/timeline_command.cpp
+++ b/src/app/timeline_command.cpp
@@ -163,7 +163,7 @@
   std::string whys;
   for (std::size_t w = 0; w < lanes.whys().size(); ++w) {
     if (lanes.whys()[w] > 0)
-      whys += fmt::format(" {}={}", Word(static_cast<policy::Why>(w)), lanes.whys()[w]);
+      whys += fmt::format(" {}={}", Word(static_cast<policy::ConclusionReason>(w)), lanes.whys()[w]);
   }
   if (!whys.empty()) Say("refusals and failures by reason:" + whys + "\n");
   if (lanes.lanes_left_out() > 0) Say("more replicas than lanes: some are left out\n");
--- a/src/core/decisions.cpp
+++ b/src/core/decisions.cpp
@@ -21,27 +21,27 @@
 
 Decisions::Decisions(Core* core)
     : core_(core), start_(Now()), router_(core->config->settings, core->config->seed, start_) {
-  router_.Observe(this);
+  router_.SetObserver(this);
 }
 
-void Decisions::OnSend(const policy::SendNote& note) { observer_->OnSend(note); }
+void Decisions::OnDispatch(const policy::DispatchRecord& note) { observer_->OnDispatch(note); }
 
-void Decisions::OnEnd(const policy::EndNote& note) {
+void Decisions::OnConclusion(const policy::ConclusionRecord& note) {
   const Stream* stream = core_->answers->Get(note.id);
-  if (core_->tally != nullptr) ++core_->tally->given_up[Word(note.why)];
+  if (core_->tally != nullptr) ++core_->tally->given_up[Word(note.reason)];
   Log(Level::kInfo, "request-given-up",
       {{"id", stream != nullptr ? stream->request.call_id.c_str() : "-"},
-       {"why", Word(note.why)},
+       {"why", Word(note.reason)},
        {"attempts", note.attempts},
-       {"held_ms", note.held / 1000},
-       {"queue", note.queue},
-       {"cap", note.cap_total},
+       {"held_ms", note.open_for / 1000},
+       {"queue", note.queue_length},
+       {"cap", note.total_concurrency_limit},
        {"in_flight", note.in_flight}});
-  if (observer_ != nullptr) observer_->OnEnd(note);
+  if (observer_ != nullptr) observer_->OnConclusion(note);
 }
 
-void Decisions::OnRest(const policy::RestNote& note) {
-  if (observer_ != nullptr) observer_->OnRest(note);
+void Decisions::OnEjection(const policy::EjectionRecord& note) {
+  if (observer_ != nullptr) observer_->OnEjection(note);
 }
 
 void Decisions::Tap(DecisionTap* tap) {
@@ -71,15 +71,15 @@
       Overloaded{
           [&](const SendAttempt& a) { core_->attempts->Send(a.id, a.replica, a.timeout, a.write_within); },
           [&](const CancelAttempt& a) { core_->attempts->CancelAttempt(a.id, a.attempt); },
-          [&](const Refuse& a) { core_->verdicts->Refuse(a.id, a.retry_after); },
-          [&](const Fail& a) { core_->verdicts->Fail(a.id); },
-          [&](const MoveStream& a) { core_->verdicts->Move(a.id); },
+          [&](const RejectRequest& a) { core_->verdicts->Refuse(a.id, a.retry_after); },
+          [&](const FailRequest& a) { core_->verdicts->Fail(a.id); },
+          [&](const MigrateStream& a) { core_->verdicts->Move(a.id); },
           [&](const SetTimer& a) {
             core_->deadlines->Set(Now() + a.delay, [this, token = a.token] { Post(TimerFired{token}); });
           },
-          [&](const ProbeReplica& a) { core_->attempts->Probe(a.replica); },
-          [&](const SubscribeList& a) { core_->membership->Watch(a.on); },
-          [&](const FetchList&) { core_->membership->Fetch(); },
+          [&](const CheckHealth& a) { core_->attempts->Probe(a.replica); },
+          [&](const WatchEndpoints& a) { core_->membership->Watch(a.enabled); },
+          [&](const PollEndpoints&) { core_->membership->Fetch(); },
       },
       action);
 }
--- a/src/core/decisions.h
+++ b/src/core/decisions.h
@@ -10,33 +10,33 @@
 
 namespace ryeglade {
 
-class Decisions : public EventPort, public RepeatPort, private policy::Observer {
+class Decisions : public EventPort, public RepeatPort, private policy::DecisionObserver {
  public:
   explicit Decisions(Core* core);
   void Post(policy::Event event) override;
-  bool MayRepeat(Handle stream) const override { return router_.may_refuse(stream); }
+  bool MayRepeat(Handle stream) const override { return router_.may_reject(stream); }
   // Before the first event; none: nobody listens, at no cost.
   void Tap(DecisionTap* tap);
   // Whoever else wants the decision module's reasons. Must be set before the first event; not owned.
-  void Observe(policy::Observer* observer) { observer_ = observer; }
+  void Observe(policy::DecisionObserver* observer) { observer_ = observer; }
   const policy::Router& router() const { return router_; }
   void Retune(const std::vector<policy::ClassSettings>& classes, int max_attempts) {
-    router_.Retune(classes, max_attempts);
+    router_.UpdateClasses(classes, max_attempts);
   }
 
  private:
   void CarryOut(const policy::Action& action);
 
   // Reasons: each refusal and failure is logged, and all are passed on to the observer, if there is one.
-  bool wants_sends() const override { return observer_ != nullptr && observer_->wants_sends(); }
-  void OnSend(const policy::SendNote& note) override;
-  void OnEnd(const policy::EndNote& note) override;
-  void OnRest(const policy::RestNote& note) override;
+  bool wants_dispatches() const override { return observer_ != nullptr && observer_->wants_dispatches(); }
+  void OnDispatch(const policy::DispatchRecord& note) override;
+  void OnConclusion(const policy::ConclusionRecord& note) override;
+  void OnEjection(const policy::EjectionRecord& note) override;
 
   Core* core_;
   Time start_;
   std::vector<DecisionTap*> taps_;
-  policy::Observer* observer_ = nullptr;
+  policy::DecisionObserver* observer_ = nullptr;
   policy::Router router_;
   std::deque<policy::Event> events_;
   std::vector<policy::Action> actions_;
--- a/src/core/discovery.cpp
+++ b/src/core/discovery.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 using nlohmann::json;
-using policy::ListScope;
-using policy::Phase;
-using policy::ReplicaEntry;
+using policy::Endpoint;
+using policy::EndpointList;
+using policy::EndpointListScope;
+using policy::EndpointState;
 using policy::ReplicaId;
-using policy::ReplicaList;
 
 // Changes count as told 6 s after a watch fell silent, whether they arrived or not. Within that must fit: the
 // silence itself, a wait of the module (0.3 s at most after a first failure), a call that fails at its limit,
@@ -51,8 +51,8 @@
 void Discovery::Known(const std::string& text) {
   begun_ = true;
   const json list = json::parse(text, nullptr, false);
-  if (list.is_object() && Apply(list, ListScope::kCached, "known")) return;
-  core_->events->Post(ReplicaList{ListScope::kCached, 0, {}});
+  if (list.is_object() && Apply(list, EndpointListScope::kCached, "known")) return;
+  core_->events->Post(EndpointList{EndpointListScope::kCached, 0, {}});
 }
 
 std::string Discovery::Roster() const {
@@ -70,7 +70,7 @@
                          {"cell", e.cell},
                          {"weight", e.weight},
                          {"startedAtMs", e.started_at / 1000},
-                         {"lifecycle", e.phase == Phase::kReady ? "active" : "leaving"}});
+                         {"lifecycle", e.state == EndpointState::kReady ? "active" : "leaving"}});
   }
   return json{{"generation", generation_}, {"reset", true}, {"instances", std::move(instances)}}.dump(
       -1, ' ', false, json::error_handler_t::replace);
@@ -112,7 +112,7 @@
 void Discovery::Fetch() {
   if (calls_.size() < kSockets) return Start(false);
   Dark("fetch", "crowded");
-  core_->events->Post(ReplicaList{ListScope::kFailed, 0, {}});
+  core_->events->Post(EndpointList{EndpointListScope::kFailed, 0, {}});
 }
 
 void Discovery::Start(bool watch, bool move) {
@@ -155,7 +155,7 @@
     return;
   }
   Dark(c_watch ? "watch" : "fetch", why);
-  core_->events->Post(ReplicaList{ListScope::kFailed, 0, {}});
+  core_->events->Post(EndpointList{EndpointListScope::kFailed, 0, {}});
   if (keep_watch_) {
     core_->deadlines->Cancel(watch_again_);
     watch_again_ = core_->deadlines->Set(Now() + kWatchAgain + Now() % kWatchAgain, [this] {
@@ -275,7 +275,8 @@
   if (!list.is_object()) return false;
   const auto reset = list.find("reset");
   const bool full = whole || (reset != list.end() && reset->is_boolean() && reset->get<bool>());
-  if (!Apply(list, full ? ListScope::kFull : ListScope::kDelta, whole ? "fetch" : "watch")) return false;
+  if (!Apply(list, full ? EndpointListScope::kFull : EndpointListScope::kDelta, whole ? "fetch" : "watch"))
+    return false;
   FirstAnswer();
   return true;
 }
@@ -291,7 +292,7 @@
   }
   *instances = std::move(kept);
   const std::uint64_t generation = generation_;  // of the new address; the old one's means nothing there
-  const bool good = Apply(list, ListScope::kDelta, "watch");
+  const bool good = Apply(list, EndpointListScope::kDelta, "watch");
   generation_ = generation;
   return good;
 }
@@ -319,13 +320,13 @@
   return at == names.end() ? -1 : static_cast<int>(at - names.begin());
 }
 
-bool Discovery::Apply(const json& list, ListScope scope, const char* source) {
+bool Discovery::Apply(const json& list, EndpointListScope scope, const char* source) {
   const auto generation = list.find("generation");
   const auto instances = list.find("instances");
   if (generation == list.end() || !generation->is_number_unsigned()) return false;
   if (instances == list.end() || !instances->is_array()) return false;
 
-  ReplicaList told{scope, generation->get<std::uint32_t>(), {}};
+  EndpointList told{scope, generation->get<std::uint32_t>(), {}};
   std::map<ReplicaId, bool> listed;
   std::vector<ReplicaId> left;
   for (const json& entry : *instances) {
@@ -343,9 +344,11 @@
       return field != entry.end() && field->is_number() ? field->get<double>() : fallback;
     };
     const std::string lifecycle = text("lifecycle");
-    ReplicaEntry e;
+    Endpoint e;
     // A state that is not known here gets nothing new.
-    e.phase = lifecycle == "active" ? Phase::kReady : lifecycle == "left" ? Phase::kGone : Phase::kDraining;
+    e.state = lifecycle == "active" ? EndpointState::kReady
+              : lifecycle == "left" ? EndpointState::kRemoved
+                                    : EndpointState::kDraining;
     e.weight = number("weight", 1.0);
     e.zone = IndexOf(core_->config->zones, entry, "zone");
     e.kind = IndexOf(core_->config->kinds, entry, "machineType");
@@ -353,14 +356,14 @@
     e.started_at = static_cast<Time>(std::clamp(number("startedAtMs", 0), 0.0, 1e15)) * 1000;
     sockaddr_storage address{};
     const std::string host_port = text("hostPort");
-    if (e.phase != Phase::kGone && !ParseAddress(host_port, &address)) {
+    if (e.state != EndpointState::kRemoved && !ParseAddress(host_port, &address)) {
       Log(Level::kWarn, "discovery-entry-skipped",
           {{"why", "address"}, {"name", name->get_ref<const std::string&>()}});
       continue;
     }
     e.id = IdOf(name->get<std::string>());
     e.started_at = start_times_.Take(e.id, e.started_at, Now());
-    if (e.phase == Phase::kGone) {
+    if (e.state == EndpointState::kRemoved) {
       left.push_back(e.id);
       told_.erase(e.id);
     } else {
@@ -371,9 +374,9 @@
         core_->membership_tap->OnMember(Now(), e, name->get_ref<const std::string&>(), host_port);
       listed[e.id] = true;
     }
-    told.entries.push_back(e);
+    told.endpoints.push_back(e);
   }
-  if (scope == ListScope::kDelta) {
+  if (scope == EndpointListScope::kDelta) {
     for (const auto& [id, yes] : listed) hosts_[id] = yes;
     for (const ReplicaId id : left) hosts_.erase(id);
   } else {
@@ -383,13 +386,13 @@
     hosts_ = std::move(listed);
   }
   generation_ = generation->get<std::uint64_t>();
-  if (scope != ListScope::kDelta || !told.entries.empty()) {
+  if (scope != EndpointListScope::kDelta || !told.endpoints.empty()) {
     Log(Level::kInfo, "list",
-        {{"scope", scope == ListScope::kDelta    ? "delta"
-                   : scope == ListScope::kCached ? "cached"
-                                                 : "full"},
+        {{"scope", scope == EndpointListScope::kDelta    ? "delta"
+                   : scope == EndpointListScope::kCached ? "cached"
+                                                         : "full"},
          {"generation", static_cast<unsigned long long>(generation_)},
-         {"entries", told.entries.size()},
+         {"entries", told.endpoints.size()},
          {"hosts", hosts_.size()}});
   }
   if (core_->membership_tap != nullptr) core_->membership_tap->OnRoster(Now(), source, generation_, "");
@@ -409,18 +412,18 @@
 
 // The module first, so that nothing is decided by the old list; then what was decided by it and is not
 // written.
-void Discovery::Tell(ReplicaList list) {
+void Discovery::Tell(EndpointList list) {
   std::vector<ReplicaId> closed;
-  for (const ReplicaEntry& e : list.entries) {
-    if (e.phase != Phase::kReady) closed.push_back(e.id);
+  for (const Endpoint& e : list.endpoints) {
+    if (e.state != EndpointState::kReady) closed.push_back(e.id);
   }
   core_->events->Post(std::move(list));
   for (const ReplicaId id : closed) core_->hosts->Withhold(id);
 }
 
 // What an operator said comes before what the lists say.
-void Discovery::Overlay(const Holds& holds, const std::string& name, policy::ReplicaEntry& e) {
-  if (holds.out.contains(name) && e.phase == Phase::kReady) e.phase = Phase::kDraining;
+void Discovery::Overlay(const Holds& holds, const std::string& name, policy::Endpoint& e) {
+  if (holds.out.contains(name) && e.state == EndpointState::kReady) e.state = EndpointState::kDraining;
   if (const auto back = holds.back.find(name); back != holds.back.end()) {
     e.started_at = std::max(e.started_at, back->second);
   }
@@ -438,21 +441,21 @@
 
 bool Discovery::avoided(ReplicaId id) const {
   const auto told = told_.find(id);
-  return held(id) || (told != told_.end() && told->second.phase != Phase::kReady);
+  return held(id) || (told != told_.end() && told->second.state != EndpointState::kReady);
 }
 
 void Discovery::Adopt(const Holds& holds) {
-  ReplicaList told{ListScope::kDelta, static_cast<std::uint32_t>(generation_), {}};
+  EndpointList told{EndpointListScope::kDelta, static_cast<std::uint32_t>(generation_), {}};
   for (const auto& [id, entry] : told_) {
     const auto name = names_.find(id);
     if (name == names_.end()) continue;
-    ReplicaEntry before = entry, after = entry;
+    Endpoint before = entry, after = entry;
     Overlay(holds_, name->second, before);
     Overlay(holds, name->second, after);
-    if (before.phase != after.phase || before.started_at != after.started_at) told.entries.push_back(after);
+    if (before.state != after.state || before.started_at != after.started_at) told.endpoints.push_back(after);
   }
   holds_ = holds;
-  if (!told.entries.empty()) Tell(std::move(told));
+  if (!told.endpoints.empty()) Tell(std::move(told));
 }
 
 bool Discovery::Hold(const std::string& instance, bool out) {
@@ -465,9 +468,9 @@
     holds_.back[instance] = Now();
   }
   if (!listed) return true;
-  ReplicaEntry e = told_.at(id->second);
+  Endpoint e = told_.at(id->second);
   Overlay(holds_, instance, e);
-  Tell(ReplicaList{ListScope::kDelta, static_cast<std::uint32_t>(generation_), {e}});
+  Tell(EndpointList{EndpointListScope::kDelta, static_cast<std::uint32_t>(generation_), {e}});
   return true;
 }
 
--- a/src/core/discovery.h
+++ b/src/core/discovery.h
@@ -84,7 +84,7 @@
   void Start(bool watch, bool move = false);
   void Move();
   void Expect(Handle call, Time within);
-  void Tell(policy::ReplicaList list);
+  void Tell(policy::EndpointList list);
   void Failed(Handle call, const char* why);
   void Drop(Handle call);
   void ReadWatch(Handle call);
@@ -95,8 +95,8 @@
   // whole list of the new address may be newer, and its watch tells everything else.
   bool ApplyLeft(std::string_view text);
   bool TakesOutOfUse(const nlohmann::json& entry) const;
-  bool Apply(const nlohmann::json& list, policy::ListScope scope, const char* source);
-  static void Overlay(const Holds& holds, const std::string& name, policy::ReplicaEntry& e);
+  bool Apply(const nlohmann::json& list, policy::EndpointListScope scope, const char* source);
+  static void Overlay(const Holds& holds, const std::string& name, policy::Endpoint& e);
   void Dark(const char* source, const char* why);
   void FirstAnswer();
   int IndexOf(const std::vector<std::string>& names, const nlohmann::json& entry, const char* key) const;
@@ -116,8 +116,8 @@
   std::uint64_t generation_ = 0;
   std::map<std::string, policy::ReplicaId> ids_;
   std::map<policy::ReplicaId, std::string> names_;
-  std::map<policy::ReplicaId, bool> hosts_;                 // listed now
-  std::map<policy::ReplicaId, policy::ReplicaEntry> told_;  // each listed host as the lists last told it
+  std::map<policy::ReplicaId, bool> hosts_;             // listed now
+  std::map<policy::ReplicaId, policy::Endpoint> told_;  // each listed host as the lists last told it
   StartTimes start_times_;
   Holds holds_;  // what operators said, by name, since ids are reused
 };
--- a/src/core/learned_model.cpp
+++ b/src/core/learned_model.cpp
@@ -20,45 +20,51 @@
 
 // The fields of each type by name; one list serves both directions.
 template <class F>
-void Fields(F& f, Average& v) {
-  f("mean", v.mean), f("n", v.n);
+void Fields(F& f, RunningAverage& v) {
+  f("mean", v.mean), f("n", v.samples);
 }
 template <class F>
-void Fields(F& f, Faded& v) {
-  f("value", v.value), f("at", v.at);
+void Fields(F& f, DecayingCounter& v) {
+  f("value", v.value), f("at", v.updated_at);
 }
 template <class F>
-void Fields(F& f, Learned::Pace& v) {
-  f("now", v.now), f("best", v.best);
+void Fields(F& f, LearnedState::ClassPace& v) {
+  f("now", v.current), f("best", v.best);
 }
 template <class F>
-void Fields(F& f, Learned::KeyUse& v) {
-  f("slow", v.slow), f("fast", v.fast);
+void Fields(F& f, LearnedState::KeyTraffic& v) {
+  f("slow", v.long_term), f("fast", v.short_term);
 }
 template <class F>
-void Fields(F& f, Learned::Kept& v) {
-  f("tokens", v.tokens), f("at", v.at);
+void Fields(F& f, LearnedState::CachedPrefix& v) {
+  f("tokens", v.tokens), f("at", v.cached_at);
 }
 template <class F>
 void Fields(F& f, LearnedReplica& v) {
-  f("slow", v.slow), f("slow_n", v.slow_n), f("slow_at", v.slow_at), f("full", v.full),
-      f("full_at", v.full_at);
-  f("no_room_until", v.no_room_until), f("failures", v.failures), f("blocked_until", v.blocked_until);
-  f("cold_tokens", v.cold_tokens), f("cold_at", v.cold_at), f("load", v.load), f("load_at", v.load_at);
+  f("slow", v.slowness), f("slow_n", v.slowness_samples), f("slow_at", v.slowness_updated_at),
+      f("full", v.capacity_factor), f("full_at", v.capacity_updated_at);
+  f("no_room_until", v.at_capacity_until), f("failures", v.consecutive_failures),
+      f("blocked_until", v.ejected_until);
+  f("cold_tokens", v.slow_start_tokens), f("cold_at", v.slow_start_updated_at), f("load", v.reported_load),
+      f("load_at", v.reported_at);
 }
 template <class F>
-void Fields(F& f, Learned::Replica& v) {
-  f("id", v.id), f("started_at", v.started_at), f("out", v.out), f("seen", v.seen);
+void Fields(F& f, LearnedState::Replica& v) {
+  f("id", v.id), f("started_at", v.started_at), f("out", v.in_flight), f("seen", v.learned);
 }
 template <class F>
-void Fields(F& f, Learned& v) {
-  f("nodes", v.nodes), f("level", v.level), f("fell_from", v.fell_from), f("fell_at", v.fell_at);
-  f("late", v.late), f("pace", v.pace), f("wait", v.wait), f("retry_budget", v.retry_budget);
-  f("round_trip", v.round_trip), f("pace_by_class", v.pace_by_class), f("runtime", v.runtime);
-  f("first_token", v.first_token), f("per_hint", v.per_hint), f("bucket_error", v.bucket_error);
-  f("hint_error", v.hint_error), f("kind_slow", v.kind_slow), f("keys", v.keys);
-  f("arrivals_slow", v.arrivals_slow), f("arrivals_fast", v.arrivals_fast), f("kept", v.kept);
-  f("tenant_use", v.tenant_use), f("sends", v.sends), f("replicas", v.replicas);
+void Fields(F& f, LearnedState& v) {
+  f("nodes", v.node_count), f("level", v.base_limit), f("fell_from", v.limit_before_decrease),
+      f("fell_at", v.limit_decreased_at);
+  f("late", v.late_share), f("pace", v.pace_slowdown), f("wait", v.objective_used),
+      f("retry_budget", v.retry_budget);
+  f("round_trip", v.round_trip), f("pace_by_class", v.pace_by_class), f("runtime", v.runtime_by_bucket);
+  f("first_token", v.first_token_by_bucket), f("per_hint", v.runtime_per_hint),
+      f("bucket_error", v.bucket_error);
+  f("hint_error", v.hint_error), f("kind_slow", v.slowness_by_kind), f("keys", v.key_traffic);
+  f("arrivals_slow", v.arrivals_long_term), f("arrivals_fast", v.arrivals_short_term),
+      f("kept", v.cached_prefixes);
+  f("tenant_use", v.arrivals_by_tenant), f("sends", v.dispatches), f("replicas", v.replicas);
 }
 
 template <class T>
@@ -158,46 +164,50 @@
   std::erase_if(table, [&](const auto& e) { return at(e.second) <= oldest; });
 }
 
-bool Sane(const Average& a) { return a.n >= 0; }
-bool Sane(const std::vector<Average>& all) {
-  return std::all_of(all.begin(), all.end(), [](const Average& a) { return Sane(a); });
+bool Sane(const RunningAverage& a) { return a.samples >= 0; }
+bool Sane(const std::vector<RunningAverage>& all) {
+  return std::all_of(all.begin(), all.end(), [](const RunningAverage& a) { return Sane(a); });
 }
 
-const char* Wrong(const Learned& k) {
-  if (k.nodes < 1 || k.nodes > 1'000'000) return "nodes";
-  if (k.level < 0 || k.fell_from < 0) return "level";
-  if (k.late < 0 || k.late > 1 || k.wait < 0 || k.wait > 1) return "late or wait";
+const char* Wrong(const LearnedState& k) {
+  if (k.node_count < 1 || k.node_count > 1'000'000) return "nodes";
+  if (k.base_limit < 0 || k.limit_before_decrease < 0) return "level";
+  if (k.late_share < 0 || k.late_share > 1 || k.objective_used < 0 || k.objective_used > 1)
+    return "late or wait";
   if (k.retry_budget < 0 || k.retry_budget > 1000) return "retry_budget";
-  for (const auto* table : {&k.runtime, &k.first_token}) {
+  for (const auto* table : {&k.runtime_by_bucket, &k.first_token_by_bucket}) {
     for (const auto& [bucket, a] : *table) {
       if (!Sane(a) || a.mean < 0) return "runtime";
     }
   }
-  if (!Sane(k.per_hint) || !Sane(k.bucket_error) || !Sane(k.hint_error) || !Sane(k.kind_slow) ||
-      !Sane(k.round_trip))
+  if (!Sane(k.runtime_per_hint) || !Sane(k.bucket_error) || !Sane(k.hint_error) ||
+      !Sane(k.slowness_by_kind) || !Sane(k.round_trip))
     return "an average";
-  for (const Learned::Replica& r : k.replicas) {
-    if (r.out < 0 || r.out > 1'000'000 || r.seen.failures < 0 || r.seen.slow_n < 0) return "a replica";
-    if (std::abs(r.seen.slow) > 20 || r.seen.full < 0 || r.seen.full > 1) return "a replica's slowness";
+  for (const LearnedState::Replica& r : k.replicas) {
+    if (r.in_flight < 0 || r.in_flight > 1'000'000 || r.learned.consecutive_failures < 0 ||
+        r.learned.slowness_samples < 0)
+      return "a replica";
+    if (std::abs(r.learned.slowness) > 20 || r.learned.capacity_factor < 0 || r.learned.capacity_factor > 1)
+      return "a replica's slowness";
   }
   return nullptr;
 }
 
 }  // namespace
 
-std::string EncodeLearned(const Learned& learned) {
-  Learned all = learned;
-  Newest(all.kept, [](const Learned::Kept& k) { return k.at; });
-  Newest(all.keys, [](const Learned::KeyUse& k) { return k.slow.at; });
+std::string EncodeLearned(const LearnedState& learned) {
+  LearnedState all = learned;
+  Newest(all.cached_prefixes, [](const LearnedState::CachedPrefix& k) { return k.cached_at; });
+  Newest(all.key_traffic, [](const LearnedState::KeyTraffic& k) { return k.long_term.updated_at; });
   const std::vector<std::uint8_t> bytes = json::to_msgpack(Writer::Of(all));
   return {bytes.begin(), bytes.end()};
 }
 
-std::optional<Learned> DecodeLearned(const std::string& bytes, std::string* why) {
+std::optional<LearnedState> DecodeLearned(const std::string& bytes, std::string* why) {
   try {
     const json j = json::from_msgpack(bytes, true, false);
     if (!j.is_object()) throw std::runtime_error("not what a process of ours writes");
-    Learned learned;
+    LearnedState learned;
     Reader reader{j};
     Fields(reader, learned);
     if (const char* wrong = Wrong(learned)) throw std::runtime_error(std::string(wrong) + " is out of range");
--- a/src/core/learned_model.h
+++ b/src/core/learned_model.h
@@ -7,16 +7,16 @@
 #include <optional>
 #include <string>
 
-#include "ryeglade/learned.h"
+#include "ryeglade/learned_state.h"
 
 namespace ryeglade {
 
 // Of sessions and beginnings that are kept somewhere, and of keys, so many of the newest pass over.
 inline constexpr std::size_t kMostLearnedKeys = 8192;
 
-std::string EncodeLearned(const policy::Learned& learned);
+std::string EncodeLearned(const policy::LearnedState& learned);
 // Null where it is not ours or a number is out of all bounds (not finite, negative where that means nothing):
 // then nothing of it is used. `why` says what was wrong.
-std::optional<policy::Learned> DecodeLearned(const std::string& bytes, std::string* why);
+std::optional<policy::LearnedState> DecodeLearned(const std::string& bytes, std::string* why);
 
 }  // namespace ryeglade
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -41,7 +41,7 @@
  public:
   virtual ~MembershipTap() = default;
   // An entry of a list that is about to be posted.
-  virtual void OnMember(Time now, const policy::ReplicaEntry& entry, const std::string& name,
+  virtual void OnMember(Time now, const policy::Endpoint& entry, const std::string& name,
                         const std::string& address) = 0;
   // `source`: "known", "watch" or "fetch". `why` empty: a list of that generation came from there; else it
   // could not be had, for that reason, and what is known is getting old.
--- a/src/core/streams.cpp
+++ b/src/core/streams.cpp
@@ -22,14 +22,14 @@
 Handle Streams::Open(StreamRequest request, StreamSink* sink, Handle client) {
   const Time now = Now();
   const auto& classes = core_->config->settings.classes;
-  const auto cls = static_cast<std::size_t>(request.arrival.cls);
+  const auto cls = static_cast<std::size_t>(request.arrival.class_index);
   const std::string class_name = cls < classes.size() ? classes[cls].name : "";
   if (end_by_ != 0 && now >= take_until_) {
     if (core_->tally != nullptr) ++core_->tally->by_class[class_name].busy;
     sink->OnRefused(client, kEndingRetryAfter);
     return 0;
   }
-  Time patience = std::max<Time>(0, request.arrival.patience - (now - request.sent_at));
+  Time patience = std::max<Time>(0, request.arrival.time_budget - (now - request.sent_at));
   if (end_by_ != 0) patience = std::min(patience, std::max<Time>(0, end_by_ - now));
   core_->dialect->Prepare(request);
   Stream stream{std::move(request)};
@@ -39,7 +39,7 @@
   const Handle handle = table_.Add(std::move(stream));
   Stream& s = *table_.Get(handle);
   s.request.arrival.id = handle;
-  s.request.arrival.patience = patience;
+  s.request.arrival.time_budget = patience;
   Bound(s, handle, now + patience);
   if (core_->stream_tap != nullptr) core_->stream_tap->OnNamed(now, handle, s.request.call_id);
   core_->events->Post(s.request.arrival);
@@ -67,9 +67,9 @@
     Bound(*s, handle, at);
     const Time left = std::max<Time>(0, at - Now());
     core_->flow->EndBy(s->upstream_request, at - Margin(left, kTimeoutMargin));
-    core_->events->Post(policy::PatienceCut{handle, left});
+    core_->events->Post(policy::DeadlineShortened{handle, left});
   }
-  if (core_->config->settings.can_move_streams) {
+  if (core_->config->settings.can_migrate_streams) {
     core_->deadlines->Cancel(move_on_);
     move_on_ = core_->deadlines->Set(std::max(Now(), at - kMoveBefore), [this] { MoveOn(); });
   }
@@ -102,7 +102,7 @@
 void Streams::Guard(Handle handle) {
   const Stream* s = table_.Get(handle);
   if (s == nullptr || s->started) return;
-  core_->events->Post(policy::PatienceCut{handle, 0});
+  core_->events->Post(policy::DeadlineShortened{handle, 0});
   s = table_.Get(handle);
   if (s == nullptr) return;
   core_->flow->EndNow(s->upstream_request);
@@ -111,7 +111,7 @@
   Log(Level::kError, "guard-reply",
       {{"id", s->request.call_id}, {"out", s->upstream_request != 0}, {"written", s->written}});
   if (core_->tally != nullptr) ++core_->tally->guard_replies;
-  core_->events->Post(policy::ClientGone{handle});  // to the module it is over
+  core_->events->Post(policy::ClientDisconnected{handle});  // to the module it is over
   Fail(handle);
 }
 
@@ -128,7 +128,7 @@
   const Stream* s = table_.Get(handle);
   if (s == nullptr) return;
   Log(Level::kInfo, "client-gone", {{"id", s->request.call_id}, {"started", s->started ? 1 : 0}});
-  core_->events->Post(policy::ClientGone{handle});
+  core_->events->Post(policy::ClientDisconnected{handle});
   End(handle, &client, Ended::kGone);
 }
 
@@ -151,12 +151,13 @@
 void Streams::CountStart(Stream& s) {
   if (core_->tally == nullptr) return;
   const auto& classes = core_->config->settings.classes;
-  const auto cls = static_cast<std::size_t>(s.request.arrival.cls);
+  const auto cls = static_cast<std::size_t>(s.request.arrival.class_index);
   const Time took = std::max<Time>(1, Now() - s.request.sent_at);
   if (cls < classes.size()) {
     const policy::ClassSettings& c = classes[cls];
-    const double more = static_cast<double>(c.aim_per_1000_tokens) * s.request.arrival.prompt_tokens / 1000.0;
-    s.in_time = static_cast<double>(took) <= static_cast<double>(c.aim) + more;
+    const double more =
+        static_cast<double>(c.objective_per_1000_tokens) * s.request.arrival.prompt_tokens / 1000.0;
+    s.in_time = static_cast<double>(took) <= static_cast<double>(c.latency_objective) + more;
   }
   Tally::Ends& ends = core_->tally->by_class[s.class_name];
   const double ln = std::log(static_cast<double>(took) / 1000.0);
--- a/src/core/upstream.cpp
+++ b/src/core/upstream.cpp
@@ -440,7 +440,7 @@
       core_->deadlines->Cancel(r->deadline);
       r->deadline = core_->deadlines->Set(r->last_byte + kSilence, [this, request] { Silence(request); });
       core_->events->Post(
-          policy::AnswerStarted{r->stream, r->attempt, r->replica, r->last_byte - r->sent_at});
+          policy::ResponseStarted{r->stream, r->attempt, r->replica, r->last_byte - r->sent_at});
       const std::string opening = std::exchange(c->response.opening, {});
       core_->answers->Data(r->stream, opening);
     }
@@ -523,14 +523,14 @@
     const Response& response = c->response;
     if (response.reader != nullptr) {
       const AnswerNotes notes = response.reader->Notes(r.stream == 0);
-      ended.kept_tokens = notes.kept_tokens;
-      ended.load = Load(notes.load_report);
+      ended.cached_tokens = notes.kept_tokens;
+      ended.load_report = Load(notes.load_report);
     }
     const bool whole = response.complete && response.framed && response.keep && c->tcp->unsent() == 0;
     whole ? Park(r.connection) : Drop(r.connection);
   }
   if (r.stream == 0) {
-    core_->events->Post(policy::ProbeAnswered{r.replica, outcome, ended.elapsed, ended.load});
+    core_->events->Post(policy::HealthCheckCompleted{r.replica, outcome, ended.elapsed, ended.load_report});
     return;
   }
   if (core_->tally != nullptr) ++core_->tally->attempts_ended[Word(outcome)];
--- a/src/core/words.cpp
+++ b/src/core/words.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::array<const char*, 8> kOutcomes = {"served",         "error", "full",      "timeout",
                                                   "connect-failed", "reset", "cancelled", "not-sent"};
-constexpr std::array<const char*, static_cast<std::size_t>(policy::Why::kCount)> kReasons = {
+constexpr std::array<const char*, static_cast<std::size_t>(policy::ConclusionReason::kCount)> kReasons = {
     "no-patience",  "held-too-long", "no-time-left", "attempts-spent",
     "may-have-run", "retries-spent", "stream-broken"};
 
@@ -21,6 +21,6 @@
 }  // namespace
 
 const char* Word(policy::Outcome outcome) { return At(kOutcomes, static_cast<std::size_t>(outcome)); }
-const char* Word(policy::Why why) { return At(kReasons, static_cast<std::size_t>(why)); }
+const char* Word(policy::ConclusionReason why) { return At(kReasons, static_cast<std::size_t>(why)); }
 
 }  // namespace ryeglade
--- a/src/core/words.h
+++ b/src/core/words.h
@@ -7,6 +7,6 @@
 namespace ryeglade {
 
 const char* Word(policy::Outcome outcome);
-const char* Word(policy::Why why);
+const char* Word(policy::ConclusionReason why);
 
 }  // namespace ryeglade
--- a/src/dialects/openai/openai_dialect.cpp
+++ b/src/dialects/openai/openai_dialect.cpp
@@ -95,7 +95,7 @@
   AnswerEnd AtEnd(int status, bool probe) const override {
     if (probe)
       return {status == 200                    ? Outcome::kServed
-              : status == 503 || status == 429 ? Outcome::kFull
+              : status == 503 || status == 429 ? Outcome::kAtCapacity
                                                : Outcome::kError};
     if (status == 200) {
       if (!opened_) return {Outcome::kError};
@@ -103,7 +103,8 @@
     }
     // A 503 may also come from something between that lost the engine in the middle of its work: it proves
     // nothing unless it says when to come back.
-    if (status == 429 || (status == 503 && retry_after_ > 0)) return {Outcome::kFull, false, retry_after_};
+    if (status == 429 || (status == 503 && retry_after_ > 0))
+      return {Outcome::kAtCapacity, false, retry_after_};
     if (status == 400 || status == 404 || status == 413 || status == 422) return {Outcome::kError, true};
     return {Outcome::kError, false, retry_after_};
   }
--- a/src/dialects/platform/platform_dialect.cpp
+++ b/src/dialects/platform/platform_dialect.cpp
@@ -49,7 +49,7 @@
   AnswerEnd AtEnd(int status, bool probe) const override {
     if (status == 200) return {probe || opened_ ? Outcome::kServed : Outcome::kError};
     const bool away = (status == 503 || status == 504) && rejected_;
-    return {away || (probe && status == 503) ? Outcome::kFull : Outcome::kError};
+    return {away || (probe && status == 503) ? Outcome::kAtCapacity : Outcome::kError};
   }
 
   AnswerNotes Notes(bool probe) const override {
--- a/src/fronts/openai/openai_front.cpp
+++ b/src/fronts/openai/openai_front.cpp
@@ -272,8 +272,8 @@
   const auto& classes = core_->config->settings.classes;
   const int found = core_->config->ClassIndex(cls);  // else the first in force, as before
   const std::vector<std::size_t>& in_force = core_->config->in_force;
-  a.cls = found >= 0 ? found : in_force.empty() ? 0 : static_cast<int>(in_force.front());
-  if (*deadline == 0) *deadline = classes[static_cast<std::size_t>(a.cls)].deadline;
+  a.class_index = found >= 0 ? found : in_force.empty() ? 0 : static_cast<int>(in_force.front());
+  if (*deadline == 0) *deadline = classes[static_cast<std::size_t>(a.class_index)].time_budget;
 }
 
 // A client may ask for less time than its route gives, never for more.
@@ -328,7 +328,7 @@
   Time deadline = 0;
   const char* path = endpoint == openai::Endpoint::kChat ? kChat : kCompletions;
   Route(path, *key, *model, a, &deadline);
-  a.patience = Patience(request, deadline);
+  a.time_budget = Patience(request, deadline);
   a.session = body.session;
   a.prefix = body.prefix;
   a.prompt_tokens = prompt;
--- a/src/fronts/platform/platform_front.cpp
+++ b/src/fronts/platform/platform_front.cpp
@@ -99,12 +99,12 @@
   if (!Hex(text("x-call-id"), &id)) return "X-Call-Id";
   stream.call_id = text("x-call-id");
 
-  a.cls = core_->config->ClassIndex(text("x-call-class"));
-  if (a.cls < 0 || text("x-call-class").empty()) return "X-Call-Class";
+  a.class_index = core_->config->ClassIndex(text("x-call-class"));
+  if (a.class_index < 0 || text("x-call-class").empty()) return "X-Call-Class";
 
   double budget = 0;
   if (!Amount(text("x-budget"), kMostBudget, &budget)) return "X-Budget";
-  a.patience = static_cast<Time>(std::llround(budget * 1e6));
+  a.time_budget = static_cast<Time>(std::llround(budget * 1e6));
 
   if (!text("x-route-hash").empty()) a.session = Name(text("x-route-hash"));
   a.prompt_tokens = static_cast<double>(request.body.size()) / kCharsPerToken;
--- a/src/handover/hand_over.cpp
+++ b/src/handover/hand_over.cpp
@@ -80,7 +80,7 @@
   }
   Out out;
   for (const auto& r : state->learned.replicas) {
-    if (r.out > 0) out.emplace_back(r.id, r.out);
+    if (r.in_flight > 0) out.emplace_back(r.id, r.in_flight);
   }
   Log(Level::kInfo, "hand-over-taken",
       {{"program", state->program},
--- a/src/handover/state_model.cpp
+++ b/src/handover/state_model.cpp
@@ -78,9 +78,9 @@
 
 void FitTo(const std::vector<std::string>& classes, State* state) {
   if (state->classes == classes) return;
-  policy::Learned& k = state->learned;
-  k.pace_by_class.clear(), k.per_hint.clear(), k.bucket_error.clear(), k.hint_error.clear();
-  k.runtime.clear(), k.first_token.clear();
+  policy::LearnedState& k = state->learned;
+  k.pace_by_class.clear(), k.runtime_per_hint.clear(), k.bucket_error.clear(), k.hint_error.clear();
+  k.runtime_by_bucket.clear(), k.first_token_by_bucket.clear();
 }
 
 std::string EncodeOut(const Out& out, std::int64_t from) {
--- a/src/handover/state_model.h
+++ b/src/handover/state_model.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "ryeglade/learned.h"
+#include "ryeglade/learned_state.h"
 
 namespace ryeglade::handover {
 
@@ -20,7 +20,7 @@
   std::string discovery;             // whose list it is
   std::string roster;                // in discovery's form
   std::vector<std::string> classes;  // by index: what is learned class by class goes by these
-  policy::Learned learned;
+  policy::LearnedState learned;
 };
 
 std::string EncodeState(const State& state, std::int64_t to);
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -245,7 +245,7 @@
                           model_->settled_since()};
     if (const auto nodes = tier_.Look(Now(), facts)) {
       Log(Level::kInfo, "tier-size", {{"nodes", *nodes}});
-      events_->Post(policy::TierSize{static_cast<int>(*nodes)});
+      events_->Post(policy::NodeCountChanged{static_cast<int>(*nodes)});
     }
   }
   if (!dropped_untold_.empty() && Now() - dropped_told_ >= kTellDroppedEvery) {
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -121,7 +121,7 @@
   return x ^ (x >> 31);
 }
 
-double Fade(Time passed, Time memory) { return Faded::Fade(passed, memory); }
+double Fade(Time passed, Time memory) { return DecayingCounter::DecayFactor(passed, memory); }
 
 double Unit(std::uint64_t bits) { return (static_cast<double>(bits >> 11) + 0.5) * 0x1.0p-53; }
 
@@ -134,17 +134,17 @@
 int Log2Bucket(double x) { return x < 1 ? 0 : 1 + std::min(30, static_cast<int>(std::log2(x))); }
 
 bool ProvesNotRun(Outcome o) {
-  return o == Outcome::kFull || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
+  return o == Outcome::kAtCapacity || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
 }
 
 struct Replica : ReplicaView {
   bool usable = false;  // listed as ready
   bool listed = false;
   int beside = 0;            // what another process of this node still has out there
-  ToldReplica told;          // what the rest of the tier knows of it, by
+  PeerReplicaReport told;    // what the rest of the tier knows of it, by
   Time told_at = 0;          // then
   std::uint64_t looked = 0;  // the search that looked at it last
-  double elsewhere() const { return beside + told.out; }
+  double elsewhere() const { return beside + told.orphaned_in_flight; }
 };
 
 struct Attempt {
@@ -203,8 +203,8 @@
 
   const Replica* Find(ReplicaId id) const {
     const auto it = std::lower_bound(fleet_.begin(), fleet_.end(), id,
-                                     [](const auto& r, ReplicaId v) { return r->entry.id < v; });
-    return it != fleet_.end() && (*it)->entry.id == id ? it->get() : nullptr;
+                                     [](const auto& r, ReplicaId v) { return r->endpoint.id < v; });
+    return it != fleet_.end() && (*it)->endpoint.id == id ? it->get() : nullptr;
   }
   bool MayRefuse(RequestId id) const {
     const auto it = requests_.find(id);
@@ -216,31 +216,31 @@
     settings_.max_attempts = std::max(1, max_attempts);
     Fit();
   }
-  Learned Export() const;
+  LearnedState Export() const;
   std::size_t held() const { return held_.size(); }
   std::size_t open() const { return requests_.size(); }
-  double cap_total() const { return cap_total_; }
-  void Observe(Observer* observer) { observer_ = observer; }
+  double total_concurrency_limit() const { return cap_total_; }
+  void Observe(DecisionObserver* observer) { observer_ = observer; }
 
  private:
   Replica* Get(ReplicaId id) { return const_cast<Replica*>(std::as_const(*this).Find(id)); }
 
   // Events.
-  void On(const ReplicaList& e);
+  void On(const EndpointList& e);
   void On(const RequestArrived& e);
-  void On(const AnswerStarted& e);
+  void On(const ResponseStarted& e);
   void On(const AttemptEnded& e);
-  void On(const ClientGone& e);
+  void On(const ClientDisconnected& e);
   void On(const TimerFired& e);
-  void On(const ProbeAnswered&) {}
-  void On(const TierSize& e);
-  void On(const TierShare& e);
+  void On(const HealthCheckCompleted&) {}
+  void On(const NodeCountChanged& e);
+  void On(const TrafficShareChanged& e);
   void Split(double parts);
-  void On(const Inherited& e);
-  void On(const OutBeside& e);
-  void On(const TierEvidence& e);
-  void On(const PatienceCut& e);
-  void On(const TierKeys& e) { told_keys_ = {e.shares.begin(), e.shares.end()}; }
+  void On(const StateRestored& e);
+  void On(const SiblingInFlightChanged& e);
+  void On(const PeerReportsReceived& e);
+  void On(const DeadlineShortened& e);
+  void On(const PrefixTrafficReceived& e) { told_keys_ = {e.shares.begin(), e.shares.end()}; }
   void Fit();  // what is learned class by class, to the classes in force
 
   // The ordinary path.
@@ -259,7 +259,7 @@
   }
   void Recap();
   bool HasRoom(const Replica& x) const;
-  bool Rests(const Replica& x) const { return std::max(x.blocked_until, x.told.rests_until) > now_; }
+  bool Rests(const Replica& x) const { return std::max(x.ejected_until, x.told.ejected_until) > now_; }
   bool Large() const { return fleet_.size() > kWhole; }
   // A large fleet's caps may be a little old: they are looked at by time, not for each thing learned.
   void Stale() {
@@ -279,14 +279,14 @@
   void LearnTime(bool late, bool in_good_time);
   void LearnPace(const Request& r, Time runtime);
   void Fall(double factor);
-  bool Saturated() const { return k_.pace > std::log(kSaturated) && k_.wait > kCrowded; }
+  bool Saturated() const { return k_.pace_slowdown > std::log(kSaturated) && k_.objective_used > kCrowded; }
   Time FullRest() const {
     return std::clamp<Time>(static_cast<Time>(kFullRest * k_.round_trip.mean), settings_.connect_timeout / 10,
                             kFullRestMost);
   }
   void LearnFailure(Replica& x, Outcome o);
   double Slowness(const Replica& x) const;
-  bool ManyNodes() const { return settings_.nodes > kFewNodes; }
+  bool ManyNodes() const { return settings_.node_count > kFewNodes; }
   // Of many nodes one may have most of the traffic, so its level is not bound to its part.
   double MostLevel() const { return ManyNodes() ? kMostInFlight : kMostInFlight / parts_; }
   double KindSlowness(int kind) const;
@@ -299,14 +299,14 @@
 
   // Rules.
   const ClassSettings& ClassOf(const Request& r) const {
-    return settings_.classes[static_cast<std::size_t>(r.info.cls)];
+    return settings_.classes[static_cast<std::size_t>(r.info.class_index)];
   }
   bool MaySend(const Request& r, const Replica& to) const;
-  bool ByZone() const { return settings_.fee_cross_zone > 0 && settings_.zones > 1; }
+  bool ByZone() const { return settings_.cross_zone_penalty > 0 && settings_.zone_count > 1; }
   bool MaySendAnywhere(const Request& r) const;
   Time RepeatWithin(const Request& r) const;
   bool MayRefuse(const Request& r) const;
-  void Conclude(Request& r, Why why);
+  void Conclude(Request& r, ConclusionReason why);
   void NoteSend(const Request& r, const Replica& to) const;
   void Forget(RequestId id);
   void RetryOrConclude(Request& r, Outcome o);
@@ -326,7 +326,7 @@
   std::uint64_t random_;
   Time now_;
   std::vector<Action>* actions_ = nullptr;
-  Observer* observer_ = nullptr;
+  DecisionObserver* observer_ = nullptr;
 
   std::vector<std::unique_ptr<Replica>> fleet_;  // by id
   std::unordered_map<RequestId, Request> requests_;
@@ -335,7 +335,7 @@
   int in_flight_ = 0;
   int beside_ = 0;  // what another process of this node has out
 
-  Learned k_;                                            // all that is learned of more than one replica
+  LearnedState k_;                                       // all that is learned of more than one replica
   std::unordered_map<std::uint64_t, double> told_keys_;  // shares of the tier's traffic
   double cap_total_ = 0;
   double parts_ = 1;     // this node's part of the tier is one of so many,
@@ -369,18 +369,19 @@
 Router::Impl::Impl(const Settings& settings, std::uint64_t seed, Time now)
     : settings_(settings), random_(Mix(seed)), now_(now) {
   if (settings_.classes.empty()) settings_.classes.emplace_back();
-  settings_.nodes = std::max(1, settings_.nodes);
-  parts_ = split_at_ = settings_.nodes;
+  settings_.node_count = std::max(1, settings_.node_count);
+  parts_ = split_at_ = settings_.node_count;
   // Traffic is spread unevenly over many nodes, so their parts of a cap are never all in use together.
   const double start = ManyNodes() ? kManyNodesStart * kStartInFlight : kStartInFlight;
-  k_.level = start / parts_;
+  k_.base_limit = start / parts_;
   k_.retry_budget = kBudgetMost / 2;
   Fit();
   // Nodes start together: calls in step would overrun discovery, so each waits a random part of a span. It is
   // short: the list known at the start may be old, and what it lacks counts as told before long.
-  if (settings_.ask_for_list) {
-    const Time span =
-        settings_.ask_within > 0 ? std::min(kFirstAskWithin, settings_.ask_within * 4 / 10) : kFirstAskWithin;
+  if (settings_.poll_endpoints) {
+    const Time span = settings_.max_poll_interval > 0
+                          ? std::min(kFirstAskWithin, settings_.max_poll_interval * 4 / 10)
+                          : kFirstAskWithin;
     SetAlarm(now + static_cast<Time>(Random() * static_cast<double>(span)), Wake::kAsk, 0);
   }
 }
@@ -399,36 +400,36 @@
 
 // ---- The list of replicas ----
 
-void Router::Impl::On(const ReplicaList& e) {
-  if (e.scope == ListScope::kFailed) {
+void Router::Impl::On(const EndpointList& e) {
+  if (e.scope == EndpointListScope::kFailed) {
     // The old list stays; ask again, later each time and not in step with the others, but soon at first: what
     // changes meanwhile counts as told before long.
     subscribed_ = false;
     ++asks_failed_;
     const double wait = std::min(kAskAgainFirst * std::exp2(std::min(asks_failed_, 5)), kAskAgainMost);
-    if (settings_.ask_for_list) SetAlarm(now_ + static_cast<Time>(wait * (0.5 + Random())), Wake::kAsk, 0);
+    if (settings_.poll_endpoints) SetAlarm(now_ + static_cast<Time>(wait * (0.5 + Random())), Wake::kAsk, 0);
     return;
   }
-  if (e.scope != ListScope::kCached) asks_failed_ = 0;
-  if (e.scope != ListScope::kDelta) {
+  if (e.scope != EndpointListScope::kCached) asks_failed_ = 0;
+  if (e.scope != EndpointListScope::kDelta) {
     for (auto& x : fleet_) x->listed = false;
   }
-  for (const ReplicaEntry& entry : e.entries) {
+  for (const Endpoint& entry : e.endpoints) {
     Replica* x = Get(entry.id);
     if (x == nullptr) {
-      if (entry.phase == Phase::kGone) continue;
+      if (entry.state == EndpointState::kRemoved) continue;
       x = fleet_
               .insert(std::lower_bound(fleet_.begin(), fleet_.end(), entry.id,
-                                       [](const auto& r, ReplicaId v) { return r->entry.id < v; }),
+                                       [](const auto& r, ReplicaId v) { return r->endpoint.id < v; }),
                       std::make_unique<Replica>())
               ->get();
       Anew(*x);
-    } else if (entry.started_at > x->entry.started_at) {
+    } else if (entry.started_at > x->endpoint.started_at) {
       Anew(*x);
     }
-    x->entry = entry;
-    x->listed = entry.phase != Phase::kGone;
-    x->usable = entry.phase == Phase::kReady;
+    x->endpoint = entry;
+    x->listed = entry.state != EndpointState::kRemoved;
+    x->usable = entry.state == EndpointState::kReady;
   }
   for (auto& x : fleet_) x->usable = x->usable && x->listed;
   std::erase_if(fleet_, [&](const auto& x) {
@@ -446,22 +447,22 @@
   beside_ -= x.beside;
   x = Replica{};
   x.in_flight = in_flight;
-  x.cold_tokens = Random();  // nodes hear of a start together: their first sends are spread over time
-  x.cold_at = now_;
+  x.slow_start_tokens = Random();  // nodes hear of a start together: their first sends are spread over time
+  x.slow_start_updated_at = now_;
 }
 
 void Router::Impl::AskForList() {
   if (subscribed_) return;
   subscribed_ = true;
-  Act(SubscribeList{true});
+  Act(WatchEndpoints{true});
 }
 
 double Router::Impl::Warmth(const Replica& x) const {
-  if (settings_.cold_span <= 0 || x.entry.started_at <= 0) return 1;
+  if (settings_.slow_start_window <= 0 || x.endpoint.started_at <= 0) return 1;
   const double age =
-      static_cast<double>(now_ - x.entry.started_at) / static_cast<double>(settings_.cold_span);
+      static_cast<double>(now_ - x.endpoint.started_at) / static_cast<double>(settings_.slow_start_window);
   if (age >= 1) return 1;
-  return settings_.cold_from + (1 - settings_.cold_from) * std::max(0.0, age);
+  return settings_.slow_start_min_share + (1 - settings_.slow_start_min_share) * std::max(0.0, age);
 }
 
 // ---- Requests ----
@@ -470,29 +471,30 @@
   if (requests_.contains(e.id)) return;
   Request& r = requests_[e.id];
   r.info = e;
-  r.info.cls = std::clamp(e.cls, 0, static_cast<int>(settings_.classes.size()) - 1);
+  r.info.class_index = std::clamp(e.class_index, 0, static_cast<int>(settings_.classes.size()) - 1);
   r.info.prompt_tokens = std::min(1e9, std::max(0.0, e.prompt_tokens));  // 0 for what is no number
   const ClassSettings& c = ClassOf(r);
   r.arrived = now_;
-  r.deadline = now_ + std::max<Time>(0, e.patience);
-  r.aim_at = now_ + c.aim +
-             static_cast<Time>(static_cast<double>(c.aim_per_1000_tokens) * r.info.prompt_tokens / 1000.0);
+  r.deadline = now_ + std::max<Time>(0, e.time_budget);
+  r.aim_at =
+      now_ + c.latency_objective +
+      static_cast<Time>(static_cast<double>(c.objective_per_1000_tokens) * r.info.prompt_tokens / 1000.0);
   k_.retry_budget = std::min(kBudgetMost, k_.retry_budget + kRetryShare);
   CountKeys(e);
-  r.over_share = OverShare(e.tenant);
+  r.over_share = OverShare(e.tenant_index);
   Estimate(r);
   // A try can come with no patience left; a timer would answer it a tick too late.
-  if (GiveUpAt(r) <= now_) return Conclude(r, Why::kNoPatience);
+  if (GiveUpAt(r) <= now_) return Conclude(r, ConclusionReason::kNoTimeBudget);
   Hold(r);
 }
 
-void Router::Impl::On(const ClientGone& e) {
+void Router::Impl::On(const ClientDisconnected& e) {
   const auto it = requests_.find(e.id);
   if (it == requests_.end() || it->second.done) return;
   Request& r = it->second;
   Unhold(r);
   r.done = true;
-  if (settings_.may_cancel) {
+  if (settings_.can_cancel) {
     for (std::size_t i = 0; i < r.attempts.size(); ++i) {
       if (r.attempts[i].out) Act(CancelAttempt{e.id, static_cast<int>(i)});
     }
@@ -501,14 +503,14 @@
 }
 
 // An attempt that is out stays so: the request is concluded by its outcome, as there is no time for another.
-void Router::Impl::On(const PatienceCut& e) {
+void Router::Impl::On(const DeadlineShortened& e) {
   const auto it = requests_.find(e.id);
   if (it == requests_.end() || it->second.done || it->second.started) return;
   Request& r = it->second;
-  r.deadline = std::min(r.deadline, now_ + std::max<Time>(0, e.patience));
+  r.deadline = std::min(r.deadline, now_ + std::max<Time>(0, e.time_budget));
   if (!r.held) return;
   r.give_up_at = GiveUpAt(r);
-  if (now_ >= r.give_up_at) return Conclude(r, Why::kHeldTooLong);
+  if (now_ >= r.give_up_at) return Conclude(r, ConclusionReason::kQueueTimeout);
   SetAlarm(r.give_up_at, Wake::kGiveUp, e.id);
 }
 
@@ -522,21 +524,21 @@
   const Time patience = r.deadline - r.arrived;
   const Time last = r.deadline - std::max<Time>(20'000, patience / 50);
   // Departure: what earns nothing once its aim has passed is refused early, not served late.
-  if (ClassOf(r).late_worth <= 0) return std::max(r.arrived, std::min(last, r.aim_at - FirstToken(r)));
+  if (ClassOf(r).late_weight_share <= 0) return std::max(r.arrived, std::min(last, r.aim_at - FirstToken(r)));
   return std::max(r.arrived, last);
 }
 
 // How long a first token is likely to take once the request is sent.
 Time Router::Impl::FirstToken(const Request& r) const {
-  const auto seen = k_.first_token.find(BucketKey(r.info, 2));
-  const double usual = seen == k_.first_token.end() ? 0 : seen->second.mean;
+  const auto seen = k_.first_token_by_bucket.find(BucketKey(r.info, 2));
+  const double usual = seen == k_.first_token_by_bucket.end() ? 0 : seen->second.mean;
   return static_cast<Time>(std::min(usual, 0.5 * static_cast<double>(r.aim_at - r.arrived)));
 }
 
 void Router::Impl::Hold(Request& r) {
   r.held = true;
-  const auto usual = k_.runtime.find(BucketKey(r.info, 1));
-  const double usual_size = usual == k_.runtime.end() ? r.size : usual->second.mean;
+  const auto usual = k_.runtime_by_bucket.find(BucketKey(r.info, 1));
+  const double usual_size = usual == k_.runtime_by_bucket.end() ? r.size : usual->second.mean;
   const double key = HeldKey({r.arrived, r.aim_at - r.arrived, r.size, usual_size});
   // Departure: what can no longer meet its aim waits behind what can. In the order of size and age alone, a
   // queue that has once grown past the aim serves everything late.
@@ -576,30 +578,31 @@
 
 // From what Choose has just weighed.
 void Router::Impl::NoteSend(const Request& r, const Replica& to) const {
-  SendNote note{r.info.id, static_cast<int>(r.attempts.size()), to.entry.id, r.size, now_ - r.arrived};
-  note.considered = static_cast<int>(options_.size());
-  note.cap = to.cap;
+  DispatchRecord note{r.info.id, static_cast<int>(r.attempts.size()), to.endpoint.id, r.size,
+                      now_ - r.arrived};
+  note.candidates = static_cast<int>(options_.size());
+  note.concurrency_limit = to.concurrency_limit;
   note.in_flight = to.in_flight;
   for (const Option& o : options_) {
-    if (o.room >= 0) ++note.with_room;
+    if (o.room >= 0) ++note.candidates_with_capacity;
     if (o.replica == &to) {
-      note.room = o.room;
-      note.unread = Unread(r.info, to, o.home, false, false);
-    } else if (o.room > note.runner_up_room) {
-      note.runner_up = o.replica->entry.id;
-      note.runner_up_room = o.room;
+      note.score = o.room;
+      note.tokens_to_prefill = Unread(r.info, to, o.home, false, false);
+    } else if (o.room > note.runner_up_score) {
+      note.runner_up = o.replica->endpoint.id;
+      note.runner_up_score = o.room;
     }
   }
-  observer_->OnSend(note);
+  observer_->OnDispatch(note);
 }
 
 void Router::Impl::Send(Request& r, Replica& to) {
-  if (observer_ != nullptr && observer_->wants_sends()) NoteSend(r, to);
+  if (observer_ != nullptr && observer_->wants_dispatches()) NoteSend(r, to);
   const Time write_within = RepeatWithin(r);
   Attempt a;
-  a.replica = to.entry.id;
-  a.zone = to.entry.zone;
-  a.cell = to.entry.cell;
+  a.replica = to.endpoint.id;
+  a.zone = to.endpoint.zone;
+  a.cell = to.endpoint.cell;
   a.sent = now_;
   r.attempts.push_back(a);
   ++r.out;
@@ -609,12 +612,12 @@
   const bool home = std::any_of(options_.begin(), options_.end(),
                                 [&](const Option& o) { return o.replica == &to && o.home; });
   r.attempts.back().unread = Unread(r.info, to, home, false, false);
-  if (to.reading < 1) to.waits_since = now_;
-  to.reading += r.attempts.back().unread;
-  Keep(r.info, to.entry.id);
-  k_.sends.Add(now_, kTenantMemory, 1);
-  if (Warmth(to) < 1) to.cold_tokens -= 1;
-  Act(SendAttempt{r.info.id, to.entry.id, 0, write_within});
+  if (to.prefill_backlog_tokens < 1) to.waiting_since = now_;
+  to.prefill_backlog_tokens += r.attempts.back().unread;
+  Keep(r.info, to.endpoint.id);
+  k_.dispatches.Add(now_, kTenantMemory, 1);
+  if (Warmth(to) < 1) to.slow_start_tokens -= 1;
+  Act(SendAttempt{r.info.id, to.endpoint.id, 0, write_within});
 }
 
 // Present caps. This node's part of a replica's cap is a real number: the fleet-wide level that time to first
@@ -639,15 +642,15 @@
   // The level already tells how slow the fleet as a whole is; speed divides it among the replicas. Were it to
   // count twice, all caps would shrink as soon as long answers follow the short ones that are back first.
   slow /= std::max(1.0, static_cast<double>(usable));
-  const double rate = k_.sends.Now(now_, kTenantMemory) / (static_cast<double>(kTenantMemory) / 1e6);
+  const double rate = k_.dispatches.ValueAt(now_, kTenantMemory) / (static_cast<double>(kTenantMemory) / 1e6);
   cap_total_ = 0;
   for (auto& x : fleet_) {
-    x->cap = 0;
+    x->concurrency_limit = 0;
     if (!x->usable || (blocking_ && Rests(*x))) continue;
-    const double full = 1 - (1 - x->full) * Fade(now_ - x->full_at, kFullHeals);
+    const double full = 1 - (1 - x->capacity_factor) * Fade(now_ - x->capacity_updated_at, kFullHeals);
     const double warmth = Warmth(*x);
-    x->cap = k_.level * std::exp(-kSpeedPower * (Slowness(*x) - slow)) * full * warmth;
-    cap_total_ += x->cap;
+    x->concurrency_limit = k_.base_limit * std::exp(-kSpeedPower * (Slowness(*x) - slow)) * full * warmth;
+    cap_total_ += x->concurrency_limit;
     if (Large()) {
       ready_.push_back(x.get());
       CountReport(*x);
@@ -656,22 +659,22 @@
       // All nodes together must stay inside what a cold replica can take. A warm one is sent its share of the
       // traffic; a cold one earns leave for its present part of that.
       const double share = rate / static_cast<double>(usable);
-      x->cold_tokens =
-          std::min(1.0, x->cold_tokens + kColdMargin * settings_.overload_factor * warmth * share *
-                                             static_cast<double>(now_ - x->cold_at) / 1e6);
-      x->cold_at = now_;
+      x->slow_start_tokens = std::min(
+          1.0, x->slow_start_tokens + kColdMargin * settings_.overload_factor * warmth * share *
+                                          static_cast<double>(now_ - x->slow_start_updated_at) / 1e6);
+      x->slow_start_updated_at = now_;
     }
   }
 }
 
 bool Router::Impl::HasRoom(const Replica& x) const {
-  if (x.cap <= 0 || x.no_room_until > now_) return false;
-  if (x.failures > 1 && x.in_flight > 0) return false;  // on trial: one request at a time
-  if (Warmth(x) < 1 && x.cold_tokens < 1) return false;
+  if (x.concurrency_limit <= 0 || x.at_capacity_until > now_) return false;
+  if (x.consecutive_failures > 1 && x.in_flight > 0) return false;  // on trial: one request at a time
+  if (Warmth(x) < 1 && x.slow_start_tokens < 1) return false;
   // A cap of half a request is a mean over all nodes' parts; each node's own swing about it evens out with
   // the others', and the sum of the caps bounds them together. Alone, a node sees the whole and keeps to it.
-  const double swing = kSwing * std::sqrt(x.cap * (1 - 1.0 / parts_));
-  return x.in_flight + x.elsewhere() < std::max(1.0, x.cap + swing);
+  const double swing = kSwing * std::sqrt(x.concurrency_limit * (1 - 1.0 / parts_));
+  return x.in_flight + x.elsewhere() < std::max(1.0, x.concurrency_limit + swing);
 }
 
 // The replica with most room. Room is the part of a replica's cap that is thought free, counted in requests
@@ -697,21 +700,24 @@
     o.room = -1;
     if (!HasRoom(x) || !MaySend(r, x)) continue;
     const bool tried = std::any_of(r.attempts.begin(), r.attempts.end(),
-                                   [&](const Attempt& a) { return a.replica == x.entry.id; });
+                                   [&](const Attempt& a) { return a.replica == x.endpoint.id; });
     // What other nodes have there is not seen: as much as here on average, more where answers are slow.
     const double slowness = Slowness(x);
-    double others = occupied * std::exp(kShun * (slowness - KindSlowness(x.entry.kind)));
-    if (x.load >= 0) {
-      const double trust = Fade(now_ - x.load_at, kReportMemory);
+    double others = occupied * std::exp(kShun * (slowness - KindSlowness(x.endpoint.kind)));
+    if (x.reported_load >= 0) {
+      const double trust = Fade(now_ - x.reported_at, kReportMemory);
       const double fuller = std::clamp(Reported(x) / usual, 1 / kReportBound, kReportBound);
       others = trust * occupied * fuller + (1 - trust) * others;
     }
-    const double own = (x.in_flight + x.elsewhere()) / (nodes * x.cap);
+    const double own = (x.in_flight + x.elsewhere()) / (nodes * x.concurrency_limit);
     const double free = std::max(0.01, 1 - own - others * (nodes - 1) / nodes);
     // Room is counted in requests like this one, and what a request takes is what must be read before its
     // first token comes: the prompts that came before it, and what of its own is not kept there.
-    double weight = (x.reading + Unread(i, x, o.home, o.session_home, hot)) * std::exp(slowness) + kLeastRead;
-    if (by_zone && x.entry.zone != settings_.zone) weight += kCrossingRead * settings_.fee_cross_zone / 0.08;
+    double weight =
+        (x.prefill_backlog_tokens + Unread(i, x, o.home, o.session_home, hot)) * std::exp(slowness) +
+        kLeastRead;
+    if (by_zone && x.endpoint.zone != settings_.zone)
+      weight += kCrossingRead * settings_.cross_zone_penalty / 0.08;
     if (tried) weight *= 5;  // somewhere else, if there is anywhere else
     o.room = free / weight;
     best = std::max(best, o.room);
@@ -719,14 +725,14 @@
   if (best < 0) return nullptr;
   double total = 0;
   for (const Option& o : options_) {
-    if (o.room >= best * (1 - kTie)) total += o.replica->cap;
+    if (o.room >= best * (1 - kTie)) total += o.replica->concurrency_limit;
   }
   double draw = Random() * total;
   Replica* chosen = nullptr;
   for (const Option& o : options_) {
     if (o.room < best * (1 - kTie)) continue;
     chosen = o.replica;
-    draw -= o.replica->cap;
+    draw -= o.replica->concurrency_limit;
     if (draw <= 0) break;
   }
   return chosen;
@@ -738,15 +744,15 @@
   const bool by_zone = ByZone();
   reported_ = reports_ = 0;
   for (auto& x : fleet_) {
-    if (x->cap <= 0) continue;
-    const double speed = std::exp(-kSpeedPower * KindSlowness(x->entry.kind));
-    options_.push_back({x.get(), i.prefix != 0 ? Rendezvous(i.prefix, x->entry.id, speed) : 0,
-                        i.session != 0 ? Rendezvous(i.session, x->entry.id, speed) : 0, false, false, 0});
+    if (x->concurrency_limit <= 0) continue;
+    const double speed = std::exp(-kSpeedPower * KindSlowness(x->endpoint.kind));
+    options_.push_back({x.get(), i.prefix != 0 ? Rendezvous(i.prefix, x->endpoint.id, speed) : 0,
+                        i.session != 0 ? Rendezvous(i.session, x->endpoint.id, speed) : 0, false, false, 0});
     CountReport(*x);
   }
   const auto by = [by_zone](auto member) {
     const auto key = [=](const Option& o) {
-      return std::tuple(by_zone ? o.replica->entry.zone : 0, -(o.*member), o.replica->entry.id);
+      return std::tuple(by_zone ? o.replica->endpoint.zone : 0, -(o.*member), o.replica->endpoint.id);
     };
     return [key](const Option& a, const Option& b) { return key(a) < key(b); };
   };
@@ -758,7 +764,7 @@
   for (std::size_t from = 0; from < options_.size();) {
     std::size_t to = from + 1;
     while (to < options_.size() &&
-           (!by_zone || options_[to].replica->entry.zone == options_[from].replica->entry.zone)) {
+           (!by_zone || options_[to].replica->endpoint.zone == options_[from].replica->endpoint.zone)) {
       ++to;
     }
     std::size_t set = i.prefix != 0 ? Homes(prefix_share, to - from, to - from) : to - from;
@@ -767,7 +773,7 @@
       std::sort(options_.begin() + static_cast<std::ptrdiff_t>(from),
                 options_.begin() + static_cast<std::ptrdiff_t>(from + set), by(&Option::session_rank));
     }
-    if (i.session != 0 && (!by_zone || options_[from].replica->entry.zone == settings_.zone)) {
+    if (i.session != 0 && (!by_zone || options_[from].replica->endpoint.zone == settings_.zone)) {
       const std::size_t mine = Homes(session_share, to - from, set);
       for (std::size_t k = from; k < from + mine; ++k) options_[k].session_home = true;
     }
@@ -783,8 +789,8 @@
 
 // What a replica last said of its load, among what all say.
 void Router::Impl::CountReport(const Replica& x) {
-  if (x.load < 0) return;
-  const double trust = Fade(now_ - x.load_at, kReportMemory);
+  if (x.reported_load < 0) return;
+  const double trust = Fade(now_ - x.reported_at, kReportMemory);
   reported_ += trust * Reported(x);
   reports_ += trust;
 }
@@ -797,10 +803,10 @@
   for (const auto& x : fleet_) {
     if (!x->usable) continue;
     for (int k = 0; k < kPoints; ++k)
-      ring_.emplace_back(Mix(Mix(x->entry.id) + static_cast<std::uint64_t>(k)), x.get());
+      ring_.emplace_back(Mix(Mix(x->endpoint.id) + static_cast<std::uint64_t>(k)), x.get());
   }
   std::sort(ring_.begin(), ring_.end(), [](const auto& a, const auto& b) {
-    return std::pair(a.first, a.second->entry.id) < std::pair(b.first, b.second->entry.id);
+    return std::pair(a.first, a.second->endpoint.id) < std::pair(b.first, b.second->endpoint.id);
   });
 }
 
@@ -822,7 +828,9 @@
     }
     for (std::size_t n = 0; n < ring_.size() && n < 8 * kMostHomes * kPoints && left > 0; ++n, ++at) {
       Replica* x = ring_[at % ring_.size()].second;
-      if (x->cap <= 0 || x->looked == search_ || (by_zone && x->entry.zone != settings_.zone)) continue;
+      if (x->concurrency_limit <= 0 || x->looked == search_ ||
+          (by_zone && x->endpoint.zone != settings_.zone))
+        continue;
       x->looked = search_;
       options_.push_back({x, 0, 0, !session, session, 0});
       --left;
@@ -832,10 +840,10 @@
     homes(i.prefix, prefix_share, kMostHomes, false);
     // Among them the session has its own.
     if (i.session != 0 && !options_.empty()) {
-      for (Option& o : options_) o.session_order = Mix(i.session ^ Mix(o.replica->entry.id));
+      for (Option& o : options_) o.session_order = Mix(i.session ^ Mix(o.replica->endpoint.id));
       std::sort(options_.begin(), options_.end(), [](const Option& a, const Option& b) {
-        return std::pair(~a.session_order, a.replica->entry.id) <
-               std::pair(~b.session_order, b.replica->entry.id);
+        return std::pair(~a.session_order, a.replica->endpoint.id) <
+               std::pair(~b.session_order, b.replica->endpoint.id);
       });
       const std::size_t mine = Homes(session_share, ready_.size(), options_.size());
       for (std::size_t k = 0; k < mine; ++k) options_[k].session_home = true;
@@ -846,7 +854,7 @@
   for (int k = 0; k < kDrawn && !ready_.empty(); ++k) {
     Replica* x = ready_[std::min(ready_.size() - 1,
                                  static_cast<std::size_t>(Random() * static_cast<double>(ready_.size())))];
-    if (x->cap <= 0 || x->looked == search_) continue;
+    if (x->concurrency_limit <= 0 || x->looked == search_) continue;
     x->looked = search_;
     options_.push_back({x, 0, 0, false, false, 0});
   }
@@ -858,9 +866,10 @@
   const double prompt = std::max(1.0, i.prompt_tokens);
   const auto kept = [&](std::uint64_t key) {
     if (key == 0) return 0.0;
-    const auto it = k_.kept.find(key ^ Mix(x.entry.id));
-    if (it == k_.kept.end() || now_ - it->second.at > kKept) return 0.0;
-    return it->second.at < x.entry.started_at ? 0.0 : it->second.tokens;  // it has started afresh since
+    const auto it = k_.cached_prefixes.find(key ^ Mix(x.endpoint.id));
+    if (it == k_.cached_prefixes.end() || now_ - it->second.cached_at > kKept) return 0.0;
+    return it->second.cached_at < x.endpoint.started_at ? 0.0
+                                                        : it->second.tokens;  // it has started afresh since
   };
   // A session that is hot has several homes, and each is as good.
   const double session = hot ? 0 : kept(i.session);
@@ -871,15 +880,16 @@
 }
 
 void Router::Impl::Keep(const RequestArrived& i, ReplicaId at) {
-  if (k_.kept.size() > kMostKept)
-    std::erase_if(k_.kept, [&](const auto& k) { return now_ - k.second.at > kKept; });
-  if (k_.kept.size() > kMostKept) k_.kept.clear();
-  if (i.session != 0) k_.kept[i.session ^ Mix(at)] = {i.prompt_tokens, now_};
-  if (i.prefix != 0) k_.kept[i.prefix ^ Mix(at)] = {i.prefix_tokens, now_};
+  if (k_.cached_prefixes.size() > kMostKept)
+    std::erase_if(k_.cached_prefixes, [&](const auto& k) { return now_ - k.second.cached_at > kKept; });
+  if (k_.cached_prefixes.size() > kMostKept) k_.cached_prefixes.clear();
+  if (i.session != 0) k_.cached_prefixes[i.session ^ Mix(at)] = {i.prompt_tokens, now_};
+  if (i.prefix != 0) k_.cached_prefixes[i.prefix ^ Mix(at)] = {i.prefix_tokens, now_};
 }
 
 void Router::Impl::DoneReading(Attempt& a) {
-  if (Replica* x = Get(a.replica)) x->reading = std::max(0.0, x->reading - a.unread);
+  if (Replica* x = Get(a.replica))
+    x->prefill_backlog_tokens = std::max(0.0, x->prefill_backlog_tokens - a.unread);
   a.unread = 0;
 }
 
@@ -887,7 +897,7 @@
 
 std::uint32_t Router::Impl::BucketKey(const RequestArrived& i, int level) const {
   std::uint32_t key = static_cast<std::uint32_t>(level);
-  if (level >= 1) key |= static_cast<std::uint32_t>(i.cls + 1) << 2;
+  if (level >= 1) key |= static_cast<std::uint32_t>(i.class_index + 1) << 2;
   if (level >= 2) key |= static_cast<std::uint32_t>(Log2Bucket(i.prompt_tokens)) << 12;
   if (level >= 3) {
     key |= static_cast<std::uint32_t>(Log2Bucket(i.max_answer_tokens)) << 17;
@@ -897,17 +907,18 @@
 }
 
 void Router::Impl::Estimate(Request& r) const {
-  double estimate = static_cast<double>(ClassOf(r).aim);  // before anything was served
+  double estimate = static_cast<double>(ClassOf(r).latency_objective);  // before anything was served
   for (int level = 0; level <= 3; ++level) {
-    const auto it = k_.runtime.find(BucketKey(r.info, level));
-    if (it != k_.runtime.end()) estimate = it->second.Shrunk(estimate, level == 0 ? 0 : kParentWeight);
+    const auto it = k_.runtime_by_bucket.find(BucketKey(r.info, level));
+    if (it != k_.runtime_by_bucket.end())
+      estimate = it->second.Shrunk(estimate, level == 0 ? 0 : kParentWeight);
   }
   r.by_bucket = std::max(estimate, 1.0);
   r.by_hint = r.by_bucket;
   r.size = r.by_bucket;
-  const std::size_t c = static_cast<std::size_t>(r.info.cls);
-  if (r.info.cost_hint > 0 && k_.per_hint[c].n > kParentWeight) {
-    r.by_hint = std::max(1.0, k_.per_hint[c].mean * static_cast<double>(r.info.cost_hint));
+  const std::size_t c = static_cast<std::size_t>(r.info.class_index);
+  if (r.info.cost_hint > 0 && k_.runtime_per_hint[c].samples > kParentWeight) {
+    r.by_hint = std::max(1.0, k_.runtime_per_hint[c].mean * static_cast<double>(r.info.cost_hint));
     // Either estimate counts by how well it has done so far.
     const double trust =
         (k_.bucket_error[c].mean + 1e-6) / (k_.bucket_error[c].mean + k_.hint_error[c].mean + 2e-6);
@@ -917,11 +928,13 @@
 
 void Router::Impl::LearnServed(const Request& r, Replica* from, Time runtime) {
   const double t = std::max<double>(1, static_cast<double>(runtime));
-  const std::size_t c = static_cast<std::size_t>(r.info.cls);
-  for (int level = 0; level <= 3; ++level) k_.runtime[BucketKey(r.info, level)].Add(t, kBucketMemory);
+  const std::size_t c = static_cast<std::size_t>(r.info.class_index);
+  for (int level = 0; level <= 3; ++level)
+    k_.runtime_by_bucket[BucketKey(r.info, level)].Add(t, kBucketMemory);
   k_.round_trip.Add(t, kBucketMemory);
   LearnPace(r, runtime);
-  if (r.info.cost_hint > 0) k_.per_hint[c].Add(t / static_cast<double>(r.info.cost_hint), kBucketMemory);
+  if (r.info.cost_hint > 0)
+    k_.runtime_per_hint[c].Add(t / static_cast<double>(r.info.cost_hint), kBucketMemory);
   k_.bucket_error[c].Add(std::pow(std::log(r.by_bucket / t), 2), kBucketMemory);
   if (r.info.cost_hint > 0) k_.hint_error[c].Add(std::pow(std::log(r.by_hint / t), 2), kBucketMemory);
   if (from != nullptr) LearnSlow(*from, std::log(t / r.size));
@@ -929,19 +942,19 @@
 
 void Router::Impl::LearnSlow(Replica& x, double log_ratio) {
   const double sample = std::clamp(log_ratio, -kSlowBound, kSlowBound);
-  x.slow_n *= Fade(now_ - x.slow_at, kSlowMemory);
-  x.slow = (x.slow * x.slow_n + sample) / (x.slow_n + 1);
-  x.slow_n += 1;
-  x.slow_at = now_;
-  const std::size_t kind = static_cast<std::size_t>(x.entry.kind);
-  if (kind < k_.kind_slow.size() && Warmth(x) >= 1) k_.kind_slow[kind].Add(sample, kKindMemory);
-  const std::size_t zone = static_cast<std::size_t>(x.entry.zone);
-  if (zone < k_.zone_slow.size()) k_.zone_slow[zone].Add(now_, kZoneMemory, sample);
+  x.slowness_samples *= Fade(now_ - x.slowness_updated_at, kSlowMemory);
+  x.slowness = (x.slowness * x.slowness_samples + sample) / (x.slowness_samples + 1);
+  x.slowness_samples += 1;
+  x.slowness_updated_at = now_;
+  const std::size_t kind = static_cast<std::size_t>(x.endpoint.kind);
+  if (kind < k_.slowness_by_kind.size() && Warmth(x) >= 1) k_.slowness_by_kind[kind].Add(sample, kKindMemory);
+  const std::size_t zone = static_cast<std::size_t>(x.endpoint.zone);
+  if (zone < k_.slowness_by_zone.size()) k_.slowness_by_zone[zone].Add(now_, kZoneMemory, sample);
 }
 
 double Router::Impl::KindSlowness(int kind) const {
   const std::size_t k = static_cast<std::size_t>(kind);
-  return k < k_.kind_slow.size() ? k_.kind_slow[k].Shrunk(0, kKindWeight) : 0;
+  return k < k_.slowness_by_kind.size() ? k_.slowness_by_kind[k].Shrunk(0, kKindWeight) : 0;
 }
 
 // How slow the replicas of a zone answer now: where traffic is unequal a zone is overrun as a whole, and a
@@ -949,35 +962,37 @@
 double Router::Impl::ZoneSlowness(int zone) const {
   if (!ManyNodes()) return 0;
   const std::size_t z = static_cast<std::size_t>(zone);
-  return z < k_.zone_slow.size() ? k_.zone_slow[z].Shrunk(now_, kZoneMemory, kKindWeight) : 0;
+  return z < k_.slowness_by_zone.size() ? k_.slowness_by_zone[z].Shrunk(now_, kZoneMemory, kKindWeight) : 0;
 }
 
 double Router::Impl::Slowness(const Replica& x) const {
-  const double n = x.slow_n * Fade(now_ - x.slow_at, kSlowMemory);
-  const double m = x.told.slow_n * Fade(now_ - x.told_at, kSlowMemory);
-  const double expected = KindSlowness(x.entry.kind) + ZoneSlowness(x.entry.zone);
-  return (n * x.slow + m * x.told.slow + kKindWeight * expected) / (n + m + kKindWeight);
+  const double n = x.slowness_samples * Fade(now_ - x.slowness_updated_at, kSlowMemory);
+  const double m = x.told.slowness_samples * Fade(now_ - x.told_at, kSlowMemory);
+  const double expected = KindSlowness(x.endpoint.kind) + ZoneSlowness(x.endpoint.zone);
+  return (n * x.slowness + m * x.told.slowness + kKindWeight * expected) / (n + m + kKindWeight);
 }
 
 // The level of all caps: up while first tokens come in time and caps are in use, down when many are late.
 void Router::Impl::LearnTime(bool late, bool in_good_time) {
-  k_.late += kLateMemory * ((late ? 1.0 : 0.0) - k_.late);
-  if (k_.late > kLateShare) {
+  k_.late_share += kLateMemory * ((late ? 1.0 : 0.0) - k_.late_share);
+  if (k_.late_share > kLateShare) {
     if (late) Fall(kFall);
-  } else if (in_good_time && k_.wait < kEasy && in_flight_ + beside_ >= kInUse * cap_total_) {
-    k_.level = std::min(
-        MostLevel(),
-        k_.level * (1 + (k_.fell_from > 0 && k_.level > kKnown * k_.fell_from ? kRisePerRound : kFirstRise) /
-                            std::max(1.0, cap_total_)));
+  } else if (in_good_time && k_.objective_used < kEasy && in_flight_ + beside_ >= kInUse * cap_total_) {
+    k_.base_limit =
+        std::min(MostLevel(), k_.base_limit * (1 + (k_.limit_before_decrease > 0 &&
+                                                            k_.base_limit > kKnown * k_.limit_before_decrease
+                                                        ? kRisePerRound
+                                                        : kFirstRise) /
+                                                       std::max(1.0, cap_total_)));
     Stale();
   }
 }
 
 void Router::Impl::Fall(double factor) {
-  if (static_cast<double>(now_ - k_.fell_at) <= k_.round_trip.mean) return;
-  k_.fell_from = std::max(k_.level, kKnown * k_.fell_from);
-  k_.level = std::max(kLeastInFlight / parts_, k_.level * factor);
-  k_.fell_at = now_;
+  if (static_cast<double>(now_ - k_.limit_decreased_at) <= k_.round_trip.mean) return;
+  k_.limit_before_decrease = std::max(k_.base_limit, kKnown * k_.limit_before_decrease);
+  k_.base_limit = std::max(kLeastInFlight / parts_, k_.base_limit * factor);
+  k_.limit_decreased_at = now_;
   Stale();
 }
 
@@ -986,54 +1001,60 @@
 void Router::Impl::LearnPace(const Request& r, Time runtime) {
   const double spent = std::max(1.0, static_cast<double>(r.started ? runtime - r.first_token : runtime));
   const double work = r.info.cost_hint > 0 ? static_cast<double>(r.info.cost_hint) : 1.0;
-  Learned::Pace& p = k_.pace_by_class[static_cast<std::size_t>(r.info.cls)];
-  p.now.Add(std::log(spent / work), kPaceMemory);
-  if (p.now.n < kPaceYoung) return;
-  p.best = std::min(p.best + kPaceLeak, p.now.mean);
-  k_.pace += kLateMemory * (p.now.mean - p.best - k_.pace);
-  if (Saturated()) Fall(std::max(kMostFall, kSaturated / std::exp(k_.pace)));
+  LearnedState::ClassPace& p = k_.pace_by_class[static_cast<std::size_t>(r.info.class_index)];
+  p.current.Add(std::log(spent / work), kPaceMemory);
+  if (p.current.samples < kPaceYoung) return;
+  p.best = std::min(p.best + kPaceLeak, p.current.mean);
+  k_.pace_slowdown += kLateMemory * (p.current.mean - p.best - k_.pace_slowdown);
+  if (Saturated()) Fall(std::max(kMostFall, kSaturated / std::exp(k_.pace_slowdown)));
 }
 
 void Router::Impl::LearnFailure(Replica& x, Outcome o) {
   Stale();
-  if (o == Outcome::kFull) {
-    x.full = std::max(0.1, (1 - (1 - x.full) * Fade(now_ - x.full_at, kFullHeals)) * kFullFall);
-    x.full_at = now_;
-    x.no_room_until = now_ + FullRest();
-    SetAlarm(x.no_room_until, Wake::kRelease, 0);
-    if (observer_ != nullptr) observer_->OnRest({x.entry.id, o, x.failures, x.no_room_until});
+  if (o == Outcome::kAtCapacity) {
+    x.capacity_factor = std::max(
+        0.1, (1 - (1 - x.capacity_factor) * Fade(now_ - x.capacity_updated_at, kFullHeals)) * kFullFall);
+    x.capacity_updated_at = now_;
+    x.at_capacity_until = now_ + FullRest();
+    SetAlarm(x.at_capacity_until, Wake::kRelease, 0);
+    if (observer_ != nullptr)
+      observer_->OnEjection({x.endpoint.id, o, x.consecutive_failures, x.at_capacity_until});
     LearnTime(true, false);
     return;
   }
   // An error must never make a replica look fast or roomy: it counts as slow.
   LearnSlow(x, kFailureSlow);
-  ++x.failures;
+  ++x.consecutive_failures;
   if (o == Outcome::kTimeout) LearnTime(true, false);
   // One failure proves nothing: where now and then a stream comes spoilt from any replica, resting each for
   // it takes more of the fleet away than the failures do. Only what can't be reached rests at once.
-  if (x.failures < 2 && o != Outcome::kConnectFailed) return;
-  const double rest = static_cast<double>(kBlockFirst) * std::pow(2.0, std::min(x.failures - 1, 6));
-  x.blocked_until =
+  if (x.consecutive_failures < 2 && o != Outcome::kConnectFailed) return;
+  const double rest =
+      static_cast<double>(kBlockFirst) * std::pow(2.0, std::min(x.consecutive_failures - 1, 6));
+  x.ejected_until =
       now_ + static_cast<Time>(std::min(rest, static_cast<double>(kBlockMost)) * (0.75 + 0.5 * Random()));
-  SetAlarm(x.blocked_until, Wake::kRelease, 0);
+  SetAlarm(x.ejected_until, Wake::kRelease, 0);
   if (Large() && blocking_) {
-    cap_total_ = std::max(0.0, cap_total_ - x.cap);
-    x.cap = 0;
+    cap_total_ = std::max(0.0, cap_total_ - x.concurrency_limit);
+    x.concurrency_limit = 0;
   }
-  if (observer_ != nullptr) observer_->OnRest({x.entry.id, o, x.failures, x.blocked_until});
+  if (observer_ != nullptr)
+    observer_->OnEjection({x.endpoint.id, o, x.consecutive_failures, x.ejected_until});
 }
 
 void Router::Impl::CountKeys(const RequestArrived& e) {
-  k_.arrivals_slow.Add(now_, kKeyMemory, 1);
-  k_.arrivals_fast.Add(now_, kHotMemory, 1);
+  k_.arrivals_long_term.Add(now_, kKeyMemory, 1);
+  k_.arrivals_short_term.Add(now_, kHotMemory, 1);
   for (const std::uint64_t key : {e.prefix, e.session}) {
     if (key == 0) continue;
-    Learned::KeyUse& use = k_.keys[key];
-    use.slow.Add(now_, kKeyMemory, 1);
-    use.fast.Add(now_, kHotMemory, 1);
+    LearnedState::KeyTraffic& use = k_.key_traffic[key];
+    use.long_term.Add(now_, kKeyMemory, 1);
+    use.short_term.Add(now_, kHotMemory, 1);
   }
-  if (k_.keys.size() > 1024 && k_.keys.size() > 4 * static_cast<std::size_t>(k_.arrivals_slow.value)) {
-    std::erase_if(k_.keys, [&](const auto& k) { return k.second.slow.Now(now_, kKeyMemory) < 0.3; });
+  if (k_.key_traffic.size() > 1024 &&
+      k_.key_traffic.size() > 4 * static_cast<std::size_t>(k_.arrivals_long_term.value)) {
+    std::erase_if(k_.key_traffic,
+                  [&](const auto& k) { return k.second.long_term.ValueAt(now_, kKeyMemory) < 0.3; });
   }
 }
 
@@ -1042,13 +1063,14 @@
 // hot prefix for cold, and all would send it to the same one home; there a share starts wide and narrows.
 double Router::Impl::KeyShare(std::uint64_t key, bool hot_only) const {
   if (const auto told = told_keys_.find(key); told != told_keys_.end()) return told->second;
-  const auto it = k_.keys.find(key);
-  if (it == k_.keys.end()) return 0;
-  const double fast = it->second.fast.Now(now_, kHotMemory);
-  double share = (fast - 2 * std::sqrt(fast)) / std::max(8.0, k_.arrivals_fast.Now(now_, kHotMemory));
+  const auto it = k_.key_traffic.find(key);
+  if (it == k_.key_traffic.end()) return 0;
+  const double fast = it->second.short_term.ValueAt(now_, kHotMemory);
+  double share =
+      (fast - 2 * std::sqrt(fast)) / std::max(8.0, k_.arrivals_short_term.ValueAt(now_, kHotMemory));
   if (!hot_only) {
-    const double slow = it->second.slow.Now(now_, kKeyMemory);
-    const double n = k_.arrivals_slow.Now(now_, kKeyMemory);
+    const double slow = it->second.long_term.ValueAt(now_, kKeyMemory);
+    const double n = k_.arrivals_long_term.ValueAt(now_, kKeyMemory);
     share = std::max(share, ManyNodes() ? slow / (8 + n) : (slow - 1) / std::max(8.0, n));
   }
   return std::clamp(share, 0.0, 1.0);
@@ -1056,18 +1078,18 @@
 
 bool Router::Impl::OverShare(int tenant) {
   const std::size_t t = static_cast<std::size_t>(tenant);
-  if (tenant < 0 || t >= k_.tenant_use.size() || settings_.over_share_worth >= 1) return false;
-  const double quota = settings_.tenants[t].quota_per_s;
-  k_.tenant_use[t].Add(now_, kTenantMemory, 1);
+  if (tenant < 0 || t >= k_.arrivals_by_tenant.size() || settings_.over_quota_weight >= 1) return false;
+  const double quota = settings_.tenants[t].quota_per_second;
+  k_.arrivals_by_tenant[t].Add(now_, kTenantMemory, 1);
   if (quota <= 0) return false;
-  const double seen = k_.tenant_use[t].Now(now_, kTenantMemory);
+  const double seen = k_.arrivals_by_tenant[t].ValueAt(now_, kTenantMemory);
   const double fair = quota * static_cast<double>(kTenantMemory) / 1e6 / parts_;
   return seen > kOverShare * fair + 2 * std::sqrt(fair) + 1;
 }
 
 // ---- Outcomes ----
 
-void Router::Impl::On(const AnswerStarted& e) {
+void Router::Impl::On(const ResponseStarted& e) {
   const auto it = requests_.find(e.id);
   Attempt* const a = it == requests_.end() ? nullptr : Out(it->second, e.attempt);
   if (a == nullptr || it->second.started || it->second.done) return;
@@ -1077,33 +1099,33 @@
   r.first_token = e.elapsed;
   const double aim = static_cast<double>(r.aim_at - r.arrived);
   const double t = static_cast<double>(e.elapsed);
-  k_.wait += kWaitMemory * (std::min(1.0, t / std::max(1.0, aim)) - k_.wait);
+  k_.objective_used += kWaitMemory * (std::min(1.0, t / std::max(1.0, aim)) - k_.objective_used);
   LearnTime(t > kLateAt * aim, t < 0.5 * kLateAt * aim);
   const std::uint32_t bucket = BucketKey(r.info, 2);
   if (Replica* x = Get(a->replica)) {
-    x->failures = 0, x->waits_since = now_;
-    const auto seen = k_.first_token.find(bucket);
-    if (seen != k_.first_token.end() && seen->second.n > kParentWeight) {
+    x->consecutive_failures = 0, x->waiting_since = now_;
+    const auto seen = k_.first_token_by_bucket.find(bucket);
+    if (seen != k_.first_token_by_bucket.end() && seen->second.samples > kParentWeight) {
       LearnSlow(*x, std::log(std::max(1.0, t) / std::max(1.0, seen->second.mean)));
     }
   }
-  k_.first_token[bucket].Add(t, kBucketMemory);
+  k_.first_token_by_bucket[bucket].Add(t, kBucketMemory);
 }
 
 // How full a replica says it is, for comparison with what the others say: requests in flight count for more
 // on a slow replica than on a fast one.
 double Router::Impl::Reported(const Replica& x) const {
-  return counts_reported_ ? x.load * std::exp(kSpeedPower * Slowness(x)) : x.load;
+  return counts_reported_ ? x.reported_load * std::exp(kSpeedPower * Slowness(x)) : x.reported_load;
 }
 
 void Router::Impl::TakeReport(Replica& x, const std::vector<double>& load) {
   bool counted = false;
   for (std::size_t f = 0; f < std::min(load.size(), settings_.load_fields.size()); ++f) {
-    const bool count = settings_.load_fields[f] == LoadField::kInflight;
-    if (!count && (counted || settings_.load_fields[f] != LoadField::kUtil)) continue;
+    const bool count = settings_.load_fields[f] == LoadField::kInFlight;
+    if (!count && (counted || settings_.load_fields[f] != LoadField::kUtilization)) continue;
     counted = counts_reported_ = count;
-    x.load = std::max(0.0, load[f]);
-    x.load_at = now_;
+    x.reported_load = std::max(0.0, load[f]);
+    x.reported_at = now_;
   }
 }
 
@@ -1121,9 +1143,9 @@
   Replica* x = Get(a.replica);
   if (x != nullptr) {
     --x->in_flight;
-    TakeReport(*x, e.load);
+    TakeReport(*x, e.load_report);
     if (e.outcome == Outcome::kServed) {
-      x->failures = 0;
+      x->consecutive_failures = 0;
       LearnServed(r, x, e.elapsed);
     } else if (e.outcome != Outcome::kCancelled && e.outcome != Outcome::kNotSent) {
       LearnFailure(*x, e.outcome);
@@ -1135,7 +1157,7 @@
   }
   if (e.request_concluded || e.outcome == Outcome::kServed || (r.started && !r.done && r.out == 0)) {
     if (!r.done && !e.request_concluded && e.outcome != Outcome::kServed) {
-      Conclude(r, Why::kStreamBroken);
+      Conclude(r, ConclusionReason::kStreamInterrupted);
     } else {
       Unhold(r);
       r.done = true;
@@ -1151,7 +1173,7 @@
 }
 
 void Router::Impl::RetryOrConclude(Request& r, Outcome o) {
-  const bool costs = o != Outcome::kFull;  // a 'full' is cheap, and its cap has fallen
+  const bool costs = o != Outcome::kAtCapacity;  // a 'full' is cheap, and its cap has fallen
   if (r.held) return;
   const bool left = r.attempts.size() < static_cast<std::size_t>(settings_.max_attempts);
   if (left && now_ < GiveUpAt(r) && MaySendAnywhere(r) && (!costs || k_.retry_budget >= 1)) {
@@ -1159,22 +1181,22 @@
     Hold(r);
     return;
   }
-  Conclude(r, !left                 ? Why::kAttemptsSpent
-              : now_ >= GiveUpAt(r) ? Why::kNoTimeLeft
-              : !MaySendAnywhere(r) ? Why::kMayHaveRun
-                                    : Why::kRetriesSpent);
+  Conclude(r, !left                 ? ConclusionReason::kAttemptsExhausted
+              : now_ >= GiveUpAt(r) ? ConclusionReason::kDeadlineExceeded
+              : !MaySendAnywhere(r) ? ConclusionReason::kUnsafeToRetry
+                                    : ConclusionReason::kRetryBudgetExhausted);
 }
 
 // ---- The rules ----
 
 bool Router::Impl::MaySendAnywhere(const Request& r) const {
   if (r.attempts.size() >= static_cast<std::size_t>(settings_.max_attempts)) return false;
-  if (r.out > 0 && !settings_.parallel_attempts) return false;
+  if (r.out > 0 && !settings_.can_hedge) return false;
   const ClassSettings& c = ClassOf(r);
-  if (c.effect == Effect::kSafe) return true;
+  if (c.idempotency == Idempotency::kIdempotent) return true;
   for (const Attempt& a : r.attempts) {
     if (!a.ran) continue;
-    if (c.effect == Effect::kUnsafe) return false;
+    if (c.idempotency == Idempotency::kNotIdempotent) return false;
     if (now_ - a.sent >= c.dedup_window - kRepeatMargin) return false;
   }
   return true;
@@ -1183,12 +1205,12 @@
 bool Router::Impl::MaySend(const Request& r, const Replica& to) const {
   const ClassSettings& c = ClassOf(r);
   if (!MaySendAnywhere(r)) return false;
-  if (c.effect != Effect::kKeyed || c.dedup_scope == DedupScope::kAll) return true;
+  if (c.idempotency != Idempotency::kIdempotencyKey || c.dedup_scope == DedupScope::kAll) return true;
   for (const Attempt& a : r.attempts) {
     if (!a.ran) continue;
     // A zone or cell that is not known (below 0) may be any.
     const int group = c.dedup_scope == DedupScope::kZone ? a.zone : a.cell;
-    const int of_next = c.dedup_scope == DedupScope::kZone ? to.entry.zone : to.entry.cell;
+    const int of_next = c.dedup_scope == DedupScope::kZone ? to.endpoint.zone : to.endpoint.cell;
     if (group < 0 || group != of_next) return false;
   }
   return true;
@@ -1197,7 +1219,7 @@
 // How much is left of the window in which repeats are dropped, for a request that may have run; 0: no bound.
 Time Router::Impl::RepeatWithin(const Request& r) const {
   const ClassSettings& c = ClassOf(r);
-  if (c.effect != Effect::kKeyed) return 0;
+  if (c.idempotency != Idempotency::kIdempotencyKey) return 0;
   Time within = 0;
   for (const Attempt& a : r.attempts) {
     if (!a.ran) continue;
@@ -1209,23 +1231,23 @@
 
 bool Router::Impl::MayRefuse(const Request& r) const {
   const ClassSettings& c = ClassOf(r);
-  if (c.effect == Effect::kSafe) return true;
-  if (c.effect == Effect::kKeyed && c.dedup_scope == DedupScope::kAll) return true;
+  if (c.idempotency == Idempotency::kIdempotent) return true;
+  if (c.idempotency == Idempotency::kIdempotencyKey && c.dedup_scope == DedupScope::kAll) return true;
   return std::none_of(r.attempts.begin(), r.attempts.end(), [](const Attempt& a) { return a.ran; });
 }
 
 // The one final answer, given only when no attempt is out: a refusal where that is allowed, else a failure.
-void Router::Impl::Conclude(Request& r, Why why) {
+void Router::Impl::Conclude(Request& r, ConclusionReason why) {
   const RequestId id = r.info.id;
   if (observer_ != nullptr) {
-    observer_->OnEnd({id, why, static_cast<int>(r.attempts.size()), now_ - r.arrived,
-                      static_cast<std::uint32_t>(held_.size()), cap_total_, in_flight_});
+    observer_->OnConclusion({id, why, static_cast<int>(r.attempts.size()), now_ - r.arrived,
+                             static_cast<std::uint32_t>(held_.size()), cap_total_, in_flight_});
   }
   Unhold(r);
   if (MayRefuse(r)) {
-    Act(Refuse{id, settings_.retry_after_honoured ? settings_.max_retry_after : 0});
+    Act(RejectRequest{id, settings_.clients_honor_retry_after ? settings_.max_retry_after : 0});
   } else {
-    Act(Fail{id});
+    Act(FailRequest{id});
   }
   r.done = true;
   Forget(id);
@@ -1257,19 +1279,19 @@
         Hold(r);
       }
     } else if (alarm.what == Wake::kGiveUp) {
-      if (r.held && now_ >= r.give_up_at) Conclude(r, Why::kHeldTooLong);
+      if (r.held && now_ >= r.give_up_at) Conclude(r, ConclusionReason::kQueueTimeout);
     }
   }
 }
 
-void Router::Impl::On(const TierSize& e) {
-  const double was = std::exchange(settings_.nodes, std::max(1, e.nodes));
-  Split(parts_ * settings_.nodes / was);
+void Router::Impl::On(const NodeCountChanged& e) {
+  const double was = std::exchange(settings_.node_count, std::max(1, e.node_count));
+  Split(parts_ * settings_.node_count / was);
 }
 
 // A part that grows leaves the caps to what answers teach, as more traffic has taught them already by the
 // time that the others have heard of it; one that falls by much takes them down at once.
-void Router::Impl::On(const TierShare& e) {
+void Router::Impl::On(const TrafficShareChanged& e) {
   if (!(e.share > 0 && e.share <= 1)) return;
   parts_ = std::min(1 / e.share, kMostParts);
   split_at_ = std::min(split_at_, parts_);
@@ -1279,59 +1301,61 @@
 void Router::Impl::Split(double parts) {
   const double was = std::exchange(parts_, std::clamp(parts, 1.0, kMostParts));
   split_at_ = parts_;
-  k_.level *= was / parts_, k_.fell_from *= was / parts_;
+  k_.base_limit *= was / parts_, k_.limit_before_decrease *= was / parts_;
   Stale();
 }
 
 // What another process of this node learned, and what it still has out: a hot restart loses neither.
-void Router::Impl::On(const Inherited& e) {
-  if (e.learned == nullptr) return;
-  k_ = *e.learned;
-  const double was = std::max(1, k_.nodes), least = kLeastInFlight / parts_;
-  k_.level = std::clamp(k_.level * was / parts_, least, kMostInFlight / parts_);
-  k_.fell_from *= was / parts_;
-  for (const Learned::Replica& r : std::exchange(k_.replicas, {})) {
+void Router::Impl::On(const StateRestored& e) {
+  if (e.state == nullptr) return;
+  k_ = *e.state;
+  const double was = std::max(1, k_.node_count), least = kLeastInFlight / parts_;
+  k_.base_limit = std::clamp(k_.base_limit * was / parts_, least, kMostInFlight / parts_);
+  k_.limit_before_decrease *= was / parts_;
+  for (const LearnedState::Replica& r : std::exchange(k_.replicas, {})) {
     Replica* x = Get(r.id);
-    if (x != nullptr && x->entry.started_at == r.started_at) static_cast<LearnedReplica&>(*x) = r.seen;
+    if (x != nullptr && x->endpoint.started_at == r.started_at) static_cast<LearnedReplica&>(*x) = r.learned;
   }
   Fit();
   capped_at_ = -1;
 }
 
-void Router::Impl::On(const OutBeside& e) {
+void Router::Impl::On(const SiblingInFlightChanged& e) {
   beside_ = 0;
   for (auto& x : fleet_) x->beside = 0;
-  for (const auto& [id, out] : e.out) {
+  for (const auto& [id, out] : e.in_flight) {
     if (Replica* x = Get(id)) beside_ += x->beside = std::max(0, out);
   }
 }
 
-void Router::Impl::On(const TierEvidence& e) {
-  for (const ToldReplica& t : e.replicas) {
+void Router::Impl::On(const PeerReportsReceived& e) {
+  for (const PeerReplicaReport& t : e.replicas) {
     Replica* x = Get(t.id);
-    if (x == nullptr || x->entry.started_at != t.started_at) continue;
+    if (x == nullptr || x->endpoint.started_at != t.started_at) continue;
     x->told = t;
-    x->told.slow = std::clamp(t.slow, -kSlowBound, kSlowBound);
-    x->told.slow_n = std::clamp(t.slow_n, 0.0, kKindWeight);
+    x->told.slowness = std::clamp(t.slowness, -kSlowBound, kSlowBound);
+    x->told.slowness_samples = std::clamp(t.slowness_samples, 0.0, kKindWeight);
     x->told_at = now_;
-    if (t.rests_until > now_) SetAlarm(t.rests_until, Wake::kRelease, 0);
+    if (t.ejected_until > now_) SetAlarm(t.ejected_until, Wake::kRelease, 0);
   }
   capped_at_ = -1;
 }
 
 void Router::Impl::Fit() {
   const std::size_t n = settings_.classes.size();
-  k_.per_hint.resize(n), k_.bucket_error.resize(n), k_.hint_error.resize(n), k_.pace_by_class.resize(n);
-  k_.kind_slow.resize(static_cast<std::size_t>(std::max(1, settings_.kinds)));
-  k_.zone_slow.resize(static_cast<std::size_t>(std::max(1, settings_.zones)));
-  k_.tenant_use.resize(settings_.tenants.size());
-}
-
-Learned Router::Impl::Export() const {
-  Learned all = k_;
-  all.nodes = std::max(1, static_cast<int>(std::lround(parts_)));
-  all.level *= parts_ / all.nodes, all.fell_from *= parts_ / all.nodes;
-  for (const auto& x : fleet_) all.replicas.push_back({x->entry.id, x->entry.started_at, x->in_flight, *x});
+  k_.runtime_per_hint.resize(n), k_.bucket_error.resize(n), k_.hint_error.resize(n),
+      k_.pace_by_class.resize(n);
+  k_.slowness_by_kind.resize(static_cast<std::size_t>(std::max(1, settings_.replica_kind_count)));
+  k_.slowness_by_zone.resize(static_cast<std::size_t>(std::max(1, settings_.zone_count)));
+  k_.arrivals_by_tenant.resize(settings_.tenants.size());
+}
+
+LearnedState Router::Impl::Export() const {
+  LearnedState all = k_;
+  all.node_count = std::max(1, static_cast<int>(std::lround(parts_)));
+  all.base_limit *= parts_ / all.node_count, all.limit_before_decrease *= parts_ / all.node_count;
+  for (const auto& x : fleet_)
+    all.replicas.push_back({x->endpoint.id, x->endpoint.started_at, x->in_flight, *x});
   return all;
 }
 
@@ -1347,19 +1371,19 @@
   impl_->Handle(now, event, actions);
 }
 
-void Router::Observe(Observer* observer) { impl_->Observe(observer); }
-void Router::Retune(const std::vector<ClassSettings>& classes, int max_attempts) {
+void Router::SetObserver(DecisionObserver* observer) { impl_->Observe(observer); }
+void Router::UpdateClasses(const std::vector<ClassSettings>& classes, int max_attempts) {
   impl_->Retune(classes, max_attempts);
 }
 
-std::size_t Router::held() const { return impl_->held(); }
-std::size_t Router::open() const { return impl_->open(); }
-ReplicaView Router::seen(ReplicaId replica) const {
+std::size_t Router::queued_requests() const { return impl_->held(); }
+std::size_t Router::open_requests() const { return impl_->open(); }
+ReplicaView Router::replica(ReplicaId replica) const {
   const ReplicaView* x = impl_->Find(replica);
   return x == nullptr ? ReplicaView{} : *x;
 }
-Learned Router::Export() const { return impl_->Export(); }
-double Router::cap_total() const { return impl_->cap_total(); }
-bool Router::may_refuse(RequestId id) const { return impl_->MayRefuse(id); }
+LearnedState Router::ExportState() const { return impl_->Export(); }
+double Router::total_concurrency_limit() const { return impl_->total_concurrency_limit(); }
+bool Router::may_reject(RequestId id) const { return impl_->MayRefuse(id); }
 
 }  // namespace ryeglade::policy
--- a/src/settings/retune_policy.cpp
+++ b/src/settings/retune_policy.cpp
@@ -9,10 +9,12 @@
 namespace {
 
 bool Same(const policy::ClassSettings& a, const policy::ClassSettings& b) {
-  return a.name == b.name && a.aim == b.aim && a.deadline == b.deadline && a.worth == b.worth &&
-         a.late_worth == b.late_worth && a.effect == b.effect && a.dedup_scope == b.dedup_scope &&
-         a.dedup_window == b.dedup_window && a.stream == b.stream &&
-         a.aim_per_1000_tokens == b.aim_per_1000_tokens && a.token_aim == b.token_aim;
+  return a.name == b.name && a.latency_objective == b.latency_objective && a.time_budget == b.time_budget &&
+         a.priority_weight == b.priority_weight && a.late_weight_share == b.late_weight_share &&
+         a.idempotency == b.idempotency && a.dedup_scope == b.dedup_scope &&
+         a.dedup_window == b.dedup_window && a.streaming == b.streaming &&
+         a.objective_per_1000_tokens == b.objective_per_1000_tokens &&
+         a.inter_token_objective == b.inter_token_objective;
 }
 
 using Lines = std::map<std::string, std::string>;
--- a/src/settings/settings_check_model.cpp
+++ b/src/settings/settings_check_model.cpp
@@ -19,10 +19,11 @@
 
 std::string WrongClass(const std::string& key, const policy::ClassSettings& c) {
   if (c.name.empty()) return key + ".name is empty; give the class's name";
-  if (c.deadline <= 0) return key + ".deadline is not positive; give the client's patience in microseconds";
+  if (c.time_budget <= 0)
+    return key + ".deadline is not positive; give the client's patience in microseconds";
   for (const std::string& wrong :
-       {NegativeTime(key + ".promise", c.aim), NegativeTime(key + ".window", c.dedup_window),
-        NoShare(key + ".worth", c.worth), NoShare(key + ".late-worth", c.late_worth)}) {
+       {NegativeTime(key + ".promise", c.latency_objective), NegativeTime(key + ".window", c.dedup_window),
+        NoShare(key + ".worth", c.priority_weight), NoShare(key + ".late-worth", c.late_weight_share)}) {
     if (!wrong.empty()) return wrong;
   }
   return "";
@@ -43,8 +44,8 @@
   }
   for (const std::string& wrong : {NegativeTime("limits.max-retry-after", settings.max_retry_after),
                                    NegativeTime("obligations.drain-grace", settings.drain_grace),
-                                   NegativeTime("obligations.ask-within", settings.ask_within),
-                                   NegativeTime("obligations.cold", settings.cold_span),
+                                   NegativeTime("obligations.ask-within", settings.max_poll_interval),
+                                   NegativeTime("obligations.cold", settings.slow_start_window),
                                    NoShare("obligations.overload-factor", settings.overload_factor)}) {
     if (!wrong.empty()) return wrong;
   }
--- a/src/tier/beginnings_model.cpp
+++ b/src/tier/beginnings_model.cpp
@@ -17,7 +17,7 @@
   if (beginning == 0) return;
   counts_[beginning].Add(now, limits_.memory, 1);
   if (counts_.size() <= kMostCounts) return;
-  std::erase_if(counts_, [&](const auto& c) { return c.second.Now(now, limits_.memory) < 1; });
+  std::erase_if(counts_, [&](const auto& c) { return c.second.ValueAt(now, limits_.memory) < 1; });
   if (counts_.size() > kMostCounts) counts_.clear();
 }
 
@@ -28,9 +28,9 @@
   std::vector<BeginningRate> own;
   *rate = 0;
   if (seen < 0.05 * memory) return own;
-  *rate = all_.Now(now, limits_.memory) / seen;
+  *rate = all_.ValueAt(now, limits_.memory) / seen;
   for (const auto& [beginning, count] : counts_) {
-    const double n = count.Now(now, limits_.memory);
+    const double n = count.ValueAt(now, limits_.memory);
     if (n >= 0.5) own.push_back({beginning, n / seen});
   }
   const std::size_t most = std::min(own.size(), kMostBeginnings);
@@ -55,7 +55,7 @@
   h.beginnings = word.beginnings;
 }
 
-bool BeginningsModel::Shares(Time now, policy::TierKeys* shares) {
+bool BeginningsModel::Shares(Time now, policy::PrefixTrafficReceived* shares) {
   if (now - told_at_ < kTellAgain) return false;
   struct Sum {
     double rate = 0;
@@ -111,7 +111,7 @@
   return true;
 }
 
-bool BeginningsModel::Withdraw(policy::TierKeys* shares) {
+bool BeginningsModel::Withdraw(policy::PrefixTrafficReceived* shares) {
   if (told_.empty()) return false;
   told_.clear();
   shares->shares.clear();
--- a/src/tier/beginnings_model.h
+++ b/src/tier/beginnings_model.h
@@ -34,9 +34,9 @@
   void Learn(Time made, const std::string& node, const Word& word);
   void Forget(const std::string& node) { peers_.erase(node); }
   // What the decision module is to be told; false: nothing has changed by enough.
-  bool Shares(Time now, policy::TierKeys* shares);
+  bool Shares(Time now, policy::PrefixTrafficReceived* shares);
   // What was told is taken back; false: nothing was.
-  bool Withdraw(policy::TierKeys* shares);
+  bool Withdraw(policy::PrefixTrafficReceived* shares);
   std::size_t told() const { return told_.size(); }
 
  private:
@@ -50,8 +50,8 @@
   std::string self_;
   BeginningLimits limits_;
   Time began_;
-  policy::Faded all_;
-  std::unordered_map<std::uint64_t, policy::Faded> counts_;
+  policy::DecayingCounter all_;
+  std::unordered_map<std::uint64_t, policy::DecayingCounter> counts_;
   std::map<std::string, Heard> peers_;
   std::map<std::uint64_t, double> told_;
   Time told_at_ = 0;
--- a/src/tier/evidence_model.cpp
+++ b/src/tier/evidence_model.cpp
@@ -10,8 +10,8 @@
 namespace ryeglade::tier {
 namespace {
 
+using policy::PeerReplicaReport;
 using policy::ReplicaId;
-using policy::ToldReplica;
 
 constexpr Time kSlowMemory = 10'000'000;  // as in the decision module
 constexpr double kFailureSlow = 1.1;      // the same
@@ -48,23 +48,32 @@
   int used = 0;
   accused_ = 0;
   for (const policy::ReplicaView& v : fleet) {
-    Replica& r = fleet_[v.entry.id];
-    if (r.seen.entry.started_at != v.entry.started_at) r = Replica{};
+    Replica& r = fleet_[v.endpoint.id];
+    if (r.seen.endpoint.started_at != v.endpoint.started_at) r = Replica{};
     r.seen = v;
     r.listed = true;
-    if (v.blocked_until > now) ++accused_;
-    if (v.blocked_until > now || (v.slow_at > 0 && now - v.slow_at < limits_.fresh)) ++used;
+    if (v.ejected_until > now) ++accused_;
+    if (v.ejected_until > now || (v.slowness_updated_at > 0 && now - v.slowness_updated_at < limits_.fresh))
+      ++used;
   }
   std::erase_if(fleet_, [](const auto& e) { return !e.second.listed; });
   doubt_ = doubt || (accused_ > kDoubtLeast && accused_ > limits_.doubts * used);
 }
 
 Claim EvidenceModel::Own(Time now, const policy::ReplicaView& v) const {
-  const double n = v.slow_n * policy::Faded::Fade(now - v.slow_at, kSlowMemory);
-  Claim c{v.entry.id, v.entry.started_at, v.failures, std::max<Time>(0, v.blocked_until - now), -1, v.slow,
-          n,          v.in_flight};
-  if (v.slow_at > 0 && now - v.slow_at <= kMostRest) c.last = now - v.slow_at;
-  if (v.reading >= 1 && v.in_flight > 0) c.waits = std::min(kMostRest, now - v.waits_since);
+  const double n =
+      v.slowness_samples * policy::DecayingCounter::DecayFactor(now - v.slowness_updated_at, kSlowMemory);
+  Claim c{v.endpoint.id,
+          v.endpoint.started_at,
+          v.consecutive_failures,
+          std::max<Time>(0, v.ejected_until - now),
+          -1,
+          v.slowness,
+          n,
+          v.in_flight};
+  if (v.slowness_updated_at > 0 && now - v.slowness_updated_at <= kMostRest)
+    c.last = now - v.slowness_updated_at;
+  if (v.prefill_backlog_tokens >= 1 && v.in_flight > 0) c.waits = std::min(kMostRest, now - v.waiting_since);
   return c;
 }
 
@@ -138,7 +147,7 @@
     for (const Claim& c : h.word.claims) {
       const auto r = fleet_.find(c.replica);
       if (c.out == 0 || now - h.made > limits_.ends || r == fleet_.end() ||
-          r->second.seen.entry.started_at != c.started_at)
+          r->second.seen.endpoint.started_at != c.started_at)
         continue;
       r->second.ghosts[it->first] = {c.out, h.made + limits_.ends};
     }
@@ -155,7 +164,7 @@
   return std::max(static_cast<double>(h.word.accused), static_cast<double>(accuses)) <= most;
 }
 
-std::vector<ToldReplica> EvidenceModel::Judge(Time now, double part) {
+std::vector<PeerReplicaReport> EvidenceModel::Judge(Time now, double part) {
   struct Accuser {
     std::string name, zone;
     Time since;  // when it failed there last, or began to wait
@@ -179,14 +188,15 @@
       k.answered = name;
     }
     k.called_slow = k.called_slow || CallsSlow(c);
-    const double n = std::min(limits_.most_n, c.slow_n * policy::Faded::Fade(age, kSlowMemory));
+    const double n =
+        std::min(limits_.most_n, c.slow_n * policy::DecayingCounter::DecayFactor(age, kSlowMemory));
     if (name != self_ && n >= 0.5) k.said.push_back({std::clamp(c.slow, -2.0, 2.0), n});
   };
   for (const auto& [name, h] : peers_) {
     if (!Trusted(h, now)) continue;
     for (const Claim& c : h.word.claims) {
       const auto r = fleet_.find(c.replica);
-      if (r != fleet_.end() && r->second.seen.entry.started_at == c.started_at)
+      if (r != fleet_.end() && r->second.seen.endpoint.started_at == c.started_at)
         hear(name, h.zone, c, std::max<Time>(0, now - h.made));
     }
   }
@@ -250,30 +260,32 @@
     }
   }
 
-  std::vector<ToldReplica> tell;
+  std::vector<PeerReplicaReport> tell;
   std::map<ReplicaId, Time> rests;
   for (const Line& line : lines_) rests[line.replica] = line.rests_until;
   for (auto& [id, r] : fleet_) {
-    ToldReplica t{id, r.seen.entry.started_at, 0, 0, 0, 0};
-    if (const auto at = rests.find(id); at != rests.end()) t.rests_until = at->second;
+    PeerReplicaReport t{id, r.seen.endpoint.started_at, 0, 0, 0, 0};
+    if (const auto at = rests.find(id); at != rests.end()) t.ejected_until = at->second;
     const auto k = cases.find(id);
     if (k != cases.end() && k->second.called_slow && k->second.said.size() >= 2) {
       const Said s = Median(k->second.said);
       if (s.slow >= kSlow) {
-        t.slow = s.slow;
-        t.slow_n = std::min(limits_.most_n, limits_.weight * s.n);
+        t.slowness = s.slow;
+        t.slowness_samples = std::min(limits_.most_n, limits_.weight * s.n);
       }
     }
     // As after failures of one's own: what is left alone looks slow, and its caps go to the others with it.
-    if (t.rests_until > now && t.slow < kFailureSlow) t.slow = kFailureSlow, t.slow_n = limits_.most_n;
+    if (t.ejected_until > now && t.slowness < kFailureSlow)
+      t.slowness = kFailureSlow, t.slowness_samples = limits_.most_n;
     std::erase_if(r.ghosts, [&](const auto& g) { return g.second.until <= now; });
-    for (const auto& [name, g] : r.ghosts) t.out += part * g.out;
-    const ToldReplica& was = r.told;
-    const bool rest_moved = t.rests_until > now ? was.rests_until < now + kRestAgain : was.rests_until > now;
-    const bool fades = t.slow_n > 0 && now - r.told_at > kTellAgain;
-    if (rest_moved || std::abs(t.slow - was.slow) > kMoved ||
-        std::abs(t.slow_n - was.slow_n) > 0.5 * std::max(1.0, was.slow_n) ||
-        std::abs(t.out - was.out) > 0.1 || fades) {
+    for (const auto& [name, g] : r.ghosts) t.orphaned_in_flight += part * g.out;
+    const PeerReplicaReport& was = r.told;
+    const bool rest_moved =
+        t.ejected_until > now ? was.ejected_until < now + kRestAgain : was.ejected_until > now;
+    const bool fades = t.slowness_samples > 0 && now - r.told_at > kTellAgain;
+    if (rest_moved || std::abs(t.slowness - was.slowness) > kMoved ||
+        std::abs(t.slowness_samples - was.slowness_samples) > 0.5 * std::max(1.0, was.slowness_samples) ||
+        std::abs(t.orphaned_in_flight - was.orphaned_in_flight) > 0.1 || fades) {
       r.told = t;
       r.told_at = now;
       tell.push_back(t);
@@ -282,13 +294,14 @@
   return tell;
 }
 
-std::vector<ToldReplica> EvidenceModel::Withdraw(Time now) {
-  std::vector<ToldReplica> tell;
+std::vector<PeerReplicaReport> EvidenceModel::Withdraw(Time now) {
+  std::vector<PeerReplicaReport> tell;
   lines_.clear();
   for (auto& [id, r] : fleet_) {
     r.ghosts.clear();
-    if (r.told.slow_n <= 0 && r.told.rests_until <= now && r.told.out <= 0) continue;
-    r.told = {id, r.seen.entry.started_at, 0, 0, 0, 0};
+    if (r.told.slowness_samples <= 0 && r.told.ejected_until <= now && r.told.orphaned_in_flight <= 0)
+      continue;
+    r.told = {id, r.seen.endpoint.started_at, 0, 0, 0, 0};
     r.told_at = now;
     tell.push_back(r.told);
   }
--- a/src/tier/evidence_model.h
+++ b/src/tier/evidence_model.h
@@ -60,9 +60,9 @@
 
   // What the decision module is to be told now, only where it has changed or would have faded. `part`: of the
   // tier's traffic, this node's.
-  std::vector<policy::ToldReplica> Judge(Time now, double part);
+  std::vector<policy::PeerReplicaReport> Judge(Time now, double part);
   // All that was told is taken back.
-  std::vector<policy::ToldReplica> Withdraw(Time now);
+  std::vector<policy::PeerReplicaReport> Withdraw(Time now);
 
   bool doubts() const { return doubt_; }
   // Replicas that this node has something to say of that others wait for: that fail here, and that others
@@ -92,7 +92,7 @@
   struct Replica {
     policy::ReplicaView seen;
     bool listed = false;
-    policy::ToldReplica told;
+    policy::PeerReplicaReport told;
     Time told_at = 0;
     std::map<std::string, Ghost> ghosts;  // what nodes that have died had out
   };
--- a/src/tier/share_model.cpp
+++ b/src/tier/share_model.cpp
@@ -20,7 +20,7 @@
   const double memory = static_cast<double>(limits_.memory) / 1e6;
   const double age = static_cast<double>(now - began_) / 1e6;
   const double seen = memory * (1 - std::exp(-age / memory));
-  own_.rate = seen > 0.2 * memory ? std::min(kMostRate, arrivals_.Now(now, limits_.memory) / seen) : 0;
+  own_.rate = seen > 0.2 * memory ? std::min(kMostRate, arrivals_.ValueAt(now, limits_.memory) / seen) : 0;
   return own_;
 }
 
--- a/src/tier/share_model.h
+++ b/src/tier/share_model.h
@@ -17,7 +17,7 @@
 #include <utility>
 #include <vector>
 
-#include "ryeglade/learned.h"
+#include "ryeglade/learned_state.h"
 #include "tier/word_model.h"
 
 namespace ryeglade::tier {
@@ -79,7 +79,7 @@
   std::string self_;
   ShareLimits limits_;
   std::map<std::string, Peer> peers_;
-  policy::Faded arrivals_;
+  policy::DecayingCounter arrivals_;
   Time began_ = 0, told_at_ = -1;
   Word own_;
   bool sure_ = false, settled_ = false;
--- a/src/tier/tier_model.cpp
+++ b/src/tier/tier_model.cpp
@@ -68,18 +68,18 @@
   part_ = share_.Share(now, nodes);
   if (uses_.parts && !(told_part_ > 0 && std::abs(part_ / told_part_ - 1) < kWorthTelling)) {
     told_part_ = part_;
-    events.emplace_back(policy::TierShare{part_});
+    events.emplace_back(policy::TrafficShareChanged{part_});
   }
   if (judged_ != 0 && now - judged_ < limits_.judge_every) return events;
   judged_ = now;
   const bool lost = doubt_since_ >= 0 && now - doubt_since_ > limits_.stand;
   if (uses_.evidence && (sure_ || lost)) {
     // In doubt nothing more is said: rests run out and slowness fades, step by step, as the module has it.
-    policy::TierEvidence e{sure_ ? evidence_.Judge(now, part_) : evidence_.Withdraw(now)};
+    policy::PeerReportsReceived e{sure_ ? evidence_.Judge(now, part_) : evidence_.Withdraw(now)};
     if (!e.replicas.empty()) events.emplace_back(std::move(e));
   }
   if (uses_.beginnings) {
-    policy::TierKeys keys;
+    policy::PrefixTrafficReceived keys;
     if (sure_ ? beginnings_.Shares(now, &keys) : lost && beginnings_.Withdraw(&keys))
       events.emplace_back(std::move(keys));
   }
--- a/src/timeline/burst_model.cpp
+++ b/src/timeline/burst_model.cpp
@@ -36,7 +36,7 @@
   burst_.last = std::max(burst_.last, now);
   if (burst_.outcomes.empty()) burst_.outcomes.resize(kOutcomes);
   if (std::holds_alternative<policy::RequestArrived>(event)) ++burst_.arrived;
-  if (std::holds_alternative<policy::ReplicaList>(event)) ++burst_.lists;
+  if (std::holds_alternative<policy::EndpointList>(event)) ++burst_.lists;
   if (const auto* ended = std::get_if<policy::AttemptEnded>(&event)) {
     ++burst_.outcomes[std::min(static_cast<std::size_t>(ended->outcome), kOutcomes - 1)];
     if (BurstReplica* r = At(ended->replica)) {
@@ -44,8 +44,8 @@
     }
   }
   for (const policy::Action& a : actions) {
-    if (std::holds_alternative<policy::Refuse>(a)) ++burst_.refused;
-    if (std::holds_alternative<policy::Fail>(a)) ++burst_.failed;
+    if (std::holds_alternative<policy::RejectRequest>(a)) ++burst_.refused;
+    if (std::holds_alternative<policy::FailRequest>(a)) ++burst_.failed;
     if (const auto* send = std::get_if<policy::SendAttempt>(&a)) {
       ++burst_.sent;
       if (BurstReplica* r = At(send->replica)) ++r->sent;
--- a/src/timeline/flight_model.cpp
+++ b/src/timeline/flight_model.cpp
@@ -54,28 +54,28 @@
 
 // The fields of each type, in the order of the record. One list serves writing and reading.
 template <class F>
-void Fields(F& f, ReplicaEntry& e) {
-  f(e.id, e.weight, e.kind, e.zone, e.cell, e.started_at, e.phase);
+void Fields(F& f, Endpoint& e) {
+  f(e.id, e.weight, e.kind, e.zone, e.cell, e.started_at, e.state);
 }
 template <class F>
-void Fields(F& f, ReplicaList& e) {
-  f(e.scope, e.version, e.entries);
+void Fields(F& f, EndpointList& e) {
+  f(e.scope, e.version, e.endpoints);
 }
 template <class F>
 void Fields(F& f, RequestArrived& e) {
-  f(e.id, e.cls, e.tenant, e.session, e.prefix, e.prompt_tokens, e.prefix_tokens, e.max_answer_tokens,
-    e.patience, e.cost_hint, e.client_retry, e.write, e.resumed);
+  f(e.id, e.class_index, e.tenant_index, e.session, e.prefix, e.prompt_tokens, e.prefix_tokens,
+    e.max_answer_tokens, e.time_budget, e.cost_hint, e.client_retry, e.write, e.resumed);
 }
 template <class F>
-void Fields(F& f, AnswerStarted& e) {
+void Fields(F& f, ResponseStarted& e) {
   f(e.id, e.attempt, e.replica, e.elapsed);
 }
 template <class F>
 void Fields(F& f, AttemptEnded& e) {
-  f(e.id, e.attempt, e.replica, e.outcome, e.elapsed, e.request_concluded, e.kept_tokens, e.load);
+  f(e.id, e.attempt, e.replica, e.outcome, e.elapsed, e.request_concluded, e.cached_tokens, e.load_report);
 }
 template <class F>
-void Fields(F& f, ClientGone& e) {
+void Fields(F& f, ClientDisconnected& e) {
   f(e.id);
 }
 template <class F>
@@ -83,40 +83,40 @@
   f(e.token);
 }
 template <class F>
-void Fields(F& f, ProbeAnswered& e) {
-  f(e.replica, e.outcome, e.elapsed, e.load);
+void Fields(F& f, HealthCheckCompleted& e) {
+  f(e.replica, e.outcome, e.elapsed, e.load_report);
 }
 template <class F>
-void Fields(F& f, TierSize& e) {
-  f(e.nodes);
+void Fields(F& f, NodeCountChanged& e) {
+  f(e.node_count);
 }
 template <class F>
-void Fields(F& f, TierShare& e) {
+void Fields(F& f, TrafficShareChanged& e) {
   f(e.share);
 }
 template <class F>
-void Fields(F& f, ToldReplica& t) {
-  f(t.id, t.started_at, t.slow, t.slow_n, t.rests_until, t.out);
+void Fields(F& f, PeerReplicaReport& t) {
+  f(t.id, t.started_at, t.slowness, t.slowness_samples, t.ejected_until, t.orphaned_in_flight);
 }
 template <class F>
-void Fields(F& f, TierEvidence& e) {
+void Fields(F& f, PeerReportsReceived& e) {
   f(e.replicas);
 }
 template <class F>
-void Fields(F& f, TierKeys& e) {
+void Fields(F& f, PrefixTrafficReceived& e) {
   f(e.shares);
 }
 template <class F>
-void Fields(F& f, Inherited& e) {
-  f(e.learned);
+void Fields(F& f, StateRestored& e) {
+  f(e.state);
 }
 template <class F>
-void Fields(F& f, OutBeside& e) {
-  f(e.out);
+void Fields(F& f, SiblingInFlightChanged& e) {
+  f(e.in_flight);
 }
 template <class F>
-void Fields(F& f, PatienceCut& e) {
-  f(e.id, e.patience);
+void Fields(F& f, DeadlineShortened& e) {
+  f(e.id, e.time_budget);
 }
 template <class F>
 void Fields(F& f, SendAttempt& e) {
@@ -128,15 +128,15 @@
   f(e.id, e.attempt);
 }
 template <class F>
-void Fields(F& f, Refuse& e) {
+void Fields(F& f, RejectRequest& e) {
   f(e.id, e.retry_after);
 }
 template <class F>
-void Fields(F& f, Fail& e) {
+void Fields(F& f, FailRequest& e) {
   f(e.id);
 }
 template <class F>
-void Fields(F& f, MoveStream& e) {
+void Fields(F& f, MigrateStream& e) {
   f(e.id);
 }
 template <class F>
@@ -144,15 +144,15 @@
   f(e.token, e.delay);
 }
 template <class F>
-void Fields(F& f, ProbeReplica& e) {
+void Fields(F& f, CheckHealth& e) {
   f(e.replica);
 }
 template <class F>
-void Fields(F& f, SubscribeList& e) {
-  f(e.on);
+void Fields(F& f, WatchEndpoints& e) {
+  f(e.enabled);
 }
 template <class F>
-void Fields(F&, FetchList&) {}
+void Fields(F&, PollEndpoints&) {}
 template <class F>
 void Fields(F& f, Member& m) {
   f(m.now, m.id, m.name, m.address, m.started_at, m.phase, m.again);
@@ -171,17 +171,17 @@
     b.elsewhere);
 }
 template <class F>
-void Fields(F& f, SendNote& n) {
-  f(n.id, n.attempt, n.replica, n.size, n.held, n.considered, n.with_room, n.room, n.runner_up,
-    n.runner_up_room, n.cap, n.in_flight, n.unread);
+void Fields(F& f, DispatchRecord& n) {
+  f(n.id, n.attempt, n.replica, n.estimated_runtime, n.queued_for, n.candidates, n.candidates_with_capacity,
+    n.score, n.runner_up, n.runner_up_score, n.concurrency_limit, n.in_flight, n.tokens_to_prefill);
 }
 template <class F>
-void Fields(F& f, EndNote& n) {
-  f(n.id, n.why, n.attempts, n.held, n.queue, n.cap_total, n.in_flight);
+void Fields(F& f, ConclusionRecord& n) {
+  f(n.id, n.reason, n.attempts, n.open_for, n.queue_length, n.total_concurrency_limit, n.in_flight);
 }
 template <class F>
-void Fields(F& f, RestNote& n) {
-  f(n.replica, n.outcome, n.failures, n.until);
+void Fields(F& f, EjectionRecord& n) {
+  f(n.replica, n.outcome, n.consecutive_failures, n.ejected_until);
 }
 template <class F>
 void Fields(F& f, Named& n) {
@@ -197,11 +197,11 @@
 }
 
 template <class T>
-constexpr bool kLearned = std::is_same_v<T, std::shared_ptr<const Learned>>;
+constexpr bool kLearned = std::is_same_v<T, std::shared_ptr<const LearnedState>>;
 template <class T>
 constexpr bool kEntries =
-    std::is_same_v<T, std::vector<ReplicaEntry>> || std::is_same_v<T, std::vector<BurstReplica>> ||
-    std::is_same_v<T, std::vector<ToldReplica>>;
+    std::is_same_v<T, std::vector<Endpoint>> || std::is_same_v<T, std::vector<BurstReplica>> ||
+    std::is_same_v<T, std::vector<PeerReplicaReport>>;
 
 struct Count {
   std::uint32_t n = 0;
@@ -297,7 +297,7 @@
       std::string why;
       auto learned = text.empty() ? std::nullopt : DecodeLearned(text, &why);
       if (!text.empty() && !learned) Bad("what was inherited can't be read");
-      if (learned) v = std::make_shared<const Learned>(std::move(*learned));
+      if (learned) v = std::make_shared<const LearnedState>(std::move(*learned));
     } else {
       v = o.as<T>();
     }
@@ -410,89 +410,93 @@
 }
 
 struct EventWords {
-  std::string operator()(const ReplicaList& e) const {
+  std::string operator()(const EndpointList& e) const {
     static constexpr const char* kScopes[] = {"failed", "delta", "cached", "full"};
     const auto scope = static_cast<std::size_t>(e.scope);
     std::string out = fmt::format("list {} version {}", scope < 4 ? kScopes[scope] : "?", e.version);
-    for (const ReplicaEntry& r : e.entries) {
+    for (const Endpoint& r : e.endpoints) {
       static constexpr const char* kPhases[] = {"gone", "ready", "draining"};
-      const auto phase = static_cast<std::size_t>(r.phase);
+      const auto phase = static_cast<std::size_t>(r.state);
       out += fmt::format(" {:08x}={}", r.id, phase < 3 ? kPhases[phase] : "?");
     }
     return out;
   }
   std::string operator()(const RequestArrived& e) const {
     return fmt::format(
-        "request {:x} class {} prompt {:g} (shared {:g}) answer up to {:g} patience {:.0f} ms{}", e.id, e.cls,
-        e.prompt_tokens, e.prefix_tokens, e.max_answer_tokens, Ms(e.patience),
+        "request {:x} class {} prompt {:g} (shared {:g}) answer up to {:g} patience {:.0f} ms{}", e.id,
+        e.class_index, e.prompt_tokens, e.prefix_tokens, e.max_answer_tokens, Ms(e.time_budget),
         e.client_retry ? " again" : "");
   }
-  std::string operator()(const AnswerStarted& e) const {
+  std::string operator()(const ResponseStarted& e) const {
     return fmt::format("started {:x}.{} at {:08x} after {:.1f} ms", e.id, e.attempt, e.replica,
                        Ms(e.elapsed));
   }
   std::string operator()(const AttemptEnded& e) const {
     return fmt::format("ended {:x}.{} at {:08x} {} after {:.1f} ms kept {:g} load {}{}", e.id, e.attempt,
-                       e.replica, Word(e.outcome), Ms(e.elapsed), e.kept_tokens, Loads(e.load),
+                       e.replica, Word(e.outcome), Ms(e.elapsed), e.cached_tokens, Loads(e.load_report),
                        e.request_concluded ? " concluded" : "");
   }
-  std::string operator()(const ClientGone& e) const { return fmt::format("client gone {:x}", e.id); }
+  std::string operator()(const ClientDisconnected& e) const { return fmt::format("client gone {:x}", e.id); }
   std::string operator()(const TimerFired& e) const { return fmt::format("timer {}", e.token); }
-  std::string operator()(const ProbeAnswered& e) const {
+  std::string operator()(const HealthCheckCompleted& e) const {
     return fmt::format("probe of {:08x} {} after {:.1f} ms load {}", e.replica, Word(e.outcome),
-                       Ms(e.elapsed), Loads(e.load));
+                       Ms(e.elapsed), Loads(e.load_report));
   }
-  std::string operator()(const TierSize& e) const { return fmt::format("tier of {} nodes", e.nodes); }
-  std::string operator()(const TierShare& e) const {
+  std::string operator()(const NodeCountChanged& e) const {
+    return fmt::format("tier of {} nodes", e.node_count);
+  }
+  std::string operator()(const TrafficShareChanged& e) const {
     return fmt::format("this node's part of the tier is {:.4f}", e.share);
   }
-  std::string operator()(const TierEvidence& e) const {
+  std::string operator()(const PeerReportsReceived& e) const {
     std::string out = "the tier tells of " + std::to_string(e.replicas.size()) + " replicas:";
-    for (const ToldReplica& t : e.replicas)
-      out +=
-          fmt::format(" {:08x} slow {:.2f} of {:.1f} answers{}{}", t.id, t.slow, t.slow_n,
-                      t.rests_until > 0 ? " rests" : "", t.out > 0 ? fmt::format(" out {:.1f}", t.out) : "");
+    for (const PeerReplicaReport& t : e.replicas)
+      out += fmt::format(" {:08x} slow {:.2f} of {:.1f} answers{}{}", t.id, t.slowness, t.slowness_samples,
+                         t.ejected_until > 0 ? " rests" : "",
+                         t.orphaned_in_flight > 0 ? fmt::format(" out {:.1f}", t.orphaned_in_flight) : "");
     return out;
   }
-  std::string operator()(const TierKeys& e) const {
+  std::string operator()(const PrefixTrafficReceived& e) const {
     return fmt::format("the tier tells the shares of {} beginnings", e.shares.size());
   }
-  std::string operator()(const Inherited& e) const {
-    if (e.learned == nullptr) return "inherited nothing";
-    return fmt::format("inherited level {:.2f} of {} nodes, {} averages, {} replicas", e.learned->level,
-                       e.learned->nodes, e.learned->runtime.size(), e.learned->replicas.size());
+  std::string operator()(const StateRestored& e) const {
+    if (e.state == nullptr) return "inherited nothing";
+    return fmt::format("inherited level {:.2f} of {} nodes, {} averages, {} replicas", e.state->base_limit,
+                       e.state->node_count, e.state->runtime_by_bucket.size(), e.state->replicas.size());
   }
-  std::string operator()(const PatienceCut& e) const {
-    return fmt::format("patience of {:x} cut to {:.0f} ms", e.id, Ms(e.patience));
+  std::string operator()(const DeadlineShortened& e) const {
+    return fmt::format("patience of {:x} cut to {:.0f} ms", e.id, Ms(e.time_budget));
   }
-  std::string operator()(const OutBeside& e) const {
+  std::string operator()(const SiblingInFlightChanged& e) const {
     int all = 0;
-    for (const auto& [id, out] : e.out) all += out;
-    return fmt::format("beside this process {} attempts are out at {} replicas", all, e.out.size());
+    for (const auto& [id, out] : e.in_flight) all += out;
+    return fmt::format("beside this process {} attempts are out at {} replicas", all, e.in_flight.size());
   }
 };
 
 struct NoteWords {
-  std::string operator()(const SendNote& n) const {
+  std::string operator()(const DispatchRecord& n) const {
     std::string out =
-        fmt::format("{:x}.{} to {:08x}: room {:.3g}", n.id, n.attempt, n.replica, n.room * 1000);
-    out += n.runner_up_room > 0
-               ? fmt::format(" against {:.3g} at {:08x}", n.runner_up_room * 1000, n.runner_up)
+        fmt::format("{:x}.{} to {:08x}: room {:.3g}", n.id, n.attempt, n.replica, n.score * 1000);
+    out += n.runner_up_score > 0
+               ? fmt::format(" against {:.3g} at {:08x}", n.runner_up_score * 1000, n.runner_up)
                : " and none elsewhere";
     out += fmt::format(
         "; {} of {} replicas had room, its {} of {:.1f} in use, {:.0f} tokens to read; estimate {:.0f} ms, "
         "held "
         "{:.0f} ms",
-        n.with_room, n.considered, n.in_flight, n.cap, n.unread, n.size / 1000, Ms(n.held));
+        n.candidates_with_capacity, n.candidates, n.in_flight, n.concurrency_limit, n.tokens_to_prefill,
+        n.estimated_runtime / 1000, Ms(n.queued_for));
     return out;
   }
-  std::string operator()(const EndNote& n) const {
+  std::string operator()(const ConclusionRecord& n) const {
     return fmt::format("{:x} ended: {}; {} attempts, {:.0f} ms after it came, {} held, {} of {:.1f} in use",
-                       n.id, Word(n.why), n.attempts, Ms(n.held), n.queue, n.in_flight, n.cap_total);
+                       n.id, Word(n.reason), n.attempts, Ms(n.open_for), n.queue_length, n.in_flight,
+                       n.total_concurrency_limit);
   }
-  std::string operator()(const RestNote& n) const {
-    return fmt::format("{:08x} rests until {}: {}, {} failures in a row", n.replica, n.until / 1000,
-                       Word(n.outcome), n.failures);
+  std::string operator()(const EjectionRecord& n) const {
+    return fmt::format("{:08x} rests until {}: {}, {} failures in a row", n.replica, n.ejected_until / 1000,
+                       Word(n.outcome), n.consecutive_failures);
   }
 };
 
@@ -505,19 +509,19 @@
   std::string operator()(const CancelAttempt& a) const {
     return fmt::format("cancel {:x}.{}", a.id, a.attempt);
   }
-  std::string operator()(const Refuse& a) const {
+  std::string operator()(const RejectRequest& a) const {
     return fmt::format("refuse {:x}, back in {:.0f} ms", a.id, Ms(a.retry_after));
   }
-  std::string operator()(const Fail& a) const { return fmt::format("fail {:x}", a.id); }
-  std::string operator()(const MoveStream& a) const { return fmt::format("move {:x}", a.id); }
+  std::string operator()(const FailRequest& a) const { return fmt::format("fail {:x}", a.id); }
+  std::string operator()(const MigrateStream& a) const { return fmt::format("move {:x}", a.id); }
   std::string operator()(const SetTimer& a) const {
     return fmt::format("timer {} in {:.1f} ms", a.token, Ms(a.delay));
   }
-  std::string operator()(const ProbeReplica& a) const { return fmt::format("probe {:08x}", a.replica); }
-  std::string operator()(const SubscribeList& a) const {
-    return a.on ? "watch the list" : "stop watching the list";
+  std::string operator()(const CheckHealth& a) const { return fmt::format("probe {:08x}", a.replica); }
+  std::string operator()(const WatchEndpoints& a) const {
+    return a.enabled ? "watch the list" : "stop watching the list";
   }
-  std::string operator()(const FetchList&) const { return "fetch the list"; }
+  std::string operator()(const PollEndpoints&) const { return "fetch the list"; }
 };
 
 }  // namespace
@@ -580,10 +584,10 @@
   return n < std::size(kNames) ? kNames[n] : "?";
 }
 
-std::vector<ReplicaId> ListedIds(const ReplicaList& list) {
+std::vector<ReplicaId> ListedIds(const EndpointList& list) {
   std::vector<ReplicaId> ids;
-  ids.reserve(list.entries.size());
-  for (const ReplicaEntry& e : list.entries) ids.push_back(e.id);
+  ids.reserve(list.endpoints.size());
+  for (const Endpoint& e : list.endpoints) ids.push_back(e.id);
   std::sort(ids.begin(), ids.end());
   return ids;
 }
--- a/src/timeline/flight_model.h
+++ b/src/timeline/flight_model.h
@@ -14,8 +14,8 @@
 
 using policy::Time;
 
-// 6 had no PatienceCut and no bound on writing an attempt; 5 had nothing of what other nodes tell; 4 no part
-// of the tier; 3 nothing inherited; 2 no Tier; 1 no more than Start, Decision and Gap.
+// 6 had no DeadlineShortened and no bound on writing an attempt; 5 had nothing of what other nodes tell; 4 no
+// part of the tier; 3 nothing inherited; 2 no Tier; 1 no more than Start, Decision and Gap.
 inline constexpr std::uint32_t kFormat = 7;
 
 // The first record of a process: what a Router is built from.
@@ -46,7 +46,7 @@
   policy::ReplicaId id = 0;
   std::string name, address;
   Time started_at = 0;
-  policy::Phase phase = policy::Phase::kReady;
+  policy::EndpointState phase = policy::EndpointState::kReady;
   bool again = false;  // nothing has changed
 };
 
@@ -76,7 +76,7 @@
 // A reason, where the record keeps them; else a replay tells them.
 struct Note {
   Time now = 0;
-  std::variant<policy::SendNote, policy::EndNote, policy::RestNote> what;
+  std::variant<policy::DispatchRecord, policy::ConclusionRecord, policy::EjectionRecord> what;
 };
 
 // Something departed from the usual, or is back.
@@ -123,7 +123,7 @@
 using Record = std::variant<Start, Decision, Gap, Member, Roster, Burst, Note, Unusual, Named, Tier>;
 
 // The replicas that a list names, in order.
-std::vector<policy::ReplicaId> ListedIds(const policy::ReplicaList& list);
+std::vector<policy::ReplicaId> ListedIds(const policy::EndpointList& list);
 // When it was; 0: it does not say (a gap).
 Time TimeOf(const Record& record);
 const char* Name(UnusualKind kind);
--- a/src/timeline/flight_recorder.cpp
+++ b/src/timeline/flight_recorder.cpp
@@ -139,11 +139,11 @@
   if (closed_) return;
   ++records_;
   // Who has left is told no more; what comes back says anew where it is.
-  if (const auto* list = std::get_if<policy::ReplicaList>(&event)) {
-    for (const policy::ReplicaEntry& e : list->entries) {
-      if (e.phase == policy::Phase::kGone) members_.erase(e.id);
+  if (const auto* list = std::get_if<policy::EndpointList>(&event)) {
+    for (const policy::Endpoint& e : list->endpoints) {
+      if (e.state == policy::EndpointState::kRemoved) members_.erase(e.id);
     }
-    if (list->scope == policy::ListScope::kFull) {
+    if (list->scope == policy::EndpointListScope::kFull) {
       const std::vector<policy::ReplicaId> listed = ListedIds(*list);
       std::erase_if(members_, [&](const auto& m) {
         return !std::binary_search(listed.begin(), listed.end(), m.first);
@@ -185,10 +185,10 @@
   if (const std::optional<Burst> burst = coalescer_.Cut()) Keep(*burst);
 }
 
-void FlightRecorder::OnMember(Time now, const policy::ReplicaEntry& entry, const std::string& name,
+void FlightRecorder::OnMember(Time now, const policy::Endpoint& entry, const std::string& name,
                               const std::string& address) {
   if (closed_) return;
-  const Member m{now, entry.id, name, address, entry.started_at, entry.phase, false};
+  const Member m{now, entry.id, name, address, entry.started_at, entry.state, false};
   const auto it = members_.find(entry.id);
   if (it != members_.end() && Same(it->second, m)) return;
   if (it == members_.end() && members_.size() >= kMostMembers) return;
--- a/src/timeline/flight_recorder.h
+++ b/src/timeline/flight_recorder.h
@@ -39,22 +39,22 @@
                        public MembershipTap,
                        public StreamTap,
                        public TierTap,
-                       public policy::Observer {
+                       public policy::DecisionObserver {
  public:
   FlightRecorder(const Runtime* run, RecorderOptions options);
   ~FlightRecorder() override;
 
   void OnStart(const std::string& settings, std::uint64_t seed, Time now) override;
   void OnDecision(Time now, const policy::Event& event, const std::vector<policy::Action>& actions) override;
-  void OnMember(Time now, const policy::ReplicaEntry& entry, const std::string& name,
+  void OnMember(Time now, const policy::Endpoint& entry, const std::string& name,
                 const std::string& address) override;
   void OnRoster(Time now, std::string_view source, std::uint64_t generation, std::string_view why) override;
   void OnNamed(Time now, policy::RequestId id, std::string_view call_id) override;
   void OnTier(Time now, std::string_view what, std::string_view member, std::string_view by,
               std::uint64_t value, std::size_t live) override;
-  void OnSend(const policy::SendNote& note) override { Because(note); }
-  void OnEnd(const policy::EndNote& note) override { Because(note); }
-  void OnRest(const policy::RestNote& note) override { Because(note); }
+  void OnDispatch(const policy::DispatchRecord& note) override { Because(note); }
+  void OnConclusion(const policy::ConclusionRecord& note) override { Because(note); }
+  void OnEjection(const policy::EjectionRecord& note) override { Because(note); }
 
   bool wants_reasons() const { return options_.reasons; }
   // Writes the ring to a file of its own, off the loop. False: there is none, or the last is still written.
--- a/src/timeline/lane_model.cpp
+++ b/src/timeline/lane_model.cpp
@@ -11,16 +11,16 @@
 namespace ryeglade::timeline {
 namespace {
 
-using policy::ListScope;
+using policy::EndpointListScope;
+using policy::EndpointState;
 using policy::Outcome;
-using policy::Phase;
 
 constexpr std::size_t kMostGenerations = 65536;
 
-LaneState StateOf(Phase phase) {
-  return phase == Phase::kReady      ? LaneState::kReady
-         : phase == Phase::kDraining ? LaneState::kDraining
-                                     : LaneState::kGone;
+LaneState StateOf(EndpointState phase) {
+  return phase == EndpointState::kReady      ? LaneState::kReady
+         : phase == EndpointState::kDraining ? LaneState::kDraining
+                                             : LaneState::kGone;
 }
 
 }  // namespace
@@ -185,7 +185,7 @@
     // begins.
     const auto* d = std::get_if<Decision>(&record);
     const bool roster = std::holds_alternative<Member>(record) || std::holds_alternative<Roster>(record) ||
-                        (d != nullptr && std::holds_alternative<policy::ReplicaList>(d->event));
+                        (d != nullptr && std::holds_alternative<policy::EndpointList>(d->event));
     if (!roster || (options_.to != 0 && said > options_.to)) return;
   }
   if (!begun_) {
@@ -231,14 +231,14 @@
                 nullptr);
   }
   if (const auto* n = std::get_if<Note>(&record)) {
-    if (const auto* end = std::get_if<policy::EndNote>(&n->what)) {
-      const auto why = static_cast<std::size_t>(end->why);
+    if (const auto* end = std::get_if<policy::ConclusionRecord>(&n->what)) {
+      const auto why = static_cast<std::size_t>(end->reason);
       if (why < whys_.size()) ++whys_[why];
     }
-    if (const auto* rest = std::get_if<policy::RestNote>(&n->what)) {
+    if (const auto* rest = std::get_if<policy::EjectionRecord>(&n->what)) {
       Lane* lane = At(rest->replica);
       if (lane == nullptr) return;
-      const LaneRest r{now, rest->until + shift_, rest->outcome, rest->failures};
+      const LaneRest r{now, rest->ejected_until + shift_, rest->outcome, rest->consecutive_failures};
       if (!lane->rests.empty() && lane->rests.back().until >= r.from &&
           lane->rests.back().outcome == r.outcome) {
         lane->rests.back().until = std::max(lane->rests.back().until, r.until);
@@ -259,12 +259,12 @@
   }
 }
 
-void Lanes::On(Time now, const policy::ReplicaList& list) {
-  if (list.scope == ListScope::kFailed) {
+void Lanes::On(Time now, const policy::EndpointList& list) {
+  if (list.scope == EndpointListScope::kFailed) {
     dark_ = true;
     return AllUnknown(now, "roster dark");
   }
-  const bool cached = list.scope == ListScope::kCached;
+  const bool cached = list.scope == EndpointListScope::kCached;
   const std::string source = source_.empty() ? "the list" : source_;
   if (!cached) {
     if (dark_) Mark(marks_, now, "the roster is back", nullptr);
@@ -272,21 +272,21 @@
     told_ = true;
   }
   std::map<policy::ReplicaId, bool> listed;
-  for (const policy::ReplicaEntry& e : list.entries) {
+  for (const policy::Endpoint& e : list.endpoints) {
     Lane* lane = At(e.id);
     if (lane == nullptr) continue;
     listed[e.id] = true;
     if (!cached) {
-      Set(*lane, now, StateOf(e.phase), source);
+      Set(*lane, now, StateOf(e.state), source);
     } else if (lane->spans.empty()) {
       // What a node once knew is no word about now.
-      lane->spans.push_back({now, 0, LaneState::kUnknown, StateOf(e.phase), "only what the node once knew"});
+      lane->spans.push_back({now, 0, LaneState::kUnknown, StateOf(e.state), "only what the node once knew"});
     }
   }
   if (cached) return;
   for (auto& [id, lane] : lanes_) {
     if (listed.contains(id) || lane.spans.empty()) continue;
-    if (list.scope == ListScope::kFull) {
+    if (list.scope == EndpointListScope::kFull) {
       Set(lane, now, LaneState::kGone, source + ", by leaving it out");
     } else if (lane.spans.back().state == LaneState::kUnknown) {
       Set(lane, now, lane.spans.back().known,
@@ -297,13 +297,13 @@
 
 void Lanes::On(const Decision& d, Time now) {
   const std::uint32_t n = BinOf(now);
-  if (const auto* list = std::get_if<policy::ReplicaList>(&d.event)) {
+  if (const auto* list = std::get_if<policy::EndpointList>(&d.event)) {
     On(now, *list);
   } else if (std::holds_alternative<policy::RequestArrived>(d.event)) {
     ++fleet_[n].arrived;
-  } else if (std::holds_alternative<policy::ClientGone>(d.event)) {
+  } else if (std::holds_alternative<policy::ClientDisconnected>(d.event)) {
     ++fleet_[n].gone;
-  } else if (const auto* started = std::get_if<policy::AnswerStarted>(&d.event)) {
+  } else if (const auto* started = std::get_if<policy::ResponseStarted>(&d.event)) {
     if (Lane* lane = At(started->replica)) {
       LaneBin& bin = lane->bins[n];
       const double ms = static_cast<double>(started->elapsed) / 1000;
@@ -320,7 +320,7 @@
           ++bin.served;
           ++fleet_[n].served;
           break;
-        case Outcome::kFull:
+        case Outcome::kAtCapacity:
           ++bin.full;
           break;
         case Outcome::kCancelled:
@@ -330,21 +330,21 @@
         default:
           ++bin.failed;
       }
-      if (ended->load.size() > load_field_) {
-        lane->load = bin.load = ended->load[load_field_];
+      if (ended->load_report.size() > load_field_) {
+        lane->load = bin.load = ended->load_report[load_field_];
         lane->load_at = now;
         bin.load_age = -1;
       }
     }
-  } else if (const auto* probe = std::get_if<policy::ProbeAnswered>(&d.event)) {
-    if (Lane* lane = At(probe->replica); lane != nullptr && probe->load.size() > load_field_) {
-      lane->load = lane->bins[n].load = probe->load[load_field_];
+  } else if (const auto* probe = std::get_if<policy::HealthCheckCompleted>(&d.event)) {
+    if (Lane* lane = At(probe->replica); lane != nullptr && probe->load_report.size() > load_field_) {
+      lane->load = lane->bins[n].load = probe->load_report[load_field_];
       lane->load_at = now;
     }
   }
   for (const policy::Action& a : d.actions) {
-    if (std::holds_alternative<policy::Refuse>(a)) ++fleet_[n].refused;
-    if (std::holds_alternative<policy::Fail>(a)) ++fleet_[n].failed;
+    if (std::holds_alternative<policy::RejectRequest>(a)) ++fleet_[n].refused;
+    if (std::holds_alternative<policy::FailRequest>(a)) ++fleet_[n].failed;
     if (const auto* send = std::get_if<policy::SendAttempt>(&a)) {
       ++fleet_[n].sent;
       if (Lane* lane = At(send->replica)) {
--- a/src/timeline/lane_model.h
+++ b/src/timeline/lane_model.h
@@ -94,7 +94,7 @@
   const std::map<std::uint32_t, FleetBin>& fleet() const { return fleet_; }
   const std::vector<Unusual>& unusual() const { return unusual_; }  // the newest, begun and ended
   const std::vector<LaneMark>& marks() const { return marks_; }  // of the node: restarts, holes, bursts, dark
-  const std::array<std::uint64_t, static_cast<std::size_t>(policy::Why::kCount)>& whys() const {
+  const std::array<std::uint64_t, static_cast<std::size_t>(policy::ConclusionReason::kCount)>& whys() const {
     return whys_;
   }
   std::uint64_t lanes_left_out() const { return lanes_left_out_; }
@@ -113,7 +113,7 @@
   void Set(Lane& lane, Time at, LaneState state, std::string why);
   void AllUnknown(Time at, const std::string& why);
   void Mark(std::vector<LaneMark>& marks, Time at, std::string text, Lane* lane);
-  void On(Time now, const policy::ReplicaList& list);
+  void On(Time now, const policy::EndpointList& list);
   void On(const Decision& d, Time now);
   void On(const Burst& b, Time now);
 
@@ -127,7 +127,7 @@
   std::map<std::uint32_t, FleetBin> fleet_;
   std::vector<Unusual> unusual_;
   std::vector<LaneMark> marks_;
-  std::array<std::uint64_t, static_cast<std::size_t>(policy::Why::kCount)> whys_{};
+  std::array<std::uint64_t, static_cast<std::size_t>(policy::ConclusionReason::kCount)> whys_{};
   std::uint64_t lanes_left_out_ = 0;
   std::map<std::uint64_t, Time> generations_;
   bool told_ = false;  // by the roster since the last start
--- a/src/timeline/reader.cpp
+++ b/src/timeline/reader.cpp
@@ -59,7 +59,7 @@
   std::size_t size_ = 0, passed_ = 0;
 };
 
-class Reasons : public policy::Observer {
+class Reasons : public policy::DecisionObserver {
  public:
   explicit Reasons(const std::function<void(const Record&)>& sink) : sink_(sink), verifier_(this) {}
 
@@ -80,9 +80,9 @@
   void Flush() {
     for (const Note& n : std::exchange(found_, {})) sink_(n);
   }
-  void OnSend(const policy::SendNote& n) override { found_.push_back({now_, n}); }
-  void OnEnd(const policy::EndNote& n) override { found_.push_back({now_, n}); }
-  void OnRest(const policy::RestNote& n) override { found_.push_back({now_, n}); }
+  void OnDispatch(const policy::DispatchRecord& n) override { found_.push_back({now_, n}); }
+  void OnConclusion(const policy::ConclusionRecord& n) override { found_.push_back({now_, n}); }
+  void OnEjection(const policy::EjectionRecord& n) override { found_.push_back({now_, n}); }
 
  private:
   const std::function<void(const Record&)>& sink_;
