--- a/src/timeline/story_model.cpp
+++ b/src/timeline/story_model.cpp
@@ -83,22 +83,24 @@
     return;
   }
   if (const auto* n = std::get_if<Note>(&record)) {
-    if (const auto* send = std::get_if<policy::SendNote>(&n->what); send != nullptr && Mine(send->id)) {
-      std::string words = fmt::format("  why {}: most room, {:.3g}", Who(send->replica), send->room * 1000);
-      words += send->runner_up_room > 0
-                   ? fmt::format(" against {:.3g} at {}", send->runner_up_room * 1000, Who(send->runner_up))
+    if (const auto* send = std::get_if<policy::DispatchRecord>(&n->what); send != nullptr && Mine(send->id)) {
+      std::string words = fmt::format("  why {}: most room, {:.3g}", Who(send->replica), send->score * 1000);
+      words += send->runner_up_score > 0
+                   ? fmt::format(" against {:.3g} at {}", send->runner_up_score * 1000, Who(send->runner_up))
                    : std::string(", and none elsewhere");
       words += fmt::format(
           "; {} of {} replicas had room, {} of its {:.1f} in use, {:.0f} tokens to read; estimate {:.0f} ms, "
           "held {:.0f} ms; {}",
-          send->with_room, send->considered, send->in_flight, send->cap, send->unread,
-          Ms(static_cast<Time>(send->size)), Ms(send->held), State(send->replica, n->now));
+          send->candidates_with_capacity, send->candidates, send->in_flight, send->concurrency_limit,
+          send->tokens_to_prefill, Ms(static_cast<Time>(send->estimated_runtime)), Ms(send->queued_for),
+          State(send->replica, n->now));
       Say(n->now, words);
     }
-    if (const auto* end = std::get_if<policy::EndNote>(&n->what);
+    if (const auto* end = std::get_if<policy::ConclusionRecord>(&n->what);
         end != nullptr && arrived_.contains(end->id)) {
-      Say(n->now, fmt::format("  why: {}; {} attempts, {} requests held here, {} of {:.1f} in use",
-                              Word(end->why), end->attempts, end->queue, end->in_flight, end->cap_total));
+      Say(n->now,
+          fmt::format("  why: {}; {} attempts, {} requests held here, {} of {:.1f} in use", Word(end->reason),
+                      end->attempts, end->queue_length, end->in_flight, end->total_concurrency_limit));
     }
     return;
   }
@@ -116,10 +118,10 @@
     arrived_[a->id] = d->now;
     Say(d->now, fmt::format("request {:x}{} arrives: class {}, {:g} tokens ({:g} shared), answer up to {:g}, "
                             "{:.0f} ms left{}",
-                            a->id, named ? " (" + id_ + ")" : "", a->cls, a->prompt_tokens, a->prefix_tokens,
-                            a->max_answer_tokens, Ms(a->patience),
+                            a->id, named ? " (" + id_ + ")" : "", a->class_index, a->prompt_tokens,
+                            a->prefix_tokens, a->max_answer_tokens, Ms(a->time_budget),
                             a->client_retry ? ", its client has asked before" : ""));
-  } else if (const auto* s = std::get_if<policy::AnswerStarted>(&d->event); s != nullptr && Mine(s->id)) {
+  } else if (const auto* s = std::get_if<policy::ResponseStarted>(&d->event); s != nullptr && Mine(s->id)) {
     Say(d->now, fmt::format("first token from {} after {:.1f} ms", Who(s->replica), Ms(s->elapsed)));
   } else if (const auto* e = std::get_if<policy::AttemptEnded>(&d->event); e != nullptr && Mine(e->id)) {
     Say(d->now, fmt::format("attempt {} at {} ends: {} after {:.1f} ms; {}", e->attempt, Who(e->replica),
@@ -128,17 +130,18 @@
       Say(d->now, fmt::format("served, {:.1f} ms after it came", Ms(d->now - arrived_[e->id])));
       mine_.erase(e->id);
     }
-  } else if (const auto* g = std::get_if<policy::ClientGone>(&d->event); g != nullptr && Mine(g->id)) {
+  } else if (const auto* g = std::get_if<policy::ClientDisconnected>(&d->event);
+             g != nullptr && Mine(g->id)) {
     Say(d->now, fmt::format("its client left, {:.1f} ms after it came", Ms(d->now - arrived_[g->id])));
   }
   for (const policy::Action& a : d->actions) {
     if (const auto* send = std::get_if<policy::SendAttempt>(&a); send != nullptr && Mine(send->id)) {
       Say(d->now, fmt::format("sent to {}", Who(send->replica)));
-    } else if (const auto* r = std::get_if<policy::Refuse>(&a); r != nullptr && Mine(r->id)) {
+    } else if (const auto* r = std::get_if<policy::RejectRequest>(&a); r != nullptr && Mine(r->id)) {
       Say(d->now, fmt::format("refused, {:.1f} ms after it came; back in {:.0f} ms",
                               Ms(d->now - arrived_[r->id]), Ms(r->retry_after)));
       mine_.erase(r->id);
-    } else if (const auto* f = std::get_if<policy::Fail>(&a); f != nullptr && Mine(f->id)) {
+    } else if (const auto* f = std::get_if<policy::FailRequest>(&a); f != nullptr && Mine(f->id)) {
       Say(d->now, fmt::format("failed, {:.1f} ms after it came", Ms(d->now - arrived_[f->id])));
       mine_.erase(f->id);
     } else if (const auto* c = std::get_if<policy::CancelAttempt>(&a); c != nullptr && Mine(c->id)) {
--- a/src/timeline/unusual_model.cpp
+++ b/src/timeline/unusual_model.cpp
@@ -9,8 +9,8 @@
 namespace ryeglade::timeline {
 namespace {
 
+using policy::EndpointState;
 using policy::Outcome;
-using policy::Phase;
 
 constexpr double kMad = 1.4826;           // of the median absolute deviation of a normal distribution
 constexpr Time kLoadFresh = 5'000'000;    // a report older than this says nothing
@@ -112,9 +112,9 @@
 void UnusualWatch::OnDecision(Time now, const policy::Event& event,
                               const std::vector<policy::Action>& actions) {
   Advance(now);
-  if (const auto* list = std::get_if<policy::ReplicaList>(&event)) {
-    if (list->scope == policy::ListScope::kFailed) return OnRoster(now_, "", "failed");
-    if (list->scope == policy::ListScope::kFull) {
+  if (const auto* list = std::get_if<policy::EndpointList>(&event)) {
+    if (list->scope == policy::EndpointListScope::kFailed) return OnRoster(now_, "", "failed");
+    if (list->scope == policy::EndpointListScope::kFull) {
       std::vector<policy::ReplicaId> gone;
       const std::vector<policy::ReplicaId> listed = ListedIds(*list);
       for (const auto& known : seen_) {
@@ -125,8 +125,8 @@
         seen_.erase(id);
       }
     }
-    for (const policy::ReplicaEntry& e : list->entries) {
-      if (e.phase == Phase::kGone) {
+    for (const policy::Endpoint& e : list->endpoints) {
+      if (e.state == EndpointState::kRemoved) {
         const auto it = seen_.find(e.id);
         if (it == seen_.end()) continue;
         Forget(e.id, it->second, now_);
@@ -140,11 +140,11 @@
         *r = {};
       }
       r->started_at = e.started_at;
-      if (e.phase == Phase::kReady && r->phase != Phase::kReady) r->ready_since = now_;
-      r->phase = e.phase;
+      if (e.state == EndpointState::kReady && r->phase != EndpointState::kReady) r->ready_since = now_;
+      r->phase = e.state;
     }
     // A module that was only given what the node once knew has been told nothing yet.
-    const bool cached = list->scope == policy::ListScope::kCached;
+    const bool cached = list->scope == policy::EndpointListScope::kCached;
     if (!cached) return OnRoster(now_, "told", "");
     if (told_at_ == 0) {
       cached_only_ = true;
@@ -156,7 +156,7 @@
     const double octaves = std::log2(std::max(1.0, arrived->prompt_tokens));
     SizeOf(arrived->id) = {
         arrived->id, static_cast<std::uint8_t>(std::min(2 * octaves, static_cast<double>(kBuckets - 1)))};
-  } else if (const auto* started = std::get_if<policy::AnswerStarted>(&event)) {
+  } else if (const auto* started = std::get_if<policy::ResponseStarted>(&event)) {
     const Sized& sized = SizeOf(started->id);
     if (Seen* r = At(started->replica); r != nullptr) {
       r->refused = 0;
@@ -170,20 +170,20 @@
     if (Seen* r = At(ended->replica); r != nullptr) {
       ++r->tick.ended;
       if (Failed(ended->outcome)) ++r->tick.failed;
-      if (ended->outcome == Outcome::kFull) ++r->tick.full;
+      if (ended->outcome == Outcome::kAtCapacity) ++r->tick.full;
       if (ended->outcome == Outcome::kConnectFailed) {
         if (r->refused++ == 0) r->refused_since = now_;
       } else if (ended->outcome != Outcome::kCancelled && ended->outcome != Outcome::kNotSent) {
         r->refused = 0;
       }
-      if (ended->load.size() > load_field_) {
-        r->load = ended->load[load_field_];
+      if (ended->load_report.size() > load_field_) {
+        r->load = ended->load_report[load_field_];
         r->load_at = now_;
       }
     }
-  } else if (const auto* probe = std::get_if<policy::ProbeAnswered>(&event)) {
-    if (Seen* r = At(probe->replica); r != nullptr && probe->load.size() > load_field_) {
-      r->load = probe->load[load_field_];
+  } else if (const auto* probe = std::get_if<policy::HealthCheckCompleted>(&event)) {
+    if (Seen* r = At(probe->replica); r != nullptr && probe->load_report.size() > load_field_) {
+      r->load = probe->load_report[load_field_];
       r->load_at = now_;
     }
   }
@@ -262,7 +262,7 @@
   if (c.first_n > 0 && (c.first_n >= options_.firsts || ++r.first_ticks >= options_.firsts_ticks))
     now[1] = Value{c.first_sum / c.first_n, kFloorFirst + kSpread / std::sqrt(c.first_n)};
   if (r.load >= 0 && now_ - r.load_at < kLoadFresh) now[2] = Value{r.load, kFloorLoad * load_scale + 1};
-  if (usual_sent >= 1 && r.phase == Phase::kReady)
+  if (usual_sent >= 1 && r.phase == EndpointState::kReady)
     now[4] = Value{c.sent / usual_sent, kFloorShare + 1.5 / std::sqrt(usual_sent)};
 }
 
@@ -270,7 +270,7 @@
   double sent = 0, ready = 0, loads = 0, loaded = 0;
   for (const auto& [id, r] : seen_) {
     sent += r.tick.sent;
-    if (r.phase == Phase::kReady) ++ready;
+    if (r.phase == EndpointState::kReady) ++ready;
     if (r.load >= 0 && now_ - r.load_at < kLoadFresh) {
       loads += r.load;
       ++loaded;
@@ -321,7 +321,7 @@
   }
 
   for (auto& [id, r] : seen_) {
-    const bool refuses = r.phase == Phase::kReady && r.refused >= options_.refused_connects &&
+    const bool refuses = r.phase == EndpointState::kReady && r.refused >= options_.refused_connects &&
                          at - r.refused_since >= options_.refused_for;
     if (refuses && r.contradicted == 0) {
       r.contradicted = Begin({.now = at,
@@ -329,7 +329,7 @@
                               .replica = id,
                               .since = r.refused_since,
                               .during = static_cast<double>(r.refused)});
-    } else if (r.contradicted != 0 && (r.refused == 0 || r.phase != Phase::kReady)) {
+    } else if (r.contradicted != 0 && (r.refused == 0 || r.phase != EndpointState::kReady)) {
       EndContradicted(id, r, at);
     }
     const Counts gathered = r.tick;
--- a/src/timeline/unusual_model.h
+++ b/src/timeline/unusual_model.h
@@ -97,7 +97,7 @@
     double floor = 0;  // of the scale
   };
   struct Seen {
-    policy::Phase phase = policy::Phase::kGone;
+    policy::EndpointState phase = policy::EndpointState::kRemoved;
     Time ready_since = 0;
     Time started_at = 0;
     Counts tick;
--- a/src/timeline/verify.cpp
+++ b/src/timeline/verify.cpp
@@ -12,7 +12,7 @@
   using policy::LoadField;
   try {
     const std::vector<LoadField> fields = policy::wire::ReadSettings(settings).load_fields;
-    for (const LoadField wanted : {LoadField::kInflight, LoadField::kUtil, LoadField::kQueue}) {
+    for (const LoadField wanted : {LoadField::kInFlight, LoadField::kUtilization, LoadField::kQueueLength}) {
       const auto at = std::find(fields.begin(), fields.end(), wanted);
       if (at != fields.end()) return static_cast<std::size_t>(at - fields.begin());
     }
@@ -26,7 +26,7 @@
     ++starts_;
     router_ = std::make_unique<policy::Router>(policy::wire::ReadSettings(start->settings), start->seed,
                                                start->now);
-    router_->Observe(observer_);
+    router_->SetObserver(observer_);
     return;
   }
   if (std::holds_alternative<Gap>(record) || std::holds_alternative<Burst>(record)) {
--- a/src/timeline/verify.h
+++ b/src/timeline/verify.h
@@ -18,7 +18,7 @@
 class Verifier {
  public:
   // Told the reasons of what is run again; null: nobody.
-  explicit Verifier(policy::Observer* observer = nullptr) : observer_(observer) {}
+  explicit Verifier(policy::DecisionObserver* observer = nullptr) : observer_(observer) {}
 
   // In the record's order. Throws std::runtime_error if the recorded settings can't be read.
   void Take(const Record& record);
@@ -36,7 +36,7 @@
   const policy::Router* router() const { return router_.get(); }
 
  private:
-  policy::Observer* observer_;
+  policy::DecisionObserver* observer_;
   std::unique_ptr<policy::Router> router_;
   std::uint64_t starts_ = 0, decisions_ = 0, matched_ = 0, skipped_ = 0;
   std::string difference_;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -70,7 +70,7 @@
   EXPECT_DOUBLE_EQ(r.max_answer_tokens, 256);
   EXPECT_DOUBLE_EQ(r.prefix_tokens, 1200);
   EXPECT_EQ(r.cost_hint, 12000);
-  EXPECT_EQ(r.patience, 240000);
+  EXPECT_EQ(r.time_budget, 240000);
   EXPECT_FALSE(r.client_retry);
 }
 
@@ -78,16 +78,16 @@
   const auto event = DecodeEvent(7, Bytes("02 29000000 02000000 "
                                           "0000803f 0000 00 0000000000000000 01 074a1203 0000 "
                                           "0000c03f 0100 02 20145d0000000000 02 f211902c 0500"));
-  const auto& list = std::get<ReplicaList>(event);
-  EXPECT_EQ(list.scope, ListScope::kCached);
-  ASSERT_EQ(list.entries.size(), 2u);
-  EXPECT_EQ(list.entries[0].id, 0x03124a07u);
-  EXPECT_EQ(list.entries[1].phase, Phase::kDraining);
-  EXPECT_EQ(list.entries[1].kind, 1);
-  EXPECT_EQ(list.entries[1].zone, 2);
-  EXPECT_EQ(list.entries[1].cell, 5);
-  EXPECT_EQ(list.entries[1].started_at, 0x5d1420);
-  EXPECT_DOUBLE_EQ(list.entries[1].weight, 1.5);
+  const auto& list = std::get<EndpointList>(event);
+  EXPECT_EQ(list.scope, EndpointListScope::kCached);
+  ASSERT_EQ(list.endpoints.size(), 2u);
+  EXPECT_EQ(list.endpoints[0].id, 0x03124a07u);
+  EXPECT_EQ(list.endpoints[1].state, EndpointState::kDraining);
+  EXPECT_EQ(list.endpoints[1].kind, 1);
+  EXPECT_EQ(list.endpoints[1].zone, 2);
+  EXPECT_EQ(list.endpoints[1].cell, 5);
+  EXPECT_EQ(list.endpoints[1].started_at, 0x5d1420);
+  EXPECT_DOUBLE_EQ(list.endpoints[1].weight, 1.5);
 }
 
 TEST(Decode, AnOutcomeWithALoadReport) {
@@ -95,10 +95,10 @@
       DecodeEvent(9, Bytes("c4913a5d922a0800 0100 074a1203 0200 44480000 00 07000000 02 0000003f 00004040"));
   const auto& e = std::get<AttemptEnded>(event);
   EXPECT_EQ(e.attempt, 1);
-  EXPECT_EQ(e.outcome, Outcome::kFull);
+  EXPECT_EQ(e.outcome, Outcome::kAtCapacity);
   EXPECT_FALSE(e.request_concluded);
-  EXPECT_DOUBLE_EQ(e.kept_tokens, 7);
-  EXPECT_EQ(e.load, (std::vector<double>{0.5, 3.0}));
+  EXPECT_DOUBLE_EQ(e.cached_tokens, 7);
+  EXPECT_EQ(e.load_report, (std::vector<double>{0.5, 3.0}));
 }
 
 TEST(Encode, ActionsByteForByte) {
@@ -107,12 +107,12 @@
   EncodeAction(SendAttempt{0x00082a925d3a91c4, 0x03124a07, 80000}, out);
   EncodeAction(SetTimer{0x4d, 500000}, out);
   EncodeAction(CancelAttempt{0x00082a925d3a91c4, 0}, out);
-  EncodeAction(Refuse{0x0007af8e0e6f2b19, 250000}, out);
-  EncodeAction(Fail{0x0007af8e0e6f2b19}, out);
-  EncodeAction(SubscribeList{true}, out);
-  EncodeAction(FetchList{}, out);
-  EncodeAction(ProbeReplica{0x2c9011f2}, out);
-  EncodeAction(MoveStream{0x0007af8e0e6f2b19}, out);
+  EncodeAction(RejectRequest{0x0007af8e0e6f2b19, 250000}, out);
+  EncodeAction(FailRequest{0x0007af8e0e6f2b19}, out);
+  EncodeAction(WatchEndpoints{true}, out);
+  EncodeAction(PollEndpoints{}, out);
+  EncodeAction(CheckHealth{0x2c9011f2}, out);
+  EncodeAction(MigrateStream{0x0007af8e0e6f2b19}, out);
   EXPECT_EQ(out.bytes(), Bytes("08 02000000 0300"
                                "01 10000000 c4913a5d922a0800 80380100 074a1203"
                                "0b 0c000000 4d00000000000000 20a10700"
@@ -128,19 +128,19 @@
 TEST(ReadSettings, TakesWhatItKnowsAndDefaultsTheRest) {
   const Settings s = ReadSettings(kSettings);
   ASSERT_EQ(s.classes.size(), 1u);
-  EXPECT_EQ(s.classes[0].effect, Effect::kKeyed);
+  EXPECT_EQ(s.classes[0].idempotency, Idempotency::kIdempotencyKey);
   EXPECT_EQ(s.classes[0].dedup_scope, DedupScope::kCell);
-  EXPECT_EQ(s.classes[0].aim, 1500000);
-  EXPECT_EQ(s.classes[0].aim_per_1000_tokens, 30000);
+  EXPECT_EQ(s.classes[0].latency_objective, 1500000);
+  EXPECT_EQ(s.classes[0].objective_per_1000_tokens, 30000);
   EXPECT_EQ(s.max_attempts, 3);
-  EXPECT_TRUE(s.ask_for_list);
-  EXPECT_TRUE(s.load_in_answers);
+  EXPECT_TRUE(s.poll_endpoints);
+  EXPECT_TRUE(s.load_reports_in_responses);
   ASSERT_EQ(s.load_fields.size(), 4u);
-  EXPECT_EQ(s.load_fields[0], LoadField::kUtil);
+  EXPECT_EQ(s.load_fields[0], LoadField::kUtilization);
   EXPECT_EQ(s.load_fields[3], LoadField::kOther);
-  EXPECT_DOUBLE_EQ(s.tenants.at(0).quota_per_s, 6);
-  EXPECT_DOUBLE_EQ(s.fee_cross_zone, 0);  // absent
-  EXPECT_FALSE(s.may_probe);              // absent
+  EXPECT_DOUBLE_EQ(s.tenants.at(0).quota_per_second, 6);
+  EXPECT_DOUBLE_EQ(s.cross_zone_penalty, 0);  // absent
+  EXPECT_FALSE(s.can_check_health);           // absent
 }
 
 std::string DefectOf(const std::string& settings) {
--- a/tests/duplicates.cpp
+++ b/tests/duplicates.cpp
@@ -15,7 +15,7 @@
 struct EffectCase {
   const char* effect;
   const char* scope;
-  bool may_refuse;  // although an attempt may have run
+  bool may_reject;  // although an attempt may have run
 };
 const EffectCase kEffects[] = {{"free", "all", true},
                                {"single_shot", "all", false},
@@ -51,7 +51,7 @@
     node.Term();
     const int status = StatusOf(client.Message());
     std::printf("%s %s: %d\n", e.effect, e.scope, status);
-    assert(Refuses(status) == e.may_refuse);
+    assert(Refuses(status) == e.may_reject);
     assert(node.Exit() == 0);
   }
 }
@@ -67,7 +67,7 @@
       const int status = StatusOf(client.Message());
       const bool sent = host.Called(0);
       std::printf("%s %s %s: %d%s\n", e.effect, e.scope, budget, status, sent ? ", sent" : "");
-      assert(!sent || Refuses(status) == e.may_refuse);
+      assert(!sent || Refuses(status) == e.may_reject);
       if (sent) host.Accept().Message();
     }
   }
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -343,14 +343,14 @@
     }
     if (how_ == How::kFlood || how_ == How::kAfterDrain) {
       if (const auto* e = std::get_if<AttemptEnded>(&event); e != nullptr && e->outcome != Outcome::kServed)
-        actions.emplace_back(Refuse{e->id, 0});
+        actions.emplace_back(RejectRequest{e->id, 0});
       return;
     }
     inner_->Handle(now, event, actions);
     if (!std::holds_alternative<RequestArrived>(event)) return;
     const RequestId id = std::get<RequestArrived>(event).id;
     if (how_ == How::kTwice) actions.emplace_back(SendAttempt{id, 1, 0});
-    if (how_ == How::kTwoAnswers && id % 5 == 0) actions.emplace_back(Refuse{id, 0});
+    if (how_ == How::kTwoAnswers && id % 5 == 0) actions.emplace_back(RejectRequest{id, 0});
   }
 
  private:
--- a/tests/fairness_test.cpp
+++ b/tests/fairness_test.cpp
@@ -43,13 +43,13 @@
 Settings TwoClasses(double late_worth) {
   Settings s = BasicSettings();
   s.classes.resize(2, s.classes[0]);
-  s.classes[0].aim = 1 * kSecond;
-  s.classes[0].deadline = 5 * kSecond;
-  s.classes[1].aim = 1500 * kMs;
-  s.classes[1].deadline = 7500 * kMs;
+  s.classes[0].latency_objective = 1 * kSecond;
+  s.classes[0].time_budget = 5 * kSecond;
+  s.classes[1].latency_objective = 1500 * kMs;
+  s.classes[1].time_budget = 7500 * kMs;
   for (ClassSettings& c : s.classes) {
-    c.late_worth = late_worth;
-    c.aim_per_1000_tokens = 40 * kMs;
+    c.late_weight_share = late_worth;
+    c.objective_per_1000_tokens = 40 * kMs;
   }
   return s;
 }
@@ -61,7 +61,7 @@
       : load_(load), random_(seed), settings_(TwoClasses(load.late_worth)), router_(settings_, seed, 0) {}
 
   std::vector<Client> Run() {
-    Give(ReplicaList{ListScope::kFull, 1, Fleet(kReplicas)});
+    Give(EndpointList{EndpointListScope::kFull, 1, Fleet(kReplicas)});
     const double mean_prompt = 1500;
     const double mu = std::log(mean_prompt) - load_.spread * load_.spread / 2;
     const double per_second = load_.of_capacity * kReplicas * kReadPerSecond / mean_prompt;
@@ -73,7 +73,7 @@
       c.cls = static_cast<int>(random_() % 2);
       c.session = 1 + random_() % load_.sessions;
       c.prompt = std::min(30'000.0, prompt(random_));
-      c.deadline = at + settings_.classes[static_cast<std::size_t>(c.cls)].deadline;
+      c.deadline = at + settings_.classes[static_cast<std::size_t>(c.cls)].time_budget;
       clients_.push_back(c);
       At(at, [this, n = clients_.size() - 1] { Arrive(n); });
     }
@@ -95,11 +95,11 @@
     const Client& c = clients_[n];
     RequestArrived e;
     e.id = n + 1;
-    e.cls = c.cls;
+    e.class_index = c.cls;
     e.session = c.session * 0x9e3779b97f4a7c15ULL;
     e.prompt_tokens = c.prompt;
     e.max_answer_tokens = 200;
-    e.patience = c.deadline - now_;
+    e.time_budget = c.deadline - now_;
     Give(e);
   }
 
@@ -108,7 +108,7 @@
     router_.Handle(now_, event, actions);
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<SendAttempt>(&action)) Sent(*send);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) clients_[refuse->id - 1].refused = true;
+      if (const auto* refuse = std::get_if<RejectRequest>(&action)) clients_[refuse->id - 1].refused = true;
       if (const auto* timer = std::get_if<SetTimer>(&action)) {
         At(now_ + timer->delay, [this, token = timer->token] { Give(TimerFired{token}); });
       }
@@ -131,7 +131,7 @@
     }
     At(first, [this, send, attempt, sent, &c] {
       c.answered = true;
-      Give(AnswerStarted{send.id, attempt, send.replica, now_ - sent});
+      Give(ResponseStarted{send.id, attempt, send.replica, now_ - sent});
     });
     At(first + kStreamFor, [this, send, attempt, sent] {
       Give(AttemptEnded{send.id, attempt, send.replica, Outcome::kServed, now_ - sent, true, 0, {}});
--- a/tests/lanes_test.cpp
+++ b/tests/lanes_test.cpp
@@ -119,7 +119,8 @@
               .replica = 7,
               .since = 3,
               .before = 1.5},
-      Tier{8, "member-dead", "n1", "n2", 9, 3}, Decision{9, policy::TierSize{12}, {policy::Fail{4}}}};
+      Tier{8, "member-dead", "n1", "n2", 9, 3},
+      Decision{9, policy::NodeCountChanged{12}, {policy::FailRequest{4}}}};
   for (const Record& r : more) {
     records.push_back(r);
     kinds.insert(r.index());
@@ -168,12 +169,12 @@
 TEST(Lanes, WhatANodeOnceKnewIsNoWordAboutNow) {
   Lanes lanes;
   lanes.Take(Start{kFormat, "n", "", 1, 100 * kSec});
-  ReplicaEntry e;
+  Endpoint e;
   e.id = 4;
-  lanes.Take(Decision{101 * kSec, ReplicaList{ListScope::kCached, 1, {e}}, {}});
+  lanes.Take(Decision{101 * kSec, EndpointList{EndpointListScope::kCached, 1, {e}}, {}});
   EXPECT_EQ(StateAt(lanes, 4, 102 * kSec), LaneState::kUnknown);
   EXPECT_EQ(Lanes::At(Of(lanes, 4), 102 * kSec)->known, LaneState::kReady);
-  lanes.Take(Decision{103 * kSec, ReplicaList{ListScope::kFull, 2, {e}}, {}});
+  lanes.Take(Decision{103 * kSec, EndpointList{EndpointListScope::kFull, 2, {e}}, {}});
   EXPECT_EQ(StateAt(lanes, 4, 104 * kSec), LaneState::kReady);
 }
 
@@ -189,7 +190,7 @@
     }
     if (std::holds_alternative<Member>(r) || std::holds_alternative<Roster>(r)) continue;
     if (const auto* d = std::get_if<Decision>(&r);
-        d != nullptr && hole != 0 && std::holds_alternative<ReplicaList>(d->event))
+        d != nullptr && hole != 0 && std::holds_alternative<EndpointList>(d->event))
       continue;
     lanes.Take(r);
   }
@@ -200,7 +201,7 @@
   for (const LaneMark& m : lanes.marks()) said = said || m.text.find("40 records") != std::string::npos;
   EXPECT_TRUE(said);
   // Who is who is said again now and then, and that brings the states back.
-  lanes.Take(Member{lanes.end() + kSec, 0x1001, "replica-001", "a:1", 0, Phase::kDraining, true});
+  lanes.Take(Member{lanes.end() + kSec, 0x1001, "replica-001", "a:1", 0, EndpointState::kDraining, true});
   EXPECT_EQ(Of(lanes, 0x1001).spans.back().state, LaneState::kDraining);
 }
 
@@ -209,7 +210,7 @@
   Lanes lanes;
   for (Record r : p.records) {
     if (auto* d = std::get_if<Decision>(&r)) {
-      if (auto* e = std::get_if<AttemptEnded>(&d->event)) e->load.clear();
+      if (auto* e = std::get_if<AttemptEnded>(&d->event)) e->load_report.clear();
     }
     lanes.Take(r);
   }
@@ -228,12 +229,12 @@
 
 TEST(Lanes, AClockThatStepsBackShiftsTimeAndSaysSo) {
   Lanes lanes;
-  ReplicaEntry e;
+  Endpoint e;
   e.id = 4;
   lanes.Take(Start{kFormat, "n", "", 1, 1000 * kSec});
-  lanes.Take(Decision{1010 * kSec, ReplicaList{ListScope::kFull, 1, {e}}, {}});
+  lanes.Take(Decision{1010 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {}});
   lanes.Take(Start{kFormat, "n", "", 1, 400 * kSec});  // the process came back with another clock
-  lanes.Take(Decision{405 * kSec, ReplicaList{ListScope::kFull, 1, {e}}, {}});
+  lanes.Take(Decision{405 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {}});
   lanes.Take(Decision{420 * kSec, RequestArrived{1}, {SendAttempt{1, 4, 0}}});
   lanes.Close();
   EXPECT_EQ(lanes.end(), 1030 * kSec);
@@ -247,8 +248,8 @@
 TEST(Lanes, AnIdThatComesBackElsewhereIsMarked) {
   Lanes lanes;
   lanes.Take(Start{kFormat, "n", "", 1, kSec});
-  lanes.Take(Member{2 * kSec, 4, "a", "10.0.0.1:1", 0, Phase::kReady, false});
-  lanes.Take(Member{9 * kSec, 4, "a", "10.0.0.2:1", 0, Phase::kReady, false});
+  lanes.Take(Member{2 * kSec, 4, "a", "10.0.0.1:1", 0, EndpointState::kReady, false});
+  lanes.Take(Member{9 * kSec, 4, "a", "10.0.0.2:1", 0, EndpointState::kReady, false});
   ASSERT_EQ(Of(lanes, 4).marks.size(), 1U);
   EXPECT_EQ(Of(lanes, 4).marks[0].text, "moved from 10.0.0.1:1 to 10.0.0.2:1");
 }
@@ -267,11 +268,11 @@
   for (const int gap : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 5'000'000))) {
     now += gap;
     const auto id = static_cast<ReplicaId>(gap % 3);
-    const auto phase = static_cast<Phase>(gap % 3);
-    ReplicaEntry e;
+    const auto phase = static_cast<EndpointState>(gap % 3);
+    Endpoint e;
     e.id = id;
-    e.phase = phase;
-    if (gap % 5 == 0) lanes.Take(Decision{now, ReplicaList{ListScope::kDelta, 1, {e}}, {}});
+    e.state = phase;
+    if (gap % 5 == 0) lanes.Take(Decision{now, EndpointList{EndpointListScope::kDelta, 1, {e}}, {}});
     lanes.Take(Decision{now, RequestArrived{1}, {SendAttempt{1, id, 0}}});
     ++sent;
   }
@@ -365,10 +366,10 @@
 TEST(Unusual, ARosterThatCallsReadyWhatNobodyCanReachIsContradicted) {
   std::vector<Unusual> events;
   UnusualWatch watch([&](const Unusual& u) { events.push_back(u); });
-  ReplicaEntry e;
+  Endpoint e;
   e.id = 9;
   Time now = 100 * kSec;
-  watch.OnDecision(now, ReplicaList{ListScope::kFull, 1, {e}}, {});
+  watch.OnDecision(now, EndpointList{EndpointListScope::kFull, 1, {e}}, {});
   for (RequestId id = 1; id < 12; ++id) {
     now += 400'000;
     watch.OnDecision(now, AttemptEnded{id, 0, 9, Outcome::kConnectFailed, 100, false, 0, {}}, {});
@@ -386,15 +387,15 @@
 TEST(Unusual, OnlyWhatItOnceKnewForLongIsBehind) {
   std::vector<Unusual> events;
   UnusualWatch watch([&](const Unusual& u) { events.push_back(u); });
-  ReplicaEntry e;
+  Endpoint e;
   e.id = 9;
-  watch.OnDecision(100 * kSec, ReplicaList{ListScope::kCached, 0, {e}}, {});
+  watch.OnDecision(100 * kSec, EndpointList{EndpointListScope::kCached, 0, {e}}, {});
   watch.OnDecision(104 * kSec, TimerFired{1}, {});
   EXPECT_TRUE(events.empty());
   watch.OnDecision(107 * kSec, TimerFired{2}, {});
   ASSERT_EQ(events.size(), 1U);
   EXPECT_EQ(events[0].kind, UnusualKind::kRosterBehind);
-  watch.OnDecision(108 * kSec, ReplicaList{ListScope::kFull, 1, {e}}, {});
+  watch.OnDecision(108 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {});
   ASSERT_EQ(events.size(), 2U);
   EXPECT_FALSE(events[1].begins);
 }
@@ -419,15 +420,16 @@
   for (const int x : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 1'000'000))) {
     now += (x % 7) * 300'000 - 100'000;
     const auto id = static_cast<ReplicaId>(x / 7 % 8);
-    ReplicaEntry e;
+    Endpoint e;
     e.id = id;
-    e.phase = static_cast<Phase>(x / 56 % 3);
+    e.state = static_cast<EndpointState>(x / 56 % 3);
     if (x % 11 == 0) watch.OnRoster(now, "watch", x % 2 == 0 ? "silent" : "");
-    if (x % 5 == 0) watch.OnDecision(now, ReplicaList{static_cast<ListScope>(x / 5 % 4), 1, {e}}, {});
+    if (x % 5 == 0)
+      watch.OnDecision(now, EndpointList{static_cast<EndpointListScope>(x / 5 % 4), 1, {e}}, {});
     watch.OnDecision(
         now, AttemptEnded{1, 0, id, static_cast<Outcome>(x % 8), 5, false, 0, {static_cast<double>(x % 100)}},
         {});
-    watch.OnDecision(now, AnswerStarted{1, 0, id, x}, {SendAttempt{1, id, 0}});
+    watch.OnDecision(now, ResponseStarted{1, 0, id, x}, {SendAttempt{1, id, 0}});
   }
   watch.Close();
   RC_ASSERT(watch.open() <= 2U);  // the roster's own may last
@@ -475,7 +477,8 @@
   for (RequestId id = 1; id <= 50'000; ++id) {
     now += 100;
     const auto replica = static_cast<ReplicaId>(id % 200);
-    const Action next = id % 3 == 0 ? Action(Refuse{id, kSec}) : Action(SendAttempt{id, replica + 1, 0});
+    const Action next =
+        id % 3 == 0 ? Action(RejectRequest{id, kSec}) : Action(SendAttempt{id, replica + 1, 0});
     take(now, RequestArrived{id}, {SendAttempt{id, replica, 0}});
     take(now, AttemptEnded{id, 0, replica, Outcome::kReset, 300, false, 0, {}}, {next});
   }
@@ -525,14 +528,14 @@
 TEST(Merge, OneNodeInTheDarkDoesNotHideWhatTheOtherKnowsAndDifferencesAreTold) {
   const auto node = [](const char* name, bool dark, bool draining) {
     Lanes lanes;
-    ReplicaEntry e;
+    Endpoint e;
     e.id = 4;
     lanes.Take(Start{kFormat, name, "", 1, 100 * kSec});
-    lanes.Take(Decision{101 * kSec, ReplicaList{ListScope::kFull, 1, {e}}, {}});
+    lanes.Take(Decision{101 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {}});
     if (dark) lanes.Take(Roster{110 * kSec, "watch", 1, "silent", false});
     if (draining) {
-      e.phase = Phase::kDraining;
-      lanes.Take(Decision{110 * kSec, ReplicaList{ListScope::kDelta, 2, {e}}, {}});
+      e.state = EndpointState::kDraining;
+      lanes.Take(Decision{110 * kSec, EndpointList{EndpointListScope::kDelta, 2, {e}}, {}});
     }
     lanes.Take(Decision{130 * kSec, TimerFired{1}, {}});
     lanes.Close();
@@ -554,7 +557,7 @@
   const auto node = [](const char* name, const char* replica) {
     Lanes lanes;
     lanes.Take(Start{kFormat, name, "", 1, 100 * kSec});
-    lanes.Take(Member{101 * kSec, 4, replica, "a:1", 0, Phase::kReady, false});
+    lanes.Take(Member{101 * kSec, 4, replica, "a:1", 0, EndpointState::kReady, false});
     lanes.Take(Unusual{.now = 105 * kSec, .number = 1, .kind = UnusualKind::kErrors, .replica = 4});
     lanes.Close();
     return lanes;
@@ -638,7 +641,7 @@
   for (const int replicas : {3, 200}) {
     o.replicas = replicas;
     Lanes lanes = Play(o).lanes;
-    lanes.Take(Member{lanes.end(), 0x1001, "na\"me`date`\\", "a:1", 0, Phase::kReady, false});
+    lanes.Take(Member{lanes.end(), 0x1001, "na\"me`date`\\", "a:1", 0, EndpointState::kReady, false});
     const std::string script = PlotScript(lanes, {"x.svg", "a \"title\"", 1400});
     EXPECT_NE(script.find("set terminal svg"), std::string::npos);
     EXPECT_EQ(script.find('`'), std::string::npos);
--- a/tests/node.h
+++ b/tests/node.h
@@ -16,23 +16,23 @@
 inline Settings BasicSettings() {
   Settings s;
   s.classes.resize(1);
-  s.classes[0].aim = 1 * kSecond;
-  s.classes[0].deadline = 8 * kSecond;
-  s.classes[0].late_worth = 0.5;
+  s.classes[0].latency_objective = 1 * kSecond;
+  s.classes[0].time_budget = 8 * kSecond;
+  s.classes[0].late_weight_share = 0.5;
   s.classes[0].dedup_window = 5 * kSecond;
-  s.classes[0].stream = true;
+  s.classes[0].streaming = true;
   s.max_attempts = 4;
-  s.may_cancel = true;
-  s.parallel_attempts = false;
-  s.cold_span = 20 * kSecond;
-  s.cold_from = 0.1;
+  s.can_cancel = true;
+  s.can_hedge = false;
+  s.slow_start_window = 20 * kSecond;
+  s.slow_start_min_share = 0.1;
   s.drain_grace = 250 * kMs;
-  s.answer_slack = 16 * kMs;
+  s.response_grace = 16 * kMs;
   return s;
 }
 
-inline ReplicaEntry Ready(ReplicaId id, int zone = 0, int cell = 0) {
-  ReplicaEntry e;
+inline Endpoint Ready(ReplicaId id, int zone = 0, int cell = 0) {
+  Endpoint e;
   e.id = id;
   e.zone = zone;
   e.cell = cell;
@@ -40,8 +40,8 @@
 }
 
 // `count` ready replicas with ids from 0.
-inline std::vector<ReplicaEntry> Fleet(ReplicaId count) {
-  std::vector<ReplicaEntry> list;
+inline std::vector<Endpoint> Fleet(ReplicaId count) {
+  std::vector<Endpoint> list;
   for (ReplicaId i = 0; i < count; ++i) list.push_back(Ready(i));
   return list;
 }
@@ -78,15 +78,15 @@
   }
   void Pass(Time span) { Until(now + span); }
 
-  void List(std::vector<ReplicaEntry> entries, ListScope scope = ListScope::kFull) {
-    Give(ReplicaList{scope, ++version, std::move(entries)});
+  void List(std::vector<Endpoint> entries, EndpointListScope scope = EndpointListScope::kFull) {
+    Give(EndpointList{scope, ++version, std::move(entries)});
   }
 
   RequestId Ask(Time patience = 4 * kSecond, double prompt = 1000, std::uint64_t session = 0,
                 std::uint64_t prefix = 0) {
     RequestArrived r;
     r.id = ++last_id;
-    r.patience = patience;
+    r.time_budget = patience;
     r.prompt_tokens = prompt;
     r.max_answer_tokens = 500;
     r.session = session;
@@ -108,7 +108,7 @@
   }
 
   void Serve(RequestId id, int attempt = 0, Time elapsed = 500 * kMs) {
-    Give(AnswerStarted{id, attempt, Sends(id).at(static_cast<std::size_t>(attempt)).replica, elapsed / 4});
+    Give(ResponseStarted{id, attempt, Sends(id).at(static_cast<std::size_t>(attempt)).replica, elapsed / 4});
     End(id, attempt, Outcome::kServed, true, elapsed);
   }
 
@@ -129,7 +129,7 @@
     return found;
   }
   std::vector<SendAttempt> Sends(RequestId id) const { return Of<SendAttempt>(id); }
-  std::size_t Finals(RequestId id) const { return Of<Refuse>(id).size() + Of<Fail>(id).size(); }
+  std::size_t Finals(RequestId id) const { return Of<RejectRequest>(id).size() + Of<FailRequest>(id).size(); }
 
   Time now = 100 * kSecond;
   std::vector<Action> log;
--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -29,7 +29,7 @@
 
 TerminationPlan PlanFor(std::vector<Time> deadlines) {
   std::vector<policy::ClassSettings> classes;
-  for (const Time deadline : deadlines) classes.emplace_back().deadline = deadline;
+  for (const Time deadline : deadlines) classes.emplace_back().time_budget = deadline;
   return PlanTermination(classes);
 }
 
@@ -119,8 +119,8 @@
     if (retry_after != nullptr) reader->OnHeader("Retry-After", retry_after);
     return reader->AtEnd(status, false).outcome;
   };
-  EXPECT_EQ(outcome(429, nullptr), policy::Outcome::kFull);
-  EXPECT_EQ(outcome(503, "2"), policy::Outcome::kFull);
+  EXPECT_EQ(outcome(429, nullptr), policy::Outcome::kAtCapacity);
+  EXPECT_EQ(outcome(503, "2"), policy::Outcome::kAtCapacity);
   EXPECT_EQ(outcome(503, nullptr), policy::Outcome::kError);
   EXPECT_EQ(outcome(500, "2"), policy::Outcome::kError);
 }
--- a/tests/retune_test.cpp
+++ b/tests/retune_test.cpp
@@ -43,10 +43,11 @@
             "classes: none are given; name at least one class");
 }
 
-policy::ClassSettings Class(const std::string& name, policy::Effect effect = policy::Effect::kSafe) {
+policy::ClassSettings Class(const std::string& name,
+                            policy::Idempotency effect = policy::Idempotency::kIdempotent) {
   policy::ClassSettings c;
   c.name = name;
-  c.effect = effect;
+  c.idempotency = effect;
   return c;
 }
 
@@ -55,10 +56,10 @@
   ASSERT_TRUE(Retune(table, {Class("agent"), Class("desk")}));  // docs dropped, desk added
   EXPECT_EQ(table.classes.size(), 3U);
   EXPECT_EQ(table.in_force, (std::vector<std::size_t>{1, 2}));
-  ASSERT_TRUE(Retune(table, {Class("agent", policy::Effect::kUnsafe)}));  // changed: a new index
+  ASSERT_TRUE(Retune(table, {Class("agent", policy::Idempotency::kNotIdempotent)}));  // changed: a new index
   EXPECT_EQ(table.classes.size(), 4U);
   EXPECT_EQ(table.in_force, (std::vector<std::size_t>{3}));
-  EXPECT_EQ(table.classes[1].effect, policy::Effect::kSafe);  // what open requests came with
+  EXPECT_EQ(table.classes[1].idempotency, policy::Idempotency::kIdempotent);  // what open requests came with
 }
 
 TEST(Retune, BoundsTheTable) {
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -177,13 +177,13 @@
   State s;
   s.node = "n0", s.program = "0.2.0", s.discovery = "127.0.0.1:1", s.roster = "{}";
   s.classes = {"docs", "agent"};
-  s.learned.level = 3.25;
-  s.learned.runtime[5] = {1000, 7};
-  s.learned.keys[99].slow.Add(10, 100, 1);
-  s.learned.kept[4] = {200, 5};
-  s.learned.per_hint.resize(2);
+  s.learned.base_limit = 3.25;
+  s.learned.runtime_by_bucket[5] = {1000, 7};
+  s.learned.key_traffic[99].long_term.Add(10, 100, 1);
+  s.learned.cached_prefixes[4] = {200, 5};
+  s.learned.runtime_per_hint.resize(2);
   s.learned.replicas.push_back({17, 4, 2, {}});
-  s.learned.replicas[0].seen.slow = 0.5;
+  s.learned.replicas[0].learned.slowness = 0.5;
   return s;
 }
 
@@ -192,10 +192,10 @@
   std::string why;
   const auto s = DecodeState(text, 42, "n0", &why);
   ASSERT_TRUE(s) << why;
-  EXPECT_EQ(s->learned.level, 3.25);
-  EXPECT_EQ(s->learned.runtime.at(5).mean, 1000);
-  EXPECT_EQ(s->learned.replicas.at(0).out, 2);
-  EXPECT_EQ(s->learned.replicas.at(0).seen.slow, 0.5);
+  EXPECT_EQ(s->learned.base_limit, 3.25);
+  EXPECT_EQ(s->learned.runtime_by_bucket.at(5).mean, 1000);
+  EXPECT_EQ(s->learned.replicas.at(0).in_flight, 2);
+  EXPECT_EQ(s->learned.replicas.at(0).learned.slowness, 0.5);
   EXPECT_FALSE(DecodeState(text, 43, "n0", &why));
   EXPECT_FALSE(DecodeState(text, 42, "n1", &why));
   EXPECT_EQ(why, "of another node");
@@ -218,20 +218,20 @@
 TEST(HandOverState, OtherClassesTakeWithThemWhatWasLearnedByClass) {
   State s = SomeState();
   FitTo({"docs", "agent"}, &s);
-  EXPECT_EQ(s.learned.runtime.size(), 1U);
+  EXPECT_EQ(s.learned.runtime_by_bucket.size(), 1U);
   FitTo({"docs"}, &s);
-  EXPECT_TRUE(s.learned.runtime.empty());
-  EXPECT_EQ(s.learned.level, 3.25);
+  EXPECT_TRUE(s.learned.runtime_by_bucket.empty());
+  EXPECT_EQ(s.learned.base_limit, 3.25);
 }
 
 TEST(Learned, NumbersOutOfAllBoundsAreNotTaken) {
   for (int k = 0; k < 5; ++k) {
-    policy::Learned l = SomeState().learned;
-    if (k == 0) l.level = std::nan("");
-    if (k == 1) l.level = -1;
-    if (k == 2) l.replicas[0].out = -3;
-    if (k == 3) l.runtime[5].n = -1;
-    if (k == 4) l.nodes = 0;
+    policy::LearnedState l = SomeState().learned;
+    if (k == 0) l.base_limit = std::nan("");
+    if (k == 1) l.base_limit = -1;
+    if (k == 2) l.replicas[0].in_flight = -3;
+    if (k == 3) l.runtime_by_bucket[5].samples = -1;
+    if (k == 4) l.node_count = 0;
     std::string why;
     EXPECT_FALSE(DecodeLearned(EncodeLearned(l), &why)) << k;
     EXPECT_FALSE(why.empty());
--- a/tests/router_path_test.cpp
+++ b/tests/router_path_test.cpp
@@ -23,7 +23,7 @@
 // Fills the one replica until the node holds.
 std::vector<RequestId> FillUp(Node& n, double prompt) {
   std::vector<RequestId> out;
-  while (n.router.held() == 0 && out.size() < 1000) out.push_back(n.Ask(7 * kSecond, prompt));
+  while (n.router.queued_requests() == 0 && out.size() < 1000) out.push_back(n.Ask(7 * kSecond, prompt));
   out.pop_back();
   return out;
 }
@@ -37,7 +37,7 @@
   const RequestId filler = n.last_id;
   const RequestId large = n.Ask(7 * kSecond, 4000);
   const RequestId small = n.Ask(7 * kSecond, 200);
-  EXPECT_EQ(n.router.held(), 3u);
+  EXPECT_EQ(n.router.queued_requests(), 3u);
   for (std::size_t i = 0; i < out.size() && n.Sends(large).empty(); ++i) n.Serve(out[i], 0, 100 * kMs);
   std::vector<RequestId> order;
   for (const SendAttempt& s : n.All<SendAttempt>()) order.push_back(s.id);
@@ -79,12 +79,12 @@
 
 TEST(HeldQueue, NodesTogetherDoNotAddUpFloorsOfOne) {
   Settings s = BasicSettings();
-  s.nodes = 140;
+  s.node_count = 140;
   Node n(s);
   n.List(Fleet(100));
   int sent = 0;
   for (int i = 0; i < 100; ++i) sent += n.Sends(n.Ask()).empty() ? 0 : 1;
-  EXPECT_LE(sent, n.router.cap_total() + 1);
+  EXPECT_LE(sent, n.router.total_concurrency_limit() + 1);
   EXPECT_LT(sent, 50);
   EXPECT_GT(sent, 0);
 }
@@ -97,7 +97,7 @@
     for (int i = 0; i < 40; ++i) ids.push_back(n.Ask(7 * kSecond));
     for (const RequestId id : ids) {
       if (n.Sends(id).empty()) continue;
-      n.Give(AnswerStarted{id, 0, 1, first_token});
+      n.Give(ResponseStarted{id, 0, 1, first_token});
     }
     n.Pass(runtime);
     for (const RequestId id : ids) {
@@ -106,12 +106,12 @@
     n.Pass(8 * kSecond);
   };
   round(50 * kMs, 200 * kMs);
-  const double start = n.router.cap_total();
+  const double start = n.router.total_concurrency_limit();
   for (int i = 0; i < 5; ++i) round(50 * kMs, 200 * kMs);
-  const double high = n.router.cap_total();
+  const double high = n.router.total_concurrency_limit();
   EXPECT_GT(high, start);
   for (int i = 0; i < 5; ++i) round(3 * kSecond, 3200 * kMs);
-  EXPECT_LT(n.router.cap_total(), 0.8 * high);
+  EXPECT_LT(n.router.total_concurrency_limit(), 0.8 * high);
 }
 
 TEST(Caps, FullLowersThatReplicasCap) {
@@ -119,10 +119,10 @@
   n.List({Ready(1), Ready(2)});
   const RequestId id = n.Ask();
   const ReplicaId full = n.Sends(id)[0].replica;
-  const double before = n.router.cap(full);
-  n.End(id, 0, Outcome::kFull, false, 1 * kMs);
-  n.List({}, ListScope::kDelta);
-  EXPECT_LT(n.router.cap(full), before);
+  const double before = n.router.concurrency_limit(full);
+  n.End(id, 0, Outcome::kAtCapacity, false, 1 * kMs);
+  n.List({}, EndpointListScope::kDelta);
+  EXPECT_LT(n.router.concurrency_limit(full), before);
   ASSERT_EQ(n.Sends(id).size(), 2u);
   EXPECT_NE(n.Sends(id)[1].replica, full);
 }
@@ -135,15 +135,15 @@
     for (int i = 0; i < count; ++i) {
       const RequestId id = n.Ask(7 * kSecond);
       if (n.Sends(id).empty()) continue;
-      n.Give(AnswerStarted{id, 0, 1, runtime / 5});
+      n.Give(ResponseStarted{id, 0, 1, runtime / 5});
       n.Pass(runtime);
       n.End(id, 0, Outcome::kServed, true, runtime);
     }
   };
   stream(300 * kMs, 30);
-  const double before = n.router.cap_total();
+  const double before = n.router.total_concurrency_limit();
   stream(3 * kSecond, 60);
-  EXPECT_LT(n.router.cap_total(), before);
+  EXPECT_LT(n.router.total_concurrency_limit(), before);
 }
 
 // Found on montevideo-central's quiet day: the first answers to end are the short ones, so the best pace
@@ -154,15 +154,16 @@
   const auto stream = [&](Time runtime, int count) {
     for (int i = 0; i < count; ++i) {
       const RequestId id = n.Ask(7 * kSecond);
-      n.Give(AnswerStarted{id, 0, 1, 20 * kMs});
+      n.Give(ResponseStarted{id, 0, 1, 20 * kMs});
       n.Pass(runtime);
       n.End(id, 0, Outcome::kServed, true, runtime);
     }
   };
   stream(200 * kMs, 30);
-  const double before = n.router.cap_total();
+  const double before = n.router.total_concurrency_limit();
   stream(1 * kSecond, 60);
-  EXPECT_GT(n.router.cap_total(), 0.9 * before * std::exp(-1.7));  // only by the replica's own slowness
+  EXPECT_GT(n.router.total_concurrency_limit(),
+            0.9 * before * std::exp(-1.7));  // only by the replica's own slowness
 }
 
 TEST(Choice, ErrorsNeverMakeAReplicaRoomy) {
@@ -201,7 +202,7 @@
 
 TEST(Choice, NodesAgreeOnTheHomeOfASession) {
   Settings s = BasicSettings();
-  s.nodes = 20;
+  s.node_count = 20;
   std::map<std::uint64_t, std::map<ReplicaId, int>> where;
   for (std::uint64_t node = 0; node < 20; ++node) {
     Node n(s, node + 1);
@@ -226,7 +227,7 @@
 
 TEST(Choice, AHotSessionIsSpreadWider) {
   Settings s = BasicSettings();
-  s.nodes = 20;
+  s.node_count = 20;
   Node n(s);
   n.List(Fleet(16));
   std::map<ReplicaId, int> late;
@@ -247,7 +248,7 @@
   const RequestId large = n.Ask(6 * kSecond, 16000);
   const ReplicaId there = n.Sends(large)[0].replica;
   for (int i = 0; i < 4; ++i) EXPECT_NE(n.Sends(n.Ask(6 * kSecond, 500))[0].replica, there);
-  n.Give(AnswerStarted{large, 0, there, 900 * kMs});  // read: what runs is light
+  n.Give(ResponseStarted{large, 0, there, 900 * kMs});  // read: what runs is light
   EXPECT_EQ(n.Sends(n.Ask(6 * kSecond, 500))[0].replica, there);
 }
 
@@ -278,9 +279,9 @@
   Node n(BasicSettings());
   n.List({Ready(1), Ready(2), Ready(3)});
   Teach(n, 1000, 100 * kMs);
-  const double before = n.router.cap_total();
+  const double before = n.router.total_concurrency_limit();
   Teach(n, 1000, 350 * kMs);
-  EXPECT_GE(n.router.cap_total(), 0.95 * before);
+  EXPECT_GE(n.router.total_concurrency_limit(), 0.95 * before);
 }
 
 // Where a stream comes spoilt now and then, from any replica, resting each for it would take the fleet away.
@@ -300,9 +301,9 @@
 
 TEST(Choice, StaysInItsZoneWhereCrossingCosts) {
   Settings s = BasicSettings();
-  s.zones = 2;
+  s.zone_count = 2;
   s.zone = 1;
-  s.fee_cross_zone = 0.08;
+  s.cross_zone_penalty = 0.08;
   Node n(s);
   n.List({Ready(1, 0), Ready(2, 0), Ready(3, 1), Ready(4, 1)});
   int own = 0;
@@ -319,12 +320,12 @@
 // once.
 TEST(Choice, LeavesAZoneThatAnswersLateAsAWhole) {
   Settings s = BasicSettings();
-  s.nodes = 100;
-  s.zones = 2;
+  s.node_count = 100;
+  s.zone_count = 2;
   s.zone = 1;
-  s.fee_cross_zone = 0.08;
+  s.cross_zone_penalty = 0.08;
   Node n(s);
-  std::vector<ReplicaEntry> fleet;
+  std::vector<Endpoint> fleet;
   for (ReplicaId id = 0; id < 60; ++id) fleet.push_back(Ready(id, id < 30 ? 0 : 1));
   n.List(fleet);
   int crossed_early = 0, crossed_late = 0;
@@ -343,7 +344,7 @@
 // Copies of overdue requests were tried and lost: where first tokens are late, there is no room for them.
 TEST(SecondCopies, AreNotSent) {
   Settings s = BasicSettings();
-  s.parallel_attempts = true;
+  s.can_hedge = true;
   Node n(s);
   n.List({Ready(1), Ready(2)});
   Teach(n, 1000, 200 * kMs);
@@ -354,15 +355,15 @@
 
 TEST(Tenants, BeyondTheirShareWaitBehindThoseWithin) {
   Settings s = BasicSettings();
-  s.over_share_worth = 0.1;
+  s.over_quota_weight = 0.1;
   s.tenants = {{"a", 0.5, 2.0}, {"b", 0.5, 2.0}};
   Node n(s);
   n.List({Ready(1)});
   const auto ask = [&](int tenant) {
     RequestArrived r;
     r.id = ++n.last_id;
-    r.tenant = tenant;
-    r.patience = 7 * kSecond;
+    r.tenant_index = tenant;
+    r.time_budget = 7 * kSecond;
     r.prompt_tokens = 1000;
     n.Give(r);
     return r.id;
@@ -387,9 +388,9 @@
     if (!n.Sends(id).empty()) n.Serve(id);
   }
   n.Pass(20 * kSecond);
-  EXPECT_EQ(n.router.open(), 0u);
-  EXPECT_EQ(n.router.held(), 0u);
-  EXPECT_EQ(n.router.cap(3), 0);
+  EXPECT_EQ(n.router.open_requests(), 0u);
+  EXPECT_EQ(n.router.queued_requests(), 0u);
+  EXPECT_EQ(n.router.concurrency_limit(3), 0);
 }
 
 }  // namespace
@@ -408,7 +409,7 @@
 
 TEST(LargeFleet, NodesAgreeOnHomesAndFewMoveWhenSomeLeave) {
   Settings s = BasicSettings();
-  s.nodes = 4;
+  s.node_count = 4;
   Node a(s, 7), b(s, 8);
   a.List(Fleet(kMany));
   b.List(Fleet(kMany));
@@ -420,7 +421,7 @@
   }
   EXPECT_GE(alike, 54);
   Node c(s, 9);
-  std::vector<ReplicaEntry> rest = Fleet(kMany);
+  std::vector<Endpoint> rest = Fleet(kMany);
   rest.erase(rest.begin() + 100, rest.begin() + 115);
   c.List(rest);
   int moved = 0;
@@ -435,7 +436,7 @@
 TEST(ManyNodes, APrefixSeenOnceIsNotSentToOneHomeByAll) {
   const auto replicas_chosen = [](int nodes) {
     Settings s = BasicSettings();
-    s.nodes = nodes;
+    s.node_count = nodes;
     std::map<ReplicaId, int> chosen;
     for (std::uint64_t seed = 1; seed <= 24; ++seed) {
       Node n(s, seed);
@@ -454,13 +455,13 @@
 TEST(LargeFleet, WhatDrainsOrFailsGetsNothingNew) {
   Node n(BasicSettings());
   n.List(Fleet(kMany));
-  std::vector<ReplicaEntry> gone;
+  std::vector<Endpoint> gone;
   for (ReplicaId id = 0; id < kMany; id += 2) {
-    ReplicaEntry e = Ready(id);
-    e.phase = Phase::kDraining;
+    Endpoint e = Ready(id);
+    e.state = EndpointState::kDraining;
     gone.push_back(e);
   }
-  n.List(gone, ListScope::kDelta);
+  n.List(gone, EndpointListScope::kDelta);
   std::map<ReplicaId, int> sent;
   for (int i = 0; i < 600; ++i) {
     const RequestId id =
@@ -491,17 +492,17 @@
   n.List(Fleet(80));
   std::vector<RequestId> all;
   for (int i = 0; i < 6000; ++i) all.push_back(n.Ask());
-  ASSERT_GT(n.router.held(), 0U);
+  ASSERT_GT(n.router.queued_requests(), 0U);
   std::vector<RequestId> out;
   for (const RequestId id : all) {
     if (!n.Sends(id).empty()) out.push_back(id);
   }
-  const std::size_t held = n.router.held();
+  const std::size_t held = n.router.queued_requests();
   for (std::size_t i = 0; i < 50; ++i) {
     n.Pass(1 * kMs);
     n.Serve(out[i]);
   }
-  EXPECT_LE(n.router.held(), held - 40);
+  EXPECT_LE(n.router.queued_requests(), held - 40);
 }
 
 }  // namespace ryeglade::policy::test
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -15,19 +15,19 @@
 namespace {
 
 using policy::DedupScope;
-using policy::Effect;
+using policy::Idempotency;
 
 constexpr Time kMs = 1'000, kSec = 1'000'000;
 
 ClassTable Table() {
-  const auto rules = [](Effect effect, DedupScope scope) {
+  const auto rules = [](Idempotency effect, DedupScope scope) {
     return ClassRules{effect, scope, 2 * kSec, 5 * kSec};
   };
-  return {{"free", rules(Effect::kSafe, DedupScope::kAll)},
-          {"single", rules(Effect::kUnsafe, DedupScope::kAll)},
-          {"all", rules(Effect::kKeyed, DedupScope::kAll)},
-          {"zone", rules(Effect::kKeyed, DedupScope::kZone)},
-          {"cell", rules(Effect::kKeyed, DedupScope::kCell)}};
+  return {{"free", rules(Idempotency::kIdempotent, DedupScope::kAll)},
+          {"single", rules(Idempotency::kNotIdempotent, DedupScope::kAll)},
+          {"all", rules(Idempotency::kIdempotencyKey, DedupScope::kAll)},
+          {"zone", rules(Idempotency::kIdempotencyKey, DedupScope::kZone)},
+          {"cell", rules(Idempotency::kIdempotencyKey, DedupScope::kCell)}};
 }
 
 // One node, three replicas (the first two share a zone, the first and the last a cell), one request at a
@@ -125,13 +125,13 @@
   // Settings that change about then: it may have been taken by either.
   Check("free before", {}, [](Story& s) {
     ClassTable other = Table();
-    other["single"].effect = Effect::kSafe;
+    other["single"].effect = Idempotency::kIdempotent;
     s.h.settings.push_back({0, 10 * kSec - 900 * kMs, other});
     s.Ask("single"), s.Send(0, 10 * kSec);
   });
   Check("long after", {Rule::kRefusal}, [](Story& s) {
     ClassTable other = Table();
-    other["single"].effect = Effect::kSafe;
+    other["single"].effect = Idempotency::kIdempotent;
     s.h.settings.push_back({0, 12 * kSec, other});
     s.Ask("single"), s.Send(0, 10 * kSec);
   });
--- a/tests/tier_test.cpp
+++ b/tests/tier_test.cpp
@@ -262,8 +262,8 @@
   explicit Fleet(std::size_t n) {
     for (std::size_t i = 0; i < n; ++i) {
       policy::ReplicaView v;
-      v.entry.id = static_cast<policy::ReplicaId>(i + 1);
-      v.entry.started_at = 1000;
+      v.endpoint.id = static_cast<policy::ReplicaId>(i + 1);
+      v.endpoint.started_at = 1000;
       all.push_back(v);
     }
   }
@@ -293,15 +293,15 @@
     model.See(now, fleet.all, false);
     model.View(now, members, zones > 1 ? "z0" : "", true);
   }
-  std::map<policy::ReplicaId, policy::ToldReplica> Judge(double part = 0.1) {
-    std::map<policy::ReplicaId, policy::ToldReplica> told;
+  std::map<policy::ReplicaId, policy::PeerReplicaReport> Judge(double part = 0.1) {
+    std::map<policy::ReplicaId, policy::PeerReplicaReport> told;
     model.See(now, fleet.all, false);
     for (const auto& t : model.Judge(now, part)) told[t.id] = t;
     return told;
   }
   bool Alone(policy::ReplicaId id) {
     const auto told = Judge();
-    return told.contains(id) && told.at(id).rests_until > now;
+    return told.contains(id) && told.at(id).ejected_until > now;
   }
 };
 
@@ -313,7 +313,7 @@
   h.model.Learn(h.now, "p1", Accusing({Failing(1)}));
   EXPECT_TRUE(h.Alone(1));
   // It answered here a moment ago.
-  h.fleet.at(1).slow_at = h.now - kSecond / 4;
+  h.fleet.at(1).slowness_updated_at = h.now - kSecond / 4;
   EXPECT_TRUE(h.Judge().contains(1));
   EXPECT_EQ(h.model.Explain().front().rests_until, 0);
 }
@@ -340,7 +340,7 @@
   h.model.Learn(h.now, "p6", Accusing({good}));
   const auto told = h.Judge();
   ASSERT_TRUE(told.contains(1));
-  EXPECT_EQ(told.at(1).rests_until, 0);
+  EXPECT_EQ(told.at(1).ejected_until, 0);
   EXPECT_STREQ(h.model.Explain().front().why, "answered-since");
 }
 
@@ -359,7 +359,8 @@
   h.model.Learn(h.now, "p3", Accusing({Failing(2)}));
   EXPECT_FALSE(h.Alone(2));
   // And this node, cut off itself, says so.
-  for (auto& v : h.fleet.all) v.blocked_until = h.now + kSecond, v.failures = 2, v.slow_at = h.now;
+  for (auto& v : h.fleet.all)
+    v.ejected_until = h.now + kSecond, v.consecutive_failures = 2, v.slowness_updated_at = h.now;
   h.model.See(h.now, h.fleet.all, false);
   Word own;
   h.model.Tell(h.now, &own);
@@ -378,7 +379,7 @@
     h.model.Learn(h.now, "p" + std::to_string(i), Accusing(claims));
   }
   std::size_t out = 0;
-  for (const auto& [id, t] : h.Judge()) out += t.rests_until > h.now ? 1 : 0;
+  for (const auto& [id, t] : h.Judge()) out += t.ejected_until > h.now ? 1 : 0;
   EXPECT_EQ(out, 4U);  // a fifth of twenty
 }
 
@@ -390,7 +391,7 @@
   h.model.Learn(h.now, "p0", Accusing({Failing(1)}));
   h.model.Learn(h.now, "p1", Accusing({Failing(1)}));
   EXPECT_TRUE(h.Alone(1));
-  h.fleet.at(1).entry.started_at = 2000;  // replaced
+  h.fleet.at(1).endpoint.started_at = 2000;  // replaced
   EXPECT_FALSE(h.Alone(1));
 }
 
@@ -414,18 +415,19 @@
   h.model.Learn(h.now, "p0", Accusing({slow(4)}));
   h.Judge();
   Word asked;  // who is asked says what it found
-  h.fleet.at(1).slow = 0.05, h.fleet.at(1).slow_n = 4, h.fleet.at(1).slow_at = h.now;
+  h.fleet.at(1).slowness = 0.05, h.fleet.at(1).slowness_samples = 4,
+  h.fleet.at(1).slowness_updated_at = h.now;
   h.model.See(h.now, h.fleet.all, false);
   h.model.Tell(h.now, &asked);
   ASSERT_EQ(asked.claims.size(), 1U);
   for (const char* p : {"p1", "p2", "p3"}) h.model.Learn(h.now, p, Accusing({slow(0.1)}));
-  for (const auto& [id, t] : h.Judge()) EXPECT_EQ(t.slow_n, 0) << id;
+  for (const auto& [id, t] : h.Judge()) EXPECT_EQ(t.slowness_samples, 0) << id;
   // Most find it slow: it counts, with a weight below an own answer's, whatever the liar says.
   for (const char* p : {"p1", "p2", "p3"}) h.model.Learn(h.now, p, Accusing({slow(1.8)}));
   const auto told = h.Judge();
   ASSERT_TRUE(told.contains(1));
-  EXPECT_NEAR(told.at(1).slow, 1.8, 0.01);
-  EXPECT_LE(told.at(1).slow_n, tier::EvidenceLimits{}.most_n);
+  EXPECT_NEAR(told.at(1).slowness, 1.8, 0.01);
+  EXPECT_LE(told.at(1).slowness_samples, tier::EvidenceLimits{}.most_n);
 }
 
 TEST(Evidence, WhatADeadNodeHadOutCountsUntilItMustHaveEnded) {
@@ -436,11 +438,11 @@
   h.model.View(h.now, {{"p1", ""}, {"p2", ""}}, "", true);
   auto told = h.Judge(0.5);
   ASSERT_TRUE(told.contains(1));
-  EXPECT_NEAR(told.at(1).out, 4, 1e-9);  // this node's part of eight
+  EXPECT_NEAR(told.at(1).orphaned_in_flight, 4, 1e-9);  // this node's part of eight
   h.now += tier::EvidenceLimits{}.ends;
   told = h.Judge(0.5);
   ASSERT_TRUE(told.contains(1));
-  EXPECT_EQ(told.at(1).out, 0);
+  EXPECT_EQ(told.at(1).orphaned_in_flight, 0);
 }
 
 // Whatever order words come in and however often, the newest of each speaker is what is judged by.
@@ -472,9 +474,9 @@
     for (const tier::Telling& t : all) m.Learn(now, t);
     std::vector<policy::ReplicaId> alone;
     for (const policy::Event& e : m.Turn(now, 7)) {
-      const auto* told = std::get_if<policy::TierEvidence>(&e);
+      const auto* told = std::get_if<policy::PeerReportsReceived>(&e);
       for (std::size_t i = 0; told != nullptr && i < told->replicas.size(); ++i) {
-        if (told->replicas[i].rests_until > now) alone.push_back(told->replicas[i].id);
+        if (told->replicas[i].ejected_until > now) alone.push_back(told->replicas[i].id);
       }
     }
     return alone;
@@ -491,7 +493,7 @@
     w.beginnings = {{7, 4}, {8, 2}};
     m.Learn(now, "p" + std::to_string(i), w);
   }
-  policy::TierKeys keys;
+  policy::PrefixTrafficReceived keys;
   ASSERT_TRUE(m.Shares(now, &keys));
   ASSERT_EQ(keys.shares.size(), 2U);
   EXPECT_EQ(keys.shares[0].first, 7U);
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -50,7 +50,7 @@
         timers.emplace_back(now + timer->delay, timer->token);
     }
   };
-  give(ReplicaList{ListScope::kFull, 1, test::Fleet(4)});
+  give(EndpointList{EndpointListScope::kFull, 1, test::Fleet(4)});
   for (RequestId id = 1; id <= 400; ++id) {
     seed = seed * 6364136223846793005ULL + 1442695040888963407ULL;
     now += static_cast<Time>(seed >> 50);
@@ -65,16 +65,16 @@
     }
     give(RequestArrived{id, 0, 0, id % 7, id % 3, 500, 100, 80, 4'000'000, 0, false, false, false});
     if (id % 50 == 0) {
-      ReplicaEntry e = test::Ready(static_cast<ReplicaId>(id / 50 % 4));
-      e.phase = id % 100 == 0 ? Phase::kReady : Phase::kDraining;
-      give(ReplicaList{ListScope::kDelta, static_cast<std::uint32_t>(id), {e}});
+      Endpoint e = test::Ready(static_cast<ReplicaId>(id / 50 % 4));
+      e.state = id % 100 == 0 ? EndpointState::kReady : EndpointState::kDraining;
+      give(EndpointList{EndpointListScope::kDelta, static_cast<std::uint32_t>(id), {e}});
     }
     while (out_now.size() > 3) {
       const auto [request, replica] = out_now.front();
       out_now.erase(out_now.begin());
       const auto outcome = static_cast<Outcome>(request % 6);
       int& n = attempts[request];
-      if (outcome == Outcome::kServed) give(AnswerStarted{request, n, replica, 100'000});
+      if (outcome == Outcome::kServed) give(ResponseStarted{request, n, replica, 100'000});
       give(AttemptEnded{request, n, replica, outcome, 300'000, outcome == Outcome::kServed, 20, {}});
       ++n;
     }
