--- a/bench/fronts_bench.cpp
+++ b/bench/fronts_bench.cpp
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "bench/measure.h"
-#include "lab/rig.h"
+#include "lab/local_fleet.h"
 #include "openai/strict_json.h"
 
 namespace ryeglade::lab {
--- a/bench/tier_bench.cpp
+++ b/bench/gossip_bench.cpp
@@ -1,7 +1,7 @@
 // What talk among the nodes costs one of them and how old what it knows is, at 16, 100 and 300 nodes.
 #include <benchmark/benchmark.h>
 
-#include "lab/emulator/talk_world.h"
+#include "lab/emulator/gossip_simulation.h"
 
 namespace {
 
--- a/bench/measure.h
+++ b/bench/measure.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/rig.h"
+#include "lab/local_fleet.h"
 
 namespace ryeglade::lab {
 
--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "membership/membership_model.h"
-#include "membership/wire_model.h"
+#include "membership/message_codec.h"
 
 namespace {
 
--- a/bench/timeline_bench.cpp
+++ b/bench/timeline_bench.cpp
@@ -11,7 +11,7 @@
 #include <string>
 
 #include "bench/measure.h"
-#include "lab/hours.h"
+#include "lab/fault_scenarios.h"
 
 namespace ryeglade::lab {
 namespace {
--- a/fuzz/flight_fuzz.cpp
+++ b/fuzz/flight_fuzz.cpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "timeline/block.h"
-#include "timeline/flight_model.h"
+#include "timeline/flight_record_codec.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
--- a/fuzz/membership_fuzz.cpp
+++ b/fuzz/membership_fuzz.cpp
@@ -8,25 +8,25 @@
 #include <string>
 #include <string_view>
 
+#include "gossip/shared_state_model.h"
 #include "membership/membership_model.h"
-#include "membership/wire_model.h"
-#include "tier/tier_model.h"
+#include "membership/message_codec.h"
 
 using namespace ryeglade::membership;
 
 namespace {
 
 // A word from anywhere moves nothing out of bounds.
-void Hear(const ryeglade::tier::Telling& t) {
+void Hear(const ryeglade::gossip::Telling& t) {
   const char* why = "";
-  const auto again = ryeglade::tier::Decode(ryeglade::tier::Encode(t), &why);
+  const auto again = ryeglade::gossip::Decode(ryeglade::gossip::Encode(t), &why);
   if (!again || again->word.claims.size() != t.word.claims.size()) std::abort();
   constexpr ryeglade::policy::Time kNow = 100'000'000;
-  ryeglade::tier::TierModel model("me", 1, 0, {});
+  ryeglade::gossip::TierModel model("me", 1, 0, {});
   model.View(kNow, {{t.node, "z"}, {"other", "y"}}, "z", true, true);
   std::vector<ryeglade::policy::ReplicaView> fleet(8);
   for (std::size_t i = 0; i < fleet.size(); ++i) fleet[i].entry.id = static_cast<std::uint32_t>(i);
-  for (const ryeglade::tier::Claim& c : t.word.claims) {
+  for (const ryeglade::gossip::Claim& c : t.word.claims) {
     fleet[0].entry.id = c.replica;
     fleet[0].entry.started_at = c.started_at;
   }
@@ -59,10 +59,10 @@
   if (!again || again->news.size() != m->news.size() || again->from.name != m->from.name) std::abort();
   // What rode along: read, and told to what the nodes do with it.
   for (const std::string& bytes_of_word : m->words) {
-    const std::optional<ryeglade::tier::Telling> t = ryeglade::tier::Decode(bytes_of_word, &why);
+    const std::optional<ryeglade::gossip::Telling> t = ryeglade::gossip::Decode(bytes_of_word, &why);
     if (t) Hear(*t);
   }
-  if (const auto t = ryeglade::tier::Decode(payload, &why)) Hear(*t);
+  if (const auto t = ryeglade::gossip::Decode(payload, &why)) Hear(*t);
   Record self;
   self.name = "s";
   self.address = "127.0.0.1:1";
--- a/fuzz/rollout_fuzz.cpp
+++ b/fuzz/rollout_fuzz.cpp
@@ -5,13 +5,13 @@
 #include <cstdlib>
 #include <string>
 
-#include "core/learned_model.h"
-#include "handover/state_model.h"
-#include "handover/succession_policy.h"
-#include "rollout/keeper_model.h"
+#include "core/learned_state_codec.h"
+#include "hot_restart/handover_state_codec.h"
+#include "hot_restart/hot_restart_policy.h"
+#include "rollout/cluster_view_model.h"
 #include "rollout/release_model.h"
 #include "rollout/report_model.h"
-#include "rollout/tier_word_model.h"
+#include "rollout/supervisor_model.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace ryeglade;
@@ -20,19 +20,19 @@
   std::string why;
   switch (data[0] % 10) {
     case 0:
-      if (const auto lease = handover::DecodeLease(text)) {
-        if (!handover::DecodeLease(handover::EncodeLease(*lease))) std::abort();
+      if (const auto lease = hot_restart::DecodeLease(text)) {
+        if (!hot_restart::DecodeLease(hot_restart::EncodeLease(*lease))) std::abort();
       }
       break;
     case 1:
-      handover::DecodeState(text, 1, "n0", &why);
+      hot_restart::DecodeState(text, 1, "n0", &why);
       break;
     case 2:
-      handover::DecodeOut(text, 1);
+      hot_restart::DecodeOut(text, 1);
       break;
     case 3:
-      if (const auto learned = DecodeLearned(text, &why)) {
-        if (!DecodeLearned(EncodeLearned(*learned), &why)) std::abort();
+      if (const auto learned = DecodeLearnedState(text, &why)) {
+        if (!DecodeLearnedState(EncodeLearnedState(*learned), &why)) std::abort();
       }
       break;
     case 4: {
--- a/lab/client.h
+++ b/lab/client.h
@@ -50,7 +50,7 @@
   static const http_parser_settings& Callbacks();
 
   const Runtime* run_;
-  Slots<Call> calls_;
+  SlotTable<Call> calls_;
 };
 
 // The bytes of a POST with a JSON body.
--- a/lab/cluster/command.cpp
+++ b/lab/cluster/command.cpp
@@ -14,7 +14,7 @@
 #include <thread>
 #include <utility>
 
-#include "columns/columnar_file.h"
+#include "columnar/columnar_file.h"
 #include "lab/cluster/emulated.h"
 #include "lab/cluster/explorer.h"
 #include "lab/cluster/real.h"
--- a/lab/cluster/command.h
+++ b/lab/cluster/command.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/cluster/judge.h"
+#include "lab/cluster/invariant_checker.h"
 
 namespace CLI {
 class App;
--- a/lab/cluster/emulated.h
+++ b/lab/cluster/emulated.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/cluster/judge.h"
+#include "lab/cluster/invariant_checker.h"
 #include "lab/cluster/scenario.h"
 #include "membership/membership_model.h"
 
--- a/lab/cluster/judge.cpp
+++ b/lab/cluster/invariant_checker.cpp
@@ -1,4 +1,4 @@
-#include "lab/cluster/judge.h"
+#include "lab/cluster/invariant_checker.h"
 
 #include <fmt/format.h>
 
@@ -221,7 +221,7 @@
   return v;
 }
 
-Sheet Witness::Table() const {
+TextTable Witness::Table() const {
   Rows rows("said", {{"at_periods", Numbers{}},
                      {"observer", Texts{}},
                      {"what", Texts{}},
--- a/lab/cluster/judge.h
+++ b/lab/cluster/invariant_checker.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/sheet.h"
+#include "base/text_table.h"
 #include "lab/cluster/scenario.h"
 
 namespace ryeglade::cluster {
@@ -48,7 +48,7 @@
   Verdict Judge(double end) const;
 
   const std::vector<Seen>& all() const { return seen_; }
-  Sheet Table() const;
+  TextTable Table() const;
   // A gnuplot script: a row an observer and member, colours their standing, faults as shading.
   std::string Chart(const std::string& out, double end) const;
 
--- a/lab/cluster/real.cpp
+++ b/lab/cluster/real.cpp
@@ -15,14 +15,14 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
+#include "base/file_io.h"
 #include "base/gnuplot.h"
 #include "base/log.h"
-#include "base/whole_file.h"
-#include "http/call.h"
+#include "http/blocking_client.h"
 #include "lab/directory.h"
+#include "lab/fake_replica.h"
 #include "lab/load/load_client.h"
 #include "lab/node_process.h"
-#include "lab/stand_in.h"
 #include "membership/membership.h"
 
 namespace ryeglade::cluster {
@@ -54,7 +54,7 @@
 
 // User and system time of a process so far, seconds.
 double CpuOf(pid_t pid) {
-  const std::string text = ReadIfThere(fmt::format("/proc/{}/stat", pid));
+  const std::string text = ReadFileIfPresent(fmt::format("/proc/{}/stat", pid));
   const std::size_t at = text.rfind(')');
   if (at == std::string::npos) return 0;
   std::string_view rest = std::string_view(text).substr(at + 2);
@@ -278,7 +278,7 @@
       const Node& n = nodes_[i];
       if (n.processes.empty() || n.term || n.status.empty()) continue;
       try {
-        const HttpAnswer a = HttpCall("a node", n.status, "GET", "/tier", "", 1000);
+        const HttpResponse a = BlockingHttpCall("a node", n.status, "GET", "/tier", "", 1000);
         const nlohmann::json j = nlohmann::json::parse(a.body, nullptr, false);
         if (!j.is_object()) continue;
         look.push_back({i, j.value("part", 0.0), j["nodes"][0].value("rate", 0.0), j.value("state", "")});
@@ -289,9 +289,9 @@
     looks_.push_back(std::move(look));
   }
 
-  struct Lies : WordPort {
+  struct Lies : GossipPort {
     std::function<std::vector<std::string>()> say;
-    std::vector<std::string> Fill(std::size_t room, std::size_t overhead) override {
+    std::vector<std::string> TakeMessages(std::size_t room, std::size_t overhead) override {
       std::vector<std::string> all = say();
       while (!all.empty()) {
         std::size_t size = 0;
@@ -301,8 +301,8 @@
       }
       return all;
     }
-    bool waiting() const override { return true; }
-    void Heard(const std::vector<std::string>&) override {}
+    bool has_pending() const override { return true; }
+    void OnMessages(const std::vector<std::string>&) override {}
   };
 
   void StartLiar() {
@@ -511,7 +511,7 @@
   const Scenario& s_;
   const RealOptions& o_;
   uv_loop_t loop_{};
-  Buffers buffers_;
+  BufferPool buffers_;
   Deadlines deadlines_;
   Runtime run_;
   lab::Witness rules_;
--- a/lab/cluster/real.h
+++ b/lab/cluster/real.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/cluster/judge.h"
+#include "lab/cluster/invariant_checker.h"
 #include "lab/cluster/relay.h"
 #include "lab/cluster/scenario.h"
 
--- a/lab/cluster/relay.cpp
+++ b/lab/cluster/relay.cpp
@@ -9,7 +9,7 @@
 #include <limits>
 #include <stdexcept>
 
-#include "membership/wire_model.h"
+#include "membership/message_codec.h"
 
 namespace ryeglade::cluster {
 namespace {
--- a/lab/cluster/relay.h
+++ b/lab/cluster/relay.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "base/runtime.h"
-#include "base/slots.h"
+#include "base/slot_table.h"
 #include "base/tcp.h"
 #include "lab/cluster/link_model.h"
 
@@ -78,7 +78,7 @@
   StateOf state_;
   std::vector<std::unique_ptr<Face>> faces_;
   std::vector<Link> links_;
-  Slots<Side> sides_;
+  SlotTable<Side> sides_;
   std::vector<Counts> sent_;
   emulator::Stream noise_;
   std::string random_;  // bytes, of which noise is made
--- a/lab/emulator/compare.h
+++ b/lab/emulator/compare.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/emulator/world.h"
+#include "lab/emulator/simulation.h"
 
 namespace ryeglade::emulator {
 
--- a/lab/emulator/talk_world.cpp
+++ b/lab/emulator/gossip_simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/emulator/talk_world.h"
+#include "lab/emulator/gossip_simulation.h"
 
 #include <fmt/format.h>
 
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
+#include "gossip/gossip_queue_model.h"
+#include "gossip/shared_state_model.h"
 #include "lab/emulator/random.h"
-#include "tier/gossip_model.h"
-#include "tier/tier_model.h"
 
 namespace ryeglade::emulator {
 namespace {
@@ -28,8 +28,8 @@
 }
 
 struct TalkingNode {
-  std::unique_ptr<tier::TierModel> tier;
-  tier::GossipModel gossip;
+  std::unique_ptr<gossip::TierModel> tier;
+  gossip::GossipModel gossip;
   std::vector<Time> made;  // by node: of the newest word known here; 0: none
   std::vector<policy::ReplicaView> fleet;
   std::vector<Time> alone;  // by failing replica: when it was left alone first, or tried for all
@@ -48,14 +48,14 @@
   Stream random(spec.seed, Concern::kNetwork, 11);
   std::vector<std::string> names;
   for (std::size_t i = 0; i < spec.nodes; ++i) names.push_back(fmt::format("node-{:03}", i));
-  std::vector<tier::EvidenceModel::Peer> members;
+  std::vector<gossip::EvidenceModel::Peer> members;
   for (std::size_t i = 0; i < spec.nodes; ++i) members.push_back({names[i], fmt::format("z{}", i % 3)});
-  tier::TierLimits limits;
+  gossip::TierLimits limits;
   limits.share.tell_each = 40'000;  // as the node has it
   std::vector<TalkingNode> nodes(spec.nodes);
   for (std::size_t i = 0; i < spec.nodes; ++i) {
     TalkingNode& n = nodes[i];
-    n.tier = std::make_unique<tier::TierModel>(names[i], 1, kBegin, tier::Uses{}, limits);
+    n.tier = std::make_unique<gossip::TierModel>(names[i], 1, kBegin, gossip::Uses{}, limits);
     n.made.assign(spec.nodes, 0);
     n.alone.assign(spec.failing, 0);
     n.fleet.resize(spec.replicas);
@@ -86,10 +86,10 @@
       if ((now - kBegin) % kTurn < kTick) {
         n.tier->View(now, members, members[i].zone, true, true);
         n.tier->See(now, n.fleet, false);
-        if (std::optional<tier::Word> word = n.tier->Tell(now))
+        if (std::optional<gossip::Word> word = n.tier->Tell(now))
           n.gossip.Put(now, {names[i], 0, std::move(*word)}, true);
         n.tier->Turn(now, spec.nodes);
-        for (const tier::EvidenceModel::Line& l : n.tier->evidence().Explain()) {
+        for (const gossip::EvidenceModel::Line& l : n.tier->evidence().Explain()) {
           if (l.replica <= spec.failing && n.alone[l.replica - 1] == 0 &&
               (l.rests_until > now || std::string_view(l.why) == "tries"))
             n.alone[l.replica - 1] = now;
@@ -106,7 +106,7 @@
         if (random.Chance(spec.loss) || (to < spec.one_way && i % 2 == 0)) continue;
         for (const std::string& w : words) {
           const char* why = "";
-          std::optional<tier::Telling> t = tier::Decode(w, &why);
+          std::optional<gossip::Telling> t = gossip::Decode(w, &why);
           if (!t || !nodes[to].tier->Learn(now, *t)) continue;
           nodes[to].made[static_cast<std::size_t>(std::stoi(t->node.substr(5)))] = now - t->age;
           nodes[to].gossip.Put(now, std::move(*t), false);
--- a/lab/emulator/replica_model.h
+++ b/lab/emulator/replica_model.h
@@ -23,7 +23,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "base/slots.h"
+#include "base/slot_table.h"
 #include "ryeglade/router.h"
 
 namespace ryeglade::emulator {
@@ -129,7 +129,7 @@
 
   ReplicaSpec spec_;
   Time started_;
-  Slots<Part> parts_;  // all below names them by their handles here
+  SlotTable<Part> parts_;  // all below names them by their handles here
   std::deque<Handle> waiting_, reading_;
   std::priority_queue<Finish> finishing_;  // some may be gone
   int running_ = 0;
--- a/lab/emulator/tier_world.cpp
+++ b/lab/emulator/routing_tier.cpp
@@ -1,4 +1,4 @@
-#include "lab/emulator/tier_world.h"
+#include "lab/emulator/routing_tier.h"
 
 #include <fmt/format.h>
 
@@ -27,8 +27,9 @@
 void TierWorld::Starts(std::size_t n, Time now) {
   Node& node = nodes_[n];
   node.up = true;
-  node.tier = std::make_unique<tier::TierModel>(
-      names_[n], ++node.life, now, tier::Uses{spec_.parts(), spec_.evidence(), spec_.beginnings()}, limits_);
+  node.tier = std::make_unique<gossip::TierModel>(
+      names_[n], ++node.life, now, gossip::Uses{spec_.parts(), spec_.evidence(), spec_.beginnings()},
+      limits_);
   node.lost.assign(nodes_.size(), -1);
   node.view.assign(nodes_.size(), false);
   node.size = 0;
@@ -65,7 +66,7 @@
     }
   }
   const bool doubt = node.size >= 2 && 2 * reached <= node.size;
-  std::vector<tier::EvidenceModel::Peer> members;
+  std::vector<gossip::EvidenceModel::Peer> members;
   for (std::size_t m = 0; m < nodes_.size(); ++m) {
     if (m == o || !node.view[m]) continue;
     if (!doubt && node.lost[m] >= 0 && now - node.lost[m] >= detect) {
@@ -83,16 +84,16 @@
   node.tier->View(now, members, zone, !doubt && live > 1, settled);
 }
 
-void TierWorld::Spread(std::size_t from, Time now, tier::Word word) {
+void TierWorld::Spread(std::size_t from, Time now, gossip::Word word) {
   if (static_cast<int>(from) == spec_.liar) {
     word.rate *= kLie;
     word.claims.clear();
     for (const policy::ReplicaView& v : fleet_) {
-      if (word.claims.size() == tier::kMostClaims) break;
-      word.claims.push_back({v.endpoint.id, v.endpoint.started_at, 9, tier::kMostRest, -1, 4, 255, 255});
+      if (word.claims.size() == gossip::kMostClaims) break;
+      word.claims.push_back({v.endpoint.id, v.endpoint.started_at, 9, gossip::kMostRest, -1, 4, 255, 255});
     }
   }
-  const auto shared = std::make_shared<const tier::Word>(std::move(word));
+  const auto shared = std::make_shared<const gossip::Word>(std::move(word));
   for (std::size_t m = 0; m < nodes_.size(); ++m) {
     if (m == from || !Hears(from, m) || random_.Chance(spec_.loss)) continue;
     way_.push(
@@ -127,7 +128,7 @@
       sight(i, &fleet_);
       node.tier->See(now, fleet_, false);
     }
-    if (std::optional<tier::Word> word = node.tier->Tell(now)) Spread(i, now, std::move(*word));
+    if (std::optional<gossip::Word> word = node.tier->Tell(now)) Spread(i, now, std::move(*word));
   }
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     if (!nodes_[i].up) continue;
--- a/lab/emulator/world.cpp
+++ b/lab/emulator/simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/emulator/world.h"
+#include "lab/emulator/simulation.h"
 
 #include <fmt/format.h>
 
@@ -11,7 +11,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "base/slots.h"
+#include "base/slot_table.h"
 #include "lab/emulator/random.h"
 
 namespace ryeglade::emulator {
@@ -1134,9 +1134,9 @@
   std::vector<double> class_upto_, traffic_upto_, parts_;
   std::unique_ptr<TierWorld> tier_;
   std::map<std::uint64_t, DecayingCounter> prefix_use_;  // as all nodes together see it
-  Slots<Call> calls_, turns_;
-  Slots<Try> tries_;
-  Slots<Attempt> attempts_;
+  SlotTable<Call> calls_, turns_;
+  SlotTable<Try> tries_;
+  SlotTable<Attempt> attempts_;
   std::vector<JobEvent> job_events_;
   std::vector<Action> actions_;
   std::map<std::uint32_t, std::vector<Endpoint>> pending_;  // changes by generation
--- a/lab/emulator/world.h
+++ b/lab/emulator/simulation.h
@@ -12,7 +12,7 @@
 
 #include "lab/emulator/policies.h"
 #include "lab/emulator/replica_model.h"
-#include "lab/emulator/tier_world.h"
+#include "lab/emulator/routing_tier.h"
 #include "lab/latency.h"
 
 namespace ryeglade::emulator {
--- a/lab/experiment/command.cpp
+++ b/lab/experiment/command.cpp
@@ -11,8 +11,8 @@
 #include <stdexcept>
 #include <thread>
 
+#include "base/file_io.h"
 #include "base/gnuplot.h"
-#include "base/whole_file.h"
 #include "lab/experiment/measures.h"
 #include "lab/experiment/report.h"
 #include "lab/experiment/run.h"
@@ -38,7 +38,7 @@
 }
 
 void WriteText(const std::string& path, const std::string& text) {
-  const FileFault fault = ReplaceFile(path, text, 0644);
+  const FileError fault = ReplaceFile(path, text, 0644);
   if (fault.error != 0)
     throw std::runtime_error(path + ": " + fault.what + ": " + std::strerror(fault.error));
 }
--- a/lab/experiment/measures.h
+++ b/lab/experiment/measures.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/emulator/world.h"
+#include "lab/emulator/simulation.h"
 
 namespace ryeglade::experiment {
 
--- a/lab/experiment/results.cpp
+++ b/lab/experiment/results.cpp
@@ -113,7 +113,7 @@
                 {"settings", e.text},
                 {"mark", fmt::format("{:016x}", e.mark)},
                 {"build", r.build}};
-  Sheet days{"days", {{"day", Wholes{}}, {"policy", Texts{}}, {"seed", Wholes{}}}};
+  TextTable days{"days", {{"day", Wholes{}}, {"policy", Texts{}}, {"seed", Wholes{}}}};
   for (std::size_t a = 0; a < e.axes.size(); ++a) days.columns.push_back({"axis_" + e.axes[a].key, Texts{}});
   const std::size_t measures_at = days.columns.size();
   for (const Measure& m : Measures()) days.columns.push_back({m.name, Numbers{}});
@@ -125,7 +125,7 @@
   Rows first("first_token", {{"day", Wholes{}}, {"from_ms", Numbers{}}, {"count", Numbers{}}});
   Rows replicas("replicas",
                 {{"day", Wholes{}}, {"span", Wholes{}}, {"replica", Wholes{}}, {"served", Wholes{}}});
-  Sheet seconds{"seconds", {{"day", Wholes{}}}};
+  TextTable seconds{"seconds", {{"day", Wholes{}}}};
   for (const auto& [name, field] : PointFields()) seconds.columns.push_back({name, Numbers{}});
   for (const DayRow& row : r.rows) {
     const auto day = static_cast<std::int64_t>(row.day);
@@ -165,7 +165,7 @@
   Results r;
   r.experiment = ParseExperiment("settings in the results", note("settings"));
   r.build = note("build");
-  const Sheet& days = file.Of("days");
+  const TextTable& days = file.Of("days");
   const Wholes& numbers = days.WholesOf("day");
   std::map<std::int64_t, std::size_t> at;
   for (std::size_t n = 0; n < numbers.size(); ++n) {
@@ -189,11 +189,11 @@
     if (it == at.end()) throw std::runtime_error(fmt::format("tells of day {}, which it has not", day));
     return r.rows[it->second];
   };
-  const Sheet& first = file.Of("first_token");
+  const TextTable& first = file.Of("first_token");
   for (std::size_t n = 0; n < first.rows(); ++n)
     row_of(first.WholesOf("day")[n])
         .first_token.emplace_back(first.NumbersOf("from_ms")[n], first.NumbersOf("count")[n]);
-  const Sheet& seconds = file.Of("seconds");
+  const TextTable& seconds = file.Of("seconds");
   std::vector<const Numbers*> fields;
   for (const auto& [name, field] : PointFields()) fields.push_back(&seconds.NumbersOf(name));
   for (std::size_t n = 0; n < seconds.rows(); ++n) {
@@ -201,7 +201,7 @@
     for (std::size_t f = 0; f < fields.size(); ++f) p.*PointFields()[f].second = (*fields[f])[n];
     row_of(seconds.WholesOf("day")[n]).course.push_back(p);
   }
-  const Sheet& replicas = file.Of("replicas");
+  const TextTable& replicas = file.Of("replicas");
   const Wholes &of = replicas.WholesOf("day"), &span = replicas.WholesOf("span"),
                &replica = replicas.WholesOf("replica"), &served = replicas.WholesOf("served");
   for (std::size_t n = 0; n < of.size(); ++n) {
--- a/lab/experiment/results.h
+++ b/lab/experiment/results.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "columns/columnar_file.h"
+#include "columnar/columnar_file.h"
 #include "lab/experiment/spec.h"
 
 namespace ryeglade::experiment {
--- a/lab/experiment/day_fields.h
+++ b/lab/experiment/scenario_fields.h
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "lab/emulator/world.h"
+#include "lab/emulator/simulation.h"
 
 namespace ryeglade::experiment {
 
--- a/lab/experiment/shrink.cpp
+++ b/lab/experiment/shrink.cpp
@@ -5,7 +5,7 @@
 #include <stdexcept>
 #include <vector>
 
-#include "lab/experiment/day_fields.h"
+#include "lab/experiment/scenario_fields.h"
 
 namespace ryeglade::experiment {
 namespace {
--- a/lab/experiment/shrink.h
+++ b/lab/experiment/shrink.h
@@ -6,7 +6,7 @@
 #include <functional>
 #include <string>
 
-#include "lab/emulator/world.h"
+#include "lab/emulator/simulation.h"
 
 namespace ryeglade::experiment {
 
--- a/lab/experiment/spec.cpp
+++ b/lab/experiment/spec.cpp
@@ -10,8 +10,8 @@
 #include <sstream>
 #include <utility>
 
-#include "lab/experiment/day_fields.h"
 #include "lab/experiment/measures.h"
+#include "lab/experiment/scenario_fields.h"
 #include "settings/toml_reader.h"
 
 namespace ryeglade::experiment {
--- a/lab/stand_in.cpp
+++ b/lab/fake_replica.cpp
@@ -1,4 +1,4 @@
-#include "lab/stand_in.h"
+#include "lab/fake_replica.h"
 
 #include <fmt/format.h>
 
--- a/lab/fault.cpp
+++ b/lab/fault.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-const char* Word(Fault fault) { return kWords.at(static_cast<std::size_t>(fault)); }
+const char* Name(Fault fault) { return kWords.at(static_cast<std::size_t>(fault)); }
 
 std::optional<Fault> FaultOf(std::string_view word) {
   for (std::size_t i = 0; i < kWords.size(); ++i) {
--- a/lab/fault.h
+++ b/lab/fault.h
@@ -36,7 +36,7 @@
   kCount
 };
 
-const char* Word(Fault fault);
+const char* Name(Fault fault);
 std::optional<Fault> FaultOf(std::string_view word);
 std::vector<std::string> FaultWords();
 
--- a/lab/hours.cpp
+++ b/lab/fault_scenarios.cpp
@@ -1,4 +1,4 @@
-#include "lab/hours.h"
+#include "lab/fault_scenarios.h"
 
 #include <fmt/format.h>
 
@@ -18,8 +18,8 @@
 #include <utility>
 
 #include "settings.h"
+#include "timeline/anomaly_model.h"
 #include "timeline/block.h"
-#include "timeline/unusual_model.h"
 
 namespace ryeglade::lab {
 namespace {
@@ -368,7 +368,7 @@
 
 }  // namespace
 
-const char* Word(BadThing thing) { return kWords[static_cast<std::size_t>(thing)]; }
+const char* Name(BadThing thing) { return kWords[static_cast<std::size_t>(thing)]; }
 
 BadThing BadThingOf(const std::string& word) {
   std::string all;
@@ -467,7 +467,7 @@
                        r.delays[static_cast<std::size_t>(q * static_cast<double>(r.delays.size() - 1))]);
     };
     out += fmt::format("{:<14} {:>6} {:>6} {:>10} {:>10} {:>10} {:>13}\n",
-                       r.thing == BadThing::kNone ? "calm (3600 s)" : Word(r.thing), r.hours,
+                       r.thing == BadThing::kNone ? "calm (3600 s)" : Name(r.thing), r.hours,
                        r.thing == BadThing::kNone ? std::string("-") : std::to_string(r.found), at(0.5),
                        at(0.9), at(1), r.other);
   }
--- a/lab/hours.h
+++ b/lab/fault_scenarios.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "timeline/flight_model.h"
+#include "timeline/flight_record_codec.h"
 
 namespace ryeglade::lab {
 
@@ -34,7 +34,7 @@
   kDrained,      // one replica drains in the middle of a burst of traffic
   kCount
 };
-const char* Word(BadThing thing);
+const char* Name(BadThing thing);
 BadThing BadThingOf(const std::string& word);  // throws std::runtime_error listing the words
 
 struct HourOptions {
--- a/lab/bad_hour.cpp
+++ b/lab/live_fault_scenario.cpp
@@ -1,4 +1,4 @@
-#include "lab/bad_hour.h"
+#include "lab/live_fault_scenario.h"
 
 #include <fmt/format.h>
 
--- a/lab/bad_hour.h
+++ b/lab/live_fault_scenario.h
@@ -1,5 +1,6 @@
 // Scripted bad hours against a real node on loopback: stand-in replicas and discovery misbehave on time while
-// clients keep asking. For tests and for the demonstration; lab/hours.h has the same in virtual time.
+// clients keep asking. For tests and for the demonstration; lab/fault_scenarios.h has the same in virtual
+// time.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/rig.h"
+#include "lab/local_fleet.h"
 
 namespace ryeglade::lab {
 
--- a/lab/load/agreement.cpp
+++ b/lab/load/agreement.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 
-#include "lab/emulator/world.h"
+#include "lab/emulator/simulation.h"
 #include "lab/load/load_client.h"
-#include "lab/rig.h"
+#include "lab/local_fleet.h"
 
 namespace ryeglade::load {
 namespace {
--- a/lab/load/command.cpp
+++ b/lab/load/command.cpp
@@ -13,8 +13,8 @@
 #include "lab/colon_parts.h"
 #include "lab/load/agreement.h"
 #include "lab/load/load_client.h"
+#include "lab/local_fleet.h"
 #include "lab/progress.h"
-#include "lab/rig.h"
 
 namespace ryeglade::load {
 namespace {
@@ -62,7 +62,7 @@
     return l;
   }
   uv_loop_t loop{};
-  Buffers buffers;
+  BufferPool buffers;
   Deadlines deadlines;
   Runtime run;
 };
--- a/lab/load/load_client.h
+++ b/lab/load/load_client.h
@@ -71,7 +71,7 @@
   sockaddr_storage to_{};
   std::vector<Due> due_;
   Tally tally_;
-  Slots<Link> links_;
+  SlotTable<Link> links_;
   std::vector<Handle> idle_;
   std::size_t next_ = 0, ended_ = 0, connected_ = 0;
   Time start_ = 0;
--- a/lab/load/load_model.cpp
+++ b/lab/load/load_model.cpp
@@ -97,7 +97,7 @@
   return all;
 }
 
-const char* Word(Outcome outcome) {
+const char* Name(Outcome outcome) {
   static constexpr const char* kWords[] = {"served", "refused", "rejected", "failed",
                                            "broken", "nothing", "not_sent"};
   return kWords[static_cast<std::size_t>(outcome)];
@@ -136,7 +136,7 @@
 std::string Tally::Table() const {
   std::string out = fmt::format("{:<8} {:>8}", "class", "asked");
   for (std::size_t o = 0; o < static_cast<std::size_t>(Outcome::kCount); ++o)
-    out += fmt::format(" {:>8}", Word(static_cast<Outcome>(o)));
+    out += fmt::format(" {:>8}", Name(static_cast<Outcome>(o)));
   out += fmt::format(" {:>8} {:>9} {:>9} | first token, ms: {:>8} {:>8} {:>8} | whole: {:>8} {:>8}\n",
                      "in time", "worth", "of", "p50", "p90", "p99", "p50", "p99");
   for (std::size_t n = 0; n < classes_.size(); ++n) {
@@ -160,9 +160,9 @@
 ColumnarFile Tally::ToFile(const std::string& how) const {
   ColumnarFile file;
   file.notes = {{"schema", "1"}, {"what", "results of ryeglade-lab load"}, {"settings", how}};
-  Sheet classes{"classes", {{"class", Texts{}}, {"asked", Wholes{}}, {"in_time", Wholes{}}}};
+  TextTable classes{"classes", {{"class", Texts{}}, {"asked", Wholes{}}, {"in_time", Wholes{}}}};
   for (std::size_t o = 0; o < static_cast<std::size_t>(Outcome::kCount); ++o)
-    classes.columns.push_back({Word(static_cast<Outcome>(o)), Wholes{}});
+    classes.columns.push_back({Name(static_cast<Outcome>(o)), Wholes{}});
   classes.columns.push_back({"worth", Numbers{}});
   classes.columns.push_back({"worth_asked", Numbers{}});
   Rows bins("latency", {{"class", Texts{}}, {"what", Texts{}}, {"from_ms", Numbers{}}, {"count", Numbers{}}});
--- a/lab/load/load_model.h
+++ b/lab/load/load_model.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "columns/columnar_file.h"
+#include "columnar/columnar_file.h"
 #include "lab/latency.h"
 #include "ryeglade/router.h"
 
@@ -61,7 +61,7 @@
   kNotSent,
   kCount
 };
-const char* Word(Outcome outcome);
+const char* Name(Outcome outcome);
 
 struct Answer {
   Outcome outcome = Outcome::kNothing;
--- a/lab/rig.cpp
+++ b/lab/local_fleet.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig.h"
+#include "lab/local_fleet.h"
 
 #include <fmt/format.h>
 
--- a/lab/rig.h
+++ b/lab/local_fleet.h
@@ -7,12 +7,12 @@
 #include <string>
 #include <vector>
 
-#include "base/buffers.h"
+#include "base/buffer_pool.h"
 #include "base/deadlines.h"
 #include "lab/client.h"
 #include "lab/directory.h"
+#include "lab/fake_replica.h"
 #include "lab/node_process.h"
-#include "lab/stand_in.h"
 
 namespace ryeglade::lab {
 
@@ -62,7 +62,7 @@
   std::string Word(const std::string& event) const;
 
   uv_loop_t loop_{};
-  Buffers buffers_;
+  BufferPool buffers_;
   Deadlines deadlines_;
   Runtime run_;
   Witness witness_;
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -13,15 +13,15 @@
 #include <utility>
 #include <vector>
 
-#include "lab/bad_hour.h"
 #include "lab/cluster/command.h"
 #include "lab/emulator/command.h"
 #include "lab/experiment/command.h"
-#include "lab/hours.h"
+#include "lab/fault_scenarios.h"
+#include "lab/live_fault_scenario.h"
 #include "lab/load/command.h"
+#include "lab/local_fleet.h"
 #include "lab/progress.h"
 #include "lab/replay.h"
-#include "lab/rig.h"
 #include "lab/rollout/command.h"
 #include "lab/soak/command.h"
 
@@ -119,8 +119,8 @@
     for (std::size_t n = 0; n < trace.size(); ++n) {
       if (result.ends[n] == all.front().second.ends[n]) continue;
       if (++differing <= 10) {
-        std::printf("differs: line %zu (%s): %s at first, %s with %s\n", n + 1, Word(trace[n].fault),
-                    Word(all.front().second.ends[n]), Word(result.ends[n]), name.c_str());
+        std::printf("differs: line %zu (%s): %s at first, %s with %s\n", n + 1, Name(trace[n].fault),
+                    Name(all.front().second.ends[n]), Name(result.ends[n]), name.c_str());
       }
     }
   }
--- a/lab/replay.cpp
+++ b/lab/replay.cpp
@@ -8,7 +8,7 @@
 #include <stdexcept>
 
 #include "http/event_stream.h"
-#include "lab/rig.h"
+#include "lab/local_fleet.h"
 #include "lab/text.h"
 #include "openai/strict_json.h"
 
@@ -43,7 +43,7 @@
 
 std::string BodyOf(const TraceLine& line) {
   std::string user = line.prompt;
-  if (line.fault != Fault::kNone) user += fmt::format(" {}{} ", kFaultMark, Word(line.fault));
+  if (line.fault != Fault::kNone) user += fmt::format(" {}{} ", kFaultMark, Name(line.fault));
   return fmt::format(
       "{{\"model\":\"{}-model\",\"stream\":true,\"max_tokens\":{},\"messages\":[{{\"role\":\"system\","
       "\"content\":{}}},"
@@ -102,7 +102,7 @@
       body);
 }
 
-const char* Word(End end) { return kEnds.at(static_cast<std::size_t>(end)); }
+const char* Name(End end) { return kEnds.at(static_cast<std::size_t>(end)); }
 
 std::vector<TraceLine> MakeTrace(std::size_t requests, std::uint64_t seed, double per_second) {
   static constexpr std::array<Fault, 10> kFaults = {
@@ -135,7 +135,7 @@
                  {"prompt", l.prompt},
                  {"max_tokens", l.max_tokens},
                  {"deadline_ms", l.deadline_ms},
-                 {"fault", Word(l.fault)}})
+                 {"fault", Name(l.fault)}})
                .dump() +
            "\n";
   }
--- a/lab/replay.h
+++ b/lab/replay.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
+#include "lab/fake_replica.h"
 #include "lab/fault.h"
-#include "lab/stand_in.h"
 #include "ledger/ledger_model.h"
 
 namespace ryeglade::lab {
@@ -34,7 +34,7 @@
 std::string RequestOf(const TraceLine& line, std::size_t n, bool openai_front, const std::string& key);
 
 enum class End : std::uint8_t { kServed, kRefused, kFailed, kRejected, kBroken, kSpoilt, kNothing };
-const char* Word(End end);
+const char* Name(End end);
 
 struct ReplayOptions {
   std::string program;
--- a/lab/rollout/command.cpp
+++ b/lab/rollout/command.cpp
@@ -7,7 +7,7 @@
 
 #include "lab/rollout/explorer.h"
 #include "lab/rollout/real.h"
-#include "lab/rollout/world.h"
+#include "lab/rollout/simulation.h"
 
 namespace ryeglade::rollout_lab {
 namespace {
--- a/lab/rollout/explorer.cpp
+++ b/lab/rollout/explorer.cpp
@@ -14,7 +14,7 @@
 #include <unordered_set>
 #include <utility>
 
-#include "lab/rollout/kept_node.h"
+#include "lab/rollout/supervised_node.h"
 #include "rollout/driver_model.h"
 
 namespace ryeglade::rollout_lab {
--- a/lab/rollout/tier.cpp
+++ b/lab/rollout/local_tier.cpp
@@ -1,4 +1,4 @@
-#include "lab/rollout/tier.h"
+#include "lab/rollout/local_tier.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -15,8 +15,8 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "base/whole_file.h"
-#include "http/call.h"
+#include "base/file_io.h"
+#include "http/blocking_client.h"
 #include "lab/node_process.h"
 
 namespace ryeglade::rollout_lab {
@@ -70,7 +70,7 @@
   return WIFEXITED(status_) ? WEXITSTATUS(status_) : 128 + WTERMSIG(status_);
 }
 
-std::string Running::Log() const { return ReadIfThere(log_); }
+std::string Running::Log() const { return ReadFileIfPresent(log_); }
 
 Running::~Running() {
   if (pid_ <= 0) return;
@@ -212,7 +212,7 @@
 std::optional<rollout::KeeperStatus> RealTier::Status(std::size_t i) const {
   try {
     return rollout::DecodeStatus(
-        HttpCall("the keeper at", nodes_[i].control, "GET", "/keeper", "", kLookWithin).body);
+        BlockingHttpCall("the keeper at", nodes_[i].control, "GET", "/keeper", "", kLookWithin).body);
   } catch (const std::exception&) {
     return std::nullopt;
   }
@@ -244,7 +244,7 @@
 std::optional<rollout::TierSaid> RealTier::Said(std::size_t i) const {
   try {
     return rollout::ReadTierSaid(
-        HttpCall("the status address", nodes_[i].status, "GET", "/nodes", "", kLookWithin).body);
+        BlockingHttpCall("the status address", nodes_[i].status, "GET", "/nodes", "", kLookWithin).body);
   } catch (const std::exception&) {
     return std::nullopt;
   }
@@ -269,7 +269,7 @@
   for (const auto& entry : std::filesystem::directory_iterator("/proc")) {
     const std::string name = entry.path().filename().string();
     if (name.find_first_not_of("0123456789") != std::string::npos) continue;
-    const std::string command = ReadIfThere(entry.path().string() + "/cmdline");
+    const std::string command = ReadFileIfPresent(entry.path().string() + "/cmdline");
     const bool said = command.find(std::string("\0", 1) + word + std::string("\0", 1)) != std::string::npos;
     if (said && command.find(file.empty() ? root_ : file) != std::string::npos)
       all.push_back(std::stoi(name));
--- a/lab/rollout/tier.h
+++ b/lab/rollout/local_tier.h
@@ -13,10 +13,10 @@
 
 #include "lab/cluster/relay.h"
 #include "lab/directory.h"
+#include "lab/fake_replica.h"
 #include "lab/load/load_client.h"
-#include "lab/stand_in.h"
+#include "rollout/cluster_view_model.h"
 #include "rollout/release_model.h"
-#include "rollout/tier_word_model.h"
 
 namespace ryeglade::rollout_lab {
 
@@ -107,7 +107,7 @@
 
   TierOptions o_;
   uv_loop_t loop_{};
-  Buffers buffers_;
+  BufferPool buffers_;
   Deadlines deadlines_;
   Runtime run_;
   lab::Directory directory_;
--- a/lab/rollout/real.h
+++ b/lab/rollout/real.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/rollout/tier.h"
+#include "lab/rollout/local_tier.h"
 
 namespace ryeglade::rollout_lab {
 
--- a/lab/rollout/world.cpp
+++ b/lab/rollout/simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/rollout/world.h"
+#include "lab/rollout/simulation.h"
 
 #include <fmt/format.h>
 
@@ -15,7 +15,7 @@
 #include <thread>
 
 #include "lab/emulator/random.h"
-#include "lab/rollout/kept_node.h"
+#include "lab/rollout/supervised_node.h"
 
 namespace ryeglade::rollout_lab {
 namespace {
--- a/lab/rollout/world.h
+++ b/lab/rollout/simulation.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "rollout/driver_model.h"
-#include "rollout/keeper_model.h"
+#include "rollout/supervisor_model.h"
 
 namespace ryeglade::rollout_lab {
 
--- a/lab/rollout/kept_node.cpp
+++ b/lab/rollout/supervised_node.cpp
@@ -1,4 +1,4 @@
-#include "lab/rollout/kept_node.h"
+#include "lab/rollout/supervised_node.h"
 
 #include <algorithm>
 
--- a/lab/rollout/kept_node.h
+++ b/lab/rollout/supervised_node.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "rollout/keeper_model.h"
+#include "rollout/supervisor_model.h"
 
 namespace ryeglade::rollout_lab {
 
--- a/lab/soak/checker_model.cpp
+++ b/lab/soak/checker_model.cpp
@@ -470,7 +470,7 @@
 
 }  // namespace
 
-const char* Word(Rule rule) {
+const char* Name(Rule rule) {
   static constexpr std::array<const char*, static_cast<std::size_t>(Rule::kCount)> kWords = {
       "answer", "refusal", "repeat",  "two-at-once", "client-gone", "budget",
       "drain",  "content", "forward", "in-time",     "process",     "bad-client"};
--- a/lab/soak/checker_model.h
+++ b/lab/soak/checker_model.h
@@ -27,7 +27,7 @@
   kBadClient,  // a client that stops in the middle of a request gets its error or close within 3 s
   kCount
 };
-const char* Word(Rule rule);
+const char* Name(Rule rule);
 
 struct Breach {
   Rule rule = Rule::kAnswer;
--- a/lab/soak/users.cpp
+++ b/lab/soak/clients.cpp
@@ -1,4 +1,4 @@
-#include "lab/soak/users.h"
+#include "lab/soak/clients.h"
 
 #include <fmt/format.h>
 
--- a/lab/soak/users.h
+++ b/lab/soak/clients.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "base/runtime.h"
-#include "base/slots.h"
+#include "base/slot_table.h"
 #include "base/tcp.h"
 #include "lab/emulator/random.h"
 #include "lab/soak/history_model.h"
@@ -85,7 +85,7 @@
   std::vector<User> users_;
   std::deque<ClientRequest> requests_;
   std::vector<BadClient> bad_clients_;
-  Slots<Link> links_;
+  SlotTable<Link> links_;
   std::uint64_t ids_ = 0;
   std::size_t out_ = 0;  // requests that wait for an answer
   bool halted_ = false, closed_ = false;
--- a/lab/soak/command.cpp
+++ b/lab/soak/command.cpp
@@ -17,7 +17,7 @@
 
 #include "lab/soak/checker_model.h"
 #include "lab/soak/plan.h"
-#include "lab/soak/play.h"
+#include "lab/soak/run.h"
 #include "lab/soak/shrink.h"
 
 namespace ryeglade::soak {
@@ -73,7 +73,7 @@
   std::string broken;
   for (std::size_t n = 0; n < static_cast<std::size_t>(Rule::kCount); ++n) {
     const auto rule = static_cast<Rule>(n);
-    if (v.Count(rule) > 0) broken += fmt::format(" {}={}", Word(rule), v.Count(rule));
+    if (v.Count(rule) > 0) broken += fmt::format(" {}={}", Name(rule), v.Count(rule));
   }
   std::size_t unknown = 0;
   for (const auto& [why, ids] : v.unknown) unknown += ids.size();
@@ -99,7 +99,7 @@
   }
   WriteFile(stem + ".unknown.txt", unknown);
   for (std::size_t n = 0; n < std::min(v.breaches.size(), kMostPages); ++n) {
-    WriteFile(fmt::format("{}.{}-{}.txt", stem, n + 1, Word(v.breaches[n].rule)),
+    WriteFile(fmt::format("{}.{}-{}.txt", stem, n + 1, Name(v.breaches[n].rule)),
               Evidence(played, v.breaches[n]));
   }
   if (v.breaches.empty()) return;
@@ -250,7 +250,7 @@
   if (shrink_) {
     const Shrunk shrunk = Shrink(plan, options, most_plays_);
     std::printf("%zu of %zu faults still break rule %s, after %zu plays\n", shrunk.plan.faults.size(),
-                plan.faults.size(), Word(shrunk.rule), shrunk.plays);
+                plan.faults.size(), Name(shrunk.rule), shrunk.plays);
     if (!report_.empty()) {
       std::filesystem::create_directories(report_);
       WriteFile(fmt::format("{}/seed-{}.shrunk.json", report_, plan.seed), PlanText(shrunk.plan));
--- a/lab/soak/evidence.cpp
+++ b/lab/soak/evidence.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "lab/soak/play.h"
+#include "lab/soak/run.h"
 
 namespace ryeglade::soak {
 namespace {
@@ -15,13 +15,13 @@
 constexpr Time kAround = 1'500'000;  // of other things than the request itself, before and after
 constexpr std::size_t kMostLines = 120;
 
-const char* Word(ClientEnd end) {
+const char* Name(ClientEnd end) {
   static constexpr const char* kWords[] = {"open",      "served",    "refused", "failed",   "cut",
                                            "no answer", "timed out", "left",    "not asked"};
   return kWords[static_cast<std::size_t>(end)];
 }
 
-const char* Word(AttemptEnd end) {
+const char* Name(AttemptEnd end) {
   static constexpr const char* kWords[] = {"open",  "whole", "rejected",
                                            "error", "reset", "closed by the node"};
   return kWords[static_cast<std::size_t>(end)];
@@ -52,7 +52,7 @@
     }
     std::stable_sort(lines_.begin(), lines_.end(),
                      [](const auto& a, const auto& b) { return a.first < b.first; });
-    std::string out = fmt::format("rule {}, node n{}, at {}: {}\nrequest {}\n\n", Word(b_.rule), b_.node,
+    std::string out = fmt::format("rule {}, node n{}, at {}: {}\nrequest {}\n\n", Name(b_.rule), b_.node,
                                   When(b_.at), b_.what, b_.id.empty() ? "-" : b_.id);
     for (std::size_t n = 0; n < std::min(lines_.size(), kMostLines); ++n) {
       out += fmt::format("{:>9} {}\n", When(lines_[n].first), lines_[n].second);
@@ -73,7 +73,7 @@
     if (r.left != 0) Add(r.left, r.half_closed ? "client ends its sending" : "client closes");
     if (!r.events.empty()) Add(r.events.front().at, "client gets the first event");
     if (r.ended != 0)
-      Add(r.ended, fmt::format("client: {} (status {}, {} pieces)", Word(r.end), r.status, r.events.size()));
+      Add(r.ended, fmt::format("client: {} (status {}, {} pieces)", Name(r.end), r.status, r.events.size()));
   }
 
   void AddAttempt(const Attempt& a) {
@@ -84,7 +84,7 @@
       Add(a.events.front().at, fmt::format("{} writes its first event", name));
       Add(a.events.back().at, fmt::format("{} writes its last event, of {}", name, a.events.size()));
     }
-    if (a.ended != 0) Add(a.ended, fmt::format("{}: {}", name, Word(a.end)));
+    if (a.ended != 0) Add(a.ended, fmt::format("{}: {}", name, Name(a.end)));
   }
 
   void AddProcess(std::size_t n) {
--- a/lab/soak/link_relay.h
+++ b/lab/soak/link_relay.h
@@ -14,7 +14,7 @@
 
 #include "base/listener.h"
 #include "base/runtime.h"
-#include "base/slots.h"
+#include "base/slot_table.h"
 #include "base/tcp.h"
 
 namespace ryeglade::soak {
@@ -91,7 +91,7 @@
 
   const Runtime* run_;
   std::vector<std::unique_ptr<Link>> links_;
-  Slots<Side> sides_;
+  SlotTable<Side> sides_;
   std::map<std::pair<std::size_t, int>, LinkView> views_;  // by link and port
   std::function<void(std::size_t, int)> closed_;
   bool ended_ = false;
--- a/lab/soak/plan.cpp
+++ b/lab/soak/plan.cpp
@@ -246,7 +246,7 @@
 
 }  // namespace
 
-const char* Word(FaultKind kind) { return kWords[static_cast<std::size_t>(kind)]; }
+const char* Name(FaultKind kind) { return kWords[static_cast<std::size_t>(kind)]; }
 
 FaultKind FaultKindOf(const std::string& word) {
   return static_cast<FaultKind>(IndexOf(kWords, word, "fault"));
@@ -296,7 +296,7 @@
   }
   for (const Fault& f : p.faults) {
     faults.push_back({{"at_us", f.at},
-                      {"kind", Word(f.kind)},
+                      {"kind", Name(f.kind)},
                       {"node", f.node},
                       {"replica", f.replica},
                       {"lasts_us", f.lasts},
--- a/lab/soak/plan.h
+++ b/lab/soak/plan.h
@@ -44,7 +44,7 @@
   kLeave,  // half of all clients leave at once
   kCount
 };
-const char* Word(FaultKind kind);
+const char* Name(FaultKind kind);
 
 struct Fault {
   Time at = 0;
--- a/lab/soak/play.cpp
+++ b/lab/soak/run.cpp
@@ -1,4 +1,4 @@
-#include "lab/soak/play.h"
+#include "lab/soak/run.h"
 
 #include <fmt/format.h>
 #include <netinet/in.h>
@@ -15,13 +15,13 @@
 #include <stdexcept>
 #include <tuple>
 
-#include "http/call.h"
+#include "http/blocking_client.h"
 #include "lab/cluster/relay.h"
 #include "lab/directory.h"
+#include "lab/fake_replica.h"
 #include "lab/node_process.h"
+#include "lab/soak/clients.h"
 #include "lab/soak/link_relay.h"
-#include "lab/soak/users.h"
-#include "lab/stand_in.h"
 
 namespace ryeglade::soak {
 namespace {
@@ -404,7 +404,8 @@
     p.last_descriptors = life.process.Descriptors();
     p.last_memory = life.process.Resident();
     try {
-      p.counters = HttpCall("the node", life.management, "GET", "/control/counters", "", kCallPatience).body;
+      p.counters =
+          BlockingHttpCall("the node", life.management, "GET", "/control/counters", "", kCallPatience).body;
     } catch (const std::runtime_error&) {
       p.counters = "(the process did not answer)";
     }
@@ -653,7 +654,7 @@
   const PlayOptions& options_;
   std::string root_;
   uv_loop_t loop_{};
-  Buffers buffers_;
+  BufferPool buffers_;
   Deadlines deadlines_;
   Runtime run_;
   lab::Witness witness_;
--- a/lab/soak/shrink.h
+++ b/lab/soak/shrink.h
@@ -5,7 +5,7 @@
 
 #include <cstddef>
 
-#include "lab/soak/play.h"
+#include "lab/soak/run.h"
 
 namespace ryeglade::soak {
 
--- a/src/admin/counters.h
+++ b/src/admin/counters.h
@@ -5,13 +5,13 @@
 #include <string>
 #include <vector>
 
-#include "core/tally.h"
+#include "core/node_counters.h"
 #include "http/close_reason.h"
 
 namespace ryeglade {
 
 struct CounterView {
-  const Tally* tally = nullptr;
+  const NodeCounters* counters = nullptr;
   std::vector<std::string> classes;  // in force now; each has a line even before its first request
   std::uint64_t inflight = 0;        // requests taken and not yet ended
   std::uint64_t hosts_listed = 0, hosts_down = 0;
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -10,7 +10,7 @@
 #include "app/nodes_command.h"
 #include "app/rollout_command.h"
 #include "app/timeline_command.h"
-#include "base/held_signals.h"
+#include "base/blocked_signals.h"
 #include "keys/keyring.h"
 #include "ledger/ledger_model.h"
 #include "settings/config.h"
@@ -215,7 +215,7 @@
   if (nodes.chosen()) return nodes.Run();
   if (rollout.chosen()) return rollout.Run();
   if (*ledger) return LedgerTable(ledgers);
-  ryeglade::HoldSignals();  // Serve releases them
+  ryeglade::BlockSignals();  // Serve releases them
   const Config loaded = ryeglade::LoadConfig(config);
   ryeglade::Serve(loaded, Settings(settings, loaded));
   return 0;
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -17,9 +17,9 @@
 #include "admin/admin_front.h"
 #include "admin/counters.h"
 #include "app/termination_policy.h"
-#include "base/buffers.h"
+#include "base/blocked_signals.h"
+#include "base/buffer_pool.h"
 #include "base/deadlines.h"
-#include "base/held_signals.h"
 #include "base/log.h"
 #include "base/state_file.h"
 #include "core/core.h"
@@ -31,15 +31,15 @@
 #include "dialects/platform/platform_dialect.h"
 #include "fronts/openai/openai_front.h"
 #include "fronts/platform/platform_front.h"
-#include "handover/hand_over.h"
+#include "gossip/gossip.h"
+#include "hot_restart/hot_restart.h"
 #include "http/downstream.h"
 #include "ledger/ledger_file.h"
 #include "membership/membership.h"
 #include "membership/status_front.h"
-#include "rollout/figures_model.h"
-#include "settings/retune_policy.h"
+#include "rollout/metrics_model.h"
+#include "settings/class_update_policy.h"
 #include "settings/toml_reader.h"
-#include "tier/tier.h"
 #include "timeline/flight_recorder.h"
 
 namespace ryeglade {
@@ -58,7 +58,7 @@
   keys::Keyring keys;
 };
 
-class Node : public AdminPort, public FleetPort, public handover::HandOverPort {
+class Node : public AdminPort, public ReplicaViewPort, public hot_restart::HandOverPort {
  public:
   Node(const Config& config, const EdgeSettings& settings, Parts parts)
       : settings_(settings),
@@ -78,7 +78,7 @@
               &discovery_,
               nullptr,
               nullptr,
-              &tally_,
+              &counters_,
               &decisions_},
         streams_(&core_),
         upstream_(&core_, Share(config) * 45 / 100),
@@ -124,8 +124,8 @@
       flight_ = std::make_unique<timeline::FlightRecorder>(&core_, std::move(o));
       decisions_.Tap(flight_.get());
       if (flight_->wants_reasons()) decisions_.Observe(flight_.get());
-      core_.membership_tap = flight_.get();
-      core_.stream_tap = flight_.get();
+      core_.endpoint_observer = flight_.get();
+      core_.stream_observer = flight_.get();
     }
     if (settings_.membership.on()) SetUpMembership(config);
   }
@@ -135,7 +135,7 @@
     Watch(&int_, SIGINT);
     Watch(&hup_, SIGHUP);
     if (settings_.timeline.ring > 0) Watch(&usr2_, SIGUSR2);
-    ReleaseSignals();
+    UnblockSignals();
     try {
       if (admin_down_ != nullptr) Log(Level::kInfo, "listening-admin", {{"addr", admin_down_->Listen()}});
       if (tier_down_ != nullptr) Log(Level::kInfo, "listening-nodes", {{"addr", tier_down_->Listen()}});
@@ -200,7 +200,7 @@
       return Fail(e.what());
     }
   }
-  void Inherit(handover::State state) override {
+  void Inherit(hot_restart::State state) override {
     const std::string& known = core_.config->known;
     // Generations mean something only among lists of one discovery. The other process may have been cut off
     // from it for some time: of the two lists the newer one counts.
@@ -209,16 +209,16 @@
         same_discovery && !state.roster.empty() && GenerationOf(state.roster) >= GenerationOf(known);
     inherited_ = true;
     discovery_.Known(inherits ? state.roster : known);
-    handover::FitTo(ClassNames(config_.settings), &state);
+    hot_restart::FitTo(ClassNames(config_.settings), &state);
     decisions_.Post(
         policy::StateRestored{std::make_shared<const policy::LearnedState>(std::move(state.learned))});
   }
-  void Beside(handover::Out out) override {
+  void Beside(hot_restart::Out out) override {
     if (out.empty() && !beside_) return;
     beside_ = !out.empty();
     decisions_.Post(policy::SiblingInFlightChanged{std::move(out)});
   }
-  handover::State Known() override {
+  hot_restart::State Known() override {
     return {config_.name,
             RYEGLADE_VERSION,
             discovery_.address(),
@@ -226,8 +226,8 @@
             ClassNames(config_.settings),
             decisions_.router().ExportState()};
   }
-  handover::Out OutNow() override {
-    handover::Out out;
+  hot_restart::Out OutNow() override {
+    hot_restart::Out out;
     for (const auto& [id, yes] : discovery_.hosts()) {
       if (const int n = decisions_.router().in_flight(id); n > 0) out.emplace_back(id, n);
     }
@@ -250,7 +250,7 @@
     const std::size_t up = hand_over_.yielded() ? std::max(upstream_.size(), clients()) : upstream_.size();
     return clients() + up + kOwnSockets + Discovery::kSockets;
   }
-  std::size_t UsedMemory() const override { return buffers_.taken() * Buffers::kSize; }
+  std::size_t UsedMemory() const override { return buffers_.taken() * BufferPool::kSize; }
   void Limit(std::size_t sockets, std::size_t memory) override {
     const std::size_t own = kOwnSockets + Discovery::kSockets;
     const std::size_t share = std::max<std::size_t>(sockets, own + 16) - own;
@@ -287,8 +287,8 @@
         static_cast<std::size_t>(std::max(1, config.settings.node_count)), &decisions_, flight_.get(),
         HandOverPath("tier", config));
     if (settings_.tier.on) {
-      tier_ = std::make_unique<tier::Tier>(&core_, settings_.tier, membership_->name(), membership_->uid(),
-                                           membership_.get(), this, &decisions_);
+      tier_ = std::make_unique<gossip::Tier>(&core_, settings_.tier, membership_->name(), membership_->uid(),
+                                             membership_.get(), this, &decisions_);
       membership_->Carry(tier_.get());
       decisions_.Tap(tier_.get());
     }
@@ -400,9 +400,9 @@
              {"attempts", config_.settings.max_attempts}});
       }
       if (openai_ != nullptr) openai_->ReloadKeys();
-      ++tally_.reconfig_ok;
+      ++counters_.reconfig_ok;
     } catch (const std::exception& e) {
-      ++tally_.reconfig_failed;
+      ++counters_.reconfig_failed;
       Log(Level::kError, "reload-failed",
           {{"file", file},
            {"why", e.what()},
@@ -489,7 +489,7 @@
   }
 
   // The tier's side.
-  void Fleet(std::vector<policy::ReplicaView>* all) const override {
+  void ListReplicas(std::vector<policy::ReplicaView>* all) const override {
     for (const auto& [id, yes] : discovery_.hosts()) {
       policy::ReplicaView seen = decisions_.router().replica(id);
       if (seen.endpoint.id == id) all->push_back(seen);
@@ -501,7 +501,7 @@
   bool taking_clients() const override { return taking_ && !downstream_.draining(); }
   std::string CountersText() const override {
     CounterView view;
-    view.tally = &tally_;
+    view.counters = &counters_;
     for (const std::size_t i : config_.in_force) view.classes.push_back(config_.settings.classes[i].name);
     view.inflight = streams_.size();
     view.hosts_listed = discovery_.listed();
@@ -525,7 +525,7 @@
       const policy::ClassSettings& c = config_.settings.classes[i];
       f.classes[c.name].worth = c.priority_weight;
     }
-    for (const auto& [name, e] : tally_.by_class) {
+    for (const auto& [name, e] : counters_.by_class) {
       rollout::ClassFigures& c = f.classes[name];
       c.served = e.success, c.in_time = e.in_time, c.refused = e.busy, c.failed = e.failure;
       c.attempts = static_cast<double>(e.attempts),
@@ -536,7 +536,7 @@
   }
   bool Hold(std::string_view instance, bool out) override {
     if (!discovery_.Hold(std::string(instance), out)) return false;
-    holds_file_.Write(EncodeHolds(discovery_.holds(), core_.config->name));
+    holds_file_.Write(EncodeDisabledReplicas(discovery_.holds(), core_.config->name));
     return true;
   }
 
@@ -566,7 +566,7 @@
   // A file that is torn, of another node or not ours at all changes nothing; at the start it is said so.
   void TakeHolds(const std::string& text, bool at_start) {
     std::string why;
-    const std::optional<Holds> holds = DecodeHolds(text, core_.config->name, &why);
+    const std::optional<DisabledReplicas> holds = DecodeDisabledReplicas(text, core_.config->name, &why);
     if (!holds) {
       Log(Level::kWarn, "holds-passed-over", {{"path", holds_file_.path()}, {"why", why}});
       return;
@@ -577,11 +577,11 @@
 
   EdgeSettings settings_;
   Config config_;  // as in force: a SIGHUP changes it
-  Tally tally_;
+  NodeCounters counters_;
   bool starting_ = false;  // the list known at the start has been taken
   bool taking_ = false;    // clients are
   uv_loop_t loop_{};
-  Buffers buffers_;
+  BufferPool buffers_;
   Deadlines deadlines_;
   std::unique_ptr<Dialect> dialect_;
   Core core_;
@@ -594,7 +594,7 @@
   AdminFront admin_;
   std::unique_ptr<Downstream> admin_down_;  // where the configuration names a management address
   StateFile holds_file_;
-  handover::HandOver hand_over_;
+  hot_restart::HandOver hand_over_;
   std::string failed_;  // why it can't serve
   bool inherited_ = false, beside_ = false;
   // Only where the settings ask for it.
@@ -604,7 +604,7 @@
   std::unique_ptr<ledger::LedgerFile> ledger_file_;
   std::unique_ptr<timeline::FlightRecorder> flight_;
   std::unique_ptr<membership::Membership> membership_;
-  std::unique_ptr<tier::Tier> tier_;
+  std::unique_ptr<gossip::Tier> tier_;
   std::unique_ptr<membership::StatusFront> tier_front_;
   std::unique_ptr<Downstream> tier_down_;
   uv_signal_t term_{}, int_{}, hup_{}, usr2_{};
--- a/src/app/nodes_command.cpp
+++ b/src/app/nodes_command.cpp
@@ -11,7 +11,7 @@
 #include <thread>
 
 #include "base/tcp.h"
-#include "http/call.h"
+#include "http/blocking_client.h"
 
 namespace ryeglade {
 namespace {
@@ -20,14 +20,14 @@
 
 constexpr int kPatienceMs = 5000;
 
-HttpAnswer Get(const std::string& at, const std::string& path) {
+HttpResponse Get(const std::string& at, const std::string& path) {
   sockaddr_storage to{};
   if (!ParseAddress(at, &to)) throw std::runtime_error("nodes: --at takes ip:port, not '" + at + "'");
-  return HttpCall("nodes: the status address", at, "GET", path, "", kPatienceMs);
+  return BlockingHttpCall("nodes: the status address", at, "GET", path, "", kPatienceMs);
 }
 
 Json Nodes(const std::string& at) {
-  const HttpAnswer a = Get(at, "/nodes");
+  const HttpResponse a = Get(at, "/nodes");
   Json j = Json::parse(a.body, nullptr, false);
   if (a.status != 200 || !j.is_object())
     throw std::runtime_error("nodes: " + at + " is no status address of a node");
@@ -197,7 +197,7 @@
 }
 
 int NodesCommand::Explain() {
-  const HttpAnswer a = Get(o_->at, "/nodes/" + o_->name);
+  const HttpResponse a = Get(o_->at, "/nodes/" + o_->name);
   if (a.status == 404) {
     std::fprintf(stderr, "ryeglade: %s knows no node '%s'\n", o_->at.c_str(), o_->name.c_str());
     return 1;
@@ -218,7 +218,7 @@
 }
 
 int NodesCommand::Tier() {
-  const HttpAnswer a = Get(o_->at, "/tier");
+  const HttpResponse a = Get(o_->at, "/tier");
   const Json j = Json::parse(a.body, nullptr, false);
   if (a.status == 404 || !j.is_object()) {
     std::fprintf(stderr, "ryeglade: the node at %s has no [tier] in its settings\n", o_->at.c_str());
--- a/src/app/rollout_command.cpp
+++ b/src/app/rollout_command.cpp
@@ -20,16 +20,16 @@
 
 #include "base/deadlines.h"
 #include "base/gnuplot.h"
-#include "handover/state_model.h"
-#include "http/call.h"
-#include "membership/record_model.h"
+#include "hot_restart/handover_state_codec.h"
+#include "http/blocking_client.h"
+#include "membership/member_record_model.h"
+#include "rollout/cluster_view_model.h"
 #include "rollout/driver_model.h"
-#include "rollout/keeper.h"
 #include "rollout/plan.h"
 #include "rollout/report_model.h"
-#include "rollout/tier_word_model.h"
+#include "rollout/supervisor.h"
 #include "settings/toml_reader.h"
-#include "timeline/flight_model.h"
+#include "timeline/flight_record_codec.h"
 
 namespace ryeglade {
 namespace {
@@ -73,8 +73,8 @@
   for (const auto& n : plan.nodes) at[n.name] = n.keeper;
   std::vector<std::optional<Reply>> replies(orders.size());
   AllAtOnce(orders.size(), [&](std::size_t i) {
-    const HttpAnswer a = HttpCall("the keeper at", at.at(orders[i].node), "POST", "/keeper/command",
-                                  EncodeCommand(orders[i].command), PatienceMs(o), o.from);
+    const HttpResponse a = BlockingHttpCall("the keeper at", at.at(orders[i].node), "POST", "/keeper/command",
+                                            EncodeCommand(orders[i].command), PatienceMs(o), o.from);
     replies[i] = rollout::DecodeReply(a.body);
   });
   std::map<std::string, std::optional<Reply>> all;
@@ -86,7 +86,8 @@
   std::vector<std::optional<KeeperStatus>> seen(plan.nodes.size());
   AllAtOnce(plan.nodes.size(), [&](std::size_t i) {
     seen[i] = rollout::DecodeStatus(
-        HttpCall("the keeper at", plan.nodes[i].keeper, "GET", "/keeper", "", PatienceMs(o), o.from).body);
+        BlockingHttpCall("the keeper at", plan.nodes[i].keeper, "GET", "/keeper", "", PatienceMs(o), o.from)
+            .body);
   });
   std::map<std::string, std::optional<KeeperStatus>> all;
   for (std::size_t i = 0; i < plan.nodes.size(); ++i) all[plan.nodes[i].name] = std::move(seen[i]);
@@ -98,7 +99,8 @@
   std::vector<std::optional<rollout::TierSaid>> answers(plan.status.size());
   AllAtOnce(plan.status.size(), [&](std::size_t i) {
     answers[i] = rollout::ReadTierSaid(
-        HttpCall("the status address", plan.status[i], "GET", "/nodes", "", PatienceMs(o), o.from).body);
+        BlockingHttpCall("the status address", plan.status[i], "GET", "/nodes", "", PatienceMs(o), o.from)
+            .body);
   });
   std::vector<rollout::TierSaid> said;
   for (auto& a : answers) {
@@ -251,9 +253,10 @@
       }
       std::string said;
       try {
-        const auto j = nlohmann::json::parse(HttpCall("the keeper at", at->keeper, "POST", "/keeper/check",
-                                                      EncodeRelease(release), 25'000, o.from)
-                                                 .body);
+        const auto j =
+            nlohmann::json::parse(BlockingHttpCall("the keeper at", at->keeper, "POST", "/keeper/check",
+                                                   EncodeRelease(release), 25'000, o.from)
+                                      .body);
         said = j.value("good", false) ? "" : j.value("why", "no reason given");
       } catch (const std::exception& e) {
         said = e.what();
@@ -438,7 +441,7 @@
 std::string CompatText() {
   return nlohmann::json{{"version", RYEGLADE_VERSION},
                         {"membership-wire", {membership::kNeeds, membership::kSchema}},
-                        {"hand-over-state", {handover::kStateMajor, handover::kStateMajor}},
+                        {"hand-over-state", {hot_restart::kStateMajor, hot_restart::kStateMajor}},
                         {"keeper-protocol", {rollout::kProtocol, rollout::kProtocol}},
                         {"flight-record", {1, timeline::kFormat}}}
       .dump();
--- a/src/app/timeline_command.cpp
+++ b/src/app/timeline_command.cpp
@@ -16,17 +16,17 @@
 #include <stdexcept>
 #include <utility>
 
+#include "base/file_io.h"
 #include "base/gnuplot.h"
-#include "base/whole_file.h"
-#include "core/words.h"
+#include "core/enum_names.h"
 #include "timeline/export_model.h"
-#include "timeline/flight_model.h"
-#include "timeline/lane_model.h"
-#include "timeline/load.h"
+#include "timeline/flight_record_codec.h"
 #include "timeline/merge_model.h"
 #include "timeline/plot_model.h"
 #include "timeline/reader.h"
-#include "timeline/story_model.h"
+#include "timeline/record_loader.h"
+#include "timeline/replica_timeline_model.h"
+#include "timeline/request_trace_model.h"
 #include "timeline/verify.h"
 
 namespace ryeglade {
@@ -95,7 +95,7 @@
   for (const LaneRest& r : lane.rests) {
     lines.emplace_back(
         r.from, fmt::format("gets nothing new for {:.0f} ms: {}, {} failures in a row",
-                            static_cast<double>(r.until - r.from) / 1000, Word(r.outcome), r.failures));
+                            static_cast<double>(r.until - r.from) / 1000, Name(r.outcome), r.failures));
   }
   for (const LaneMark& m : lane.marks) lines.emplace_back(m.at, m.text);
   for (const LaneMark& m : lanes.marks()) lines.emplace_back(m.at, "(node) " + m.text);
@@ -163,7 +163,7 @@
   std::string whys;
   for (std::size_t w = 0; w < lanes.whys().size(); ++w) {
     if (lanes.whys()[w] > 0)
-      whys += fmt::format(" {}={}", Word(static_cast<policy::ConclusionReason>(w)), lanes.whys()[w]);
+      whys += fmt::format(" {}={}", Name(static_cast<policy::ConclusionReason>(w)), lanes.whys()[w]);
   }
   if (!whys.empty()) Say("refusals and failures by reason:" + whys + "\n");
   if (lanes.lanes_left_out() > 0) Say("more replicas than lanes: some are left out\n");
@@ -187,7 +187,7 @@
 }
 
 void WriteFile(const std::string& path, const std::string& text) {
-  const FileFault fault = ReplaceFile(path, text, 0644);
+  const FileError fault = ReplaceFile(path, text, 0644);
   if (fault.error != 0)
     throw std::runtime_error(fmt::format("{}: {}: {}", path, fault.what, std::strerror(fault.error)));
 }
@@ -357,7 +357,7 @@
   const std::vector<Lanes> nodes = LoadNodes(o_->paths, How(*o_, 100'000), &losses);
   const Merge merge(nodes);
   fs::create_directories(o_->csv);
-  for (const Sheet& sheet : Sheets(nodes.size() == 1 ? nodes.front() : merge.lanes())) {
+  for (const TextTable& sheet : Sheets(nodes.size() == 1 ? nodes.front() : merge.lanes())) {
     const std::string path = (fs::path(o_->csv) / (sheet.name + ".csv")).string();
     WriteFile(path, Csv(sheet));
     Say(fmt::format("{}: {} rows\n", path, sheet.rows()));
--- a/src/base/held_signals.cpp
+++ b/src/base/blocked_signals.cpp
@@ -1,4 +1,4 @@
-#include "base/held_signals.h"
+#include "base/blocked_signals.h"
 
 #include <csignal>
 
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void HoldSignals() { Change(SIG_BLOCK); }
-void ReleaseSignals() { Change(SIG_UNBLOCK); }
+void BlockSignals() { Change(SIG_BLOCK); }
+void UnblockSignals() { Change(SIG_UNBLOCK); }
 
 }  // namespace ryeglade
--- a/src/base/held_signals.h
+++ b/src/base/blocked_signals.h
@@ -5,7 +5,7 @@
 
 namespace ryeglade {
 
-void HoldSignals();     // as early as possible, before there are threads
-void ReleaseSignals();  // whatever came meanwhile is delivered now
+void BlockSignals();    // as early as possible, before there are threads
+void UnblockSignals();  // whatever came meanwhile is delivered now
 
 }  // namespace ryeglade
--- a/src/base/buffers.cpp
+++ b/src/base/buffer_pool.cpp
@@ -1,4 +1,4 @@
-#include "base/buffers.h"
+#include "base/buffer_pool.h"
 
 #include <algorithm>
 #include <cstring>
@@ -6,7 +6,7 @@
 
 namespace ryeglade {
 
-char* Buffers::Take() {
+char* BufferPool::Take() {
   if (taken_ >= most_) return nullptr;
   ++taken_;
   if (free_.empty()) return std::make_unique<char[]>(kSize).release();
@@ -15,19 +15,19 @@
   return buffer;
 }
 
-void Buffers::Return(char* buffer) {
+void BufferPool::Return(char* buffer) {
   --taken_;
   // Guards against keeping for good what one burst took.
   std::unique_ptr<char[]> owned(buffer);
   if (free_.size() < kMostFree) free_.push_back(std::move(owned));
 }
 
-Chain::Chain(Chain&& other) noexcept
+BufferChain::BufferChain(BufferChain&& other) noexcept
     : pool_(other.pool_), parts_(std::move(other.parts_)), size_(std::exchange(other.size_, 0)) {
   other.parts_.clear();
 }
 
-Chain& Chain::operator=(Chain&& other) noexcept {
+BufferChain& BufferChain::operator=(BufferChain&& other) noexcept {
   if (this == &other) return *this;
   Clear();
   pool_ = other.pool_;
@@ -36,15 +36,15 @@
   return *this;
 }
 
-bool Chain::Append(std::string_view bytes) {
+bool BufferChain::Append(std::string_view bytes) {
   while (!bytes.empty()) {
-    const std::size_t used = size_ % Buffers::kSize;
-    if (used == 0 && size_ == parts_.size() * Buffers::kSize) {
+    const std::size_t used = size_ % BufferPool::kSize;
+    if (used == 0 && size_ == parts_.size() * BufferPool::kSize) {
       char* fresh = pool_->Take();
       if (fresh == nullptr) return false;
       parts_.push_back(fresh);
     }
-    const std::size_t n = std::min(Buffers::kSize - used, bytes.size());
+    const std::size_t n = std::min(BufferPool::kSize - used, bytes.size());
     std::memcpy(parts_.back() + used, bytes.data(), n);
     size_ += n;
     bytes.remove_prefix(n);
@@ -52,23 +52,23 @@
   return true;
 }
 
-void Chain::Clear() {
+void BufferChain::Clear() {
   for (char* part : parts_) pool_->Return(part);
   parts_.clear();
   size_ = 0;
 }
 
-std::vector<std::string_view> Chain::Pieces() const {
+std::vector<std::string_view> BufferChain::Pieces() const {
   std::vector<std::string_view> pieces;
   std::size_t left = size_;
   for (const char* part : parts_) {
-    pieces.emplace_back(part, std::min(left, Buffers::kSize));
+    pieces.emplace_back(part, std::min(left, BufferPool::kSize));
     left -= pieces.back().size();
   }
   return pieces;
 }
 
-std::string Chain::Text() const {
+std::string BufferChain::Text() const {
   std::string text;
   text.reserve(size_);
   for (const std::string_view piece : Pieces()) text.append(piece);
--- a/src/base/buffers.h
+++ b/src/base/buffer_pool.h
@@ -10,11 +10,11 @@
 
 namespace ryeglade {
 
-class Buffers {
+class BufferPool {
  public:
   static constexpr std::size_t kSize = std::size_t{16} * 1024;
   static constexpr std::size_t kMostFree = 128;  // kept for the next use
-  explicit Buffers(std::size_t most_bytes) : most_(most_bytes / kSize) {}
+  explicit BufferPool(std::size_t most_bytes) : most_(most_bytes / kSize) {}
 
   void Limit(std::size_t most_bytes) { most_ = most_bytes / kSize; }  // what is out stays out
   char* Take();                                                       // nullptr: the pool is spent
@@ -28,14 +28,14 @@
   std::vector<std::unique_ptr<char[]>> free_;
 };
 
-class Chain {
+class BufferChain {
  public:
-  explicit Chain(Buffers* pool) : pool_(pool) {}
-  Chain(Chain&& other) noexcept;
-  Chain& operator=(Chain&& other) noexcept;
-  Chain(const Chain&) = delete;
-  Chain& operator=(const Chain&) = delete;
-  ~Chain() { Clear(); }
+  explicit BufferChain(BufferPool* pool) : pool_(pool) {}
+  BufferChain(BufferChain&& other) noexcept;
+  BufferChain& operator=(BufferChain&& other) noexcept;
+  BufferChain(const BufferChain&) = delete;
+  BufferChain& operator=(const BufferChain&) = delete;
+  ~BufferChain() { Clear(); }
 
   bool Append(std::string_view bytes);  // false: the pool is spent; what fitted is kept
   void Clear();
@@ -44,7 +44,7 @@
   std::string Text() const;  // a copy, in one piece
 
  private:
-  Buffers* pool_;
+  BufferPool* pool_;
   std::vector<char*> parts_;
   std::size_t size_ = 0;
 };
--- a/src/base/whole_file.cpp
+++ b/src/base/file_io.cpp
@@ -1,4 +1,4 @@
-#include "base/whole_file.h"
+#include "base/file_io.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -10,7 +10,7 @@
 
 namespace ryeglade {
 
-std::string ReadIfThere(const std::string& path) {
+std::string ReadFileIfPresent(const std::string& path) {
   // Not by stream iterators: they throw when a read fails.
   std::ifstream in(path, std::ios::binary);
   std::string text;
@@ -21,10 +21,10 @@
   return text;
 }
 
-FileFault ReplaceFile(const std::string& path, const std::string& text, mode_t mode) {
+FileError ReplaceFile(const std::string& path, const std::string& text, mode_t mode) {
   // Two processes of one node may replace the same file during a hot restart.
   const std::string fresh = path + "." + std::to_string(getpid()) + ".new";
-  FileFault fault{0, "cannot be written"};
+  FileError fault{0, "cannot be written"};
   const int fd = open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, mode);
   if (fd < 0) return {errno, fault.what};
   for (std::size_t at = 0; at < text.size() && fault.error == 0;) {
--- a/src/base/whole_file.h
+++ b/src/base/file_io.h
@@ -7,16 +7,16 @@
 
 namespace ryeglade {
 
-struct FileFault {
+struct FileError {
   int error = 0;          // errno; 0: none
   const char* what = "";  // which step failed, in words
 };
 
 // What can be read of a file; empty where it can't be read, also when it goes away while it is read, as a
 // process's files under /proc do. Waits for the disk.
-std::string ReadIfThere(const std::string& path);
+std::string ReadFileIfPresent(const std::string& path);
 
 // Waits for the disk.
-FileFault ReplaceFile(const std::string& path, const std::string& text, mode_t mode);
+FileError ReplaceFile(const std::string& path, const std::string& text, mode_t mode);
 
 }  // namespace ryeglade
--- a/src/base/runtime.h
+++ b/src/base/runtime.h
@@ -3,7 +3,7 @@
 
 #include <uv.h>
 
-#include "base/buffers.h"
+#include "base/buffer_pool.h"
 #include "base/deadlines.h"
 
 namespace ryeglade {
@@ -11,7 +11,7 @@
 struct Runtime {
   uv_loop_t* loop = nullptr;
   Deadlines* deadlines = nullptr;
-  Buffers* buffers = nullptr;
+  BufferPool* buffers = nullptr;
 };
 
 }  // namespace ryeglade
--- a/src/base/slots.h
+++ b/src/base/slot_table.h
@@ -14,7 +14,7 @@
 using Handle = std::uint64_t;  // generation in the upper half, slot in the lower; 0: none
 
 template <class T>
-class Slots {
+class SlotTable {
  public:
   Handle Add(T value) {
     if (free_.empty()) {
@@ -36,7 +36,7 @@
     return slot.value && slot.generation == handle >> 32 ? &*slot.value : nullptr;
   }
 
-  const T* Get(Handle handle) const { return const_cast<Slots*>(this)->Get(handle); }
+  const T* Get(Handle handle) const { return const_cast<SlotTable*>(this)->Get(handle); }
 
   void Remove(Handle handle) {
     if (Get(handle) == nullptr) return;
--- a/src/base/state_file.cpp
+++ b/src/base/state_file.cpp
@@ -5,8 +5,8 @@
 #include <iterator>
 #include <utility>
 
+#include "base/file_io.h"
 #include "base/log.h"
-#include "base/whole_file.h"
 
 namespace ryeglade {
 namespace {
@@ -34,7 +34,7 @@
   bool write = false;
   std::string text;
   std::optional<std::string> read;
-  FileFault fault;
+  FileError fault;
 };
 
 StateFile::StateFile(uv_loop_t* loop, std::string path, std::function<void(const std::string&)> changed)
--- a/src/base/tcp.cpp
+++ b/src/base/tcp.cpp
@@ -40,7 +40,7 @@
   return uv_ip4_addr(host.c_str(), static_cast<int>(port), reinterpret_cast<sockaddr_in*>(address)) == 0;
 }
 
-Tcp* Tcp::New(uv_loop_t* loop, Buffers* pool, TcpOwner* owner, Handle handle) {
+Tcp* Tcp::New(uv_loop_t* loop, BufferPool* pool, TcpOwner* owner, Handle handle) {
   Tcp* tcp = new Tcp(pool, owner, handle);
   uv_tcp_init(loop, &tcp->tcp_);
   tcp->tcp_.data = tcp;
--- a/src/base/tcp.h
+++ b/src/base/tcp.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <string_view>
 
-#include "base/buffers.h"
-#include "base/slots.h"
+#include "base/buffer_pool.h"
+#include "base/slot_table.h"
 
 namespace ryeglade {
 
@@ -27,7 +27,7 @@
 
 class Tcp {
  public:
-  static Tcp* New(uv_loop_t* loop, Buffers* pool, TcpOwner* owner, Handle handle);
+  static Tcp* New(uv_loop_t* loop, BufferPool* pool, TcpOwner* owner, Handle handle);
   bool Accept(uv_stream_t* listener);
   bool Open(int fd);                       // an accepted connection, from here on this one's, or closed
   int Bind(const sockaddr_storage& from);  // before Connect: the address to come from; a libuv error code
@@ -50,7 +50,7 @@
   void Close();                    // the object is gone once the loop has closed the socket
 
  private:
-  Tcp(Buffers* pool, TcpOwner* owner, Handle handle)
+  Tcp(BufferPool* pool, TcpOwner* owner, Handle handle)
       : pool_(pool), owner_(owner), handle_(handle), sending_(pool), queued_(pool) {}
   uv_stream_t* stream() { return reinterpret_cast<uv_stream_t*>(&tcp_); }
   const uv_stream_t* stream() const { return reinterpret_cast<const uv_stream_t*>(&tcp_); }
@@ -60,10 +60,10 @@
   uv_connect_t connect_{};
   uv_write_t write_{};
   uv_shutdown_t shutdown_{};
-  Buffers* pool_;
+  BufferPool* pool_;
   TcpOwner* owner_;
   Handle handle_;
-  Chain sending_, queued_;
+  BufferChain sending_, queued_;
   bool closing_ = false;
 };
 
--- a/src/base/sheet.cpp
+++ b/src/base/text_table.cpp
@@ -1,4 +1,4 @@
-#include "base/sheet.h"
+#include "base/text_table.h"
 
 #include <fmt/format.h>
 
@@ -16,7 +16,7 @@
 }
 
 template <class T>
-const T& Find(const Sheet& sheet, const std::string& name, const char* kind) {
+const T& Find(const TextTable& sheet, const std::string& name, const char* kind) {
   for (const Column& c : sheet.columns) {
     if (c.name != name) continue;
     if (const auto* values = std::get_if<T>(&c.values)) return *values;
@@ -27,19 +27,21 @@
 
 }  // namespace
 
-std::size_t Sheet::rows() const {
+std::size_t TextTable::rows() const {
   return columns.empty() ? 0 : std::visit([](const auto& v) { return v.size(); }, columns.front().values);
 }
 
-const Numbers& Sheet::NumbersOf(const std::string& column) const {
+const Numbers& TextTable::NumbersOf(const std::string& column) const {
   return Find<Numbers>(*this, column, "numbers");
 }
-const Wholes& Sheet::WholesOf(const std::string& column) const {
+const Wholes& TextTable::WholesOf(const std::string& column) const {
   return Find<Wholes>(*this, column, "whole numbers");
 }
-const Texts& Sheet::TextsOf(const std::string& column) const { return Find<Texts>(*this, column, "words"); }
+const Texts& TextTable::TextsOf(const std::string& column) const {
+  return Find<Texts>(*this, column, "words");
+}
 
-std::string Csv(const Sheet& sheet) {
+std::string Csv(const TextTable& sheet) {
   std::string out;
   for (std::size_t c = 0; c < sheet.columns.size(); ++c) out += (c > 0 ? "," : "") + sheet.columns[c].name;
   out += '\n';
--- a/src/base/sheet.h
+++ b/src/base/text_table.h
@@ -18,7 +18,7 @@
   std::string name;  // with its unit
   std::variant<Numbers, Wholes, Texts> values;
 };
-struct Sheet {
+struct TextTable {
   std::string name;
   std::vector<Column> columns;  // of one length
   std::size_t rows() const;
@@ -29,7 +29,7 @@
 };
 
 // A NaN is an empty field; words that need it are quoted.
-std::string Csv(const Sheet& sheet);
+std::string Csv(const TextTable& sheet);
 
 // Adds rows field by field, in the order of the columns.
 class Rows {
@@ -40,7 +40,7 @@
     std::size_t at = 0;
     (One(at++, fields), ...);
   }
-  Sheet Take() { return std::move(sheet_); }
+  TextTable Take() { return std::move(sheet_); }
 
  private:
   void One(std::size_t at, double v) { std::get<Numbers>(sheet_.columns[at].values).push_back(v); }
@@ -50,7 +50,7 @@
   void One(std::size_t at, T v) {
     std::get<Wholes>(sheet_.columns[at].values).push_back(static_cast<std::int64_t>(v));
   }
-  Sheet sheet_;
+  TextTable sheet_;
 };
 
 }  // namespace ryeglade
--- a/src/columns/columnar_file.cpp
+++ b/src/columnar/columnar_file.cpp
@@ -1,4 +1,4 @@
-#include "columns/columnar_file.h"
+#include "columnar/columnar_file.h"
 
 #include <H5Cpp.h>
 
@@ -7,7 +7,7 @@
 #include <filesystem>
 #include <stdexcept>
 
-#include "base/whole_file.h"
+#include "base/file_io.h"
 
 namespace ryeglade {
 namespace {
@@ -60,7 +60,7 @@
     const char* pointer = text.c_str();
     out.createAttribute(name, TextType(), H5::DataSpace()).write(TextType(), &pointer);
   }
-  for (const Sheet& sheet : file.sheets) {
+  for (const TextTable& sheet : file.sheets) {
     H5::Group group = out.createGroup(sheet.name);
     for (const Column& column : sheet.columns) Write(group, column);
     const auto rows = static_cast<std::int64_t>(sheet.rows());
@@ -112,8 +112,8 @@
 
 }  // namespace
 
-const Sheet& ColumnarFile::Of(const std::string& name) const {
-  for (const Sheet& s : sheets) {
+const TextTable& ColumnarFile::Of(const std::string& name) const {
+  for (const TextTable& s : sheets) {
     if (s.name == name) return s;
   }
   throw std::runtime_error("there is no table " + name);
@@ -127,7 +127,7 @@
   } catch (const H5::Exception& e) {
     throw std::runtime_error(path + ": cannot be made: " + e.getDetailMsg());
   }
-  const FileFault fault = ReplaceFile(path, bytes, 0644);
+  const FileError fault = ReplaceFile(path, bytes, 0644);
   if (fault.error != 0)
     throw std::runtime_error(path + ": " + fault.what + ": " + std::strerror(fault.error));
 }
@@ -148,7 +148,7 @@
     }
     for (hsize_t g = 0; g < in.getNumObjs(); ++g) {
       if (in.childObjType(g) != H5O_TYPE_GROUP) continue;
-      Sheet sheet;
+      TextTable sheet;
       sheet.name = in.getObjnameByIdx(g);
       const H5::Group group = in.openGroup(sheet.name);
       for (hsize_t c = 0; c < group.getNumObjs(); ++c)
--- a/src/columns/columnar_file.h
+++ b/src/columnar/columnar_file.h
@@ -8,14 +8,14 @@
 #include <string>
 #include <vector>
 
-#include "base/sheet.h"
+#include "base/text_table.h"
 
 namespace ryeglade {
 
 struct ColumnarFile {
   std::map<std::string, std::string> notes;
-  std::vector<Sheet> sheets;
-  const Sheet& Of(const std::string& name) const;  // throws std::runtime_error where it is not there
+  std::vector<TextTable> sheets;
+  const TextTable& Of(const std::string& name) const;  // throws std::runtime_error where it is not there
 };
 
 // The file is there whole or as it was before. Waits for the disk; throws std::runtime_error saying which
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -4,8 +4,8 @@
 
 #include "base/runtime.h"
 #include "core/dialect.h"
+#include "core/node_counters.h"
 #include "core/ports.h"
-#include "core/tally.h"
 #include "settings/config.h"
 
 namespace ryeglade {
@@ -14,16 +14,16 @@
   const Config* config = nullptr;
   Dialect* dialect = nullptr;  // that the upstream hosts speak
   EventPort* events = nullptr;
-  VerdictPort* verdicts = nullptr;
-  AnswerPort* answers = nullptr;
+  ConclusionPort* conclusions = nullptr;
+  ResponsePort* responses = nullptr;
   AttemptPort* attempts = nullptr;
-  FlowPort* flow = nullptr;
-  HostPort* hosts = nullptr;
-  MembershipPort* membership = nullptr;
-  StreamTap* stream_tap = nullptr;          // null: nobody listens, at no cost
-  MembershipTap* membership_tap = nullptr;  // the same
-  Tally* tally = nullptr;                   // what was done, for the counters; never null once put together
-  const RepeatPort* repeats = nullptr;
+  UpstreamRequestPort* upstream_requests = nullptr;
+  UpstreamHostPort* hosts = nullptr;
+  EndpointDiscoveryPort* discovery = nullptr;
+  StreamObserver* stream_observer = nullptr;      // null: nobody observes, at no cost
+  EndpointObserver* endpoint_observer = nullptr;  // the same
+  NodeCounters* counters = nullptr;  // what was done, for the counters; never null once put together
+  const RetrySafetyPort* retry_safety = nullptr;
 };
 
 }  // namespace ryeglade
--- a/src/core/decisions.cpp
+++ b/src/core/decisions.cpp
@@ -4,8 +4,8 @@
 #include <variant>
 
 #include "base/log.h"
+#include "core/enum_names.h"
 #include "core/streams.h"
-#include "core/words.h"
 
 namespace ryeglade {
 namespace {
@@ -27,11 +27,11 @@
 void Decisions::OnDispatch(const policy::DispatchRecord& note) { observer_->OnDispatch(note); }
 
 void Decisions::OnConclusion(const policy::ConclusionRecord& note) {
-  const Stream* stream = core_->answers->Get(note.id);
-  if (core_->tally != nullptr) ++core_->tally->given_up[Word(note.reason)];
+  const Stream* stream = core_->responses->Find(note.id);
+  if (core_->counters != nullptr) ++core_->counters->given_up[Name(note.reason)];
   Log(Level::kInfo, "request-given-up",
       {{"id", stream != nullptr ? stream->request.call_id.c_str() : "-"},
-       {"why", Word(note.reason)},
+       {"why", Name(note.reason)},
        {"attempts", note.attempts},
        {"held_ms", note.open_for / 1000},
        {"queue", note.queue_length},
@@ -44,7 +44,7 @@
   if (observer_ != nullptr) observer_->OnEjection(note);
 }
 
-void Decisions::Tap(DecisionTap* tap) {
+void Decisions::Tap(DecisionRecorder* tap) {
   taps_.push_back(tap);
   tap->OnStart(core_->config->settings_text, core_->config->seed, start_);
 }
@@ -59,7 +59,7 @@
     actions_.clear();
     const Time now = Now();
     router_.Handle(now, next, actions_);
-    for (DecisionTap* tap : taps_) tap->OnDecision(now, next, actions_);
+    for (DecisionRecorder* tap : taps_) tap->OnDecision(now, next, actions_);
     for (const policy::Action& action : actions_) CarryOut(action);
   }
   busy_ = false;
@@ -71,15 +71,15 @@
       Overloaded{
           [&](const SendAttempt& a) { core_->attempts->Send(a.id, a.replica, a.timeout, a.write_within); },
           [&](const CancelAttempt& a) { core_->attempts->CancelAttempt(a.id, a.attempt); },
-          [&](const RejectRequest& a) { core_->verdicts->Refuse(a.id, a.retry_after); },
-          [&](const FailRequest& a) { core_->verdicts->Fail(a.id); },
-          [&](const MigrateStream& a) { core_->verdicts->Move(a.id); },
+          [&](const RejectRequest& a) { core_->conclusions->Reject(a.id, a.retry_after); },
+          [&](const FailRequest& a) { core_->conclusions->Fail(a.id); },
+          [&](const MigrateStream& a) { core_->conclusions->Migrate(a.id); },
           [&](const SetTimer& a) {
             core_->deadlines->Set(Now() + a.delay, [this, token = a.token] { Post(TimerFired{token}); });
           },
-          [&](const CheckHealth& a) { core_->attempts->Probe(a.replica); },
-          [&](const WatchEndpoints& a) { core_->membership->Watch(a.enabled); },
-          [&](const PollEndpoints&) { core_->membership->Fetch(); },
+          [&](const CheckHealth& a) { core_->attempts->CheckHealth(a.replica); },
+          [&](const WatchEndpoints& a) { core_->discovery->Watch(a.enabled); },
+          [&](const PollEndpoints&) { core_->discovery->Poll(); },
       },
       action);
 }
--- a/src/core/decisions.h
+++ b/src/core/decisions.h
@@ -10,13 +10,13 @@
 
 namespace ryeglade {
 
-class Decisions : public EventPort, public RepeatPort, private policy::DecisionObserver {
+class Decisions : public EventPort, public RetrySafetyPort, private policy::DecisionObserver {
  public:
   explicit Decisions(Core* core);
   void Post(policy::Event event) override;
-  bool MayRepeat(Handle stream) const override { return router_.may_reject(stream); }
+  bool IsSafeToRetry(Handle stream) const override { return router_.may_reject(stream); }
   // Before the first event; none: nobody listens, at no cost.
-  void Tap(DecisionTap* tap);
+  void Tap(DecisionRecorder* tap);
   // Whoever else wants the decision module's reasons. Must be set before the first event; not owned.
   void Observe(policy::DecisionObserver* observer) { observer_ = observer; }
   const policy::Router& router() const { return router_; }
@@ -35,7 +35,7 @@
 
   Core* core_;
   Time start_;
-  std::vector<DecisionTap*> taps_;
+  std::vector<DecisionRecorder*> taps_;
   policy::DecisionObserver* observer_ = nullptr;
   policy::Router router_;
   std::deque<policy::Event> events_;
--- a/src/core/dialect.h
+++ b/src/core/dialect.h
@@ -15,20 +15,20 @@
 struct StreamRequest;
 
 // What a whole answer comes to.
-struct AnswerEnd {
+struct ResponseResult {
   policy::Outcome outcome = policy::Outcome::kError;
   bool client_fault = false;     // the request itself is wrong: status and body pass on, nobody else is asked
   policy::Time retry_after = 0;  // the host's own word for how long to stay away, microseconds; 0: none
 };
 
 // What an answer told beside its events.
-struct AnswerNotes {
+struct ResponseMetadata {
   double kept_tokens = 0;   // of the prompt, found in the host's cache
   std::string load_report;  // "name=value,..."; empty: none
 };
 
 // Reads one answer, from its head on.
-class AnswerReader {
+class ResponseReader {
  public:
   enum class Body : std::uint8_t {
     kIdle,    // nothing of the stream's own: padding that keeps a connection alive
@@ -36,14 +36,14 @@
     kSpoilt,  // this can't be, or has ceased to be, a stream that may be passed on
   };
 
-  virtual ~AnswerReader() = default;
+  virtual ~ResponseReader() = default;
   virtual void OnHeader(const std::string& name, const std::string& value) = 0;
   virtual void OnBytes(std::string_view body) = 0;   // of any answer, as they come
   virtual Body OnEvents(std::string_view body) = 0;  // of a stream, the same bytes as they come
   virtual bool opened() const = 0;                   // a whole event has come
   // The last chunk has come. `opened` as above; a probe has no events.
-  virtual AnswerEnd AtEnd(int status, bool probe) const = 0;
-  virtual AnswerNotes Notes(bool probe) const = 0;
+  virtual ResponseResult AtEnd(int status, bool probe) const = 0;
+  virtual ResponseMetadata Notes(bool probe) const = 0;
   virtual std::string error_body() const { return ""; }
 };
 
@@ -63,7 +63,7 @@
   virtual std::string RequestHead(const StreamRequest& request, const std::string& host,
                                   policy::Time left) const = 0;
   virtual std::string ProbeHead(const std::string& host) const = 0;
-  virtual std::unique_ptr<AnswerReader> NewReader() const = 0;
+  virtual std::unique_ptr<ResponseReader> NewReader() const = 0;
 };
 
 }  // namespace ryeglade
--- a/src/core/holds_model.cpp
+++ b/src/core/disabled_replicas_model.cpp
@@ -1,4 +1,4 @@
-#include "core/holds_model.h"
+#include "core/disabled_replicas_model.h"
 
 #include <charconv>
 #include <string_view>
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-std::string EncodeHolds(const Holds& holds, const std::string& node) {
+std::string EncodeDisabledReplicas(const DisabledReplicas& holds, const std::string& node) {
   std::string text = std::string(kHead) + node + "\n";
   const auto put = [&](const char* word, const std::map<std::string, std::int64_t>& names) {
     for (const auto& [name, at] : names) {
@@ -31,8 +31,9 @@
   return text + "end\n";
 }
 
-std::optional<Holds> DecodeHolds(const std::string& text, const std::string& node, std::string* why) {
-  const auto fail = [&](const char* what) -> std::optional<Holds> {
+std::optional<DisabledReplicas> DecodeDisabledReplicas(const std::string& text, const std::string& node,
+                                                       std::string* why) {
+  const auto fail = [&](const char* what) -> std::optional<DisabledReplicas> {
     *why = what;
     return std::nullopt;
   };
@@ -47,7 +48,7 @@
   const auto head = line();
   if (!head || head->substr(0, kHead.size()) != kHead) return fail("not a holds file of this version");
   if (head->substr(kHead.size()) != node) return fail("of another node");
-  Holds holds;
+  DisabledReplicas holds;
   for (std::size_t n = 0;; ++n) {
     const auto one = line();
     if (!one) return fail("torn: no end");
--- a/src/core/discovery.cpp
+++ b/src/core/discovery.cpp
@@ -109,7 +109,7 @@
   Start(false, true);
 }
 
-void Discovery::Fetch() {
+void Discovery::Poll() {
   if (calls_.size() < kSockets) return Start(false);
   Dark("fetch", "crowded");
   core_->events->Post(EndpointList{EndpointListScope::kFailed, 0, {}});
@@ -166,7 +166,8 @@
 }
 
 void Discovery::Dark(const char* source, const char* why) {
-  if (core_->membership_tap != nullptr) core_->membership_tap->OnRoster(Now(), source, generation_, why);
+  if (core_->endpoint_observer != nullptr)
+    core_->endpoint_observer->OnEndpointList(Now(), source, generation_, why);
 }
 
 void Discovery::Drop(Handle handle) {
@@ -370,8 +371,8 @@
       told_[e.id] = e;
       Overlay(holds_, name->get_ref<const std::string&>(), e);
       core_->hosts->SetHost(e.id, host_port);
-      if (core_->membership_tap != nullptr)
-        core_->membership_tap->OnMember(Now(), e, name->get_ref<const std::string&>(), host_port);
+      if (core_->endpoint_observer != nullptr)
+        core_->endpoint_observer->OnEndpoint(Now(), e, name->get_ref<const std::string&>(), host_port);
       listed[e.id] = true;
     }
     told.endpoints.push_back(e);
@@ -395,7 +396,8 @@
          {"entries", told.endpoints.size()},
          {"hosts", hosts_.size()}});
   }
-  if (core_->membership_tap != nullptr) core_->membership_tap->OnRoster(Now(), source, generation_, "");
+  if (core_->endpoint_observer != nullptr)
+    core_->endpoint_observer->OnEndpointList(Now(), source, generation_, "");
   Tell(std::move(told));
   for (const ReplicaId id : left) {
     if (hosts_.contains(id)) continue;
@@ -418,11 +420,11 @@
     if (e.state != EndpointState::kReady) closed.push_back(e.id);
   }
   core_->events->Post(std::move(list));
-  for (const ReplicaId id : closed) core_->hosts->Withhold(id);
+  for (const ReplicaId id : closed) core_->hosts->DropUnsent(id);
 }
 
 // What an operator said comes before what the lists say.
-void Discovery::Overlay(const Holds& holds, const std::string& name, policy::Endpoint& e) {
+void Discovery::Overlay(const DisabledReplicas& holds, const std::string& name, policy::Endpoint& e) {
   if (holds.out.contains(name) && e.state == EndpointState::kReady) e.state = EndpointState::kDraining;
   if (const auto back = holds.back.find(name); back != holds.back.end()) {
     e.started_at = std::max(e.started_at, back->second);
@@ -444,7 +446,7 @@
   return held(id) || (told != told_.end() && told->second.state != EndpointState::kReady);
 }
 
-void Discovery::Adopt(const Holds& holds) {
+void Discovery::Adopt(const DisabledReplicas& holds) {
   EndpointList told{EndpointListScope::kDelta, static_cast<std::uint32_t>(generation_), {}};
   for (const auto& [id, entry] : told_) {
     const auto name = names_.find(id);
--- a/src/core/discovery.h
+++ b/src/core/discovery.h
@@ -11,19 +11,19 @@
 #include <string>
 #include <string_view>
 
-#include "base/slots.h"
+#include "base/slot_table.h"
 #include "base/tcp.h"
 #include "core/core.h"
-#include "core/holds_model.h"
+#include "core/disabled_replicas_model.h"
 #include "core/json_object_reader_model.h"
-#include "core/start_times_model.h"
+#include "core/replica_incarnations_model.h"
 
 namespace ryeglade {
 
 // The generation that a list in discovery's form tells; 0: it is none.
 std::uint64_t GenerationOf(const std::string& list);
 
-class Discovery : public TcpOwner, public MembershipPort {
+class Discovery : public TcpOwner, public EndpointDiscoveryPort {
  public:
   static constexpr std::size_t kSockets = 4;
   explicit Discovery(Core* core) : core_(core), address_(core->config->discovery) {}
@@ -35,7 +35,7 @@
   void KeepWatch();
   // Called once, when a first list has come from discovery or the first call for one has failed.
   void OnFirstAnswer(std::function<void()> heard) { first_answer_ = std::move(heard); }
-  void Fetch() override;
+  void Poll() override;
   // Another address from here on. The watch at the old one is kept until the new one has given a whole list:
   // versions of the one say nothing about versions of the other.
   void MoveTo(const std::string& address);
@@ -50,8 +50,8 @@
   bool Hold(const std::string& instance, bool out);
   // What operators said, to hand to another process of this node, and taken from one: it replaces what was
   // said here, and the module is told what changes for the hosts that are listed.
-  const Holds& holds() const { return holds_; }
-  void Adopt(const Holds& holds);
+  const DisabledReplicas& holds() const { return holds_; }
+  void Adopt(const DisabledReplicas& holds);
   std::size_t listed() const { return hosts_.size(); }
   const std::map<policy::ReplicaId, bool>& hosts() const { return hosts_; }
   std::string NameOf(policy::ReplicaId id) const;  // empty: not known
@@ -96,14 +96,14 @@
   bool ApplyLeft(std::string_view text);
   bool TakesOutOfUse(const nlohmann::json& entry) const;
   bool Apply(const nlohmann::json& list, policy::EndpointListScope scope, const char* source);
-  static void Overlay(const Holds& holds, const std::string& name, policy::Endpoint& e);
+  static void Overlay(const DisabledReplicas& holds, const std::string& name, policy::Endpoint& e);
   void Dark(const char* source, const char* why);
   void FirstAnswer();
   int IndexOf(const std::vector<std::string>& names, const nlohmann::json& entry, const char* key) const;
   static const http_parser_settings& Callbacks();
 
   Core* core_;
-  Slots<Call> calls_;
+  SlotTable<Call> calls_;
   std::string address_;
   bool begun_ = false;    // the list known at the start has been taken
   bool strange_ = false;  // no whole list from that address has come yet
@@ -118,8 +118,8 @@
   std::map<policy::ReplicaId, std::string> names_;
   std::map<policy::ReplicaId, bool> hosts_;             // listed now
   std::map<policy::ReplicaId, policy::Endpoint> told_;  // each listed host as the lists last told it
-  StartTimes start_times_;
-  Holds holds_;  // what operators said, by name, since ids are reused
+  ReplicaIncarnations start_times_;
+  DisabledReplicas holds_;  // what operators said, by name, since ids are reused
 };
 
 }  // namespace ryeglade
--- a/src/core/words.cpp
+++ b/src/core/enum_names.cpp
@@ -1,4 +1,4 @@
-#include "core/words.h"
+#include "core/enum_names.h"
 
 #include <array>
 #include <cstddef>
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-const char* Word(policy::Outcome outcome) { return At(kOutcomes, static_cast<std::size_t>(outcome)); }
-const char* Word(policy::ConclusionReason why) { return At(kReasons, static_cast<std::size_t>(why)); }
+const char* Name(policy::Outcome outcome) { return At(kOutcomes, static_cast<std::size_t>(outcome)); }
+const char* Name(policy::ConclusionReason why) { return At(kReasons, static_cast<std::size_t>(why)); }
 
 }  // namespace ryeglade
--- a/src/core/words.h
+++ b/src/core/enum_names.h
@@ -6,7 +6,7 @@
 
 namespace ryeglade {
 
-const char* Word(policy::Outcome outcome);
-const char* Word(policy::ConclusionReason why);
+const char* Name(policy::Outcome outcome);
+const char* Name(policy::ConclusionReason why);
 
 }  // namespace ryeglade
--- a/src/core/learned_model.cpp
+++ b/src/core/learned_state_codec.cpp
@@ -1,4 +1,4 @@
-#include "core/learned_model.h"
+#include "core/learned_state_codec.h"
 
 #include <algorithm>
 #include <cmath>
@@ -154,11 +154,11 @@
 // The newest of a table; the rest goes.
 template <class M, class At>
 void Newest(M& table, At at) {
-  if (table.size() <= kMostLearnedKeys) return;
+  if (table.size() <= kMaxLearnedKeys) return;
   std::vector<std::int64_t> times;
   times.reserve(table.size());
   for (const auto& [key, value] : table) times.push_back(at(value));
-  const auto nth = times.end() - static_cast<std::ptrdiff_t>(kMostLearnedKeys);
+  const auto nth = times.end() - static_cast<std::ptrdiff_t>(kMaxLearnedKeys);
   std::nth_element(times.begin(), nth, times.end());
   const std::int64_t oldest = *nth;
   std::erase_if(table, [&](const auto& e) { return at(e.second) <= oldest; });
@@ -195,7 +195,7 @@
 
 }  // namespace
 
-std::string EncodeLearned(const LearnedState& learned) {
+std::string EncodeLearnedState(const LearnedState& learned) {
   LearnedState all = learned;
   Newest(all.cached_prefixes, [](const LearnedState::CachedPrefix& k) { return k.cached_at; });
   Newest(all.key_traffic, [](const LearnedState::KeyTraffic& k) { return k.long_term.updated_at; });
@@ -203,7 +203,7 @@
   return {bytes.begin(), bytes.end()};
 }
 
-std::optional<LearnedState> DecodeLearned(const std::string& bytes, std::string* why) {
+std::optional<LearnedState> DecodeLearnedState(const std::string& bytes, std::string* why) {
   try {
     const json j = json::from_msgpack(bytes, true, false);
     if (!j.is_object()) throw std::runtime_error("not what a process of ours writes");
--- a/src/core/learned_model.h
+++ b/src/core/learned_state_codec.h
@@ -12,11 +12,11 @@
 namespace ryeglade {
 
 // Of sessions and beginnings that are kept somewhere, and of keys, so many of the newest pass over.
-inline constexpr std::size_t kMostLearnedKeys = 8192;
+inline constexpr std::size_t kMaxLearnedKeys = 8192;
 
-std::string EncodeLearned(const policy::LearnedState& learned);
+std::string EncodeLearnedState(const policy::LearnedState& learned);
 // Null where it is not ours or a number is out of all bounds (not finite, negative where that means nothing):
 // then nothing of it is used. `why` says what was wrong.
-std::optional<policy::LearnedState> DecodeLearned(const std::string& bytes, std::string* why);
+std::optional<policy::LearnedState> DecodeLearnedState(const std::string& bytes, std::string* why);
 
 }  // namespace ryeglade
--- a/src/core/tally.h
+++ b/src/core/node_counters.h
@@ -1,5 +1,5 @@
-// Tally: what the node has done, counted from 0 in each process, for the admin listener's counters. The
-// streams and the upstream add to it; nothing decides on it.
+// NodeCounters: what the node has done, counted from 0 in each process, for the admin listener's counters.
+// The streams and the upstream add to it; nothing decides on it.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace ryeglade {
 
-struct Tally {
+struct NodeCounters {
   struct Ends {
     std::uint64_t success = 0, busy = 0, failure = 0;  // served, refused, failed
     std::uint64_t in_time = 0;                         // of those served: first token within the class's aim
--- a/src/core/start_times_model.cpp
+++ b/src/core/replica_incarnations_model.cpp
@@ -1,8 +1,8 @@
-#include "core/start_times_model.h"
+#include "core/replica_incarnations_model.h"
 
 namespace ryeglade {
 
-policy::Time StartTimes::Take(policy::ReplicaId id, policy::Time told, policy::Time now) {
+policy::Time ReplicaIncarnations::Take(policy::ReplicaId id, policy::Time told, policy::Time now) {
   const auto before = heard_.find(id);
   if (before != heard_.end() && before->second.told == told) return before->second.at;
   if (told <= now) {
@@ -13,6 +13,6 @@
   return now;
 }
 
-void StartTimes::Forget(policy::ReplicaId id) { heard_.erase(id); }
+void ReplicaIncarnations::Forget(policy::ReplicaId id) { heard_.erase(id); }
 
 }  // namespace ryeglade
--- a/src/core/start_times_model.h
+++ b/src/core/replica_incarnations_model.h
@@ -9,7 +9,7 @@
 
 namespace ryeglade {
 
-class StartTimes {
+class ReplicaIncarnations {
  public:
   // `told`: the start as discovery told it; 0: long ago. The result is never later than `now` and stays the
   // same for as long as the same start is told. Microseconds.
--- a/src/core/streams.cpp
+++ b/src/core/streams.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "base/log.h"
-#include "core/words.h"
+#include "core/enum_names.h"
 
 namespace ryeglade {
 namespace {
@@ -25,7 +25,7 @@
   const auto cls = static_cast<std::size_t>(request.arrival.class_index);
   const std::string class_name = cls < classes.size() ? classes[cls].name : "";
   if (end_by_ != 0 && now >= take_until_) {
-    if (core_->tally != nullptr) ++core_->tally->by_class[class_name].busy;
+    if (core_->counters != nullptr) ++core_->counters->by_class[class_name].busy;
     sink->OnRefused(client, kEndingRetryAfter);
     return 0;
   }
@@ -41,7 +41,7 @@
   s.request.arrival.id = handle;
   s.request.arrival.time_budget = patience;
   Bound(s, handle, now + patience);
-  if (core_->stream_tap != nullptr) core_->stream_tap->OnNamed(now, handle, s.request.call_id);
+  if (core_->stream_observer != nullptr) core_->stream_observer->OnCallId(now, handle, s.request.call_id);
   core_->events->Post(s.request.arrival);
   return handle;
 }
@@ -66,7 +66,7 @@
     if (s == nullptr || s->started || s->deadline <= at) continue;
     Bound(*s, handle, at);
     const Time left = std::max<Time>(0, at - Now());
-    core_->flow->EndBy(s->upstream_request, at - Margin(left, kTimeoutMargin));
+    core_->upstream_requests->ShortenDeadline(s->upstream_request, at - Margin(left, kTimeoutMargin));
     core_->events->Post(policy::DeadlineShortened{handle, left});
   }
   if (core_->config->settings.can_migrate_streams) {
@@ -90,7 +90,7 @@
   for (const Handle handle : all) {
     if (!table_.Get(handle)->started) continue;
     if (moved++ == kMoveAtOnce) break;
-    Move(handle);
+    Migrate(handle);
   }
   if (moved > 0) Log(Level::kInfo, "moving", {{"streams", table_.size()}});
   move_on_ = core_->deadlines->Set(Now() + kMoveEvery, [this] { MoveOn(); });
@@ -105,17 +105,17 @@
   core_->events->Post(policy::DeadlineShortened{handle, 0});
   s = table_.Get(handle);
   if (s == nullptr) return;
-  core_->flow->EndNow(s->upstream_request);
+  core_->upstream_requests->Abort(s->upstream_request);
   s = table_.Get(handle);
   if (s == nullptr) return;
   Log(Level::kError, "guard-reply",
       {{"id", s->request.call_id}, {"out", s->upstream_request != 0}, {"written", s->written}});
-  if (core_->tally != nullptr) ++core_->tally->guard_replies;
+  if (core_->counters != nullptr) ++core_->counters->guard_replies;
   core_->events->Post(policy::ClientDisconnected{handle});  // to the module it is over
   Fail(handle);
 }
 
-bool Streams::StillWanted(Handle handle) {
+bool Streams::CheckClientConnected(Handle handle) {
   const Stream* s = table_.Get(handle);
   if (s == nullptr) return false;
   if (s->sink->Connected(s->client)) return true;
@@ -133,10 +133,10 @@
 }
 
 void Streams::Pause(Handle handle, bool pause) {
-  if (const Stream* s = table_.Get(handle)) core_->flow->Pause(s->upstream_request, pause);
+  if (const Stream* s = table_.Get(handle)) core_->upstream_requests->SetPaused(s->upstream_request, pause);
 }
 
-void Streams::Data(Handle handle, std::string_view events) {
+void Streams::OnData(Handle handle, std::string_view events) {
   Stream* s = table_.Get(handle);
   if (s == nullptr) return;
   if (!s->started) {
@@ -149,7 +149,7 @@
 }
 
 void Streams::CountStart(Stream& s) {
-  if (core_->tally == nullptr) return;
+  if (core_->counters == nullptr) return;
   const auto& classes = core_->config->settings.classes;
   const auto cls = static_cast<std::size_t>(s.request.arrival.class_index);
   const Time took = std::max<Time>(1, Now() - s.request.sent_at);
@@ -159,24 +159,24 @@
         static_cast<double>(c.objective_per_1000_tokens) * s.request.arrival.prompt_tokens / 1000.0;
     s.in_time = static_cast<double>(took) <= static_cast<double>(c.latency_objective) + more;
   }
-  Tally::Ends& ends = core_->tally->by_class[s.class_name];
+  NodeCounters::Ends& ends = core_->counters->by_class[s.class_name];
   const double ln = std::log(static_cast<double>(took) / 1000.0);
   ++ends.started;
   ends.first_ln += ln;
   ends.first_ln_squared += ln * ln;
 }
 
-void Streams::Whole(Handle handle) {
+void Streams::OnComplete(Handle handle) {
   Handle client = 0;
   if (StreamSink* sink = End(handle, &client, Ended::kServed)) sink->OnWhole(client);
 }
 
-void Streams::Broken(Handle handle) {
+void Streams::OnTruncated(Handle handle) {
   Handle client = 0;
   if (StreamSink* sink = End(handle, &client, Ended::kFailed)) sink->OnBroken(client);
 }
 
-void Streams::Refuse(Handle handle, Time retry_after) {
+void Streams::Reject(Handle handle, Time retry_after) {
   Handle client = 0;
   const Stream* s = table_.Get(handle);
   if (s != nullptr && s->started) return;
@@ -192,7 +192,7 @@
   if (StreamSink* sink = End(handle, &client, Ended::kFailed)) sink->OnFailed(client, last);
 }
 
-void Streams::Rejected(Handle handle, int status, const std::string& body) {
+void Streams::OnRequestRefused(Handle handle, int status, const std::string& body) {
   Handle client = 0;
   const Stream* s = table_.Get(handle);
   if (s == nullptr || s->started) return;
@@ -200,10 +200,10 @@
 }
 
 // The client asks for the rest as a new stream once its connection ends without the last chunk.
-void Streams::Move(Handle handle) {
+void Streams::Migrate(Handle handle) {
   const Stream* s = table_.Get(handle);
   if (s == nullptr || !s->started) return;
-  Broken(handle);
+  OnTruncated(handle);
 }
 
 // What the node knew of a request's attempts when it answered by itself: enough to tell whether a refusal was
@@ -219,7 +219,7 @@
        {"out", s.upstream_request != 0},
        {"started", s.started},
        {"last", s.last_replica == 0 ? "-" : Hex8(s.last_replica)},
-       {"outcome", s.last_replica == 0 ? "-" : Word(s.last_outcome)},
+       {"outcome", s.last_replica == 0 ? "-" : Name(s.last_outcome)},
        {"age_ms", (now - s.request.sent_at) / 1000},
        {"left_ms", (s.deadline - now) / 1000}});
 }
@@ -229,8 +229,8 @@
   Stream* s = table_.Get(handle);
   if (s == nullptr) return nullptr;
   if (how == Ended::kRefused || how == Ended::kFailed) LogEnd(*s, how);
-  if (how != Ended::kGone && core_->tally != nullptr) {
-    Tally::Ends& ends = core_->tally->by_class[s->class_name];
+  if (how != Ended::kGone && core_->counters != nullptr) {
+    NodeCounters::Ends& ends = core_->counters->by_class[s->class_name];
     ++(how == Ended::kServed ? ends.success : how == Ended::kRefused ? ends.busy : ends.failure);
     if (how == Ended::kServed && s->in_time) ++ends.in_time;
     const auto tries = static_cast<std::uint64_t>(s->attempts);
@@ -242,7 +242,7 @@
   StreamSink* sink = s->sink;
   const Handle attempt = s->upstream_request;
   table_.Remove(handle);
-  core_->flow->Cancel(attempt);
+  core_->upstream_requests->Cancel(attempt);
   return sink;
 }
 
--- a/src/core/streams.h
+++ b/src/core/streams.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "base/slots.h"
+#include "base/slot_table.h"
 #include "core/core.h"
 
 namespace ryeglade {
@@ -13,7 +13,7 @@
 // A request as any front hands it in. `arrival.patience` counts from `sent_at`.
 struct StreamRequest {
   std::string method, target, call_id, content_type;
-  Chain body;
+  BufferChain body;
   policy::RequestArrived arrival;
   Time sent_at = 0;
   bool prepared = false;    // the body already asks for a stream and for usage, as a front saw to it
@@ -52,7 +52,7 @@
   std::string class_name{};  // as it came: the class may be gone from the settings before it ends
 };
 
-class Streams : public VerdictPort, public AnswerPort {
+class Streams : public ConclusionPort, public ResponsePort {
  public:
   explicit Streams(Core* core) : core_(core) {}
 
@@ -62,23 +62,23 @@
   void Pause(Handle stream, bool pause);  // the client does not drain what it is sent, or does again
 
   // From the upstream side.
-  void Data(Handle stream, std::string_view events) override;
-  void Whole(Handle stream) override;
-  void Broken(Handle stream) override;
-  void Rejected(Handle stream, int status, const std::string& body) override;
-  bool StillWanted(Handle stream) override;
+  void OnData(Handle stream, std::string_view events) override;
+  void OnComplete(Handle stream) override;
+  void OnTruncated(Handle stream) override;
+  void OnRequestRefused(Handle stream, int status, const std::string& body) override;
+  bool CheckClientConnected(Handle stream) override;
 
   // From the decisions.
-  void Refuse(Handle stream, Time retry_after) override;
+  void Reject(Handle stream, Time retry_after) override;
   void Fail(Handle stream) override;
-  void Move(Handle stream) override;
+  void Migrate(Handle stream) override;
 
   // Whatever has not begun by `at` gets its answer then. What comes after `take_until` is refused at once.
   // What has begun ends a little earlier if its client may ask for the rest elsewhere. May be called again
   // with earlier times.
   void EndBy(Time at, Time take_until);
 
-  Stream* Get(Handle stream) override { return table_.Get(stream); }
+  Stream* Find(Handle stream) override { return table_.Get(stream); }
   std::size_t size() const { return table_.size(); }
 
   // An attempt ends this long before the client's time is up. Guards against a last, hopeless attempt: it is
@@ -99,7 +99,7 @@
   StreamSink* End(Handle stream, Handle* client, Ended how);
 
   Core* core_;
-  Slots<Stream> table_;
+  SlotTable<Stream> table_;
   Time end_by_ = 0;  // 0: no end in sight
   Time take_until_ = 0;
   DeadlineId move_on_{};
--- a/src/core/upstream.cpp
+++ b/src/core/upstream.cpp
@@ -14,8 +14,8 @@
 
 #include "base/log.h"
 #include "base/socket_error_model.h"
+#include "core/enum_names.h"
 #include "core/streams.h"
-#include "core/words.h"
 
 namespace ryeglade {
 namespace {
@@ -62,12 +62,12 @@
   const std::vector<Handle> idle = std::exchange(it->second.idle, {});
   for (const Handle c : idle) Drop(c);
   hosts_.erase(it);
-  Withhold(id);
+  DropUnsent(id);
 }
 
 // Guards against a connection that comes up late: by then the host may have been asked to be left alone for
 // longer than what is on its way may take.
-void Upstream::Withhold(ReplicaId id) {
+void Upstream::DropUnsent(ReplicaId id) {
   for (const Handle handle : requests_.All()) {
     const Request* r = requests_.Get(handle);
     if (r != nullptr && r->replica == id && !Written(*r)) Finish(handle, Outcome::kNotSent);
@@ -150,7 +150,7 @@
 // ---- Requests ----
 
 void Upstream::Send(Handle stream, ReplicaId to, Time timeout, Time write_within) {
-  Stream* s = core_->answers->Get(stream);
+  Stream* s = core_->responses->Find(stream);
   Request r;
   r.stream = stream;
   r.replica = to;
@@ -175,7 +175,7 @@
   Begin(r, deadline);
 }
 
-void Upstream::Probe(ReplicaId to) {
+void Upstream::CheckHealth(ReplicaId to) {
   Request r;
   r.replica = to;
   Begin(r, Now() + kProbeTimeout);
@@ -185,7 +185,7 @@
   request.sent_at = Now();
   const Handle handle = requests_.Add(request);
   Request& r = *requests_.Get(handle);
-  if (Stream* s = core_->answers->Get(r.stream)) s->upstream_request = handle;
+  if (Stream* s = core_->responses->Find(r.stream)) s->upstream_request = handle;
   const auto host = hosts_.find(r.replica);
   if (host == hosts_.end()) return Finish(handle, Outcome::kConnectFailed);
   r.until = deadline;
@@ -224,10 +224,10 @@
 void Upstream::Expect(Handle handle, Time by) {
   Request& r = *requests_.Get(handle);
   core_->deadlines->Cancel(r.deadline);
-  r.deadline = core_->deadlines->Set(by, [this, handle] { EndNow(handle); });
+  r.deadline = core_->deadlines->Set(by, [this, handle] { Abort(handle); });
 }
 
-void Upstream::EndNow(Handle handle) {
+void Upstream::Abort(Handle handle) {
   const Request* r = requests_.Get(handle);
   if (r == nullptr) return;
   if (!Written(*r)) return Finish(handle, Outcome::kConnectFailed);
@@ -235,7 +235,7 @@
   Finish(handle, begun ? Outcome::kReset : Outcome::kTimeout);
 }
 
-void Upstream::EndBy(Handle handle, Time at) {
+void Upstream::ShortenDeadline(Handle handle, Time at) {
   Request* r = requests_.Get(handle);
   if (r == nullptr || r->started || r->until <= at) return;
   r->until = at;
@@ -265,13 +265,13 @@
 bool Upstream::MayWrite(Handle handle) {
   const Request& r = *requests_.Get(handle);
   if (r.stream == 0) return true;
-  const Stream* s = core_->answers->Get(r.stream);
+  const Stream* s = core_->responses->Find(r.stream);
   const Time now = Now();
   if (s == nullptr || now >= r.until || (r.write_by != 0 && now > r.write_by)) {
     Finish(handle, Outcome::kNotSent);
     return false;
   }
-  return core_->answers->StillWanted(r.stream);
+  return core_->responses->CheckClientConnected(r.stream);
 }
 
 void Upstream::Write(Handle handle) {
@@ -286,11 +286,11 @@
   const std::string& host_port =
       hosts_.contains(c.host) ? hosts_.at(c.host).host_port : std::string("replica");
   bool ok = false;
-  if (Stream* s = core_->answers->Get(r.stream)) {
+  if (Stream* s = core_->responses->Find(r.stream)) {
     ok = c.tcp->Write(core_->dialect->RequestHead(s->request, host_port, r.until - Now()));
     for (const std::string_view piece : s->request.body.Pieces()) ok = ok && c.tcp->Write(piece);
     if (ok) ++s->written;
-    if (ok && core_->tally != nullptr) ++core_->tally->backend_calls;
+    if (ok && core_->counters != nullptr) ++core_->counters->backend_calls;
   } else if (r.stream == 0) {
     ok = c.tcp->Write(core_->dialect->ProbeHead(host_port));
   }
@@ -408,15 +408,15 @@
   // What came with something that can't be read is not passed on: it may belong to it.
   if (!good) return Finish(request, Outcome::kReset);
   // A response that has not begun has no reader yet.
-  AnswerReader* reader = c->response.reader.get();
+  ResponseReader* reader = c->response.reader.get();
   const bool stream = c->response.status == 200 && requests_.Get(request)->stream != 0;
   bool alive = !stream || pieces.empty();
   for (const std::string_view piece : pieces) {
     reader->OnBytes(piece);
     if (!stream) continue;
-    const AnswerReader::Body body = reader->OnEvents(piece);
-    if (body == AnswerReader::Body::kSpoilt) return Finish(request, Outcome::kReset);
-    alive = alive || body == AnswerReader::Body::kEvents;
+    const ResponseReader::Body body = reader->OnEvents(piece);
+    if (body == ResponseReader::Body::kSpoilt) return Finish(request, Outcome::kReset);
+    alive = alive || body == ResponseReader::Body::kEvents;
   }
   if (Request* r = requests_.Get(request); !r->started && r->stream != 0) {
     r->last_byte = Now();
@@ -442,22 +442,22 @@
       core_->events->Post(
           policy::ResponseStarted{r->stream, r->attempt, r->replica, r->last_byte - r->sent_at});
       const std::string opening = std::exchange(c->response.opening, {});
-      core_->answers->Data(r->stream, opening);
+      core_->responses->OnData(r->stream, opening);
     }
   } else {
     for (const std::string_view piece : pieces) {
       r = requests_.Get(request);
       if (r == nullptr) return;
       if (alive) r->last_byte = Now();
-      if (r->stream != 0) core_->answers->Data(r->stream, piece);
+      if (r->stream != 0) core_->responses->OnData(r->stream, piece);
     }
   }
   const Request* r = requests_.Get(request);
   if (r == nullptr || !c->response.complete) return;
-  const AnswerEnd end = reader->AtEnd(c->response.status, r->stream == 0);
+  const ResponseResult end = reader->AtEnd(c->response.status, r->stream == 0);
   if (r->stream != 0 && !r->started) {
     if (end.client_fault) return Reject(request);
-    if (Stream* s = core_->answers->Get(r->stream)) s->stay_away = std::max(s->stay_away, end.retry_after);
+    if (Stream* s = core_->responses->Find(r->stream)) s->stay_away = std::max(s->stay_away, end.retry_after);
   }
   Finish(request,
          end.outcome == Outcome::kServed && r->stream != 0 && !r->started ? Outcome::kError : end.outcome);
@@ -476,7 +476,7 @@
   r->deadline = core_->deadlines->Set(r->last_byte + kSilence, [this, handle] { Silence(handle); });
 }
 
-void Upstream::Pause(Handle handle, bool pause) {
+void Upstream::SetPaused(Handle handle, bool pause) {
   Request* r = requests_.Get(handle);
   if (r == nullptr || r->paused == pause) return;
   r->paused = pause;
@@ -488,7 +488,7 @@
 }
 
 void Upstream::CancelAttempt(Handle stream, int attempt) {
-  const Stream* s = core_->answers->Get(stream);
+  const Stream* s = core_->responses->Find(stream);
   if (s == nullptr || s->started) return;
   const Request* r = requests_.Get(s->upstream_request);
   if (r != nullptr && r->attempt == attempt) Cancel(s->upstream_request);
@@ -507,7 +507,7 @@
   rejecting_ = true;
   Finish(handle, Outcome::kCancelled);
   rejecting_ = false;
-  core_->answers->Rejected(stream, status, body);
+  core_->responses->OnRequestRefused(stream, status, body);
 }
 
 // The one outcome of an upstream request. Unless it ended well its connection is closed, and so given up on,
@@ -522,7 +522,7 @@
   if (Connection* c = connections_.Get(r.connection)) {
     const Response& response = c->response;
     if (response.reader != nullptr) {
-      const AnswerNotes notes = response.reader->Notes(r.stream == 0);
+      const ResponseMetadata notes = response.reader->Notes(r.stream == 0);
       ended.cached_tokens = notes.kept_tokens;
       ended.load_report = Load(notes.load_report);
     }
@@ -533,15 +533,15 @@
     core_->events->Post(policy::HealthCheckCompleted{r.replica, outcome, ended.elapsed, ended.load_report});
     return;
   }
-  if (core_->tally != nullptr) ++core_->tally->attempts_ended[Word(outcome)];
-  Stream* s = core_->answers->Get(r.stream);
+  if (core_->counters != nullptr) ++core_->counters->attempts_ended[Name(outcome)];
+  Stream* s = core_->responses->Find(r.stream);
   ended.request_concluded = s == nullptr || r.started || rejecting_ || outcome == Outcome::kServed;
   if (outcome != Outcome::kServed && outcome != Outcome::kCancelled) {
     Log(Level::kWarn, "attempt-ended",
         {{"id", s != nullptr ? s->request.call_id.c_str() : "-"},
          {"n", r.attempt},
          {"replica", Hex8(r.replica)},
-         {"outcome", Word(outcome)},
+         {"outcome", Name(outcome)},
          {"started", r.started ? 1 : 0},
          {"ms", ended.elapsed / 1000}});
   }
@@ -551,9 +551,9 @@
     s->last_replica = r.replica;
   }
   if (outcome == Outcome::kServed) {
-    core_->answers->Whole(r.stream);
+    core_->responses->OnComplete(r.stream);
   } else if (r.started) {
-    core_->answers->Broken(r.stream);
+    core_->responses->OnTruncated(r.stream);
   }
   core_->events->Post(std::move(ended));
 }
--- a/src/core/upstream.h
+++ b/src/core/upstream.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/slots.h"
+#include "base/slot_table.h"
 #include "base/tcp.h"
 #include "core/core.h"
 
@@ -19,25 +19,25 @@
 
 using policy::Outcome;
 
-class Upstream : public TcpOwner, public AttemptPort, public FlowPort, public HostPort {
+class Upstream : public TcpOwner, public AttemptPort, public UpstreamRequestPort, public UpstreamHostPort {
  public:
   Upstream(Core* core, std::size_t most_sockets) : core_(core), most_sockets_(most_sockets) {}
 
   // From discovery. A changed address leaves busy connections alone and drops the idle ones.
   void SetHost(ReplicaId id, const std::string& host_port) override;
   void RemoveHost(ReplicaId id) override;
-  void Withhold(ReplicaId id) override;
+  void DropUnsent(ReplicaId id) override;
 
   // From the decisions.
   void Send(Handle stream, ReplicaId to, Time timeout, Time write_within) override;
   void CancelAttempt(Handle stream, int attempt) override;
-  void Probe(ReplicaId to) override;
+  void CheckHealth(ReplicaId to) override;
 
   // From the streams.
   void Cancel(Handle request) override;
-  void Pause(Handle request, bool pause) override;
-  void EndBy(Handle request, Time at) override;
-  void EndNow(Handle request) override;
+  void SetPaused(Handle request, bool pause) override;
+  void ShortenDeadline(Handle request, Time at) override;
+  void Abort(Handle request) override;
 
   void Close();
   void Limit(std::size_t most_sockets) {
@@ -70,7 +70,7 @@
     std::string_view line_end;             // what must come before the next chunk
     std::string opening;                   // what came before there was a whole event
     const Dialect* dialect = nullptr;
-    std::unique_ptr<AnswerReader> reader;  // of the answer at hand
+    std::unique_ptr<ResponseReader> reader;  // of the answer at hand
   };
 
   struct Connection {
@@ -129,8 +129,8 @@
   std::size_t most_sockets_;
   bool rejecting_ = false;  // the attempt that ends now ends its request too
   std::map<ReplicaId, Host> hosts_;
-  Slots<Connection> connections_;
-  Slots<Request> requests_;
+  SlotTable<Connection> connections_;
+  SlotTable<Request> requests_;
 };
 
 }  // namespace ryeglade
--- a/src/dialects/openai/openai_dialect.cpp
+++ b/src/dialects/openai/openai_dialect.cpp
@@ -57,7 +57,7 @@
   return false;
 }
 
-class Reader : public AnswerReader {
+class Reader : public ResponseReader {
  public:
   void OnHeader(const std::string& name, const std::string& value) override {
     if (strcasecmp(name.c_str(), "retry-after") == 0) retry_after_ = ReadRetryAfter(value);
@@ -92,7 +92,7 @@
 
   bool opened() const override { return opened_; }
 
-  AnswerEnd AtEnd(int status, bool probe) const override {
+  ResponseResult AtEnd(int status, bool probe) const override {
     if (probe)
       return {status == 200                    ? Outcome::kServed
               : status == 503 || status == 429 ? Outcome::kAtCapacity
@@ -109,7 +109,7 @@
     return {Outcome::kError, false, retry_after_};
   }
 
-  AnswerNotes Notes(bool) const override { return {kept_, report_}; }
+  ResponseMetadata Notes(bool) const override { return {kept_, report_}; }
   std::string error_body() const override { return error_body_; }
 
  private:
@@ -154,6 +154,6 @@
          (api_key_.empty() ? "" : "\r\nAuthorization: Bearer " + api_key_) + "\r\n\r\n";
 }
 
-std::unique_ptr<AnswerReader> OpenAiDialect::NewReader() const { return std::make_unique<Reader>(); }
+std::unique_ptr<ResponseReader> OpenAiDialect::NewReader() const { return std::make_unique<Reader>(); }
 
 }  // namespace ryeglade
--- a/src/dialects/openai/openai_dialect.h
+++ b/src/dialects/openai/openai_dialect.h
@@ -21,7 +21,7 @@
   std::string RequestHead(const StreamRequest& request, const std::string& host,
                           policy::Time left) const override;
   std::string ProbeHead(const std::string& host) const override;
-  std::unique_ptr<AnswerReader> NewReader() const override;
+  std::unique_ptr<ResponseReader> NewReader() const override;
 
  private:
   std::string api_key_;
--- a/src/dialects/platform/platform_dialect.cpp
+++ b/src/dialects/platform/platform_dialect.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kMostOpening = std::size_t{256} * 1024;  // before there is a whole event
 constexpr std::size_t kTail = 512;  // holds the usage line and the report at a stream's end
 
-class Reader : public AnswerReader {
+class Reader : public ResponseReader {
  public:
   void OnHeader(const std::string& name, const std::string& value) override {
     if (strcasecmp(name.c_str(), "x-rejected") == 0) rejected_ = value == "1";
@@ -46,14 +46,14 @@
 
   bool opened() const override { return opened_; }
 
-  AnswerEnd AtEnd(int status, bool probe) const override {
+  ResponseResult AtEnd(int status, bool probe) const override {
     if (status == 200) return {probe || opened_ ? Outcome::kServed : Outcome::kError};
     const bool away = (status == 503 || status == 504) && rejected_;
     return {away || (probe && status == 503) ? Outcome::kAtCapacity : Outcome::kError};
   }
 
-  AnswerNotes Notes(bool probe) const override {
-    AnswerNotes notes{NumberAfter(tail_, "\"cached_tokens\"").value_or(0), report_};
+  ResponseMetadata Notes(bool probe) const override {
+    ResponseMetadata notes{NumberAfter(tail_, "\"cached_tokens\"").value_or(0), report_};
     // A comment line of the stream's own: the text of an answer holds no bare line break.
     static constexpr std::string_view kComment = "\n: X-Load-Report:";
     const std::size_t at = tail_.rfind(kComment);
@@ -87,6 +87,6 @@
          "\r\n\r\n";
 }
 
-std::unique_ptr<AnswerReader> PlatformDialect::NewReader() const { return std::make_unique<Reader>(); }
+std::unique_ptr<ResponseReader> PlatformDialect::NewReader() const { return std::make_unique<Reader>(); }
 
 }  // namespace ryeglade
--- a/src/dialects/platform/platform_dialect.h
+++ b/src/dialects/platform/platform_dialect.h
@@ -14,7 +14,7 @@
   std::string RequestHead(const StreamRequest& request, const std::string& host,
                           policy::Time left) const override;
   std::string ProbeHead(const std::string& host) const override;
-  std::unique_ptr<AnswerReader> NewReader() const override;
+  std::unique_ptr<ResponseReader> NewReader() const override;
 
  private:
   bool load_reports_;  // a probe asks for the load, else only for a sign of life
--- a/src/fronts/openai/metrics.cpp
+++ b/src/fronts/openai/metrics.cpp
@@ -41,7 +41,7 @@
       return labels;
     };
     for (std::size_t i = 0; i < ledger::kColumns; ++i) {
-      Add(ended, with("outcome", ledger::Word(static_cast<ledger::Column>(i))),
+      Add(ended, with("outcome", ledger::Name(static_cast<ledger::Column>(i))),
           static_cast<double>(row.ended.at(i)));
     }
     const auto spent = [&](const ledger::Tokens& t, const char* whose) {
@@ -56,7 +56,7 @@
     spent(row.estimated, "estimated");
     for (std::size_t i = 0; i < ledger::kUsageFaults; ++i) {
       if (row.usage_faults.at(i) == 0) continue;
-      Add(faults, with("fault", ledger::Word(static_cast<ledger::UsageFault>(i))),
+      Add(faults, with("fault", ledger::Name(static_cast<ledger::UsageFault>(i))),
           static_cast<double>(row.usage_faults.at(i)));
     }
   }
--- a/src/fronts/openai/openai_front.cpp
+++ b/src/fronts/openai/openai_front.cpp
@@ -157,7 +157,7 @@
 void OpenAiFront::Drop(Handle connection, const ApiError& e, Column column) {
   const auto it = open_.find(connection);
   if (it == open_.end()) return;
-  const bool may_repeat = core_->repeats->MayRepeat(it->second.stream);
+  const bool may_repeat = core_->retry_safety->IsSafeToRetry(it->second.stream);
   const Open o = Settle(connection, column);
   streams_->ClientGone(o.stream);
   if (!o.begun && !may_repeat) return Error(connection, WithoutRepeat(e), o.headers + kNoRepeatHeader);
@@ -176,7 +176,7 @@
   if (path == "/health" || path == "/metrics") {
     if (request.method != "GET") return Error(connection, ErrorOfStatus(405), "Allow: GET\r\n");
     if (path == "/metrics") return Metrics(connection, request);
-    const bool well = !downstream_->draining() && core_->membership->ready();
+    const bool well = !downstream_->draining() && core_->discovery->ready();
     return downstream_->Reply(connection, well ? 200 : 503, "Content-Type: text/plain\r\n",
                               well ? "ok\n" : "not ready\n");
   }
@@ -316,7 +316,7 @@
     return Error(connection, e, LimitHeaders(admitted.left));
   }
 
-  StreamRequest stream{{}, {}, {}, {}, Chain(core_->buffers), {}, 0, true};
+  StreamRequest stream{{}, {}, {}, {}, BufferChain(core_->buffers), {}, 0, true};
   const std::string for_replica = openai::ForReplica(
       text, read, model->upstream.empty() || model->upstream == model->id ? "" : model->upstream);
   request.body.Clear();
@@ -357,7 +357,7 @@
   open_.insert_or_assign(connection, std::move(o));
   const Handle handle = streams_->Open(std::move(stream), this, connection);
   // It may be answered already, and the connection on to its next request.
-  if (streams_->Get(handle) == nullptr) return;
+  if (streams_->Find(handle) == nullptr) return;
   if (const auto it = open_.find(connection); it != open_.end()) it->second.stream = handle;
 }
 
--- a/src/fronts/openai/openai_front.h
+++ b/src/fronts/openai/openai_front.h
@@ -17,7 +17,7 @@
 #include "ledger/ledger_model.h"
 #include "limits/limits_policy.h"
 #include "limits/networks.h"
-#include "limits/pace_policy.h"
+#include "limits/rate_limit_policy.h"
 #include "settings/edge_settings.h"
 
 namespace ryeglade {
--- a/src/fronts/platform/platform_front.cpp
+++ b/src/fronts/platform/platform_front.cpp
@@ -58,7 +58,7 @@
   if (request.method != "POST") return Local(connection, 405, "method", "Allow: POST\r\n");
   if (!request.http11) return Local(connection, 505, "version");
 
-  StreamRequest stream{{}, {}, {}, {}, Chain(core_->buffers), {}, 0};
+  StreamRequest stream{{}, {}, {}, {}, BufferChain(core_->buffers), {}, 0};
   if (const char* wrong = Read(request, stream)) {
     // Guards against reading on behind a request of which it is not sure what it says.
     if (std::string_view(wrong) != "X-Call-Class") downstream_->CloseAfter(connection);
@@ -78,7 +78,7 @@
   open_[connection] = {0, stream.call_id, false};
   const Handle handle = streams_->Open(std::move(stream), this, connection);
   // It may be answered already, and the connection on to its next request.
-  if (streams_->Get(handle) != nullptr) open_[connection].stream = handle;
+  if (streams_->Find(handle) != nullptr) open_[connection].stream = handle;
 }
 
 const char* PlatformFront::Read(const HttpRequest& request, StreamRequest& stream) const {
@@ -133,7 +133,7 @@
 
 void PlatformFront::Health(Handle connection, const HttpRequest& request) {
   if (request.method != "GET") return Local(connection, 405, "method", "Allow: GET\r\n");
-  const bool well = !downstream_->draining() && core_->membership->ready();
+  const bool well = !downstream_->draining() && core_->discovery->ready();
   downstream_->Reply(connection, well ? 200 : 503, "Content-Type: text/plain\r\n",
                      well ? "ok\n" : "not ready\n");
 }
--- a/src/tier/tier.cpp
+++ b/src/gossip/gossip.cpp
@@ -1,4 +1,4 @@
-#include "tier/tier.h"
+#include "gossip/gossip.h"
 
 #include <fmt/format.h>
 
@@ -9,13 +9,13 @@
 
 #include "base/log.h"
 
-namespace ryeglade::tier {
+namespace ryeglade::gossip {
 namespace {
 
 constexpr Time kEvery = 250'000;
 constexpr Time kTellEach = 40'000;  // words of a tier come no closer than this, over all nodes
 
-TierLimits LimitsOf(const TierSettings& s) {
+TierLimits LimitsOf(const GossipSettings& s) {
   TierLimits l;
   l.share.tell_each = kTellEach;
   l.evidence.accusers = s.accusers;
@@ -26,8 +26,8 @@
 
 }  // namespace
 
-Tier::Tier(const Runtime* run, const TierSettings& settings, const std::string& node, std::uint64_t life,
-           const TierPort* view, const FleetPort* fleet, EventPort* events)
+Tier::Tier(const Runtime* run, const GossipSettings& settings, const std::string& node, std::uint64_t life,
+           const ClusterViewPort* view, const ReplicaViewPort* fleet, EventPort* events)
     : run_(run),
       node_(node),
       view_(view),
@@ -47,24 +47,24 @@
 void Tier::Turn() {
   turn_ = run_->deadlines->Set(Now() + kEvery, [this] { Turn(); });
   const Time now = Now();
-  const TierView view = view_->View();
+  const ClusterView view = view_->View();
   std::vector<EvidenceModel::Peer> members;
   std::string zone;
-  for (const TierMember& m : view.members) {
+  for (const ClusterMember& m : view.members) {
     if (m.name == node_) {
       zone = m.zone;
     } else {
       members.push_back({m.name, m.zone});
     }
   }
-  model_.View(now, members, zone, view.joined && !view.in_doubt && !members.empty(), view.settled);
+  model_.View(now, members, zone, view.joined && !view.partition_suspected && !members.empty(), view.stable);
   if (model_.uses().evidence) {
     seen_.clear();
-    fleet_->Fleet(&seen_);
+    fleet_->ListReplicas(&seen_);
     model_.See(now, seen_, false);
   }
   if (std::optional<Word> word = model_.Tell(now)) gossip_.Put(now, {node_, 0, std::move(*word)}, true);
-  for (policy::Event& event : model_.Turn(now, view.told)) events_->Post(std::move(event));
+  for (policy::Event& event : model_.Turn(now, view.announced_nodes)) events_->Post(std::move(event));
 
   if (state_ != model_.shares().state()) {
     state_ = model_.shares().state();
@@ -85,13 +85,13 @@
   left_alone_ = std::move(alone);
 }
 
-std::vector<std::string> Tier::Fill(std::size_t room, std::size_t overhead) {
+std::vector<std::string> Tier::TakeMessages(std::size_t room, std::size_t overhead) {
   std::vector<std::string> words = gossip_.Fill(Now(), room, overhead);
   traffic_.out += words.size();
   return words;
 }
 
-void Tier::Heard(const std::vector<std::string>& words) {
+void Tier::OnMessages(const std::vector<std::string>& words) {
   const Time now = Now();
   for (const std::string& bytes : words) {
     ++traffic_.in;
@@ -137,4 +137,4 @@
   return j.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
-}  // namespace ryeglade::tier
+}  // namespace ryeglade::gossip
--- a/src/tier/tier.h
+++ b/src/gossip/gossip.h
@@ -10,29 +10,29 @@
 
 #include "base/runtime.h"
 #include "core/ports.h"
+#include "gossip/gossip_queue_model.h"
+#include "gossip/shared_state_model.h"
 #include "settings/edge_settings.h"
-#include "tier/gossip_model.h"
-#include "tier/tier_model.h"
 
-namespace ryeglade::tier {
+namespace ryeglade::gossip {
 
 struct WordTraffic {
   std::uint64_t out = 0, in = 0, news = 0;       // words; of those that came, those that were news
   std::map<std::string, std::uint64_t> dropped;  // by reason; a fixed set of words
 };
 
-class Tier : public WordPort, public DecisionTap {
+class Tier : public GossipPort, public DecisionRecorder {
  public:
   // `node`: this one's name; `life` rises with each of its processes.
-  Tier(const Runtime* run, const TierSettings& settings, const std::string& node, std::uint64_t life,
-       const TierPort* view, const FleetPort* fleet, EventPort* events);
+  Tier(const Runtime* run, const GossipSettings& settings, const std::string& node, std::uint64_t life,
+       const ClusterViewPort* view, const ReplicaViewPort* fleet, EventPort* events);
 
   void Start();
   void Close();
 
-  std::vector<std::string> Fill(std::size_t room, std::size_t overhead) override;
-  bool waiting() const override { return gossip_.waiting(); }
-  void Heard(const std::vector<std::string>& words) override;
+  std::vector<std::string> TakeMessages(std::size_t room, std::size_t overhead) override;
+  bool has_pending() const override { return gossip_.waiting(); }
+  void OnMessages(const std::vector<std::string>& words) override;
 
   void OnStart(const std::string&, std::uint64_t, Time) override {}
   void OnDecision(Time now, const policy::Event& event, const std::vector<policy::Action>& actions) override;
@@ -46,8 +46,8 @@
 
   const Runtime* run_;
   std::string node_;
-  const TierPort* view_;
-  const FleetPort* fleet_;
+  const ClusterViewPort* view_;
+  const ReplicaViewPort* fleet_;
   EventPort* events_;
   TierModel model_;
   GossipModel gossip_;
@@ -58,4 +58,4 @@
   std::vector<policy::ReplicaView> seen_;  // scratch
 };
 
-}  // namespace ryeglade::tier
+}  // namespace ryeglade::gossip
--- a/src/tier/word_model.cpp
+++ b/src/gossip/gossip_message_codec.cpp
@@ -1,4 +1,4 @@
-#include "tier/word_model.h"
+#include "gossip/gossip_message_codec.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 
 #include "base/untrusted_fields.h"
 
-namespace ryeglade::tier {
+namespace ryeglade::gossip {
 namespace {
 
 constexpr std::uint64_t kForm = 1;
@@ -133,4 +133,4 @@
   return std::nullopt;
 }
 
-}  // namespace ryeglade::tier
+}  // namespace ryeglade::gossip
--- a/src/tier/word_model.h
+++ b/src/gossip/gossip_message_codec.h
@@ -16,7 +16,7 @@
 
 #include "ryeglade/router.h"
 
-namespace ryeglade::tier {
+namespace ryeglade::gossip {
 
 using policy::Time;  // microseconds, steady
 
@@ -72,4 +72,4 @@
 // Null, and `why` a reason word: malformed, range, form.
 std::optional<Telling> Decode(std::string_view bytes, const char** why);
 
-}  // namespace ryeglade::tier
+}  // namespace ryeglade::gossip
--- a/src/tier/gossip_model.cpp
+++ b/src/gossip/gossip_queue_model.cpp
@@ -1,9 +1,9 @@
-#include "tier/gossip_model.h"
+#include "gossip/gossip_queue_model.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace ryeglade::tier {
+namespace ryeglade::gossip {
 
 void GossipModel::Put(Time now, Telling telling, bool own) {
   auto at = words_.find(telling.node);
@@ -47,4 +47,4 @@
   return out;
 }
 
-}  // namespace ryeglade::tier
+}  // namespace ryeglade::gossip
--- a/src/tier/gossip_model.h
+++ b/src/gossip/gossip_queue_model.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "tier/word_model.h"
+#include "gossip/gossip_message_codec.h"
 
-namespace ryeglade::tier {
+namespace ryeglade::gossip {
 
 class GossipModel {
  public:
@@ -41,4 +41,4 @@
   std::uint64_t orders_ = 0;
 };
 
-}  // namespace ryeglade::tier
+}  // namespace ryeglade::gossip
--- a/src/tier/evidence_model.cpp
+++ b/src/gossip/outlier_consensus_model.cpp
@@ -1,4 +1,4 @@
-#include "tier/evidence_model.h"
+#include "gossip/outlier_consensus_model.h"
 
 #include <xxhash.h>
 
@@ -7,7 +7,7 @@
 #include <set>
 #include <utility>
 
-namespace ryeglade::tier {
+namespace ryeglade::gossip {
 namespace {
 
 using policy::PeerReplicaReport;
@@ -308,4 +308,4 @@
   return tell;
 }
 
-}  // namespace ryeglade::tier
+}  // namespace ryeglade::gossip
--- a/src/tier/evidence_model.h
+++ b/src/gossip/outlier_consensus_model.h
@@ -18,9 +18,9 @@
 #include <string>
 #include <vector>
 
-#include "tier/word_model.h"
+#include "gossip/gossip_message_codec.h"
 
-namespace ryeglade::tier {
+namespace ryeglade::gossip {
 
 struct EvidenceLimits {
   std::size_t accusers = 2;  // that it takes,
@@ -124,4 +124,4 @@
   std::vector<Line> lines_;
 };
 
-}  // namespace ryeglade::tier
+}  // namespace ryeglade::gossip
--- a/src/tier/beginnings_model.cpp
+++ b/src/gossip/prefix_traffic_model.cpp
@@ -1,9 +1,9 @@
-#include "tier/beginnings_model.h"
+#include "gossip/prefix_traffic_model.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace ryeglade::tier {
+namespace ryeglade::gossip {
 namespace {
 
 constexpr std::size_t kMostCounts = 4096;
@@ -118,4 +118,4 @@
   return true;
 }
 
-}  // namespace ryeglade::tier
+}  // namespace ryeglade::gossip
--- a/src/tier/beginnings_model.h
+++ b/src/gossip/prefix_traffic_model.h
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "tier/word_model.h"
+#include "gossip/gossip_message_codec.h"
 
-namespace ryeglade::tier {
+namespace ryeglade::gossip {
 
 struct BeginningLimits {
   Time memory = 20'000'000;  // counts look back on so much
@@ -57,4 +57,4 @@
   Time told_at_ = 0;
 };
 
-}  // namespace ryeglade::tier
+}  // namespace ryeglade::gossip
--- a/src/tier/tier_model.cpp
+++ b/src/gossip/shared_state_model.cpp
@@ -1,9 +1,9 @@
-#include "tier/tier_model.h"
+#include "gossip/shared_state_model.h"
 
 #include <cmath>
 #include <utility>
 
-namespace ryeglade::tier {
+namespace ryeglade::gossip {
 namespace {
 
 constexpr double kWorthTelling = 0.02;  // a part that has moved by this share of itself
@@ -86,4 +86,4 @@
   return events;
 }
 
-}  // namespace ryeglade::tier
+}  // namespace ryeglade::gossip
--- a/src/tier/tier_model.h
+++ b/src/gossip/shared_state_model.h
@@ -11,11 +11,11 @@
 #include <string_view>
 #include <vector>
 
-#include "tier/beginnings_model.h"
-#include "tier/evidence_model.h"
-#include "tier/share_model.h"
+#include "gossip/outlier_consensus_model.h"
+#include "gossip/prefix_traffic_model.h"
+#include "gossip/traffic_share_model.h"
 
-namespace ryeglade::tier {
+namespace ryeglade::gossip {
 
 struct Uses {
   bool parts = true, evidence = true, beginnings = true;
@@ -69,4 +69,4 @@
   int urgent_ = 0;  // when the last word was told
 };
 
-}  // namespace ryeglade::tier
+}  // namespace ryeglade::gossip
--- a/src/tier/share_model.cpp
+++ b/src/gossip/traffic_share_model.cpp
@@ -1,9 +1,9 @@
-#include "tier/share_model.h"
+#include "gossip/traffic_share_model.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace ryeglade::tier {
+namespace ryeglade::gossip {
 
 ShareModel::ShareModel(std::string self, std::uint64_t life, Time now, ShareLimits limits)
     : self_(std::move(self)), limits_(limits), began_(now), last_(now), window_since_(now) {
@@ -129,4 +129,4 @@
 
 std::vector<ShareModel::Line> ShareModel::Explain(Time now) const { return Lines(now, false); }
 
-}  // namespace ryeglade::tier
+}  // namespace ryeglade::gossip
--- a/src/tier/share_model.h
+++ b/src/gossip/traffic_share_model.h
@@ -17,10 +17,10 @@
 #include <utility>
 #include <vector>
 
+#include "gossip/gossip_message_codec.h"
 #include "ryeglade/learned_state.h"
-#include "tier/word_model.h"
 
-namespace ryeglade::tier {
+namespace ryeglade::gossip {
 
 struct ShareLimits {
   Time memory = 5'000'000;    // a rate looks back on so much
@@ -92,4 +92,4 @@
   const char* state_ = "equal";
 };
 
-}  // namespace ryeglade::tier
+}  // namespace ryeglade::gossip
--- a/src/handover/state_model.cpp
+++ b/src/hot_restart/handover_state_codec.cpp
@@ -1,4 +1,4 @@
-#include "handover/state_model.h"
+#include "hot_restart/handover_state_codec.h"
 
 #include <fmt/format.h>
 #include <xxhash.h>
@@ -9,9 +9,9 @@
 #include <stdexcept>
 #include <string_view>
 
-#include "core/learned_model.h"
+#include "core/learned_state_codec.h"
 
-namespace ryeglade::handover {
+namespace ryeglade::hot_restart {
 namespace {
 
 using nlohmann::json;
@@ -46,7 +46,7 @@
 }  // namespace
 
 std::string EncodeState(const State& s, std::int64_t to) {
-  const std::string learned = EncodeLearned(s.learned);
+  const std::string learned = EncodeLearnedState(s.learned);
   const json j = {{"node", s.node},           {"program", s.program},
                   {"discovery", s.discovery}, {"roster", s.roster},
                   {"classes", s.classes},     {"learned", json::binary({learned.begin(), learned.end()})}};
@@ -66,7 +66,7 @@
     s.roster = j.value("roster", "");
     s.classes = j.at("classes").get<std::vector<std::string>>();
     const auto& binary = j.at("learned").get_binary();
-    auto learned = DecodeLearned({binary.begin(), binary.end()}, why);
+    auto learned = DecodeLearnedState({binary.begin(), binary.end()}, why);
     if (!learned) return std::nullopt;
     s.learned = std::move(*learned);
     return s;
@@ -101,4 +101,4 @@
   }
 }
 
-}  // namespace ryeglade::handover
+}  // namespace ryeglade::hot_restart
--- a/src/handover/state_model.h
+++ b/src/hot_restart/handover_state_codec.h
@@ -11,7 +11,7 @@
 
 #include "ryeglade/learned_state.h"
 
-namespace ryeglade::handover {
+namespace ryeglade::hot_restart {
 
 inline constexpr int kStateMajor = 1;
 
@@ -35,4 +35,4 @@
 std::string EncodeOut(const Out& out, std::int64_t from);
 std::optional<Out> DecodeOut(const std::string& text, std::int64_t from);
 
-}  // namespace ryeglade::handover
+}  // namespace ryeglade::hot_restart
--- a/src/handover/hand_over.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -1,4 +1,4 @@
-#include "handover/hand_over.h"
+#include "hot_restart/hot_restart.h"
 
 #include <unistd.h>
 
@@ -7,7 +7,7 @@
 
 #include "base/log.h"
 
-namespace ryeglade::handover {
+namespace ryeglade::hot_restart {
 namespace {
 
 constexpr Time kAlone = 100'000, kBeside = 20'000;  // between two looks
@@ -151,4 +151,4 @@
   out_.Close();
 }
 
-}  // namespace ryeglade::handover
+}  // namespace ryeglade::hot_restart
--- a/src/handover/hand_over.h
+++ b/src/hot_restart/hot_restart.h
@@ -7,11 +7,11 @@
 
 #include "base/runtime.h"
 #include "base/state_file.h"
-#include "handover/lease_file.h"
-#include "handover/state_model.h"
-#include "handover/succession_policy.h"
+#include "hot_restart/handover_state_codec.h"
+#include "hot_restart/hot_restart_policy.h"
+#include "hot_restart/lease_file.h"
 
-namespace ryeglade::handover {
+namespace ryeglade::hot_restart {
 
 // The node's side.
 class HandOverPort {
@@ -63,4 +63,4 @@
   DeadlineId tick_;
 };
 
-}  // namespace ryeglade::handover
+}  // namespace ryeglade::hot_restart
--- a/src/handover/succession_policy.cpp
+++ b/src/hot_restart/hot_restart_policy.cpp
@@ -1,4 +1,4 @@
-#include "handover/succession_policy.h"
+#include "hot_restart/hot_restart_policy.h"
 
 #include <fmt/format.h>
 #include <xxhash.h>
@@ -7,7 +7,7 @@
 #include <charconv>
 #include <string_view>
 
-namespace ryeglade::handover {
+namespace ryeglade::hot_restart {
 namespace {
 
 constexpr std::string_view kHead = "ryeglade-lease 1 ";
@@ -151,4 +151,4 @@
   return std::max(total - std::min(total, others), total / 8);
 }
 
-}  // namespace ryeglade::handover
+}  // namespace ryeglade::hot_restart
--- a/src/handover/succession_policy.h
+++ b/src/hot_restart/hot_restart_policy.h
@@ -12,7 +12,7 @@
 #include <optional>
 #include <string>
 
-namespace ryeglade::handover {
+namespace ryeglade::hot_restart {
 
 using Time = std::int64_t;  // microseconds, Unix time
 
@@ -83,4 +83,4 @@
 std::size_t Share(std::size_t total, std::size_t used, std::size_t before, bool older, bool yielded,
                   const Other& other, std::size_t others);
 
-}  // namespace ryeglade::handover
+}  // namespace ryeglade::hot_restart
--- a/src/handover/lease_file.cpp
+++ b/src/hot_restart/lease_file.cpp
@@ -1,11 +1,11 @@
-#include "handover/lease_file.h"
+#include "hot_restart/lease_file.h"
 
 #include <fcntl.h>
 #include <unistd.h>
 
 #include <algorithm>
 
-namespace ryeglade::handover {
+namespace ryeglade::hot_restart {
 namespace {
 
 constexpr std::size_t kSize = 256;  // of what a process says, padded
@@ -55,4 +55,4 @@
   [[maybe_unused]] const ssize_t n = pwrite(files_[mine_], text.data(), text.size(), 0);
 }
 
-}  // namespace ryeglade::handover
+}  // namespace ryeglade::hot_restart
--- a/src/handover/lease_file.h
+++ b/src/hot_restart/lease_file.h
@@ -5,9 +5,9 @@
 
 #include <string>
 
-#include "handover/succession_policy.h"
+#include "hot_restart/hot_restart_policy.h"
 
-namespace ryeglade::handover {
+namespace ryeglade::hot_restart {
 
 class LeaseFile {
  public:
@@ -26,4 +26,4 @@
   int mine_ = -1;
 };
 
-}  // namespace ryeglade::handover
+}  // namespace ryeglade::hot_restart
--- a/src/http/call.cpp
+++ b/src/http/blocking_client.cpp
@@ -1,4 +1,4 @@
-#include "http/call.h"
+#include "http/blocking_client.h"
 
 #include <http_parser.h>
 #include <netinet/in.h>
@@ -19,7 +19,7 @@
 constexpr std::size_t kMostBody = std::size_t{16} << 20;
 
 struct Parsed {
-  HttpAnswer answer;
+  HttpResponse answer;
   bool whole = false;
 };
 
@@ -30,9 +30,9 @@
 
 }  // namespace
 
-HttpAnswer HttpCall(const std::string& who, const std::string& at, const std::string& method,
-                    const std::string& path, const std::string& body, int patience_ms,
-                    const std::string& from) {
+HttpResponse BlockingHttpCall(const std::string& who, const std::string& at, const std::string& method,
+                              const std::string& path, const std::string& body, int patience_ms,
+                              const std::string& from) {
   sockaddr_storage to{};
   if (!ParseAddress(at, &to)) throw std::runtime_error(who + " " + at + " is not an ip:port");
   const auto gone = [&](const char* step, int error) {
--- a/src/http/call.h
+++ b/src/http/blocking_client.h
@@ -5,15 +5,15 @@
 
 namespace ryeglade {
 
-struct HttpAnswer {
+struct HttpResponse {
   unsigned status = 0;
   std::string body;
 };
 
 // `from`: the address to call from; empty: the machine's choice. Every step has the same time limit, and the
 // whole of it twice that. Throws std::runtime_error, which says what `who` did not do.
-HttpAnswer HttpCall(const std::string& who, const std::string& at, const std::string& method,
-                    const std::string& path, const std::string& body, int patience_ms,
-                    const std::string& from = "");
+HttpResponse BlockingHttpCall(const std::string& who, const std::string& at, const std::string& method,
+                              const std::string& path, const std::string& body, int patience_ms,
+                              const std::string& from = "");
 
 }  // namespace ryeglade
--- a/src/http/close_reason.h
+++ b/src/http/close_reason.h
@@ -24,7 +24,7 @@
 using CloseCounts = std::array<std::uint64_t, static_cast<std::size_t>(CloseReason::kCount)>;
 
 // The word of a reason in logs and counters.
-constexpr const char* Word(CloseReason reason) {
+constexpr const char* Name(CloseReason reason) {
   constexpr std::array<const char*, static_cast<std::size_t>(CloseReason::kCount)> kWords = {
       "client-ended", "idle",         "silent",       "made-room",    "answered",
       "aborted",      "write-failed", "client-stuck", "not-admitted", "process-ends"};
--- a/src/http/downstream.cpp
+++ b/src/http/downstream.cpp
@@ -237,7 +237,7 @@
   Client* c = clients_.Get(handle);
   if (c == nullptr) return;
   ++closed_[static_cast<std::size_t>(why)];
-  Log(Level::kDebug, "client-closed", {{"why", Word(why)}, {"used", c->used}, {"unsent", c->tcp->unsent()}});
+  Log(Level::kDebug, "client-closed", {{"why", Name(why)}, {"used", c->used}, {"unsent", c->tcp->unsent()}});
   core_->deadlines->Cancel(c->deadline);
   c->tcp->Close();
   clients_.Remove(handle);
--- a/src/http/downstream.h
+++ b/src/http/downstream.h
@@ -12,7 +12,7 @@
 
 #include "base/listener.h"
 #include "base/runtime.h"
-#include "base/slots.h"
+#include "base/slot_table.h"
 #include "base/tcp.h"
 #include "http/arrival_log.h"
 #include "http/close_reason.h"
@@ -20,10 +20,10 @@
 namespace ryeglade {
 
 struct HttpRequest {
-  explicit HttpRequest(Buffers* pool) : body(pool) {}
+  explicit HttpRequest(BufferPool* pool) : body(pool) {}
   std::string method, target;
   std::vector<std::pair<std::string, std::string>> headers;
-  Chain body;
+  BufferChain body;
   Time first_byte = 0;
   bool http11 = true;
 
@@ -93,7 +93,7 @@
   enum class State : unsigned char { kIdle, kReading, kAnswering, kLingering };
 
   struct Client {
-    Client(Buffers* pool, std::size_t body) : request(pool), most_body(body) {}
+    Client(BufferPool* pool, std::size_t body) : request(pool), most_body(body) {}
     Tcp* tcp = nullptr;
     http_parser parser{};
     State state = State::kIdle;
@@ -149,7 +149,7 @@
   Time stopping_ = 0;  // since when no new connection comes up; 0: they do, or the listener is closed
   bool yielded_ = false;
   CloseCounts closed_{};
-  Slots<Client> clients_;
+  SlotTable<Client> clients_;
 };
 
 }  // namespace ryeglade
--- a/src/keys/keyring.cpp
+++ b/src/keys/keyring.cpp
@@ -15,7 +15,7 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "base/whole_file.h"
+#include "base/file_io.h"
 #include "settings/edge_settings.h"
 #include "settings/toml_reader.h"
 
@@ -171,7 +171,7 @@
 }
 
 void Keyring::Save(const std::string& path) const {
-  const FileFault fault = ReplaceFile(path, Text(), 0600);
+  const FileError fault = ReplaceFile(path, Text(), 0600);
   if (fault.error != 0) {
     throw SettingsError(fmt::format("{}: {}: {}", path, fault.what, std::strerror(fault.error)));
   }
--- a/src/ledger/ledger_file.cpp
+++ b/src/ledger/ledger_file.cpp
@@ -4,8 +4,8 @@
 #include <cstring>
 #include <utility>
 
+#include "base/file_io.h"
 #include "base/log.h"
-#include "base/whole_file.h"
 
 namespace ryeglade::ledger {
 namespace {
--- a/src/ledger/ledger_model.cpp
+++ b/src/ledger/ledger_model.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-const char* Word(Column column) {
+const char* Name(Column column) {
   static constexpr std::array<const char*, kColumns> kWords = {"served",      "refused", "failed", "rejected",
                                                                "client-left", "broken",  "cut"};
   return kWords.at(static_cast<std::size_t>(column));
@@ -75,9 +75,9 @@
   json rows = json::array();
   for (const auto& [id, row] : ledger.rows()) {
     json ended, faults = json::object();
-    for (std::size_t i = 0; i < kColumns; ++i) ended[Word(static_cast<Column>(i))] = row.ended.at(i);
+    for (std::size_t i = 0; i < kColumns; ++i) ended[Name(static_cast<Column>(i))] = row.ended.at(i);
     for (std::size_t i = 0; i < kUsageFaults; ++i) {
-      if (row.usage_faults.at(i) > 0) faults[Word(static_cast<UsageFault>(i))] = row.usage_faults.at(i);
+      if (row.usage_faults.at(i) > 0) faults[Name(static_cast<UsageFault>(i))] = row.usage_faults.at(i);
     }
     rows.push_back({{"key", id.first},
                     {"model", id.second},
@@ -104,11 +104,11 @@
       Row row;
       row.admitted = j.at("admitted").get<std::uint64_t>();
       for (std::size_t i = 0; i < kColumns; ++i) {
-        row.ended.at(i) = j.at("ended").at(Word(static_cast<Column>(i))).get<std::uint64_t>();
+        row.ended.at(i) = j.at("ended").at(Name(static_cast<Column>(i))).get<std::uint64_t>();
       }
       for (std::size_t i = 0; i < kUsageFaults; ++i) {
         row.usage_faults.at(i) =
-            j.at("usage_faults").value(Word(static_cast<UsageFault>(i)), std::uint64_t{0});
+            j.at("usage_faults").value(Name(static_cast<UsageFault>(i)), std::uint64_t{0});
       }
       row.reported = TokensFromJson(j.at("reported"));
       row.estimated = TokensFromJson(j.at("estimated"));
@@ -125,7 +125,7 @@
     std::string faults;
     for (std::size_t i = 0; i < kUsageFaults; ++i) {
       if (r.usage_faults.at(i) == 0) continue;
-      faults += fmt::format("{}{}={}", faults.empty() ? "" : " ", Word(static_cast<UsageFault>(i)),
+      faults += fmt::format("{}{}={}", faults.empty() ? "" : " ", Name(static_cast<UsageFault>(i)),
                             r.usage_faults.at(i));
     }
     std::string out = fmt::format("{:<14.14} {:<18.18} {:>8}", key, model, r.admitted);
@@ -139,7 +139,7 @@
   for (std::size_t i = 0; i < kColumns; ++i) {
     out += fmt::format(" {:>8.8}", i == static_cast<std::size_t>(Column::kClientLeft)
                                        ? "left"
-                                       : Word(static_cast<Column>(i)));
+                                       : Name(static_cast<Column>(i)));
   }
   out += fmt::format(" {:>6} {:>11} {:>11} {:>11} {:>11} {:>11}  {}\n", "open", "prompt", "kept", "answer",
                      "est.prompt", "est.answer", "usage not believed");
--- a/src/ledger/ledger_model.h
+++ b/src/ledger/ledger_model.h
@@ -24,7 +24,7 @@
   kCount
 };
 inline constexpr std::size_t kColumns = static_cast<std::size_t>(Column::kCount);
-const char* Word(Column column);
+const char* Name(Column column);
 
 struct Tokens {
   double prompt = 0, kept = 0, answer = 0;
--- a/src/ledger/usage_model.cpp
+++ b/src/ledger/usage_model.cpp
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-const char* Word(UsageFault fault) {
+const char* Name(UsageFault fault) {
   static constexpr std::array<const char*, kUsageFaults> kWords = {
       "absent",     "not-a-number", "negative", "fractional", "huge",       "twice",
       "incomplete", "total",        "kept",     "over-limit", "contradicts"};
--- a/src/ledger/usage_model.h
+++ b/src/ledger/usage_model.h
@@ -28,7 +28,7 @@
   kCount
 };
 inline constexpr std::size_t kUsageFaults = static_cast<std::size_t>(UsageFault::kCount);
-const char* Word(UsageFault fault);
+const char* Name(UsageFault fault);
 
 struct Usage {
   double prompt = 0, kept = 0, answer = 0;  // tokens; kept is part of prompt
--- a/src/limits/pace_policy.cpp
+++ b/src/limits/rate_limit_policy.cpp
@@ -1,4 +1,4 @@
-#include "limits/pace_policy.h"
+#include "limits/rate_limit_policy.h"
 
 #include <algorithm>
 
--- a/src/membership/news_model.cpp
+++ b/src/membership/dissemination_queue_model.cpp
@@ -1,4 +1,4 @@
-#include "membership/news_model.h"
+#include "membership/dissemination_queue_model.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/membership/news_model.h
+++ b/src/membership/dissemination_queue_model.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "membership/record_model.h"
+#include "membership/member_record_model.h"
 
 namespace ryeglade::membership {
 
--- a/src/membership/record_model.cpp
+++ b/src/membership/member_record_model.cpp
@@ -1,4 +1,4 @@
-#include "membership/record_model.h"
+#include "membership/member_record_model.h"
 
 #include <xxhash.h>
 
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "base/log.h"
-#include "membership/wire_model.h"
+#include "membership/message_codec.h"
 
 namespace ryeglade::membership {
 namespace {
@@ -43,7 +43,7 @@
 }  // namespace
 
 Membership::Membership(const Runtime* run, const MembershipSettings& settings, const std::string& node,
-                       std::size_t nodes, EventPort* events, TierTap* tap, std::string hand_over_path)
+                       std::size_t nodes, EventPort* events, ClusterObserver* tap, std::string hand_over_path)
     : run_(run),
       settings_(settings),
       events_(events),
@@ -235,7 +235,7 @@
   tick_ = run_->deadlines->Set(Now() + model_->step(), [this] { Tick(); });
   actions_.Clear();
   model_->Tick(Now(), actions_);
-  for (int i = 0; i < kMostChats && words_ != nullptr && words_->waiting(); ++i) {
+  for (int i = 0; i < kMostChats && words_ != nullptr && words_->has_pending(); ++i) {
     model_->Chat(Now(), actions_);
     Act();
   }
@@ -274,7 +274,8 @@
     Log(grave ? Level::kWarn : Level::kInfo, what,
         {{"member", note.member}, {"by", note.by}, {"n", note.incarnation}});
   }
-  if (tap_ != nullptr) tap_->OnTier(Now(), what, note.member, note.by, note.incarnation, model_->live());
+  if (tap_ != nullptr)
+    tap_->OnClusterEvent(Now(), what, note.member, note.by, note.incarnation, model_->live());
 }
 
 // ---- Datagrams ----
@@ -310,7 +311,7 @@
   if (words_ == nullptr || message->words.empty()) return;
   const Standing standing = model_->StandingOf(message->from.name);
   if (standing == Standing::kAlive || standing == Standing::kSuspect || standing == Standing::kLeaving)
-    words_->Heard(message->words);
+    words_->OnMessages(message->words);
 }
 
 void Membership::SendTo(const std::string& to, Message message) {
@@ -319,8 +320,8 @@
     return Drop("no-address");
   std::string bytes = Encode(message);
   constexpr std::size_t kLength = 4;  // of a longer list
-  if (words_ != nullptr && words_->waiting() && bytes.size() + kLength < kMostDatagram) {
-    message.words = words_->Fill(kMostDatagram - kLength - bytes.size(), kWordOverhead);
+  if (words_ != nullptr && words_->has_pending() && bytes.size() + kLength < kMostDatagram) {
+    message.words = words_->TakeMessages(kMostDatagram - kLength - bytes.size(), kWordOverhead);
     if (!message.words.empty()) bytes = Encode(message);
   }
   const uv_buf_t buf = uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
@@ -445,14 +446,14 @@
 
 // ---- The view ----
 
-TierView Membership::View() const {
-  TierView view;
-  view.told = tier_.told();
+ClusterView Membership::View() const {
+  ClusterView view;
+  view.announced_nodes = tier_.told();
   if (model_ == nullptr) return view;
   view.version = model_->view_version();
   view.joined = model_->joined();
-  view.settled = model_->settled() && phase_ == Phase::kActive;
-  view.in_doubt = model_->in_doubt() || phase_ != Phase::kActive;
+  view.stable = model_->settled() && phase_ == Phase::kActive;
+  view.partition_suspected = model_->in_doubt() || phase_ != Phase::kActive;
   view.members.push_back({node_, settings_.zone, false});
   for (const ViewMember& m : model_->View(Now())) {
     if (m.standing == Standing::kAlive || m.standing == Standing::kSuspect ||
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -14,13 +14,13 @@
 #include <string_view>
 
 #include "base/runtime.h"
-#include "base/slots.h"
+#include "base/slot_table.h"
 #include "base/state_file.h"
 #include "base/tcp.h"
 #include "core/ports.h"
 #include "limits/networks.h"
 #include "membership/membership_model.h"
-#include "membership/tier_policy.h"
+#include "membership/node_count_policy.h"
 #include "settings/edge_settings.h"
 
 namespace ryeglade::membership {
@@ -31,24 +31,24 @@
   std::map<std::string, std::uint64_t> dropped;  // by reason; a fixed set of words
 };
 
-class Membership : public TcpOwner, public TierPort {
+class Membership : public TcpOwner, public ClusterViewPort {
  public:
   static constexpr std::size_t kSockets = 1 + 1 + 8 + 4;  // datagrams, listener, exchanges in and out
 
   // `nodes`: what the decision module was built with. `events` and `tap` may be null.
   Membership(const Runtime* run, const MembershipSettings& settings, const std::string& node,
-             std::size_t nodes, EventPort* events, TierTap* tap, std::string hand_over_path);
+             std::size_t nodes, EventPort* events, ClusterObserver* tap, std::string hand_over_path);
   ~Membership() override;
 
   // Throws std::runtime_error if the address can't be had and no other process of this node holds it.
   void Start();
   // What rides on this node's messages from now on; before Start.
-  void Carry(WordPort* words) { words_ = words; }
+  void Carry(GossipPort* words) { words_ = words; }
   std::uint64_t uid() const { return uid_; }  // rises with each process of this node
   void Leave();                               // said to all; goes on answering
   void Close();                               // last words
 
-  TierView View() const override;
+  ClusterView View() const override;
   const Model& model() const { return *model_; }
   const Traffic& traffic() const { return traffic_; }
   std::size_t told() const { return tier_.told(); }
@@ -90,8 +90,8 @@
   const Runtime* run_;
   MembershipSettings settings_;
   EventPort* events_;
-  TierTap* tap_;
-  WordPort* words_ = nullptr;
+  ClusterObserver* tap_;
+  GossipPort* words_ = nullptr;
   TierPolicy tier_;
   std::string node_, address_;
   sockaddr_storage local_{};
@@ -103,7 +103,7 @@
   bool leaving_ = false;
   uv_udp_t* udp_ = nullptr;  // freed by its close
   uv_tcp_t* listener_ = nullptr;
-  Slots<Call> calls_;
+  SlotTable<Call> calls_;
   std::size_t calls_in_ = 0, calls_out_ = 0;
   StateFile hand_over_;
   std::uint64_t uid_ = 0, above_ = 0;
--- a/src/membership/membership_model.h
+++ b/src/membership/membership_model.h
@@ -21,8 +21,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "membership/news_model.h"
-#include "membership/record_model.h"
+#include "membership/dissemination_queue_model.h"
+#include "membership/member_record_model.h"
 
 namespace ryeglade::membership {
 
--- a/src/membership/wire_model.cpp
+++ b/src/membership/message_codec.cpp
@@ -1,4 +1,4 @@
-#include "membership/wire_model.h"
+#include "membership/message_codec.h"
 
 #include <xxhash.h>
 
--- a/src/membership/wire_model.h
+++ b/src/membership/message_codec.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <string_view>
 
-#include "membership/record_model.h"
+#include "membership/member_record_model.h"
 
 namespace ryeglade::membership {
 
--- a/src/membership/tier_policy.cpp
+++ b/src/membership/node_count_policy.cpp
@@ -1,4 +1,4 @@
-#include "membership/tier_policy.h"
+#include "membership/node_count_policy.h"
 
 namespace ryeglade::membership {
 
--- a/src/rollout/verdict_model.cpp
+++ b/src/rollout/canary_analysis_model.cpp
@@ -1,4 +1,4 @@
-#include "rollout/verdict_model.h"
+#include "rollout/canary_analysis_model.h"
 
 #include <fmt/format.h>
 
--- a/src/rollout/verdict_model.h
+++ b/src/rollout/canary_analysis_model.h
@@ -21,7 +21,7 @@
 #include <utility>
 #include <vector>
 
-#include "rollout/figures_model.h"
+#include "rollout/metrics_model.h"
 
 namespace ryeglade::rollout {
 
--- a/src/rollout/tier_word_model.cpp
+++ b/src/rollout/cluster_view_model.cpp
@@ -1,4 +1,4 @@
-#include "rollout/tier_word_model.h"
+#include "rollout/cluster_view_model.h"
 
 #include <algorithm>
 #include <exception>
--- a/src/rollout/driver_model.h
+++ b/src/rollout/driver_model.h
@@ -15,10 +15,10 @@
 #include <utility>
 #include <vector>
 
+#include "rollout/canary_analysis_model.h"
+#include "rollout/cluster_view_model.h"
 #include "rollout/plan.h"
 #include "rollout/release_model.h"
-#include "rollout/tier_word_model.h"
-#include "rollout/verdict_model.h"
 
 namespace ryeglade::rollout {
 
--- a/src/rollout/figures_model.cpp
+++ b/src/rollout/metrics_model.cpp
@@ -1,4 +1,4 @@
-#include "rollout/figures_model.h"
+#include "rollout/metrics_model.h"
 
 #include <cmath>
 #include <exception>
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
+#include "rollout/canary_analysis_model.h"
 #include "rollout/release_model.h"
-#include "rollout/verdict_model.h"
 
 namespace ryeglade::rollout {
 
--- a/src/rollout/release_model.h
+++ b/src/rollout/release_model.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "rollout/figures_model.h"
+#include "rollout/metrics_model.h"
 
 namespace ryeglade::rollout {
 
--- a/src/rollout/report_model.cpp
+++ b/src/rollout/report_model.cpp
@@ -164,7 +164,7 @@
   return out;
 }
 
-Sheet ReportSheet(const std::vector<RecordedRound>& rounds) {
+TextTable ReportSheet(const std::vector<RecordedRound>& rounds) {
   Rows rows("comparisons", {{"at_seconds", Numbers{}},
                             {"course", Texts{}},
                             {"stage", Wholes{}},
--- a/src/rollout/report_model.h
+++ b/src/rollout/report_model.h
@@ -9,8 +9,8 @@
 #include <string_view>
 #include <vector>
 
-#include "base/sheet.h"
-#include "rollout/verdict_model.h"
+#include "base/text_table.h"
+#include "rollout/canary_analysis_model.h"
 
 namespace ryeglade::rollout {
 
@@ -38,7 +38,7 @@
 // Each turn of the course with its time, then the last comparisons.
 std::string ReportTable(const std::vector<RecordedRound>& rounds);
 // Every comparison of every round.
-Sheet ReportSheet(const std::vector<RecordedRound>& rounds);
+TextTable ReportSheet(const std::vector<RecordedRound>& rounds);
 // A gnuplot script: a lane for each node, then the difference between the cohorts with its interval, for
 // failures, for what was not served in time and for first tokens, over all classes; faults as shading.
 std::string ReportChart(const std::vector<RecordedRound>& rounds, const std::string& out);
--- a/src/rollout/keeper.cpp
+++ b/src/rollout/supervisor.cpp
@@ -1,4 +1,4 @@
-#include "rollout/keeper.h"
+#include "rollout/supervisor.h"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -24,11 +24,11 @@
 #include <utility>
 #include <vector>
 
+#include "base/file_io.h"
 #include "base/log.h"
 #include "base/runtime.h"
-#include "base/whole_file.h"
-#include "handover/succession_policy.h"
-#include "http/call.h"
+#include "hot_restart/hot_restart_policy.h"
+#include "http/blocking_client.h"
 #include "http/downstream.h"
 #include "settings/toml_reader.h"
 
@@ -259,10 +259,10 @@
   void EndStrangers(const KeeperMemory& m) {
     for (const auto& entry : std::filesystem::directory_iterator(options_.directory + "/tmp")) {
       if (entry.path().filename().string().find("-lease-") == std::string::npos) continue;
-      const auto lease = handover::DecodeLease(ReadIfThere(entry.path().string()));
+      const auto lease = hot_restart::DecodeLease(ReadFileIfPresent(entry.path().string()));
       if (!lease) continue;
       const bool known = lease->pid == m.current.pid || lease->pid == m.next.pid || lease->pid == m.old.pid;
-      const std::string command = ReadIfThere("/proc/" + std::to_string(lease->pid) + "/cmdline");
+      const std::string command = ReadFileIfPresent("/proc/" + std::to_string(lease->pid) + "/cmdline");
       if (known || command.find(std::string("\0serve\0", 7)) == std::string::npos ||
           command.find(m.in_force.config) == std::string::npos)
         continue;
@@ -286,7 +286,7 @@
     for (const KeeperAct& act : acts) {
       switch (act.what) {
         case KeeperAct::What::kSave: {
-          const FileFault fault = ReplaceFile(MemoryPath(), EncodeMemory(model_->memory()), 0600);
+          const FileError fault = ReplaceFile(MemoryPath(), EncodeMemory(model_->memory()), 0600);
           if (fault.error != 0)
             Log(Level::kError, "keeper-memory-not-written",
                 {{"step", fault.what}, {"why", std::strerror(fault.error)}});
@@ -454,11 +454,11 @@
           try {
             if (j->want_ready) {
               j->ready =
-                  HttpCall("the node at", j->management, "GET", "/control/ready", "", kLookWithin).status ==
-                  200;
+                  BlockingHttpCall("the node at", j->management, "GET", "/control/ready", "", kLookWithin)
+                      .status == 200;
             } else {
-              const HttpAnswer a =
-                  HttpCall("the node at", j->management, "GET", "/control/figures", "", kLookWithin);
+              const HttpResponse a =
+                  BlockingHttpCall("the node at", j->management, "GET", "/control/figures", "", kLookWithin);
               if (a.status == 200) j->figures = DecodeFigures(a.body);
             }
           } catch (const std::runtime_error&) {
@@ -578,7 +578,7 @@
 
   KeeperOptions options_;
   uv_loop_t loop_{};
-  Buffers buffers_;
+  BufferPool buffers_;
   Deadlines deadlines_;
   Runtime run_;
   Downstream down_;
--- a/src/rollout/keeper.h
+++ b/src/rollout/supervisor.h
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "rollout/keeper_model.h"
+#include "rollout/supervisor_model.h"
 
 namespace ryeglade::rollout {
 
--- a/src/rollout/keeper_model.cpp
+++ b/src/rollout/supervisor_model.cpp
@@ -1,4 +1,4 @@
-#include "rollout/keeper_model.h"
+#include "rollout/supervisor_model.h"
 
 #include <algorithm>
 #include <exception>
--- a/src/settings/retune_policy.cpp
+++ b/src/settings/class_update_policy.cpp
@@ -1,4 +1,4 @@
-#include "settings/retune_policy.h"
+#include "settings/class_update_policy.h"
 
 #include <charconv>
 #include <map>
--- a/src/settings/edge_settings.cpp
+++ b/src/settings/edge_settings.cpp
@@ -134,8 +134,8 @@
   return m;
 }
 
-TierSettings Tier(TomlSection s, bool membership) {
-  TierSettings t;
+GossipSettings Tier(TomlSection s, bool membership) {
+  GossipSettings t;
   if (!s.present()) return t;
   if (!membership)
     s.Fail("",
--- a/src/settings/edge_settings.h
+++ b/src/settings/edge_settings.h
@@ -80,7 +80,7 @@
 };
 
 // What the nodes do with what they tell each other; off without its table.
-struct TierSettings {
+struct GossipSettings {
   bool on = false;
   bool parts = true;       // each goes by its own part of the tier's traffic
   bool evidence = true;    // what others found failing or slow counts
@@ -100,7 +100,7 @@
   OpenAiSettings openai;
   TimelineSettings timeline;
   MembershipSettings membership;
-  TierSettings tier;
+  GossipSettings tier;
 };
 
 class TomlSection;
--- a/src/timeline/unusual_model.cpp
+++ b/src/timeline/anomaly_model.cpp
@@ -1,4 +1,4 @@
-#include "timeline/unusual_model.h"
+#include "timeline/anomaly_model.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/timeline/unusual_model.h
+++ b/src/timeline/anomaly_model.h
@@ -23,7 +23,7 @@
 #include <vector>
 
 #include "ryeglade/router.h"
-#include "timeline/flight_model.h"
+#include "timeline/flight_record_codec.h"
 
 namespace ryeglade::timeline {
 
--- a/src/timeline/block.cpp
+++ b/src/timeline/block.cpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <stdexcept>
 
-#include "timeline/flight_model.h"
+#include "timeline/flight_record_codec.h"
 
 namespace ryeglade::timeline {
 namespace {
--- a/src/timeline/burst_model.cpp
+++ b/src/timeline/coalescing_model.cpp
@@ -1,4 +1,4 @@
-#include "timeline/burst_model.h"
+#include "timeline/coalescing_model.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/timeline/burst_model.h
+++ b/src/timeline/coalescing_model.h
@@ -1,5 +1,5 @@
-// Holds the record to its budget of bytes: while decisions come faster, they are counted instead of kept, and
-// the counts stand in the record. No I/O, no clock.
+// DisabledReplicas the record to its budget of bytes: while decisions come faster, they are counted instead
+// of kept, and the counts stand in the record. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "ryeglade/router.h"
-#include "timeline/flight_model.h"
+#include "timeline/flight_record_codec.h"
 
 namespace ryeglade::timeline {
 
--- a/src/timeline/export_model.cpp
+++ b/src/timeline/export_model.cpp
@@ -2,7 +2,7 @@
 
 #include <limits>
 
-#include "core/words.h"
+#include "core/enum_names.h"
 
 namespace ryeglade::timeline {
 namespace {
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-std::vector<Sheet> Sheets(const Lanes& lanes) {
+std::vector<TextTable> Sheets(const Lanes& lanes) {
   const auto ms = [](Time t) { return t / 1000; };
   Rows bins("bins", {{"start_ms", Wholes{}},
                      {"replica", Texts{}},
@@ -51,7 +51,7 @@
     for (const LaneSpan& s : lane.spans)
       states.Add(title, ms(s.from), ms(s.to), Name(s.state), Name(s.known), s.why);
     for (const LaneRest& r : lane.rests)
-      rests.Add(title, ms(r.from), ms(r.until), Word(r.outcome), r.failures);
+      rests.Add(title, ms(r.from), ms(r.until), ryeglade::Name(r.outcome), r.failures);
     for (const LaneMark& m : lane.marks) marks.Add(ms(m.at), title, m.text);
   }
   Rows fleet("fleet", {{"start_ms", Wholes{}},
@@ -78,7 +78,7 @@
                u.fleet ? std::string("fleet") : lanes.TitleOf(u.replica), ms(u.since), u.before, u.during,
                u.peers);
   }
-  std::vector<Sheet> sheets;
+  std::vector<TextTable> sheets;
   for (Rows* r : {&bins, &fleet, &states, &rests, &events, &marks}) sheets.push_back(r->Take());
   return sheets;
 }
--- a/src/timeline/export_model.h
+++ b/src/timeline/export_model.h
@@ -3,13 +3,13 @@
 
 #include <vector>
 
-#include "base/sheet.h"
-#include "timeline/lane_model.h"
+#include "base/text_table.h"
+#include "timeline/replica_timeline_model.h"
 
 namespace ryeglade::timeline {
 
 // `bins` (replica by bin), `fleet`, `states`, `rests`, `events` and `marks`. A load that was not reported is
 // NaN, in CSV an empty field: never zero.
-std::vector<Sheet> Sheets(const Lanes& lanes);
+std::vector<TextTable> Sheets(const Lanes& lanes);
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/flight_model.cpp
+++ b/src/timeline/flight_record_codec.cpp
@@ -1,4 +1,4 @@
-#include "timeline/flight_model.h"
+#include "timeline/flight_record_codec.h"
 
 #include <fmt/format.h>
 
@@ -12,8 +12,8 @@
 #include <type_traits>
 #include <utility>
 
-#include "core/learned_model.h"
-#include "core/words.h"
+#include "core/enum_names.h"
+#include "core/learned_state_codec.h"
 
 namespace ryeglade::timeline {
 namespace {
@@ -233,7 +233,7 @@
       p.pack_array(static_cast<std::uint32_t>(v.size()));
       for (auto& e : v) Whole(e);
     } else if constexpr (kLearned<T>) {
-      p.pack(v == nullptr ? std::string() : EncodeLearned(*v));
+      p.pack(v == nullptr ? std::string() : EncodeLearnedState(*v));
     } else {
       p.pack(v);
     }
@@ -295,7 +295,7 @@
     } else if constexpr (kLearned<T>) {
       const std::string text = o.as<std::string>();
       std::string why;
-      auto learned = text.empty() ? std::nullopt : DecodeLearned(text, &why);
+      auto learned = text.empty() ? std::nullopt : DecodeLearnedState(text, &why);
       if (!text.empty() && !learned) Bad("what was inherited can't be read");
       if (learned) v = std::make_shared<const LearnedState>(std::move(*learned));
     } else {
@@ -433,13 +433,13 @@
   }
   std::string operator()(const AttemptEnded& e) const {
     return fmt::format("ended {:x}.{} at {:08x} {} after {:.1f} ms kept {:g} load {}{}", e.id, e.attempt,
-                       e.replica, Word(e.outcome), Ms(e.elapsed), e.cached_tokens, Loads(e.load_report),
-                       e.request_concluded ? " concluded" : "");
+                       e.replica, ryeglade::Name(e.outcome), Ms(e.elapsed), e.cached_tokens,
+                       Loads(e.load_report), e.request_concluded ? " concluded" : "");
   }
   std::string operator()(const ClientDisconnected& e) const { return fmt::format("client gone {:x}", e.id); }
   std::string operator()(const TimerFired& e) const { return fmt::format("timer {}", e.token); }
   std::string operator()(const HealthCheckCompleted& e) const {
-    return fmt::format("probe of {:08x} {} after {:.1f} ms load {}", e.replica, Word(e.outcome),
+    return fmt::format("probe of {:08x} {} after {:.1f} ms load {}", e.replica, ryeglade::Name(e.outcome),
                        Ms(e.elapsed), Loads(e.load_report));
   }
   std::string operator()(const NodeCountChanged& e) const {
@@ -491,12 +491,12 @@
   }
   std::string operator()(const ConclusionRecord& n) const {
     return fmt::format("{:x} ended: {}; {} attempts, {:.0f} ms after it came, {} held, {} of {:.1f} in use",
-                       n.id, Word(n.reason), n.attempts, Ms(n.open_for), n.queue_length, n.in_flight,
-                       n.total_concurrency_limit);
+                       n.id, ryeglade::Name(n.reason), n.attempts, Ms(n.open_for), n.queue_length,
+                       n.in_flight, n.total_concurrency_limit);
   }
   std::string operator()(const EjectionRecord& n) const {
     return fmt::format("{:08x} rests until {}: {}, {} failures in a row", n.replica, n.ejected_until / 1000,
-                       Word(n.outcome), n.consecutive_failures);
+                       ryeglade::Name(n.outcome), n.consecutive_failures);
   }
 };
 
@@ -651,7 +651,8 @@
         "attempts",
         b->first / 1000, b->last / 1000, b->decisions, b->arrived, b->sent, b->refused, b->failed);
     for (std::size_t n = 0; n < b->outcomes.size(); ++n) {
-      if (b->outcomes[n] > 0) out += fmt::format(" {}={}", Word(static_cast<Outcome>(n)), b->outcomes[n]);
+      if (b->outcomes[n] > 0)
+        out += fmt::format(" {}={}", ryeglade::Name(static_cast<Outcome>(n)), b->outcomes[n]);
     }
     for (const BurstReplica& r : b->replicas) out += fmt::format(" {:08x}:{}/{}", r.id, r.failed, r.sent);
     return out;
--- a/src/timeline/flight_recorder.cpp
+++ b/src/timeline/flight_recorder.cpp
@@ -10,10 +10,10 @@
 #include <filesystem>
 #include <utility>
 
+#include "base/file_io.h"
 #include "base/log.h"
-#include "base/whole_file.h"
 #include "timeline/block.h"
-#include "timeline/flight_model.h"
+#include "timeline/flight_record_codec.h"
 
 namespace ryeglade::timeline {
 namespace {
@@ -185,8 +185,8 @@
   if (const std::optional<Burst> burst = coalescer_.Cut()) Keep(*burst);
 }
 
-void FlightRecorder::OnMember(Time now, const policy::Endpoint& entry, const std::string& name,
-                              const std::string& address) {
+void FlightRecorder::OnEndpoint(Time now, const policy::Endpoint& entry, const std::string& name,
+                                const std::string& address) {
   if (closed_) return;
   const Member m{now, entry.id, name, address, entry.started_at, entry.state, false};
   const auto it = members_.find(entry.id);
@@ -196,8 +196,8 @@
   Keep(m);
 }
 
-void FlightRecorder::OnRoster(Time now, std::string_view source, std::uint64_t generation,
-                              std::string_view why) {
+void FlightRecorder::OnEndpointList(Time now, std::string_view source, std::uint64_t generation,
+                                    std::string_view why) {
   if (closed_) return;
   roster_ = {now, std::string(source), generation, std::string(why), false};
   Keep(roster_);
@@ -205,7 +205,7 @@
 }
 
 // Names are left out first where the budget is short.
-void FlightRecorder::OnNamed(Time now, policy::RequestId id, std::string_view call_id) {
+void FlightRecorder::OnCallId(Time now, policy::RequestId id, std::string_view call_id) {
   if (closed_ || call_id.empty() || !budget_.Open(now)) return;
   const std::size_t before = block_.size();
   Encode(Named{now, id, std::string(call_id.substr(0, 128))}, block_);
@@ -214,8 +214,8 @@
 }
 
 // What flaps is left out where the budget is short.
-void FlightRecorder::OnTier(Time now, std::string_view what, std::string_view member, std::string_view by,
-                            std::uint64_t value, std::size_t live) {
+void FlightRecorder::OnClusterEvent(Time now, std::string_view what, std::string_view member,
+                                    std::string_view by, std::uint64_t value, std::size_t live) {
   if (closed_ || !budget_.Open(now)) return;
   const std::size_t before = block_.size();
   Encode(Tier{now, std::string(what), std::string(member), std::string(by), value, live}, block_);
--- a/src/timeline/flight_recorder.h
+++ b/src/timeline/flight_recorder.h
@@ -15,8 +15,8 @@
 
 #include "base/runtime.h"
 #include "core/ports.h"
-#include "timeline/burst_model.h"
-#include "timeline/unusual_model.h"
+#include "timeline/anomaly_model.h"
+#include "timeline/coalescing_model.h"
 
 namespace ryeglade::timeline {
 
@@ -35,10 +35,10 @@
   bool watch = true;           // for the unusual
 };
 
-class FlightRecorder : public DecisionTap,
-                       public MembershipTap,
-                       public StreamTap,
-                       public TierTap,
+class FlightRecorder : public DecisionRecorder,
+                       public EndpointObserver,
+                       public StreamObserver,
+                       public ClusterObserver,
                        public policy::DecisionObserver {
  public:
   FlightRecorder(const Runtime* run, RecorderOptions options);
@@ -46,12 +46,13 @@
 
   void OnStart(const std::string& settings, std::uint64_t seed, Time now) override;
   void OnDecision(Time now, const policy::Event& event, const std::vector<policy::Action>& actions) override;
-  void OnMember(Time now, const policy::Endpoint& entry, const std::string& name,
-                const std::string& address) override;
-  void OnRoster(Time now, std::string_view source, std::uint64_t generation, std::string_view why) override;
-  void OnNamed(Time now, policy::RequestId id, std::string_view call_id) override;
-  void OnTier(Time now, std::string_view what, std::string_view member, std::string_view by,
-              std::uint64_t value, std::size_t live) override;
+  void OnEndpoint(Time now, const policy::Endpoint& entry, const std::string& name,
+                  const std::string& address) override;
+  void OnEndpointList(Time now, std::string_view source, std::uint64_t generation,
+                      std::string_view why) override;
+  void OnCallId(Time now, policy::RequestId id, std::string_view call_id) override;
+  void OnClusterEvent(Time now, std::string_view what, std::string_view member, std::string_view by,
+                      std::uint64_t value, std::size_t live) override;
   void OnDispatch(const policy::DispatchRecord& note) override { Because(note); }
   void OnConclusion(const policy::ConclusionRecord& note) override { Because(note); }
   void OnEjection(const policy::EjectionRecord& note) override { Because(note); }
--- a/src/timeline/merge_model.h
+++ b/src/timeline/merge_model.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "timeline/lane_model.h"
+#include "timeline/replica_timeline_model.h"
 
 namespace ryeglade::timeline {
 
--- a/src/timeline/plot_model.h
+++ b/src/timeline/plot_model.h
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "timeline/lane_model.h"
+#include "timeline/replica_timeline_model.h"
 
 namespace ryeglade::timeline {
 
--- a/src/timeline/reader.h
+++ b/src/timeline/reader.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "timeline/block.h"
-#include "timeline/flight_model.h"
+#include "timeline/flight_record_codec.h"
 
 namespace ryeglade::timeline {
 
--- a/src/timeline/load.cpp
+++ b/src/timeline/record_loader.cpp
@@ -1,9 +1,9 @@
-#include "timeline/load.h"
+#include "timeline/record_loader.h"
 
 #include <stdexcept>
 #include <utility>
 
-#include "timeline/unusual_model.h"
+#include "timeline/anomaly_model.h"
 
 namespace ryeglade::timeline {
 namespace {
--- a/src/timeline/load.h
+++ b/src/timeline/record_loader.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "timeline/lane_model.h"
 #include "timeline/reader.h"
+#include "timeline/replica_timeline_model.h"
 
 namespace ryeglade::timeline {
 
--- a/src/timeline/lane_model.cpp
+++ b/src/timeline/replica_timeline_model.cpp
@@ -1,4 +1,4 @@
-#include "timeline/lane_model.h"
+#include "timeline/replica_timeline_model.h"
 
 #include <fmt/format.h>
 
--- a/src/timeline/lane_model.h
+++ b/src/timeline/replica_timeline_model.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "timeline/flight_model.h"
+#include "timeline/flight_record_codec.h"
 
 namespace ryeglade::timeline {
 
--- a/src/timeline/story_model.cpp
+++ b/src/timeline/request_trace_model.cpp
@@ -1,10 +1,10 @@
-#include "timeline/story_model.h"
+#include "timeline/request_trace_model.h"
 
 #include <fmt/format.h>
 
 #include <charconv>
 
-#include "core/words.h"
+#include "core/enum_names.h"
 
 namespace ryeglade::timeline {
 namespace {
@@ -98,9 +98,9 @@
     }
     if (const auto* end = std::get_if<policy::ConclusionRecord>(&n->what);
         end != nullptr && arrived_.contains(end->id)) {
-      Say(n->now,
-          fmt::format("  why: {}; {} attempts, {} requests held here, {} of {:.1f} in use", Word(end->reason),
-                      end->attempts, end->queue_length, end->in_flight, end->total_concurrency_limit));
+      Say(n->now, fmt::format("  why: {}; {} attempts, {} requests held here, {} of {:.1f} in use",
+                              ryeglade::Name(end->reason), end->attempts, end->queue_length, end->in_flight,
+                              end->total_concurrency_limit));
     }
     return;
   }
@@ -125,7 +125,7 @@
     Say(d->now, fmt::format("first token from {} after {:.1f} ms", Who(s->replica), Ms(s->elapsed)));
   } else if (const auto* e = std::get_if<policy::AttemptEnded>(&d->event); e != nullptr && Mine(e->id)) {
     Say(d->now, fmt::format("attempt {} at {} ends: {} after {:.1f} ms; {}", e->attempt, Who(e->replica),
-                            Word(e->outcome), Ms(e->elapsed), State(e->replica, d->now)));
+                            ryeglade::Name(e->outcome), Ms(e->elapsed), State(e->replica, d->now)));
     if (e->outcome == policy::Outcome::kServed) {
       Say(d->now, fmt::format("served, {:.1f} ms after it came", Ms(d->now - arrived_[e->id])));
       mine_.erase(e->id);
--- a/src/timeline/story_model.h
+++ b/src/timeline/request_trace_model.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "timeline/flight_model.h"
-#include "timeline/lane_model.h"
+#include "timeline/flight_record_codec.h"
+#include "timeline/replica_timeline_model.h"
 
 namespace ryeglade::timeline {
 
--- a/src/timeline/verify.h
+++ b/src/timeline/verify.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "ryeglade/router.h"
-#include "timeline/flight_model.h"
+#include "timeline/flight_record_codec.h"
 
 namespace ryeglade::timeline {
 
--- a/tests/accounts_test.cpp
+++ b/tests/accounts_test.cpp
@@ -15,7 +15,7 @@
 #include "ledger/usage_model.h"
 #include "limits/limits_policy.h"
 #include "limits/networks.h"
-#include "limits/pace_policy.h"
+#include "limits/rate_limit_policy.h"
 #include "settings/toml_reader.h"
 
 namespace ryeglade {
--- a/tests/retune_test.cpp
+++ b/tests/class_update_test.cpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "settings/retune_policy.h"
+#include "settings/class_update_policy.h"
 
 namespace ryeglade {
 namespace {
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -12,7 +12,7 @@
 
 #include "lab/emulator/compare.h"
 #include "lab/emulator/random.h"
-#include "lab/emulator/world.h"
+#include "lab/emulator/simulation.h"
 
 namespace ryeglade::emulator {
 namespace {
--- a/tests/event_delay.cpp
+++ b/tests/event_delay.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <chrono>
 
-#include "peers.h"
+#include "scripted_peers.h"
 
 namespace stories {
 namespace {
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -395,7 +395,7 @@
 // Days that `shrink` made: the policy that each names breaks a rule there, the Router does not.
 TEST(Days, TheRouterKeepsTheRulesWhereOthersDoNot) {
   std::size_t played = 0;
-  for (const auto& file : std::filesystem::directory_iterator(RYEGLADE_DAYS)) {
+  for (const auto& file : std::filesystem::directory_iterator(RYEGLADE_SCENARIOS)) {
     const Experiment e = ReadExperiment(file.path().string());
     emulator::DaySpec day = e.Day(0);
     EXPECT_GT(PlayDay(day).breaks.all(), 0U) << file.path();
--- a/tests/export_test.cpp
+++ b/tests/export_test.cpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/hours.h"
+#include "lab/fault_scenarios.h"
 #include "timeline/export_model.h"
-#include "timeline/load.h"
+#include "timeline/record_loader.h"
 
 namespace ryeglade::timeline {
 namespace {
@@ -32,7 +32,7 @@
   options.most_bins = 100'000;
   std::string losses;
   std::size_t compared = 0, not_told = 0;
-  for (const Sheet& sheet : Sheets(LoadNodes({base + ".flight"}, options, &losses).front())) {
+  for (const TextTable& sheet : Sheets(LoadNodes({base + ".flight"}, options, &losses).front())) {
     const H5::Group group = file.openGroup(sheet.name);
     for (const Column& column : sheet.columns) {
       const H5::DataSet set = group.openDataSet(column.name);
--- a/tests/faults.cpp
+++ b/tests/fault_injection.cpp
@@ -8,8 +8,8 @@
 #include <map>
 #include <thread>
 
-#include "peers.h"
 #include "preloaded.h"
+#include "scripted_peers.h"
 
 namespace stories {
 namespace {
@@ -244,7 +244,7 @@
 }
 
 // Whether a process holds back a signal now, as /proc tells.
-bool Holds(pid_t pid, int signal) {
+bool DisabledReplicas(pid_t pid, int signal) {
   std::ifstream in("/proc/" + std::to_string(pid) + "/status");
   for (std::string line; std::getline(in, line);) {
     if (line.rfind("SigBlk:", 0) == 0)
@@ -273,7 +273,7 @@
     execl(program.c_str(), program.c_str(), "serve", "--config", path, nullptr);
     _exit(9);
   }
-  for (int n = 0; n < kPatienceMs && !Holds(pid, SIGHUP); ++n) usleep(1'000);
+  for (int n = 0; n < kPatienceMs && !DisabledReplicas(pid, SIGHUP); ++n) usleep(1'000);
   kill(pid, SIGHUP);
   usleep(1'000);
   kill(pid, SIGTERM);
--- a/tests/tier_nodes_test.cpp
+++ b/tests/gossip_nodes_test.cpp
@@ -7,8 +7,8 @@
 #include <set>
 #include <string>
 
+#include "gossip/gossip_message_codec.h"
 #include "lab/cluster/real.h"
-#include "tier/word_model.h"
 
 namespace ryeglade::cluster {
 namespace {
@@ -82,20 +82,20 @@
   std::uint64_t said = 0;
   o.liar = [&said](const std::string& name) {
     std::vector<std::string> words;
-    tier::Word w;
+    gossip::Word w;
     w.life = 1, w.number = ++said, w.rate = 1e6;
     for (int k = 0; k < 10; ++k) {
       // As the program numbers replicas: FNV-1a of their names.
       std::uint32_t id = 2166136261U;
       for (const char c : "stand-in-" + std::to_string(k))
         id = (id ^ static_cast<unsigned char>(c)) * 16777619U;
-      w.claims.push_back({id, 0, 9, tier::kMostRest, 0, 4, 255, 255, tier::kMostRest});
+      w.claims.push_back({id, 0, 9, gossip::kMostRest, 0, 4, 255, 255, gossip::kMostRest});
     }
     w.beginnings = {{42, 1e6}};
-    words.push_back(tier::Encode({name, 0, w}));
+    words.push_back(gossip::Encode({name, 0, w}));
     words.push_back("\xc1 no word at all");
-    words.push_back(tier::Encode({"n1", 0, w}).substr(0, 40));
-    words.push_back(tier::Encode({"nobody", 0, w}));
+    words.push_back(gossip::Encode({"n1", 0, w}).substr(0, 40));
+    words.push_back(gossip::Encode({"nobody", 0, w}));
     return words;
   };
   const RealResult r = Play(Head(6, "rate = \"60/s\"\nlength = 60\n"), o);
