--- a/tests/tier_test.cpp
+++ b/tests/gossip_test.cpp
@@ -7,17 +7,17 @@
 #include <map>
 #include <tuple>
 
-#include "lab/emulator/talk_world.h"
-#include "lab/emulator/world.h"
-#include "tier/gossip_model.h"
-#include "tier/tier_model.h"
+#include "gossip/gossip_queue_model.h"
+#include "gossip/shared_state_model.h"
+#include "lab/emulator/gossip_simulation.h"
+#include "lab/emulator/simulation.h"
 
 namespace ryeglade {
 namespace {
 
-using tier::ShareModel;
-using tier::Time;
-using tier::Word;
+using gossip::ShareModel;
+using gossip::Time;
+using gossip::Word;
 
 constexpr Time kSecond = 1'000'000;
 
@@ -159,30 +159,30 @@
 
 Word Full() {
   Word w;
-  w.life = ~std::uint64_t{0}, w.number = ~std::uint64_t{0}, w.rate = tier::kMostRate, w.doubt = true,
+  w.life = ~std::uint64_t{0}, w.number = ~std::uint64_t{0}, w.rate = gossip::kMostRate, w.doubt = true,
   w.accused = 0xffff;
-  for (std::size_t i = 0; i < tier::kMostClaims; ++i)
-    w.claims.push_back(
-        {0xffffffff, Time{1'700'000'000'000'000}, 255, tier::kMostRest, 0, -4, 255, 255, tier::kMostRest});
-  for (std::size_t i = 0; i < tier::kMostBeginnings; ++i)
-    w.beginnings.push_back({~std::uint64_t{0}, tier::kMostRate});
+  for (std::size_t i = 0; i < gossip::kMostClaims; ++i)
+    w.claims.push_back({0xffffffff, Time{1'700'000'000'000'000}, 255, gossip::kMostRest, 0, -4, 255, 255,
+                        gossip::kMostRest});
+  for (std::size_t i = 0; i < gossip::kMostBeginnings; ++i)
+    w.beginnings.push_back({~std::uint64_t{0}, gossip::kMostRate});
   return w;
 }
 
 TEST(Words, TheLongestFitsAndComesBackAsItWas) {
-  const tier::Telling t{std::string(64, 'n'), tier::kMostAge, Full()};
-  const std::string bytes = tier::Encode(t);
-  EXPECT_LE(bytes.size(), tier::kMostWord);
+  const gossip::Telling t{std::string(64, 'n'), gossip::kMostAge, Full()};
+  const std::string bytes = gossip::Encode(t);
+  EXPECT_LE(bytes.size(), gossip::kMostWord);
   const char* why = "";
-  const auto back = tier::Decode(bytes, &why);
+  const auto back = gossip::Decode(bytes, &why);
   ASSERT_TRUE(back) << why;
   EXPECT_EQ(back->node, t.node);
   EXPECT_EQ(back->age, t.age);
-  ASSERT_EQ(back->word.claims.size(), tier::kMostClaims);
-  const tier::Claim &a = back->word.claims[3], &b = t.word.claims[3];
+  ASSERT_EQ(back->word.claims.size(), gossip::kMostClaims);
+  const gossip::Claim &a = back->word.claims[3], &b = t.word.claims[3];
   EXPECT_EQ(std::tie(a.replica, a.started_at, a.failures, a.rests, a.last, a.slow, a.slow_n, a.out, a.waits),
             std::tie(b.replica, b.started_at, b.failures, b.rests, b.last, b.slow, b.slow_n, b.out, b.waits));
-  EXPECT_EQ(back->word.beginnings.back().rate, tier::kMostRate);
+  EXPECT_EQ(back->word.beginnings.back().rate, gossip::kMostRate);
 }
 
 TEST(Words, WhatIsNotANumberIsToldAsNothingAndWhatIsTooMuchAsTheMost) {
@@ -190,10 +190,10 @@
   const double nan = std::numeric_limits<double>::quiet_NaN();
   w.rate = nan;
   w.claims = {{1, 0, -5, -7, -1, nan, -3, -1, -1},
-              {2, 0, 9999, Time{1} << 60, 1 + tier::kMostRest, 1e300, 1e300, 9999, Time{1} << 60}};
+              {2, 0, 9999, Time{1} << 60, 1 + gossip::kMostRest, 1e300, 1e300, 9999, Time{1} << 60}};
   w.beginnings = {{1, -1}, {2, 1e300}};
   const char* why = "";
-  const auto back = tier::Decode(tier::Encode({"n", -5, w}), &why);
+  const auto back = gossip::Decode(gossip::Encode({"n", -5, w}), &why);
   ASSERT_TRUE(back) << why;
   EXPECT_EQ(back->word.rate, 0);
   EXPECT_EQ(back->word.claims[0].slow, 0);
@@ -201,12 +201,12 @@
   EXPECT_EQ(back->word.claims[1].failures, 255);
   EXPECT_EQ(back->word.claims[1].slow, 4);
   EXPECT_EQ(back->word.claims[1].last, -1);
-  EXPECT_EQ(back->word.beginnings[1].rate, tier::kMostRate);
+  EXPECT_EQ(back->word.beginnings[1].rate, gossip::kMostRate);
 }
 
 // Bytes that are cut, changed or made up are turned down or read within bounds, never worse.
 RC_GTEST_PROP(Words, AnyBytesAreReadWithinBoundsOrTurnedDown, ()) {
-  std::string bytes = tier::Encode({"n1", 1000, Full()});
+  std::string bytes = gossip::Encode({"n1", 1000, Full()});
   const auto cut = *rc::gen::inRange<std::size_t>(0, bytes.size() + 1);
   bytes.resize(cut);
   for (const auto& [at, value] : *rc::gen::container<std::vector<std::pair<std::size_t, char>>>(
@@ -214,19 +214,20 @@
     if (at < bytes.size()) bytes[at] = value;
   }
   const char* why = "";
-  const auto t = tier::Decode(bytes, &why);
+  const auto t = gossip::Decode(bytes, &why);
   if (!t) {
     RC_ASSERT(std::string(why) == "malformed" || std::string(why) == "range" || std::string(why) == "form");
     return;
   }
-  RC_ASSERT(t->word.claims.size() <= tier::kMostClaims && t->word.beginnings.size() <= tier::kMostBeginnings);
-  RC_ASSERT(t->word.rate >= 0 && t->word.rate <= tier::kMostRate);
-  for (const tier::Claim& c : t->word.claims)
-    RC_ASSERT(std::abs(c.slow) <= 4 && c.rests >= 0 && c.rests <= tier::kMostRest);
+  RC_ASSERT(t->word.claims.size() <= gossip::kMostClaims &&
+            t->word.beginnings.size() <= gossip::kMostBeginnings);
+  RC_ASSERT(t->word.rate >= 0 && t->word.rate <= gossip::kMostRate);
+  for (const gossip::Claim& c : t->word.claims)
+    RC_ASSERT(std::abs(c.slow) <= 4 && c.rests >= 0 && c.rests <= gossip::kMostRest);
 }
 
 TEST(Gossip, EveryWordGoesAFewTimesThoseSentLeastFirstAndANewerOneTakesItsPlace) {
-  tier::GossipModel g;
+  gossip::GossipModel g;
   for (int i = 0; i < 40; ++i) g.Put(0, {"n" + std::to_string(i), 0, Of(1, 1, i)}, i == 0);
   std::map<std::string, int> sent;
   const char* why = "";
@@ -234,7 +235,7 @@
     std::size_t size = 0;
     for (const std::string& bytes : g.Fill(kSecond, 200, 5)) {
       size += bytes.size() + 5;
-      const auto t = tier::Decode(bytes, &why);
+      const auto t = gossip::Decode(bytes, &why);
       ASSERT_TRUE(t) << why;
       EXPECT_EQ(t->age, kSecond);  // it has lain here
       ++sent[t->node];
@@ -247,11 +248,11 @@
   }
   EXPECT_EQ(sent.size(), 40U);
   for (const auto& [name, n] : sent)
-    EXPECT_EQ(n, name == "n0" ? tier::GossipModel::kOwnSends : tier::GossipModel::kSends);
+    EXPECT_EQ(n, name == "n0" ? gossip::GossipModel::kOwnSends : gossip::GossipModel::kSends);
   g.Put(0, {"n1", 0, Of(1, 2, 7)}, false);
   EXPECT_TRUE(g.waiting());
   EXPECT_EQ(g.size(), 40U);
-  EXPECT_TRUE(g.Fill(2 * tier::kMostAge, 1000, 5).empty());  // too old to be passed on
+  EXPECT_TRUE(g.Fill(2 * gossip::kMostAge, 1000, 5).empty());  // too old to be passed on
   EXPECT_FALSE(g.waiting());
 }
 
@@ -270,11 +271,11 @@
   policy::ReplicaView& at(policy::ReplicaId id) { return all[id - 1]; }
 };
 
-tier::Claim Failing(policy::ReplicaId id, Time started = 1000) {
+gossip::Claim Failing(policy::ReplicaId id, Time started = 1000) {
   return {id, started, 3, 4 * kSecond, kSecond / 2, 1.1, 3, 1, 0};
 }
 
-Word Accusing(std::vector<tier::Claim> claims) {
+Word Accusing(std::vector<gossip::Claim> claims) {
   Word w = Of(1, 1, 10);
   w.accused = static_cast<int>(claims.size());
   w.claims = std::move(claims);
@@ -284,10 +285,10 @@
 // A node that sees nothing itself, among `n` others, in zones.
 struct Hearer {
   Fleet fleet{20};
-  tier::EvidenceModel model{"me", tier::EvidenceLimits{}};
+  gossip::EvidenceModel model{"me", gossip::EvidenceLimits{}};
   Time now = 100 * kSecond;
   explicit Hearer(std::size_t n, std::size_t zones = 1) {
-    std::vector<tier::EvidenceModel::Peer> members;
+    std::vector<gossip::EvidenceModel::Peer> members;
     for (std::size_t i = 0; i < n; ++i)
       members.push_back({"p" + std::to_string(i), zones > 1 ? "z" + std::to_string(i % zones) : ""});
     model.See(now, fleet.all, false);
@@ -335,7 +336,7 @@
   Hearer h(8);
   for (const char* p : {"p0", "p1", "p2", "p3", "p4", "p5"}) h.model.Learn(h.now, p, Accusing({Failing(1)}));
   ASSERT_TRUE(h.Alone(1));
-  tier::Claim good{1, 1000, 0, 0, kSecond / 10, 0, 5, 0, 0};
+  gossip::Claim good{1, 1000, 0, 0, kSecond / 10, 0, 5, 0, 0};
   h.now += kSecond;
   h.model.Learn(h.now, "p6", Accusing({good}));
   const auto told = h.Judge();
@@ -346,7 +347,7 @@
 
 TEST(Evidence, ANodeThatSeesItsOwnNetworkCountsForNothing) {
   Hearer h(6);
-  std::vector<tier::Claim> all;
+  std::vector<gossip::Claim> all;
   for (policy::ReplicaId id = 1; id <= 20; ++id) all.push_back(Failing(id));
   // A third of the nodes see every replica fail.
   h.model.Learn(h.now, "p0", Accusing(all));
@@ -373,7 +374,7 @@
   // Pairs of accusers, each pair of three replicas of its own: nobody accuses many, together they accuse
   // twelve.
   for (std::size_t i = 0; i < 8; ++i) {
-    std::vector<tier::Claim> claims;
+    std::vector<gossip::Claim> claims;
     for (policy::ReplicaId k = 0; k < 3; ++k)
       claims.push_back(Failing(static_cast<policy::ReplicaId>(i / 2 * 3) + k + 1));
     h.model.Learn(h.now, "p" + std::to_string(i), Accusing(claims));
@@ -397,7 +398,7 @@
 
 TEST(Evidence, SilenceTakesMoreWhoWaitAndNoAnswerSinceTheyBegan) {
   Hearer h(6);
-  const tier::Claim waits{1, 1000, 0, 0, 20 * kSecond, 0, 1, 2, 4 * kSecond};
+  const gossip::Claim waits{1, 1000, 0, 0, 20 * kSecond, 0, 1, 2, 4 * kSecond};
   h.model.Learn(h.now, "p0", Accusing({waits}));
   h.model.Learn(h.now, "p1", Accusing({waits}));
   EXPECT_FALSE(h.Alone(1));
@@ -410,7 +411,7 @@
 
 TEST(Evidence, SlownessIsAMedianThatOneLiarCannotMove) {
   Hearer h(8);
-  const auto slow = [](double s) { return tier::Claim{1, 1000, 0, 0, kSecond, s, 6, 0, 0}; };
+  const auto slow = [](double s) { return gossip::Claim{1, 1000, 0, 0, kSecond, s, 6, 0, 0}; };
   // One says a thousand times: nothing comes of it while the others find the replica as usual.
   h.model.Learn(h.now, "p0", Accusing({slow(4)}));
   h.Judge();
@@ -427,7 +428,7 @@
   const auto told = h.Judge();
   ASSERT_TRUE(told.contains(1));
   EXPECT_NEAR(told.at(1).slowness, 1.8, 0.01);
-  EXPECT_LE(told.at(1).slowness_samples, tier::EvidenceLimits{}.most_n);
+  EXPECT_LE(told.at(1).slowness_samples, gossip::EvidenceLimits{}.most_n);
 }
 
 TEST(Evidence, WhatADeadNodeHadOutCountsUntilItMustHaveEnded) {
@@ -439,7 +440,7 @@
   auto told = h.Judge(0.5);
   ASSERT_TRUE(told.contains(1));
   EXPECT_NEAR(told.at(1).orphaned_in_flight, 4, 1e-9);  // this node's part of eight
-  h.now += tier::EvidenceLimits{}.ends;
+  h.now += gossip::EvidenceLimits{}.ends;
   told = h.Judge(0.5);
   ASSERT_TRUE(told.contains(1));
   EXPECT_EQ(told.at(1).orphaned_in_flight, 0);
@@ -447,15 +448,15 @@
 
 // Whatever order words come in and however often, the newest of each speaker is what is judged by.
 RC_GTEST_PROP(Evidence, AnyOrderAndRepetitionEndsTheSame, ()) {
-  tier::TierModel a("me", 1, 0, {}), b("me", 1, 0, {});
-  std::vector<tier::EvidenceModel::Peer> members;
+  gossip::TierModel a("me", 1, 0, {}), b("me", 1, 0, {});
+  std::vector<gossip::EvidenceModel::Peer> members;
   for (int i = 0; i < 6; ++i) members.push_back({"p" + std::to_string(i), ""});
   const Time now = 50 * kSecond;
   Fleet fleet(20);
-  std::vector<tier::Telling> words;
+  std::vector<gossip::Telling> words;
   for (int i = 0; i < 6; ++i) {
     for (std::uint64_t k = 1; k <= 3; ++k) {
-      std::vector<tier::Claim> claims;
+      std::vector<gossip::Claim> claims;
       for (policy::ReplicaId id = 1; id <= 3; ++id) {
         if (*rc::gen::arbitrary<bool>()) claims.push_back(Failing(id));
       }
@@ -464,14 +465,14 @@
       words.push_back({"p" + std::to_string(i), static_cast<Time>(4 - k) * kSecond, w});
     }
   }
-  std::vector<tier::Telling> mixed = words;
+  std::vector<gossip::Telling> mixed = words;
   for (std::size_t i = mixed.size(); i > 1; --i)
     std::swap(mixed[i - 1], mixed[*rc::gen::inRange<std::size_t>(0, i)]);
   mixed.insert(mixed.end(), words.begin(), words.begin() + 5);
-  const auto play = [&](tier::TierModel& m, const std::vector<tier::Telling>& all) {
+  const auto play = [&](gossip::TierModel& m, const std::vector<gossip::Telling>& all) {
     m.View(now, members, "", true, true);
     m.See(now, fleet.all, false);
-    for (const tier::Telling& t : all) m.Learn(now, t);
+    for (const gossip::Telling& t : all) m.Learn(now, t);
     std::vector<policy::ReplicaId> alone;
     for (const policy::Event& e : m.Turn(now, 7)) {
       const auto* told = std::get_if<policy::PeerReportsReceived>(&e);
@@ -485,7 +486,7 @@
 }
 
 TEST(Beginnings, AreCountedOverAllNodesAndOneLiarIsBounded) {
-  tier::BeginningsModel m("me", 0);
+  gossip::BeginningsModel m("me", 0);
   Time now = 30 * kSecond;
   for (int i = 0; i < 200; ++i) m.Arrived(now - (i % 20) * kSecond, i % 4 == 0 ? 7 : 8);
   for (int i = 0; i < 5; ++i) {
@@ -518,7 +519,7 @@
   const double before = ShareAfter(m, std::vector<double>(9, 20), 20, 40, &now);
   m.Learn(now, "p0", Of(1, ~std::uint64_t{0}, 20'000));
   const double after = m.Share(now, 10);
-  EXPECT_GT(after, before * 10 / (9 + 1.25 * tier::kMostOfMiddle + 1));
+  EXPECT_GT(after, before * 10 / (9 + 1.25 * gossip::kMostOfMiddle + 1));
   EXPECT_LT(after, before);
 }
 
--- a/tests/late_attempts.cpp
+++ b/tests/late_attempts.cpp
@@ -3,7 +3,7 @@
 #include <functional>
 #include <map>
 
-#include "peers.h"
+#include "scripted_peers.h"
 
 namespace stories {
 namespace {
--- a/tests/load_test.cpp
+++ b/tests/load_test.cpp
@@ -10,7 +10,7 @@
 
 #include "lab/load/agreement.h"
 #include "lab/load/load_client.h"
-#include "lab/rig.h"
+#include "lab/local_fleet.h"
 
 namespace ryeglade::load {
 namespace {
--- a/tests/membership_nodes_test.cpp
+++ b/tests/membership_nodes_test.cpp
@@ -21,7 +21,7 @@
 
 #include "lab/cluster/relay.h"
 #include "lab/node_process.h"
-#include "membership/wire_model.h"
+#include "membership/message_codec.h"
 
 namespace ryeglade::lab {
 namespace {
--- a/tests/membership_parts_test.cpp
+++ b/tests/membership_parts_test.cpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "membership/news_model.h"
-#include "membership/tier_policy.h"
-#include "membership/wire_model.h"
+#include "membership/dissemination_queue_model.h"
+#include "membership/message_codec.h"
+#include "membership/node_count_policy.h"
 #include "settings/edge_settings.h"
 #include "settings/toml_reader.h"
 
--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -12,12 +12,12 @@
 #include <vector>
 
 #include "app/termination_policy.h"
+#include "base/file_io.h"
 #include "base/listener.h"
 #include "base/socket_error_model.h"
 #include "base/tcp.h"
-#include "base/whole_file.h"
 #include "core/json_object_reader_model.h"
-#include "core/start_times_model.h"
+#include "core/replica_incarnations_model.h"
 #include "dialects/openai/openai_dialect.h"
 #include "http/arrival_log.h"
 #include "http/end_to_end_fields_model.h"
@@ -144,17 +144,17 @@
   }
 }
 
-TEST(ReadIfThere, AFileThatCannotBeReadIsEmptyAndThrowsNothing) {
-  EXPECT_EQ(ReadIfThere("/proc/self/mem"), "");  // it opens, and reading its beginning fails
-  EXPECT_EQ(ReadIfThere("/nowhere/at/all"), "");
-  EXPECT_NE(ReadIfThere("/proc/self/stat"), "");
+TEST(ReadFileIfPresent, AFileThatCannotBeReadIsEmptyAndThrowsNothing) {
+  EXPECT_EQ(ReadFileIfPresent("/proc/self/mem"), "");  // it opens, and reading its beginning fails
+  EXPECT_EQ(ReadFileIfPresent("/nowhere/at/all"), "");
+  EXPECT_NE(ReadFileIfPresent("/proc/self/stat"), "");
 }
 
 constexpr Time kHour = 3'600'000'000;
 constexpr Time kNow = 1'000 * kHour;
 
-TEST(StartTimes, AStartInThePastIsTakenAsTold) {
-  StartTimes starts;
+TEST(ReplicaIncarnations, AStartInThePastIsTakenAsTold) {
+  ReplicaIncarnations starts;
   EXPECT_EQ(starts.Take(1, 0, kNow), 0);
   EXPECT_EQ(starts.Take(1, kNow - 5'000'000, kNow), kNow - 5'000'000);
   EXPECT_EQ(starts.size(), 0u);
@@ -162,8 +162,8 @@
 
 // The clock was an hour behind when this node started: without this each replica that started within the last
 // hour would count as cold for up to an hour.
-TEST(StartTimes, AStartInTheFutureCountsFromWhenItWasHeardOf) {
-  StartTimes starts;
+TEST(ReplicaIncarnations, AStartInTheFutureCountsFromWhenItWasHeardOf) {
+  ReplicaIncarnations starts;
   const Time told = kNow + kHour - 20'000'000;
   EXPECT_EQ(starts.Take(1, told, kNow), kNow);
   EXPECT_EQ(starts.Take(1, told, kNow + 9'000'000), kNow);  // told again it has not started again
@@ -171,8 +171,8 @@
   EXPECT_EQ(starts.Take(1, told + 30'000'000, kNow + 30'000'000), kNow + 30'000'000);  // now it has
 }
 
-TEST(StartTimes, KeepsNothingOfReplicasThatAreGone) {
-  StartTimes starts;
+TEST(ReplicaIncarnations, KeepsNothingOfReplicasThatAreGone) {
+  ReplicaIncarnations starts;
   for (policy::ReplicaId id = 0; id < 100; ++id) starts.Take(id, kNow + kHour, kNow);
   for (policy::ReplicaId id = 0; id < 100; ++id) starts.Forget(id);
   EXPECT_EQ(starts.size(), 0u);
@@ -190,7 +190,7 @@
 TEST(Tcp, UnsentIsWhatTheKernelHasNotTaken) {
   uv_loop_t loop;
   ASSERT_EQ(uv_loop_init(&loop), 0);
-  Buffers pool(std::size_t{64} << 20);
+  BufferPool pool(std::size_t{64} << 20);
   NoOwner owner;
   int pair[2] = {-1, -1};
   ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, pair), 0);
--- a/tests/openai_front_test.cpp
+++ b/tests/openai_front_test.cpp
@@ -11,7 +11,7 @@
 
 #include "http/event_stream.h"
 #include "keys/keyring.h"
-#include "lab/rig.h"
+#include "lab/local_fleet.h"
 #include "lab/text.h"
 #include "ledger/ledger_model.h"
 
--- a/tests/operations.cpp
+++ b/tests/operations.cpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <memory>
 
-#include "peers.h"
+#include "scripted_peers.h"
 
 namespace stories {
 namespace {
--- a/tests/crossings.cpp
+++ b/tests/races.cpp
@@ -7,8 +7,8 @@
 #include <map>
 #include <set>
 
-#include "peers.h"
 #include "preloaded.h"
+#include "scripted_peers.h"
 
 namespace stories {
 namespace {
--- a/tests/lanes_test.cpp
+++ b/tests/replica_timeline_test.cpp
@@ -10,18 +10,18 @@
 #include <string>
 #include <vector>
 
-#include "lab/bad_hour.h"
-#include "lab/hours.h"
+#include "lab/fault_scenarios.h"
+#include "lab/live_fault_scenario.h"
 #include "shell.h"
-#include "timeline/burst_model.h"
+#include "timeline/anomaly_model.h"
+#include "timeline/coalescing_model.h"
 #include "timeline/export_model.h"
-#include "timeline/lane_model.h"
-#include "timeline/load.h"
 #include "timeline/merge_model.h"
 #include "timeline/plot_model.h"
 #include "timeline/reader.h"
-#include "timeline/story_model.h"
-#include "timeline/unusual_model.h"
+#include "timeline/record_loader.h"
+#include "timeline/replica_timeline_model.h"
+#include "timeline/request_trace_model.h"
 #include "timeline/verify.h"
 
 namespace ryeglade::timeline {
@@ -93,7 +93,7 @@
     Decode(lab::EncodeHour(o), records);
     Verifier v;
     for (const Record& r : records) v.Take(r);
-    EXPECT_TRUE(v.good()) << Word(o.thing) << v.first_difference();
+    EXPECT_TRUE(v.good()) << Name(o.thing) << v.first_difference();
     EXPECT_GT(v.decisions(), 5000U);
   }
 }
@@ -218,7 +218,7 @@
   for (const auto& [id, lane] : lanes.lanes()) {
     for (const auto& [n, b] : lane.bins) EXPECT_LT(b.load, 0);
   }
-  for (const Sheet& s : Sheets(lanes)) {
+  for (const TextTable& s : Sheets(lanes)) {
     if (s.name != "bins") continue;
     for (const Column& c : s.columns) {
       if (c.name != "load") continue;
@@ -317,10 +317,10 @@
       if (u.begins && begins == nullptr && u.now >= p.result.from && u.now <= p.result.to) begins = &u;
       ends = ends || (begins != nullptr && !u.begins && u.number == begins->number && u.now > p.result.from);
     }
-    ASSERT_NE(begins, nullptr) << Word(e.thing);
-    EXPECT_TRUE(ends) << Word(e.thing);
+    ASSERT_NE(begins, nullptr) << Name(e.thing);
+    EXPECT_TRUE(ends) << Name(e.thing);
     if (e.kind != UnusualKind::kRosterDark) {
-      EXPECT_GT(begins->during, begins->before) << Word(e.thing);
+      EXPECT_GT(begins->during, begins->before) << Name(e.thing);
     }
   }
 }
@@ -339,8 +339,8 @@
       if (!u.begins || u.kind != kind || u.now < p.result.from || u.now > p.result.to + 10 * kSec) continue;
       (u.fleet ? fleet : single) += 1;
     }
-    EXPECT_EQ(fleet, 1) << Word(thing);
-    EXPECT_LE(single, 1) << Word(thing);
+    EXPECT_EQ(fleet, 1) << Name(thing);
+    EXPECT_LE(single, 1) << Name(thing);
   }
 }
 
@@ -626,7 +626,7 @@
   Lanes lanes = p.lanes;
   for (const Unusual& u : p.unusual) lanes.Take(u);
   std::set<std::string> names;
-  for (const Sheet& s : Sheets(lanes)) {
+  for (const TextTable& s : Sheets(lanes)) {
     names.insert(s.name);
     for (const Column& c : s.columns)
       EXPECT_EQ(std::visit([](const auto& v) { return v.size(); }, c.values), s.rows()) << s.name << c.name;
--- a/tests/stories.cpp
+++ b/tests/request_lifecycle.cpp
@@ -4,9 +4,9 @@
 #include <future>
 #include <map>
 
-#include "base/buffers.h"
-#include "base/slots.h"
-#include "peers.h"
+#include "base/buffer_pool.h"
+#include "base/slot_table.h"
+#include "scripted_peers.h"
 
 namespace stories {
 namespace {
@@ -506,7 +506,7 @@
 
 // A handle that has ended finds nothing, though its slot is in use again; buffers come back to their pool.
 void Parts() {
-  ryeglade::Slots<int> slots;
+  ryeglade::SlotTable<int> slots;
   const ryeglade::Handle old = slots.Add(1);
   slots.Remove(old);
   const ryeglade::Handle young = slots.Add(2);
@@ -515,13 +515,13 @@
   slots.Remove(old);
   assert(slots.size() == 1);
 
-  ryeglade::Buffers pool(3 * ryeglade::Buffers::kSize);
+  ryeglade::BufferPool pool(3 * ryeglade::BufferPool::kSize);
   {
-    ryeglade::Chain chain(&pool);
-    const std::string text(2 * ryeglade::Buffers::kSize + 1, 'x');
+    ryeglade::BufferChain chain(&pool);
+    const std::string text(2 * ryeglade::BufferPool::kSize + 1, 'x');
     assert(chain.Append(text) && chain.size() == text.size() && pool.taken() == 3);
-    ryeglade::Chain moved = std::move(chain);
-    assert(!moved.Append(std::string(ryeglade::Buffers::kSize, 'y')) && pool.Scarce());
+    ryeglade::BufferChain moved = std::move(chain);
+    assert(!moved.Append(std::string(ryeglade::BufferPool::kSize, 'y')) && pool.Scarce());
   }
   assert(pool.taken() == 0);
 }
--- a/tests/rollout_nodes_test.cpp
+++ b/tests/rollout_nodes_test.cpp
@@ -7,7 +7,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "lab/rollout/tier.h"
+#include "lab/rollout/local_tier.h"
 
 namespace ryeglade::rollout_lab {
 namespace {
@@ -52,7 +52,7 @@
   // The harmful program under the name of its harm.
   std::string Harmful(const std::string& harm) const {
     const std::string path = tier.root() + "/harmful-" + harm;
-    const auto built = std::filesystem::path(Program()).parent_path() / "tests" / "ryeglade_harmful";
+    const auto built = std::filesystem::path(Program()).parent_path() / "tests" / "ryeglade_faulty_release";
     std::filesystem::create_symlink(std::filesystem::absolute(built), path);
     return path;
   }
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -7,20 +7,20 @@
 #include <cmath>
 #include <set>
 
-#include "core/learned_model.h"
-#include "handover/state_model.h"
-#include "handover/succession_policy.h"
+#include "core/learned_state_codec.h"
+#include "hot_restart/handover_state_codec.h"
+#include "hot_restart/hot_restart_policy.h"
 #include "lab/rollout/explorer.h"
-#include "lab/rollout/world.h"
+#include "lab/rollout/simulation.h"
+#include "rollout/cluster_view_model.h"
 #include "rollout/plan.h"
 #include "rollout/report_model.h"
-#include "rollout/tier_word_model.h"
 #include "settings/toml_reader.h"
 
 namespace ryeglade {
 namespace {
 
-using namespace handover;
+using namespace hot_restart;
 using rollout::KeeperAct;
 
 constexpr Time kS = 1'000'000;
@@ -233,11 +233,11 @@
     if (k == 3) l.runtime_by_bucket[5].samples = -1;
     if (k == 4) l.node_count = 0;
     std::string why;
-    EXPECT_FALSE(DecodeLearned(EncodeLearned(l), &why)) << k;
+    EXPECT_FALSE(DecodeLearnedState(EncodeLearnedState(l), &why)) << k;
     EXPECT_FALSE(why.empty());
   }
   std::string why;
-  EXPECT_TRUE(DecodeLearned(EncodeLearned(SomeState().learned), &why)) << why;
+  EXPECT_TRUE(DecodeLearnedState(EncodeLearnedState(SomeState().learned), &why)) << why;
 }
 
 // ---- The keeper ----
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -355,10 +355,10 @@
     EXPECT_EQ(plan.classes.size(), 5U);
     for (const Fault& f : plan.faults) {
       ++seen[static_cast<std::size_t>(f.kind)];
-      EXPECT_EQ(FaultKindOf(Word(f.kind)), f.kind);
+      EXPECT_EQ(FaultKindOf(Name(f.kind)), f.kind);
     }
   }
-  for (std::size_t n = 0; n < seen.size(); ++n) EXPECT_GT(seen[n], 0) << Word(static_cast<FaultKind>(n));
+  for (std::size_t n = 0; n < seen.size(); ++n) EXPECT_GT(seen[n], 0) << Name(static_cast<FaultKind>(n));
 }
 
 TEST(SoakPlan, WhatIsWrongWithAPlanIsNamed) {
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "lab/rig.h"
+#include "lab/local_fleet.h"
 #include "node.h"
 #include "settings.h"
 #include "shell.h"
 #include "timeline/block.h"
-#include "timeline/flight_model.h"
+#include "timeline/flight_record_codec.h"
 #include "timeline/flight_recorder.h"
 #include "timeline/verify.h"
 
--- a/tools/export/main.cpp
+++ b/tools/export/main.cpp
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "columns/columnar_file.h"
+#include "columnar/columnar_file.h"
 #include "timeline/export_model.h"
-#include "timeline/load.h"
 #include "timeline/merge_model.h"
+#include "timeline/record_loader.h"
 
 namespace {
 
@@ -28,10 +28,10 @@
   std::string losses;
   const std::vector<ryeglade::timeline::Lanes> nodes = ryeglade::timeline::LoadNodes(paths, options, &losses);
   const ryeglade::timeline::Merge merge(nodes);
-  const std::vector<ryeglade::Sheet> sheets =
+  const std::vector<ryeglade::TextTable> sheets =
       ryeglade::timeline::Sheets(nodes.size() == 1 ? nodes.front() : merge.lanes());
   ryeglade::WriteColumns(out, {{}, sheets});
-  for (const ryeglade::Sheet& sheet : sheets) {
+  for (const ryeglade::TextTable& sheet : sheets) {
     std::printf("%s /%s: %zu rows, %zu columns\n", out.c_str(), sheet.name.c_str(), sheet.rows(),
                 sheet.columns.size());
   }
