--- a/lab/emulator/command.cpp
+++ b/lab/emulator/command.cpp
@@ -83,6 +83,16 @@
   return f;
 }
 
+namespace {
+
+// An empty text: the value is taken; else what is wrong with it.
+std::string IsTalkValue(const std::string& value) {
+  const TierSpec spec{.talk = value};
+  return spec.Known() ? "" : fmt::format("'{}' must be {}", value, kTalkValues);
+}
+
+}  // namespace
+
 Commands::Commands(CLI::App& app,
                    std::function<int(const std::string& a, const std::string& b)> compare_files)
     : compare_files_(std::move(compare_files)) {
@@ -116,8 +126,9 @@
   c->add_option("--seed", spec_.seed);
   c->add_option("--skew", spec_.fleet.skew, "sigma of the logarithm of each node's part of the traffic")
       ->check(CLI::Range(0.0, 3.0));
-  c->add_option("--talk", spec_.fleet.tier.talk, "nodes tell each other what comes to them: shares, oracle")
-      ->check(CLI::IsMember({"", "shares", "oracle"}));
+  c->add_option("--talk", spec_.fleet.tier.talk,
+                "nodes gossip on what comes to them: " + std::string(kTalkValues))
+      ->check(IsTalkValue);
   c->add_option("--talk-loss", spec_.fleet.tier.loss, "share of those words that is lost")
       ->check(CLI::Range(0.0, 1.0));
   c->add_option("--fault", faults_, "WHAT:AT:LASTS[:FIRST[:COUNT[:FACTOR[:OTHER]]]]");
--- a/lab/emulator/routing_tier.h
+++ b/lab/emulator/routing_tier.h
@@ -20,6 +20,10 @@
 
 using policy::Time;
 
+// What TierSpec::talk may be, for help and errors.
+inline constexpr std::string_view kTalkValues =
+    "talk or oracle, or either with one of -parts, -evidence, -beginnings behind it";
+
 struct TierSpec {
   // "": none. "talk": as the program does; "oracle": each node knows the truth at once. Either with "-parts",
   // "-evidence" or "-beginnings" behind it has that use alone.
--- a/lab/emulator/simulation.cpp
+++ b/lab/emulator/simulation.cpp
@@ -183,9 +183,8 @@
     need(day_.fleet.replicas > 0 && day_.fleet.replicas <= 100'000, "fleet.replicas: must be 1 to 100000");
     need(day_.fleet.zones > 0 && day_.fleet.racks > 0, "fleet.zones, fleet.racks: must be 1 or more");
     need(day_.fleet.skew >= 0 && day_.fleet.skew <= 3, "fleet.skew: must be 0 to 3");
-    need(
-        day_.fleet.tier.Known(),
-        "fleet.talk: must be talk or oracle, or either with one of -parts, -evidence, -beginnings behind it");
+    const std::string talk_error = "fleet.talk: must be " + std::string(kTalkValues);
+    need(day_.fleet.tier.Known(), talk_error.c_str());
     need(!day_.fleet.kinds.empty(), "fleet.kinds: at least one is needed");
     need(day_.clients.per_second >= 0, "clients.per_second: must not be negative");
     need(day_.clients.session_turns >= 1, "clients.session_turns: must be 1 or more");
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
+#include <CLI/CLI.hpp>
 #include <algorithm>
 #include <cmath>
 #include <functional>
@@ -10,6 +11,7 @@
 #include <memory>
 #include <vector>
 
+#include "lab/emulator/command.h"
 #include "lab/emulator/compare.h"
 #include "lab/emulator/random.h"
 #include "lab/emulator/simulation.h"
@@ -388,5 +390,20 @@
   EXPECT_EQ(IntervalOf({7}).half, 0);
 }
 
+// `ryeglade-lab day --talk VALUE` on a small fleet: its exit code.
+int PlayWithTalk(const std::string& value) {
+  CLI::App app;
+  Commands commands(app, [](const std::string&, const std::string&) { return 0; });
+  app.parse("day --replicas 4 --nodes 2 --rate 20 --seconds 3 --warm 1 --talk " + value);
+  return commands.Run();
+}
+
+TEST(Commands, TalkTakesEachValueThatItsHelpOffers) {
+  for (const char* value : {"talk", "oracle", "talk-parts", "talk-evidence", "oracle-beginnings"}) {
+    EXPECT_EQ(PlayWithTalk(value), 0) << value;
+  }
+  EXPECT_THROW(PlayWithTalk("shares"), CLI::ValidationError);
+}
+
 }  // namespace
 }  // namespace ryeglade::emulator
