--- a/lab/cluster/explorer.h
+++ b/lab/cluster/explorer.h
@@ -1,5 +1,5 @@
 // Every schedule of faults up to a depth over a few nodes' membership parts, with what must hold checked at
-// each tick. Not a sample: each sequence of choices is played. docs/membership.md states what was visited.
+// each tick. Not a sample: each sequence of choices is played. docs/notes/membership.md states what was visited.
 #pragma once
 
 #include <cstdint>
--- a/lab/emulator/simulation.h
+++ b/lab/emulator/simulation.h
@@ -1,6 +1,6 @@
 // The emulated installation: clients, nodes that each decide by a policy of their own, replicas, discovery,
 // the network between them, and what fails. Virtual time, one queue of events, one seed: the same day gives
-// the same result on every machine. docs/emulator.md states the models with their equations and units.
+// the same result on every machine. docs/notes/emulator.md states the models with their equations and units.
 #pragma once
 
 #include <array>
--- a/lab/rollout/explorer.h
+++ b/lab/rollout/explorer.h
@@ -1,7 +1,7 @@
 // Every course that a rollout over a few nodes can take with up to so many faults: the program's own driver
 // and keepers, each message of theirs lost, answered unheard or late, drivers that die, pause or come beside
 // each other between any two messages, keepers and nodes that die, a stop at any moment. Checks in each state
-// what must hold. docs/rollout.md.
+// what must hold. docs/notes/rollout.md.
 #pragma once
 
 #include <cstdint>
