--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -14,14 +14,16 @@
 #include <algorithm>
 #include <bit>
 #include <cmath>
-#include <limits>
-#include <queue>
+#include <optional>
 #include <set>
 #include <tuple>
 #include <unordered_map>
 #include <utility>
 
-#include "held_order.h"
+#include "hashing.h"
+#include "queue_order.h"
+#include "random_source.h"
+#include "timer_queue.h"
 
 namespace ryeglade::policy {
 namespace {
@@ -112,25 +114,8 @@
 constexpr double kAskAgainFirst = 100'000;  // microseconds, doubled by each failure in a row
 constexpr double kAskAgainMost = 2'000'000;
 
-constexpr Time kNever = std::numeric_limits<Time>::max();
-
-std::uint64_t Mix(std::uint64_t x) {  // splitmix64's finalizer
-  x += 0x9e3779b97f4a7c15ULL;
-  x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
-  return x ^ (x >> 31);
-}
-
 double Fade(Time passed, Time memory) { return DecayingCounter::DecayFactor(passed, memory); }
 
-double Unit(std::uint64_t bits) { return (static_cast<double>(bits >> 11) + 0.5) * 0x1.0p-53; }
-
-// Weighted rendezvous hashing: over all keys a replica comes first in proportion to its weight, and all nodes
-// rank alike without a word between them.
-double Rendezvous(std::uint64_t key, ReplicaId replica, double weight) {
-  return -weight / std::log(Unit(Mix(key ^ Mix(replica))));
-}
-
 int Log2Bucket(double x) { return x < 1 ? 0 : 1 + std::min(30, static_cast<int>(std::log2(x))); }
 
 bool ProvesNotRun(Outcome o) {
@@ -157,14 +142,6 @@
   bool ran = true;    // may have run, as far as is known
 };
 
-struct HeldPlace {
-  int rank = 0;  // 0: ordinary, 1: beyond its tenant's share, 2: too late for its aim
-  double key = 0;
-  std::uint64_t order = 0;
-  RequestId id = 0;
-  auto operator<=>(const HeldPlace&) const = default;
-};
-
 struct Request {
   RequestArrived info;
   Time arrived = 0;
@@ -180,20 +157,10 @@
   Time first_token = 0;  // how long it took to begin
   bool done = false;     // concluded; only outcomes of attempts are still to come
   int out = 0;
-  HeldPlace place;  // in the held queue
+  QueuePosition place;
   std::vector<Attempt> attempts;
 };
 
-enum class Wake : std::uint8_t { kGiveUp, kOverdue, kRelease, kAsk };
-
-struct Alarm {
-  Time at;
-  std::uint64_t order;
-  Wake what;
-  RequestId id;
-  auto operator<=>(const Alarm&) const = default;
-};
-
 }  // namespace
 
 class Router::Impl {
@@ -245,6 +212,7 @@
 
   // The ordinary path.
   void Estimate(Request& r) const;
+  PriorityTier TierOf(const Request& r) const;
   void Hold(Request& r);
   void Unhold(Request& r);
   void Release();
@@ -313,24 +281,22 @@
   Time GiveUpAt(const Request& r) const;
   Time FirstToken(const Request& r) const;
 
-  void SetAlarm(Time at, Wake what, RequestId id);
   void Anew(Replica& x);
   void AskForList();
-  double Random() { return Unit(random_ = Mix(random_)); }
   template <class T>
   void Act(T action) {
     actions_->push_back(std::move(action));
   }
 
   Settings settings_;
-  std::uint64_t random_;
+  RandomSource random_;
   Time now_;
   std::vector<Action>* actions_ = nullptr;
   DecisionObserver* observer_ = nullptr;
 
   std::vector<std::unique_ptr<Replica>> fleet_;  // by id
   std::unordered_map<RequestId, Request> requests_;
-  std::set<HeldPlace> held_;
+  std::set<QueuePosition> held_;
   std::uint64_t order_ = 0;
   int in_flight_ = 0;
   int beside_ = 0;  // what another process of this node has out
@@ -344,9 +310,7 @@
   bool counts_reported_ = false;  // whether load reports hold a number of requests
   bool blocking_ = true;          // whether resting replicas rest: not when too many would
 
-  std::priority_queue<Alarm, std::vector<Alarm>, std::greater<>> alarms_;
-  Time armed_at_ = kNever;
-  std::uint64_t timer_ = 0;
+  TimerQueue timers_;
   bool subscribed_ = false;
   int asks_failed_ = 0;
 
@@ -367,7 +331,7 @@
 };
 
 Router::Impl::Impl(const Settings& settings, std::uint64_t seed, Time now)
-    : settings_(settings), random_(Mix(seed)), now_(now) {
+    : settings_(settings), random_(seed), now_(now) {
   if (settings_.classes.empty()) settings_.classes.emplace_back();
   settings_.node_count = std::max(1, settings_.node_count);
   parts_ = split_at_ = settings_.node_count;
@@ -382,7 +346,8 @@
     const Time span = settings_.max_poll_interval > 0
                           ? std::min(kFirstAskWithin, settings_.max_poll_interval * 4 / 10)
                           : kFirstAskWithin;
-    SetAlarm(now + static_cast<Time>(Random() * static_cast<double>(span)), Wake::kAsk, 0);
+    timers_.Schedule(now + static_cast<Time>(random_.Next() * static_cast<double>(span)),
+                     TimerKind::kPollEndpoints);
   }
 }
 
@@ -391,10 +356,7 @@
   actions_ = &actions;
   std::visit([this](const auto& e) { On(e); }, event);
   Release();
-  if (!alarms_.empty() && alarms_.top().at < armed_at_) {
-    armed_at_ = alarms_.top().at;
-    Act(SetTimer{++timer_, std::max<Time>(0, armed_at_ - now_)});
-  }
+  if (const std::optional<SetTimer> timer = timers_.Arm(now_)) Act(*timer);
   actions_ = nullptr;
 }
 
@@ -407,7 +369,8 @@
     subscribed_ = false;
     ++asks_failed_;
     const double wait = std::min(kAskAgainFirst * std::exp2(std::min(asks_failed_, 5)), kAskAgainMost);
-    if (settings_.poll_endpoints) SetAlarm(now_ + static_cast<Time>(wait * (0.5 + Random())), Wake::kAsk, 0);
+    if (settings_.poll_endpoints)
+      timers_.Schedule(now_ + static_cast<Time>(wait * (0.5 + random_.Next())), TimerKind::kPollEndpoints);
     return;
   }
   if (e.scope != EndpointListScope::kCached) asks_failed_ = 0;
@@ -447,7 +410,8 @@
   beside_ -= x.beside;
   x = Replica{};
   x.in_flight = in_flight;
-  x.slow_start_tokens = Random();  // nodes hear of a start together: their first sends are spread over time
+  x.slow_start_tokens =
+      random_.Next();  // nodes hear of a start together: their first sends are spread over time
   x.slow_start_updated_at = now_;
 }
 
@@ -511,7 +475,7 @@
   if (!r.held) return;
   r.give_up_at = GiveUpAt(r);
   if (now_ >= r.give_up_at) return Conclude(r, ConclusionReason::kQueueTimeout);
-  SetAlarm(r.give_up_at, Wake::kGiveUp, e.id);
+  timers_.Schedule(r.give_up_at, TimerKind::kQueueTimeout, e.id);
 }
 
 void Router::Impl::Forget(RequestId id) {
@@ -535,20 +499,26 @@
   return static_cast<Time>(std::min(usual, 0.5 * static_cast<double>(r.aim_at - r.arrived)));
 }
 
+PriorityTier Router::Impl::TierOf(const Request& r) const {
+  if (now_ >= r.aim_at - FirstToken(r)) return PriorityTier::kObjectiveLost;
+  return r.over_share ? PriorityTier::kOverQuota : PriorityTier::kOrdinary;
+}
+
 void Router::Impl::Hold(Request& r) {
   r.held = true;
   const auto usual = k_.runtime_by_bucket.find(BucketKey(r.info, 1));
   const double usual_size = usual == k_.runtime_by_bucket.end() ? r.size : usual->second.mean;
-  const double key = HeldKey({r.arrived, r.aim_at - r.arrived, r.size, usual_size});
+  const double key = QueueKey({r.arrived, r.aim_at - r.arrived, r.size, usual_size});
   // Departure: what can no longer meet its aim waits behind what can. In the order of size and age alone, a
   // queue that has once grown past the aim serves everything late.
   const Time last_call = r.aim_at - FirstToken(r);
-  const int rank = now_ >= last_call ? 2 : r.over_share ? 1 : 0;
-  r.place = {rank, key, ++order_, r.info.id};
+  const PriorityTier tier = TierOf(r);
+  r.place = {tier, key, ++order_, r.info.id};
   held_.insert(r.place);
   r.give_up_at = GiveUpAt(r);
-  if (rank < 2 && last_call < r.give_up_at) SetAlarm(last_call, Wake::kOverdue, r.info.id);
-  SetAlarm(r.give_up_at, Wake::kGiveUp, r.info.id);
+  if (tier != PriorityTier::kObjectiveLost && last_call < r.give_up_at)
+    timers_.Schedule(last_call, TimerKind::kObjectiveLost, r.info.id);
+  timers_.Schedule(r.give_up_at, TimerKind::kQueueTimeout, r.info.id);
 }
 
 void Router::Impl::Unhold(Request& r) {
@@ -727,7 +697,7 @@
   for (const Option& o : options_) {
     if (o.room >= best * (1 - kTie)) total += o.replica->concurrency_limit;
   }
-  double draw = Random() * total;
+  double draw = random_.Next() * total;
   Replica* chosen = nullptr;
   for (const Option& o : options_) {
     if (o.room < best * (1 - kTie)) continue;
@@ -746,8 +716,9 @@
   for (auto& x : fleet_) {
     if (x->concurrency_limit <= 0) continue;
     const double speed = std::exp(-kSpeedPower * KindSlowness(x->endpoint.kind));
-    options_.push_back({x.get(), i.prefix != 0 ? Rendezvous(i.prefix, x->endpoint.id, speed) : 0,
-                        i.session != 0 ? Rendezvous(i.session, x->endpoint.id, speed) : 0, false, false, 0});
+    options_.push_back({x.get(), i.prefix != 0 ? RendezvousScore(i.prefix, x->endpoint.id, speed) : 0,
+                        i.session != 0 ? RendezvousScore(i.session, x->endpoint.id, speed) : 0, false, false,
+                        0});
     CountReport(*x);
   }
   const auto by = [by_zone](auto member) {
@@ -803,7 +774,7 @@
   for (const auto& x : fleet_) {
     if (!x->usable) continue;
     for (int k = 0; k < kPoints; ++k)
-      ring_.emplace_back(Mix(Mix(x->endpoint.id) + static_cast<std::uint64_t>(k)), x.get());
+      ring_.emplace_back(Mix64(Mix64(x->endpoint.id) + static_cast<std::uint64_t>(k)), x.get());
   }
   std::sort(ring_.begin(), ring_.end(), [](const auto& a, const auto& b) {
     return std::pair(a.first, a.second->endpoint.id) < std::pair(b.first, b.second->endpoint.id);
@@ -818,12 +789,12 @@
   const auto homes = [&](std::uint64_t key, double share, std::size_t most, bool session) {
     const std::size_t set = Homes(share, ready_.size(), ring_.size());
     std::size_t left = std::min(most, set);
-    const auto first = std::lower_bound(ring_.begin(), ring_.end(), Mix(key),
+    const auto first = std::lower_bound(ring_.begin(), ring_.end(), Mix64(key),
                                         [](const auto& p, std::uint64_t h) { return p.first < h; });
     std::size_t at = static_cast<std::size_t>(first - ring_.begin());
     // Of a key with many homes a stretch is looked at, for a session always the same one.
     if (set > most) {
-      const double part = i.session != 0 ? Unit(Mix(i.session)) : Random();
+      const double part = i.session != 0 ? UnitInterval(Mix64(i.session)) : random_.Next();
       at += static_cast<std::size_t>(part * static_cast<double>(set - most));
     }
     for (std::size_t n = 0; n < ring_.size() && n < 8 * kMostHomes * kPoints && left > 0; ++n, ++at) {
@@ -840,7 +811,7 @@
     homes(i.prefix, prefix_share, kMostHomes, false);
     // Among them the session has its own.
     if (i.session != 0 && !options_.empty()) {
-      for (Option& o : options_) o.session_order = Mix(i.session ^ Mix(o.replica->endpoint.id));
+      for (Option& o : options_) o.session_order = Mix64(i.session ^ Mix64(o.replica->endpoint.id));
       std::sort(options_.begin(), options_.end(), [](const Option& a, const Option& b) {
         return std::pair(~a.session_order, a.replica->endpoint.id) <
                std::pair(~b.session_order, b.replica->endpoint.id);
@@ -852,8 +823,8 @@
     homes(i.session, session_share, kMostHomes, true);
   }
   for (int k = 0; k < kDrawn && !ready_.empty(); ++k) {
-    Replica* x = ready_[std::min(ready_.size() - 1,
-                                 static_cast<std::size_t>(Random() * static_cast<double>(ready_.size())))];
+    Replica* x = ready_[std::min(
+        ready_.size() - 1, static_cast<std::size_t>(random_.Next() * static_cast<double>(ready_.size())))];
     if (x->concurrency_limit <= 0 || x->looked == search_) continue;
     x->looked = search_;
     options_.push_back({x, 0, 0, false, false, 0});
@@ -866,7 +837,7 @@
   const double prompt = std::max(1.0, i.prompt_tokens);
   const auto kept = [&](std::uint64_t key) {
     if (key == 0) return 0.0;
-    const auto it = k_.cached_prefixes.find(key ^ Mix(x.endpoint.id));
+    const auto it = k_.cached_prefixes.find(key ^ Mix64(x.endpoint.id));
     if (it == k_.cached_prefixes.end() || now_ - it->second.cached_at > kKept) return 0.0;
     return it->second.cached_at < x.endpoint.started_at ? 0.0
                                                         : it->second.tokens;  // it has started afresh since
@@ -883,8 +854,8 @@
   if (k_.cached_prefixes.size() > kMostKept)
     std::erase_if(k_.cached_prefixes, [&](const auto& k) { return now_ - k.second.cached_at > kKept; });
   if (k_.cached_prefixes.size() > kMostKept) k_.cached_prefixes.clear();
-  if (i.session != 0) k_.cached_prefixes[i.session ^ Mix(at)] = {i.prompt_tokens, now_};
-  if (i.prefix != 0) k_.cached_prefixes[i.prefix ^ Mix(at)] = {i.prefix_tokens, now_};
+  if (i.session != 0) k_.cached_prefixes[i.session ^ Mix64(at)] = {i.prompt_tokens, now_};
+  if (i.prefix != 0) k_.cached_prefixes[i.prefix ^ Mix64(at)] = {i.prefix_tokens, now_};
 }
 
 void Router::Impl::DoneReading(Attempt& a) {
@@ -1016,7 +987,7 @@
         0.1, (1 - (1 - x.capacity_factor) * Fade(now_ - x.capacity_updated_at, kFullHeals)) * kFullFall);
     x.capacity_updated_at = now_;
     x.at_capacity_until = now_ + FullRest();
-    SetAlarm(x.at_capacity_until, Wake::kRelease, 0);
+    timers_.Schedule(x.at_capacity_until, TimerKind::kUpdateLimits);
     if (observer_ != nullptr)
       observer_->OnEjection({x.endpoint.id, o, x.consecutive_failures, x.at_capacity_until});
     LearnTime(true, false);
@@ -1031,9 +1002,9 @@
   if (x.consecutive_failures < 2 && o != Outcome::kConnectFailed) return;
   const double rest =
       static_cast<double>(kBlockFirst) * std::pow(2.0, std::min(x.consecutive_failures - 1, 6));
-  x.ejected_until =
-      now_ + static_cast<Time>(std::min(rest, static_cast<double>(kBlockMost)) * (0.75 + 0.5 * Random()));
-  SetAlarm(x.ejected_until, Wake::kRelease, 0);
+  x.ejected_until = now_ + static_cast<Time>(std::min(rest, static_cast<double>(kBlockMost)) *
+                                             (0.75 + 0.5 * random_.Next()));
+  timers_.Schedule(x.ejected_until, TimerKind::kUpdateLimits);
   if (Large() && blocking_) {
     cap_total_ = std::max(0.0, cap_total_ - x.concurrency_limit);
     x.concurrency_limit = 0;
@@ -1255,30 +1226,26 @@
 
 // ---- Timers and probes ----
 
-void Router::Impl::SetAlarm(Time at, Wake what, RequestId id) { alarms_.push({at, ++order_, what, id}); }
-
 void Router::Impl::On(const TimerFired& e) {
-  if (e.token == timer_) armed_at_ = kNever;
-  while (!alarms_.empty() && alarms_.top().at <= now_) {
-    const Alarm alarm = alarms_.top();
-    alarms_.pop();
-    if (alarm.what == Wake::kRelease) {  // Handle releases after every event
+  timers_.Fired(e.token);
+  while (const std::optional<Timer> timer = timers_.PopDue(now_)) {
+    if (timer->kind == TimerKind::kUpdateLimits) {  // Handle releases after every event
       capped_at_ = -1;
       continue;
     }
-    if (alarm.what == Wake::kAsk) {
+    if (timer->kind == TimerKind::kPollEndpoints) {
       AskForList();
       continue;
     }
-    const auto it = requests_.find(alarm.id);
+    const auto it = requests_.find(timer->request);
     if (it == requests_.end() || it->second.done || it->second.started) continue;
     Request& r = it->second;
-    if (alarm.what == Wake::kOverdue) {
-      if (r.held && r.place.rank < 2) {
+    if (timer->kind == TimerKind::kObjectiveLost) {
+      if (r.held && r.place.tier != PriorityTier::kObjectiveLost) {
         Unhold(r);
         Hold(r);
       }
-    } else if (alarm.what == Wake::kGiveUp) {
+    } else if (timer->kind == TimerKind::kQueueTimeout) {
       if (r.held && now_ >= r.give_up_at) Conclude(r, ConclusionReason::kQueueTimeout);
     }
   }
@@ -1336,7 +1303,7 @@
     x->told.slowness = std::clamp(t.slowness, -kSlowBound, kSlowBound);
     x->told.slowness_samples = std::clamp(t.slowness_samples, 0.0, kKindWeight);
     x->told_at = now_;
-    if (t.ejected_until > now_) SetAlarm(t.ejected_until, Wake::kRelease, 0);
+    if (t.ejected_until > now_) timers_.Schedule(t.ejected_until, TimerKind::kUpdateLimits);
   }
   capped_at_ = -1;
 }
--- a/tests/fairness_test.cpp
+++ b/tests/fairness_test.cpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "node.h"
-#include "policy/held_order.h"
+#include "policy/queue_order.h"
 
 namespace ryeglade::policy::test {
 namespace {
@@ -236,17 +236,17 @@
   }
 }
 
-TEST(HeldKey, ShortestFirstAmongThoseThatCameTogether) {
-  const HeldRequest usual{0, 1 * kSecond, 500'000, 500'000}, shorter{0, 1 * kSecond, 400'000, 500'000};
-  EXPECT_LT(HeldKey(shorter), HeldKey(usual));
+TEST(QueueKey, ShortestFirstAmongThoseThatCameTogether) {
+  const QueuedRequest usual{0, 1 * kSecond, 500'000, 500'000}, shorter{0, 1 * kSecond, 400'000, 500'000};
+  EXPECT_LT(QueueKey(shorter), QueueKey(usual));
 }
 
-TEST(HeldKey, GivesWayToUsualRequestsForNoMoreThanItsPartOfTheTimeUntilItsAim) {
+TEST(QueueKey, GivesWayToUsualRequestsForNoMoreThanItsPartOfTheTimeUntilItsAim) {
   for (const double size : {600'000.0, 2'000'000.0, 60'000'000.0}) {
     for (const Time until_aim : {300 * kMs, 2 * kSecond, 30 * kSecond}) {
-      const Time later = static_cast<Time>(kMostGivenWay * static_cast<double>(until_aim)) + 1;
-      const HeldRequest large{0, until_aim, size, 500'000}, usual{later, until_aim, 500'000, 500'000};
-      EXPECT_LT(HeldKey(large), HeldKey(usual)) << size << " " << until_aim;
+      const Time later = static_cast<Time>(kMaxDelayShare * static_cast<double>(until_aim)) + 1;
+      const QueuedRequest large{0, until_aim, size, 500'000}, usual{later, until_aim, 500'000, 500'000};
+      EXPECT_LT(QueueKey(large), QueueKey(usual)) << size << " " << until_aim;
     }
   }
 }
