--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -20,9 +20,12 @@
 #include <unordered_map>
 #include <utility>
 
+#include "fleet.h"
 #include "hashing.h"
 #include "queue_order.h"
 #include "random_source.h"
+#include "replica.h"
+#include "request.h"
 #include "timer_queue.h"
 
 namespace ryeglade::policy {
@@ -101,7 +104,6 @@
 constexpr double kOverShare = 1.25;  // a tenant's rate above its quota times this is beyond its share
 
 // Large fleets: looking at every replica for every request would cost more the more there are.
-constexpr std::size_t kWhole = 64;  // up to this many are all looked at
 constexpr int kFewNodes = 8;  // the first sightings of a key at this many nodes are few for its one home
 constexpr int kPoints = 8;    // of a replica on the ring that says where keys have their homes
 constexpr std::size_t kMostHomes = 32;  // of a key that are looked at
@@ -122,45 +124,6 @@
   return o == Outcome::kAtCapacity || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
 }
 
-struct Replica : ReplicaView {
-  bool usable = false;  // listed as ready
-  bool listed = false;
-  int beside = 0;            // what another process of this node still has out there
-  PeerReplicaReport told;    // what the rest of the tier knows of it, by
-  Time told_at = 0;          // then
-  std::uint64_t looked = 0;  // the search that looked at it last
-  double elsewhere() const { return beside + told.orphaned_in_flight; }
-};
-
-struct Attempt {
-  ReplicaId replica = 0;
-  int zone = 0;
-  int cell = 0;
-  Time sent = 0;
-  bool out = true;
-  double unread = 0;  // tokens it had to read, until its first token comes
-  bool ran = true;    // may have run, as far as is known
-};
-
-struct Request {
-  RequestArrived info;
-  Time arrived = 0;
-  Time deadline = 0;
-  Time aim_at = 0;
-  Time give_up_at = 0;   // while held
-  double size = 0;       // estimated runtime
-  double by_bucket = 0;  // the two estimates it was made from
-  double by_hint = 0;
-  bool over_share = false;
-  bool held = false;
-  bool started = false;  // a stream has begun
-  Time first_token = 0;  // how long it took to begin
-  bool done = false;     // concluded; only outcomes of attempts are still to come
-  int out = 0;
-  QueuePosition place;
-  std::vector<Attempt> attempts;
-};
-
 }  // namespace
 
 class Router::Impl {
@@ -168,11 +131,7 @@
   Impl(const Settings& settings, std::uint64_t seed, Time now);
   void Handle(Time now, const Event& event, std::vector<Action>& actions);
 
-  const Replica* Find(ReplicaId id) const {
-    const auto it = std::lower_bound(fleet_.begin(), fleet_.end(), id,
-                                     [](const auto& r, ReplicaId v) { return r->endpoint.id < v; });
-    return it != fleet_.end() && (*it)->endpoint.id == id ? it->get() : nullptr;
-  }
+  const Replica* Find(ReplicaId id) const { return fleet_.Find(id); }
   bool MayRefuse(RequestId id) const {
     const auto it = requests_.find(id);
     return it != requests_.end() && MayRefuse(it->second);
@@ -190,8 +149,6 @@
   void Observe(DecisionObserver* observer) { observer_ = observer; }
 
  private:
-  Replica* Get(ReplicaId id) { return const_cast<Replica*>(std::as_const(*this).Find(id)); }
-
   // Events.
   void On(const EndpointList& e);
   void On(const RequestArrived& e);
@@ -221,17 +178,12 @@
   double Unread(const RequestArrived& i, const Replica& x, bool home, bool session_home, bool hot) const;
   void Keep(const RequestArrived& i, ReplicaId at);
   void DoneReading(Attempt& a);
-  static Attempt* Out(Request& r, int attempt) {
-    const auto n = static_cast<std::size_t>(attempt);
-    return attempt >= 0 && n < r.attempts.size() && r.attempts[n].out ? &r.attempts[n] : nullptr;
-  }
   void Recap();
   bool HasRoom(const Replica& x) const;
-  bool Rests(const Replica& x) const { return std::max(x.ejected_until, x.told.ejected_until) > now_; }
-  bool Large() const { return fleet_.size() > kWhole; }
+  bool Rests(const Replica& x) const { return std::max(x.ejected_until, x.peer_report.ejected_until) > now_; }
   // A large fleet's caps may be a little old: they are looked at by time, not for each thing learned.
   void Stale() {
-    if (!Large()) capped_at_ = -1;
+    if (!fleet_.UsesSampling()) capped_at_ = -1;
   }
   void MakeRing();
   static std::size_t Homes(double share, std::size_t n, std::size_t most);
@@ -266,9 +218,7 @@
   bool OverShare(int tenant);
 
   // Rules.
-  const ClassSettings& ClassOf(const Request& r) const {
-    return settings_.classes[static_cast<std::size_t>(r.info.class_index)];
-  }
+  const ClassSettings& ClassOf(const Request& r) const { return settings_.classes[r.class_index()]; }
   bool MaySend(const Request& r, const Replica& to) const;
   bool ByZone() const { return settings_.cross_zone_penalty > 0 && settings_.zone_count > 1; }
   bool MaySendAnywhere(const Request& r) const;
@@ -281,7 +231,6 @@
   Time GiveUpAt(const Request& r) const;
   Time FirstToken(const Request& r) const;
 
-  void Anew(Replica& x);
   void AskForList();
   template <class T>
   void Act(T action) {
@@ -294,12 +243,10 @@
   std::vector<Action>* actions_ = nullptr;
   DecisionObserver* observer_ = nullptr;
 
-  std::vector<std::unique_ptr<Replica>> fleet_;  // by id
+  Fleet fleet_;
   std::unordered_map<RequestId, Request> requests_;
   std::set<QueuePosition> held_;
   std::uint64_t order_ = 0;
-  int in_flight_ = 0;
-  int beside_ = 0;  // what another process of this node has out
 
   LearnedState k_;                                       // all that is learned of more than one replica
   std::unordered_map<std::uint64_t, double> told_keys_;  // shares of the tier's traffic
@@ -374,47 +321,11 @@
     return;
   }
   if (e.scope != EndpointListScope::kCached) asks_failed_ = 0;
-  if (e.scope != EndpointListScope::kDelta) {
-    for (auto& x : fleet_) x->listed = false;
-  }
-  for (const Endpoint& entry : e.endpoints) {
-    Replica* x = Get(entry.id);
-    if (x == nullptr) {
-      if (entry.state == EndpointState::kRemoved) continue;
-      x = fleet_
-              .insert(std::lower_bound(fleet_.begin(), fleet_.end(), entry.id,
-                                       [](const auto& r, ReplicaId v) { return r->endpoint.id < v; }),
-                      std::make_unique<Replica>())
-              ->get();
-      Anew(*x);
-    } else if (entry.started_at > x->endpoint.started_at) {
-      Anew(*x);
-    }
-    x->endpoint = entry;
-    x->listed = entry.state != EndpointState::kRemoved;
-    x->usable = entry.state == EndpointState::kReady;
-  }
-  for (auto& x : fleet_) x->usable = x->usable && x->listed;
-  std::erase_if(fleet_, [&](const auto& x) {
-    const bool gone = !x->listed && x->in_flight == 0;
-    if (gone) beside_ -= x->beside;
-    return gone;
-  });
+  fleet_.Apply(e, now_, random_);
   capped_at_ = -1;
   ring_old_ = true;
 }
 
-// It has started: nothing known of it holds any more, but for attempts whose outcomes are still to come.
-void Router::Impl::Anew(Replica& x) {
-  const int in_flight = x.in_flight;
-  beside_ -= x.beside;
-  x = Replica{};
-  x.in_flight = in_flight;
-  x.slow_start_tokens =
-      random_.Next();  // nodes hear of a start together: their first sends are spread over time
-  x.slow_start_updated_at = now_;
-}
-
 void Router::Impl::AskForList() {
   if (subscribed_) return;
   subscribed_ = true;
@@ -434,18 +345,18 @@
 void Router::Impl::On(const RequestArrived& e) {
   if (requests_.contains(e.id)) return;
   Request& r = requests_[e.id];
-  r.info = e;
-  r.info.class_index = std::clamp(e.class_index, 0, static_cast<int>(settings_.classes.size()) - 1);
-  r.info.prompt_tokens = std::min(1e9, std::max(0.0, e.prompt_tokens));  // 0 for what is no number
+  r.arrival = e;
+  r.arrival.class_index = std::clamp(e.class_index, 0, static_cast<int>(settings_.classes.size()) - 1);
+  r.arrival.prompt_tokens = std::min(1e9, std::max(0.0, e.prompt_tokens));  // 0 for what is no number
   const ClassSettings& c = ClassOf(r);
-  r.arrived = now_;
+  r.arrived_at = now_;
   r.deadline = now_ + std::max<Time>(0, e.time_budget);
-  r.aim_at =
+  r.objective_at =
       now_ + c.latency_objective +
-      static_cast<Time>(static_cast<double>(c.objective_per_1000_tokens) * r.info.prompt_tokens / 1000.0);
+      static_cast<Time>(static_cast<double>(c.objective_per_1000_tokens) * r.arrival.prompt_tokens / 1000.0);
   k_.retry_budget = std::min(kBudgetMost, k_.retry_budget + kRetryShare);
   CountKeys(e);
-  r.over_share = OverShare(e.tenant_index);
+  r.over_quota = OverShare(e.tenant_index);
   Estimate(r);
   // A try can come with no patience left; a timer would answer it a tick too late.
   if (GiveUpAt(r) <= now_) return Conclude(r, ConclusionReason::kNoTimeBudget);
@@ -454,13 +365,13 @@
 
 void Router::Impl::On(const ClientDisconnected& e) {
   const auto it = requests_.find(e.id);
-  if (it == requests_.end() || it->second.done) return;
+  if (it == requests_.end() || it->second.concluded) return;
   Request& r = it->second;
   Unhold(r);
-  r.done = true;
+  r.concluded = true;
   if (settings_.can_cancel) {
     for (std::size_t i = 0; i < r.attempts.size(); ++i) {
-      if (r.attempts[i].out) Act(CancelAttempt{e.id, static_cast<int>(i)});
+      if (r.attempts[i].in_flight) Act(CancelAttempt{e.id, static_cast<int>(i)});
     }
   }
   Forget(e.id);
@@ -469,62 +380,64 @@
 // An attempt that is out stays so: the request is concluded by its outcome, as there is no time for another.
 void Router::Impl::On(const DeadlineShortened& e) {
   const auto it = requests_.find(e.id);
-  if (it == requests_.end() || it->second.done || it->second.started) return;
+  if (it == requests_.end() || it->second.concluded || it->second.response_started) return;
   Request& r = it->second;
   r.deadline = std::min(r.deadline, now_ + std::max<Time>(0, e.time_budget));
-  if (!r.held) return;
-  r.give_up_at = GiveUpAt(r);
-  if (now_ >= r.give_up_at) return Conclude(r, ConclusionReason::kQueueTimeout);
-  timers_.Schedule(r.give_up_at, TimerKind::kQueueTimeout, e.id);
+  if (!r.queued) return;
+  r.latest_dispatch_at = GiveUpAt(r);
+  if (now_ >= r.latest_dispatch_at) return Conclude(r, ConclusionReason::kQueueTimeout);
+  timers_.Schedule(r.latest_dispatch_at, TimerKind::kQueueTimeout, e.id);
 }
 
 void Router::Impl::Forget(RequestId id) {
   const auto it = requests_.find(id);
-  if (it != requests_.end() && it->second.done && it->second.out == 0) requests_.erase(it);
+  if (it != requests_.end() && it->second.concluded && it->second.attempts_in_flight == 0)
+    requests_.erase(it);
 }
 
 Time Router::Impl::GiveUpAt(const Request& r) const {
   // The final answer has to be out before the client's time is up, with some ticks to spare.
-  const Time patience = r.deadline - r.arrived;
+  const Time patience = r.deadline - r.arrived_at;
   const Time last = r.deadline - std::max<Time>(20'000, patience / 50);
   // Departure: what earns nothing once its aim has passed is refused early, not served late.
-  if (ClassOf(r).late_weight_share <= 0) return std::max(r.arrived, std::min(last, r.aim_at - FirstToken(r)));
-  return std::max(r.arrived, last);
+  if (ClassOf(r).late_weight_share <= 0)
+    return std::max(r.arrived_at, std::min(last, r.objective_at - FirstToken(r)));
+  return std::max(r.arrived_at, last);
 }
 
 // How long a first token is likely to take once the request is sent.
 Time Router::Impl::FirstToken(const Request& r) const {
-  const auto seen = k_.first_token_by_bucket.find(BucketKey(r.info, 2));
+  const auto seen = k_.first_token_by_bucket.find(BucketKey(r.arrival, 2));
   const double usual = seen == k_.first_token_by_bucket.end() ? 0 : seen->second.mean;
-  return static_cast<Time>(std::min(usual, 0.5 * static_cast<double>(r.aim_at - r.arrived)));
+  return static_cast<Time>(std::min(usual, 0.5 * static_cast<double>(r.objective_at - r.arrived_at)));
 }
 
 PriorityTier Router::Impl::TierOf(const Request& r) const {
-  if (now_ >= r.aim_at - FirstToken(r)) return PriorityTier::kObjectiveLost;
-  return r.over_share ? PriorityTier::kOverQuota : PriorityTier::kOrdinary;
+  if (now_ >= r.objective_at - FirstToken(r)) return PriorityTier::kObjectiveLost;
+  return r.over_quota ? PriorityTier::kOverQuota : PriorityTier::kOrdinary;
 }
 
 void Router::Impl::Hold(Request& r) {
-  r.held = true;
-  const auto usual = k_.runtime_by_bucket.find(BucketKey(r.info, 1));
-  const double usual_size = usual == k_.runtime_by_bucket.end() ? r.size : usual->second.mean;
-  const double key = QueueKey({r.arrived, r.aim_at - r.arrived, r.size, usual_size});
+  r.queued = true;
+  const auto usual = k_.runtime_by_bucket.find(BucketKey(r.arrival, 1));
+  const double usual_size = usual == k_.runtime_by_bucket.end() ? r.estimated_runtime : usual->second.mean;
+  const double key = QueueKey({r.arrived_at, r.objective_at - r.arrived_at, r.estimated_runtime, usual_size});
   // Departure: what can no longer meet its aim waits behind what can. In the order of size and age alone, a
   // queue that has once grown past the aim serves everything late.
-  const Time last_call = r.aim_at - FirstToken(r);
+  const Time last_call = r.objective_at - FirstToken(r);
   const PriorityTier tier = TierOf(r);
-  r.place = {tier, key, ++order_, r.info.id};
-  held_.insert(r.place);
-  r.give_up_at = GiveUpAt(r);
-  if (tier != PriorityTier::kObjectiveLost && last_call < r.give_up_at)
-    timers_.Schedule(last_call, TimerKind::kObjectiveLost, r.info.id);
-  timers_.Schedule(r.give_up_at, TimerKind::kQueueTimeout, r.info.id);
+  r.queue_position = {tier, key, ++order_, r.id()};
+  held_.insert(r.queue_position);
+  r.latest_dispatch_at = GiveUpAt(r);
+  if (tier != PriorityTier::kObjectiveLost && last_call < r.latest_dispatch_at)
+    timers_.Schedule(last_call, TimerKind::kObjectiveLost, r.id());
+  timers_.Schedule(r.latest_dispatch_at, TimerKind::kQueueTimeout, r.id());
 }
 
 void Router::Impl::Unhold(Request& r) {
-  if (!r.held) return;
-  held_.erase(r.place);
-  r.held = false;
+  if (!r.queued) return;
+  held_.erase(r.queue_position);
+  r.queued = false;
 }
 
 void Router::Impl::Release() {
@@ -532,7 +445,7 @@
   Recap();
   int stuck = 0;  // requests that rules keep from every replica with room; they must not block the others
   for (auto it = held_.begin(); it != held_.end() && stuck < 8;) {
-    if (in_flight_ + beside_ >= std::max(1.0, cap_total_)) return;
+    if (fleet_.in_flight() >= std::max(1.0, cap_total_)) return;
     Request& r = requests_.at(it->id);
     ++it;
     Replica* to = Choose(r);
@@ -548,8 +461,8 @@
 
 // From what Choose has just weighed.
 void Router::Impl::NoteSend(const Request& r, const Replica& to) const {
-  DispatchRecord note{r.info.id, static_cast<int>(r.attempts.size()), to.endpoint.id, r.size,
-                      now_ - r.arrived};
+  DispatchRecord note{r.id(), static_cast<int>(r.attempts.size()), to.endpoint.id, r.estimated_runtime,
+                      now_ - r.arrived_at};
   note.candidates = static_cast<int>(options_.size());
   note.concurrency_limit = to.concurrency_limit;
   note.in_flight = to.in_flight;
@@ -557,7 +470,7 @@
     if (o.room >= 0) ++note.candidates_with_capacity;
     if (o.replica == &to) {
       note.score = o.room;
-      note.tokens_to_prefill = Unread(r.info, to, o.home, false, false);
+      note.tokens_to_prefill = Unread(r.arrival, to, o.home, false, false);
     } else if (o.room > note.runner_up_score) {
       note.runner_up = o.replica->endpoint.id;
       note.runner_up_score = o.room;
@@ -573,36 +486,36 @@
   a.replica = to.endpoint.id;
   a.zone = to.endpoint.zone;
   a.cell = to.endpoint.cell;
-  a.sent = now_;
+  a.sent_at = now_;
   r.attempts.push_back(a);
-  ++r.out;
-  ++to.in_flight;
-  ++in_flight_;
+  ++r.attempts_in_flight;
+  fleet_.AttemptSent(to);
   // What is kept now is what it had to read less; from here on the whole prompt is there.
   const bool home = std::any_of(options_.begin(), options_.end(),
                                 [&](const Option& o) { return o.replica == &to && o.home; });
-  r.attempts.back().unread = Unread(r.info, to, home, false, false);
+  r.attempts.back().tokens_to_prefill = Unread(r.arrival, to, home, false, false);
   if (to.prefill_backlog_tokens < 1) to.waiting_since = now_;
-  to.prefill_backlog_tokens += r.attempts.back().unread;
-  Keep(r.info, to.endpoint.id);
+  to.prefill_backlog_tokens += r.attempts.back().tokens_to_prefill;
+  Keep(r.arrival, to.endpoint.id);
   k_.dispatches.Add(now_, kTenantMemory, 1);
   if (Warmth(to) < 1) to.slow_start_tokens -= 1;
-  Act(SendAttempt{r.info.id, to.endpoint.id, 0, write_within});
+  Act(SendAttempt{r.id(), to.endpoint.id, 0, write_within});
 }
 
 // Present caps. This node's part of a replica's cap is a real number: the fleet-wide level that time to first
 // token has taught, times the replica's speed, less what 'full' answers and a cold start take off.
 void Router::Impl::Recap() {
   if (capped_at_ == now_) return;
-  if (Large() && capped_at_ >= 0 && now_ - capped_at_ < kRecapEvery * static_cast<Time>(fleet_.size()))
+  if (fleet_.UsesSampling() && capped_at_ >= 0 &&
+      now_ - capped_at_ < kRecapEvery * static_cast<Time>(fleet_.size()))
     return;
   capped_at_ = now_;
   ready_.clear();
   reported_ = reports_ = 0;
   std::size_t usable = 0, blocked = 0;
   double slow = 0;
-  for (const auto& x : fleet_) {
-    if (!x->usable) continue;
+  for (const auto& x : fleet_.replicas()) {
+    if (!x->ready) continue;
     ++usable;
     slow += Slowness(*x);
     if (Rests(*x)) ++blocked;
@@ -614,14 +527,14 @@
   slow /= std::max(1.0, static_cast<double>(usable));
   const double rate = k_.dispatches.ValueAt(now_, kTenantMemory) / (static_cast<double>(kTenantMemory) / 1e6);
   cap_total_ = 0;
-  for (auto& x : fleet_) {
+  for (auto& x : fleet_.replicas()) {
     x->concurrency_limit = 0;
-    if (!x->usable || (blocking_ && Rests(*x))) continue;
+    if (!x->ready || (blocking_ && Rests(*x))) continue;
     const double full = 1 - (1 - x->capacity_factor) * Fade(now_ - x->capacity_updated_at, kFullHeals);
     const double warmth = Warmth(*x);
     x->concurrency_limit = k_.base_limit * std::exp(-kSpeedPower * (Slowness(*x) - slow)) * full * warmth;
     cap_total_ += x->concurrency_limit;
-    if (Large()) {
+    if (fleet_.UsesSampling()) {
       ready_.push_back(x.get());
       CountReport(*x);
     }
@@ -644,7 +557,7 @@
   // A cap of half a request is a mean over all nodes' parts; each node's own swing about it evens out with
   // the others', and the sum of the caps bounds them together. Alone, a node sees the whole and keeps to it.
   const double swing = kSwing * std::sqrt(x.concurrency_limit * (1 - 1.0 / parts_));
-  return x.in_flight + x.elsewhere() < std::max(1.0, x.concurrency_limit + swing);
+  return x.in_flight + x.in_flight_elsewhere() < std::max(1.0, x.concurrency_limit + swing);
 }
 
 // The replica with most room. Room is the part of a replica's cap that is thought free, counted in requests
@@ -652,16 +565,17 @@
 Replica* Router::Impl::Choose(const Request& r) {
   const double nodes = parts_;
   const bool by_zone = ByZone();
-  const RequestArrived& i = r.info;
+  const RequestArrived& i = r.arrival;
   options_.clear();
   const double prefix_share = i.prefix != 0 ? KeyShare(i.prefix, false) : 0;
   const double session_share = i.session != 0 ? KeyShare(i.session, true) : 0;
-  Large() ? Candidates(i, prefix_share, session_share) : Everyone(i, prefix_share, session_share);
+  fleet_.UsesSampling() ? Candidates(i, prefix_share, session_share)
+                        : Everyone(i, prefix_share, session_share);
   if (options_.empty()) return nullptr;
   // What others have out is not seen; it is taken to be like this node's own, or like what replicas report.
-  double occupied = std::min(kMostOccupied, (in_flight_ + beside_) / std::max(cap_total_, 1e-9));
+  double occupied = std::min(kMostOccupied, fleet_.in_flight() / std::max(cap_total_, 1e-9));
 
-  const double among = static_cast<double>(Large() ? ready_.size() : options_.size());
+  const double among = static_cast<double>(fleet_.UsesSampling() ? ready_.size() : options_.size());
   const bool hot = session_share * among * kSpread > 1;
   const double usual = std::max((reported_ + 1e-9) / (reports_ + 1e-9), 1e-9);
   double best = -1;
@@ -679,7 +593,7 @@
       const double fuller = std::clamp(Reported(x) / usual, 1 / kReportBound, kReportBound);
       others = trust * occupied * fuller + (1 - trust) * others;
     }
-    const double own = (x.in_flight + x.elsewhere()) / (nodes * x.concurrency_limit);
+    const double own = (x.in_flight + x.in_flight_elsewhere()) / (nodes * x.concurrency_limit);
     const double free = std::max(0.01, 1 - own - others * (nodes - 1) / nodes);
     // Room is counted in requests like this one, and what a request takes is what must be read before its
     // first token comes: the prompts that came before it, and what of its own is not kept there.
@@ -713,7 +627,7 @@
 void Router::Impl::Everyone(const RequestArrived& i, double prefix_share, double session_share) {
   const bool by_zone = ByZone();
   reported_ = reports_ = 0;
-  for (auto& x : fleet_) {
+  for (auto& x : fleet_.replicas()) {
     if (x->concurrency_limit <= 0) continue;
     const double speed = std::exp(-kSpeedPower * KindSlowness(x->endpoint.kind));
     options_.push_back({x.get(), i.prefix != 0 ? RendezvousScore(i.prefix, x->endpoint.id, speed) : 0,
@@ -771,8 +685,8 @@
 void Router::Impl::MakeRing() {
   ring_old_ = false;
   ring_.clear();
-  for (const auto& x : fleet_) {
-    if (!x->usable) continue;
+  for (const auto& x : fleet_.replicas()) {
+    if (!x->ready) continue;
     for (int k = 0; k < kPoints; ++k)
       ring_.emplace_back(Mix64(Mix64(x->endpoint.id) + static_cast<std::uint64_t>(k)), x.get());
   }
@@ -799,10 +713,10 @@
     }
     for (std::size_t n = 0; n < ring_.size() && n < 8 * kMostHomes * kPoints && left > 0; ++n, ++at) {
       Replica* x = ring_[at % ring_.size()].second;
-      if (x->concurrency_limit <= 0 || x->looked == search_ ||
+      if (x->concurrency_limit <= 0 || x->last_search == search_ ||
           (by_zone && x->endpoint.zone != settings_.zone))
         continue;
-      x->looked = search_;
+      x->last_search = search_;
       options_.push_back({x, 0, 0, !session, session, 0});
       --left;
     }
@@ -825,8 +739,8 @@
   for (int k = 0; k < kDrawn && !ready_.empty(); ++k) {
     Replica* x = ready_[std::min(
         ready_.size() - 1, static_cast<std::size_t>(random_.Next() * static_cast<double>(ready_.size())))];
-    if (x->concurrency_limit <= 0 || x->looked == search_) continue;
-    x->looked = search_;
+    if (x->concurrency_limit <= 0 || x->last_search == search_) continue;
+    x->last_search = search_;
     options_.push_back({x, 0, 0, false, false, 0});
   }
 }
@@ -859,9 +773,9 @@
 }
 
 void Router::Impl::DoneReading(Attempt& a) {
-  if (Replica* x = Get(a.replica))
-    x->prefill_backlog_tokens = std::max(0.0, x->prefill_backlog_tokens - a.unread);
-  a.unread = 0;
+  if (Replica* x = fleet_.Find(a.replica))
+    x->prefill_backlog_tokens = std::max(0.0, x->prefill_backlog_tokens - a.tokens_to_prefill);
+  a.tokens_to_prefill = 0;
 }
 
 // ---- Estimates ----
@@ -880,35 +794,37 @@
 void Router::Impl::Estimate(Request& r) const {
   double estimate = static_cast<double>(ClassOf(r).latency_objective);  // before anything was served
   for (int level = 0; level <= 3; ++level) {
-    const auto it = k_.runtime_by_bucket.find(BucketKey(r.info, level));
+    const auto it = k_.runtime_by_bucket.find(BucketKey(r.arrival, level));
     if (it != k_.runtime_by_bucket.end())
       estimate = it->second.Shrunk(estimate, level == 0 ? 0 : kParentWeight);
   }
-  r.by_bucket = std::max(estimate, 1.0);
-  r.by_hint = r.by_bucket;
-  r.size = r.by_bucket;
-  const std::size_t c = static_cast<std::size_t>(r.info.class_index);
-  if (r.info.cost_hint > 0 && k_.runtime_per_hint[c].samples > kParentWeight) {
-    r.by_hint = std::max(1.0, k_.runtime_per_hint[c].mean * static_cast<double>(r.info.cost_hint));
+  r.runtime_by_bucket = std::max(estimate, 1.0);
+  r.runtime_by_hint = r.runtime_by_bucket;
+  r.estimated_runtime = r.runtime_by_bucket;
+  const std::size_t c = r.class_index();
+  if (r.arrival.cost_hint > 0 && k_.runtime_per_hint[c].samples > kParentWeight) {
+    r.runtime_by_hint = std::max(1.0, k_.runtime_per_hint[c].mean * static_cast<double>(r.arrival.cost_hint));
     // Either estimate counts by how well it has done so far.
     const double trust =
         (k_.bucket_error[c].mean + 1e-6) / (k_.bucket_error[c].mean + k_.hint_error[c].mean + 2e-6);
-    r.size = std::exp(trust * std::log(r.by_hint) + (1 - trust) * std::log(r.by_bucket));
+    r.estimated_runtime =
+        std::exp(trust * std::log(r.runtime_by_hint) + (1 - trust) * std::log(r.runtime_by_bucket));
   }
 }
 
 void Router::Impl::LearnServed(const Request& r, Replica* from, Time runtime) {
   const double t = std::max<double>(1, static_cast<double>(runtime));
-  const std::size_t c = static_cast<std::size_t>(r.info.class_index);
+  const std::size_t c = r.class_index();
   for (int level = 0; level <= 3; ++level)
-    k_.runtime_by_bucket[BucketKey(r.info, level)].Add(t, kBucketMemory);
+    k_.runtime_by_bucket[BucketKey(r.arrival, level)].Add(t, kBucketMemory);
   k_.round_trip.Add(t, kBucketMemory);
   LearnPace(r, runtime);
-  if (r.info.cost_hint > 0)
-    k_.runtime_per_hint[c].Add(t / static_cast<double>(r.info.cost_hint), kBucketMemory);
-  k_.bucket_error[c].Add(std::pow(std::log(r.by_bucket / t), 2), kBucketMemory);
-  if (r.info.cost_hint > 0) k_.hint_error[c].Add(std::pow(std::log(r.by_hint / t), 2), kBucketMemory);
-  if (from != nullptr) LearnSlow(*from, std::log(t / r.size));
+  if (r.arrival.cost_hint > 0)
+    k_.runtime_per_hint[c].Add(t / static_cast<double>(r.arrival.cost_hint), kBucketMemory);
+  k_.bucket_error[c].Add(std::pow(std::log(r.runtime_by_bucket / t), 2), kBucketMemory);
+  if (r.arrival.cost_hint > 0)
+    k_.hint_error[c].Add(std::pow(std::log(r.runtime_by_hint / t), 2), kBucketMemory);
+  if (from != nullptr) LearnSlow(*from, std::log(t / r.estimated_runtime));
 }
 
 void Router::Impl::LearnSlow(Replica& x, double log_ratio) {
@@ -938,9 +854,9 @@
 
 double Router::Impl::Slowness(const Replica& x) const {
   const double n = x.slowness_samples * Fade(now_ - x.slowness_updated_at, kSlowMemory);
-  const double m = x.told.slowness_samples * Fade(now_ - x.told_at, kSlowMemory);
+  const double m = x.peer_report.slowness_samples * Fade(now_ - x.peer_report_at, kSlowMemory);
   const double expected = KindSlowness(x.endpoint.kind) + ZoneSlowness(x.endpoint.zone);
-  return (n * x.slowness + m * x.told.slowness + kKindWeight * expected) / (n + m + kKindWeight);
+  return (n * x.slowness + m * x.peer_report.slowness + kKindWeight * expected) / (n + m + kKindWeight);
 }
 
 // The level of all caps: up while first tokens come in time and caps are in use, down when many are late.
@@ -948,7 +864,7 @@
   k_.late_share += kLateMemory * ((late ? 1.0 : 0.0) - k_.late_share);
   if (k_.late_share > kLateShare) {
     if (late) Fall(kFall);
-  } else if (in_good_time && k_.objective_used < kEasy && in_flight_ + beside_ >= kInUse * cap_total_) {
+  } else if (in_good_time && k_.objective_used < kEasy && fleet_.in_flight() >= kInUse * cap_total_) {
     k_.base_limit =
         std::min(MostLevel(), k_.base_limit * (1 + (k_.limit_before_decrease > 0 &&
                                                             k_.base_limit > kKnown * k_.limit_before_decrease
@@ -970,9 +886,10 @@
 // A replica that answers in batches takes on more than it can keep pace with long before its first tokens are
 // late: every stream slows down. How slow is too slow is judged against the best pace seen, class by class.
 void Router::Impl::LearnPace(const Request& r, Time runtime) {
-  const double spent = std::max(1.0, static_cast<double>(r.started ? runtime - r.first_token : runtime));
-  const double work = r.info.cost_hint > 0 ? static_cast<double>(r.info.cost_hint) : 1.0;
-  LearnedState::ClassPace& p = k_.pace_by_class[static_cast<std::size_t>(r.info.class_index)];
+  const double spent =
+      std::max(1.0, static_cast<double>(r.response_started ? runtime - r.time_to_first_token : runtime));
+  const double work = r.arrival.cost_hint > 0 ? static_cast<double>(r.arrival.cost_hint) : 1.0;
+  LearnedState::ClassPace& p = k_.pace_by_class[r.class_index()];
   p.current.Add(std::log(spent / work), kPaceMemory);
   if (p.current.samples < kPaceYoung) return;
   p.best = std::min(p.best + kPaceLeak, p.current.mean);
@@ -1005,7 +922,7 @@
   x.ejected_until = now_ + static_cast<Time>(std::min(rest, static_cast<double>(kBlockMost)) *
                                              (0.75 + 0.5 * random_.Next()));
   timers_.Schedule(x.ejected_until, TimerKind::kUpdateLimits);
-  if (Large() && blocking_) {
+  if (fleet_.UsesSampling() && blocking_) {
     cap_total_ = std::max(0.0, cap_total_ - x.concurrency_limit);
     x.concurrency_limit = 0;
   }
@@ -1062,18 +979,18 @@
 
 void Router::Impl::On(const ResponseStarted& e) {
   const auto it = requests_.find(e.id);
-  Attempt* const a = it == requests_.end() ? nullptr : Out(it->second, e.attempt);
-  if (a == nullptr || it->second.started || it->second.done) return;
+  Attempt* const a = it == requests_.end() ? nullptr : it->second.InFlightAttempt(e.attempt);
+  if (a == nullptr || it->second.response_started || it->second.concluded) return;
   Request& r = it->second;
-  r.started = true;
+  r.response_started = true;
   DoneReading(*a);
-  r.first_token = e.elapsed;
-  const double aim = static_cast<double>(r.aim_at - r.arrived);
+  r.time_to_first_token = e.elapsed;
+  const double aim = static_cast<double>(r.objective_at - r.arrived_at);
   const double t = static_cast<double>(e.elapsed);
   k_.objective_used += kWaitMemory * (std::min(1.0, t / std::max(1.0, aim)) - k_.objective_used);
   LearnTime(t > kLateAt * aim, t < 0.5 * kLateAt * aim);
-  const std::uint32_t bucket = BucketKey(r.info, 2);
-  if (Replica* x = Get(a->replica)) {
+  const std::uint32_t bucket = BucketKey(r.arrival, 2);
+  if (Replica* x = fleet_.Find(a->replica)) {
     x->consecutive_failures = 0, x->waiting_since = now_;
     const auto seen = k_.first_token_by_bucket.find(bucket);
     if (seen != k_.first_token_by_bucket.end() && seen->second.samples > kParentWeight) {
@@ -1102,18 +1019,17 @@
 
 void Router::Impl::On(const AttemptEnded& e) {
   const auto it = requests_.find(e.id);
-  Attempt* const out = it == requests_.end() ? nullptr : Out(it->second, e.attempt);
+  Attempt* const out = it == requests_.end() ? nullptr : it->second.InFlightAttempt(e.attempt);
   if (out == nullptr) return;
   Request& r = it->second;
   Attempt& a = *out;
-  a.out = false;
+  a.in_flight = false;
   DoneReading(a);
-  a.ran = !ProvesNotRun(e.outcome);
-  --r.out;
-  --in_flight_;
-  Replica* x = Get(a.replica);
+  a.may_have_run = !ProvesNotRun(e.outcome);
+  --r.attempts_in_flight;
+  Replica* x = fleet_.Find(a.replica);
+  fleet_.AttemptEnded(x);
   if (x != nullptr) {
-    --x->in_flight;
     TakeReport(*x, e.load_report);
     if (e.outcome == Outcome::kServed) {
       x->consecutive_failures = 0;
@@ -1121,31 +1037,29 @@
     } else if (e.outcome != Outcome::kCancelled && e.outcome != Outcome::kNotSent) {
       LearnFailure(*x, e.outcome);
     }
-    if (!x->listed && x->in_flight == 0) {
-      beside_ -= x->beside;
-      std::erase_if(fleet_, [&](const auto& p) { return p.get() == x; });
-    }
+    fleet_.RemoveIfGone(*x);
   }
-  if (e.request_concluded || e.outcome == Outcome::kServed || (r.started && !r.done && r.out == 0)) {
-    if (!r.done && !e.request_concluded && e.outcome != Outcome::kServed) {
+  if (e.request_concluded || e.outcome == Outcome::kServed ||
+      (r.response_started && !r.concluded && r.attempts_in_flight == 0)) {
+    if (!r.concluded && !e.request_concluded && e.outcome != Outcome::kServed) {
       Conclude(r, ConclusionReason::kStreamInterrupted);
     } else {
       Unhold(r);
-      r.done = true;
+      r.concluded = true;
       Forget(e.id);
     }
     return;
   }
-  if (r.done) {
+  if (r.concluded) {
     Forget(e.id);
     return;
   }
-  if (!r.started && r.out == 0) RetryOrConclude(r, e.outcome);
+  if (!r.response_started && r.attempts_in_flight == 0) RetryOrConclude(r, e.outcome);
 }
 
 void Router::Impl::RetryOrConclude(Request& r, Outcome o) {
   const bool costs = o != Outcome::kAtCapacity;  // a 'full' is cheap, and its cap has fallen
-  if (r.held) return;
+  if (r.queued) return;
   const bool left = r.attempts.size() < static_cast<std::size_t>(settings_.max_attempts);
   if (left && now_ < GiveUpAt(r) && MaySendAnywhere(r) && (!costs || k_.retry_budget >= 1)) {
     if (costs) k_.retry_budget -= 1;
@@ -1162,13 +1076,13 @@
 
 bool Router::Impl::MaySendAnywhere(const Request& r) const {
   if (r.attempts.size() >= static_cast<std::size_t>(settings_.max_attempts)) return false;
-  if (r.out > 0 && !settings_.can_hedge) return false;
+  if (r.attempts_in_flight > 0 && !settings_.can_hedge) return false;
   const ClassSettings& c = ClassOf(r);
   if (c.idempotency == Idempotency::kIdempotent) return true;
   for (const Attempt& a : r.attempts) {
-    if (!a.ran) continue;
+    if (!a.may_have_run) continue;
     if (c.idempotency == Idempotency::kNotIdempotent) return false;
-    if (now_ - a.sent >= c.dedup_window - kRepeatMargin) return false;
+    if (now_ - a.sent_at >= c.dedup_window - kRepeatMargin) return false;
   }
   return true;
 }
@@ -1178,7 +1092,7 @@
   if (!MaySendAnywhere(r)) return false;
   if (c.idempotency != Idempotency::kIdempotencyKey || c.dedup_scope == DedupScope::kAll) return true;
   for (const Attempt& a : r.attempts) {
-    if (!a.ran) continue;
+    if (!a.may_have_run) continue;
     // A zone or cell that is not known (below 0) may be any.
     const int group = c.dedup_scope == DedupScope::kZone ? a.zone : a.cell;
     const int of_next = c.dedup_scope == DedupScope::kZone ? to.endpoint.zone : to.endpoint.cell;
@@ -1193,8 +1107,8 @@
   if (c.idempotency != Idempotency::kIdempotencyKey) return 0;
   Time within = 0;
   for (const Attempt& a : r.attempts) {
-    if (!a.ran) continue;
-    const Time left = std::max<Time>(1, a.sent + c.dedup_window - kRepeatMargin - now_);
+    if (!a.may_have_run) continue;
+    const Time left = std::max<Time>(1, a.sent_at + c.dedup_window - kRepeatMargin - now_);
     within = within == 0 ? left : std::min(within, left);
   }
   return within;
@@ -1204,15 +1118,15 @@
   const ClassSettings& c = ClassOf(r);
   if (c.idempotency == Idempotency::kIdempotent) return true;
   if (c.idempotency == Idempotency::kIdempotencyKey && c.dedup_scope == DedupScope::kAll) return true;
-  return std::none_of(r.attempts.begin(), r.attempts.end(), [](const Attempt& a) { return a.ran; });
+  return std::none_of(r.attempts.begin(), r.attempts.end(), [](const Attempt& a) { return a.may_have_run; });
 }
 
 // The one final answer, given only when no attempt is out: a refusal where that is allowed, else a failure.
 void Router::Impl::Conclude(Request& r, ConclusionReason why) {
-  const RequestId id = r.info.id;
+  const RequestId id = r.id();
   if (observer_ != nullptr) {
-    observer_->OnConclusion({id, why, static_cast<int>(r.attempts.size()), now_ - r.arrived,
-                             static_cast<std::uint32_t>(held_.size()), cap_total_, in_flight_});
+    observer_->OnConclusion({id, why, static_cast<int>(r.attempts.size()), now_ - r.arrived_at,
+                             static_cast<std::uint32_t>(held_.size()), cap_total_, fleet_.own_in_flight()});
   }
   Unhold(r);
   if (MayRefuse(r)) {
@@ -1220,7 +1134,7 @@
   } else {
     Act(FailRequest{id});
   }
-  r.done = true;
+  r.concluded = true;
   Forget(id);
 }
 
@@ -1238,15 +1152,15 @@
       continue;
     }
     const auto it = requests_.find(timer->request);
-    if (it == requests_.end() || it->second.done || it->second.started) continue;
+    if (it == requests_.end() || it->second.concluded || it->second.response_started) continue;
     Request& r = it->second;
     if (timer->kind == TimerKind::kObjectiveLost) {
-      if (r.held && r.place.tier != PriorityTier::kObjectiveLost) {
+      if (r.queued && r.queue_position.tier != PriorityTier::kObjectiveLost) {
         Unhold(r);
         Hold(r);
       }
     } else if (timer->kind == TimerKind::kQueueTimeout) {
-      if (r.held && now_ >= r.give_up_at) Conclude(r, ConclusionReason::kQueueTimeout);
+      if (r.queued && now_ >= r.latest_dispatch_at) Conclude(r, ConclusionReason::kQueueTimeout);
     }
   }
 }
@@ -1280,29 +1194,23 @@
   k_.base_limit = std::clamp(k_.base_limit * was / parts_, least, kMostInFlight / parts_);
   k_.limit_before_decrease *= was / parts_;
   for (const LearnedState::Replica& r : std::exchange(k_.replicas, {})) {
-    Replica* x = Get(r.id);
+    Replica* x = fleet_.Find(r.id);
     if (x != nullptr && x->endpoint.started_at == r.started_at) static_cast<LearnedReplica&>(*x) = r.learned;
   }
   Fit();
   capped_at_ = -1;
 }
 
-void Router::Impl::On(const SiblingInFlightChanged& e) {
-  beside_ = 0;
-  for (auto& x : fleet_) x->beside = 0;
-  for (const auto& [id, out] : e.in_flight) {
-    if (Replica* x = Get(id)) beside_ += x->beside = std::max(0, out);
-  }
-}
+void Router::Impl::On(const SiblingInFlightChanged& e) { fleet_.SetSiblingInFlight(e.in_flight); }
 
 void Router::Impl::On(const PeerReportsReceived& e) {
   for (const PeerReplicaReport& t : e.replicas) {
-    Replica* x = Get(t.id);
+    Replica* x = fleet_.Find(t.id);
     if (x == nullptr || x->endpoint.started_at != t.started_at) continue;
-    x->told = t;
-    x->told.slowness = std::clamp(t.slowness, -kSlowBound, kSlowBound);
-    x->told.slowness_samples = std::clamp(t.slowness_samples, 0.0, kKindWeight);
-    x->told_at = now_;
+    x->peer_report = t;
+    x->peer_report.slowness = std::clamp(t.slowness, -kSlowBound, kSlowBound);
+    x->peer_report.slowness_samples = std::clamp(t.slowness_samples, 0.0, kKindWeight);
+    x->peer_report_at = now_;
     if (t.ejected_until > now_) timers_.Schedule(t.ejected_until, TimerKind::kUpdateLimits);
   }
   capped_at_ = -1;
@@ -1321,7 +1229,7 @@
   LearnedState all = k_;
   all.node_count = std::max(1, static_cast<int>(std::lround(parts_)));
   all.base_limit *= parts_ / all.node_count, all.limit_before_decrease *= parts_ / all.node_count;
-  for (const auto& x : fleet_)
+  for (const auto& x : fleet_.replicas())
     all.replicas.push_back({x->endpoint.id, x->endpoint.started_at, x->in_flight, *x});
   return all;
 }
