--- /dev/null
+++ b/src/policy/load_reports.h
@@ -0,0 +1,41 @@
+// What replicas say of their own load, compared with what the others say: requests in flight where a report
+// holds them, else utilization. A report counts less the older it is.
+#pragma once
+
+#include <vector>
+
+#include "replica.h"
+#include "replica_speed.h"
+#include "ryeglade/settings.h"
+
+namespace ryeglade::policy {
+
+class LoadReports {
+ public:
+  // Both must outlive it.
+  LoadReports(const Settings& settings, const ReplicaSpeed& speed) : settings_(settings), speed_(speed) {}
+
+  // A report in the order of Settings::load_fields; may hold fewer fields, or none.
+  void Take(Replica& replica, const std::vector<double>& report, Time now);
+
+  // The mean load is over the replicas counted since the last ResetMean.
+  void ResetMean();
+  void CountTowardsMean(const Replica& replica, Time now);
+
+  static bool HasReport(const Replica& replica) { return replica.reported_load >= 0; }
+  // The weight, 0 to 1, of the replica's last report.
+  static double Freshness(const Replica& replica, Time now);
+  // The replica's load over the mean, within bounds.
+  double RelativeLoad(const Replica& replica, Time now) const;
+
+ private:
+  double ComparableLoad(const Replica& replica, Time now) const;
+
+  const Settings& settings_;
+  const ReplicaSpeed& speed_;
+  bool reports_in_flight_ = false;  // whether reports hold a number of requests
+  double load_sum_ = 0;
+  double weight_sum_ = 0;
+};
+
+}  // namespace ryeglade::policy
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -22,11 +22,16 @@
 
 #include "fleet.h"
 #include "hashing.h"
+#include "load_reports.h"
 #include "queue_order.h"
 #include "random_source.h"
 #include "replica.h"
+#include "replica_speed.h"
 #include "request.h"
+#include "runtime_estimator.h"
+#include "slow_start.h"
 #include "timer_queue.h"
+#include "traffic_share.h"
 
 namespace ryeglade::policy {
 namespace {
@@ -61,15 +66,8 @@
 constexpr Time kFullHeals = 5'000'000;  // and this long later most of that is forgotten
 
 // Learning.
-constexpr double kBucketMemory = 200;  // answers that a bucket's average looks back on
-constexpr double kParentWeight = 4;    // answers a coarser bucket is worth while a finer one is young
 constexpr double kSwing = 2;  // standard deviations by which one of many nodes may pass its part of a cap
-constexpr double kKindWeight = 8;         // answers that a replica's kind is worth against its own
-constexpr Time kSlowMemory = 10'000'000;  // a replica's own answers fade this fast: load moves
-constexpr Time kZoneMemory = 5'000'000;   // and what a zone's answers tell of it as a whole
-constexpr double kKindMemory = 400;       // answers that a kind's average looks back on
-constexpr double kFailureSlow = 1.1;      // ln 3: a failed attempt makes a replica look this much slower
-constexpr double kSlowBound = 2.0;        // one answer counts as at most e^2 times slower or faster
+constexpr double kFailureSlow = 1.1;  // ln 3: a failed attempt makes a replica look this much slower
 
 // Choice of a replica.
 constexpr double kHomeKeeps = 0.7;     // chance that a home still keeps a beginning not seen there from here
@@ -80,13 +78,10 @@
 constexpr std::size_t kMostKept = 16384;  // sessions and beginnings remembered
 constexpr double kSpread = 4.0;           // homes of a key: its share of traffic in replicas, times this
 constexpr double kShun = 0.5;             // how far a replica slower than its kind is taken to be fuller
-constexpr double kSpeedPower = 1.7;  // one twice as slow gets this power of half the load: aims are absolute
-constexpr double kMostOccupied = 0.8;      // replicas are not taken to be fuller than this unless they say so
-constexpr Time kReportMemory = 2'500'000;  // a load report says this long how full a replica is
-constexpr double kReportBound = 1.5;  // a report makes one at most this much fuller or emptier than the mean
-constexpr double kTie = 0.02;         // rooms closer than this are a tie, drawn by weight
-constexpr Time kKeyMemory = 60'000'000;  // traffic by key fades this fast
-constexpr Time kHotMemory = 5'000'000;   // and this fast when watching for a key that turns hot
+constexpr double kMostOccupied = 0.8;     // replicas are not taken to be fuller than this unless they say so
+constexpr double kTie = 0.02;             // rooms closer than this are a tie, drawn by weight
+constexpr Time kKeyMemory = 60'000'000;   // traffic by key fades this fast
+constexpr Time kHotMemory = 5'000'000;    // and this fast when watching for a key that turns hot
 
 // Health, retries and second copies.
 constexpr Time kBlockFirst = 1'000'000;  // a failing replica rests this long, doubling
@@ -99,13 +94,11 @@
 constexpr double kBudgetMost = 10;   // what either budget can save up
 
 // Cold replicas and tenants.
-constexpr double kColdMargin = 0.4;  // part of the overload factor that all nodes use of a cold one's guess
 constexpr Time kTenantMemory = 20'000'000;
 constexpr double kOverShare = 1.25;  // a tenant's rate above its quota times this is beyond its share
 
 // Large fleets: looking at every replica for every request would cost more the more there are.
-constexpr int kFewNodes = 8;  // the first sightings of a key at this many nodes are few for its one home
-constexpr int kPoints = 8;    // of a replica on the ring that says where keys have their homes
+constexpr int kPoints = 8;              // of a replica on the ring that says where keys have their homes
 constexpr std::size_t kMostHomes = 32;  // of a key that are looked at
 constexpr int kDrawn = 24;        // drawn besides: the best of so many is hardly worse than the best of all
 constexpr Time kRecapEvery = 10;  // microseconds for each replica, between two looks at all caps
@@ -118,8 +111,6 @@
 
 double Fade(Time passed, Time memory) { return DecayingCounter::DecayFactor(passed, memory); }
 
-int Log2Bucket(double x) { return x < 1 ? 0 : 1 + std::min(30, static_cast<int>(std::log2(x))); }
-
 bool ProvesNotRun(Outcome o) {
   return o == Outcome::kAtCapacity || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
 }
@@ -168,7 +159,6 @@
   void Fit();  // what is learned class by class, to the classes in force
 
   // The ordinary path.
-  void Estimate(Request& r) const;
   PriorityTier TierOf(const Request& r) const;
   void Hold(Request& r);
   void Unhold(Request& r);
@@ -187,34 +177,25 @@
   }
   void MakeRing();
   static std::size_t Homes(double share, std::size_t n, std::size_t most);
-  void CountReport(const Replica& x);
   void Everyone(const RequestArrived& i, double prefix_share, double session_share);
   void Candidates(const RequestArrived& i, double prefix_share, double session_share);
 
   // What is learned.
   void LearnServed(const Request& r, Replica* from, Time runtime);
   void LearnSlow(Replica& x, double log_ratio);
-  void TakeReport(Replica& x, const std::vector<double>& load);
-  double Reported(const Replica& x) const;
   void LearnTime(bool late, bool in_good_time);
   void LearnPace(const Request& r, Time runtime);
   void Fall(double factor);
   bool Saturated() const { return k_.pace_slowdown > std::log(kSaturated) && k_.objective_used > kCrowded; }
   Time FullRest() const {
-    return std::clamp<Time>(static_cast<Time>(kFullRest * k_.round_trip.mean), settings_.connect_timeout / 10,
-                            kFullRestMost);
+    return std::clamp<Time>(static_cast<Time>(kFullRest * estimator_.mean_runtime()),
+                            settings_.connect_timeout / 10, kFullRestMost);
   }
   void LearnFailure(Replica& x, Outcome o);
-  double Slowness(const Replica& x) const;
-  bool ManyNodes() const { return settings_.node_count > kFewNodes; }
   // Of many nodes one may have most of the traffic, so its level is not bound to its part.
-  double MostLevel() const { return ManyNodes() ? kMostInFlight : kMostInFlight / parts_; }
-  double KindSlowness(int kind) const;
-  double ZoneSlowness(int zone) const;
+  double MostLevel() const { return IsLargeTier(settings_) ? kMostInFlight : kMostInFlight / parts_; }
   double KeyShare(std::uint64_t key, bool hot_only) const;
   void CountKeys(const RequestArrived& e);
-  std::uint32_t BucketKey(const RequestArrived& i, int level) const;
-  double Warmth(const Replica& x) const;
   bool OverShare(int tenant);
 
   // Rules.
@@ -229,7 +210,6 @@
   void Forget(RequestId id);
   void RetryOrConclude(Request& r, Outcome o);
   Time GiveUpAt(const Request& r) const;
-  Time FirstToken(const Request& r) const;
 
   void AskForList();
   template <class T>
@@ -244,6 +224,10 @@
   DecisionObserver* observer_ = nullptr;
 
   Fleet fleet_;
+  RuntimeEstimator estimator_{settings_};
+  ReplicaSpeed speed_{settings_};
+  LoadReports load_reports_{settings_, speed_};
+  SlowStart slow_start_{settings_};
   std::unordered_map<RequestId, Request> requests_;
   std::set<QueuePosition> held_;
   std::uint64_t order_ = 0;
@@ -254,8 +238,7 @@
   double parts_ = 1;     // this node's part of the tier is one of so many,
   double split_at_ = 1;  // and was when caps were last split
   Time capped_at_ = -1;
-  bool counts_reported_ = false;  // whether load reports hold a number of requests
-  bool blocking_ = true;          // whether resting replicas rest: not when too many would
+  bool blocking_ = true;  // whether resting replicas rest: not when too many would
 
   TimerQueue timers_;
   bool subscribed_ = false;
@@ -268,8 +251,7 @@
     double room;
     std::uint64_t session_order = 0;  // of large fleets
   };
-  std::vector<Option> options_;        // scratch
-  double reported_ = 0, reports_ = 0;  // loads as replicas last said them, and how many that counts for
+  std::vector<Option> options_;  // scratch
   // Of large fleets only.
   std::vector<std::pair<std::uint64_t, Replica*>> ring_;  // points of usable replicas, by hash
   bool ring_old_ = true;
@@ -283,7 +265,7 @@
   settings_.node_count = std::max(1, settings_.node_count);
   parts_ = split_at_ = settings_.node_count;
   // Traffic is spread unevenly over many nodes, so their parts of a cap are never all in use together.
-  const double start = ManyNodes() ? kManyNodesStart * kStartInFlight : kStartInFlight;
+  const double start = IsLargeTier(settings_) ? kManyNodesStart * kStartInFlight : kStartInFlight;
   k_.base_limit = start / parts_;
   k_.retry_budget = kBudgetMost / 2;
   Fit();
@@ -332,14 +314,6 @@
   Act(WatchEndpoints{true});
 }
 
-double Router::Impl::Warmth(const Replica& x) const {
-  if (settings_.slow_start_window <= 0 || x.endpoint.started_at <= 0) return 1;
-  const double age =
-      static_cast<double>(now_ - x.endpoint.started_at) / static_cast<double>(settings_.slow_start_window);
-  if (age >= 1) return 1;
-  return settings_.slow_start_min_share + (1 - settings_.slow_start_min_share) * std::max(0.0, age);
-}
-
 // ---- Requests ----
 
 void Router::Impl::On(const RequestArrived& e) {
@@ -357,7 +331,7 @@
   k_.retry_budget = std::min(kBudgetMost, k_.retry_budget + kRetryShare);
   CountKeys(e);
   r.over_quota = OverShare(e.tenant_index);
-  Estimate(r);
+  estimator_.Estimate(r);
   // A try can come with no patience left; a timer would answer it a tick too late.
   if (GiveUpAt(r) <= now_) return Conclude(r, ConclusionReason::kNoTimeBudget);
   Hold(r);
@@ -401,30 +375,22 @@
   const Time last = r.deadline - std::max<Time>(20'000, patience / 50);
   // Departure: what earns nothing once its aim has passed is refused early, not served late.
   if (ClassOf(r).late_weight_share <= 0)
-    return std::max(r.arrived_at, std::min(last, r.objective_at - FirstToken(r)));
+    return std::max(r.arrived_at, std::min(last, r.objective_at - estimator_.ExpectedTimeToFirstToken(r)));
   return std::max(r.arrived_at, last);
 }
 
-// How long a first token is likely to take once the request is sent.
-Time Router::Impl::FirstToken(const Request& r) const {
-  const auto seen = k_.first_token_by_bucket.find(BucketKey(r.arrival, 2));
-  const double usual = seen == k_.first_token_by_bucket.end() ? 0 : seen->second.mean;
-  return static_cast<Time>(std::min(usual, 0.5 * static_cast<double>(r.objective_at - r.arrived_at)));
-}
-
 PriorityTier Router::Impl::TierOf(const Request& r) const {
-  if (now_ >= r.objective_at - FirstToken(r)) return PriorityTier::kObjectiveLost;
+  if (now_ >= r.objective_at - estimator_.ExpectedTimeToFirstToken(r)) return PriorityTier::kObjectiveLost;
   return r.over_quota ? PriorityTier::kOverQuota : PriorityTier::kOrdinary;
 }
 
 void Router::Impl::Hold(Request& r) {
   r.queued = true;
-  const auto usual = k_.runtime_by_bucket.find(BucketKey(r.arrival, 1));
-  const double usual_size = usual == k_.runtime_by_bucket.end() ? r.estimated_runtime : usual->second.mean;
-  const double key = QueueKey({r.arrived_at, r.objective_at - r.arrived_at, r.estimated_runtime, usual_size});
+  const double key = QueueKey(
+      {r.arrived_at, r.objective_at - r.arrived_at, r.estimated_runtime, estimator_.TypicalRuntime(r)});
   // Departure: what can no longer meet its aim waits behind what can. In the order of size and age alone, a
   // queue that has once grown past the aim serves everything late.
-  const Time last_call = r.objective_at - FirstToken(r);
+  const Time last_call = r.objective_at - estimator_.ExpectedTimeToFirstToken(r);
   const PriorityTier tier = TierOf(r);
   r.queue_position = {tier, key, ++order_, r.id()};
   held_.insert(r.queue_position);
@@ -497,8 +463,7 @@
   if (to.prefill_backlog_tokens < 1) to.waiting_since = now_;
   to.prefill_backlog_tokens += r.attempts.back().tokens_to_prefill;
   Keep(r.arrival, to.endpoint.id);
-  k_.dispatches.Add(now_, kTenantMemory, 1);
-  if (Warmth(to) < 1) to.slow_start_tokens -= 1;
+  slow_start_.RecordDispatch(to, now_);
   Act(SendAttempt{r.id(), to.endpoint.id, 0, write_within});
 }
 
@@ -511,13 +476,13 @@
     return;
   capped_at_ = now_;
   ready_.clear();
-  reported_ = reports_ = 0;
+  load_reports_.ResetMean();
   std::size_t usable = 0, blocked = 0;
   double slow = 0;
   for (const auto& x : fleet_.replicas()) {
     if (!x->ready) continue;
     ++usable;
-    slow += Slowness(*x);
+    slow += speed_.Slowness(*x, now_);
     if (Rests(*x)) ++blocked;
   }
   // If much of the fleet fails at once the cause is shared, and resting it would push the load onto the rest.
@@ -525,27 +490,22 @@
   // The level already tells how slow the fleet as a whole is; speed divides it among the replicas. Were it to
   // count twice, all caps would shrink as soon as long answers follow the short ones that are back first.
   slow /= std::max(1.0, static_cast<double>(usable));
-  const double rate = k_.dispatches.ValueAt(now_, kTenantMemory) / (static_cast<double>(kTenantMemory) / 1e6);
+  const double rate = slow_start_.DispatchRate(now_);
   cap_total_ = 0;
   for (auto& x : fleet_.replicas()) {
     x->concurrency_limit = 0;
     if (!x->ready || (blocking_ && Rests(*x))) continue;
     const double full = 1 - (1 - x->capacity_factor) * Fade(now_ - x->capacity_updated_at, kFullHeals);
-    const double warmth = Warmth(*x);
-    x->concurrency_limit = k_.base_limit * std::exp(-kSpeedPower * (Slowness(*x) - slow)) * full * warmth;
+    const double warmth = slow_start_.Fraction(*x, now_);
+    x->concurrency_limit =
+        k_.base_limit * ReplicaSpeed::LoadFactor(speed_.Slowness(*x, now_) - slow) * full * warmth;
     cap_total_ += x->concurrency_limit;
     if (fleet_.UsesSampling()) {
       ready_.push_back(x.get());
-      CountReport(*x);
+      load_reports_.CountTowardsMean(*x, now_);
     }
     if (warmth < 1) {
-      // All nodes together must stay inside what a cold replica can take. A warm one is sent its share of the
-      // traffic; a cold one earns leave for its present part of that.
-      const double share = rate / static_cast<double>(usable);
-      x->slow_start_tokens = std::min(
-          1.0, x->slow_start_tokens + kColdMargin * settings_.overload_factor * warmth * share *
-                                          static_cast<double>(now_ - x->slow_start_updated_at) / 1e6);
-      x->slow_start_updated_at = now_;
+      slow_start_.EarnTokens(*x, warmth, rate / static_cast<double>(usable), now_);
     }
   }
 }
@@ -553,7 +513,7 @@
 bool Router::Impl::HasRoom(const Replica& x) const {
   if (x.concurrency_limit <= 0 || x.at_capacity_until > now_) return false;
   if (x.consecutive_failures > 1 && x.in_flight > 0) return false;  // on trial: one request at a time
-  if (Warmth(x) < 1 && x.slow_start_tokens < 1) return false;
+  if (!slow_start_.MayDispatch(x, now_)) return false;
   // A cap of half a request is a mean over all nodes' parts; each node's own swing about it evens out with
   // the others', and the sum of the caps bounds them together. Alone, a node sees the whole and keeps to it.
   const double swing = kSwing * std::sqrt(x.concurrency_limit * (1 - 1.0 / parts_));
@@ -577,7 +537,6 @@
 
   const double among = static_cast<double>(fleet_.UsesSampling() ? ready_.size() : options_.size());
   const bool hot = session_share * among * kSpread > 1;
-  const double usual = std::max((reported_ + 1e-9) / (reports_ + 1e-9), 1e-9);
   double best = -1;
   for (Option& o : options_) {
     const Replica& x = *o.replica;
@@ -586,12 +545,11 @@
     const bool tried = std::any_of(r.attempts.begin(), r.attempts.end(),
                                    [&](const Attempt& a) { return a.replica == x.endpoint.id; });
     // What other nodes have there is not seen: as much as here on average, more where answers are slow.
-    const double slowness = Slowness(x);
-    double others = occupied * std::exp(kShun * (slowness - KindSlowness(x.endpoint.kind)));
-    if (x.reported_load >= 0) {
-      const double trust = Fade(now_ - x.reported_at, kReportMemory);
-      const double fuller = std::clamp(Reported(x) / usual, 1 / kReportBound, kReportBound);
-      others = trust * occupied * fuller + (1 - trust) * others;
+    const double slowness = speed_.Slowness(x, now_);
+    double others = occupied * std::exp(kShun * (slowness - speed_.KindSlowness(x.endpoint.kind)));
+    if (LoadReports::HasReport(x)) {
+      const double trust = LoadReports::Freshness(x, now_);
+      others = trust * occupied * load_reports_.RelativeLoad(x, now_) + (1 - trust) * others;
     }
     const double own = (x.in_flight + x.in_flight_elsewhere()) / (nodes * x.concurrency_limit);
     const double free = std::max(0.01, 1 - own - others * (nodes - 1) / nodes);
@@ -626,14 +584,14 @@
 // where crossing costs.
 void Router::Impl::Everyone(const RequestArrived& i, double prefix_share, double session_share) {
   const bool by_zone = ByZone();
-  reported_ = reports_ = 0;
+  load_reports_.ResetMean();
   for (auto& x : fleet_.replicas()) {
     if (x->concurrency_limit <= 0) continue;
-    const double speed = std::exp(-kSpeedPower * KindSlowness(x->endpoint.kind));
+    const double speed = ReplicaSpeed::LoadFactor(speed_.KindSlowness(x->endpoint.kind));
     options_.push_back({x.get(), i.prefix != 0 ? RendezvousScore(i.prefix, x->endpoint.id, speed) : 0,
                         i.session != 0 ? RendezvousScore(i.session, x->endpoint.id, speed) : 0, false, false,
                         0});
-    CountReport(*x);
+    load_reports_.CountTowardsMean(*x, now_);
   }
   const auto by = [by_zone](auto member) {
     const auto key = [=](const Option& o) {
@@ -672,14 +630,6 @@
   return std::min(most, std::bit_ceil(static_cast<std::size_t>(std::max(1.0, wanted))));
 }
 
-// What a replica last said of its load, among what all say.
-void Router::Impl::CountReport(const Replica& x) {
-  if (x.reported_load < 0) return;
-  const double trust = Fade(now_ - x.reported_at, kReportMemory);
-  reported_ += trust * Reported(x);
-  reports_ += trust;
-}
-
 // Each replica has some points on a ring, at the same places at every node, and a key's homes are the
 // replicas whose points come next behind it: few keys move when a replica comes or goes.
 void Router::Impl::MakeRing() {
@@ -780,83 +730,15 @@
 
 // ---- Estimates ----
 
-std::uint32_t Router::Impl::BucketKey(const RequestArrived& i, int level) const {
-  std::uint32_t key = static_cast<std::uint32_t>(level);
-  if (level >= 1) key |= static_cast<std::uint32_t>(i.class_index + 1) << 2;
-  if (level >= 2) key |= static_cast<std::uint32_t>(Log2Bucket(i.prompt_tokens)) << 12;
-  if (level >= 3) {
-    key |= static_cast<std::uint32_t>(Log2Bucket(i.max_answer_tokens)) << 17;
-    key |= static_cast<std::uint32_t>(Log2Bucket(i.prefix_tokens)) << 22;
-  }
-  return key;
-}
-
-void Router::Impl::Estimate(Request& r) const {
-  double estimate = static_cast<double>(ClassOf(r).latency_objective);  // before anything was served
-  for (int level = 0; level <= 3; ++level) {
-    const auto it = k_.runtime_by_bucket.find(BucketKey(r.arrival, level));
-    if (it != k_.runtime_by_bucket.end())
-      estimate = it->second.Shrunk(estimate, level == 0 ? 0 : kParentWeight);
-  }
-  r.runtime_by_bucket = std::max(estimate, 1.0);
-  r.runtime_by_hint = r.runtime_by_bucket;
-  r.estimated_runtime = r.runtime_by_bucket;
-  const std::size_t c = r.class_index();
-  if (r.arrival.cost_hint > 0 && k_.runtime_per_hint[c].samples > kParentWeight) {
-    r.runtime_by_hint = std::max(1.0, k_.runtime_per_hint[c].mean * static_cast<double>(r.arrival.cost_hint));
-    // Either estimate counts by how well it has done so far.
-    const double trust =
-        (k_.bucket_error[c].mean + 1e-6) / (k_.bucket_error[c].mean + k_.hint_error[c].mean + 2e-6);
-    r.estimated_runtime =
-        std::exp(trust * std::log(r.runtime_by_hint) + (1 - trust) * std::log(r.runtime_by_bucket));
-  }
-}
-
 void Router::Impl::LearnServed(const Request& r, Replica* from, Time runtime) {
   const double t = std::max<double>(1, static_cast<double>(runtime));
-  const std::size_t c = r.class_index();
-  for (int level = 0; level <= 3; ++level)
-    k_.runtime_by_bucket[BucketKey(r.arrival, level)].Add(t, kBucketMemory);
-  k_.round_trip.Add(t, kBucketMemory);
+  estimator_.LearnRuntime(r, t);
   LearnPace(r, runtime);
-  if (r.arrival.cost_hint > 0)
-    k_.runtime_per_hint[c].Add(t / static_cast<double>(r.arrival.cost_hint), kBucketMemory);
-  k_.bucket_error[c].Add(std::pow(std::log(r.runtime_by_bucket / t), 2), kBucketMemory);
-  if (r.arrival.cost_hint > 0)
-    k_.hint_error[c].Add(std::pow(std::log(r.runtime_by_hint / t), 2), kBucketMemory);
   if (from != nullptr) LearnSlow(*from, std::log(t / r.estimated_runtime));
 }
 
 void Router::Impl::LearnSlow(Replica& x, double log_ratio) {
-  const double sample = std::clamp(log_ratio, -kSlowBound, kSlowBound);
-  x.slowness_samples *= Fade(now_ - x.slowness_updated_at, kSlowMemory);
-  x.slowness = (x.slowness * x.slowness_samples + sample) / (x.slowness_samples + 1);
-  x.slowness_samples += 1;
-  x.slowness_updated_at = now_;
-  const std::size_t kind = static_cast<std::size_t>(x.endpoint.kind);
-  if (kind < k_.slowness_by_kind.size() && Warmth(x) >= 1) k_.slowness_by_kind[kind].Add(sample, kKindMemory);
-  const std::size_t zone = static_cast<std::size_t>(x.endpoint.zone);
-  if (zone < k_.slowness_by_zone.size()) k_.slowness_by_zone[zone].Add(now_, kZoneMemory, sample);
-}
-
-double Router::Impl::KindSlowness(int kind) const {
-  const std::size_t k = static_cast<std::size_t>(kind);
-  return k < k_.slowness_by_kind.size() ? k_.slowness_by_kind[k].Shrunk(0, kKindWeight) : 0;
-}
-
-// How slow the replicas of a zone answer now: where traffic is unequal a zone is overrun as a whole, and a
-// node of many sees too few answers of each replica to learn that one by one.
-double Router::Impl::ZoneSlowness(int zone) const {
-  if (!ManyNodes()) return 0;
-  const std::size_t z = static_cast<std::size_t>(zone);
-  return z < k_.slowness_by_zone.size() ? k_.slowness_by_zone[z].Shrunk(now_, kZoneMemory, kKindWeight) : 0;
-}
-
-double Router::Impl::Slowness(const Replica& x) const {
-  const double n = x.slowness_samples * Fade(now_ - x.slowness_updated_at, kSlowMemory);
-  const double m = x.peer_report.slowness_samples * Fade(now_ - x.peer_report_at, kSlowMemory);
-  const double expected = KindSlowness(x.endpoint.kind) + ZoneSlowness(x.endpoint.zone);
-  return (n * x.slowness + m * x.peer_report.slowness + kKindWeight * expected) / (n + m + kKindWeight);
+  speed_.Learn(x, log_ratio, now_, slow_start_.IsWarmingUp(x, now_));
 }
 
 // The level of all caps: up while first tokens come in time and caps are in use, down when many are late.
@@ -876,7 +758,7 @@
 }
 
 void Router::Impl::Fall(double factor) {
-  if (static_cast<double>(now_ - k_.limit_decreased_at) <= k_.round_trip.mean) return;
+  if (static_cast<double>(now_ - k_.limit_decreased_at) <= estimator_.mean_runtime()) return;
   k_.limit_before_decrease = std::max(k_.base_limit, kKnown * k_.limit_before_decrease);
   k_.base_limit = std::max(kLeastInFlight / parts_, k_.base_limit * factor);
   k_.limit_decreased_at = now_;
@@ -959,7 +841,7 @@
   if (!hot_only) {
     const double slow = it->second.long_term.ValueAt(now_, kKeyMemory);
     const double n = k_.arrivals_long_term.ValueAt(now_, kKeyMemory);
-    share = std::max(share, ManyNodes() ? slow / (8 + n) : (slow - 1) / std::max(8.0, n));
+    share = std::max(share, IsLargeTier(settings_) ? slow / (8 + n) : (slow - 1) / std::max(8.0, n));
   }
   return std::clamp(share, 0.0, 1.0);
 }
@@ -989,32 +871,13 @@
   const double t = static_cast<double>(e.elapsed);
   k_.objective_used += kWaitMemory * (std::min(1.0, t / std::max(1.0, aim)) - k_.objective_used);
   LearnTime(t > kLateAt * aim, t < 0.5 * kLateAt * aim);
-  const std::uint32_t bucket = BucketKey(r.arrival, 2);
   if (Replica* x = fleet_.Find(a->replica)) {
     x->consecutive_failures = 0, x->waiting_since = now_;
-    const auto seen = k_.first_token_by_bucket.find(bucket);
-    if (seen != k_.first_token_by_bucket.end() && seen->second.samples > kParentWeight) {
-      LearnSlow(*x, std::log(std::max(1.0, t) / std::max(1.0, seen->second.mean)));
+    if (const std::optional<double> typical = estimator_.TypicalTimeToFirstToken(r)) {
+      LearnSlow(*x, std::log(std::max(1.0, t) / std::max(1.0, *typical)));
     }
   }
-  k_.first_token_by_bucket[bucket].Add(t, kBucketMemory);
-}
-
-// How full a replica says it is, for comparison with what the others say: requests in flight count for more
-// on a slow replica than on a fast one.
-double Router::Impl::Reported(const Replica& x) const {
-  return counts_reported_ ? x.reported_load * std::exp(kSpeedPower * Slowness(x)) : x.reported_load;
-}
-
-void Router::Impl::TakeReport(Replica& x, const std::vector<double>& load) {
-  bool counted = false;
-  for (std::size_t f = 0; f < std::min(load.size(), settings_.load_fields.size()); ++f) {
-    const bool count = settings_.load_fields[f] == LoadField::kInFlight;
-    if (!count && (counted || settings_.load_fields[f] != LoadField::kUtilization)) continue;
-    counted = counts_reported_ = count;
-    x.reported_load = std::max(0.0, load[f]);
-    x.reported_at = now_;
-  }
+  estimator_.LearnTimeToFirstToken(r, t);
 }
 
 void Router::Impl::On(const AttemptEnded& e) {
@@ -1030,7 +893,7 @@
   Replica* x = fleet_.Find(a.replica);
   fleet_.AttemptEnded(x);
   if (x != nullptr) {
-    TakeReport(*x, e.load_report);
+    load_reports_.Take(*x, e.load_report, now_);
     if (e.outcome == Outcome::kServed) {
       x->consecutive_failures = 0;
       LearnServed(r, x, e.elapsed);
@@ -1190,6 +1053,9 @@
 void Router::Impl::On(const StateRestored& e) {
   if (e.state == nullptr) return;
   k_ = *e.state;
+  estimator_.RestoreFrom(k_);
+  speed_.RestoreFrom(k_);
+  slow_start_.RestoreFrom(k_);
   const double was = std::max(1, k_.node_count), least = kLeastInFlight / parts_;
   k_.base_limit = std::clamp(k_.base_limit * was / parts_, least, kMostInFlight / parts_);
   k_.limit_before_decrease *= was / parts_;
@@ -1208,8 +1074,8 @@
     Replica* x = fleet_.Find(t.id);
     if (x == nullptr || x->endpoint.started_at != t.started_at) continue;
     x->peer_report = t;
-    x->peer_report.slowness = std::clamp(t.slowness, -kSlowBound, kSlowBound);
-    x->peer_report.slowness_samples = std::clamp(t.slowness_samples, 0.0, kKindWeight);
+    x->peer_report.slowness = std::clamp(t.slowness, -ReplicaSpeed::kMaxSlowness, ReplicaSpeed::kMaxSlowness);
+    x->peer_report.slowness_samples = std::clamp(t.slowness_samples, 0.0, ReplicaSpeed::kPriorWeight);
     x->peer_report_at = now_;
     if (t.ejected_until > now_) timers_.Schedule(t.ejected_until, TimerKind::kUpdateLimits);
   }
@@ -1218,15 +1084,17 @@
 
 void Router::Impl::Fit() {
   const std::size_t n = settings_.classes.size();
-  k_.runtime_per_hint.resize(n), k_.bucket_error.resize(n), k_.hint_error.resize(n),
-      k_.pace_by_class.resize(n);
-  k_.slowness_by_kind.resize(static_cast<std::size_t>(std::max(1, settings_.replica_kind_count)));
-  k_.slowness_by_zone.resize(static_cast<std::size_t>(std::max(1, settings_.zone_count)));
+  k_.pace_by_class.resize(n);
+  estimator_.ResizeTables();
+  speed_.ResizeTables();
   k_.arrivals_by_tenant.resize(settings_.tenants.size());
 }
 
 LearnedState Router::Impl::Export() const {
   LearnedState all = k_;
+  estimator_.ExportTo(all);
+  speed_.ExportTo(all);
+  slow_start_.ExportTo(all);
   all.node_count = std::max(1, static_cast<int>(std::lround(parts_)));
   all.base_limit *= parts_ / all.node_count, all.limit_before_decrease *= parts_ / all.node_count;
   for (const auto& x : fleet_.replicas())
