--- /dev/null
+++ b/src/policy/adaptive_concurrency.cpp
@@ -0,0 +1,138 @@
+#include "adaptive_concurrency.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace ryeglade::policy {
+namespace {
+
+// Bounds, of a replica of ordinary speed.
+constexpr double kInitialLimit = 16;           // before anything is known
+constexpr double kLargeTierInitialFactor = 4;  // times that in a large tier
+constexpr double kMinLimit = 2;                // over all nodes
+constexpr double kMaxLimit = 256;              // at one node, which may have most of the traffic
+
+// Increase.
+constexpr double kIncreasePerRound = 0.4;         // share by which limits rise in a round of answers
+constexpr double kInitialIncreasePerRound = 0.9;  // the same until they have fallen once
+constexpr double kRecoveredShare = 0.7;  // below this part of where they fell, they rise as if they never had
+constexpr double kMinUtilization = 0.85;         // limits used less than this have not been tried: no rise
+constexpr double kMaxObjectiveUsedToRise = 0.3;  // they rise only while first tokens take less of their aims
+
+// Decrease.
+constexpr double kDecreaseFactor = 0.85;  // at most once a mean runtime
+constexpr double kMaxLateShare = 0.25;    // when more than this share of recent first tokens was late
+constexpr double kLateThreshold = 0.8;    // a first token later than this share of its objective is late
+constexpr double kLatenessWeight = 0.05;  // of the newest sample in the share of late ones and the slowdown
+constexpr double kObjectiveUsedWeight = 0.1;  // of the newest first token in the mean part of its objective
+constexpr double kSaturationSlowdown = 2.0;   // streams this much slower than at their best: saturated
+constexpr double kMinObjectiveUsedToSaturate =
+    0.15;                                   // but only if first tokens take more of their objectives
+constexpr double kMinDecreaseFactor = 0.5;  // no fall at once goes below this
+
+// Pace.
+constexpr double kPaceMemory = 25;       // answers of a class that its present pace looks back on
+constexpr double kMinPaceSamples = 8;    // before a class's best pace means anything
+constexpr double kBestPaceLeak = 0.002;  // each answer lets the best pace seen slip by this much (ln)
+
+}  // namespace
+
+// Traffic is spread unevenly over many nodes, so their shares of a limit are never all in use together.
+AdaptiveConcurrency::AdaptiveConcurrency(const Settings& settings, const TrafficShare& traffic_share)
+    : settings_(settings), traffic_share_(traffic_share) {
+  const double initial = IsLargeTier(settings) ? kLargeTierInitialFactor * kInitialLimit : kInitialLimit;
+  base_limit_ = initial / traffic_share.equivalent_nodes();
+}
+
+double AdaptiveConcurrency::MinLimit() const { return kMinLimit / traffic_share_.equivalent_nodes(); }
+
+// Of many nodes one may have most of the traffic, so its limit is not bound to its share.
+double AdaptiveConcurrency::MaxLimit() const {
+  return IsLargeTier(settings_) ? kMaxLimit : kMaxLimit / traffic_share_.equivalent_nodes();
+}
+
+bool AdaptiveConcurrency::LearnTimeToFirstToken(double time_to_first_token, double objective,
+                                                const LimitUsage& usage) {
+  const double used = std::min(1.0, time_to_first_token / std::max(1.0, objective));
+  objective_used_ += kObjectiveUsedWeight * (used - objective_used_);
+  return LearnLateness(time_to_first_token > kLateThreshold * objective,
+                       time_to_first_token < 0.5 * kLateThreshold * objective, usage);
+}
+
+bool AdaptiveConcurrency::LearnLate(const LimitUsage& usage) { return LearnLateness(true, false, usage); }
+
+bool AdaptiveConcurrency::LearnLateness(bool late, bool in_good_time, const LimitUsage& usage) {
+  late_share_ += kLatenessWeight * ((late ? 1.0 : 0.0) - late_share_);
+  if (late_share_ > kMaxLateShare) return late && Decrease(kDecreaseFactor, usage);
+  if (!in_good_time || objective_used_ >= kMaxObjectiveUsedToRise) return false;
+  if (usage.in_flight < kMinUtilization * usage.total_limit) return false;
+  Increase(usage.total_limit);
+  return true;
+}
+
+void AdaptiveConcurrency::Increase(double total_limit) {
+  const bool near_last_decrease =
+      limit_before_decrease_ > 0 && base_limit_ > kRecoveredShare * limit_before_decrease_;
+  const double per_round = near_last_decrease ? kIncreasePerRound : kInitialIncreasePerRound;
+  base_limit_ = std::min(MaxLimit(), base_limit_ * (1 + per_round / std::max(1.0, total_limit)));
+}
+
+bool AdaptiveConcurrency::Decrease(double factor, const LimitUsage& usage) {
+  if (static_cast<double>(usage.now - decreased_at_) <= usage.mean_runtime) return false;
+  limit_before_decrease_ = std::max(base_limit_, kRecoveredShare * limit_before_decrease_);
+  base_limit_ = std::max(MinLimit(), base_limit_ * factor);
+  decreased_at_ = usage.now;
+  return true;
+}
+
+bool AdaptiveConcurrency::IsSaturated() const {
+  return pace_slowdown_ > std::log(kSaturationSlowdown) && objective_used_ > kMinObjectiveUsedToSaturate;
+}
+
+// A replica that answers in batches takes on more than it can keep pace with long before its first tokens are
+// late: every stream slows down. How slow is too slow is judged against the best pace seen, class by class.
+bool AdaptiveConcurrency::LearnPace(const Request& request, Time runtime, const LimitUsage& usage) {
+  const Time streaming = request.response_started ? runtime - request.time_to_first_token : runtime;
+  const double work = request.arrival.cost_hint > 0 ? static_cast<double>(request.arrival.cost_hint) : 1.0;
+  LearnedState::ClassPace& pace = pace_by_class_[request.class_index()];
+  pace.current.Add(std::log(std::max(1.0, static_cast<double>(streaming)) / work), kPaceMemory);
+  if (pace.current.samples < kMinPaceSamples) return false;
+  pace.best = std::min(pace.best + kBestPaceLeak, pace.current.mean);
+  pace_slowdown_ += kLatenessWeight * (pace.current.mean - pace.best - pace_slowdown_);
+  if (!IsSaturated()) return false;
+  return Decrease(std::max(kMinDecreaseFactor, kSaturationSlowdown / std::exp(pace_slowdown_)), usage);
+}
+
+void AdaptiveConcurrency::Scale(double factor) {
+  base_limit_ *= factor;
+  limit_before_decrease_ *= factor;
+}
+
+void AdaptiveConcurrency::ResizeTables() { pace_by_class_.resize(settings_.classes.size()); }
+
+void AdaptiveConcurrency::ExportTo(LearnedState& state) const {
+  const double nodes = traffic_share_.equivalent_nodes();
+  state.node_count = std::max(1, static_cast<int>(std::lround(nodes)));
+  state.base_limit = base_limit_ * (nodes / state.node_count);
+  state.limit_before_decrease = limit_before_decrease_ * (nodes / state.node_count);
+  state.limit_decreased_at = decreased_at_;
+  state.late_share = late_share_;
+  state.objective_used = objective_used_;
+  state.pace_slowdown = pace_slowdown_;
+  state.pace_by_class = pace_by_class_;
+}
+
+void AdaptiveConcurrency::RestoreFrom(const LearnedState& state) {
+  const double nodes_then = std::max(1, state.node_count);
+  const double nodes = traffic_share_.equivalent_nodes();
+  base_limit_ = std::clamp(state.base_limit * nodes_then / nodes, MinLimit(), kMaxLimit / nodes);
+  limit_before_decrease_ = state.limit_before_decrease * (nodes_then / nodes);
+  decreased_at_ = state.limit_decreased_at;
+  late_share_ = state.late_share;
+  objective_used_ = state.objective_used;
+  pace_slowdown_ = state.pace_slowdown;
+  pace_by_class_ = state.pace_by_class;
+  ResizeTables();
+}
+
+}  // namespace ryeglade::policy
--- /dev/null
+++ b/src/policy/replica_limits.cpp
@@ -0,0 +1,83 @@
+#include "replica_limits.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "capacity_backoff.h"
+
+namespace ryeglade::policy {
+namespace {
+
+// Between two recomputations of a fleet that is sampled, for each replica.
+constexpr Time kUpdateIntervalPerReplica = 10;
+// Standard deviations by which one of many nodes may exceed its share of a limit.
+constexpr double kShareDeviations = 2;
+
+}  // namespace
+
+void ReplicaLimits::InvalidateUnlessSampling() {
+  if (!in_.fleet.UsesSampling()) Invalidate();
+}
+
+void ReplicaLimits::Update(Time now) {
+  if (updated_at_ == now) return;
+  const bool sampling = in_.fleet.UsesSampling();
+  const Time interval = kUpdateIntervalPerReplica * static_cast<Time>(in_.fleet.size());
+  if (sampling && updated_at_ >= 0 && now - updated_at_ < interval) return;
+  updated_at_ = now;
+  available_.clear();
+  in_.load_reports.ResetMean();
+
+  std::size_t ready = 0;
+  std::size_t ejected = 0;
+  double mean_slowness = 0;
+  for (const auto& replica : in_.fleet.replicas()) {
+    if (!replica->ready) continue;
+    ++ready;
+    mean_slowness += in_.speed.Slowness(*replica, now);
+    if (OutlierEjection::IsEjected(*replica, now)) ++ejected;
+  }
+  in_.ejection.UpdatePanic(ejected, ready);
+  mean_slowness /= std::max(1.0, static_cast<double>(ready));
+
+  const double dispatch_rate = in_.slow_start.DispatchRate(now);
+  total_ = 0;
+  for (const auto& replica : in_.fleet.replicas()) {
+    replica->concurrency_limit = 0;
+    if (!replica->ready || !in_.ejection.MayDispatch(*replica, now)) continue;
+    // The base limit already tells how slow the fleet as a whole is; speed divides it among the replicas.
+    // Were it to count twice, all limits would shrink as soon as long answers follow the short ones that are
+    // back first.
+    const double speed = ReplicaSpeed::LoadFactor(in_.speed.Slowness(*replica, now) - mean_slowness);
+    const double warm_fraction = in_.slow_start.Fraction(*replica, now);
+    replica->concurrency_limit =
+        in_.concurrency.base_limit() * speed * CapacityFactor(*replica, now) * warm_fraction;
+    total_ += replica->concurrency_limit;
+    if (sampling) {
+      available_.push_back(replica.get());
+      in_.load_reports.CountTowardsMean(*replica, now);
+    }
+    if (warm_fraction < 1) {
+      in_.slow_start.EarnTokens(*replica, warm_fraction, dispatch_rate / static_cast<double>(ready), now);
+    }
+  }
+}
+
+void ReplicaLimits::Exclude(Replica& replica) {
+  total_ = std::max(0.0, total_ - replica.concurrency_limit);
+  replica.concurrency_limit = 0;
+}
+
+bool ReplicaLimits::HasCapacity(const Replica& replica, Time now) const {
+  if (replica.concurrency_limit <= 0 || replica.at_capacity_until > now) return false;
+  if (replica.consecutive_failures > 1 && replica.in_flight > 0) return false;  // on trial: one at a time
+  if (!in_.slow_start.MayDispatch(replica, now)) return false;
+  // A limit of half a request is a mean over all nodes' shares; each node's own deviation evens out with the
+  // others', and the total limit bounds them together. Alone, a node sees the whole and keeps to it.
+  const double others_share = 1 - 1.0 / in_.traffic_share.equivalent_nodes();
+  const double deviation = kShareDeviations * std::sqrt(replica.concurrency_limit * others_share);
+  return replica.in_flight + replica.in_flight_elsewhere() <
+         std::max(1.0, replica.concurrency_limit + deviation);
+}
+
+}  // namespace ryeglade::policy
--- a/src/policy/replica_speed.cpp
+++ b/src/policy/replica_speed.cpp
@@ -12,7 +12,7 @@
 constexpr Time kReplicaMemory = 10'000'000;  // a replica's own answers decay this fast: load moves
 constexpr Time kZoneMemory = 5'000'000;      // and what a zone's answers tell of it as a whole
 constexpr double kKindMemory = 400;          // answers that a kind's average looks back on
-constexpr double kSpeedPower = 1.7;  // one twice as slow gets this power of half the load: aims are absolute
+constexpr double kSpeedPower = 1.7;  // one twice as slow gets this power of half: objectives are absolute
 
 }  // namespace
 
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -20,12 +20,16 @@
 #include <unordered_map>
 #include <utility>
 
+#include "adaptive_concurrency.h"
+#include "capacity_backoff.h"
 #include "fleet.h"
 #include "hashing.h"
 #include "load_reports.h"
+#include "outlier_ejection.h"
 #include "queue_order.h"
 #include "random_source.h"
 #include "replica.h"
+#include "replica_limits.h"
 #include "replica_speed.h"
 #include "request.h"
 #include "runtime_estimator.h"
@@ -36,37 +40,7 @@
 namespace ryeglade::policy {
 namespace {
 
-// Caps.
-constexpr double kMostParts = 1e6;     // a node's part of all is no less than one of so many
-constexpr double kMuchLess = 1.2;      // a part that falls by this factor
-constexpr double kStartInFlight = 16;  // guess of what a replica can have in flight before anything is known
-constexpr double kManyNodesStart = 4;  // times that guess, in a tier of more than kFewNodes nodes
-constexpr double kLeastInFlight = 2;   // caps never fall below this many for a replica over all nodes
-constexpr double kMostInFlight = 256;  // nor rise above this many at one node, which may have most traffic
-constexpr double kRisePerRound =
-    0.4;                              // caps in full use and in time rise by this share in a round of answers
-constexpr double kFirstRise = 0.9;    // and by this share until they have fallen once
-constexpr double kKnown = 0.7;        // below this part of where they fell, they rise as if they never had
-constexpr double kInUse = 0.85;       // a cap used less than this has not been tried, so it does not rise
-constexpr double kFall = 0.85;        // caps fall by this factor, at most once a round trip
-constexpr double kLateShare = 0.25;   // when more than this share of recent first tokens was late
-constexpr double kLateMemory = 0.05;  // weight of the newest first token in that share
-constexpr double kLateAt = 0.8;       // a first token later than this share of its aim counts as late
-constexpr double kSaturated = 2.0;  // streams this much slower than at their best: past the saturation point
-constexpr double kCrowded = 0.15;   // but only if first tokens take more than this part of their aim as well
-constexpr double kEasy = 0.3;       // caps rise only while first tokens take less than this part of their aim
-constexpr double kWaitMemory = 0.1;  // weight of the newest first token in that average
-constexpr double kPaceMemory = 25;   // answers of a class that its present pace looks back on
-constexpr double kPaceYoung = 8;     // answers before a class's best pace means anything
-constexpr double kPaceLeak = 0.002;  // each answer lets the best pace ever seen slip by this much (ln)
-constexpr double kMostFall = 0.5;    // caps fall by no more than this at once
-constexpr double kFullFall = 0.7;    // a 'full' lowers that replica's cap by this factor
-constexpr double kFullRest = 0.05;   // one that said 'full' gets nothing new for this part of a round trip
-constexpr Time kFullRestMost = 500'000;
-constexpr Time kFullHeals = 5'000'000;  // and this long later most of that is forgotten
-
 // Learning.
-constexpr double kSwing = 2;  // standard deviations by which one of many nodes may pass its part of a cap
 constexpr double kFailureSlow = 1.1;  // ln 3: a failed attempt makes a replica look this much slower
 
 // Choice of a replica.
@@ -84,12 +58,9 @@
 constexpr Time kHotMemory = 5'000'000;    // and this fast when watching for a key that turns hot
 
 // Health, retries and second copies.
-constexpr Time kBlockFirst = 1'000'000;  // a failing replica rests this long, doubling
-constexpr Time kBlockMost = 8'000'000;
 // A repeat is decided so long before its window ends: the node may be held up between its clock and the write
 // (0.15 s), and clocks of replicas start when the first attempt's last byte arrives, never earlier.
 constexpr Time kRepeatMargin = 160'000;
-constexpr double kPanicShare = 0.4;  // with more of the fleet resting it is not the replicas: rest none
 constexpr double kRetryShare = 0.3;  // further attempts after failures, as a share of requests
 constexpr double kBudgetMost = 10;   // what either budget can save up
 
@@ -100,8 +71,7 @@
 // Large fleets: looking at every replica for every request would cost more the more there are.
 constexpr int kPoints = 8;              // of a replica on the ring that says where keys have their homes
 constexpr std::size_t kMostHomes = 32;  // of a key that are looked at
-constexpr int kDrawn = 24;        // drawn besides: the best of so many is hardly worse than the best of all
-constexpr Time kRecapEvery = 10;  // microseconds for each replica, between two looks at all caps
+constexpr int kDrawn = 24;  // drawn besides: the best of so many is hardly worse than the best of all
 
 // Discovery. A change counts as told at the latest 6 s after discovery has it and can be reached, so calls
 // that fail are repeated well within that.
@@ -109,12 +79,16 @@
 constexpr double kAskAgainFirst = 100'000;  // microseconds, doubled by each failure in a row
 constexpr double kAskAgainMost = 2'000'000;
 
-double Fade(Time passed, Time memory) { return DecayingCounter::DecayFactor(passed, memory); }
-
 bool ProvesNotRun(Outcome o) {
   return o == Outcome::kAtCapacity || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
 }
 
+Settings Checked(Settings settings) {
+  if (settings.classes.empty()) settings.classes.emplace_back();
+  settings.node_count = std::max(1, settings.node_count);
+  return settings;
+}
+
 }  // namespace
 
 class Router::Impl {
@@ -136,7 +110,7 @@
   LearnedState Export() const;
   std::size_t held() const { return held_.size(); }
   std::size_t open() const { return requests_.size(); }
-  double total_concurrency_limit() const { return cap_total_; }
+  double total_concurrency_limit() const { return limits_.total(); }
   void Observe(DecisionObserver* observer) { observer_ = observer; }
 
  private:
@@ -150,7 +124,6 @@
   void On(const HealthCheckCompleted&) {}
   void On(const NodeCountChanged& e);
   void On(const TrafficShareChanged& e);
-  void Split(double parts);
   void On(const StateRestored& e);
   void On(const SiblingInFlightChanged& e);
   void On(const PeerReportsReceived& e);
@@ -168,32 +141,16 @@
   double Unread(const RequestArrived& i, const Replica& x, bool home, bool session_home, bool hot) const;
   void Keep(const RequestArrived& i, ReplicaId at);
   void DoneReading(Attempt& a);
-  void Recap();
-  bool HasRoom(const Replica& x) const;
-  bool Rests(const Replica& x) const { return std::max(x.ejected_until, x.peer_report.ejected_until) > now_; }
-  // A large fleet's caps may be a little old: they are looked at by time, not for each thing learned.
-  void Stale() {
-    if (!fleet_.UsesSampling()) capped_at_ = -1;
-  }
   void MakeRing();
   static std::size_t Homes(double share, std::size_t n, std::size_t most);
   void Everyone(const RequestArrived& i, double prefix_share, double session_share);
   void Candidates(const RequestArrived& i, double prefix_share, double session_share);
 
   // What is learned.
+  LimitUsage Usage() const { return {now_, fleet_.in_flight(), limits_.total(), estimator_.mean_runtime()}; }
   void LearnServed(const Request& r, Replica* from, Time runtime);
   void LearnSlow(Replica& x, double log_ratio);
-  void LearnTime(bool late, bool in_good_time);
-  void LearnPace(const Request& r, Time runtime);
-  void Fall(double factor);
-  bool Saturated() const { return k_.pace_slowdown > std::log(kSaturated) && k_.objective_used > kCrowded; }
-  Time FullRest() const {
-    return std::clamp<Time>(static_cast<Time>(kFullRest * estimator_.mean_runtime()),
-                            settings_.connect_timeout / 10, kFullRestMost);
-  }
   void LearnFailure(Replica& x, Outcome o);
-  // Of many nodes one may have most of the traffic, so its level is not bound to its part.
-  double MostLevel() const { return IsLargeTier(settings_) ? kMostInFlight : kMostInFlight / parts_; }
   double KeyShare(std::uint64_t key, bool hot_only) const;
   void CountKeys(const RequestArrived& e);
   bool OverShare(int tenant);
@@ -228,17 +185,17 @@
   ReplicaSpeed speed_{settings_};
   LoadReports load_reports_{settings_, speed_};
   SlowStart slow_start_{settings_};
+  TrafficShare traffic_share_{settings_.node_count};
+  AdaptiveConcurrency concurrency_{settings_, traffic_share_};
+  OutlierEjection ejection_;
+  ReplicaLimits limits_{
+      {fleet_, traffic_share_, concurrency_, speed_, slow_start_, ejection_, load_reports_}};
   std::unordered_map<RequestId, Request> requests_;
   std::set<QueuePosition> held_;
   std::uint64_t order_ = 0;
 
   LearnedState k_;                                       // all that is learned of more than one replica
   std::unordered_map<std::uint64_t, double> told_keys_;  // shares of the tier's traffic
-  double cap_total_ = 0;
-  double parts_ = 1;     // this node's part of the tier is one of so many,
-  double split_at_ = 1;  // and was when caps were last split
-  Time capped_at_ = -1;
-  bool blocking_ = true;  // whether resting replicas rest: not when too many would
 
   TimerQueue timers_;
   bool subscribed_ = false;
@@ -255,18 +212,11 @@
   // Of large fleets only.
   std::vector<std::pair<std::uint64_t, Replica*>> ring_;  // points of usable replicas, by hash
   bool ring_old_ = true;
-  std::vector<Replica*> ready_;  // that have a cap
   std::uint64_t search_ = 0;
 };
 
 Router::Impl::Impl(const Settings& settings, std::uint64_t seed, Time now)
-    : settings_(settings), random_(seed), now_(now) {
-  if (settings_.classes.empty()) settings_.classes.emplace_back();
-  settings_.node_count = std::max(1, settings_.node_count);
-  parts_ = split_at_ = settings_.node_count;
-  // Traffic is spread unevenly over many nodes, so their parts of a cap are never all in use together.
-  const double start = IsLargeTier(settings_) ? kManyNodesStart * kStartInFlight : kStartInFlight;
-  k_.base_limit = start / parts_;
+    : settings_(Checked(settings)), random_(seed), now_(now) {
   k_.retry_budget = kBudgetMost / 2;
   Fit();
   // Nodes start together: calls in step would overrun discovery, so each waits a random part of a span. It is
@@ -304,7 +254,7 @@
   }
   if (e.scope != EndpointListScope::kCached) asks_failed_ = 0;
   fleet_.Apply(e, now_, random_);
-  capped_at_ = -1;
+  limits_.Invalidate();
   ring_old_ = true;
 }
 
@@ -408,10 +358,10 @@
 
 void Router::Impl::Release() {
   if (held_.empty()) return;
-  Recap();
+  limits_.Update(now_);
   int stuck = 0;  // requests that rules keep from every replica with room; they must not block the others
   for (auto it = held_.begin(); it != held_.end() && stuck < 8;) {
-    if (fleet_.in_flight() >= std::max(1.0, cap_total_)) return;
+    if (fleet_.in_flight() >= std::max(1.0, limits_.total())) return;
     Request& r = requests_.at(it->id);
     ++it;
     Replica* to = Choose(r);
@@ -467,63 +417,10 @@
   Act(SendAttempt{r.id(), to.endpoint.id, 0, write_within});
 }
 
-// Present caps. This node's part of a replica's cap is a real number: the fleet-wide level that time to first
-// token has taught, times the replica's speed, less what 'full' answers and a cold start take off.
-void Router::Impl::Recap() {
-  if (capped_at_ == now_) return;
-  if (fleet_.UsesSampling() && capped_at_ >= 0 &&
-      now_ - capped_at_ < kRecapEvery * static_cast<Time>(fleet_.size()))
-    return;
-  capped_at_ = now_;
-  ready_.clear();
-  load_reports_.ResetMean();
-  std::size_t usable = 0, blocked = 0;
-  double slow = 0;
-  for (const auto& x : fleet_.replicas()) {
-    if (!x->ready) continue;
-    ++usable;
-    slow += speed_.Slowness(*x, now_);
-    if (Rests(*x)) ++blocked;
-  }
-  // If much of the fleet fails at once the cause is shared, and resting it would push the load onto the rest.
-  blocking_ = static_cast<double>(blocked) <= kPanicShare * static_cast<double>(usable);
-  // The level already tells how slow the fleet as a whole is; speed divides it among the replicas. Were it to
-  // count twice, all caps would shrink as soon as long answers follow the short ones that are back first.
-  slow /= std::max(1.0, static_cast<double>(usable));
-  const double rate = slow_start_.DispatchRate(now_);
-  cap_total_ = 0;
-  for (auto& x : fleet_.replicas()) {
-    x->concurrency_limit = 0;
-    if (!x->ready || (blocking_ && Rests(*x))) continue;
-    const double full = 1 - (1 - x->capacity_factor) * Fade(now_ - x->capacity_updated_at, kFullHeals);
-    const double warmth = slow_start_.Fraction(*x, now_);
-    x->concurrency_limit =
-        k_.base_limit * ReplicaSpeed::LoadFactor(speed_.Slowness(*x, now_) - slow) * full * warmth;
-    cap_total_ += x->concurrency_limit;
-    if (fleet_.UsesSampling()) {
-      ready_.push_back(x.get());
-      load_reports_.CountTowardsMean(*x, now_);
-    }
-    if (warmth < 1) {
-      slow_start_.EarnTokens(*x, warmth, rate / static_cast<double>(usable), now_);
-    }
-  }
-}
-
-bool Router::Impl::HasRoom(const Replica& x) const {
-  if (x.concurrency_limit <= 0 || x.at_capacity_until > now_) return false;
-  if (x.consecutive_failures > 1 && x.in_flight > 0) return false;  // on trial: one request at a time
-  if (!slow_start_.MayDispatch(x, now_)) return false;
-  // A cap of half a request is a mean over all nodes' parts; each node's own swing about it evens out with
-  // the others', and the sum of the caps bounds them together. Alone, a node sees the whole and keeps to it.
-  const double swing = kSwing * std::sqrt(x.concurrency_limit * (1 - 1.0 / parts_));
-  return x.in_flight + x.in_flight_elsewhere() < std::max(1.0, x.concurrency_limit + swing);
-}
-
 // The replica with most room. Room is the part of a replica's cap that is thought free, counted in requests
 // like this one: where its prompt is kept, a request takes less, so more of them fit.
 Replica* Router::Impl::Choose(const Request& r) {
-  const double nodes = parts_;
+  const double nodes = traffic_share_.equivalent_nodes();
   const bool by_zone = ByZone();
   const RequestArrived& i = r.arrival;
   options_.clear();
@@ -533,15 +430,16 @@
                         : Everyone(i, prefix_share, session_share);
   if (options_.empty()) return nullptr;
   // What others have out is not seen; it is taken to be like this node's own, or like what replicas report.
-  double occupied = std::min(kMostOccupied, fleet_.in_flight() / std::max(cap_total_, 1e-9));
+  double occupied = std::min(kMostOccupied, fleet_.in_flight() / std::max(limits_.total(), 1e-9));
 
-  const double among = static_cast<double>(fleet_.UsesSampling() ? ready_.size() : options_.size());
+  const double among =
+      static_cast<double>(fleet_.UsesSampling() ? limits_.available().size() : options_.size());
   const bool hot = session_share * among * kSpread > 1;
   double best = -1;
   for (Option& o : options_) {
     const Replica& x = *o.replica;
     o.room = -1;
-    if (!HasRoom(x) || !MaySend(r, x)) continue;
+    if (!limits_.HasCapacity(x, now_) || !MaySend(r, x)) continue;
     const bool tried = std::any_of(r.attempts.begin(), r.attempts.end(),
                                    [&](const Attempt& a) { return a.replica == x.endpoint.id; });
     // What other nodes have there is not seen: as much as here on average, more where answers are slow.
@@ -651,7 +549,7 @@
   ++search_;
   const bool by_zone = ByZone();
   const auto homes = [&](std::uint64_t key, double share, std::size_t most, bool session) {
-    const std::size_t set = Homes(share, ready_.size(), ring_.size());
+    const std::size_t set = Homes(share, limits_.available().size(), ring_.size());
     std::size_t left = std::min(most, set);
     const auto first = std::lower_bound(ring_.begin(), ring_.end(), Mix64(key),
                                         [](const auto& p, std::uint64_t h) { return p.first < h; });
@@ -680,15 +578,16 @@
         return std::pair(~a.session_order, a.replica->endpoint.id) <
                std::pair(~b.session_order, b.replica->endpoint.id);
       });
-      const std::size_t mine = Homes(session_share, ready_.size(), options_.size());
+      const std::size_t mine = Homes(session_share, limits_.available().size(), options_.size());
       for (std::size_t k = 0; k < mine; ++k) options_[k].session_home = true;
     }
   } else if (i.session != 0) {
     homes(i.session, session_share, kMostHomes, true);
   }
-  for (int k = 0; k < kDrawn && !ready_.empty(); ++k) {
-    Replica* x = ready_[std::min(
-        ready_.size() - 1, static_cast<std::size_t>(random_.Next() * static_cast<double>(ready_.size())))];
+  for (int k = 0; k < kDrawn && !limits_.available().empty(); ++k) {
+    Replica* x = limits_.available()[std::min(
+        limits_.available().size() - 1,
+        static_cast<std::size_t>(random_.Next() * static_cast<double>(limits_.available().size())))];
     if (x->concurrency_limit <= 0 || x->last_search == search_) continue;
     x->last_search = search_;
     options_.push_back({x, 0, 0, false, false, 0});
@@ -733,7 +632,7 @@
 void Router::Impl::LearnServed(const Request& r, Replica* from, Time runtime) {
   const double t = std::max<double>(1, static_cast<double>(runtime));
   estimator_.LearnRuntime(r, t);
-  LearnPace(r, runtime);
+  if (concurrency_.LearnPace(r, runtime, Usage())) limits_.InvalidateUnlessSampling();
   if (from != nullptr) LearnSlow(*from, std::log(t / r.estimated_runtime));
 }
 
@@ -741,75 +640,24 @@
   speed_.Learn(x, log_ratio, now_, slow_start_.IsWarmingUp(x, now_));
 }
 
-// The level of all caps: up while first tokens come in time and caps are in use, down when many are late.
-void Router::Impl::LearnTime(bool late, bool in_good_time) {
-  k_.late_share += kLateMemory * ((late ? 1.0 : 0.0) - k_.late_share);
-  if (k_.late_share > kLateShare) {
-    if (late) Fall(kFall);
-  } else if (in_good_time && k_.objective_used < kEasy && fleet_.in_flight() >= kInUse * cap_total_) {
-    k_.base_limit =
-        std::min(MostLevel(), k_.base_limit * (1 + (k_.limit_before_decrease > 0 &&
-                                                            k_.base_limit > kKnown * k_.limit_before_decrease
-                                                        ? kRisePerRound
-                                                        : kFirstRise) /
-                                                       std::max(1.0, cap_total_)));
-    Stale();
-  }
-}
-
-void Router::Impl::Fall(double factor) {
-  if (static_cast<double>(now_ - k_.limit_decreased_at) <= estimator_.mean_runtime()) return;
-  k_.limit_before_decrease = std::max(k_.base_limit, kKnown * k_.limit_before_decrease);
-  k_.base_limit = std::max(kLeastInFlight / parts_, k_.base_limit * factor);
-  k_.limit_decreased_at = now_;
-  Stale();
-}
-
-// A replica that answers in batches takes on more than it can keep pace with long before its first tokens are
-// late: every stream slows down. How slow is too slow is judged against the best pace seen, class by class.
-void Router::Impl::LearnPace(const Request& r, Time runtime) {
-  const double spent =
-      std::max(1.0, static_cast<double>(r.response_started ? runtime - r.time_to_first_token : runtime));
-  const double work = r.arrival.cost_hint > 0 ? static_cast<double>(r.arrival.cost_hint) : 1.0;
-  LearnedState::ClassPace& p = k_.pace_by_class[r.class_index()];
-  p.current.Add(std::log(spent / work), kPaceMemory);
-  if (p.current.samples < kPaceYoung) return;
-  p.best = std::min(p.best + kPaceLeak, p.current.mean);
-  k_.pace_slowdown += kLateMemory * (p.current.mean - p.best - k_.pace_slowdown);
-  if (Saturated()) Fall(std::max(kMostFall, kSaturated / std::exp(k_.pace_slowdown)));
-}
-
 void Router::Impl::LearnFailure(Replica& x, Outcome o) {
-  Stale();
+  limits_.InvalidateUnlessSampling();
   if (o == Outcome::kAtCapacity) {
-    x.capacity_factor = std::max(
-        0.1, (1 - (1 - x.capacity_factor) * Fade(now_ - x.capacity_updated_at, kFullHeals)) * kFullFall);
-    x.capacity_updated_at = now_;
-    x.at_capacity_until = now_ + FullRest();
+    RecordAtCapacity(x, now_, estimator_.mean_runtime(), settings_.connect_timeout);
     timers_.Schedule(x.at_capacity_until, TimerKind::kUpdateLimits);
     if (observer_ != nullptr)
       observer_->OnEjection({x.endpoint.id, o, x.consecutive_failures, x.at_capacity_until});
-    LearnTime(true, false);
+    concurrency_.LearnLate(Usage());
     return;
   }
   // An error must never make a replica look fast or roomy: it counts as slow.
   LearnSlow(x, kFailureSlow);
-  ++x.consecutive_failures;
-  if (o == Outcome::kTimeout) LearnTime(true, false);
-  // One failure proves nothing: where now and then a stream comes spoilt from any replica, resting each for
-  // it takes more of the fleet away than the failures do. Only what can't be reached rests at once.
-  if (x.consecutive_failures < 2 && o != Outcome::kConnectFailed) return;
-  const double rest =
-      static_cast<double>(kBlockFirst) * std::pow(2.0, std::min(x.consecutive_failures - 1, 6));
-  x.ejected_until = now_ + static_cast<Time>(std::min(rest, static_cast<double>(kBlockMost)) *
-                                             (0.75 + 0.5 * random_.Next()));
-  timers_.Schedule(x.ejected_until, TimerKind::kUpdateLimits);
-  if (fleet_.UsesSampling() && blocking_) {
-    cap_total_ = std::max(0.0, cap_total_ - x.concurrency_limit);
-    x.concurrency_limit = 0;
-  }
-  if (observer_ != nullptr)
-    observer_->OnEjection({x.endpoint.id, o, x.consecutive_failures, x.ejected_until});
+  if (o == Outcome::kTimeout) concurrency_.LearnLate(Usage());
+  const std::optional<Time> ejected_until = ejection_.RecordFailure(x, o, now_, random_);
+  if (!ejected_until) return;
+  timers_.Schedule(*ejected_until, TimerKind::kUpdateLimits);
+  if (fleet_.UsesSampling() && ejection_.is_enforced()) limits_.Exclude(x);
+  if (observer_ != nullptr) observer_->OnEjection({x.endpoint.id, o, x.consecutive_failures, *ejected_until});
 }
 
 void Router::Impl::CountKeys(const RequestArrived& e) {
@@ -853,7 +701,7 @@
   k_.arrivals_by_tenant[t].Add(now_, kTenantMemory, 1);
   if (quota <= 0) return false;
   const double seen = k_.arrivals_by_tenant[t].ValueAt(now_, kTenantMemory);
-  const double fair = quota * static_cast<double>(kTenantMemory) / 1e6 / parts_;
+  const double fair = quota * static_cast<double>(kTenantMemory) / 1e6 / traffic_share_.equivalent_nodes();
   return seen > kOverShare * fair + 2 * std::sqrt(fair) + 1;
 }
 
@@ -869,8 +717,7 @@
   r.time_to_first_token = e.elapsed;
   const double aim = static_cast<double>(r.objective_at - r.arrived_at);
   const double t = static_cast<double>(e.elapsed);
-  k_.objective_used += kWaitMemory * (std::min(1.0, t / std::max(1.0, aim)) - k_.objective_used);
-  LearnTime(t > kLateAt * aim, t < 0.5 * kLateAt * aim);
+  if (concurrency_.LearnTimeToFirstToken(t, aim, Usage())) limits_.InvalidateUnlessSampling();
   if (Replica* x = fleet_.Find(a->replica)) {
     x->consecutive_failures = 0, x->waiting_since = now_;
     if (const std::optional<double> typical = estimator_.TypicalTimeToFirstToken(r)) {
@@ -989,7 +836,8 @@
   const RequestId id = r.id();
   if (observer_ != nullptr) {
     observer_->OnConclusion({id, why, static_cast<int>(r.attempts.size()), now_ - r.arrived_at,
-                             static_cast<std::uint32_t>(held_.size()), cap_total_, fleet_.own_in_flight()});
+                             static_cast<std::uint32_t>(held_.size()), limits_.total(),
+                             fleet_.own_in_flight()});
   }
   Unhold(r);
   if (MayRefuse(r)) {
@@ -1007,7 +855,7 @@
   timers_.Fired(e.token);
   while (const std::optional<Timer> timer = timers_.PopDue(now_)) {
     if (timer->kind == TimerKind::kUpdateLimits) {  // Handle releases after every event
-      capped_at_ = -1;
+      limits_.Invalidate();
       continue;
     }
     if (timer->kind == TimerKind::kPollEndpoints) {
@@ -1029,42 +877,32 @@
 }
 
 void Router::Impl::On(const NodeCountChanged& e) {
-  const double was = std::exchange(settings_.node_count, std::max(1, e.node_count));
-  Split(parts_ * settings_.node_count / was);
+  const double before = std::exchange(settings_.node_count, std::max(1, e.node_count));
+  concurrency_.Scale(traffic_share_.ScaleNodeCount(before, settings_.node_count));
+  limits_.InvalidateUnlessSampling();
 }
 
-// A part that grows leaves the caps to what answers teach, as more traffic has taught them already by the
-// time that the others have heard of it; one that falls by much takes them down at once.
 void Router::Impl::On(const TrafficShareChanged& e) {
-  if (!(e.share > 0 && e.share <= 1)) return;
-  parts_ = std::min(1 / e.share, kMostParts);
-  split_at_ = std::min(split_at_, parts_);
-  if (parts_ > kMuchLess * split_at_) Split(std::exchange(parts_, split_at_));
-}
-
-void Router::Impl::Split(double parts) {
-  const double was = std::exchange(parts_, std::clamp(parts, 1.0, kMostParts));
-  split_at_ = parts_;
-  k_.base_limit *= was / parts_, k_.limit_before_decrease *= was / parts_;
-  Stale();
+  const std::optional<double> factor = traffic_share_.SetShare(e.share);
+  if (!factor) return;
+  concurrency_.Scale(*factor);
+  limits_.InvalidateUnlessSampling();
 }
 
 // What another process of this node learned, and what it still has out: a hot restart loses neither.
 void Router::Impl::On(const StateRestored& e) {
   if (e.state == nullptr) return;
   k_ = *e.state;
+  concurrency_.RestoreFrom(k_);
   estimator_.RestoreFrom(k_);
   speed_.RestoreFrom(k_);
   slow_start_.RestoreFrom(k_);
-  const double was = std::max(1, k_.node_count), least = kLeastInFlight / parts_;
-  k_.base_limit = std::clamp(k_.base_limit * was / parts_, least, kMostInFlight / parts_);
-  k_.limit_before_decrease *= was / parts_;
   for (const LearnedState::Replica& r : std::exchange(k_.replicas, {})) {
     Replica* x = fleet_.Find(r.id);
     if (x != nullptr && x->endpoint.started_at == r.started_at) static_cast<LearnedReplica&>(*x) = r.learned;
   }
   Fit();
-  capped_at_ = -1;
+  limits_.Invalidate();
 }
 
 void Router::Impl::On(const SiblingInFlightChanged& e) { fleet_.SetSiblingInFlight(e.in_flight); }
@@ -1079,12 +917,11 @@
     x->peer_report_at = now_;
     if (t.ejected_until > now_) timers_.Schedule(t.ejected_until, TimerKind::kUpdateLimits);
   }
-  capped_at_ = -1;
+  limits_.Invalidate();
 }
 
 void Router::Impl::Fit() {
-  const std::size_t n = settings_.classes.size();
-  k_.pace_by_class.resize(n);
+  concurrency_.ResizeTables();
   estimator_.ResizeTables();
   speed_.ResizeTables();
   k_.arrivals_by_tenant.resize(settings_.tenants.size());
@@ -1092,11 +929,10 @@
 
 LearnedState Router::Impl::Export() const {
   LearnedState all = k_;
+  concurrency_.ExportTo(all);
   estimator_.ExportTo(all);
   speed_.ExportTo(all);
   slow_start_.ExportTo(all);
-  all.node_count = std::max(1, static_cast<int>(std::lround(parts_)));
-  all.base_limit *= parts_ / all.node_count, all.limit_before_decrease *= parts_ / all.node_count;
   for (const auto& x : fleet_.replicas())
     all.replicas.push_back({x->endpoint.id, x->endpoint.started_at, x->in_flight, *x});
   return all;
