--- /dev/null
+++ b/src/policy/endpoint_polling.cpp
@@ -0,0 +1,42 @@
+#include "endpoint_polling.h"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+namespace ryeglade::policy {
+namespace {
+
+constexpr Time kMaxFirstDelay = 1'000'000;
+constexpr double kBaseBackoff = 100'000;  // doubled by each failure in a row
+constexpr double kMaxBackoff = 2'000'000;
+constexpr int kMaxDoublings = 5;
+
+}  // namespace
+
+// Nodes start together: calls in step would overrun discovery, so each waits a random part of a span. It is
+// short: the list known at the start may be old, and what it lacks counts as notified before long.
+std::optional<Time> EndpointPolling::FirstDelay(RandomSource& random) const {
+  if (!settings_.poll_endpoints) return std::nullopt;
+  const Time span = settings_.max_poll_interval > 0
+                        ? std::min(kMaxFirstDelay, settings_.max_poll_interval * 4 / 10)
+                        : kMaxFirstDelay;
+  return static_cast<Time>(random.Next() * static_cast<double>(span));
+}
+
+std::optional<Time> EndpointPolling::OnFailure(RandomSource& random) {
+  watching_ = false;
+  ++failures_in_a_row_;
+  if (!settings_.poll_endpoints) return std::nullopt;
+  const double backoff =
+      std::min(kBaseBackoff * std::exp2(std::min(failures_in_a_row_, kMaxDoublings)), kMaxBackoff);
+  return static_cast<Time>(backoff * (0.5 + random.Next()));
+}
+
+void EndpointPolling::OnList(EndpointListScope scope) {
+  if (scope != EndpointListScope::kCached) failures_in_a_row_ = 0;
+}
+
+bool EndpointPolling::OpenWatch() { return !std::exchange(watching_, true); }
+
+}  // namespace ryeglade::policy
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -15,25 +15,29 @@
 #include <bit>
 #include <cmath>
 #include <optional>
-#include <set>
 #include <tuple>
 #include <unordered_map>
 #include <utility>
 
 #include "adaptive_concurrency.h"
 #include "capacity_backoff.h"
+#include "endpoint_polling.h"
 #include "fleet.h"
 #include "hashing.h"
 #include "load_reports.h"
 #include "outlier_ejection.h"
+#include "prefix_affinity.h"
 #include "queue_order.h"
 #include "random_source.h"
 #include "replica.h"
 #include "replica_limits.h"
 #include "replica_speed.h"
 #include "request.h"
+#include "request_queue.h"
+#include "retry_policy.h"
 #include "runtime_estimator.h"
 #include "slow_start.h"
+#include "tenant_quotas.h"
 #include "timer_queue.h"
 #include "traffic_share.h"
 
@@ -44,45 +48,17 @@
 constexpr double kFailureSlow = 1.1;  // ln 3: a failed attempt makes a replica look this much slower
 
 // Choice of a replica.
-constexpr double kHomeKeeps = 0.7;     // chance that a home still keeps a beginning not seen there from here
-constexpr double kSessionKeeps = 0.5;  // the same of a session's home and the whole prompt
-constexpr Time kKept = 30'000'000;     // what this node sent a replica is taken to be kept this long
 constexpr double kLeastRead = 300;     // tokens: what any request costs at least
 constexpr double kCrossingRead = 800;  // tokens that a zone crossing is worth
-constexpr std::size_t kMostKept = 16384;  // sessions and beginnings remembered
-constexpr double kSpread = 4.0;           // homes of a key: its share of traffic in replicas, times this
-constexpr double kShun = 0.5;             // how far a replica slower than its kind is taken to be fuller
-constexpr double kMostOccupied = 0.8;     // replicas are not taken to be fuller than this unless they say so
-constexpr double kTie = 0.02;             // rooms closer than this are a tie, drawn by weight
-constexpr Time kKeyMemory = 60'000'000;   // traffic by key fades this fast
-constexpr Time kHotMemory = 5'000'000;    // and this fast when watching for a key that turns hot
-
-// Health, retries and second copies.
-// A repeat is decided so long before its window ends: the node may be held up between its clock and the write
-// (0.15 s), and clocks of replicas start when the first attempt's last byte arrives, never earlier.
-constexpr Time kRepeatMargin = 160'000;
-constexpr double kRetryShare = 0.3;  // further attempts after failures, as a share of requests
-constexpr double kBudgetMost = 10;   // what either budget can save up
-
-// Cold replicas and tenants.
-constexpr Time kTenantMemory = 20'000'000;
-constexpr double kOverShare = 1.25;  // a tenant's rate above its quota times this is beyond its share
+constexpr double kShun = 0.5;          // how far a replica slower than its kind is taken to be fuller
+constexpr double kMostOccupied = 0.8;  // replicas are not taken to be fuller than this unless they say so
+constexpr double kTie = 0.02;          // rooms closer than this are a tie, drawn by weight
 
 // Large fleets: looking at every replica for every request would cost more the more there are.
 constexpr int kPoints = 8;              // of a replica on the ring that says where keys have their homes
 constexpr std::size_t kMostHomes = 32;  // of a key that are looked at
 constexpr int kDrawn = 24;  // drawn besides: the best of so many is hardly worse than the best of all
 
-// Discovery. A change counts as told at the latest 6 s after discovery has it and can be reached, so calls
-// that fail are repeated well within that.
-constexpr Time kFirstAskWithin = 1'000'000;
-constexpr double kAskAgainFirst = 100'000;  // microseconds, doubled by each failure in a row
-constexpr double kAskAgainMost = 2'000'000;
-
-bool ProvesNotRun(Outcome o) {
-  return o == Outcome::kAtCapacity || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
-}
-
 Settings Checked(Settings settings) {
   if (settings.classes.empty()) settings.classes.emplace_back();
   settings.node_count = std::max(1, settings.node_count);
@@ -99,7 +75,7 @@
   const Replica* Find(ReplicaId id) const { return fleet_.Find(id); }
   bool MayRefuse(RequestId id) const {
     const auto it = requests_.find(id);
-    return it != requests_.end() && MayRefuse(it->second);
+    return it != requests_.end() && retry_policy_.MayReject(it->second);
   }
   void Retune(const std::vector<ClassSettings>& classes, int max_attempts) {
     if (classes.size() < settings_.classes.size()) return;
@@ -108,7 +84,7 @@
     Fit();
   }
   LearnedState Export() const;
-  std::size_t held() const { return held_.size(); }
+  std::size_t held() const { return queue_.size(); }
   std::size_t open() const { return requests_.size(); }
   double total_concurrency_limit() const { return limits_.total(); }
   void Observe(DecisionObserver* observer) { observer_ = observer; }
@@ -128,21 +104,17 @@
   void On(const SiblingInFlightChanged& e);
   void On(const PeerReportsReceived& e);
   void On(const DeadlineShortened& e);
-  void On(const PrefixTrafficReceived& e) { told_keys_ = {e.shares.begin(), e.shares.end()}; }
+  void On(const PrefixTrafficReceived& e) { affinity_.SetTierTraffic(e.shares); }
   void Fit();  // what is learned class by class, to the classes in force
 
   // The ordinary path.
   PriorityTier TierOf(const Request& r) const;
   void Hold(Request& r);
-  void Unhold(Request& r);
   void Release();
   Replica* Choose(const Request& r);
   void Send(Request& r, Replica& to);
-  double Unread(const RequestArrived& i, const Replica& x, bool home, bool session_home, bool hot) const;
-  void Keep(const RequestArrived& i, ReplicaId at);
   void DoneReading(Attempt& a);
   void MakeRing();
-  static std::size_t Homes(double share, std::size_t n, std::size_t most);
   void Everyone(const RequestArrived& i, double prefix_share, double session_share);
   void Candidates(const RequestArrived& i, double prefix_share, double session_share);
 
@@ -151,17 +123,10 @@
   void LearnServed(const Request& r, Replica* from, Time runtime);
   void LearnSlow(Replica& x, double log_ratio);
   void LearnFailure(Replica& x, Outcome o);
-  double KeyShare(std::uint64_t key, bool hot_only) const;
-  void CountKeys(const RequestArrived& e);
-  bool OverShare(int tenant);
 
   // Rules.
   const ClassSettings& ClassOf(const Request& r) const { return settings_.classes[r.class_index()]; }
-  bool MaySend(const Request& r, const Replica& to) const;
   bool ByZone() const { return settings_.cross_zone_penalty > 0 && settings_.zone_count > 1; }
-  bool MaySendAnywhere(const Request& r) const;
-  Time RepeatWithin(const Request& r) const;
-  bool MayRefuse(const Request& r) const;
   void Conclude(Request& r, ConclusionReason why);
   void NoteSend(const Request& r, const Replica& to) const;
   void Forget(RequestId id);
@@ -188,18 +153,17 @@
   TrafficShare traffic_share_{settings_.node_count};
   AdaptiveConcurrency concurrency_{settings_, traffic_share_};
   OutlierEjection ejection_;
+  PrefixAffinity affinity_{settings_};
+  TenantQuotas tenant_quotas_{settings_, traffic_share_};
+  RetryPolicy retry_policy_{settings_};
+  RetryBudget retry_budget_;
+  EndpointPolling polling_{settings_};
   ReplicaLimits limits_{
       {fleet_, traffic_share_, concurrency_, speed_, slow_start_, ejection_, load_reports_}};
   std::unordered_map<RequestId, Request> requests_;
-  std::set<QueuePosition> held_;
-  std::uint64_t order_ = 0;
-
-  LearnedState k_;                                       // all that is learned of more than one replica
-  std::unordered_map<std::uint64_t, double> told_keys_;  // shares of the tier's traffic
+  RequestQueue queue_;
 
   TimerQueue timers_;
-  bool subscribed_ = false;
-  int asks_failed_ = 0;
 
   struct Option {
     Replica* replica;
@@ -217,16 +181,9 @@
 
 Router::Impl::Impl(const Settings& settings, std::uint64_t seed, Time now)
     : settings_(Checked(settings)), random_(seed), now_(now) {
-  k_.retry_budget = kBudgetMost / 2;
   Fit();
-  // Nodes start together: calls in step would overrun discovery, so each waits a random part of a span. It is
-  // short: the list known at the start may be old, and what it lacks counts as told before long.
-  if (settings_.poll_endpoints) {
-    const Time span = settings_.max_poll_interval > 0
-                          ? std::min(kFirstAskWithin, settings_.max_poll_interval * 4 / 10)
-                          : kFirstAskWithin;
-    timers_.Schedule(now + static_cast<Time>(random_.Next() * static_cast<double>(span)),
-                     TimerKind::kPollEndpoints);
+  if (const std::optional<Time> delay = polling_.FirstDelay(random_)) {
+    timers_.Schedule(now_ + *delay, TimerKind::kPollEndpoints);
   }
 }
 
@@ -243,25 +200,19 @@
 
 void Router::Impl::On(const EndpointList& e) {
   if (e.scope == EndpointListScope::kFailed) {
-    // The old list stays; ask again, later each time and not in step with the others, but soon at first: what
-    // changes meanwhile counts as told before long.
-    subscribed_ = false;
-    ++asks_failed_;
-    const double wait = std::min(kAskAgainFirst * std::exp2(std::min(asks_failed_, 5)), kAskAgainMost);
-    if (settings_.poll_endpoints)
-      timers_.Schedule(now_ + static_cast<Time>(wait * (0.5 + random_.Next())), TimerKind::kPollEndpoints);
+    // The old list stays.
+    const std::optional<Time> delay = polling_.OnFailure(random_);
+    if (delay) timers_.Schedule(now_ + *delay, TimerKind::kPollEndpoints);
     return;
   }
-  if (e.scope != EndpointListScope::kCached) asks_failed_ = 0;
+  polling_.OnList(e.scope);
   fleet_.Apply(e, now_, random_);
   limits_.Invalidate();
   ring_old_ = true;
 }
 
 void Router::Impl::AskForList() {
-  if (subscribed_) return;
-  subscribed_ = true;
-  Act(WatchEndpoints{true});
+  if (polling_.OpenWatch()) Act(WatchEndpoints{true});
 }
 
 // ---- Requests ----
@@ -278,9 +229,9 @@
   r.objective_at =
       now_ + c.latency_objective +
       static_cast<Time>(static_cast<double>(c.objective_per_1000_tokens) * r.arrival.prompt_tokens / 1000.0);
-  k_.retry_budget = std::min(kBudgetMost, k_.retry_budget + kRetryShare);
-  CountKeys(e);
-  r.over_quota = OverShare(e.tenant_index);
+  retry_budget_.AddRequest();
+  affinity_.CountArrival(e, now_);
+  r.over_quota = tenant_quotas_.CountArrival(e.tenant_index, now_);
   estimator_.Estimate(r);
   // A try can come with no patience left; a timer would answer it a tick too late.
   if (GiveUpAt(r) <= now_) return Conclude(r, ConclusionReason::kNoTimeBudget);
@@ -291,7 +242,7 @@
   const auto it = requests_.find(e.id);
   if (it == requests_.end() || it->second.concluded) return;
   Request& r = it->second;
-  Unhold(r);
+  queue_.Dequeue(r);
   r.concluded = true;
   if (settings_.can_cancel) {
     for (std::size_t i = 0; i < r.attempts.size(); ++i) {
@@ -335,32 +286,24 @@
 }
 
 void Router::Impl::Hold(Request& r) {
-  r.queued = true;
   const double key = QueueKey(
       {r.arrived_at, r.objective_at - r.arrived_at, r.estimated_runtime, estimator_.TypicalRuntime(r)});
   // Departure: what can no longer meet its aim waits behind what can. In the order of size and age alone, a
   // queue that has once grown past the aim serves everything late.
   const Time last_call = r.objective_at - estimator_.ExpectedTimeToFirstToken(r);
   const PriorityTier tier = TierOf(r);
-  r.queue_position = {tier, key, ++order_, r.id()};
-  held_.insert(r.queue_position);
+  queue_.Enqueue(r, tier, key);
   r.latest_dispatch_at = GiveUpAt(r);
   if (tier != PriorityTier::kObjectiveLost && last_call < r.latest_dispatch_at)
     timers_.Schedule(last_call, TimerKind::kObjectiveLost, r.id());
   timers_.Schedule(r.latest_dispatch_at, TimerKind::kQueueTimeout, r.id());
 }
 
-void Router::Impl::Unhold(Request& r) {
-  if (!r.queued) return;
-  held_.erase(r.queue_position);
-  r.queued = false;
-}
-
 void Router::Impl::Release() {
-  if (held_.empty()) return;
+  if (queue_.empty()) return;
   limits_.Update(now_);
   int stuck = 0;  // requests that rules keep from every replica with room; they must not block the others
-  for (auto it = held_.begin(); it != held_.end() && stuck < 8;) {
+  for (auto it = queue_.begin(); it != queue_.end() && stuck < 8;) {
     if (fleet_.in_flight() >= std::max(1.0, limits_.total())) return;
     Request& r = requests_.at(it->id);
     ++it;
@@ -370,7 +313,7 @@
       ++stuck;
       continue;
     }
-    Unhold(r);
+    queue_.Dequeue(r);
     Send(r, *to);
   }
 }
@@ -386,7 +329,7 @@
     if (o.room >= 0) ++note.candidates_with_capacity;
     if (o.replica == &to) {
       note.score = o.room;
-      note.tokens_to_prefill = Unread(r.arrival, to, o.home, false, false);
+      note.tokens_to_prefill = affinity_.TokensToPrefill(r.arrival, to, {o.home, false, false}, now_);
     } else if (o.room > note.runner_up_score) {
       note.runner_up = o.replica->endpoint.id;
       note.runner_up_score = o.room;
@@ -397,7 +340,7 @@
 
 void Router::Impl::Send(Request& r, Replica& to) {
   if (observer_ != nullptr && observer_->wants_dispatches()) NoteSend(r, to);
-  const Time write_within = RepeatWithin(r);
+  const Time write_within = retry_policy_.WriteWithin(r, now_);
   Attempt a;
   a.replica = to.endpoint.id;
   a.zone = to.endpoint.zone;
@@ -409,10 +352,10 @@
   // What is kept now is what it had to read less; from here on the whole prompt is there.
   const bool home = std::any_of(options_.begin(), options_.end(),
                                 [&](const Option& o) { return o.replica == &to && o.home; });
-  r.attempts.back().tokens_to_prefill = Unread(r.arrival, to, home, false, false);
+  r.attempts.back().tokens_to_prefill = affinity_.TokensToPrefill(r.arrival, to, {home, false, false}, now_);
   if (to.prefill_backlog_tokens < 1) to.waiting_since = now_;
   to.prefill_backlog_tokens += r.attempts.back().tokens_to_prefill;
-  Keep(r.arrival, to.endpoint.id);
+  affinity_.RecordDispatch(r.arrival, to.endpoint.id, now_);
   slow_start_.RecordDispatch(to, now_);
   Act(SendAttempt{r.id(), to.endpoint.id, 0, write_within});
 }
@@ -424,8 +367,8 @@
   const bool by_zone = ByZone();
   const RequestArrived& i = r.arrival;
   options_.clear();
-  const double prefix_share = i.prefix != 0 ? KeyShare(i.prefix, false) : 0;
-  const double session_share = i.session != 0 ? KeyShare(i.session, true) : 0;
+  const double prefix_share = i.prefix != 0 ? affinity_.TrafficShareOf(i.prefix, now_) : 0;
+  const double session_share = i.session != 0 ? affinity_.RecentTrafficShareOf(i.session, now_) : 0;
   fleet_.UsesSampling() ? Candidates(i, prefix_share, session_share)
                         : Everyone(i, prefix_share, session_share);
   if (options_.empty()) return nullptr;
@@ -434,12 +377,12 @@
 
   const double among =
       static_cast<double>(fleet_.UsesSampling() ? limits_.available().size() : options_.size());
-  const bool hot = session_share * among * kSpread > 1;
+  const bool hot = PrefixAffinity::IsHot(session_share, among);
   double best = -1;
   for (Option& o : options_) {
     const Replica& x = *o.replica;
     o.room = -1;
-    if (!limits_.HasCapacity(x, now_) || !MaySend(r, x)) continue;
+    if (!limits_.HasCapacity(x, now_) || !retry_policy_.MaySendTo(r, x, now_)) continue;
     const bool tried = std::any_of(r.attempts.begin(), r.attempts.end(),
                                    [&](const Attempt& a) { return a.replica == x.endpoint.id; });
     // What other nodes have there is not seen: as much as here on average, more where answers are slow.
@@ -454,7 +397,8 @@
     // Room is counted in requests like this one, and what a request takes is what must be read before its
     // first token comes: the prompts that came before it, and what of its own is not kept there.
     double weight =
-        (x.prefill_backlog_tokens + Unread(i, x, o.home, o.session_home, hot)) * std::exp(slowness) +
+        (x.prefill_backlog_tokens + affinity_.TokensToPrefill(i, x, {o.home, o.session_home, hot}, now_)) *
+            std::exp(slowness) +
         kLeastRead;
     if (by_zone && x.endpoint.zone != settings_.zone)
       weight += kCrossingRead * settings_.cross_zone_penalty / 0.08;
@@ -508,26 +452,21 @@
            (!by_zone || options_[to].replica->endpoint.zone == options_[from].replica->endpoint.zone)) {
       ++to;
     }
-    std::size_t set = i.prefix != 0 ? Homes(prefix_share, to - from, to - from) : to - from;
+    std::size_t set =
+        i.prefix != 0 ? PrefixAffinity::PreferredCount(prefix_share, to - from, to - from) : to - from;
     if (i.prefix != 0) {
       for (std::size_t k = from; k < from + set; ++k) options_[k].home = true;
       std::sort(options_.begin() + static_cast<std::ptrdiff_t>(from),
                 options_.begin() + static_cast<std::ptrdiff_t>(from + set), by(&Option::session_rank));
     }
     if (i.session != 0 && (!by_zone || options_[from].replica->endpoint.zone == settings_.zone)) {
-      const std::size_t mine = Homes(session_share, to - from, set);
+      const std::size_t mine = PrefixAffinity::PreferredCount(session_share, to - from, set);
       for (std::size_t k = from; k < from + mine; ++k) options_[k].session_home = true;
     }
     from = to;
   }
 }
 
-// How many homes a key has among n replicas. Powers of two: nodes whose counts differ a little still agree.
-std::size_t Router::Impl::Homes(double share, std::size_t n, std::size_t most) {
-  const double wanted = share * static_cast<double>(n) * kSpread;
-  return std::min(most, std::bit_ceil(static_cast<std::size_t>(std::max(1.0, wanted))));
-}
-
 // Each replica has some points on a ring, at the same places at every node, and a key's homes are the
 // replicas whose points come next behind it: few keys move when a replica comes or goes.
 void Router::Impl::MakeRing() {
@@ -549,7 +488,7 @@
   ++search_;
   const bool by_zone = ByZone();
   const auto homes = [&](std::uint64_t key, double share, std::size_t most, bool session) {
-    const std::size_t set = Homes(share, limits_.available().size(), ring_.size());
+    const std::size_t set = PrefixAffinity::PreferredCount(share, limits_.available().size(), ring_.size());
     std::size_t left = std::min(most, set);
     const auto first = std::lower_bound(ring_.begin(), ring_.end(), Mix64(key),
                                         [](const auto& p, std::uint64_t h) { return p.first < h; });
@@ -578,7 +517,8 @@
         return std::pair(~a.session_order, a.replica->endpoint.id) <
                std::pair(~b.session_order, b.replica->endpoint.id);
       });
-      const std::size_t mine = Homes(session_share, limits_.available().size(), options_.size());
+      const std::size_t mine =
+          PrefixAffinity::PreferredCount(session_share, limits_.available().size(), options_.size());
       for (std::size_t k = 0; k < mine; ++k) options_[k].session_home = true;
     }
   } else if (i.session != 0) {
@@ -594,33 +534,6 @@
   }
 }
 
-// How much of the prompt a replica has to read: what it keeps need not be read again.
-double Router::Impl::Unread(const RequestArrived& i, const Replica& x, bool home, bool session_home,
-                            bool hot) const {
-  const double prompt = std::max(1.0, i.prompt_tokens);
-  const auto kept = [&](std::uint64_t key) {
-    if (key == 0) return 0.0;
-    const auto it = k_.cached_prefixes.find(key ^ Mix64(x.endpoint.id));
-    if (it == k_.cached_prefixes.end() || now_ - it->second.cached_at > kKept) return 0.0;
-    return it->second.cached_at < x.endpoint.started_at ? 0.0
-                                                        : it->second.tokens;  // it has started afresh since
-  };
-  // A session that is hot has several homes, and each is as good.
-  const double session = hot ? 0 : kept(i.session);
-  double found = std::max(session, std::min(kept(i.prefix), i.prefix_tokens));
-  if (home) found = std::max(found, kHomeKeeps * i.prefix_tokens);
-  if (session_home) found = std::max(found, kSessionKeeps * prompt);
-  return std::max(0.0, prompt - found);
-}
-
-void Router::Impl::Keep(const RequestArrived& i, ReplicaId at) {
-  if (k_.cached_prefixes.size() > kMostKept)
-    std::erase_if(k_.cached_prefixes, [&](const auto& k) { return now_ - k.second.cached_at > kKept; });
-  if (k_.cached_prefixes.size() > kMostKept) k_.cached_prefixes.clear();
-  if (i.session != 0) k_.cached_prefixes[i.session ^ Mix64(at)] = {i.prompt_tokens, now_};
-  if (i.prefix != 0) k_.cached_prefixes[i.prefix ^ Mix64(at)] = {i.prefix_tokens, now_};
-}
-
 void Router::Impl::DoneReading(Attempt& a) {
   if (Replica* x = fleet_.Find(a.replica))
     x->prefill_backlog_tokens = std::max(0.0, x->prefill_backlog_tokens - a.tokens_to_prefill);
@@ -660,51 +573,6 @@
   if (observer_ != nullptr) observer_->OnEjection({x.endpoint.id, o, x.consecutive_failures, *ejected_until});
 }
 
-void Router::Impl::CountKeys(const RequestArrived& e) {
-  k_.arrivals_long_term.Add(now_, kKeyMemory, 1);
-  k_.arrivals_short_term.Add(now_, kHotMemory, 1);
-  for (const std::uint64_t key : {e.prefix, e.session}) {
-    if (key == 0) continue;
-    LearnedState::KeyTraffic& use = k_.key_traffic[key];
-    use.long_term.Add(now_, kKeyMemory, 1);
-    use.short_term.Add(now_, kHotMemory, 1);
-  }
-  if (k_.key_traffic.size() > 1024 &&
-      k_.key_traffic.size() > 4 * static_cast<std::size_t>(k_.arrivals_long_term.value)) {
-    std::erase_if(k_.key_traffic,
-                  [&](const auto& k) { return k.second.long_term.ValueAt(now_, kKeyMemory) < 0.3; });
-  }
-}
-
-// A key's share of this node's traffic, which stands for its share of all. What has been seen once or twice
-// may be chance, so that much is taken off. Not in a tier of many nodes: each sees few requests, would take a
-// hot prefix for cold, and all would send it to the same one home; there a share starts wide and narrows.
-double Router::Impl::KeyShare(std::uint64_t key, bool hot_only) const {
-  if (const auto told = told_keys_.find(key); told != told_keys_.end()) return told->second;
-  const auto it = k_.key_traffic.find(key);
-  if (it == k_.key_traffic.end()) return 0;
-  const double fast = it->second.short_term.ValueAt(now_, kHotMemory);
-  double share =
-      (fast - 2 * std::sqrt(fast)) / std::max(8.0, k_.arrivals_short_term.ValueAt(now_, kHotMemory));
-  if (!hot_only) {
-    const double slow = it->second.long_term.ValueAt(now_, kKeyMemory);
-    const double n = k_.arrivals_long_term.ValueAt(now_, kKeyMemory);
-    share = std::max(share, IsLargeTier(settings_) ? slow / (8 + n) : (slow - 1) / std::max(8.0, n));
-  }
-  return std::clamp(share, 0.0, 1.0);
-}
-
-bool Router::Impl::OverShare(int tenant) {
-  const std::size_t t = static_cast<std::size_t>(tenant);
-  if (tenant < 0 || t >= k_.arrivals_by_tenant.size() || settings_.over_quota_weight >= 1) return false;
-  const double quota = settings_.tenants[t].quota_per_second;
-  k_.arrivals_by_tenant[t].Add(now_, kTenantMemory, 1);
-  if (quota <= 0) return false;
-  const double seen = k_.arrivals_by_tenant[t].ValueAt(now_, kTenantMemory);
-  const double fair = quota * static_cast<double>(kTenantMemory) / 1e6 / traffic_share_.equivalent_nodes();
-  return seen > kOverShare * fair + 2 * std::sqrt(fair) + 1;
-}
-
 // ---- Outcomes ----
 
 void Router::Impl::On(const ResponseStarted& e) {
@@ -754,7 +622,7 @@
     if (!r.concluded && !e.request_concluded && e.outcome != Outcome::kServed) {
       Conclude(r, ConclusionReason::kStreamInterrupted);
     } else {
-      Unhold(r);
+      queue_.Dequeue(r);
       r.concluded = true;
       Forget(e.id);
     }
@@ -771,76 +639,29 @@
   const bool costs = o != Outcome::kAtCapacity;  // a 'full' is cheap, and its cap has fallen
   if (r.queued) return;
   const bool left = r.attempts.size() < static_cast<std::size_t>(settings_.max_attempts);
-  if (left && now_ < GiveUpAt(r) && MaySendAnywhere(r) && (!costs || k_.retry_budget >= 1)) {
-    if (costs) k_.retry_budget -= 1;
+  if (left && now_ < GiveUpAt(r) && retry_policy_.MaySend(r, now_) && (!costs || retry_budget_.HasRetry())) {
+    if (costs) retry_budget_.SpendRetry();
     Hold(r);
     return;
   }
-  Conclude(r, !left                 ? ConclusionReason::kAttemptsExhausted
-              : now_ >= GiveUpAt(r) ? ConclusionReason::kDeadlineExceeded
-              : !MaySendAnywhere(r) ? ConclusionReason::kUnsafeToRetry
-                                    : ConclusionReason::kRetryBudgetExhausted);
+  Conclude(r, !left                             ? ConclusionReason::kAttemptsExhausted
+              : now_ >= GiveUpAt(r)             ? ConclusionReason::kDeadlineExceeded
+              : !retry_policy_.MaySend(r, now_) ? ConclusionReason::kUnsafeToRetry
+                                                : ConclusionReason::kRetryBudgetExhausted);
 }
 
 // ---- The rules ----
 
-bool Router::Impl::MaySendAnywhere(const Request& r) const {
-  if (r.attempts.size() >= static_cast<std::size_t>(settings_.max_attempts)) return false;
-  if (r.attempts_in_flight > 0 && !settings_.can_hedge) return false;
-  const ClassSettings& c = ClassOf(r);
-  if (c.idempotency == Idempotency::kIdempotent) return true;
-  for (const Attempt& a : r.attempts) {
-    if (!a.may_have_run) continue;
-    if (c.idempotency == Idempotency::kNotIdempotent) return false;
-    if (now_ - a.sent_at >= c.dedup_window - kRepeatMargin) return false;
-  }
-  return true;
-}
-
-bool Router::Impl::MaySend(const Request& r, const Replica& to) const {
-  const ClassSettings& c = ClassOf(r);
-  if (!MaySendAnywhere(r)) return false;
-  if (c.idempotency != Idempotency::kIdempotencyKey || c.dedup_scope == DedupScope::kAll) return true;
-  for (const Attempt& a : r.attempts) {
-    if (!a.may_have_run) continue;
-    // A zone or cell that is not known (below 0) may be any.
-    const int group = c.dedup_scope == DedupScope::kZone ? a.zone : a.cell;
-    const int of_next = c.dedup_scope == DedupScope::kZone ? to.endpoint.zone : to.endpoint.cell;
-    if (group < 0 || group != of_next) return false;
-  }
-  return true;
-}
-
-// How much is left of the window in which repeats are dropped, for a request that may have run; 0: no bound.
-Time Router::Impl::RepeatWithin(const Request& r) const {
-  const ClassSettings& c = ClassOf(r);
-  if (c.idempotency != Idempotency::kIdempotencyKey) return 0;
-  Time within = 0;
-  for (const Attempt& a : r.attempts) {
-    if (!a.may_have_run) continue;
-    const Time left = std::max<Time>(1, a.sent_at + c.dedup_window - kRepeatMargin - now_);
-    within = within == 0 ? left : std::min(within, left);
-  }
-  return within;
-}
-
-bool Router::Impl::MayRefuse(const Request& r) const {
-  const ClassSettings& c = ClassOf(r);
-  if (c.idempotency == Idempotency::kIdempotent) return true;
-  if (c.idempotency == Idempotency::kIdempotencyKey && c.dedup_scope == DedupScope::kAll) return true;
-  return std::none_of(r.attempts.begin(), r.attempts.end(), [](const Attempt& a) { return a.may_have_run; });
-}
-
 // The one final answer, given only when no attempt is out: a refusal where that is allowed, else a failure.
 void Router::Impl::Conclude(Request& r, ConclusionReason why) {
   const RequestId id = r.id();
   if (observer_ != nullptr) {
     observer_->OnConclusion({id, why, static_cast<int>(r.attempts.size()), now_ - r.arrived_at,
-                             static_cast<std::uint32_t>(held_.size()), limits_.total(),
+                             static_cast<std::uint32_t>(queue_.size()), limits_.total(),
                              fleet_.own_in_flight()});
   }
-  Unhold(r);
-  if (MayRefuse(r)) {
+  queue_.Dequeue(r);
+  if (retry_policy_.MayReject(r)) {
     Act(RejectRequest{id, settings_.clients_honor_retry_after ? settings_.max_retry_after : 0});
   } else {
     Act(FailRequest{id});
@@ -867,7 +688,7 @@
     Request& r = it->second;
     if (timer->kind == TimerKind::kObjectiveLost) {
       if (r.queued && r.queue_position.tier != PriorityTier::kObjectiveLost) {
-        Unhold(r);
+        queue_.Dequeue(r);
         Hold(r);
       }
     } else if (timer->kind == TimerKind::kQueueTimeout) {
@@ -892,16 +713,18 @@
 // What another process of this node learned, and what it still has out: a hot restart loses neither.
 void Router::Impl::On(const StateRestored& e) {
   if (e.state == nullptr) return;
-  k_ = *e.state;
-  concurrency_.RestoreFrom(k_);
-  estimator_.RestoreFrom(k_);
-  speed_.RestoreFrom(k_);
-  slow_start_.RestoreFrom(k_);
-  for (const LearnedState::Replica& r : std::exchange(k_.replicas, {})) {
+  const LearnedState& state = *e.state;
+  concurrency_.RestoreFrom(state);
+  estimator_.RestoreFrom(state);
+  speed_.RestoreFrom(state);
+  slow_start_.RestoreFrom(state);
+  affinity_.RestoreFrom(state);
+  tenant_quotas_.RestoreFrom(state);
+  retry_budget_.RestoreFrom(state);
+  for (const LearnedState::Replica& r : state.replicas) {
     Replica* x = fleet_.Find(r.id);
     if (x != nullptr && x->endpoint.started_at == r.started_at) static_cast<LearnedReplica&>(*x) = r.learned;
   }
-  Fit();
   limits_.Invalidate();
 }
 
@@ -924,15 +747,18 @@
   concurrency_.ResizeTables();
   estimator_.ResizeTables();
   speed_.ResizeTables();
-  k_.arrivals_by_tenant.resize(settings_.tenants.size());
+  tenant_quotas_.ResizeTables();
 }
 
 LearnedState Router::Impl::Export() const {
-  LearnedState all = k_;
+  LearnedState all;
   concurrency_.ExportTo(all);
   estimator_.ExportTo(all);
   speed_.ExportTo(all);
   slow_start_.ExportTo(all);
+  affinity_.ExportTo(all);
+  tenant_quotas_.ExportTo(all);
+  retry_budget_.ExportTo(all);
   for (const auto& x : fleet_.replicas())
     all.replicas.push_back({x->endpoint.id, x->endpoint.started_at, x->in_flight, *x});
   return all;
