--- /dev/null
+++ b/src/policy/candidate_finder.cpp
@@ -0,0 +1,158 @@
+#include "candidate_finder.h"
+
+#include <algorithm>
+#include <tuple>
+#include <utility>
+
+#include "hashing.h"
+
+namespace ryeglade::policy {
+namespace {
+
+constexpr std::size_t kMaxPreferred = 32;  // of a key that are looked at
+constexpr std::size_t kMaxRingPoints = 8 * kMaxPreferred * HashRing::kPointsPerReplica;  // in one search
+constexpr int kRandomDraws = 24;  // drawn besides: the best of so many is hardly worse than the best of all
+
+// By zone where `by_zone`, then by falling rank.
+auto ByRank(double Candidate::*rank, bool by_zone) {
+  return [rank, by_zone](const Candidate& a, const Candidate& b) {
+    const auto key = [&](const Candidate& c) {
+      return std::tuple(by_zone ? c.replica->endpoint.zone : 0, -(c.*rank), c.replica->endpoint.id);
+    };
+    return key(a) < key(b);
+  };
+}
+
+}  // namespace
+
+void CandidateFinder::Find(const RequestArrived& request, double prefix_share, double session_share, Time now,
+                           std::vector<Candidate>& candidates) {
+  candidates.clear();
+  if (!in_.fleet.UsesSampling()) {
+    AddAll(request, now, candidates);
+    MarkPreferred(request, prefix_share, session_share, candidates);
+    return;
+  }
+  // Departure: of a large fleet only a key's preferred replicas and some drawn by chance are looked at (power
+  // of d choices).
+  ring_.RebuildIfInvalid(in_.fleet);
+  ++search_;
+  if (request.prefix != 0) {
+    AddFromRing(request, {request.prefix, prefix_share, false}, candidates);
+    MarkSessionAmongPrefix(request, session_share, candidates);
+  } else if (request.session != 0) {
+    AddFromRing(request, {request.session, session_share, true}, candidates);
+  }
+  AddRandom(candidates);
+}
+
+// ---- All replicas ----
+
+void CandidateFinder::AddAll(const RequestArrived& request, Time now, std::vector<Candidate>& candidates) {
+  in_.load_reports.ResetMean();
+  for (const auto& replica : in_.fleet.replicas()) {
+    if (replica->concurrency_limit <= 0) continue;
+    const double weight = ReplicaSpeed::LoadFactor(in_.speed.KindSlowness(replica->endpoint.kind));
+    Candidate& candidate = candidates.emplace_back();
+    candidate.replica = replica.get();
+    if (request.prefix != 0) {
+      candidate.prefix_rank = RendezvousScore(request.prefix, replica->endpoint.id, weight);
+    }
+    if (request.session != 0) {
+      candidate.session_rank = RendezvousScore(request.session, replica->endpoint.id, weight);
+    }
+    in_.load_reports.CountTowardsMean(*replica, now);
+  }
+}
+
+// The prefix's preferred replicas, and among them the session's; in each zone, where crossing costs.
+void CandidateFinder::MarkPreferred(const RequestArrived& request, double prefix_share, double session_share,
+                                    std::vector<Candidate>& candidates) const {
+  const bool by_zone = AvoidsOtherZones(in_.settings);
+  if (request.prefix != 0) {
+    std::sort(candidates.begin(), candidates.end(), ByRank(&Candidate::prefix_rank, by_zone));
+  } else if (request.session != 0) {
+    std::sort(candidates.begin(), candidates.end(), ByRank(&Candidate::session_rank, by_zone));
+  }
+  for (auto zone_begin = candidates.begin(); zone_begin != candidates.end();) {
+    const int zone = zone_begin->replica->endpoint.zone;
+    const auto zone_end = std::find_if(zone_begin, candidates.end(), [&](const Candidate& candidate) {
+      return by_zone && candidate.replica->endpoint.zone != zone;
+    });
+    const auto count = static_cast<std::size_t>(zone_end - zone_begin);
+    std::size_t eligible_for_session = count;
+    if (request.prefix != 0) {
+      eligible_for_session = PrefixAffinity::PreferredCount(prefix_share, count, count);
+      const auto preferred_end = zone_begin + static_cast<std::ptrdiff_t>(eligible_for_session);
+      std::for_each(zone_begin, preferred_end, [](Candidate& c) { c.prefix_preferred = true; });
+      std::sort(zone_begin, preferred_end, ByRank(&Candidate::session_rank, by_zone));
+    }
+    if (request.session != 0 && (!by_zone || zone == in_.settings.zone)) {
+      const std::size_t preferred =
+          PrefixAffinity::PreferredCount(session_share, count, eligible_for_session);
+      std::for_each(zone_begin, zone_begin + static_cast<std::ptrdiff_t>(preferred),
+                    [](Candidate& c) { c.session_preferred = true; });
+    }
+    zone_begin = zone_end;
+  }
+}
+
+// ---- A sample ----
+
+bool CandidateFinder::TakeOnce(Replica& replica) const {
+  if (replica.concurrency_limit <= 0 || replica.last_search == search_) return false;
+  replica.last_search = search_;
+  return true;
+}
+
+void CandidateFinder::AddFromRing(const RequestArrived& request, const RingSearch& search,
+                                  std::vector<Candidate>& candidates) {
+  const std::size_t preferred =
+      PrefixAffinity::PreferredCount(search.traffic_share, in_.limits.available().size(), ring_.size());
+  std::size_t left = std::min(kMaxPreferred, preferred);
+  std::size_t index = ring_.Locate(search.key);
+  // Of a key with many preferred replicas a stretch is looked at, for a session always the same one.
+  if (preferred > kMaxPreferred) {
+    const double start = request.session != 0 ? UnitInterval(Mix64(request.session)) : in_.random.Next();
+    index += static_cast<std::size_t>(start * static_cast<double>(preferred - kMaxPreferred));
+  }
+  const bool own_zone_only = AvoidsOtherZones(in_.settings);
+  const std::size_t points = std::min(ring_.size(), kMaxRingPoints);
+  for (std::size_t n = 0; n < points && left > 0; ++n, ++index) {
+    Replica& replica = ring_.ReplicaAt(index);
+    if (own_zone_only && replica.endpoint.zone != in_.settings.zone) continue;
+    if (!TakeOnce(replica)) continue;
+    Candidate& candidate = candidates.emplace_back();
+    candidate.replica = &replica;
+    candidate.prefix_preferred = !search.is_session;
+    candidate.session_preferred = search.is_session;
+    --left;
+  }
+}
+
+void CandidateFinder::MarkSessionAmongPrefix(const RequestArrived& request, double session_share,
+                                             std::vector<Candidate>& candidates) const {
+  if (request.session == 0 || candidates.empty()) return;
+  for (Candidate& candidate : candidates) {
+    candidate.session_hash = Mix64(request.session ^ Mix64(candidate.replica->endpoint.id));
+  }
+  std::sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) {
+    return std::pair(~a.session_hash, a.replica->endpoint.id) <
+           std::pair(~b.session_hash, b.replica->endpoint.id);
+  });
+  const std::size_t preferred =
+      PrefixAffinity::PreferredCount(session_share, in_.limits.available().size(), candidates.size());
+  for (std::size_t i = 0; i < preferred; ++i) candidates[i].session_preferred = true;
+}
+
+void CandidateFinder::AddRandom(std::vector<Candidate>& candidates) {
+  const std::vector<Replica*>& available = in_.limits.available();
+  if (available.empty()) return;
+  for (int draw = 0; draw < kRandomDraws; ++draw) {
+    const auto index = static_cast<std::size_t>(in_.random.Next() * static_cast<double>(available.size()));
+    Replica& replica = *available[std::min(available.size() - 1, index)];
+    if (TakeOnce(replica)) candidates.emplace_back().replica = &replica;
+  }
+}
+
+}  // namespace ryeglade::policy
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -31,6 +31,7 @@
 #include "random_source.h"
 #include "replica.h"
 #include "replica_limits.h"
+#include "replica_selector.h"
 #include "replica_speed.h"
 #include "request.h"
 #include "request_queue.h"
@@ -47,18 +48,6 @@
 // Learning.
 constexpr double kFailureSlow = 1.1;  // ln 3: a failed attempt makes a replica look this much slower
 
-// Choice of a replica.
-constexpr double kLeastRead = 300;     // tokens: what any request costs at least
-constexpr double kCrossingRead = 800;  // tokens that a zone crossing is worth
-constexpr double kShun = 0.5;          // how far a replica slower than its kind is taken to be fuller
-constexpr double kMostOccupied = 0.8;  // replicas are not taken to be fuller than this unless they say so
-constexpr double kTie = 0.02;          // rooms closer than this are a tie, drawn by weight
-
-// Large fleets: looking at every replica for every request would cost more the more there are.
-constexpr int kPoints = 8;              // of a replica on the ring that says where keys have their homes
-constexpr std::size_t kMostHomes = 32;  // of a key that are looked at
-constexpr int kDrawn = 24;  // drawn besides: the best of so many is hardly worse than the best of all
-
 Settings Checked(Settings settings) {
   if (settings.classes.empty()) settings.classes.emplace_back();
   settings.node_count = std::max(1, settings.node_count);
@@ -111,12 +100,8 @@
   PriorityTier TierOf(const Request& r) const;
   void Hold(Request& r);
   void Release();
-  Replica* Choose(const Request& r);
   void Send(Request& r, Replica& to);
   void DoneReading(Attempt& a);
-  void MakeRing();
-  void Everyone(const RequestArrived& i, double prefix_share, double session_share);
-  void Candidates(const RequestArrived& i, double prefix_share, double session_share);
 
   // What is learned.
   LimitUsage Usage() const { return {now_, fleet_.in_flight(), limits_.total(), estimator_.mean_runtime()}; }
@@ -126,9 +111,7 @@
 
   // Rules.
   const ClassSettings& ClassOf(const Request& r) const { return settings_.classes[r.class_index()]; }
-  bool ByZone() const { return settings_.cross_zone_penalty > 0 && settings_.zone_count > 1; }
   void Conclude(Request& r, ConclusionReason why);
-  void NoteSend(const Request& r, const Replica& to) const;
   void Forget(RequestId id);
   void RetryOrConclude(Request& r, Outcome o);
   Time GiveUpAt(const Request& r) const;
@@ -160,23 +143,12 @@
   EndpointPolling polling_{settings_};
   ReplicaLimits limits_{
       {fleet_, traffic_share_, concurrency_, speed_, slow_start_, ejection_, load_reports_}};
+  ReplicaSelector selector_{
+      {settings_, fleet_, traffic_share_, limits_, speed_, load_reports_, affinity_, retry_policy_, random_}};
   std::unordered_map<RequestId, Request> requests_;
   RequestQueue queue_;
 
   TimerQueue timers_;
-
-  struct Option {
-    Replica* replica;
-    double prefix_rank, session_rank;
-    bool home, session_home;
-    double room;
-    std::uint64_t session_order = 0;  // of large fleets
-  };
-  std::vector<Option> options_;  // scratch
-  // Of large fleets only.
-  std::vector<std::pair<std::uint64_t, Replica*>> ring_;  // points of usable replicas, by hash
-  bool ring_old_ = true;
-  std::uint64_t search_ = 0;
 };
 
 Router::Impl::Impl(const Settings& settings, std::uint64_t seed, Time now)
@@ -208,7 +180,7 @@
   polling_.OnList(e.scope);
   fleet_.Apply(e, now_, random_);
   limits_.Invalidate();
-  ring_old_ = true;
+  selector_.OnFleetChanged();
 }
 
 void Router::Impl::AskForList() {
@@ -307,7 +279,7 @@
     if (fleet_.in_flight() >= std::max(1.0, limits_.total())) return;
     Request& r = requests_.at(it->id);
     ++it;
-    Replica* to = Choose(r);
+    Replica* to = selector_.Select(r, now_);
     if (to == nullptr) {
       if (r.attempts.empty()) return;  // free to go anywhere, and nowhere is room
       ++stuck;
@@ -318,28 +290,10 @@
   }
 }
 
-// From what Choose has just weighed.
-void Router::Impl::NoteSend(const Request& r, const Replica& to) const {
-  DispatchRecord note{r.id(), static_cast<int>(r.attempts.size()), to.endpoint.id, r.estimated_runtime,
-                      now_ - r.arrived_at};
-  note.candidates = static_cast<int>(options_.size());
-  note.concurrency_limit = to.concurrency_limit;
-  note.in_flight = to.in_flight;
-  for (const Option& o : options_) {
-    if (o.room >= 0) ++note.candidates_with_capacity;
-    if (o.replica == &to) {
-      note.score = o.room;
-      note.tokens_to_prefill = affinity_.TokensToPrefill(r.arrival, to, {o.home, false, false}, now_);
-    } else if (o.room > note.runner_up_score) {
-      note.runner_up = o.replica->endpoint.id;
-      note.runner_up_score = o.room;
-    }
-  }
-  observer_->OnDispatch(note);
-}
-
 void Router::Impl::Send(Request& r, Replica& to) {
-  if (observer_ != nullptr && observer_->wants_dispatches()) NoteSend(r, to);
+  if (observer_ != nullptr && observer_->wants_dispatches()) {
+    observer_->OnDispatch(selector_.Describe(r, to, now_));
+  }
   const Time write_within = retry_policy_.WriteWithin(r, now_);
   Attempt a;
   a.replica = to.endpoint.id;
@@ -350,9 +304,7 @@
   ++r.attempts_in_flight;
   fleet_.AttemptSent(to);
   // What is kept now is what it had to read less; from here on the whole prompt is there.
-  const bool home = std::any_of(options_.begin(), options_.end(),
-                                [&](const Option& o) { return o.replica == &to && o.home; });
-  r.attempts.back().tokens_to_prefill = affinity_.TokensToPrefill(r.arrival, to, {home, false, false}, now_);
+  r.attempts.back().tokens_to_prefill = selector_.TokensToPrefill(r, to, now_);
   if (to.prefill_backlog_tokens < 1) to.waiting_since = now_;
   to.prefill_backlog_tokens += r.attempts.back().tokens_to_prefill;
   affinity_.RecordDispatch(r.arrival, to.endpoint.id, now_);
@@ -360,180 +312,6 @@
   Act(SendAttempt{r.id(), to.endpoint.id, 0, write_within});
 }
 
-// The replica with most room. Room is the part of a replica's cap that is thought free, counted in requests
-// like this one: where its prompt is kept, a request takes less, so more of them fit.
-Replica* Router::Impl::Choose(const Request& r) {
-  const double nodes = traffic_share_.equivalent_nodes();
-  const bool by_zone = ByZone();
-  const RequestArrived& i = r.arrival;
-  options_.clear();
-  const double prefix_share = i.prefix != 0 ? affinity_.TrafficShareOf(i.prefix, now_) : 0;
-  const double session_share = i.session != 0 ? affinity_.RecentTrafficShareOf(i.session, now_) : 0;
-  fleet_.UsesSampling() ? Candidates(i, prefix_share, session_share)
-                        : Everyone(i, prefix_share, session_share);
-  if (options_.empty()) return nullptr;
-  // What others have out is not seen; it is taken to be like this node's own, or like what replicas report.
-  double occupied = std::min(kMostOccupied, fleet_.in_flight() / std::max(limits_.total(), 1e-9));
-
-  const double among =
-      static_cast<double>(fleet_.UsesSampling() ? limits_.available().size() : options_.size());
-  const bool hot = PrefixAffinity::IsHot(session_share, among);
-  double best = -1;
-  for (Option& o : options_) {
-    const Replica& x = *o.replica;
-    o.room = -1;
-    if (!limits_.HasCapacity(x, now_) || !retry_policy_.MaySendTo(r, x, now_)) continue;
-    const bool tried = std::any_of(r.attempts.begin(), r.attempts.end(),
-                                   [&](const Attempt& a) { return a.replica == x.endpoint.id; });
-    // What other nodes have there is not seen: as much as here on average, more where answers are slow.
-    const double slowness = speed_.Slowness(x, now_);
-    double others = occupied * std::exp(kShun * (slowness - speed_.KindSlowness(x.endpoint.kind)));
-    if (LoadReports::HasReport(x)) {
-      const double trust = LoadReports::Freshness(x, now_);
-      others = trust * occupied * load_reports_.RelativeLoad(x, now_) + (1 - trust) * others;
-    }
-    const double own = (x.in_flight + x.in_flight_elsewhere()) / (nodes * x.concurrency_limit);
-    const double free = std::max(0.01, 1 - own - others * (nodes - 1) / nodes);
-    // Room is counted in requests like this one, and what a request takes is what must be read before its
-    // first token comes: the prompts that came before it, and what of its own is not kept there.
-    double weight =
-        (x.prefill_backlog_tokens + affinity_.TokensToPrefill(i, x, {o.home, o.session_home, hot}, now_)) *
-            std::exp(slowness) +
-        kLeastRead;
-    if (by_zone && x.endpoint.zone != settings_.zone)
-      weight += kCrossingRead * settings_.cross_zone_penalty / 0.08;
-    if (tried) weight *= 5;  // somewhere else, if there is anywhere else
-    o.room = free / weight;
-    best = std::max(best, o.room);
-  }
-  if (best < 0) return nullptr;
-  double total = 0;
-  for (const Option& o : options_) {
-    if (o.room >= best * (1 - kTie)) total += o.replica->concurrency_limit;
-  }
-  double draw = random_.Next() * total;
-  Replica* chosen = nullptr;
-  for (const Option& o : options_) {
-    if (o.room < best * (1 - kTie)) continue;
-    chosen = o.replica;
-    draw -= o.replica->concurrency_limit;
-    if (draw <= 0) break;
-  }
-  return chosen;
-}
-
-// All replicas that have a cap, with the homes of the prefix, then of the session among them; in each zone,
-// where crossing costs.
-void Router::Impl::Everyone(const RequestArrived& i, double prefix_share, double session_share) {
-  const bool by_zone = ByZone();
-  load_reports_.ResetMean();
-  for (auto& x : fleet_.replicas()) {
-    if (x->concurrency_limit <= 0) continue;
-    const double speed = ReplicaSpeed::LoadFactor(speed_.KindSlowness(x->endpoint.kind));
-    options_.push_back({x.get(), i.prefix != 0 ? RendezvousScore(i.prefix, x->endpoint.id, speed) : 0,
-                        i.session != 0 ? RendezvousScore(i.session, x->endpoint.id, speed) : 0, false, false,
-                        0});
-    load_reports_.CountTowardsMean(*x, now_);
-  }
-  const auto by = [by_zone](auto member) {
-    const auto key = [=](const Option& o) {
-      return std::tuple(by_zone ? o.replica->endpoint.zone : 0, -(o.*member), o.replica->endpoint.id);
-    };
-    return [key](const Option& a, const Option& b) { return key(a) < key(b); };
-  };
-  if (i.prefix != 0) {
-    std::sort(options_.begin(), options_.end(), by(&Option::prefix_rank));
-  } else if (i.session != 0) {
-    std::sort(options_.begin(), options_.end(), by(&Option::session_rank));
-  }
-  for (std::size_t from = 0; from < options_.size();) {
-    std::size_t to = from + 1;
-    while (to < options_.size() &&
-           (!by_zone || options_[to].replica->endpoint.zone == options_[from].replica->endpoint.zone)) {
-      ++to;
-    }
-    std::size_t set =
-        i.prefix != 0 ? PrefixAffinity::PreferredCount(prefix_share, to - from, to - from) : to - from;
-    if (i.prefix != 0) {
-      for (std::size_t k = from; k < from + set; ++k) options_[k].home = true;
-      std::sort(options_.begin() + static_cast<std::ptrdiff_t>(from),
-                options_.begin() + static_cast<std::ptrdiff_t>(from + set), by(&Option::session_rank));
-    }
-    if (i.session != 0 && (!by_zone || options_[from].replica->endpoint.zone == settings_.zone)) {
-      const std::size_t mine = PrefixAffinity::PreferredCount(session_share, to - from, set);
-      for (std::size_t k = from; k < from + mine; ++k) options_[k].session_home = true;
-    }
-    from = to;
-  }
-}
-
-// Each replica has some points on a ring, at the same places at every node, and a key's homes are the
-// replicas whose points come next behind it: few keys move when a replica comes or goes.
-void Router::Impl::MakeRing() {
-  ring_old_ = false;
-  ring_.clear();
-  for (const auto& x : fleet_.replicas()) {
-    if (!x->ready) continue;
-    for (int k = 0; k < kPoints; ++k)
-      ring_.emplace_back(Mix64(Mix64(x->endpoint.id) + static_cast<std::uint64_t>(k)), x.get());
-  }
-  std::sort(ring_.begin(), ring_.end(), [](const auto& a, const auto& b) {
-    return std::pair(a.first, a.second->endpoint.id) < std::pair(b.first, b.second->endpoint.id);
-  });
-}
-
-// Departure: of a large fleet only a key's homes and some drawn by chance are looked at (power of d choices).
-void Router::Impl::Candidates(const RequestArrived& i, double prefix_share, double session_share) {
-  if (ring_old_) MakeRing();
-  ++search_;
-  const bool by_zone = ByZone();
-  const auto homes = [&](std::uint64_t key, double share, std::size_t most, bool session) {
-    const std::size_t set = PrefixAffinity::PreferredCount(share, limits_.available().size(), ring_.size());
-    std::size_t left = std::min(most, set);
-    const auto first = std::lower_bound(ring_.begin(), ring_.end(), Mix64(key),
-                                        [](const auto& p, std::uint64_t h) { return p.first < h; });
-    std::size_t at = static_cast<std::size_t>(first - ring_.begin());
-    // Of a key with many homes a stretch is looked at, for a session always the same one.
-    if (set > most) {
-      const double part = i.session != 0 ? UnitInterval(Mix64(i.session)) : random_.Next();
-      at += static_cast<std::size_t>(part * static_cast<double>(set - most));
-    }
-    for (std::size_t n = 0; n < ring_.size() && n < 8 * kMostHomes * kPoints && left > 0; ++n, ++at) {
-      Replica* x = ring_[at % ring_.size()].second;
-      if (x->concurrency_limit <= 0 || x->last_search == search_ ||
-          (by_zone && x->endpoint.zone != settings_.zone))
-        continue;
-      x->last_search = search_;
-      options_.push_back({x, 0, 0, !session, session, 0});
-      --left;
-    }
-  };
-  if (i.prefix != 0) {
-    homes(i.prefix, prefix_share, kMostHomes, false);
-    // Among them the session has its own.
-    if (i.session != 0 && !options_.empty()) {
-      for (Option& o : options_) o.session_order = Mix64(i.session ^ Mix64(o.replica->endpoint.id));
-      std::sort(options_.begin(), options_.end(), [](const Option& a, const Option& b) {
-        return std::pair(~a.session_order, a.replica->endpoint.id) <
-               std::pair(~b.session_order, b.replica->endpoint.id);
-      });
-      const std::size_t mine =
-          PrefixAffinity::PreferredCount(session_share, limits_.available().size(), options_.size());
-      for (std::size_t k = 0; k < mine; ++k) options_[k].session_home = true;
-    }
-  } else if (i.session != 0) {
-    homes(i.session, session_share, kMostHomes, true);
-  }
-  for (int k = 0; k < kDrawn && !limits_.available().empty(); ++k) {
-    Replica* x = limits_.available()[std::min(
-        limits_.available().size() - 1,
-        static_cast<std::size_t>(random_.Next() * static_cast<double>(limits_.available().size())))];
-    if (x->concurrency_limit <= 0 || x->last_search == search_) continue;
-    x->last_search = search_;
-    options_.push_back({x, 0, 0, false, false, 0});
-  }
-}
-
 void Router::Impl::DoneReading(Attempt& a) {
   if (Replica* x = fleet_.Find(a.replica))
     x->prefill_backlog_tokens = std::max(0.0, x->prefill_backlog_tokens - a.tokens_to_prefill);
