--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -2,20 +2,21 @@
 // include/ryeglade/router.h.
 //
 // The ordinary path, after Dyachuk and Deters' transparent scheduling:
-//   a request arrives      -> it is held; its size is estimated from what its bucket took before (Estimate);
-//   held requests leave    -> shortest estimated first, while this node's in-flight total is below the sum
-//                             of its caps and some replica has room under its own cap (Release);
-//   each goes to the replica with most room, room being counted in requests like this one, so that a replica
-//                             which keeps the prompt has more of it (Choose);
-//   outcomes teach         -> the estimates (served answers only), how slow each replica is, and the caps.
+//   a request arrives         -> it is queued; its runtime is estimated from what requests like it took
+//                                (RuntimeEstimator);
+//   queued requests leave     -> shortest estimate first, while what this node has in flight is below the sum
+//                                of its concurrency limits and some replica has spare capacity
+//                                (DispatchQueued);
+//   each goes to the replica  -> with most spare capacity, counted in requests like this one, so that a
+//                                replica which has cached the prompt has more of it (ReplicaSelector);
+//   outcomes teach            -> the estimates (served requests only), how slow each replica is, and the
+//                                limits (LearnServed, LearnFailure).
 // What departs from that path is marked "Departure" and listed, with its condition, in docs/design.md.
 #include "ryeglade/router.h"
 
 #include <algorithm>
-#include <bit>
 #include <cmath>
 #include <optional>
-#include <tuple>
 #include <unordered_map>
 #include <utility>
 
@@ -23,7 +24,6 @@
 #include "capacity_backoff.h"
 #include "endpoint_polling.h"
 #include "fleet.h"
-#include "hashing.h"
 #include "load_reports.h"
 #include "outlier_ejection.h"
 #include "prefix_affinity.h"
@@ -45,8 +45,14 @@
 namespace ryeglade::policy {
 namespace {
 
-// Learning.
-constexpr double kFailureSlow = 1.1;  // ln 3: a failed attempt makes a replica look this much slower
+constexpr double kFailureSlowness = 1.1;  // ln 3: a failed attempt makes a replica look this much slower
+constexpr double kMaxPromptTokens = 1e9;
+// Queued requests that rules keep from every replica with spare capacity; they must not block the others.
+constexpr int kMaxUnplaceable = 8;
+// The final response has to be out before the client's time is up: by this, or by one part in so many of its
+// time budget.
+constexpr Time kMinResponseMargin = 20'000;
+constexpr Time kResponseMarginParts = 50;
 
 Settings Checked(Settings settings) {
   if (settings.classes.empty()) settings.classes.emplace_back();
@@ -54,495 +60,594 @@
   return settings;
 }
 
+template <class... Handlers>
+struct Overloaded : Handlers... {
+  using Handlers::operator()...;
+};
+template <class... Handlers>
+Overloaded(Handlers...) -> Overloaded<Handlers...>;
+
 }  // namespace
 
 class Router::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed, Time now);
-  void Handle(Time now, const Event& event, std::vector<Action>& actions);
 
-  const Replica* Find(ReplicaId id) const { return fleet_.Find(id); }
-  bool MayRefuse(RequestId id) const {
-    const auto it = requests_.find(id);
-    return it != requests_.end() && retry_policy_.MayReject(it->second);
-  }
-  void Retune(const std::vector<ClassSettings>& classes, int max_attempts) {
-    if (classes.size() < settings_.classes.size()) return;
-    settings_.classes = classes;
-    settings_.max_attempts = std::max(1, max_attempts);
-    Fit();
-  }
-  LearnedState Export() const;
-  std::size_t held() const { return queue_.size(); }
-  std::size_t open() const { return requests_.size(); }
+  void Handle(Time now, const Event& event, std::vector<Action>& actions);
+  void UpdateClasses(const std::vector<ClassSettings>& classes, int max_attempts);
+  void SetObserver(DecisionObserver* observer) { observer_ = observer; }
+  LearnedState ExportState() const;
+
+  const Replica* FindReplica(ReplicaId id) const { return fleet_.Find(id); }
+  bool MayReject(RequestId id) const;
+  std::size_t queued_requests() const { return queue_.size(); }
+  std::size_t open_requests() const { return requests_.size(); }
   double total_concurrency_limit() const { return limits_.total(); }
-  void Observe(DecisionObserver* observer) { observer_ = observer; }
 
  private:
   // Events.
-  void On(const EndpointList& e);
-  void On(const RequestArrived& e);
-  void On(const ResponseStarted& e);
-  void On(const AttemptEnded& e);
-  void On(const ClientDisconnected& e);
-  void On(const TimerFired& e);
-  void On(const HealthCheckCompleted&) {}
-  void On(const NodeCountChanged& e);
-  void On(const TrafficShareChanged& e);
-  void On(const StateRestored& e);
-  void On(const SiblingInFlightChanged& e);
-  void On(const PeerReportsReceived& e);
-  void On(const DeadlineShortened& e);
-  void On(const PrefixTrafficReceived& e) { affinity_.SetTierTraffic(e.shares); }
-  void Fit();  // what is learned class by class, to the classes in force
-
-  // The ordinary path.
-  PriorityTier TierOf(const Request& r) const;
-  void Hold(Request& r);
-  void Release();
-  void Send(Request& r, Replica& to);
-  void DoneReading(Attempt& a);
+  void HandleEvent(const Event& event);
+  void OnEndpointList(const EndpointList& list);
+  void OnRequestArrived(const RequestArrived& arrival);
+  void OnResponseStarted(const ResponseStarted& started);
+  void OnAttemptEnded(const AttemptEnded& ended);
+  void OnClientDisconnected(RequestId id);
+  void OnDeadlineShortened(const DeadlineShortened& shortened);
+  void OnTimerFired(std::uint64_t token);
+  void OnNodeCountChanged(int node_count);
+  void OnTrafficShareChanged(double share);
+  void OnStateRestored(const LearnedState& state);
+  void OnPeerReports(const std::vector<PeerReplicaReport>& reports);
+
+  // The queue.
+  void Enqueue(Request& request);
+  void DispatchQueued();
+  void Send(Request& request, Replica& replica);
+  Time LatestDispatch(const Request& request) const;
+  Time LatestDispatchForObjective(const Request& request) const;
+  PriorityTier TierOf(const Request& request) const;
+  void OnRequestTimer(const Timer& timer);
+
+  // The end of requests.
+  void RetryOrConclude(Request& request, Outcome outcome);
+  ConclusionReason WhyNoRetry(const Request& request) const;
+  void Conclude(Request& request, ConclusionReason reason);
+  void MarkConcluded(Request& request);
+  void ForgetIfDone(RequestId id);
 
   // What is learned.
-  LimitUsage Usage() const { return {now_, fleet_.in_flight(), limits_.total(), estimator_.mean_runtime()}; }
-  void LearnServed(const Request& r, Replica* from, Time runtime);
-  void LearnSlow(Replica& x, double log_ratio);
-  void LearnFailure(Replica& x, Outcome o);
-
-  // Rules.
-  const ClassSettings& ClassOf(const Request& r) const { return settings_.classes[r.class_index()]; }
-  void Conclude(Request& r, ConclusionReason why);
-  void Forget(RequestId id);
-  void RetryOrConclude(Request& r, Outcome o);
-  Time GiveUpAt(const Request& r) const;
-
-  void AskForList();
+  void PrefillEnded(Attempt& attempt);
+  void LearnServed(const Request& request, Replica& replica, Time runtime);
+  void LearnFailure(Replica& replica, Outcome outcome);
+  void LearnAtCapacity(Replica& replica);
+  void LearnSpeed(Replica& replica, double log_ratio);
+  LimitUsage CurrentUsage() const;
+  void ResizeTables();
+
+  const ClassSettings& ClassOf(const Request& request) const {
+    return settings_.classes[request.class_index()];
+  }
+  // Null: not known, or concluded.
+  Request* FindOpen(RequestId id);
+  void PollEndpointsAfter(std::optional<Time> delay);
+  void ReportEjection(const Replica& replica, Outcome outcome, Time until) const;
   template <class T>
-  void Act(T action) {
+  void Emit(T action) {
     actions_->push_back(std::move(action));
   }
 
   Settings settings_;
   RandomSource random_;
-  Time now_;
-  std::vector<Action>* actions_ = nullptr;
+  Time now_;                                // of the event being handled; never steps back
+  std::vector<Action>* actions_ = nullptr;  // while an event is handled
   DecisionObserver* observer_ = nullptr;
 
+  // What is known of replicas and learned from outcomes.
   Fleet fleet_;
+  TrafficShare traffic_share_{settings_.node_count};
   RuntimeEstimator estimator_{settings_};
   ReplicaSpeed speed_{settings_};
   LoadReports load_reports_{settings_, speed_};
   SlowStart slow_start_{settings_};
-  TrafficShare traffic_share_{settings_.node_count};
-  AdaptiveConcurrency concurrency_{settings_, traffic_share_};
   OutlierEjection ejection_;
+  AdaptiveConcurrency concurrency_{settings_, traffic_share_};
   PrefixAffinity affinity_{settings_};
   TenantQuotas tenant_quotas_{settings_, traffic_share_};
-  RetryPolicy retry_policy_{settings_};
   RetryBudget retry_budget_;
-  EndpointPolling polling_{settings_};
+
+  // What decides.
+  RetryPolicy retry_policy_{settings_};
   ReplicaLimits limits_{
       {fleet_, traffic_share_, concurrency_, speed_, slow_start_, ejection_, load_reports_}};
   ReplicaSelector selector_{
       {settings_, fleet_, traffic_share_, limits_, speed_, load_reports_, affinity_, retry_policy_, random_}};
+  EndpointPolling polling_{settings_};
+
   std::unordered_map<RequestId, Request> requests_;
   RequestQueue queue_;
-
   TimerQueue timers_;
 };
 
 Router::Impl::Impl(const Settings& settings, std::uint64_t seed, Time now)
     : settings_(Checked(settings)), random_(seed), now_(now) {
-  Fit();
-  if (const std::optional<Time> delay = polling_.FirstDelay(random_)) {
-    timers_.Schedule(now_ + *delay, TimerKind::kPollEndpoints);
-  }
+  ResizeTables();
+  PollEndpointsAfter(polling_.FirstDelay(random_));
 }
 
+// ---- Events ----
+
 void Router::Impl::Handle(Time now, const Event& event, std::vector<Action>& actions) {
   now_ = std::max(now_, now);
   actions_ = &actions;
-  std::visit([this](const auto& e) { On(e); }, event);
-  Release();
-  if (const std::optional<SetTimer> timer = timers_.Arm(now_)) Act(*timer);
+  HandleEvent(event);
+  DispatchQueued();
+  if (const std::optional<SetTimer> timer = timers_.Arm(now_)) Emit(*timer);
   actions_ = nullptr;
 }
 
-// ---- The list of replicas ----
-
-void Router::Impl::On(const EndpointList& e) {
-  if (e.scope == EndpointListScope::kFailed) {
-    // The old list stays.
-    const std::optional<Time> delay = polling_.OnFailure(random_);
-    if (delay) timers_.Schedule(now_ + *delay, TimerKind::kPollEndpoints);
+void Router::Impl::HandleEvent(const Event& event) {
+  const Overloaded handlers = {
+      [&](const EndpointList& e) { OnEndpointList(e); },
+      [&](const RequestArrived& e) { OnRequestArrived(e); },
+      [&](const ResponseStarted& e) { OnResponseStarted(e); },
+      [&](const AttemptEnded& e) { OnAttemptEnded(e); },
+      [&](const ClientDisconnected& e) { OnClientDisconnected(e.id); },
+      [&](const DeadlineShortened& e) { OnDeadlineShortened(e); },
+      [&](const TimerFired& e) { OnTimerFired(e.token); },
+      [&](const HealthCheckCompleted&) {},  // the Router asks for none
+      [&](const NodeCountChanged& e) { OnNodeCountChanged(e.node_count); },
+      [&](const TrafficShareChanged& e) { OnTrafficShareChanged(e.share); },
+      [&](const StateRestored& e) {
+        if (e.state != nullptr) OnStateRestored(*e.state);
+      },
+      [&](const SiblingInFlightChanged& e) { fleet_.SetSiblingInFlight(e.in_flight); },
+      [&](const PeerReportsReceived& e) { OnPeerReports(e.replicas); },
+      [&](const PrefixTrafficReceived& e) { affinity_.SetTierTraffic(e.shares); },
+  };
+  std::visit(handlers, event);
+}
+
+// ---- Replicas and the routing tier ----
+
+void Router::Impl::OnEndpointList(const EndpointList& list) {
+  if (list.scope == EndpointListScope::kFailed) {  // the old list stays
+    PollEndpointsAfter(polling_.OnFailure(random_));
     return;
   }
-  polling_.OnList(e.scope);
-  fleet_.Apply(e, now_, random_);
+  polling_.OnList(list.scope);
+  fleet_.Apply(list, now_, random_);
   limits_.Invalidate();
   selector_.OnFleetChanged();
 }
 
-void Router::Impl::AskForList() {
-  if (polling_.OpenWatch()) Act(WatchEndpoints{true});
+void Router::Impl::PollEndpointsAfter(std::optional<Time> delay) {
+  if (delay) timers_.Schedule(now_ + *delay, TimerKind::kPollEndpoints);
+}
+
+void Router::Impl::OnNodeCountChanged(int node_count) {
+  const double before = std::exchange(settings_.node_count, std::max(1, node_count));
+  concurrency_.Scale(traffic_share_.ScaleNodeCount(before, settings_.node_count));
+  limits_.InvalidateUnlessSampling();
+}
+
+void Router::Impl::OnTrafficShareChanged(double share) {
+  const std::optional<double> factor = traffic_share_.SetShare(share);
+  if (!factor) return;
+  concurrency_.Scale(*factor);
+  limits_.InvalidateUnlessSampling();
+}
+
+void Router::Impl::OnPeerReports(const std::vector<PeerReplicaReport>& reports) {
+  for (const PeerReplicaReport& report : reports) {
+    Replica* replica = fleet_.Find(report.id);
+    if (replica == nullptr || replica->endpoint.started_at != report.started_at) continue;
+    PeerReplicaReport& known = replica->peer_report;
+    known = report;
+    known.slowness = std::clamp(report.slowness, -ReplicaSpeed::kMaxSlowness, ReplicaSpeed::kMaxSlowness);
+    known.slowness_samples = std::clamp(report.slowness_samples, 0.0, ReplicaSpeed::kPriorWeight);
+    replica->peer_report_at = now_;
+    if (report.ejected_until > now_) {
+      timers_.Schedule(report.ejected_until, TimerKind::kUpdateLimits);
+    }
+  }
+  limits_.Invalidate();
 }
 
 // ---- Requests ----
 
-void Router::Impl::On(const RequestArrived& e) {
-  if (requests_.contains(e.id)) return;
-  Request& r = requests_[e.id];
-  r.arrival = e;
-  r.arrival.class_index = std::clamp(e.class_index, 0, static_cast<int>(settings_.classes.size()) - 1);
-  r.arrival.prompt_tokens = std::min(1e9, std::max(0.0, e.prompt_tokens));  // 0 for what is no number
-  const ClassSettings& c = ClassOf(r);
-  r.arrived_at = now_;
-  r.deadline = now_ + std::max<Time>(0, e.time_budget);
-  r.objective_at =
-      now_ + c.latency_objective +
-      static_cast<Time>(static_cast<double>(c.objective_per_1000_tokens) * r.arrival.prompt_tokens / 1000.0);
+void Router::Impl::OnRequestArrived(const RequestArrived& arrival) {
+  if (requests_.contains(arrival.id)) return;
+  Request& request = requests_[arrival.id];
+  request.arrival = arrival;
+  const int last_class = static_cast<int>(settings_.classes.size()) - 1;
+  request.arrival.class_index = std::clamp(arrival.class_index, 0, last_class);
+  // 0 for what is no number.
+  request.arrival.prompt_tokens = std::min(kMaxPromptTokens, std::max(0.0, arrival.prompt_tokens));
+  const ClassSettings& settings = ClassOf(request);
+  const double objective_for_prompt =
+      static_cast<double>(settings.objective_per_1000_tokens) * request.arrival.prompt_tokens / 1000.0;
+  request.arrived_at = now_;
+  request.deadline = now_ + std::max<Time>(0, arrival.time_budget);
+  request.objective_at = now_ + settings.latency_objective + static_cast<Time>(objective_for_prompt);
+
   retry_budget_.AddRequest();
-  affinity_.CountArrival(e, now_);
-  r.over_quota = tenant_quotas_.CountArrival(e.tenant_index, now_);
-  estimator_.Estimate(r);
-  // A try can come with no patience left; a timer would answer it a tick too late.
-  if (GiveUpAt(r) <= now_) return Conclude(r, ConclusionReason::kNoTimeBudget);
-  Hold(r);
-}
-
-void Router::Impl::On(const ClientDisconnected& e) {
-  const auto it = requests_.find(e.id);
-  if (it == requests_.end() || it->second.concluded) return;
-  Request& r = it->second;
-  queue_.Dequeue(r);
-  r.concluded = true;
+  affinity_.CountArrival(arrival, now_);
+  request.over_quota = tenant_quotas_.CountArrival(arrival.tenant_index, now_);
+  estimator_.Estimate(request);
+
+  // It can come with no time left; a timer would conclude it a tick too late.
+  if (LatestDispatch(request) <= now_) {
+    Conclude(request, ConclusionReason::kNoTimeBudget);
+    return;
+  }
+  Enqueue(request);
+}
+
+void Router::Impl::OnClientDisconnected(RequestId id) {
+  Request* request = FindOpen(id);
+  if (request == nullptr) return;
+  queue_.Dequeue(*request);
   if (settings_.can_cancel) {
-    for (std::size_t i = 0; i < r.attempts.size(); ++i) {
-      if (r.attempts[i].in_flight) Act(CancelAttempt{e.id, static_cast<int>(i)});
+    for (std::size_t i = 0; i < request->attempts.size(); ++i) {
+      if (request->attempts[i].in_flight) Emit(CancelAttempt{id, static_cast<int>(i)});
     }
   }
-  Forget(e.id);
+  MarkConcluded(*request);
+}
+
+// An attempt in flight stays so: the request is concluded by its outcome, as there is no time for another.
+void Router::Impl::OnDeadlineShortened(const DeadlineShortened& shortened) {
+  Request* request = FindOpen(shortened.id);
+  if (request == nullptr || request->response_started) return;
+  request->deadline = std::min(request->deadline, now_ + std::max<Time>(0, shortened.time_budget));
+  if (!request->queued) return;
+  request->latest_dispatch_at = LatestDispatch(*request);
+  if (now_ >= request->latest_dispatch_at) {
+    Conclude(*request, ConclusionReason::kQueueTimeout);
+    return;
+  }
+  timers_.Schedule(request->latest_dispatch_at, TimerKind::kQueueTimeout, request->id());
 }
 
-// An attempt that is out stays so: the request is concluded by its outcome, as there is no time for another.
-void Router::Impl::On(const DeadlineShortened& e) {
-  const auto it = requests_.find(e.id);
-  if (it == requests_.end() || it->second.concluded || it->second.response_started) return;
-  Request& r = it->second;
-  r.deadline = std::min(r.deadline, now_ + std::max<Time>(0, e.time_budget));
-  if (!r.queued) return;
-  r.latest_dispatch_at = GiveUpAt(r);
-  if (now_ >= r.latest_dispatch_at) return Conclude(r, ConclusionReason::kQueueTimeout);
-  timers_.Schedule(r.latest_dispatch_at, TimerKind::kQueueTimeout, e.id);
+Request* Router::Impl::FindOpen(RequestId id) {
+  const auto it = requests_.find(id);
+  return it == requests_.end() || it->second.concluded ? nullptr : &it->second;
 }
 
-void Router::Impl::Forget(RequestId id) {
-  const auto it = requests_.find(id);
-  if (it != requests_.end() && it->second.concluded && it->second.attempts_in_flight == 0)
-    requests_.erase(it);
+// ---- The queue ----
+
+// The latest dispatch that can still earn something.
+Time Router::Impl::LatestDispatch(const Request& request) const {
+  const Time time_budget = request.deadline - request.arrived_at;
+  const Time margin = std::max(kMinResponseMargin, time_budget / kResponseMarginParts);
+  Time latest = request.deadline - margin;
+  // Departure: what earns nothing once its objective has passed is rejected early, not served late.
+  if (ClassOf(request).late_weight_share <= 0) {
+    latest = std::min(latest, LatestDispatchForObjective(request));
+  }
+  return std::max(request.arrived_at, latest);
 }
 
-Time Router::Impl::GiveUpAt(const Request& r) const {
-  // The final answer has to be out before the client's time is up, with some ticks to spare.
-  const Time patience = r.deadline - r.arrived_at;
-  const Time last = r.deadline - std::max<Time>(20'000, patience / 50);
-  // Departure: what earns nothing once its aim has passed is refused early, not served late.
-  if (ClassOf(r).late_weight_share <= 0)
-    return std::max(r.arrived_at, std::min(last, r.objective_at - estimator_.ExpectedTimeToFirstToken(r)));
-  return std::max(r.arrived_at, last);
+Time Router::Impl::LatestDispatchForObjective(const Request& request) const {
+  return request.objective_at - estimator_.ExpectedTimeToFirstToken(request);
 }
 
-PriorityTier Router::Impl::TierOf(const Request& r) const {
-  if (now_ >= r.objective_at - estimator_.ExpectedTimeToFirstToken(r)) return PriorityTier::kObjectiveLost;
-  return r.over_quota ? PriorityTier::kOverQuota : PriorityTier::kOrdinary;
+// Departure: what can no longer meet its objective waits behind what can. In the order of runtime and age
+// alone, a queue that has once grown past the objective serves everything late.
+PriorityTier Router::Impl::TierOf(const Request& request) const {
+  if (now_ >= LatestDispatchForObjective(request)) return PriorityTier::kObjectiveLost;
+  return request.over_quota ? PriorityTier::kOverQuota : PriorityTier::kOrdinary;
 }
 
-void Router::Impl::Hold(Request& r) {
-  const double key = QueueKey(
-      {r.arrived_at, r.objective_at - r.arrived_at, r.estimated_runtime, estimator_.TypicalRuntime(r)});
-  // Departure: what can no longer meet its aim waits behind what can. In the order of size and age alone, a
-  // queue that has once grown past the aim serves everything late.
-  const Time last_call = r.objective_at - estimator_.ExpectedTimeToFirstToken(r);
-  const PriorityTier tier = TierOf(r);
-  queue_.Enqueue(r, tier, key);
-  r.latest_dispatch_at = GiveUpAt(r);
-  if (tier != PriorityTier::kObjectiveLost && last_call < r.latest_dispatch_at)
-    timers_.Schedule(last_call, TimerKind::kObjectiveLost, r.id());
-  timers_.Schedule(r.latest_dispatch_at, TimerKind::kQueueTimeout, r.id());
+void Router::Impl::Enqueue(Request& request) {
+  const PriorityTier tier = TierOf(request);
+  queue_.Enqueue(request, tier,
+                 QueueKey({request.arrived_at, request.objective_at - request.arrived_at,
+                           request.estimated_runtime, estimator_.TypicalRuntime(request)}));
+  request.latest_dispatch_at = LatestDispatch(request);
+  const Time objective_lost_at = LatestDispatchForObjective(request);
+  if (tier != PriorityTier::kObjectiveLost && objective_lost_at < request.latest_dispatch_at) {
+    timers_.Schedule(objective_lost_at, TimerKind::kObjectiveLost, request.id());
+  }
+  timers_.Schedule(request.latest_dispatch_at, TimerKind::kQueueTimeout, request.id());
 }
 
-void Router::Impl::Release() {
+void Router::Impl::DispatchQueued() {
   if (queue_.empty()) return;
   limits_.Update(now_);
-  int stuck = 0;  // requests that rules keep from every replica with room; they must not block the others
-  for (auto it = queue_.begin(); it != queue_.end() && stuck < 8;) {
+  int unplaceable = 0;
+  for (auto it = queue_.begin(); it != queue_.end() && unplaceable < kMaxUnplaceable;) {
     if (fleet_.in_flight() >= std::max(1.0, limits_.total())) return;
-    Request& r = requests_.at(it->id);
-    ++it;
-    Replica* to = selector_.Select(r, now_);
-    if (to == nullptr) {
-      if (r.attempts.empty()) return;  // free to go anywhere, and nowhere is room
-      ++stuck;
-      continue;
+    Request& request = requests_.at(it->id);
+    ++it;  // the request may leave the queue
+    Replica* replica = selector_.Select(request, now_);
+    if (replica != nullptr) {
+      queue_.Dequeue(request);
+      Send(request, *replica);
+    } else if (request.attempts.empty()) {
+      return;  // it may go anywhere, and nowhere is spare capacity
+    } else {
+      ++unplaceable;
     }
-    queue_.Dequeue(r);
-    Send(r, *to);
   }
 }
 
-void Router::Impl::Send(Request& r, Replica& to) {
+void Router::Impl::Send(Request& request, Replica& replica) {
   if (observer_ != nullptr && observer_->wants_dispatches()) {
-    observer_->OnDispatch(selector_.Describe(r, to, now_));
+    observer_->OnDispatch(selector_.Describe(request, replica, now_));
+  }
+  const Time write_within = retry_policy_.WriteWithin(request, now_);
+  Attempt attempt;
+  attempt.replica = replica.endpoint.id;
+  attempt.zone = replica.endpoint.zone;
+  attempt.cell = replica.endpoint.cell;
+  attempt.sent_at = now_;
+  // From here on the whole prompt is taken to be cached there.
+  attempt.tokens_to_prefill = selector_.TokensToPrefill(request, replica, now_);
+  affinity_.RecordDispatch(request.arrival, replica.endpoint.id, now_);
+
+  if (replica.prefill_backlog_tokens < 1) replica.waiting_since = now_;
+  replica.prefill_backlog_tokens += attempt.tokens_to_prefill;
+  slow_start_.RecordDispatch(replica, now_);
+  fleet_.AttemptSent(replica);
+  request.attempts.push_back(attempt);
+  ++request.attempts_in_flight;
+  Emit(SendAttempt{request.id(), replica.endpoint.id, 0, write_within});
+}
+
+// ---- Timers ----
+
+void Router::Impl::OnTimerFired(std::uint64_t token) {
+  timers_.Fired(token);
+  while (const std::optional<Timer> timer = timers_.PopDue(now_)) {
+    switch (timer->kind) {
+      case TimerKind::kUpdateLimits:  // with the dispatch that follows every event
+        limits_.Invalidate();
+        break;
+      case TimerKind::kPollEndpoints:
+        if (polling_.OpenWatch()) Emit(WatchEndpoints{true});
+        break;
+      case TimerKind::kObjectiveLost:
+      case TimerKind::kQueueTimeout:
+        OnRequestTimer(*timer);
+        break;
+    }
   }
-  const Time write_within = retry_policy_.WriteWithin(r, now_);
-  Attempt a;
-  a.replica = to.endpoint.id;
-  a.zone = to.endpoint.zone;
-  a.cell = to.endpoint.cell;
-  a.sent_at = now_;
-  r.attempts.push_back(a);
-  ++r.attempts_in_flight;
-  fleet_.AttemptSent(to);
-  // What is kept now is what it had to read less; from here on the whole prompt is there.
-  r.attempts.back().tokens_to_prefill = selector_.TokensToPrefill(r, to, now_);
-  if (to.prefill_backlog_tokens < 1) to.waiting_since = now_;
-  to.prefill_backlog_tokens += r.attempts.back().tokens_to_prefill;
-  affinity_.RecordDispatch(r.arrival, to.endpoint.id, now_);
-  slow_start_.RecordDispatch(to, now_);
-  Act(SendAttempt{r.id(), to.endpoint.id, 0, write_within});
-}
-
-void Router::Impl::DoneReading(Attempt& a) {
-  if (Replica* x = fleet_.Find(a.replica))
-    x->prefill_backlog_tokens = std::max(0.0, x->prefill_backlog_tokens - a.tokens_to_prefill);
-  a.tokens_to_prefill = 0;
-}
-
-// ---- Estimates ----
-
-void Router::Impl::LearnServed(const Request& r, Replica* from, Time runtime) {
-  const double t = std::max<double>(1, static_cast<double>(runtime));
-  estimator_.LearnRuntime(r, t);
-  if (concurrency_.LearnPace(r, runtime, Usage())) limits_.InvalidateUnlessSampling();
-  if (from != nullptr) LearnSlow(*from, std::log(t / r.estimated_runtime));
-}
-
-void Router::Impl::LearnSlow(Replica& x, double log_ratio) {
-  speed_.Learn(x, log_ratio, now_, slow_start_.IsWarmingUp(x, now_));
 }
 
-void Router::Impl::LearnFailure(Replica& x, Outcome o) {
-  limits_.InvalidateUnlessSampling();
-  if (o == Outcome::kAtCapacity) {
-    RecordAtCapacity(x, now_, estimator_.mean_runtime(), settings_.connect_timeout);
-    timers_.Schedule(x.at_capacity_until, TimerKind::kUpdateLimits);
-    if (observer_ != nullptr)
-      observer_->OnEjection({x.endpoint.id, o, x.consecutive_failures, x.at_capacity_until});
-    concurrency_.LearnLate(Usage());
+void Router::Impl::OnRequestTimer(const Timer& timer) {
+  Request* request = FindOpen(timer.request);
+  if (request == nullptr || !request->queued || request->response_started) return;
+  if (timer.kind == TimerKind::kQueueTimeout) {
+    if (now_ >= request->latest_dispatch_at) Conclude(*request, ConclusionReason::kQueueTimeout);
     return;
   }
-  // An error must never make a replica look fast or roomy: it counts as slow.
-  LearnSlow(x, kFailureSlow);
-  if (o == Outcome::kTimeout) concurrency_.LearnLate(Usage());
-  const std::optional<Time> ejected_until = ejection_.RecordFailure(x, o, now_, random_);
-  if (!ejected_until) return;
-  timers_.Schedule(*ejected_until, TimerKind::kUpdateLimits);
-  if (fleet_.UsesSampling() && ejection_.is_enforced()) limits_.Exclude(x);
-  if (observer_ != nullptr) observer_->OnEjection({x.endpoint.id, o, x.consecutive_failures, *ejected_until});
+  if (request->queue_position.tier == PriorityTier::kObjectiveLost) return;
+  queue_.Dequeue(*request);
+  Enqueue(*request);
 }
 
 // ---- Outcomes ----
 
-void Router::Impl::On(const ResponseStarted& e) {
-  const auto it = requests_.find(e.id);
-  Attempt* const a = it == requests_.end() ? nullptr : it->second.InFlightAttempt(e.attempt);
-  if (a == nullptr || it->second.response_started || it->second.concluded) return;
-  Request& r = it->second;
-  r.response_started = true;
-  DoneReading(*a);
-  r.time_to_first_token = e.elapsed;
-  const double aim = static_cast<double>(r.objective_at - r.arrived_at);
-  const double t = static_cast<double>(e.elapsed);
-  if (concurrency_.LearnTimeToFirstToken(t, aim, Usage())) limits_.InvalidateUnlessSampling();
-  if (Replica* x = fleet_.Find(a->replica)) {
-    x->consecutive_failures = 0, x->waiting_since = now_;
-    if (const std::optional<double> typical = estimator_.TypicalTimeToFirstToken(r)) {
-      LearnSlow(*x, std::log(std::max(1.0, t) / std::max(1.0, *typical)));
-    }
+void Router::Impl::OnResponseStarted(const ResponseStarted& started) {
+  Request* request = FindOpen(started.id);
+  Attempt* attempt = request == nullptr ? nullptr : request->InFlightAttempt(started.attempt);
+  if (attempt == nullptr || request->response_started) return;
+  request->response_started = true;
+  request->time_to_first_token = started.elapsed;
+  PrefillEnded(*attempt);
+
+  const double time_to_first_token = static_cast<double>(started.elapsed);
+  const double objective = static_cast<double>(request->objective_at - request->arrived_at);
+  if (concurrency_.LearnTimeToFirstToken(time_to_first_token, objective, CurrentUsage())) {
+    limits_.InvalidateUnlessSampling();
   }
-  estimator_.LearnTimeToFirstToken(r, t);
-}
-
-void Router::Impl::On(const AttemptEnded& e) {
-  const auto it = requests_.find(e.id);
-  Attempt* const out = it == requests_.end() ? nullptr : it->second.InFlightAttempt(e.attempt);
-  if (out == nullptr) return;
-  Request& r = it->second;
-  Attempt& a = *out;
-  a.in_flight = false;
-  DoneReading(a);
-  a.may_have_run = !ProvesNotRun(e.outcome);
-  --r.attempts_in_flight;
-  Replica* x = fleet_.Find(a.replica);
-  fleet_.AttemptEnded(x);
-  if (x != nullptr) {
-    load_reports_.Take(*x, e.load_report, now_);
-    if (e.outcome == Outcome::kServed) {
-      x->consecutive_failures = 0;
-      LearnServed(r, x, e.elapsed);
-    } else if (e.outcome != Outcome::kCancelled && e.outcome != Outcome::kNotSent) {
-      LearnFailure(*x, e.outcome);
+  if (Replica* replica = fleet_.Find(attempt->replica)) {
+    replica->consecutive_failures = 0;
+    replica->waiting_since = now_;
+    if (const std::optional<double> typical = estimator_.TypicalTimeToFirstToken(*request)) {
+      LearnSpeed(*replica, std::log(std::max(1.0, time_to_first_token) / std::max(1.0, *typical)));
     }
-    fleet_.RemoveIfGone(*x);
   }
-  if (e.request_concluded || e.outcome == Outcome::kServed ||
-      (r.response_started && !r.concluded && r.attempts_in_flight == 0)) {
-    if (!r.concluded && !e.request_concluded && e.outcome != Outcome::kServed) {
-      Conclude(r, ConclusionReason::kStreamInterrupted);
-    } else {
-      queue_.Dequeue(r);
-      r.concluded = true;
-      Forget(e.id);
+  estimator_.LearnTimeToFirstToken(*request, time_to_first_token);
+}
+
+void Router::Impl::OnAttemptEnded(const AttemptEnded& ended) {
+  const auto it = requests_.find(ended.id);
+  if (it == requests_.end()) return;
+  Request& request = it->second;
+  Attempt* attempt = request.InFlightAttempt(ended.attempt);
+  if (attempt == nullptr) return;
+
+  attempt->in_flight = false;
+  attempt->may_have_run = !ProvesNotRun(ended.outcome);
+  PrefillEnded(*attempt);
+  --request.attempts_in_flight;
+  Replica* replica = fleet_.Find(attempt->replica);
+  fleet_.AttemptEnded(replica);
+  const bool served = ended.outcome == Outcome::kServed;
+  if (replica != nullptr) {
+    load_reports_.Take(*replica, ended.load_report, now_);
+    if (served) {
+      LearnServed(request, *replica, ended.elapsed);
+    } else if (ended.outcome != Outcome::kCancelled && ended.outcome != Outcome::kNotSent) {
+      LearnFailure(*replica, ended.outcome);
     }
-    return;
+    fleet_.RemoveIfGone(*replica);
   }
-  if (r.concluded) {
-    Forget(e.id);
-    return;
+
+  if (request.concluded || served || ended.request_concluded) {
+    queue_.Dequeue(request);
+    MarkConcluded(request);
+  } else if (request.attempts_in_flight > 0) {
+    return;  // the others decide
+  } else if (request.response_started) {
+    Conclude(request, ConclusionReason::kStreamInterrupted);
+  } else {
+    RetryOrConclude(request, ended.outcome);
   }
-  if (!r.response_started && r.attempts_in_flight == 0) RetryOrConclude(r, e.outcome);
 }
 
-void Router::Impl::RetryOrConclude(Request& r, Outcome o) {
-  const bool costs = o != Outcome::kAtCapacity;  // a 'full' is cheap, and its cap has fallen
-  if (r.queued) return;
-  const bool left = r.attempts.size() < static_cast<std::size_t>(settings_.max_attempts);
-  if (left && now_ < GiveUpAt(r) && retry_policy_.MaySend(r, now_) && (!costs || retry_budget_.HasRetry())) {
-    if (costs) retry_budget_.SpendRetry();
-    Hold(r);
+void Router::Impl::RetryOrConclude(Request& request, Outcome outcome) {
+  if (request.queued) return;
+  const bool in_time = now_ < LatestDispatch(request);
+  // Being turned down at capacity is cheap, and that replica's limit has fallen.
+  const bool takes_budget = outcome != Outcome::kAtCapacity;
+  const bool in_budget = !takes_budget || retry_budget_.HasRetry();
+  if (in_time && retry_policy_.MaySend(request, now_) && in_budget) {
+    if (takes_budget) retry_budget_.SpendRetry();
+    Enqueue(request);
     return;
   }
-  Conclude(r, !left                             ? ConclusionReason::kAttemptsExhausted
-              : now_ >= GiveUpAt(r)             ? ConclusionReason::kDeadlineExceeded
-              : !retry_policy_.MaySend(r, now_) ? ConclusionReason::kUnsafeToRetry
-                                                : ConclusionReason::kRetryBudgetExhausted);
+  Conclude(request, WhyNoRetry(request));
 }
 
-// ---- The rules ----
+ConclusionReason Router::Impl::WhyNoRetry(const Request& request) const {
+  if (request.attempts.size() >= static_cast<std::size_t>(settings_.max_attempts)) {
+    return ConclusionReason::kAttemptsExhausted;
+  }
+  if (now_ >= LatestDispatch(request)) return ConclusionReason::kDeadlineExceeded;
+  if (!retry_policy_.MaySend(request, now_)) return ConclusionReason::kUnsafeToRetry;
+  return ConclusionReason::kRetryBudgetExhausted;
+}
 
-// The one final answer, given only when no attempt is out: a refusal where that is allowed, else a failure.
-void Router::Impl::Conclude(Request& r, ConclusionReason why) {
-  const RequestId id = r.id();
+// The one final response, given only when no attempt is in flight: a rejection where that is allowed, else a
+// failure.
+void Router::Impl::Conclude(Request& request, ConclusionReason reason) {
+  const RequestId id = request.id();
   if (observer_ != nullptr) {
-    observer_->OnConclusion({id, why, static_cast<int>(r.attempts.size()), now_ - r.arrived_at,
-                             static_cast<std::uint32_t>(queue_.size()), limits_.total(),
-                             fleet_.own_in_flight()});
+    ConclusionRecord record;
+    record.id = id;
+    record.reason = reason;
+    record.attempts = static_cast<int>(request.attempts.size());
+    record.open_for = now_ - request.arrived_at;
+    record.queue_length = static_cast<std::uint32_t>(queue_.size());
+    record.total_concurrency_limit = limits_.total();
+    record.in_flight = fleet_.own_in_flight();
+    observer_->OnConclusion(record);
   }
-  queue_.Dequeue(r);
-  if (retry_policy_.MayReject(r)) {
-    Act(RejectRequest{id, settings_.clients_honor_retry_after ? settings_.max_retry_after : 0});
+  queue_.Dequeue(request);
+  if (retry_policy_.MayReject(request)) {
+    Emit(RejectRequest{id, settings_.clients_honor_retry_after ? settings_.max_retry_after : 0});
   } else {
-    Act(FailRequest{id});
+    Emit(FailRequest{id});
   }
-  r.concluded = true;
-  Forget(id);
+  MarkConcluded(request);
 }
 
-// ---- Timers and probes ----
+// The request may be gone after this.
+void Router::Impl::MarkConcluded(Request& request) {
+  request.concluded = true;
+  if (request.attempts_in_flight == 0) requests_.erase(request.id());
+}
 
-void Router::Impl::On(const TimerFired& e) {
-  timers_.Fired(e.token);
-  while (const std::optional<Timer> timer = timers_.PopDue(now_)) {
-    if (timer->kind == TimerKind::kUpdateLimits) {  // Handle releases after every event
-      limits_.Invalidate();
-      continue;
-    }
-    if (timer->kind == TimerKind::kPollEndpoints) {
-      AskForList();
-      continue;
-    }
-    const auto it = requests_.find(timer->request);
-    if (it == requests_.end() || it->second.concluded || it->second.response_started) continue;
-    Request& r = it->second;
-    if (timer->kind == TimerKind::kObjectiveLost) {
-      if (r.queued && r.queue_position.tier != PriorityTier::kObjectiveLost) {
-        queue_.Dequeue(r);
-        Hold(r);
-      }
-    } else if (timer->kind == TimerKind::kQueueTimeout) {
-      if (r.queued && now_ >= r.latest_dispatch_at) Conclude(r, ConclusionReason::kQueueTimeout);
-    }
+bool Router::Impl::MayReject(RequestId id) const {
+  const auto it = requests_.find(id);
+  return it != requests_.end() && retry_policy_.MayReject(it->second);
+}
+
+// ---- What is learned ----
+
+void Router::Impl::PrefillEnded(Attempt& attempt) {
+  if (Replica* replica = fleet_.Find(attempt.replica)) {
+    replica->prefill_backlog_tokens =
+        std::max(0.0, replica->prefill_backlog_tokens - attempt.tokens_to_prefill);
   }
+  attempt.tokens_to_prefill = 0;
 }
 
-void Router::Impl::On(const NodeCountChanged& e) {
-  const double before = std::exchange(settings_.node_count, std::max(1, e.node_count));
-  concurrency_.Scale(traffic_share_.ScaleNodeCount(before, settings_.node_count));
-  limits_.InvalidateUnlessSampling();
+LimitUsage Router::Impl::CurrentUsage() const {
+  return {now_, fleet_.in_flight(), limits_.total(), estimator_.mean_runtime()};
 }
 
-void Router::Impl::On(const TrafficShareChanged& e) {
-  const std::optional<double> factor = traffic_share_.SetShare(e.share);
-  if (!factor) return;
-  concurrency_.Scale(*factor);
-  limits_.InvalidateUnlessSampling();
+void Router::Impl::LearnServed(const Request& request, Replica& replica, Time runtime) {
+  replica.consecutive_failures = 0;
+  const double at_least_one = std::max<double>(1, static_cast<double>(runtime));
+  estimator_.LearnRuntime(request, at_least_one);
+  if (concurrency_.LearnPace(request, runtime, CurrentUsage())) limits_.InvalidateUnlessSampling();
+  LearnSpeed(replica, std::log(at_least_one / request.estimated_runtime));
 }
 
-// What another process of this node learned, and what it still has out: a hot restart loses neither.
-void Router::Impl::On(const StateRestored& e) {
-  if (e.state == nullptr) return;
-  const LearnedState& state = *e.state;
-  concurrency_.RestoreFrom(state);
-  estimator_.RestoreFrom(state);
-  speed_.RestoreFrom(state);
-  slow_start_.RestoreFrom(state);
-  affinity_.RestoreFrom(state);
-  tenant_quotas_.RestoreFrom(state);
-  retry_budget_.RestoreFrom(state);
-  for (const LearnedState::Replica& r : state.replicas) {
-    Replica* x = fleet_.Find(r.id);
-    if (x != nullptr && x->endpoint.started_at == r.started_at) static_cast<LearnedReplica&>(*x) = r.learned;
+void Router::Impl::LearnFailure(Replica& replica, Outcome outcome) {
+  limits_.InvalidateUnlessSampling();
+  if (outcome == Outcome::kAtCapacity) {
+    LearnAtCapacity(replica);
+    return;
   }
-  limits_.Invalidate();
+  // An error must never make a replica look fast or idle: it counts as slow.
+  LearnSpeed(replica, kFailureSlowness);
+  if (outcome == Outcome::kTimeout) concurrency_.LearnLate(CurrentUsage());
+  const std::optional<Time> ejected_until = ejection_.RecordFailure(replica, outcome, now_, random_);
+  if (!ejected_until) return;
+  timers_.Schedule(*ejected_until, TimerKind::kUpdateLimits);
+  if (fleet_.UsesSampling() && ejection_.is_enforced()) limits_.Exclude(replica);
+  ReportEjection(replica, outcome, *ejected_until);
 }
 
-void Router::Impl::On(const SiblingInFlightChanged& e) { fleet_.SetSiblingInFlight(e.in_flight); }
+void Router::Impl::LearnAtCapacity(Replica& replica) {
+  RecordAtCapacity(replica, now_, estimator_.mean_runtime(), settings_.connect_timeout);
+  timers_.Schedule(replica.at_capacity_until, TimerKind::kUpdateLimits);
+  ReportEjection(replica, Outcome::kAtCapacity, replica.at_capacity_until);
+  concurrency_.LearnLate(CurrentUsage());
+}
 
-void Router::Impl::On(const PeerReportsReceived& e) {
-  for (const PeerReplicaReport& t : e.replicas) {
-    Replica* x = fleet_.Find(t.id);
-    if (x == nullptr || x->endpoint.started_at != t.started_at) continue;
-    x->peer_report = t;
-    x->peer_report.slowness = std::clamp(t.slowness, -ReplicaSpeed::kMaxSlowness, ReplicaSpeed::kMaxSlowness);
-    x->peer_report.slowness_samples = std::clamp(t.slowness_samples, 0.0, ReplicaSpeed::kPriorWeight);
-    x->peer_report_at = now_;
-    if (t.ejected_until > now_) timers_.Schedule(t.ejected_until, TimerKind::kUpdateLimits);
-  }
-  limits_.Invalidate();
+void Router::Impl::ReportEjection(const Replica& replica, Outcome outcome, Time until) const {
+  if (observer_ == nullptr) return;
+  observer_->OnEjection({replica.endpoint.id, outcome, replica.consecutive_failures, until});
 }
 
-void Router::Impl::Fit() {
+void Router::Impl::LearnSpeed(Replica& replica, double log_ratio) {
+  speed_.Learn(replica, log_ratio, now_, slow_start_.IsWarmingUp(replica, now_));
+}
+
+void Router::Impl::UpdateClasses(const std::vector<ClassSettings>& classes, int max_attempts) {
+  if (classes.size() < settings_.classes.size()) return;
+  settings_.classes = classes;
+  settings_.max_attempts = std::max(1, max_attempts);
+  ResizeTables();
+}
+
+void Router::Impl::ResizeTables() {
   concurrency_.ResizeTables();
   estimator_.ResizeTables();
   speed_.ResizeTables();
   tenant_quotas_.ResizeTables();
 }
 
-LearnedState Router::Impl::Export() const {
-  LearnedState all;
-  concurrency_.ExportTo(all);
-  estimator_.ExportTo(all);
-  speed_.ExportTo(all);
-  slow_start_.ExportTo(all);
-  affinity_.ExportTo(all);
-  tenant_quotas_.ExportTo(all);
-  retry_budget_.ExportTo(all);
-  for (const auto& x : fleet_.replicas())
-    all.replicas.push_back({x->endpoint.id, x->endpoint.started_at, x->in_flight, *x});
-  return all;
+LearnedState Router::Impl::ExportState() const {
+  LearnedState state;
+  concurrency_.ExportTo(state);
+  estimator_.ExportTo(state);
+  speed_.ExportTo(state);
+  slow_start_.ExportTo(state);
+  affinity_.ExportTo(state);
+  tenant_quotas_.ExportTo(state);
+  retry_budget_.ExportTo(state);
+  for (const auto& replica : fleet_.replicas()) {
+    state.replicas.push_back(
+        {replica->endpoint.id, replica->endpoint.started_at, replica->in_flight, *replica});
+  }
+  return state;
+}
+
+// What another process of this node learned: a hot restart does not lose it.
+void Router::Impl::OnStateRestored(const LearnedState& state) {
+  concurrency_.RestoreFrom(state);
+  estimator_.RestoreFrom(state);
+  speed_.RestoreFrom(state);
+  slow_start_.RestoreFrom(state);
+  affinity_.RestoreFrom(state);
+  tenant_quotas_.RestoreFrom(state);
+  retry_budget_.RestoreFrom(state);
+  for (const LearnedState::Replica& restored : state.replicas) {
+    Replica* replica = fleet_.Find(restored.id);
+    if (replica == nullptr || replica->endpoint.started_at != restored.started_at) continue;
+    static_cast<LearnedReplica&>(*replica) = restored.learned;
+  }
+  limits_.Invalidate();
 }
 
-// ---- The public face ----
+// ---- Router ----
 
 Router::Router(const Settings& settings, std::uint64_t seed, Time now)
     : impl_(std::make_unique<Impl>(settings, seed, now)) {}
@@ -553,20 +658,19 @@
 void Router::Handle(Time now, const Event& event, std::vector<Action>& actions) {
   impl_->Handle(now, event, actions);
 }
-
-void Router::SetObserver(DecisionObserver* observer) { impl_->Observe(observer); }
 void Router::UpdateClasses(const std::vector<ClassSettings>& classes, int max_attempts) {
-  impl_->Retune(classes, max_attempts);
+  impl_->UpdateClasses(classes, max_attempts);
 }
+void Router::SetObserver(DecisionObserver* observer) { impl_->SetObserver(observer); }
+LearnedState Router::ExportState() const { return impl_->ExportState(); }
 
-std::size_t Router::queued_requests() const { return impl_->held(); }
-std::size_t Router::open_requests() const { return impl_->open(); }
-ReplicaView Router::replica(ReplicaId replica) const {
-  const ReplicaView* x = impl_->Find(replica);
-  return x == nullptr ? ReplicaView{} : *x;
+std::size_t Router::queued_requests() const { return impl_->queued_requests(); }
+std::size_t Router::open_requests() const { return impl_->open_requests(); }
+ReplicaView Router::replica(ReplicaId replica_id) const {
+  const ReplicaView* replica = impl_->FindReplica(replica_id);
+  return replica == nullptr ? ReplicaView{} : *replica;
 }
-LearnedState Router::ExportState() const { return impl_->Export(); }
 double Router::total_concurrency_limit() const { return impl_->total_concurrency_limit(); }
-bool Router::may_reject(RequestId id) const { return impl_->MayRefuse(id); }
+bool Router::may_reject(RequestId id) const { return impl_->MayReject(id); }
 
 }  // namespace ryeglade::policy
