--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -2,1364 +2,652 @@
 // include/ryeglade/router.h.
 //
 // The ordinary path, after Dyachuk and Deters' transparent scheduling:
-//   a request arrives      -> it is held; its size is estimated from what its bucket took before (Estimate);
-//   held requests leave    -> shortest estimated first, while this node's in-flight total is below the sum
-//                             of its caps and some replica has room under its own cap (Release);
-//   each goes to the replica with most room, room being counted in requests like this one, so that a replica
-//                             which keeps the prompt has more of it (Choose);
-//   outcomes teach         -> the estimates (served answers only), how slow each replica is, and the caps.
+//   a request arrives         -> it is queued; its runtime is estimated from what requests like it took
+//                                (RuntimeEstimator);
+//   queued requests leave     -> shortest estimate first, while what this node has in flight is below the sum
+//                                of its concurrency limits and some replica has spare capacity
+//                                (DispatchQueued);
+//   each goes to the replica  -> with most spare capacity, counted in requests like this one, so that a
+//                                replica which has cached the prompt has more of it (ReplicaSelector);
+//   outcomes teach            -> the estimates (served requests only), how slow each replica is, and the
+//                                limits (LearnServed, LearnFailure).
 // What departs from that path is marked "Departure" and listed, with its condition, in docs/design.md.
 #include "ryeglade/router.h"
 
 #include <algorithm>
-#include <bit>
 #include <cmath>
-#include <limits>
-#include <queue>
-#include <set>
-#include <tuple>
+#include <optional>
 #include <unordered_map>
 #include <utility>
 
-#include "held_order.h"
+#include "adaptive_concurrency.h"
+#include "capacity_backoff.h"
+#include "endpoint_polling.h"
+#include "fleet.h"
+#include "load_reports.h"
+#include "outlier_ejection.h"
+#include "prefix_affinity.h"
+#include "queue_order.h"
+#include "random_source.h"
+#include "replica.h"
+#include "replica_limits.h"
+#include "replica_selector.h"
+#include "replica_speed.h"
+#include "request.h"
+#include "request_queue.h"
+#include "retry_policy.h"
+#include "runtime_estimator.h"
+#include "slow_start.h"
+#include "tenant_quotas.h"
+#include "timer_queue.h"
+#include "traffic_share.h"
 
 namespace ryeglade::policy {
 namespace {
 
-// Caps.
-constexpr double kMostParts = 1e6;     // a node's part of all is no less than one of so many
-constexpr double kMuchLess = 1.2;      // a part that falls by this factor
-constexpr double kStartInFlight = 16;  // guess of what a replica can have in flight before anything is known
-constexpr double kManyNodesStart = 4;  // times that guess, in a tier of more than kFewNodes nodes
-constexpr double kLeastInFlight = 2;   // caps never fall below this many for a replica over all nodes
-constexpr double kMostInFlight = 256;  // nor rise above this many at one node, which may have most traffic
-constexpr double kRisePerRound =
-    0.4;                              // caps in full use and in time rise by this share in a round of answers
-constexpr double kFirstRise = 0.9;    // and by this share until they have fallen once
-constexpr double kKnown = 0.7;        // below this part of where they fell, they rise as if they never had
-constexpr double kInUse = 0.85;       // a cap used less than this has not been tried, so it does not rise
-constexpr double kFall = 0.85;        // caps fall by this factor, at most once a round trip
-constexpr double kLateShare = 0.25;   // when more than this share of recent first tokens was late
-constexpr double kLateMemory = 0.05;  // weight of the newest first token in that share
-constexpr double kLateAt = 0.8;       // a first token later than this share of its aim counts as late
-constexpr double kSaturated = 2.0;  // streams this much slower than at their best: past the saturation point
-constexpr double kCrowded = 0.15;   // but only if first tokens take more than this part of their aim as well
-constexpr double kEasy = 0.3;       // caps rise only while first tokens take less than this part of their aim
-constexpr double kWaitMemory = 0.1;  // weight of the newest first token in that average
-constexpr double kPaceMemory = 25;   // answers of a class that its present pace looks back on
-constexpr double kPaceYoung = 8;     // answers before a class's best pace means anything
-constexpr double kPaceLeak = 0.002;  // each answer lets the best pace ever seen slip by this much (ln)
-constexpr double kMostFall = 0.5;    // caps fall by no more than this at once
-constexpr double kFullFall = 0.7;    // a 'full' lowers that replica's cap by this factor
-constexpr double kFullRest = 0.05;   // one that said 'full' gets nothing new for this part of a round trip
-constexpr Time kFullRestMost = 500'000;
-constexpr Time kFullHeals = 5'000'000;  // and this long later most of that is forgotten
-
-// Learning.
-constexpr double kBucketMemory = 200;  // answers that a bucket's average looks back on
-constexpr double kParentWeight = 4;    // answers a coarser bucket is worth while a finer one is young
-constexpr double kSwing = 2;  // standard deviations by which one of many nodes may pass its part of a cap
-constexpr double kKindWeight = 8;         // answers that a replica's kind is worth against its own
-constexpr Time kSlowMemory = 10'000'000;  // a replica's own answers fade this fast: load moves
-constexpr Time kZoneMemory = 5'000'000;   // and what a zone's answers tell of it as a whole
-constexpr double kKindMemory = 400;       // answers that a kind's average looks back on
-constexpr double kFailureSlow = 1.1;      // ln 3: a failed attempt makes a replica look this much slower
-constexpr double kSlowBound = 2.0;        // one answer counts as at most e^2 times slower or faster
-
-// Choice of a replica.
-constexpr double kHomeKeeps = 0.7;     // chance that a home still keeps a beginning not seen there from here
-constexpr double kSessionKeeps = 0.5;  // the same of a session's home and the whole prompt
-constexpr Time kKept = 30'000'000;     // what this node sent a replica is taken to be kept this long
-constexpr double kLeastRead = 300;     // tokens: what any request costs at least
-constexpr double kCrossingRead = 800;  // tokens that a zone crossing is worth
-constexpr std::size_t kMostKept = 16384;  // sessions and beginnings remembered
-constexpr double kSpread = 4.0;           // homes of a key: its share of traffic in replicas, times this
-constexpr double kShun = 0.5;             // how far a replica slower than its kind is taken to be fuller
-constexpr double kSpeedPower = 1.7;  // one twice as slow gets this power of half the load: aims are absolute
-constexpr double kMostOccupied = 0.8;      // replicas are not taken to be fuller than this unless they say so
-constexpr Time kReportMemory = 2'500'000;  // a load report says this long how full a replica is
-constexpr double kReportBound = 1.5;  // a report makes one at most this much fuller or emptier than the mean
-constexpr double kTie = 0.02;         // rooms closer than this are a tie, drawn by weight
-constexpr Time kKeyMemory = 60'000'000;  // traffic by key fades this fast
-constexpr Time kHotMemory = 5'000'000;   // and this fast when watching for a key that turns hot
-
-// Health, retries and second copies.
-constexpr Time kBlockFirst = 1'000'000;  // a failing replica rests this long, doubling
-constexpr Time kBlockMost = 8'000'000;
-// A repeat is decided so long before its window ends: the node may be held up between its clock and the write
-// (0.15 s), and clocks of replicas start when the first attempt's last byte arrives, never earlier.
-constexpr Time kRepeatMargin = 160'000;
-constexpr double kPanicShare = 0.4;  // with more of the fleet resting it is not the replicas: rest none
-constexpr double kRetryShare = 0.3;  // further attempts after failures, as a share of requests
-constexpr double kBudgetMost = 10;   // what either budget can save up
-
-// Cold replicas and tenants.
-constexpr double kColdMargin = 0.4;  // part of the overload factor that all nodes use of a cold one's guess
-constexpr Time kTenantMemory = 20'000'000;
-constexpr double kOverShare = 1.25;  // a tenant's rate above its quota times this is beyond its share
-
-// Large fleets: looking at every replica for every request would cost more the more there are.
-constexpr std::size_t kWhole = 64;  // up to this many are all looked at
-constexpr int kFewNodes = 8;  // the first sightings of a key at this many nodes are few for its one home
-constexpr int kPoints = 8;    // of a replica on the ring that says where keys have their homes
-constexpr std::size_t kMostHomes = 32;  // of a key that are looked at
-constexpr int kDrawn = 24;        // drawn besides: the best of so many is hardly worse than the best of all
-constexpr Time kRecapEvery = 10;  // microseconds for each replica, between two looks at all caps
-
-// Discovery. A change counts as told at the latest 6 s after discovery has it and can be reached, so calls
-// that fail are repeated well within that.
-constexpr Time kFirstAskWithin = 1'000'000;
-constexpr double kAskAgainFirst = 100'000;  // microseconds, doubled by each failure in a row
-constexpr double kAskAgainMost = 2'000'000;
-
-constexpr Time kNever = std::numeric_limits<Time>::max();
-
-std::uint64_t Mix(std::uint64_t x) {  // splitmix64's finalizer
-  x += 0x9e3779b97f4a7c15ULL;
-  x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
-  return x ^ (x >> 31);
-}
-
-double Fade(Time passed, Time memory) { return DecayingCounter::DecayFactor(passed, memory); }
-
-double Unit(std::uint64_t bits) { return (static_cast<double>(bits >> 11) + 0.5) * 0x1.0p-53; }
-
-// Weighted rendezvous hashing: over all keys a replica comes first in proportion to its weight, and all nodes
-// rank alike without a word between them.
-double Rendezvous(std::uint64_t key, ReplicaId replica, double weight) {
-  return -weight / std::log(Unit(Mix(key ^ Mix(replica))));
-}
+constexpr double kFailureSlowness = 1.1;  // ln 3: a failed attempt makes a replica look this much slower
+constexpr double kMaxPromptTokens = 1e9;
+// Queued requests that rules keep from every replica with spare capacity; they must not block the others.
+constexpr int kMaxUnplaceable = 8;
+// The final response has to be out before the client's time is up: by this, or by one part in so many of its
+// time budget.
+constexpr Time kMinResponseMargin = 20'000;
+constexpr Time kResponseMarginParts = 50;
 
-int Log2Bucket(double x) { return x < 1 ? 0 : 1 + std::min(30, static_cast<int>(std::log2(x))); }
-
-bool ProvesNotRun(Outcome o) {
-  return o == Outcome::kAtCapacity || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
+Settings Checked(Settings settings) {
+  if (settings.classes.empty()) settings.classes.emplace_back();
+  settings.node_count = std::max(1, settings.node_count);
+  return settings;
 }
 
-struct Replica : ReplicaView {
-  bool usable = false;  // listed as ready
-  bool listed = false;
-  int beside = 0;            // what another process of this node still has out there
-  PeerReplicaReport told;    // what the rest of the tier knows of it, by
-  Time told_at = 0;          // then
-  std::uint64_t looked = 0;  // the search that looked at it last
-  double elsewhere() const { return beside + told.orphaned_in_flight; }
-};
-
-struct Attempt {
-  ReplicaId replica = 0;
-  int zone = 0;
-  int cell = 0;
-  Time sent = 0;
-  bool out = true;
-  double unread = 0;  // tokens it had to read, until its first token comes
-  bool ran = true;    // may have run, as far as is known
-};
-
-struct HeldPlace {
-  int rank = 0;  // 0: ordinary, 1: beyond its tenant's share, 2: too late for its aim
-  double key = 0;
-  std::uint64_t order = 0;
-  RequestId id = 0;
-  auto operator<=>(const HeldPlace&) const = default;
-};
-
-struct Request {
-  RequestArrived info;
-  Time arrived = 0;
-  Time deadline = 0;
-  Time aim_at = 0;
-  Time give_up_at = 0;   // while held
-  double size = 0;       // estimated runtime
-  double by_bucket = 0;  // the two estimates it was made from
-  double by_hint = 0;
-  bool over_share = false;
-  bool held = false;
-  bool started = false;  // a stream has begun
-  Time first_token = 0;  // how long it took to begin
-  bool done = false;     // concluded; only outcomes of attempts are still to come
-  int out = 0;
-  HeldPlace place;  // in the held queue
-  std::vector<Attempt> attempts;
-};
-
-enum class Wake : std::uint8_t { kGiveUp, kOverdue, kRelease, kAsk };
-
-struct Alarm {
-  Time at;
-  std::uint64_t order;
-  Wake what;
-  RequestId id;
-  auto operator<=>(const Alarm&) const = default;
+template <class... Handlers>
+struct Overloaded : Handlers... {
+  using Handlers::operator()...;
 };
+template <class... Handlers>
+Overloaded(Handlers...) -> Overloaded<Handlers...>;
 
 }  // namespace
 
 class Router::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed, Time now);
+
   void Handle(Time now, const Event& event, std::vector<Action>& actions);
+  void UpdateClasses(const std::vector<ClassSettings>& classes, int max_attempts);
+  void SetObserver(DecisionObserver* observer) { observer_ = observer; }
+  LearnedState ExportState() const;
 
-  const Replica* Find(ReplicaId id) const {
-    const auto it = std::lower_bound(fleet_.begin(), fleet_.end(), id,
-                                     [](const auto& r, ReplicaId v) { return r->endpoint.id < v; });
-    return it != fleet_.end() && (*it)->endpoint.id == id ? it->get() : nullptr;
-  }
-  bool MayRefuse(RequestId id) const {
-    const auto it = requests_.find(id);
-    return it != requests_.end() && MayRefuse(it->second);
-  }
-  void Retune(const std::vector<ClassSettings>& classes, int max_attempts) {
-    if (classes.size() < settings_.classes.size()) return;
-    settings_.classes = classes;
-    settings_.max_attempts = std::max(1, max_attempts);
-    Fit();
-  }
-  LearnedState Export() const;
-  std::size_t held() const { return held_.size(); }
-  std::size_t open() const { return requests_.size(); }
-  double total_concurrency_limit() const { return cap_total_; }
-  void Observe(DecisionObserver* observer) { observer_ = observer; }
+  const Replica* FindReplica(ReplicaId id) const { return fleet_.Find(id); }
+  bool MayReject(RequestId id) const;
+  std::size_t queued_requests() const { return queue_.size(); }
+  std::size_t open_requests() const { return requests_.size(); }
+  double total_concurrency_limit() const { return limits_.total(); }
 
  private:
-  Replica* Get(ReplicaId id) { return const_cast<Replica*>(std::as_const(*this).Find(id)); }
-
   // Events.
-  void On(const EndpointList& e);
-  void On(const RequestArrived& e);
-  void On(const ResponseStarted& e);
-  void On(const AttemptEnded& e);
-  void On(const ClientDisconnected& e);
-  void On(const TimerFired& e);
-  void On(const HealthCheckCompleted&) {}
-  void On(const NodeCountChanged& e);
-  void On(const TrafficShareChanged& e);
-  void Split(double parts);
-  void On(const StateRestored& e);
-  void On(const SiblingInFlightChanged& e);
-  void On(const PeerReportsReceived& e);
-  void On(const DeadlineShortened& e);
-  void On(const PrefixTrafficReceived& e) { told_keys_ = {e.shares.begin(), e.shares.end()}; }
-  void Fit();  // what is learned class by class, to the classes in force
-
-  // The ordinary path.
-  void Estimate(Request& r) const;
-  void Hold(Request& r);
-  void Unhold(Request& r);
-  void Release();
-  Replica* Choose(const Request& r);
-  void Send(Request& r, Replica& to);
-  double Unread(const RequestArrived& i, const Replica& x, bool home, bool session_home, bool hot) const;
-  void Keep(const RequestArrived& i, ReplicaId at);
-  void DoneReading(Attempt& a);
-  static Attempt* Out(Request& r, int attempt) {
-    const auto n = static_cast<std::size_t>(attempt);
-    return attempt >= 0 && n < r.attempts.size() && r.attempts[n].out ? &r.attempts[n] : nullptr;
-  }
-  void Recap();
-  bool HasRoom(const Replica& x) const;
-  bool Rests(const Replica& x) const { return std::max(x.ejected_until, x.told.ejected_until) > now_; }
-  bool Large() const { return fleet_.size() > kWhole; }
-  // A large fleet's caps may be a little old: they are looked at by time, not for each thing learned.
-  void Stale() {
-    if (!Large()) capped_at_ = -1;
-  }
-  void MakeRing();
-  static std::size_t Homes(double share, std::size_t n, std::size_t most);
-  void CountReport(const Replica& x);
-  void Everyone(const RequestArrived& i, double prefix_share, double session_share);
-  void Candidates(const RequestArrived& i, double prefix_share, double session_share);
+  void HandleEvent(const Event& event);
+  void OnEndpointList(const EndpointList& list);
+  void OnRequestArrived(const RequestArrived& arrival);
+  void OnResponseStarted(const ResponseStarted& started);
+  void OnAttemptEnded(const AttemptEnded& ended);
+  void OnClientDisconnected(RequestId id);
+  void OnDeadlineShortened(const DeadlineShortened& shortened);
+  void OnTimerFired(std::uint64_t token);
+  void OnNodeCountChanged(int node_count);
+  void OnTrafficShareChanged(double share);
+  void OnStateRestored(const LearnedState& state);
+  void OnPeerReports(const std::vector<PeerReplicaReport>& reports);
+
+  // The queue.
+  void Enqueue(Request& request);
+  void DispatchQueued();
+  void Send(Request& request, Replica& replica);
+  Time LatestDispatch(const Request& request) const;
+  Time LatestDispatchForObjective(const Request& request) const;
+  PriorityTier TierOf(const Request& request) const;
+  void OnRequestTimer(const Timer& timer);
+
+  // The end of requests.
+  void RetryOrConclude(Request& request, Outcome outcome);
+  ConclusionReason WhyNoRetry(const Request& request) const;
+  void Conclude(Request& request, ConclusionReason reason);
+  void MarkConcluded(Request& request);
+  void ForgetIfDone(RequestId id);
 
   // What is learned.
-  void LearnServed(const Request& r, Replica* from, Time runtime);
-  void LearnSlow(Replica& x, double log_ratio);
-  void TakeReport(Replica& x, const std::vector<double>& load);
-  double Reported(const Replica& x) const;
-  void LearnTime(bool late, bool in_good_time);
-  void LearnPace(const Request& r, Time runtime);
-  void Fall(double factor);
-  bool Saturated() const { return k_.pace_slowdown > std::log(kSaturated) && k_.objective_used > kCrowded; }
-  Time FullRest() const {
-    return std::clamp<Time>(static_cast<Time>(kFullRest * k_.round_trip.mean), settings_.connect_timeout / 10,
-                            kFullRestMost);
-  }
-  void LearnFailure(Replica& x, Outcome o);
-  double Slowness(const Replica& x) const;
-  bool ManyNodes() const { return settings_.node_count > kFewNodes; }
-  // Of many nodes one may have most of the traffic, so its level is not bound to its part.
-  double MostLevel() const { return ManyNodes() ? kMostInFlight : kMostInFlight / parts_; }
-  double KindSlowness(int kind) const;
-  double ZoneSlowness(int zone) const;
-  double KeyShare(std::uint64_t key, bool hot_only) const;
-  void CountKeys(const RequestArrived& e);
-  std::uint32_t BucketKey(const RequestArrived& i, int level) const;
-  double Warmth(const Replica& x) const;
-  bool OverShare(int tenant);
-
-  // Rules.
-  const ClassSettings& ClassOf(const Request& r) const {
-    return settings_.classes[static_cast<std::size_t>(r.info.class_index)];
-  }
-  bool MaySend(const Request& r, const Replica& to) const;
-  bool ByZone() const { return settings_.cross_zone_penalty > 0 && settings_.zone_count > 1; }
-  bool MaySendAnywhere(const Request& r) const;
-  Time RepeatWithin(const Request& r) const;
-  bool MayRefuse(const Request& r) const;
-  void Conclude(Request& r, ConclusionReason why);
-  void NoteSend(const Request& r, const Replica& to) const;
-  void Forget(RequestId id);
-  void RetryOrConclude(Request& r, Outcome o);
-  Time GiveUpAt(const Request& r) const;
-  Time FirstToken(const Request& r) const;
-
-  void SetAlarm(Time at, Wake what, RequestId id);
-  void Anew(Replica& x);
-  void AskForList();
-  double Random() { return Unit(random_ = Mix(random_)); }
+  void PrefillEnded(Attempt& attempt);
+  void LearnServed(const Request& request, Replica& replica, Time runtime);
+  void LearnFailure(Replica& replica, Outcome outcome);
+  void LearnAtCapacity(Replica& replica);
+  void LearnSpeed(Replica& replica, double log_ratio);
+  LimitUsage CurrentUsage() const;
+  void ResizeTables();
+
+  const ClassSettings& ClassOf(const Request& request) const {
+    return settings_.classes[request.class_index()];
+  }
+  // Null: not known, or concluded.
+  Request* FindOpen(RequestId id);
+  void PollEndpointsAfter(std::optional<Time> delay);
+  void ReportEjection(const Replica& replica, Outcome outcome, Time until) const;
   template <class T>
-  void Act(T action) {
+  void Emit(T action) {
     actions_->push_back(std::move(action));
   }
 
   Settings settings_;
-  std::uint64_t random_;
-  Time now_;
-  std::vector<Action>* actions_ = nullptr;
+  RandomSource random_;
+  Time now_;                                // of the event being handled; never steps back
+  std::vector<Action>* actions_ = nullptr;  // while an event is handled
   DecisionObserver* observer_ = nullptr;
 
-  std::vector<std::unique_ptr<Replica>> fleet_;  // by id
+  // What is known of replicas and learned from outcomes.
+  Fleet fleet_;
+  TrafficShare traffic_share_{settings_.node_count};
+  RuntimeEstimator estimator_{settings_};
+  ReplicaSpeed speed_{settings_};
+  LoadReports load_reports_{settings_, speed_};
+  SlowStart slow_start_{settings_};
+  OutlierEjection ejection_;
+  AdaptiveConcurrency concurrency_{settings_, traffic_share_};
+  PrefixAffinity affinity_{settings_};
+  TenantQuotas tenant_quotas_{settings_, traffic_share_};
+  RetryBudget retry_budget_;
+
+  // What decides.
+  RetryPolicy retry_policy_{settings_};
+  ReplicaLimits limits_{
+      {fleet_, traffic_share_, concurrency_, speed_, slow_start_, ejection_, load_reports_}};
+  ReplicaSelector selector_{
+      {settings_, fleet_, traffic_share_, limits_, speed_, load_reports_, affinity_, retry_policy_, random_}};
+  EndpointPolling polling_{settings_};
+
   std::unordered_map<RequestId, Request> requests_;
-  std::set<HeldPlace> held_;
-  std::uint64_t order_ = 0;
-  int in_flight_ = 0;
-  int beside_ = 0;  // what another process of this node has out
-
-  LearnedState k_;                                       // all that is learned of more than one replica
-  std::unordered_map<std::uint64_t, double> told_keys_;  // shares of the tier's traffic
-  double cap_total_ = 0;
-  double parts_ = 1;     // this node's part of the tier is one of so many,
-  double split_at_ = 1;  // and was when caps were last split
-  Time capped_at_ = -1;
-  bool counts_reported_ = false;  // whether load reports hold a number of requests
-  bool blocking_ = true;          // whether resting replicas rest: not when too many would
-
-  std::priority_queue<Alarm, std::vector<Alarm>, std::greater<>> alarms_;
-  Time armed_at_ = kNever;
-  std::uint64_t timer_ = 0;
-  bool subscribed_ = false;
-  int asks_failed_ = 0;
-
-  struct Option {
-    Replica* replica;
-    double prefix_rank, session_rank;
-    bool home, session_home;
-    double room;
-    std::uint64_t session_order = 0;  // of large fleets
-  };
-  std::vector<Option> options_;        // scratch
-  double reported_ = 0, reports_ = 0;  // loads as replicas last said them, and how many that counts for
-  // Of large fleets only.
-  std::vector<std::pair<std::uint64_t, Replica*>> ring_;  // points of usable replicas, by hash
-  bool ring_old_ = true;
-  std::vector<Replica*> ready_;  // that have a cap
-  std::uint64_t search_ = 0;
+  RequestQueue queue_;
+  TimerQueue timers_;
 };
 
 Router::Impl::Impl(const Settings& settings, std::uint64_t seed, Time now)
-    : settings_(settings), random_(Mix(seed)), now_(now) {
-  if (settings_.classes.empty()) settings_.classes.emplace_back();
-  settings_.node_count = std::max(1, settings_.node_count);
-  parts_ = split_at_ = settings_.node_count;
-  // Traffic is spread unevenly over many nodes, so their parts of a cap are never all in use together.
-  const double start = ManyNodes() ? kManyNodesStart * kStartInFlight : kStartInFlight;
-  k_.base_limit = start / parts_;
-  k_.retry_budget = kBudgetMost / 2;
-  Fit();
-  // Nodes start together: calls in step would overrun discovery, so each waits a random part of a span. It is
-  // short: the list known at the start may be old, and what it lacks counts as told before long.
-  if (settings_.poll_endpoints) {
-    const Time span = settings_.max_poll_interval > 0
-                          ? std::min(kFirstAskWithin, settings_.max_poll_interval * 4 / 10)
-                          : kFirstAskWithin;
-    SetAlarm(now + static_cast<Time>(Random() * static_cast<double>(span)), Wake::kAsk, 0);
-  }
+    : settings_(Checked(settings)), random_(seed), now_(now) {
+  ResizeTables();
+  PollEndpointsAfter(polling_.FirstDelay(random_));
 }
 
+// ---- Events ----
+
 void Router::Impl::Handle(Time now, const Event& event, std::vector<Action>& actions) {
   now_ = std::max(now_, now);
   actions_ = &actions;
-  std::visit([this](const auto& e) { On(e); }, event);
-  Release();
-  if (!alarms_.empty() && alarms_.top().at < armed_at_) {
-    armed_at_ = alarms_.top().at;
-    Act(SetTimer{++timer_, std::max<Time>(0, armed_at_ - now_)});
-  }
+  HandleEvent(event);
+  DispatchQueued();
+  if (const std::optional<SetTimer> timer = timers_.Arm(now_)) Emit(*timer);
   actions_ = nullptr;
 }
 
-// ---- The list of replicas ----
-
-void Router::Impl::On(const EndpointList& e) {
-  if (e.scope == EndpointListScope::kFailed) {
-    // The old list stays; ask again, later each time and not in step with the others, but soon at first: what
-    // changes meanwhile counts as told before long.
-    subscribed_ = false;
-    ++asks_failed_;
-    const double wait = std::min(kAskAgainFirst * std::exp2(std::min(asks_failed_, 5)), kAskAgainMost);
-    if (settings_.poll_endpoints) SetAlarm(now_ + static_cast<Time>(wait * (0.5 + Random())), Wake::kAsk, 0);
-    return;
-  }
-  if (e.scope != EndpointListScope::kCached) asks_failed_ = 0;
-  if (e.scope != EndpointListScope::kDelta) {
-    for (auto& x : fleet_) x->listed = false;
-  }
-  for (const Endpoint& entry : e.endpoints) {
-    Replica* x = Get(entry.id);
-    if (x == nullptr) {
-      if (entry.state == EndpointState::kRemoved) continue;
-      x = fleet_
-              .insert(std::lower_bound(fleet_.begin(), fleet_.end(), entry.id,
-                                       [](const auto& r, ReplicaId v) { return r->endpoint.id < v; }),
-                      std::make_unique<Replica>())
-              ->get();
-      Anew(*x);
-    } else if (entry.started_at > x->endpoint.started_at) {
-      Anew(*x);
-    }
-    x->endpoint = entry;
-    x->listed = entry.state != EndpointState::kRemoved;
-    x->usable = entry.state == EndpointState::kReady;
-  }
-  for (auto& x : fleet_) x->usable = x->usable && x->listed;
-  std::erase_if(fleet_, [&](const auto& x) {
-    const bool gone = !x->listed && x->in_flight == 0;
-    if (gone) beside_ -= x->beside;
-    return gone;
-  });
-  capped_at_ = -1;
-  ring_old_ = true;
-}
-
-// It has started: nothing known of it holds any more, but for attempts whose outcomes are still to come.
-void Router::Impl::Anew(Replica& x) {
-  const int in_flight = x.in_flight;
-  beside_ -= x.beside;
-  x = Replica{};
-  x.in_flight = in_flight;
-  x.slow_start_tokens = Random();  // nodes hear of a start together: their first sends are spread over time
-  x.slow_start_updated_at = now_;
-}
-
-void Router::Impl::AskForList() {
-  if (subscribed_) return;
-  subscribed_ = true;
-  Act(WatchEndpoints{true});
-}
-
-double Router::Impl::Warmth(const Replica& x) const {
-  if (settings_.slow_start_window <= 0 || x.endpoint.started_at <= 0) return 1;
-  const double age =
-      static_cast<double>(now_ - x.endpoint.started_at) / static_cast<double>(settings_.slow_start_window);
-  if (age >= 1) return 1;
-  return settings_.slow_start_min_share + (1 - settings_.slow_start_min_share) * std::max(0.0, age);
+void Router::Impl::HandleEvent(const Event& event) {
+  const Overloaded handlers = {
+      [&](const EndpointList& e) { OnEndpointList(e); },
+      [&](const RequestArrived& e) { OnRequestArrived(e); },
+      [&](const ResponseStarted& e) { OnResponseStarted(e); },
+      [&](const AttemptEnded& e) { OnAttemptEnded(e); },
+      [&](const ClientDisconnected& e) { OnClientDisconnected(e.id); },
+      [&](const DeadlineShortened& e) { OnDeadlineShortened(e); },
+      [&](const TimerFired& e) { OnTimerFired(e.token); },
+      [&](const HealthCheckCompleted&) {},  // the Router asks for none
+      [&](const NodeCountChanged& e) { OnNodeCountChanged(e.node_count); },
+      [&](const TrafficShareChanged& e) { OnTrafficShareChanged(e.share); },
+      [&](const StateRestored& e) {
+        if (e.state != nullptr) OnStateRestored(*e.state);
+      },
+      [&](const SiblingInFlightChanged& e) { fleet_.SetSiblingInFlight(e.in_flight); },
+      [&](const PeerReportsReceived& e) { OnPeerReports(e.replicas); },
+      [&](const PrefixTrafficReceived& e) { affinity_.SetTierTraffic(e.shares); },
+  };
+  std::visit(handlers, event);
 }
 
-// ---- Requests ----
-
-void Router::Impl::On(const RequestArrived& e) {
-  if (requests_.contains(e.id)) return;
-  Request& r = requests_[e.id];
-  r.info = e;
-  r.info.class_index = std::clamp(e.class_index, 0, static_cast<int>(settings_.classes.size()) - 1);
-  r.info.prompt_tokens = std::min(1e9, std::max(0.0, e.prompt_tokens));  // 0 for what is no number
-  const ClassSettings& c = ClassOf(r);
-  r.arrived = now_;
-  r.deadline = now_ + std::max<Time>(0, e.time_budget);
-  r.aim_at =
-      now_ + c.latency_objective +
-      static_cast<Time>(static_cast<double>(c.objective_per_1000_tokens) * r.info.prompt_tokens / 1000.0);
-  k_.retry_budget = std::min(kBudgetMost, k_.retry_budget + kRetryShare);
-  CountKeys(e);
-  r.over_share = OverShare(e.tenant_index);
-  Estimate(r);
-  // A try can come with no patience left; a timer would answer it a tick too late.
-  if (GiveUpAt(r) <= now_) return Conclude(r, ConclusionReason::kNoTimeBudget);
-  Hold(r);
-}
+// ---- Replicas and the routing tier ----
 
-void Router::Impl::On(const ClientDisconnected& e) {
-  const auto it = requests_.find(e.id);
-  if (it == requests_.end() || it->second.done) return;
-  Request& r = it->second;
-  Unhold(r);
-  r.done = true;
-  if (settings_.can_cancel) {
-    for (std::size_t i = 0; i < r.attempts.size(); ++i) {
-      if (r.attempts[i].out) Act(CancelAttempt{e.id, static_cast<int>(i)});
-    }
+void Router::Impl::OnEndpointList(const EndpointList& list) {
+  if (list.scope == EndpointListScope::kFailed) {  // the old list stays
+    PollEndpointsAfter(polling_.OnFailure(random_));
+    return;
   }
-  Forget(e.id);
+  polling_.OnList(list.scope);
+  fleet_.Apply(list, now_, random_);
+  limits_.Invalidate();
+  selector_.OnFleetChanged();
 }
 
-// An attempt that is out stays so: the request is concluded by its outcome, as there is no time for another.
-void Router::Impl::On(const DeadlineShortened& e) {
-  const auto it = requests_.find(e.id);
-  if (it == requests_.end() || it->second.done || it->second.started) return;
-  Request& r = it->second;
-  r.deadline = std::min(r.deadline, now_ + std::max<Time>(0, e.time_budget));
-  if (!r.held) return;
-  r.give_up_at = GiveUpAt(r);
-  if (now_ >= r.give_up_at) return Conclude(r, ConclusionReason::kQueueTimeout);
-  SetAlarm(r.give_up_at, Wake::kGiveUp, e.id);
+void Router::Impl::PollEndpointsAfter(std::optional<Time> delay) {
+  if (delay) timers_.Schedule(now_ + *delay, TimerKind::kPollEndpoints);
 }
 
-void Router::Impl::Forget(RequestId id) {
-  const auto it = requests_.find(id);
-  if (it != requests_.end() && it->second.done && it->second.out == 0) requests_.erase(it);
+void Router::Impl::OnNodeCountChanged(int node_count) {
+  const double before = std::exchange(settings_.node_count, std::max(1, node_count));
+  concurrency_.Scale(traffic_share_.ScaleNodeCount(before, settings_.node_count));
+  limits_.InvalidateUnlessSampling();
 }
 
-Time Router::Impl::GiveUpAt(const Request& r) const {
-  // The final answer has to be out before the client's time is up, with some ticks to spare.
-  const Time patience = r.deadline - r.arrived;
-  const Time last = r.deadline - std::max<Time>(20'000, patience / 50);
-  // Departure: what earns nothing once its aim has passed is refused early, not served late.
-  if (ClassOf(r).late_weight_share <= 0) return std::max(r.arrived, std::min(last, r.aim_at - FirstToken(r)));
-  return std::max(r.arrived, last);
-}
-
-// How long a first token is likely to take once the request is sent.
-Time Router::Impl::FirstToken(const Request& r) const {
-  const auto seen = k_.first_token_by_bucket.find(BucketKey(r.info, 2));
-  const double usual = seen == k_.first_token_by_bucket.end() ? 0 : seen->second.mean;
-  return static_cast<Time>(std::min(usual, 0.5 * static_cast<double>(r.aim_at - r.arrived)));
-}
-
-void Router::Impl::Hold(Request& r) {
-  r.held = true;
-  const auto usual = k_.runtime_by_bucket.find(BucketKey(r.info, 1));
-  const double usual_size = usual == k_.runtime_by_bucket.end() ? r.size : usual->second.mean;
-  const double key = HeldKey({r.arrived, r.aim_at - r.arrived, r.size, usual_size});
-  // Departure: what can no longer meet its aim waits behind what can. In the order of size and age alone, a
-  // queue that has once grown past the aim serves everything late.
-  const Time last_call = r.aim_at - FirstToken(r);
-  const int rank = now_ >= last_call ? 2 : r.over_share ? 1 : 0;
-  r.place = {rank, key, ++order_, r.info.id};
-  held_.insert(r.place);
-  r.give_up_at = GiveUpAt(r);
-  if (rank < 2 && last_call < r.give_up_at) SetAlarm(last_call, Wake::kOverdue, r.info.id);
-  SetAlarm(r.give_up_at, Wake::kGiveUp, r.info.id);
-}
-
-void Router::Impl::Unhold(Request& r) {
-  if (!r.held) return;
-  held_.erase(r.place);
-  r.held = false;
-}
-
-void Router::Impl::Release() {
-  if (held_.empty()) return;
-  Recap();
-  int stuck = 0;  // requests that rules keep from every replica with room; they must not block the others
-  for (auto it = held_.begin(); it != held_.end() && stuck < 8;) {
-    if (in_flight_ + beside_ >= std::max(1.0, cap_total_)) return;
-    Request& r = requests_.at(it->id);
-    ++it;
-    Replica* to = Choose(r);
-    if (to == nullptr) {
-      if (r.attempts.empty()) return;  // free to go anywhere, and nowhere is room
-      ++stuck;
-      continue;
-    }
-    Unhold(r);
-    Send(r, *to);
-  }
+void Router::Impl::OnTrafficShareChanged(double share) {
+  const std::optional<double> factor = traffic_share_.SetShare(share);
+  if (!factor) return;
+  concurrency_.Scale(*factor);
+  limits_.InvalidateUnlessSampling();
 }
 
-// From what Choose has just weighed.
-void Router::Impl::NoteSend(const Request& r, const Replica& to) const {
-  DispatchRecord note{r.info.id, static_cast<int>(r.attempts.size()), to.endpoint.id, r.size,
-                      now_ - r.arrived};
-  note.candidates = static_cast<int>(options_.size());
-  note.concurrency_limit = to.concurrency_limit;
-  note.in_flight = to.in_flight;
-  for (const Option& o : options_) {
-    if (o.room >= 0) ++note.candidates_with_capacity;
-    if (o.replica == &to) {
-      note.score = o.room;
-      note.tokens_to_prefill = Unread(r.info, to, o.home, false, false);
-    } else if (o.room > note.runner_up_score) {
-      note.runner_up = o.replica->endpoint.id;
-      note.runner_up_score = o.room;
+void Router::Impl::OnPeerReports(const std::vector<PeerReplicaReport>& reports) {
+  for (const PeerReplicaReport& report : reports) {
+    Replica* replica = fleet_.Find(report.id);
+    if (replica == nullptr || replica->endpoint.started_at != report.started_at) continue;
+    PeerReplicaReport& known = replica->peer_report;
+    known = report;
+    known.slowness = std::clamp(report.slowness, -ReplicaSpeed::kMaxSlowness, ReplicaSpeed::kMaxSlowness);
+    known.slowness_samples = std::clamp(report.slowness_samples, 0.0, ReplicaSpeed::kPriorWeight);
+    replica->peer_report_at = now_;
+    if (report.ejected_until > now_) {
+      timers_.Schedule(report.ejected_until, TimerKind::kUpdateLimits);
     }
   }
-  observer_->OnDispatch(note);
+  limits_.Invalidate();
 }
 
-void Router::Impl::Send(Request& r, Replica& to) {
-  if (observer_ != nullptr && observer_->wants_dispatches()) NoteSend(r, to);
-  const Time write_within = RepeatWithin(r);
-  Attempt a;
-  a.replica = to.endpoint.id;
-  a.zone = to.endpoint.zone;
-  a.cell = to.endpoint.cell;
-  a.sent = now_;
-  r.attempts.push_back(a);
-  ++r.out;
-  ++to.in_flight;
-  ++in_flight_;
-  // What is kept now is what it had to read less; from here on the whole prompt is there.
-  const bool home = std::any_of(options_.begin(), options_.end(),
-                                [&](const Option& o) { return o.replica == &to && o.home; });
-  r.attempts.back().unread = Unread(r.info, to, home, false, false);
-  if (to.prefill_backlog_tokens < 1) to.waiting_since = now_;
-  to.prefill_backlog_tokens += r.attempts.back().unread;
-  Keep(r.info, to.endpoint.id);
-  k_.dispatches.Add(now_, kTenantMemory, 1);
-  if (Warmth(to) < 1) to.slow_start_tokens -= 1;
-  Act(SendAttempt{r.info.id, to.endpoint.id, 0, write_within});
-}
+// ---- Requests ----
 
-// Present caps. This node's part of a replica's cap is a real number: the fleet-wide level that time to first
-// token has taught, times the replica's speed, less what 'full' answers and a cold start take off.
-void Router::Impl::Recap() {
-  if (capped_at_ == now_) return;
-  if (Large() && capped_at_ >= 0 && now_ - capped_at_ < kRecapEvery * static_cast<Time>(fleet_.size()))
+void Router::Impl::OnRequestArrived(const RequestArrived& arrival) {
+  if (requests_.contains(arrival.id)) return;
+  Request& request = requests_[arrival.id];
+  request.arrival = arrival;
+  const int last_class = static_cast<int>(settings_.classes.size()) - 1;
+  request.arrival.class_index = std::clamp(arrival.class_index, 0, last_class);
+  // 0 for what is no number.
+  request.arrival.prompt_tokens = std::min(kMaxPromptTokens, std::max(0.0, arrival.prompt_tokens));
+  const ClassSettings& settings = ClassOf(request);
+  const double objective_for_prompt =
+      static_cast<double>(settings.objective_per_1000_tokens) * request.arrival.prompt_tokens / 1000.0;
+  request.arrived_at = now_;
+  request.deadline = now_ + std::max<Time>(0, arrival.time_budget);
+  request.objective_at = now_ + settings.latency_objective + static_cast<Time>(objective_for_prompt);
+
+  retry_budget_.AddRequest();
+  affinity_.CountArrival(arrival, now_);
+  request.over_quota = tenant_quotas_.CountArrival(arrival.tenant_index, now_);
+  estimator_.Estimate(request);
+
+  // It can come with no time left; a timer would conclude it a tick too late.
+  if (LatestDispatch(request) <= now_) {
+    Conclude(request, ConclusionReason::kNoTimeBudget);
     return;
-  capped_at_ = now_;
-  ready_.clear();
-  reported_ = reports_ = 0;
-  std::size_t usable = 0, blocked = 0;
-  double slow = 0;
-  for (const auto& x : fleet_) {
-    if (!x->usable) continue;
-    ++usable;
-    slow += Slowness(*x);
-    if (Rests(*x)) ++blocked;
-  }
-  // If much of the fleet fails at once the cause is shared, and resting it would push the load onto the rest.
-  blocking_ = static_cast<double>(blocked) <= kPanicShare * static_cast<double>(usable);
-  // The level already tells how slow the fleet as a whole is; speed divides it among the replicas. Were it to
-  // count twice, all caps would shrink as soon as long answers follow the short ones that are back first.
-  slow /= std::max(1.0, static_cast<double>(usable));
-  const double rate = k_.dispatches.ValueAt(now_, kTenantMemory) / (static_cast<double>(kTenantMemory) / 1e6);
-  cap_total_ = 0;
-  for (auto& x : fleet_) {
-    x->concurrency_limit = 0;
-    if (!x->usable || (blocking_ && Rests(*x))) continue;
-    const double full = 1 - (1 - x->capacity_factor) * Fade(now_ - x->capacity_updated_at, kFullHeals);
-    const double warmth = Warmth(*x);
-    x->concurrency_limit = k_.base_limit * std::exp(-kSpeedPower * (Slowness(*x) - slow)) * full * warmth;
-    cap_total_ += x->concurrency_limit;
-    if (Large()) {
-      ready_.push_back(x.get());
-      CountReport(*x);
-    }
-    if (warmth < 1) {
-      // All nodes together must stay inside what a cold replica can take. A warm one is sent its share of the
-      // traffic; a cold one earns leave for its present part of that.
-      const double share = rate / static_cast<double>(usable);
-      x->slow_start_tokens = std::min(
-          1.0, x->slow_start_tokens + kColdMargin * settings_.overload_factor * warmth * share *
-                                          static_cast<double>(now_ - x->slow_start_updated_at) / 1e6);
-      x->slow_start_updated_at = now_;
-    }
   }
+  Enqueue(request);
 }
 
-bool Router::Impl::HasRoom(const Replica& x) const {
-  if (x.concurrency_limit <= 0 || x.at_capacity_until > now_) return false;
-  if (x.consecutive_failures > 1 && x.in_flight > 0) return false;  // on trial: one request at a time
-  if (Warmth(x) < 1 && x.slow_start_tokens < 1) return false;
-  // A cap of half a request is a mean over all nodes' parts; each node's own swing about it evens out with
-  // the others', and the sum of the caps bounds them together. Alone, a node sees the whole and keeps to it.
-  const double swing = kSwing * std::sqrt(x.concurrency_limit * (1 - 1.0 / parts_));
-  return x.in_flight + x.elsewhere() < std::max(1.0, x.concurrency_limit + swing);
-}
-
-// The replica with most room. Room is the part of a replica's cap that is thought free, counted in requests
-// like this one: where its prompt is kept, a request takes less, so more of them fit.
-Replica* Router::Impl::Choose(const Request& r) {
-  const double nodes = parts_;
-  const bool by_zone = ByZone();
-  const RequestArrived& i = r.info;
-  options_.clear();
-  const double prefix_share = i.prefix != 0 ? KeyShare(i.prefix, false) : 0;
-  const double session_share = i.session != 0 ? KeyShare(i.session, true) : 0;
-  Large() ? Candidates(i, prefix_share, session_share) : Everyone(i, prefix_share, session_share);
-  if (options_.empty()) return nullptr;
-  // What others have out is not seen; it is taken to be like this node's own, or like what replicas report.
-  double occupied = std::min(kMostOccupied, (in_flight_ + beside_) / std::max(cap_total_, 1e-9));
-
-  const double among = static_cast<double>(Large() ? ready_.size() : options_.size());
-  const bool hot = session_share * among * kSpread > 1;
-  const double usual = std::max((reported_ + 1e-9) / (reports_ + 1e-9), 1e-9);
-  double best = -1;
-  for (Option& o : options_) {
-    const Replica& x = *o.replica;
-    o.room = -1;
-    if (!HasRoom(x) || !MaySend(r, x)) continue;
-    const bool tried = std::any_of(r.attempts.begin(), r.attempts.end(),
-                                   [&](const Attempt& a) { return a.replica == x.endpoint.id; });
-    // What other nodes have there is not seen: as much as here on average, more where answers are slow.
-    const double slowness = Slowness(x);
-    double others = occupied * std::exp(kShun * (slowness - KindSlowness(x.endpoint.kind)));
-    if (x.reported_load >= 0) {
-      const double trust = Fade(now_ - x.reported_at, kReportMemory);
-      const double fuller = std::clamp(Reported(x) / usual, 1 / kReportBound, kReportBound);
-      others = trust * occupied * fuller + (1 - trust) * others;
+void Router::Impl::OnClientDisconnected(RequestId id) {
+  Request* request = FindOpen(id);
+  if (request == nullptr) return;
+  queue_.Dequeue(*request);
+  if (settings_.can_cancel) {
+    for (std::size_t i = 0; i < request->attempts.size(); ++i) {
+      if (request->attempts[i].in_flight) Emit(CancelAttempt{id, static_cast<int>(i)});
     }
-    const double own = (x.in_flight + x.elsewhere()) / (nodes * x.concurrency_limit);
-    const double free = std::max(0.01, 1 - own - others * (nodes - 1) / nodes);
-    // Room is counted in requests like this one, and what a request takes is what must be read before its
-    // first token comes: the prompts that came before it, and what of its own is not kept there.
-    double weight =
-        (x.prefill_backlog_tokens + Unread(i, x, o.home, o.session_home, hot)) * std::exp(slowness) +
-        kLeastRead;
-    if (by_zone && x.endpoint.zone != settings_.zone)
-      weight += kCrossingRead * settings_.cross_zone_penalty / 0.08;
-    if (tried) weight *= 5;  // somewhere else, if there is anywhere else
-    o.room = free / weight;
-    best = std::max(best, o.room);
-  }
-  if (best < 0) return nullptr;
-  double total = 0;
-  for (const Option& o : options_) {
-    if (o.room >= best * (1 - kTie)) total += o.replica->concurrency_limit;
   }
-  double draw = Random() * total;
-  Replica* chosen = nullptr;
-  for (const Option& o : options_) {
-    if (o.room < best * (1 - kTie)) continue;
-    chosen = o.replica;
-    draw -= o.replica->concurrency_limit;
-    if (draw <= 0) break;
-  }
-  return chosen;
+  MarkConcluded(*request);
 }
 
-// All replicas that have a cap, with the homes of the prefix, then of the session among them; in each zone,
-// where crossing costs.
-void Router::Impl::Everyone(const RequestArrived& i, double prefix_share, double session_share) {
-  const bool by_zone = ByZone();
-  reported_ = reports_ = 0;
-  for (auto& x : fleet_) {
-    if (x->concurrency_limit <= 0) continue;
-    const double speed = std::exp(-kSpeedPower * KindSlowness(x->endpoint.kind));
-    options_.push_back({x.get(), i.prefix != 0 ? Rendezvous(i.prefix, x->endpoint.id, speed) : 0,
-                        i.session != 0 ? Rendezvous(i.session, x->endpoint.id, speed) : 0, false, false, 0});
-    CountReport(*x);
-  }
-  const auto by = [by_zone](auto member) {
-    const auto key = [=](const Option& o) {
-      return std::tuple(by_zone ? o.replica->endpoint.zone : 0, -(o.*member), o.replica->endpoint.id);
-    };
-    return [key](const Option& a, const Option& b) { return key(a) < key(b); };
-  };
-  if (i.prefix != 0) {
-    std::sort(options_.begin(), options_.end(), by(&Option::prefix_rank));
-  } else if (i.session != 0) {
-    std::sort(options_.begin(), options_.end(), by(&Option::session_rank));
-  }
-  for (std::size_t from = 0; from < options_.size();) {
-    std::size_t to = from + 1;
-    while (to < options_.size() &&
-           (!by_zone || options_[to].replica->endpoint.zone == options_[from].replica->endpoint.zone)) {
-      ++to;
-    }
-    std::size_t set = i.prefix != 0 ? Homes(prefix_share, to - from, to - from) : to - from;
-    if (i.prefix != 0) {
-      for (std::size_t k = from; k < from + set; ++k) options_[k].home = true;
-      std::sort(options_.begin() + static_cast<std::ptrdiff_t>(from),
-                options_.begin() + static_cast<std::ptrdiff_t>(from + set), by(&Option::session_rank));
-    }
-    if (i.session != 0 && (!by_zone || options_[from].replica->endpoint.zone == settings_.zone)) {
-      const std::size_t mine = Homes(session_share, to - from, set);
-      for (std::size_t k = from; k < from + mine; ++k) options_[k].session_home = true;
-    }
-    from = to;
+// An attempt in flight stays so: the request is concluded by its outcome, as there is no time for another.
+void Router::Impl::OnDeadlineShortened(const DeadlineShortened& shortened) {
+  Request* request = FindOpen(shortened.id);
+  if (request == nullptr || request->response_started) return;
+  request->deadline = std::min(request->deadline, now_ + std::max<Time>(0, shortened.time_budget));
+  if (!request->queued) return;
+  request->latest_dispatch_at = LatestDispatch(*request);
+  if (now_ >= request->latest_dispatch_at) {
+    Conclude(*request, ConclusionReason::kQueueTimeout);
+    return;
   }
+  timers_.Schedule(request->latest_dispatch_at, TimerKind::kQueueTimeout, request->id());
 }
 
-// How many homes a key has among n replicas. Powers of two: nodes whose counts differ a little still agree.
-std::size_t Router::Impl::Homes(double share, std::size_t n, std::size_t most) {
-  const double wanted = share * static_cast<double>(n) * kSpread;
-  return std::min(most, std::bit_ceil(static_cast<std::size_t>(std::max(1.0, wanted))));
-}
-
-// What a replica last said of its load, among what all say.
-void Router::Impl::CountReport(const Replica& x) {
-  if (x.reported_load < 0) return;
-  const double trust = Fade(now_ - x.reported_at, kReportMemory);
-  reported_ += trust * Reported(x);
-  reports_ += trust;
+Request* Router::Impl::FindOpen(RequestId id) {
+  const auto it = requests_.find(id);
+  return it == requests_.end() || it->second.concluded ? nullptr : &it->second;
 }
 
-// Each replica has some points on a ring, at the same places at every node, and a key's homes are the
-// replicas whose points come next behind it: few keys move when a replica comes or goes.
-void Router::Impl::MakeRing() {
-  ring_old_ = false;
-  ring_.clear();
-  for (const auto& x : fleet_) {
-    if (!x->usable) continue;
-    for (int k = 0; k < kPoints; ++k)
-      ring_.emplace_back(Mix(Mix(x->endpoint.id) + static_cast<std::uint64_t>(k)), x.get());
-  }
-  std::sort(ring_.begin(), ring_.end(), [](const auto& a, const auto& b) {
-    return std::pair(a.first, a.second->endpoint.id) < std::pair(b.first, b.second->endpoint.id);
-  });
-}
+// ---- The queue ----
 
-// Departure: of a large fleet only a key's homes and some drawn by chance are looked at (power of d choices).
-void Router::Impl::Candidates(const RequestArrived& i, double prefix_share, double session_share) {
-  if (ring_old_) MakeRing();
-  ++search_;
-  const bool by_zone = ByZone();
-  const auto homes = [&](std::uint64_t key, double share, std::size_t most, bool session) {
-    const std::size_t set = Homes(share, ready_.size(), ring_.size());
-    std::size_t left = std::min(most, set);
-    const auto first = std::lower_bound(ring_.begin(), ring_.end(), Mix(key),
-                                        [](const auto& p, std::uint64_t h) { return p.first < h; });
-    std::size_t at = static_cast<std::size_t>(first - ring_.begin());
-    // Of a key with many homes a stretch is looked at, for a session always the same one.
-    if (set > most) {
-      const double part = i.session != 0 ? Unit(Mix(i.session)) : Random();
-      at += static_cast<std::size_t>(part * static_cast<double>(set - most));
-    }
-    for (std::size_t n = 0; n < ring_.size() && n < 8 * kMostHomes * kPoints && left > 0; ++n, ++at) {
-      Replica* x = ring_[at % ring_.size()].second;
-      if (x->concurrency_limit <= 0 || x->looked == search_ ||
-          (by_zone && x->endpoint.zone != settings_.zone))
-        continue;
-      x->looked = search_;
-      options_.push_back({x, 0, 0, !session, session, 0});
-      --left;
-    }
-  };
-  if (i.prefix != 0) {
-    homes(i.prefix, prefix_share, kMostHomes, false);
-    // Among them the session has its own.
-    if (i.session != 0 && !options_.empty()) {
-      for (Option& o : options_) o.session_order = Mix(i.session ^ Mix(o.replica->endpoint.id));
-      std::sort(options_.begin(), options_.end(), [](const Option& a, const Option& b) {
-        return std::pair(~a.session_order, a.replica->endpoint.id) <
-               std::pair(~b.session_order, b.replica->endpoint.id);
-      });
-      const std::size_t mine = Homes(session_share, ready_.size(), options_.size());
-      for (std::size_t k = 0; k < mine; ++k) options_[k].session_home = true;
-    }
-  } else if (i.session != 0) {
-    homes(i.session, session_share, kMostHomes, true);
-  }
-  for (int k = 0; k < kDrawn && !ready_.empty(); ++k) {
-    Replica* x = ready_[std::min(ready_.size() - 1,
-                                 static_cast<std::size_t>(Random() * static_cast<double>(ready_.size())))];
-    if (x->concurrency_limit <= 0 || x->looked == search_) continue;
-    x->looked = search_;
-    options_.push_back({x, 0, 0, false, false, 0});
+// The latest dispatch that can still earn something.
+Time Router::Impl::LatestDispatch(const Request& request) const {
+  const Time time_budget = request.deadline - request.arrived_at;
+  const Time margin = std::max(kMinResponseMargin, time_budget / kResponseMarginParts);
+  Time latest = request.deadline - margin;
+  // Departure: what earns nothing once its objective has passed is rejected early, not served late.
+  if (ClassOf(request).late_weight_share <= 0) {
+    latest = std::min(latest, LatestDispatchForObjective(request));
   }
+  return std::max(request.arrived_at, latest);
 }
 
-// How much of the prompt a replica has to read: what it keeps need not be read again.
-double Router::Impl::Unread(const RequestArrived& i, const Replica& x, bool home, bool session_home,
-                            bool hot) const {
-  const double prompt = std::max(1.0, i.prompt_tokens);
-  const auto kept = [&](std::uint64_t key) {
-    if (key == 0) return 0.0;
-    const auto it = k_.cached_prefixes.find(key ^ Mix(x.endpoint.id));
-    if (it == k_.cached_prefixes.end() || now_ - it->second.cached_at > kKept) return 0.0;
-    return it->second.cached_at < x.endpoint.started_at ? 0.0
-                                                        : it->second.tokens;  // it has started afresh since
-  };
-  // A session that is hot has several homes, and each is as good.
-  const double session = hot ? 0 : kept(i.session);
-  double found = std::max(session, std::min(kept(i.prefix), i.prefix_tokens));
-  if (home) found = std::max(found, kHomeKeeps * i.prefix_tokens);
-  if (session_home) found = std::max(found, kSessionKeeps * prompt);
-  return std::max(0.0, prompt - found);
+Time Router::Impl::LatestDispatchForObjective(const Request& request) const {
+  return request.objective_at - estimator_.ExpectedTimeToFirstToken(request);
 }
 
-void Router::Impl::Keep(const RequestArrived& i, ReplicaId at) {
-  if (k_.cached_prefixes.size() > kMostKept)
-    std::erase_if(k_.cached_prefixes, [&](const auto& k) { return now_ - k.second.cached_at > kKept; });
-  if (k_.cached_prefixes.size() > kMostKept) k_.cached_prefixes.clear();
-  if (i.session != 0) k_.cached_prefixes[i.session ^ Mix(at)] = {i.prompt_tokens, now_};
-  if (i.prefix != 0) k_.cached_prefixes[i.prefix ^ Mix(at)] = {i.prefix_tokens, now_};
+// Departure: what can no longer meet its objective waits behind what can. In the order of runtime and age
+// alone, a queue that has once grown past the objective serves everything late.
+PriorityTier Router::Impl::TierOf(const Request& request) const {
+  if (now_ >= LatestDispatchForObjective(request)) return PriorityTier::kObjectiveLost;
+  return request.over_quota ? PriorityTier::kOverQuota : PriorityTier::kOrdinary;
 }
 
-void Router::Impl::DoneReading(Attempt& a) {
-  if (Replica* x = Get(a.replica))
-    x->prefill_backlog_tokens = std::max(0.0, x->prefill_backlog_tokens - a.unread);
-  a.unread = 0;
-}
-
-// ---- Estimates ----
-
-std::uint32_t Router::Impl::BucketKey(const RequestArrived& i, int level) const {
-  std::uint32_t key = static_cast<std::uint32_t>(level);
-  if (level >= 1) key |= static_cast<std::uint32_t>(i.class_index + 1) << 2;
-  if (level >= 2) key |= static_cast<std::uint32_t>(Log2Bucket(i.prompt_tokens)) << 12;
-  if (level >= 3) {
-    key |= static_cast<std::uint32_t>(Log2Bucket(i.max_answer_tokens)) << 17;
-    key |= static_cast<std::uint32_t>(Log2Bucket(i.prefix_tokens)) << 22;
+void Router::Impl::Enqueue(Request& request) {
+  const PriorityTier tier = TierOf(request);
+  queue_.Enqueue(request, tier,
+                 QueueKey({request.arrived_at, request.objective_at - request.arrived_at,
+                           request.estimated_runtime, estimator_.TypicalRuntime(request)}));
+  request.latest_dispatch_at = LatestDispatch(request);
+  const Time objective_lost_at = LatestDispatchForObjective(request);
+  if (tier != PriorityTier::kObjectiveLost && objective_lost_at < request.latest_dispatch_at) {
+    timers_.Schedule(objective_lost_at, TimerKind::kObjectiveLost, request.id());
   }
-  return key;
+  timers_.Schedule(request.latest_dispatch_at, TimerKind::kQueueTimeout, request.id());
 }
 
-void Router::Impl::Estimate(Request& r) const {
-  double estimate = static_cast<double>(ClassOf(r).latency_objective);  // before anything was served
-  for (int level = 0; level <= 3; ++level) {
-    const auto it = k_.runtime_by_bucket.find(BucketKey(r.info, level));
-    if (it != k_.runtime_by_bucket.end())
-      estimate = it->second.Shrunk(estimate, level == 0 ? 0 : kParentWeight);
-  }
-  r.by_bucket = std::max(estimate, 1.0);
-  r.by_hint = r.by_bucket;
-  r.size = r.by_bucket;
-  const std::size_t c = static_cast<std::size_t>(r.info.class_index);
-  if (r.info.cost_hint > 0 && k_.runtime_per_hint[c].samples > kParentWeight) {
-    r.by_hint = std::max(1.0, k_.runtime_per_hint[c].mean * static_cast<double>(r.info.cost_hint));
-    // Either estimate counts by how well it has done so far.
-    const double trust =
-        (k_.bucket_error[c].mean + 1e-6) / (k_.bucket_error[c].mean + k_.hint_error[c].mean + 2e-6);
-    r.size = std::exp(trust * std::log(r.by_hint) + (1 - trust) * std::log(r.by_bucket));
+void Router::Impl::DispatchQueued() {
+  if (queue_.empty()) return;
+  limits_.Update(now_);
+  int unplaceable = 0;
+  for (auto it = queue_.begin(); it != queue_.end() && unplaceable < kMaxUnplaceable;) {
+    if (fleet_.in_flight() >= std::max(1.0, limits_.total())) return;
+    Request& request = requests_.at(it->id);
+    ++it;  // the request may leave the queue
+    Replica* replica = selector_.Select(request, now_);
+    if (replica != nullptr) {
+      queue_.Dequeue(request);
+      Send(request, *replica);
+    } else if (request.attempts.empty()) {
+      return;  // it may go anywhere, and nowhere is spare capacity
+    } else {
+      ++unplaceable;
+    }
   }
 }
 
-void Router::Impl::LearnServed(const Request& r, Replica* from, Time runtime) {
-  const double t = std::max<double>(1, static_cast<double>(runtime));
-  const std::size_t c = static_cast<std::size_t>(r.info.class_index);
-  for (int level = 0; level <= 3; ++level)
-    k_.runtime_by_bucket[BucketKey(r.info, level)].Add(t, kBucketMemory);
-  k_.round_trip.Add(t, kBucketMemory);
-  LearnPace(r, runtime);
-  if (r.info.cost_hint > 0)
-    k_.runtime_per_hint[c].Add(t / static_cast<double>(r.info.cost_hint), kBucketMemory);
-  k_.bucket_error[c].Add(std::pow(std::log(r.by_bucket / t), 2), kBucketMemory);
-  if (r.info.cost_hint > 0) k_.hint_error[c].Add(std::pow(std::log(r.by_hint / t), 2), kBucketMemory);
-  if (from != nullptr) LearnSlow(*from, std::log(t / r.size));
-}
-
-void Router::Impl::LearnSlow(Replica& x, double log_ratio) {
-  const double sample = std::clamp(log_ratio, -kSlowBound, kSlowBound);
-  x.slowness_samples *= Fade(now_ - x.slowness_updated_at, kSlowMemory);
-  x.slowness = (x.slowness * x.slowness_samples + sample) / (x.slowness_samples + 1);
-  x.slowness_samples += 1;
-  x.slowness_updated_at = now_;
-  const std::size_t kind = static_cast<std::size_t>(x.endpoint.kind);
-  if (kind < k_.slowness_by_kind.size() && Warmth(x) >= 1) k_.slowness_by_kind[kind].Add(sample, kKindMemory);
-  const std::size_t zone = static_cast<std::size_t>(x.endpoint.zone);
-  if (zone < k_.slowness_by_zone.size()) k_.slowness_by_zone[zone].Add(now_, kZoneMemory, sample);
-}
-
-double Router::Impl::KindSlowness(int kind) const {
-  const std::size_t k = static_cast<std::size_t>(kind);
-  return k < k_.slowness_by_kind.size() ? k_.slowness_by_kind[k].Shrunk(0, kKindWeight) : 0;
-}
-
-// How slow the replicas of a zone answer now: where traffic is unequal a zone is overrun as a whole, and a
-// node of many sees too few answers of each replica to learn that one by one.
-double Router::Impl::ZoneSlowness(int zone) const {
-  if (!ManyNodes()) return 0;
-  const std::size_t z = static_cast<std::size_t>(zone);
-  return z < k_.slowness_by_zone.size() ? k_.slowness_by_zone[z].Shrunk(now_, kZoneMemory, kKindWeight) : 0;
-}
-
-double Router::Impl::Slowness(const Replica& x) const {
-  const double n = x.slowness_samples * Fade(now_ - x.slowness_updated_at, kSlowMemory);
-  const double m = x.told.slowness_samples * Fade(now_ - x.told_at, kSlowMemory);
-  const double expected = KindSlowness(x.endpoint.kind) + ZoneSlowness(x.endpoint.zone);
-  return (n * x.slowness + m * x.told.slowness + kKindWeight * expected) / (n + m + kKindWeight);
-}
-
-// The level of all caps: up while first tokens come in time and caps are in use, down when many are late.
-void Router::Impl::LearnTime(bool late, bool in_good_time) {
-  k_.late_share += kLateMemory * ((late ? 1.0 : 0.0) - k_.late_share);
-  if (k_.late_share > kLateShare) {
-    if (late) Fall(kFall);
-  } else if (in_good_time && k_.objective_used < kEasy && in_flight_ + beside_ >= kInUse * cap_total_) {
-    k_.base_limit =
-        std::min(MostLevel(), k_.base_limit * (1 + (k_.limit_before_decrease > 0 &&
-                                                            k_.base_limit > kKnown * k_.limit_before_decrease
-                                                        ? kRisePerRound
-                                                        : kFirstRise) /
-                                                       std::max(1.0, cap_total_)));
-    Stale();
+void Router::Impl::Send(Request& request, Replica& replica) {
+  if (observer_ != nullptr && observer_->wants_dispatches()) {
+    observer_->OnDispatch(selector_.Describe(request, replica, now_));
+  }
+  const Time write_within = retry_policy_.WriteWithin(request, now_);
+  Attempt attempt;
+  attempt.replica = replica.endpoint.id;
+  attempt.zone = replica.endpoint.zone;
+  attempt.cell = replica.endpoint.cell;
+  attempt.sent_at = now_;
+  // From here on the whole prompt is taken to be cached there.
+  attempt.tokens_to_prefill = selector_.TokensToPrefill(request, replica, now_);
+  affinity_.RecordDispatch(request.arrival, replica.endpoint.id, now_);
+
+  if (replica.prefill_backlog_tokens < 1) replica.waiting_since = now_;
+  replica.prefill_backlog_tokens += attempt.tokens_to_prefill;
+  slow_start_.RecordDispatch(replica, now_);
+  fleet_.AttemptSent(replica);
+  request.attempts.push_back(attempt);
+  ++request.attempts_in_flight;
+  Emit(SendAttempt{request.id(), replica.endpoint.id, 0, write_within});
+}
+
+// ---- Timers ----
+
+void Router::Impl::OnTimerFired(std::uint64_t token) {
+  timers_.Fired(token);
+  while (const std::optional<Timer> timer = timers_.PopDue(now_)) {
+    switch (timer->kind) {
+      case TimerKind::kUpdateLimits:  // with the dispatch that follows every event
+        limits_.Invalidate();
+        break;
+      case TimerKind::kPollEndpoints:
+        if (polling_.OpenWatch()) Emit(WatchEndpoints{true});
+        break;
+      case TimerKind::kObjectiveLost:
+      case TimerKind::kQueueTimeout:
+        OnRequestTimer(*timer);
+        break;
+    }
   }
 }
 
-void Router::Impl::Fall(double factor) {
-  if (static_cast<double>(now_ - k_.limit_decreased_at) <= k_.round_trip.mean) return;
-  k_.limit_before_decrease = std::max(k_.base_limit, kKnown * k_.limit_before_decrease);
-  k_.base_limit = std::max(kLeastInFlight / parts_, k_.base_limit * factor);
-  k_.limit_decreased_at = now_;
-  Stale();
-}
-
-// A replica that answers in batches takes on more than it can keep pace with long before its first tokens are
-// late: every stream slows down. How slow is too slow is judged against the best pace seen, class by class.
-void Router::Impl::LearnPace(const Request& r, Time runtime) {
-  const double spent = std::max(1.0, static_cast<double>(r.started ? runtime - r.first_token : runtime));
-  const double work = r.info.cost_hint > 0 ? static_cast<double>(r.info.cost_hint) : 1.0;
-  LearnedState::ClassPace& p = k_.pace_by_class[static_cast<std::size_t>(r.info.class_index)];
-  p.current.Add(std::log(spent / work), kPaceMemory);
-  if (p.current.samples < kPaceYoung) return;
-  p.best = std::min(p.best + kPaceLeak, p.current.mean);
-  k_.pace_slowdown += kLateMemory * (p.current.mean - p.best - k_.pace_slowdown);
-  if (Saturated()) Fall(std::max(kMostFall, kSaturated / std::exp(k_.pace_slowdown)));
-}
-
-void Router::Impl::LearnFailure(Replica& x, Outcome o) {
-  Stale();
-  if (o == Outcome::kAtCapacity) {
-    x.capacity_factor = std::max(
-        0.1, (1 - (1 - x.capacity_factor) * Fade(now_ - x.capacity_updated_at, kFullHeals)) * kFullFall);
-    x.capacity_updated_at = now_;
-    x.at_capacity_until = now_ + FullRest();
-    SetAlarm(x.at_capacity_until, Wake::kRelease, 0);
-    if (observer_ != nullptr)
-      observer_->OnEjection({x.endpoint.id, o, x.consecutive_failures, x.at_capacity_until});
-    LearnTime(true, false);
+void Router::Impl::OnRequestTimer(const Timer& timer) {
+  Request* request = FindOpen(timer.request);
+  if (request == nullptr || !request->queued || request->response_started) return;
+  if (timer.kind == TimerKind::kQueueTimeout) {
+    if (now_ >= request->latest_dispatch_at) Conclude(*request, ConclusionReason::kQueueTimeout);
     return;
   }
-  // An error must never make a replica look fast or roomy: it counts as slow.
-  LearnSlow(x, kFailureSlow);
-  ++x.consecutive_failures;
-  if (o == Outcome::kTimeout) LearnTime(true, false);
-  // One failure proves nothing: where now and then a stream comes spoilt from any replica, resting each for
-  // it takes more of the fleet away than the failures do. Only what can't be reached rests at once.
-  if (x.consecutive_failures < 2 && o != Outcome::kConnectFailed) return;
-  const double rest =
-      static_cast<double>(kBlockFirst) * std::pow(2.0, std::min(x.consecutive_failures - 1, 6));
-  x.ejected_until =
-      now_ + static_cast<Time>(std::min(rest, static_cast<double>(kBlockMost)) * (0.75 + 0.5 * Random()));
-  SetAlarm(x.ejected_until, Wake::kRelease, 0);
-  if (Large() && blocking_) {
-    cap_total_ = std::max(0.0, cap_total_ - x.concurrency_limit);
-    x.concurrency_limit = 0;
-  }
-  if (observer_ != nullptr)
-    observer_->OnEjection({x.endpoint.id, o, x.consecutive_failures, x.ejected_until});
-}
-
-void Router::Impl::CountKeys(const RequestArrived& e) {
-  k_.arrivals_long_term.Add(now_, kKeyMemory, 1);
-  k_.arrivals_short_term.Add(now_, kHotMemory, 1);
-  for (const std::uint64_t key : {e.prefix, e.session}) {
-    if (key == 0) continue;
-    LearnedState::KeyTraffic& use = k_.key_traffic[key];
-    use.long_term.Add(now_, kKeyMemory, 1);
-    use.short_term.Add(now_, kHotMemory, 1);
-  }
-  if (k_.key_traffic.size() > 1024 &&
-      k_.key_traffic.size() > 4 * static_cast<std::size_t>(k_.arrivals_long_term.value)) {
-    std::erase_if(k_.key_traffic,
-                  [&](const auto& k) { return k.second.long_term.ValueAt(now_, kKeyMemory) < 0.3; });
-  }
-}
-
-// A key's share of this node's traffic, which stands for its share of all. What has been seen once or twice
-// may be chance, so that much is taken off. Not in a tier of many nodes: each sees few requests, would take a
-// hot prefix for cold, and all would send it to the same one home; there a share starts wide and narrows.
-double Router::Impl::KeyShare(std::uint64_t key, bool hot_only) const {
-  if (const auto told = told_keys_.find(key); told != told_keys_.end()) return told->second;
-  const auto it = k_.key_traffic.find(key);
-  if (it == k_.key_traffic.end()) return 0;
-  const double fast = it->second.short_term.ValueAt(now_, kHotMemory);
-  double share =
-      (fast - 2 * std::sqrt(fast)) / std::max(8.0, k_.arrivals_short_term.ValueAt(now_, kHotMemory));
-  if (!hot_only) {
-    const double slow = it->second.long_term.ValueAt(now_, kKeyMemory);
-    const double n = k_.arrivals_long_term.ValueAt(now_, kKeyMemory);
-    share = std::max(share, ManyNodes() ? slow / (8 + n) : (slow - 1) / std::max(8.0, n));
-  }
-  return std::clamp(share, 0.0, 1.0);
-}
-
-bool Router::Impl::OverShare(int tenant) {
-  const std::size_t t = static_cast<std::size_t>(tenant);
-  if (tenant < 0 || t >= k_.arrivals_by_tenant.size() || settings_.over_quota_weight >= 1) return false;
-  const double quota = settings_.tenants[t].quota_per_second;
-  k_.arrivals_by_tenant[t].Add(now_, kTenantMemory, 1);
-  if (quota <= 0) return false;
-  const double seen = k_.arrivals_by_tenant[t].ValueAt(now_, kTenantMemory);
-  const double fair = quota * static_cast<double>(kTenantMemory) / 1e6 / parts_;
-  return seen > kOverShare * fair + 2 * std::sqrt(fair) + 1;
+  if (request->queue_position.tier == PriorityTier::kObjectiveLost) return;
+  queue_.Dequeue(*request);
+  Enqueue(*request);
 }
 
 // ---- Outcomes ----
 
-void Router::Impl::On(const ResponseStarted& e) {
-  const auto it = requests_.find(e.id);
-  Attempt* const a = it == requests_.end() ? nullptr : Out(it->second, e.attempt);
-  if (a == nullptr || it->second.started || it->second.done) return;
-  Request& r = it->second;
-  r.started = true;
-  DoneReading(*a);
-  r.first_token = e.elapsed;
-  const double aim = static_cast<double>(r.aim_at - r.arrived);
-  const double t = static_cast<double>(e.elapsed);
-  k_.objective_used += kWaitMemory * (std::min(1.0, t / std::max(1.0, aim)) - k_.objective_used);
-  LearnTime(t > kLateAt * aim, t < 0.5 * kLateAt * aim);
-  const std::uint32_t bucket = BucketKey(r.info, 2);
-  if (Replica* x = Get(a->replica)) {
-    x->consecutive_failures = 0, x->waiting_since = now_;
-    const auto seen = k_.first_token_by_bucket.find(bucket);
-    if (seen != k_.first_token_by_bucket.end() && seen->second.samples > kParentWeight) {
-      LearnSlow(*x, std::log(std::max(1.0, t) / std::max(1.0, seen->second.mean)));
+void Router::Impl::OnResponseStarted(const ResponseStarted& started) {
+  Request* request = FindOpen(started.id);
+  Attempt* attempt = request == nullptr ? nullptr : request->InFlightAttempt(started.attempt);
+  if (attempt == nullptr || request->response_started) return;
+  request->response_started = true;
+  request->time_to_first_token = started.elapsed;
+  PrefillEnded(*attempt);
+
+  const double time_to_first_token = static_cast<double>(started.elapsed);
+  const double objective = static_cast<double>(request->objective_at - request->arrived_at);
+  if (concurrency_.LearnTimeToFirstToken(time_to_first_token, objective, CurrentUsage())) {
+    limits_.InvalidateUnlessSampling();
+  }
+  if (Replica* replica = fleet_.Find(attempt->replica)) {
+    replica->consecutive_failures = 0;
+    replica->waiting_since = now_;
+    if (const std::optional<double> typical = estimator_.TypicalTimeToFirstToken(*request)) {
+      LearnSpeed(*replica, std::log(std::max(1.0, time_to_first_token) / std::max(1.0, *typical)));
     }
   }
-  k_.first_token_by_bucket[bucket].Add(t, kBucketMemory);
-}
-
-// How full a replica says it is, for comparison with what the others say: requests in flight count for more
-// on a slow replica than on a fast one.
-double Router::Impl::Reported(const Replica& x) const {
-  return counts_reported_ ? x.reported_load * std::exp(kSpeedPower * Slowness(x)) : x.reported_load;
-}
-
-void Router::Impl::TakeReport(Replica& x, const std::vector<double>& load) {
-  bool counted = false;
-  for (std::size_t f = 0; f < std::min(load.size(), settings_.load_fields.size()); ++f) {
-    const bool count = settings_.load_fields[f] == LoadField::kInFlight;
-    if (!count && (counted || settings_.load_fields[f] != LoadField::kUtilization)) continue;
-    counted = counts_reported_ = count;
-    x.reported_load = std::max(0.0, load[f]);
-    x.reported_at = now_;
-  }
-}
-
-void Router::Impl::On(const AttemptEnded& e) {
-  const auto it = requests_.find(e.id);
-  Attempt* const out = it == requests_.end() ? nullptr : Out(it->second, e.attempt);
-  if (out == nullptr) return;
-  Request& r = it->second;
-  Attempt& a = *out;
-  a.out = false;
-  DoneReading(a);
-  a.ran = !ProvesNotRun(e.outcome);
-  --r.out;
-  --in_flight_;
-  Replica* x = Get(a.replica);
-  if (x != nullptr) {
-    --x->in_flight;
-    TakeReport(*x, e.load_report);
-    if (e.outcome == Outcome::kServed) {
-      x->consecutive_failures = 0;
-      LearnServed(r, x, e.elapsed);
-    } else if (e.outcome != Outcome::kCancelled && e.outcome != Outcome::kNotSent) {
-      LearnFailure(*x, e.outcome);
+  estimator_.LearnTimeToFirstToken(*request, time_to_first_token);
+}
+
+void Router::Impl::OnAttemptEnded(const AttemptEnded& ended) {
+  const auto it = requests_.find(ended.id);
+  if (it == requests_.end()) return;
+  Request& request = it->second;
+  Attempt* attempt = request.InFlightAttempt(ended.attempt);
+  if (attempt == nullptr) return;
+
+  attempt->in_flight = false;
+  attempt->may_have_run = !ProvesNotRun(ended.outcome);
+  PrefillEnded(*attempt);
+  --request.attempts_in_flight;
+  Replica* replica = fleet_.Find(attempt->replica);
+  fleet_.AttemptEnded(replica);
+  const bool served = ended.outcome == Outcome::kServed;
+  if (replica != nullptr) {
+    load_reports_.Take(*replica, ended.load_report, now_);
+    if (served) {
+      LearnServed(request, *replica, ended.elapsed);
+    } else if (ended.outcome != Outcome::kCancelled && ended.outcome != Outcome::kNotSent) {
+      LearnFailure(*replica, ended.outcome);
     }
-    if (!x->listed && x->in_flight == 0) {
-      beside_ -= x->beside;
-      std::erase_if(fleet_, [&](const auto& p) { return p.get() == x; });
-    }
-  }
-  if (e.request_concluded || e.outcome == Outcome::kServed || (r.started && !r.done && r.out == 0)) {
-    if (!r.done && !e.request_concluded && e.outcome != Outcome::kServed) {
-      Conclude(r, ConclusionReason::kStreamInterrupted);
-    } else {
-      Unhold(r);
-      r.done = true;
-      Forget(e.id);
-    }
-    return;
+    fleet_.RemoveIfGone(*replica);
   }
-  if (r.done) {
-    Forget(e.id);
-    return;
+
+  if (request.concluded || served || ended.request_concluded) {
+    queue_.Dequeue(request);
+    MarkConcluded(request);
+  } else if (request.attempts_in_flight > 0) {
+    return;  // the others decide
+  } else if (request.response_started) {
+    Conclude(request, ConclusionReason::kStreamInterrupted);
+  } else {
+    RetryOrConclude(request, ended.outcome);
   }
-  if (!r.started && r.out == 0) RetryOrConclude(r, e.outcome);
 }
 
-void Router::Impl::RetryOrConclude(Request& r, Outcome o) {
-  const bool costs = o != Outcome::kAtCapacity;  // a 'full' is cheap, and its cap has fallen
-  if (r.held) return;
-  const bool left = r.attempts.size() < static_cast<std::size_t>(settings_.max_attempts);
-  if (left && now_ < GiveUpAt(r) && MaySendAnywhere(r) && (!costs || k_.retry_budget >= 1)) {
-    if (costs) k_.retry_budget -= 1;
-    Hold(r);
+void Router::Impl::RetryOrConclude(Request& request, Outcome outcome) {
+  if (request.queued) return;
+  const bool in_time = now_ < LatestDispatch(request);
+  // Being turned down at capacity is cheap, and that replica's limit has fallen.
+  const bool takes_budget = outcome != Outcome::kAtCapacity;
+  const bool in_budget = !takes_budget || retry_budget_.HasRetry();
+  if (in_time && retry_policy_.MaySend(request, now_) && in_budget) {
+    if (takes_budget) retry_budget_.SpendRetry();
+    Enqueue(request);
     return;
   }
-  Conclude(r, !left                 ? ConclusionReason::kAttemptsExhausted
-              : now_ >= GiveUpAt(r) ? ConclusionReason::kDeadlineExceeded
-              : !MaySendAnywhere(r) ? ConclusionReason::kUnsafeToRetry
-                                    : ConclusionReason::kRetryBudgetExhausted);
+  Conclude(request, WhyNoRetry(request));
 }
 
-// ---- The rules ----
-
-bool Router::Impl::MaySendAnywhere(const Request& r) const {
-  if (r.attempts.size() >= static_cast<std::size_t>(settings_.max_attempts)) return false;
-  if (r.out > 0 && !settings_.can_hedge) return false;
-  const ClassSettings& c = ClassOf(r);
-  if (c.idempotency == Idempotency::kIdempotent) return true;
-  for (const Attempt& a : r.attempts) {
-    if (!a.ran) continue;
-    if (c.idempotency == Idempotency::kNotIdempotent) return false;
-    if (now_ - a.sent >= c.dedup_window - kRepeatMargin) return false;
+ConclusionReason Router::Impl::WhyNoRetry(const Request& request) const {
+  if (request.attempts.size() >= static_cast<std::size_t>(settings_.max_attempts)) {
+    return ConclusionReason::kAttemptsExhausted;
   }
-  return true;
+  if (now_ >= LatestDispatch(request)) return ConclusionReason::kDeadlineExceeded;
+  if (!retry_policy_.MaySend(request, now_)) return ConclusionReason::kUnsafeToRetry;
+  return ConclusionReason::kRetryBudgetExhausted;
 }
 
-bool Router::Impl::MaySend(const Request& r, const Replica& to) const {
-  const ClassSettings& c = ClassOf(r);
-  if (!MaySendAnywhere(r)) return false;
-  if (c.idempotency != Idempotency::kIdempotencyKey || c.dedup_scope == DedupScope::kAll) return true;
-  for (const Attempt& a : r.attempts) {
-    if (!a.ran) continue;
-    // A zone or cell that is not known (below 0) may be any.
-    const int group = c.dedup_scope == DedupScope::kZone ? a.zone : a.cell;
-    const int of_next = c.dedup_scope == DedupScope::kZone ? to.endpoint.zone : to.endpoint.cell;
-    if (group < 0 || group != of_next) return false;
+// The one final response, given only when no attempt is in flight: a rejection where that is allowed, else a
+// failure.
+void Router::Impl::Conclude(Request& request, ConclusionReason reason) {
+  const RequestId id = request.id();
+  if (observer_ != nullptr) {
+    ConclusionRecord record;
+    record.id = id;
+    record.reason = reason;
+    record.attempts = static_cast<int>(request.attempts.size());
+    record.open_for = now_ - request.arrived_at;
+    record.queue_length = static_cast<std::uint32_t>(queue_.size());
+    record.total_concurrency_limit = limits_.total();
+    record.in_flight = fleet_.own_in_flight();
+    observer_->OnConclusion(record);
+  }
+  queue_.Dequeue(request);
+  if (retry_policy_.MayReject(request)) {
+    Emit(RejectRequest{id, settings_.clients_honor_retry_after ? settings_.max_retry_after : 0});
+  } else {
+    Emit(FailRequest{id});
   }
-  return true;
+  MarkConcluded(request);
 }
 
-// How much is left of the window in which repeats are dropped, for a request that may have run; 0: no bound.
-Time Router::Impl::RepeatWithin(const Request& r) const {
-  const ClassSettings& c = ClassOf(r);
-  if (c.idempotency != Idempotency::kIdempotencyKey) return 0;
-  Time within = 0;
-  for (const Attempt& a : r.attempts) {
-    if (!a.ran) continue;
-    const Time left = std::max<Time>(1, a.sent + c.dedup_window - kRepeatMargin - now_);
-    within = within == 0 ? left : std::min(within, left);
-  }
-  return within;
+// The request may be gone after this.
+void Router::Impl::MarkConcluded(Request& request) {
+  request.concluded = true;
+  if (request.attempts_in_flight == 0) requests_.erase(request.id());
 }
 
-bool Router::Impl::MayRefuse(const Request& r) const {
-  const ClassSettings& c = ClassOf(r);
-  if (c.idempotency == Idempotency::kIdempotent) return true;
-  if (c.idempotency == Idempotency::kIdempotencyKey && c.dedup_scope == DedupScope::kAll) return true;
-  return std::none_of(r.attempts.begin(), r.attempts.end(), [](const Attempt& a) { return a.ran; });
+bool Router::Impl::MayReject(RequestId id) const {
+  const auto it = requests_.find(id);
+  return it != requests_.end() && retry_policy_.MayReject(it->second);
 }
 
-// The one final answer, given only when no attempt is out: a refusal where that is allowed, else a failure.
-void Router::Impl::Conclude(Request& r, ConclusionReason why) {
-  const RequestId id = r.info.id;
-  if (observer_ != nullptr) {
-    observer_->OnConclusion({id, why, static_cast<int>(r.attempts.size()), now_ - r.arrived,
-                             static_cast<std::uint32_t>(held_.size()), cap_total_, in_flight_});
-  }
-  Unhold(r);
-  if (MayRefuse(r)) {
-    Act(RejectRequest{id, settings_.clients_honor_retry_after ? settings_.max_retry_after : 0});
-  } else {
-    Act(FailRequest{id});
+// ---- What is learned ----
+
+void Router::Impl::PrefillEnded(Attempt& attempt) {
+  if (Replica* replica = fleet_.Find(attempt.replica)) {
+    replica->prefill_backlog_tokens =
+        std::max(0.0, replica->prefill_backlog_tokens - attempt.tokens_to_prefill);
   }
-  r.done = true;
-  Forget(id);
+  attempt.tokens_to_prefill = 0;
 }
 
-// ---- Timers and probes ----
+LimitUsage Router::Impl::CurrentUsage() const {
+  return {now_, fleet_.in_flight(), limits_.total(), estimator_.mean_runtime()};
+}
 
-void Router::Impl::SetAlarm(Time at, Wake what, RequestId id) { alarms_.push({at, ++order_, what, id}); }
+void Router::Impl::LearnServed(const Request& request, Replica& replica, Time runtime) {
+  replica.consecutive_failures = 0;
+  const double at_least_one = std::max<double>(1, static_cast<double>(runtime));
+  estimator_.LearnRuntime(request, at_least_one);
+  if (concurrency_.LearnPace(request, runtime, CurrentUsage())) limits_.InvalidateUnlessSampling();
+  LearnSpeed(replica, std::log(at_least_one / request.estimated_runtime));
+}
 
-void Router::Impl::On(const TimerFired& e) {
-  if (e.token == timer_) armed_at_ = kNever;
-  while (!alarms_.empty() && alarms_.top().at <= now_) {
-    const Alarm alarm = alarms_.top();
-    alarms_.pop();
-    if (alarm.what == Wake::kRelease) {  // Handle releases after every event
-      capped_at_ = -1;
-      continue;
-    }
-    if (alarm.what == Wake::kAsk) {
-      AskForList();
-      continue;
-    }
-    const auto it = requests_.find(alarm.id);
-    if (it == requests_.end() || it->second.done || it->second.started) continue;
-    Request& r = it->second;
-    if (alarm.what == Wake::kOverdue) {
-      if (r.held && r.place.rank < 2) {
-        Unhold(r);
-        Hold(r);
-      }
-    } else if (alarm.what == Wake::kGiveUp) {
-      if (r.held && now_ >= r.give_up_at) Conclude(r, ConclusionReason::kQueueTimeout);
-    }
+void Router::Impl::LearnFailure(Replica& replica, Outcome outcome) {
+  limits_.InvalidateUnlessSampling();
+  if (outcome == Outcome::kAtCapacity) {
+    LearnAtCapacity(replica);
+    return;
   }
+  // An error must never make a replica look fast or idle: it counts as slow.
+  LearnSpeed(replica, kFailureSlowness);
+  if (outcome == Outcome::kTimeout) concurrency_.LearnLate(CurrentUsage());
+  const std::optional<Time> ejected_until = ejection_.RecordFailure(replica, outcome, now_, random_);
+  if (!ejected_until) return;
+  timers_.Schedule(*ejected_until, TimerKind::kUpdateLimits);
+  if (fleet_.UsesSampling() && ejection_.is_enforced()) limits_.Exclude(replica);
+  ReportEjection(replica, outcome, *ejected_until);
 }
 
-void Router::Impl::On(const NodeCountChanged& e) {
-  const double was = std::exchange(settings_.node_count, std::max(1, e.node_count));
-  Split(parts_ * settings_.node_count / was);
+void Router::Impl::LearnAtCapacity(Replica& replica) {
+  RecordAtCapacity(replica, now_, estimator_.mean_runtime(), settings_.connect_timeout);
+  timers_.Schedule(replica.at_capacity_until, TimerKind::kUpdateLimits);
+  ReportEjection(replica, Outcome::kAtCapacity, replica.at_capacity_until);
+  concurrency_.LearnLate(CurrentUsage());
 }
 
-// A part that grows leaves the caps to what answers teach, as more traffic has taught them already by the
-// time that the others have heard of it; one that falls by much takes them down at once.
-void Router::Impl::On(const TrafficShareChanged& e) {
-  if (!(e.share > 0 && e.share <= 1)) return;
-  parts_ = std::min(1 / e.share, kMostParts);
-  split_at_ = std::min(split_at_, parts_);
-  if (parts_ > kMuchLess * split_at_) Split(std::exchange(parts_, split_at_));
+void Router::Impl::ReportEjection(const Replica& replica, Outcome outcome, Time until) const {
+  if (observer_ == nullptr) return;
+  observer_->OnEjection({replica.endpoint.id, outcome, replica.consecutive_failures, until});
 }
 
-void Router::Impl::Split(double parts) {
-  const double was = std::exchange(parts_, std::clamp(parts, 1.0, kMostParts));
-  split_at_ = parts_;
-  k_.base_limit *= was / parts_, k_.limit_before_decrease *= was / parts_;
-  Stale();
+void Router::Impl::LearnSpeed(Replica& replica, double log_ratio) {
+  speed_.Learn(replica, log_ratio, now_, slow_start_.IsWarmingUp(replica, now_));
 }
 
-// What another process of this node learned, and what it still has out: a hot restart loses neither.
-void Router::Impl::On(const StateRestored& e) {
-  if (e.state == nullptr) return;
-  k_ = *e.state;
-  const double was = std::max(1, k_.node_count), least = kLeastInFlight / parts_;
-  k_.base_limit = std::clamp(k_.base_limit * was / parts_, least, kMostInFlight / parts_);
-  k_.limit_before_decrease *= was / parts_;
-  for (const LearnedState::Replica& r : std::exchange(k_.replicas, {})) {
-    Replica* x = Get(r.id);
-    if (x != nullptr && x->endpoint.started_at == r.started_at) static_cast<LearnedReplica&>(*x) = r.learned;
-  }
-  Fit();
-  capped_at_ = -1;
+void Router::Impl::UpdateClasses(const std::vector<ClassSettings>& classes, int max_attempts) {
+  if (classes.size() < settings_.classes.size()) return;
+  settings_.classes = classes;
+  settings_.max_attempts = std::max(1, max_attempts);
+  ResizeTables();
 }
 
-void Router::Impl::On(const SiblingInFlightChanged& e) {
-  beside_ = 0;
-  for (auto& x : fleet_) x->beside = 0;
-  for (const auto& [id, out] : e.in_flight) {
-    if (Replica* x = Get(id)) beside_ += x->beside = std::max(0, out);
-  }
+void Router::Impl::ResizeTables() {
+  concurrency_.ResizeTables();
+  estimator_.ResizeTables();
+  speed_.ResizeTables();
+  tenant_quotas_.ResizeTables();
 }
 
-void Router::Impl::On(const PeerReportsReceived& e) {
-  for (const PeerReplicaReport& t : e.replicas) {
-    Replica* x = Get(t.id);
-    if (x == nullptr || x->endpoint.started_at != t.started_at) continue;
-    x->told = t;
-    x->told.slowness = std::clamp(t.slowness, -kSlowBound, kSlowBound);
-    x->told.slowness_samples = std::clamp(t.slowness_samples, 0.0, kKindWeight);
-    x->told_at = now_;
-    if (t.ejected_until > now_) SetAlarm(t.ejected_until, Wake::kRelease, 0);
+LearnedState Router::Impl::ExportState() const {
+  LearnedState state;
+  concurrency_.ExportTo(state);
+  estimator_.ExportTo(state);
+  speed_.ExportTo(state);
+  slow_start_.ExportTo(state);
+  affinity_.ExportTo(state);
+  tenant_quotas_.ExportTo(state);
+  retry_budget_.ExportTo(state);
+  for (const auto& replica : fleet_.replicas()) {
+    state.replicas.push_back(
+        {replica->endpoint.id, replica->endpoint.started_at, replica->in_flight, *replica});
   }
-  capped_at_ = -1;
+  return state;
 }
 
-void Router::Impl::Fit() {
-  const std::size_t n = settings_.classes.size();
-  k_.runtime_per_hint.resize(n), k_.bucket_error.resize(n), k_.hint_error.resize(n),
-      k_.pace_by_class.resize(n);
-  k_.slowness_by_kind.resize(static_cast<std::size_t>(std::max(1, settings_.replica_kind_count)));
-  k_.slowness_by_zone.resize(static_cast<std::size_t>(std::max(1, settings_.zone_count)));
-  k_.arrivals_by_tenant.resize(settings_.tenants.size());
-}
-
-LearnedState Router::Impl::Export() const {
-  LearnedState all = k_;
-  all.node_count = std::max(1, static_cast<int>(std::lround(parts_)));
-  all.base_limit *= parts_ / all.node_count, all.limit_before_decrease *= parts_ / all.node_count;
-  for (const auto& x : fleet_)
-    all.replicas.push_back({x->endpoint.id, x->endpoint.started_at, x->in_flight, *x});
-  return all;
+// What another process of this node learned: a hot restart does not lose it.
+void Router::Impl::OnStateRestored(const LearnedState& state) {
+  concurrency_.RestoreFrom(state);
+  estimator_.RestoreFrom(state);
+  speed_.RestoreFrom(state);
+  slow_start_.RestoreFrom(state);
+  affinity_.RestoreFrom(state);
+  tenant_quotas_.RestoreFrom(state);
+  retry_budget_.RestoreFrom(state);
+  for (const LearnedState::Replica& restored : state.replicas) {
+    Replica* replica = fleet_.Find(restored.id);
+    if (replica == nullptr || replica->endpoint.started_at != restored.started_at) continue;
+    static_cast<LearnedReplica&>(*replica) = restored.learned;
+  }
+  limits_.Invalidate();
 }
 
-// ---- The public face ----
+// ---- Router ----
 
 Router::Router(const Settings& settings, std::uint64_t seed, Time now)
     : impl_(std::make_unique<Impl>(settings, seed, now)) {}
@@ -1370,20 +658,19 @@
 void Router::Handle(Time now, const Event& event, std::vector<Action>& actions) {
   impl_->Handle(now, event, actions);
 }
-
-void Router::SetObserver(DecisionObserver* observer) { impl_->Observe(observer); }
 void Router::UpdateClasses(const std::vector<ClassSettings>& classes, int max_attempts) {
-  impl_->Retune(classes, max_attempts);
+  impl_->UpdateClasses(classes, max_attempts);
 }
+void Router::SetObserver(DecisionObserver* observer) { impl_->SetObserver(observer); }
+LearnedState Router::ExportState() const { return impl_->ExportState(); }
 
-std::size_t Router::queued_requests() const { return impl_->held(); }
-std::size_t Router::open_requests() const { return impl_->open(); }
-ReplicaView Router::replica(ReplicaId replica) const {
-  const ReplicaView* x = impl_->Find(replica);
-  return x == nullptr ? ReplicaView{} : *x;
+std::size_t Router::queued_requests() const { return impl_->queued_requests(); }
+std::size_t Router::open_requests() const { return impl_->open_requests(); }
+ReplicaView Router::replica(ReplicaId replica_id) const {
+  const ReplicaView* replica = impl_->FindReplica(replica_id);
+  return replica == nullptr ? ReplicaView{} : *replica;
 }
-LearnedState Router::ExportState() const { return impl_->Export(); }
 double Router::total_concurrency_limit() const { return impl_->total_concurrency_limit(); }
-bool Router::may_reject(RequestId id) const { return impl_->MayRefuse(id); }
+bool Router::may_reject(RequestId id) const { return impl_->MayReject(id); }
 
 }  // namespace ryeglade::policy
