--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -254,7 +254,7 @@
   void Limit(std::size_t sockets, std::size_t memory) override {
     const std::size_t own = kOwnSockets + Discovery::kSockets;
     const std::size_t share = std::max<std::size_t>(sockets, own + 16) - own;
-    upstream_.Limit(hand_over_.yielded() ? share - std::min(share, clients()) : share * 45 / 100);
+    upstream_.SetMaxConnections(hand_over_.yielded() ? share - std::min(share, clients()) : share * 45 / 100);
     downstream_.Limit(ClientSockets(share, settings_));
     if (openai_ != nullptr) openai_down_->Limit(ClientSockets(share, settings_));
     buffers_.Limit(memory);
--- /dev/null
+++ b/src/core/connection_pool.cpp
@@ -0,0 +1,114 @@
+#include "core/connection_pool.h"
+
+#include <algorithm>
+#include <cerrno>
+#include <utility>
+
+namespace ryeglade {
+namespace {
+
+constexpr Time kIdleCloseMargin = 500'000;  // idle connections go this long before the host closes them
+constexpr Time kMinIdleTime =
+    10'000;  // a returned connection is not used again before it was quiet this long
+
+}  // namespace
+
+ConnectionPool::OpenResult ConnectionPool::Open(ReplicaId host, Handle request,
+                                                std::function<void(Handle)> on_timeout) {
+  if (connections_.size() >= max_connections_ && !EvictIdleConnection()) return {0, EMFILE};
+  const Handle handle = connections_.Add({});
+  UpstreamConnection& c = *connections_.Get(handle);
+  c.host = host;
+  c.request = request;
+  c.tcp = Tcp::New(core_->loop, core_->buffers, owner_, handle);
+  const Time connect_by = Now() + core_->config->settings.connect_timeout;
+  c.deadline = core_->deadlines->Set(connect_by, [this, handle, on_timeout = std::move(on_timeout)] {
+    const UpstreamConnection* late = connections_.Get(handle);
+    if (late != nullptr && !late->connected) on_timeout(handle);
+  });
+  const int error = c.tcp->Connect(hosts_->Find(host)->address);
+  if (error == 0) return {handle, 0};
+  Close(handle);
+  return {0, -error};  // libuv's codes are errno's values, negated
+}
+
+// Guards against running out of descriptors: the connection that has been idle longest goes first. False:
+// none is idle.
+bool ConnectionPool::EvictIdleConnection() {
+  Handle oldest = 0;
+  Time oldest_since = 0;
+  for (const auto& [host, idle] : idle_) {
+    if (idle.empty()) continue;
+    const UpstreamConnection* c = connections_.Get(idle.front());
+    if (c != nullptr && (oldest == 0 || c->idle_since < oldest_since)) {
+      oldest = idle.front();
+      oldest_since = c->idle_since;
+    }
+  }
+  if (oldest == 0) return false;
+  Close(oldest);
+  return true;
+}
+
+// Guards against taking for this request's response a second response that came right behind the last one:
+// the connection must have been quiet for a moment, and nothing, not even its end, may wait to be read.
+Handle ConnectionPool::TakeIdle(ReplicaId host) {
+  const auto found = idle_.find(host);
+  if (found == idle_.end()) return 0;
+  std::vector<Handle>& idle = found->second;
+  for (std::size_t n = idle.size(); n-- > 0;) {
+    const Handle handle = idle[n];
+    const UpstreamConnection* c = connections_.Get(handle);
+    if (c == nullptr || Now() - c->idle_since < kMinIdleTime) continue;
+    // A process that was stopped for a while may look here before the deadline that ends the connection has
+    // been swept; a host that has forgotten the connection sends nothing that would show it.
+    if (Now() < c->deadline.at && c->tcp->Quiet()) {
+      idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(n));
+      return handle;
+    }
+    Close(handle);  // it takes itself out of the list
+  }
+  return 0;
+}
+
+// Guards against a request that crosses the host's own close: it would end as a reset.
+void ConnectionPool::Return(Handle handle) {
+  UpstreamConnection& c = *connections_.Get(handle);
+  if (!hosts_->Contains(c.host)) return Close(handle);
+  c.request = 0;
+  c.request_written = false;
+  c.response = {};
+  c.opening.clear();
+  c.first_byte_at = 0;
+  c.tcp->Read();  // it may have been paused for its last client
+  c.idle_since = Now();
+  const Time host_closes_after = core_->config->idle_close;
+  const Time margin = std::min(kIdleCloseMargin, host_closes_after / 4);
+  core_->deadlines->Cancel(c.deadline);
+  c.deadline =
+      core_->deadlines->Set(c.idle_since + host_closes_after - margin, [this, handle] { Close(handle); });
+  idle_[c.host].push_back(handle);
+}
+
+void ConnectionPool::Close(Handle handle) {
+  UpstreamConnection* c = connections_.Get(handle);
+  if (c == nullptr) return;
+  if (const auto idle = idle_.find(c->host); idle != idle_.end()) std::erase(idle->second, handle);
+  core_->deadlines->Cancel(c->deadline);
+  c->tcp->Close();
+  connections_.Remove(handle);
+}
+
+void ConnectionPool::CloseIdle(ReplicaId host) {
+  const auto found = idle_.find(host);
+  if (found == idle_.end()) return;
+  const std::vector<Handle> idle = std::move(found->second);
+  idle_.erase(found);
+  for (const Handle connection : idle) Close(connection);
+}
+
+void ConnectionPool::CloseAll() {
+  for (const Handle connection : connections_.All()) Close(connection);
+}
+
+}  // namespace ryeglade
--- /dev/null
+++ b/src/core/response_parser.cpp
@@ -0,0 +1,112 @@
+#include "core/response_parser.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace ryeglade {
+namespace {
+
+// The parser as Debian builds it passes over whatever stands where a chunk's line end should be, so that a
+// chunk that is longer than it says would go on as another. False: something else stands there.
+bool ConsumeLineEnd(std::string_view& expected, std::string_view bytes) {
+  const std::size_t length = std::min(expected.size(), bytes.size());
+  if (expected.substr(0, length) != bytes.substr(0, length)) return false;
+  expected.remove_prefix(length);
+  return true;
+}
+
+}  // namespace
+
+void ResponseParser::Start(const Dialect* dialect) {
+  dialect_ = dialect;
+  message_ = {};
+  http_parser_init(&parser_, HTTP_RESPONSE);
+}
+
+bool ResponseParser::Parse(std::string_view bytes, std::vector<std::string_view>* body) {
+  if (!ConsumeLineEnd(message_.expected_line_end, bytes)) return false;
+  parser_.data = this;
+  body_ = body;
+  read_end_ = bytes.data() + bytes.size();
+  const std::size_t parsed = http_parser_execute(&parser_, &Callbacks(), bytes.data(), bytes.size());
+  body_ = nullptr;
+  if (parsed < bytes.size()) message_.keep_alive = false;
+  const http_errno error = HTTP_PARSER_ERRNO(&parser_);
+  return error == HPE_OK || (error == HPE_PAUSED && message_.complete);
+}
+
+const http_parser_settings& ResponseParser::Callbacks() {
+  static const http_parser_settings settings = [] {
+    http_parser_settings s;
+    http_parser_settings_init(&s);
+    s.on_message_begin = [](http_parser* p) { return Of(p).OnMessageBegin(); };
+    s.on_header_field = [](http_parser* p, const char* at, std::size_t n) {
+      return Of(p).OnHeaderField({at, n});
+    };
+    s.on_header_value = [](http_parser* p, const char* at, std::size_t n) {
+      return Of(p).OnHeaderValue({at, n});
+    };
+    s.on_headers_complete = [](http_parser* p) { return Of(p).OnHeadersComplete(); };
+    s.on_chunk_header = [](http_parser* p) { return Of(p).OnChunkHeader(); };
+    s.on_body = [](http_parser* p, const char* at, std::size_t n) { return Of(p).OnBody({at, n}); };
+    s.on_message_complete = [](http_parser* p) { return Of(p).OnMessageComplete(); };
+    return s;
+  }();
+  return settings;
+}
+
+// Guards against what a 1xx response ahead said: each response has headers of its own.
+int ResponseParser::OnMessageBegin() {
+  message_ = {};
+  body_->clear();
+  message_.reader = dialect_->NewReader();
+  return 0;
+}
+
+int ResponseParser::OnHeaderField(std::string_view part) {
+  if (std::exchange(message_.value_begun, false)) {
+    message_.field.clear();
+    message_.value.clear();
+  }
+  message_.field.append(part);
+  return 0;
+}
+
+int ResponseParser::OnHeaderValue(std::string_view part) {
+  message_.value_begun = true;
+  message_.value.append(part);
+  message_.reader->OnHeader(message_.field, message_.value);
+  return 0;
+}
+
+int ResponseParser::OnHeadersComplete() {
+  message_.status = parser_.status_code;
+  message_.framed = (parser_.flags & F_CHUNKED) != 0 || (parser_.flags & F_CONTENTLENGTH) != 0;
+  message_.keep_alive = http_should_keep_alive(&parser_) != 0;
+  return message_.status == 101 ? -1 : 0;  // nobody asked for another protocol
+}
+
+// Guards against a chunk that is said to have gigabytes: it would pass as events for ever.
+int ResponseParser::OnChunkHeader() {
+  message_.chunk_remaining = parser_.content_length;
+  return message_.chunk_remaining > kMaxChunkBytes ? 1 : 0;
+}
+
+int ResponseParser::OnBody(std::string_view part) {
+  body_->push_back(part);
+  if ((parser_.flags & F_CHUNKED) == 0) return 0;
+  message_.chunk_remaining -= std::min<std::uint64_t>(part.size(), message_.chunk_remaining);
+  if (message_.chunk_remaining > 0) return 0;
+  message_.expected_line_end = "\r\n";
+  const char* part_end = part.data() + part.size();
+  const std::string_view rest(part_end, static_cast<std::size_t>(read_end_ - part_end));
+  return ConsumeLineEnd(message_.expected_line_end, rest) ? 0 : 1;
+}
+
+int ResponseParser::OnMessageComplete() {
+  message_.complete = message_.status >= 200;
+  if (message_.complete) http_parser_pause(&parser_, 1);  // what comes after it belongs to nothing
+  return 0;
+}
+
+}  // namespace ryeglade
