--- a/src/admin/counters.cpp
+++ b/src/admin/counters.cpp
@@ -28,16 +28,16 @@
   MetricFamily success = Family("node_success", "Requests served, by class", MetricType::Counter);
   MetricFamily busy = Family("node_busy", "Requests refused, by class", MetricType::Counter);
   MetricFamily failure = Family("node_failure", "Requests failed, by class", MetricType::Counter);
-  std::map<std::string, NodeCounters::Ends> rows = view.counters->by_class;
+  std::map<std::string, NodeCounters::RequestClass> rows = view.counters->by_class;
   for (const std::string& name : view.classes) rows.try_emplace(name);
   for (const auto& [name, ends] : rows) {
-    Add(success, static_cast<double>(ends.success), name);
-    Add(busy, static_cast<double>(ends.busy), name);
-    Add(failure, static_cast<double>(ends.failure), name);
+    Add(success, static_cast<double>(ends.served), name);
+    Add(busy, static_cast<double>(ends.rejected), name);
+    Add(failure, static_cast<double>(ends.failed), name);
   }
   MetricFamily calls =
       Family("node_backend_calls", "Attempts written whole to model replicas", MetricType::Counter);
-  Add(calls, static_cast<double>(view.counters->backend_calls));
+  Add(calls, static_cast<double>(view.counters->attempts_written));
   MetricFamily inflight = Family("node_inflight", "Requests taken and not yet ended", MetricType::Gauge);
   Add(inflight, static_cast<double>(view.inflight));
   MetricFamily listed = Family("node_hosts_listed", "Model replicas in the list", MetricType::Gauge);
@@ -46,19 +46,19 @@
       Family("node_hosts_down", "Listed model replicas avoided, by hand or by choice", MetricType::Gauge);
   Add(down, static_cast<double>(view.hosts_down));
   MetricFamily ok = Family("node_reconfig_ok", "Settings files taken at SIGHUP", MetricType::Counter);
-  Add(ok, static_cast<double>(view.counters->reconfig_ok));
+  Add(ok, static_cast<double>(view.counters->reloads_applied));
   MetricFamily failed =
       Family("node_reconfig_failed", "Settings files turned down at SIGHUP", MetricType::Counter);
-  Add(failed, static_cast<double>(view.counters->reconfig_failed));
+  Add(failed, static_cast<double>(view.counters->reloads_failed));
   MetricFamily ended = Family("node_attempts_ended", "Attempts that ended, by outcome", MetricType::Counter);
   AddRows(ended, "outcome", view.counters->attempts_ended);
   MetricFamily given_up = Family(
       "node_given_up", "Requests refused or failed by the decision module, by reason", MetricType::Counter);
-  AddRows(given_up, "why", view.counters->given_up);
+  AddRows(given_up, "why", view.counters->requests_concluded);
   MetricFamily guard =
       Family("node_guard_replies", "Requests that the decision module had not answered in time",
              MetricType::Counter);
-  Add(guard, static_cast<double>(view.counters->guard_replies));
+  Add(guard, static_cast<double>(view.counters->watchdog_replies));
   MetricFamily closed = Family("node_connections_closed",
                                "Connections of clients that were closed, by reason", MetricType::Counter);
   for (std::size_t n = 0; n < view.closed.size(); ++n) {
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -122,8 +122,8 @@
       o.reasons = t.reasons;
       o.watch = t.watch;
       flight_ = std::make_unique<timeline::FlightRecorder>(&core_, std::move(o));
-      decisions_.Tap(flight_.get());
-      if (flight_->wants_reasons()) decisions_.Observe(flight_.get());
+      decisions_.AddRecorder(flight_.get());
+      if (flight_->wants_reasons()) decisions_.SetObserver(flight_.get());
       core_.endpoint_observer = flight_.get();
       core_.stream_observer = flight_.get();
     }
@@ -166,10 +166,10 @@
     if (taking_ || starting_ || !failed_.empty()) return;
     starting_ = true;
     if (inherited_) {
-      if (!config_.settings.poll_endpoints) discovery_.KeepWatch();
+      if (!config_.settings.poll_endpoints) discovery_.KeepWatching();
       return TakeClients();
     }
-    discovery_.Known(core_.config->known);
+    discovery_.LoadCachedList(core_.config->known);
     try {
       downstream_.CheckListen();  // so that an address that can't be used shows at once
     } catch (const std::runtime_error& e) {
@@ -178,9 +178,9 @@
     // The list known at the start may be old, and where lists are pushed what has changed counts as told from
     // the first moment on: no client is taken before discovery has told it, cannot be reached, or has let
     // this long pass.
-    discovery_.OnFirstAnswer([this] { deadlines_.Set(Now(), [this] { TakeClients(); }); });
+    discovery_.OnFirstResult([this] { deadlines_.Set(Now(), [this] { TakeClients(); }); });
     deadlines_.Set(Now() + kFirstListWithin, [this] { TakeClients(); });
-    if (!config_.settings.poll_endpoints) discovery_.KeepWatch();
+    if (!config_.settings.poll_endpoints) discovery_.KeepWatching();
   }
 
   void TakeClients() {
@@ -208,7 +208,7 @@
     const bool inherits =
         same_discovery && !state.roster.empty() && GenerationOf(state.roster) >= GenerationOf(known);
     inherited_ = true;
-    discovery_.Known(inherits ? state.roster : known);
+    discovery_.LoadCachedList(inherits ? state.roster : known);
     hot_restart::FitTo(ClassNames(config_.settings), &state);
     decisions_.Post(
         policy::StateRestored{std::make_shared<const policy::LearnedState>(std::move(state.learned))});
@@ -222,13 +222,13 @@
     return {config_.name,
             RYEGLADE_VERSION,
             discovery_.address(),
-            discovery_.Roster(),
+            discovery_.endpoints().Encode(),
             ClassNames(config_.settings),
             decisions_.router().ExportState()};
   }
   hot_restart::Out OutNow() override {
     hot_restart::Out out;
-    for (const auto& [id, yes] : discovery_.hosts()) {
+    for (const ReplicaId id : discovery_.endpoints().listed()) {
       if (const int n = decisions_.router().in_flight(id); n > 0) out.emplace_back(id, n);
     }
     return out;
@@ -248,11 +248,11 @@
   std::size_t UsedSockets() const override {
     // One that has yielded may need an upstream connection for each client that still waits.
     const std::size_t up = hand_over_.yielded() ? std::max(upstream_.size(), clients()) : upstream_.size();
-    return clients() + up + kOwnSockets + Discovery::kSockets;
+    return clients() + up + kOwnSockets + Discovery::kMaxSockets;
   }
   std::size_t UsedMemory() const override { return buffers_.taken() * BufferPool::kSize; }
   void Limit(std::size_t sockets, std::size_t memory) override {
-    const std::size_t own = kOwnSockets + Discovery::kSockets;
+    const std::size_t own = kOwnSockets + Discovery::kMaxSockets;
     const std::size_t share = std::max<std::size_t>(sockets, own + 16) - own;
     upstream_.SetMaxConnections(hand_over_.yielded() ? share - std::min(share, clients()) : share * 45 / 100);
     downstream_.Limit(ClientSockets(share, settings_));
@@ -290,7 +290,7 @@
       tier_ = std::make_unique<gossip::Tier>(&core_, settings_.tier, membership_->name(), membership_->uid(),
                                              membership_.get(), this, &decisions_);
       membership_->Carry(tier_.get());
-      decisions_.Tap(tier_.get());
+      decisions_.AddRecorder(tier_.get());
     }
     if (settings_.membership.status.empty()) return;
     Downstream::Options o;
@@ -339,7 +339,7 @@
   std::size_t clients() const { return downstream_.size() + (openai_ != nullptr ? openai_down_->size() : 0); }
 
   static std::size_t Share(const Config& config) {
-    return config.sockets - kOwnSockets - Discovery::kSockets;
+    return config.sockets - kOwnSockets - Discovery::kMaxSockets;
   }
 
   uv_loop_t* Loop() {
@@ -386,13 +386,13 @@
       Log(Level::kInfo, "reloaded", {{"file", file}, {"discovery", now.discovery}, {"settings", retune}});
       if (!later.empty()) Log(Level::kWarn, "reload-needs-restart", {{"what", later}});
       config_.discovery = now.discovery;
-      discovery_.MoveTo(now.discovery);
+      discovery_.SwitchAddress(now.discovery);
       if (retune) {
         config_.settings.classes = std::move(table.classes);
         config_.in_force = std::move(table.in_force);
         config_.settings.max_attempts = now.settings.max_attempts;
         config_.settings_text = now.settings_text;
-        decisions_.Retune(config_.settings.classes, config_.settings.max_attempts);
+        decisions_.UpdateClasses(config_.settings.classes, config_.settings.max_attempts);
         DrainSooner();
         Log(Level::kInfo, "retuned",
             {{"classes", config_.in_force.size()},
@@ -400,9 +400,9 @@
              {"attempts", config_.settings.max_attempts}});
       }
       if (openai_ != nullptr) openai_->ReloadKeys();
-      ++counters_.reconfig_ok;
+      ++counters_.reloads_applied;
     } catch (const std::exception& e) {
-      ++counters_.reconfig_failed;
+      ++counters_.reloads_failed;
       Log(Level::kError, "reload-failed",
           {{"file", file},
            {"why", e.what()},
@@ -427,7 +427,7 @@
          {"take_ms", termination_.take_until / 1000},
          {"answer_ms", termination_.answer_by / 1000},
          {"kill_ms", termination_.killed_from / 1000}});
-    streams_.EndBy(drain_began_ + termination_.answer_by, drain_began_ + termination_.take_until);
+    streams_.BeginShutdown(drain_began_ + termination_.answer_by, drain_began_ + termination_.take_until);
     Tick();
   }
 
@@ -435,7 +435,7 @@
   void DrainSooner() {
     if (drain_began_ == 0) return;
     termination_ = Earlier(termination_, PlanTermination(ClassesInForce()));
-    streams_.EndBy(drain_began_ + termination_.answer_by, drain_began_ + termination_.take_until);
+    streams_.BeginShutdown(drain_began_ + termination_.answer_by, drain_began_ + termination_.take_until);
   }
 
   std::vector<policy::ClassSettings> ClassesInForce() const {
@@ -490,12 +490,12 @@
 
   // The tier's side.
   void ListReplicas(std::vector<policy::ReplicaView>* all) const override {
-    for (const auto& [id, yes] : discovery_.hosts()) {
+    for (const ReplicaId id : discovery_.endpoints().listed()) {
       policy::ReplicaView seen = decisions_.router().replica(id);
       if (seen.endpoint.id == id) all->push_back(seen);
     }
   }
-  std::string NameOf(policy::ReplicaId id) const override { return discovery_.NameOf(id); }
+  std::string NameOf(policy::ReplicaId id) const override { return discovery_.endpoints().NameOf(id); }
 
   // The admin listener's side.
   bool taking_clients() const override { return taking_ && !downstream_.draining(); }
@@ -504,10 +504,11 @@
     view.counters = &counters_;
     for (const std::size_t i : config_.in_force) view.classes.push_back(config_.settings.classes[i].name);
     view.inflight = streams_.size();
-    view.hosts_listed = discovery_.listed();
+    view.hosts_listed = discovery_.endpoints().listed().size();
     view.closed = downstream_.closed();
-    for (const auto& [id, yes] : discovery_.hosts()) {
-      if (discovery_.avoided(id) || decisions_.router().ejected_until(id) > Now()) ++view.hosts_down;
+    for (const ReplicaId id : discovery_.endpoints().listed()) {
+      if (discovery_.endpoints().IsUnavailable(id) || decisions_.router().ejected_until(id) > Now())
+        ++view.hosts_down;
     }
     return ryeglade::CountersText(view);
   }
@@ -527,16 +528,16 @@
     }
     for (const auto& [name, e] : counters_.by_class) {
       rollout::ClassFigures& c = f.classes[name];
-      c.served = e.success, c.in_time = e.in_time, c.refused = e.busy, c.failed = e.failure;
+      c.served = e.served, c.in_time = e.within_objective, c.refused = e.rejected, c.failed = e.failed;
       c.attempts = static_cast<double>(e.attempts),
       c.attempts_squared = static_cast<double>(e.attempts_squared);
-      c.started = e.started, c.first_ln = e.first_ln, c.first_ln_squared = e.first_ln_squared;
+      c.started = e.started, c.first_ln = e.first_token_ln, c.first_ln_squared = e.first_token_ln_squared;
     }
     return EncodeFigures(f);
   }
   bool Hold(std::string_view instance, bool out) override {
-    if (!discovery_.Hold(std::string(instance), out)) return false;
-    holds_file_.Write(EncodeDisabledReplicas(discovery_.holds(), core_.config->name));
+    if (!discovery_.endpoints().SetDisabled(std::string(instance), out)) return false;
+    holds_file_.Write(EncodeDisabledReplicas(discovery_.endpoints().disabled(), core_.config->name));
     return true;
   }
 
@@ -571,8 +572,8 @@
       Log(Level::kWarn, "holds-passed-over", {{"path", holds_file_.path()}, {"why", why}});
       return;
     }
-    Log(Level::kInfo, "holds-taken", {{"out", holds->out.size()}, {"start", at_start}});
-    discovery_.Adopt(*holds);
+    Log(Level::kInfo, "holds-taken", {{"out", holds->disabled.size()}, {"start", at_start}});
+    discovery_.endpoints().ReplaceDisabled(*holds);
   }
 
   EdgeSettings settings_;
--- a/src/core/decisions.cpp
+++ b/src/core/decisions.cpp
@@ -24,48 +24,48 @@
   router_.SetObserver(this);
 }
 
-void Decisions::OnDispatch(const policy::DispatchRecord& note) { observer_->OnDispatch(note); }
+void Decisions::OnDispatch(const policy::DispatchRecord& record) { observer_->OnDispatch(record); }
 
-void Decisions::OnConclusion(const policy::ConclusionRecord& note) {
-  const Stream* stream = core_->responses->Find(note.id);
-  if (core_->counters != nullptr) ++core_->counters->given_up[Name(note.reason)];
+void Decisions::OnConclusion(const policy::ConclusionRecord& record) {
+  const Stream* stream = core_->responses->Find(record.id);
+  if (core_->counters != nullptr) ++core_->counters->requests_concluded[Name(record.reason)];
   Log(Level::kInfo, "request-given-up",
       {{"id", stream != nullptr ? stream->request.call_id.c_str() : "-"},
-       {"why", Name(note.reason)},
-       {"attempts", note.attempts},
-       {"held_ms", note.open_for / 1000},
-       {"queue", note.queue_length},
-       {"cap", note.total_concurrency_limit},
-       {"in_flight", note.in_flight}});
-  if (observer_ != nullptr) observer_->OnConclusion(note);
+       {"why", Name(record.reason)},
+       {"attempts", record.attempts},
+       {"held_ms", record.open_for / 1000},
+       {"queue", record.queue_length},
+       {"cap", record.total_concurrency_limit},
+       {"in_flight", record.in_flight}});
+  if (observer_ != nullptr) observer_->OnConclusion(record);
 }
 
-void Decisions::OnEjection(const policy::EjectionRecord& note) {
-  if (observer_ != nullptr) observer_->OnEjection(note);
+void Decisions::OnEjection(const policy::EjectionRecord& record) {
+  if (observer_ != nullptr) observer_->OnEjection(record);
 }
 
-void Decisions::Tap(DecisionRecorder* tap) {
-  taps_.push_back(tap);
-  tap->OnStart(core_->config->settings_text, core_->config->seed, start_);
+void Decisions::AddRecorder(DecisionRecorder* recorder) {
+  recorders_.push_back(recorder);
+  recorder->OnStart(core_->config->settings_text, core_->config->seed, start_);
 }
 
 void Decisions::Post(policy::Event event) {
   events_.push_back(std::move(event));
-  if (busy_) return;
-  busy_ = true;
+  if (handling_) return;
+  handling_ = true;
   while (!events_.empty()) {
     const policy::Event next = std::move(events_.front());
     events_.pop_front();
     actions_.clear();
     const Time now = Now();
     router_.Handle(now, next, actions_);
-    for (DecisionRecorder* tap : taps_) tap->OnDecision(now, next, actions_);
-    for (const policy::Action& action : actions_) CarryOut(action);
+    for (DecisionRecorder* recorder : recorders_) recorder->OnDecision(now, next, actions_);
+    for (const policy::Action& action : actions_) Execute(action);
   }
-  busy_ = false;
+  handling_ = false;
 }
 
-void Decisions::CarryOut(const policy::Action& action) {
+void Decisions::Execute(const policy::Action& action) {
   using namespace ryeglade::policy;
   std::visit(
       Overloaded{
--- a/src/core/dialect.cpp
+++ b/src/core/dialect.cpp
@@ -4,7 +4,7 @@
 
 namespace ryeglade {
 
-std::optional<double> NumberAfter(std::string_view text, std::string_view name) {
+std::optional<double> FindLastNumber(std::string_view text, std::string_view name) {
   std::size_t at = text.rfind(name);
   if (at == std::string_view::npos) return std::nullopt;
   at += name.size();
--- a/src/core/disabled_replicas_model.cpp
+++ b/src/core/disabled_replicas_model.cpp
@@ -6,10 +6,10 @@
 namespace ryeglade {
 namespace {
 
-constexpr std::string_view kHead = "ryeglade-holds 1 ";
-constexpr std::size_t kMostNames = 100'000;
+constexpr std::string_view kHeader = "ryeglade-holds 1 ";
+constexpr std::size_t kMaxNames = 100'000;
 
-bool Plain(const std::string& name) {
+bool IsPlainName(const std::string& name) {
   if (name.empty() || name.size() > 256) return false;
   for (const char c : name) {
     if (c <= ' ' || c == 0x7f) return false;
@@ -19,60 +19,64 @@
 
 }  // namespace
 
-std::string EncodeDisabledReplicas(const DisabledReplicas& holds, const std::string& node) {
-  std::string text = std::string(kHead) + node + "\n";
-  const auto put = [&](const char* word, const std::map<std::string, std::int64_t>& names) {
+std::string EncodeDisabledReplicas(const DisabledReplicas& replicas, const std::string& node) {
+  std::string text = std::string(kHeader) + node + "\n";
+  const auto add = [&](const char* keyword, const std::map<std::string, std::int64_t>& names) {
     for (const auto& [name, at] : names) {
-      if (Plain(name)) text += std::string(word) + " " + name + " " + std::to_string(at) + "\n";
+      if (IsPlainName(name)) text += std::string(keyword) + " " + name + " " + std::to_string(at) + "\n";
     }
   };
-  put("out", holds.out);
-  put("back", holds.back);
+  add("out", replicas.disabled);
+  add("back", replicas.enabled);
   return text + "end\n";
 }
 
 std::optional<DisabledReplicas> DecodeDisabledReplicas(const std::string& text, const std::string& node,
-                                                       std::string* why) {
-  const auto fail = [&](const char* what) -> std::optional<DisabledReplicas> {
-    *why = what;
+                                                       std::string* error) {
+  const auto fail = [&](const char* reason) -> std::optional<DisabledReplicas> {
+    *error = reason;
     return std::nullopt;
   };
   std::string_view rest = text;
-  const auto line = [&]() -> std::optional<std::string_view> {
+  const auto next_line = [&]() -> std::optional<std::string_view> {
     const std::size_t end = rest.find('\n');
     if (end == std::string_view::npos) return std::nullopt;
-    const std::string_view one = rest.substr(0, end);
+    const std::string_view line = rest.substr(0, end);
     rest.remove_prefix(end + 1);
-    return one;
+    return line;
   };
-  const auto head = line();
-  if (!head || head->substr(0, kHead.size()) != kHead) return fail("not a holds file of this version");
-  if (head->substr(kHead.size()) != node) return fail("of another node");
-  DisabledReplicas holds;
+  const auto header = next_line();
+  if (!header || header->substr(0, kHeader.size()) != kHeader)
+    return fail("not a holds file of this version");
+  if (header->substr(kHeader.size()) != node) return fail("of another node");
+  DisabledReplicas replicas;
   for (std::size_t n = 0;; ++n) {
-    const auto one = line();
-    if (!one) return fail("torn: no end");
-    if (*one == "end") break;
-    if (n == kMostNames) return fail("too many names");
-    const std::size_t a = one->find(' '), b = one->rfind(' ');
-    if (a == std::string_view::npos || a == b) return fail("a line is not 'out|back NAME TIME'");
-    const std::string_view word = one->substr(0, a), number = one->substr(b + 1);
-    const std::string name(one->substr(a + 1, b - a - 1));
+    const auto line = next_line();
+    if (!line) return fail("torn: no end");
+    if (*line == "end") break;
+    if (n == kMaxNames) return fail("too many names");
+    const std::size_t first_space = line->find(' ');
+    const std::size_t last_space = line->rfind(' ');
+    if (first_space == std::string_view::npos || first_space == last_space)
+      return fail("a line is not 'out|back NAME TIME'");
+    const std::string_view keyword = line->substr(0, first_space);
+    const std::string_view number = line->substr(last_space + 1);
+    const std::string name(line->substr(first_space + 1, last_space - first_space - 1));
     std::int64_t at = 0;
-    const auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), at);
-    if (error != std::errc() || end != number.data() + number.size() || at < 0 || !Plain(name)) {
+    const auto [end, parse_error] = std::from_chars(number.data(), number.data() + number.size(), at);
+    if (parse_error != std::errc() || end != number.data() + number.size() || at < 0 || !IsPlainName(name)) {
       return fail("a name or time is not plain");
     }
-    if (word == "out") {
-      holds.out[name] = at;
-    } else if (word == "back") {
-      holds.back[name] = at;
+    if (keyword == "out") {
+      replicas.disabled[name] = at;
+    } else if (keyword == "back") {
+      replicas.enabled[name] = at;
     } else {
       return fail("a line is not 'out|back NAME TIME'");
     }
   }
   if (!rest.empty()) return fail("more behind the end");
-  return holds;
+  return replicas;
 }
 
 }  // namespace ryeglade
--- a/src/core/disabled_replicas_model.h
+++ b/src/core/disabled_replicas_model.h
@@ -1,5 +1,5 @@
-// DisabledReplicas: the upstream hosts that operators have left out by hand, and those they let back, as one
-// text that passes from one process to the next over a hot restart. Pure: no I/O, no clock.
+// DisabledReplicas: the replicas that operators have disabled by hand, and those they enabled again, as one
+// text that passes from one process of a node to the next over a hot restart. Pure: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -10,18 +10,20 @@
 namespace ryeglade {
 
 struct DisabledReplicas {
-  std::map<std::string, std::int64_t> out;   // instance name, and since when (microseconds, Unix time)
-  std::map<std::string, std::int64_t> back;  // let back then: it counts as started then
+  // By instance name: since when, microseconds, Unix time.
+  std::map<std::string, std::int64_t> disabled;
+  // Enabled again, and when: they count as started then.
+  std::map<std::string, std::int64_t> enabled;
 
   bool operator==(const DisabledReplicas&) const = default;
 };
 
-// "ryeglade-holds 1 NODE", a line "out NAME TIME" or "back NAME TIME" each, and "end". Names hold no white
-// space.
-std::string EncodeDisabledReplicas(const DisabledReplicas& holds, const std::string& node);
-// Null where the text is not whole, is of another node or version, or says anything else: it is then not
-// used at all. `why` says what was wrong.
+// The stored form: "ryeglade-holds 1 NODE", a line "out NAME TIME" (disabled) or "back NAME TIME" (enabled
+// again) each, and "end". Names contain no white space; one that does is left out.
+std::string EncodeDisabledReplicas(const DisabledReplicas& replicas, const std::string& node);
+// Null where the text is not complete, is of another node or version, or says anything else: it is then not
+// used at all. `error` says what was wrong.
 std::optional<DisabledReplicas> DecodeDisabledReplicas(const std::string& text, const std::string& node,
-                                                       std::string* why);
+                                                       std::string* error);
 
 }  // namespace ryeglade
--- /dev/null
+++ b/src/core/endpoint_table.cpp
@@ -0,0 +1,228 @@
+#include "core/endpoint_table.h"
+
+#include <algorithm>
+#include <nlohmann/json.hpp>
+#include <utility>
+#include <vector>
+
+#include "base/log.h"
+
+namespace ryeglade {
+namespace {
+
+using nlohmann::json;
+using policy::Endpoint;
+using policy::EndpointList;
+using policy::EndpointListScope;
+using policy::EndpointState;
+
+void LogInvalid(const ListedEndpoint& entry) {
+  if (entry.invalid == InvalidEntry::kNoName) {
+    Log(Level::kWarn, "discovery-entry-skipped", {{"why", "no-name"}});
+  } else {
+    Log(Level::kWarn, "discovery-entry-skipped", {{"why", "address"}, {"name", entry.name}});
+  }
+}
+
+const char* Name(EndpointListScope scope) {
+  switch (scope) {
+    case EndpointListScope::kDelta:
+      return "delta";
+    case EndpointListScope::kCached:
+      return "cached";
+    default:
+      return "full";
+  }
+}
+
+}  // namespace
+
+ReplicaId EndpointTable::IdOf(const std::string& instance) {
+  const auto known = ids_.find(instance);
+  if (known != ids_.end()) return known->second;
+  std::uint32_t id = 2166136261U;  // FNV-1a
+  for (const char c : instance) id = (id ^ static_cast<unsigned char>(c)) * 16777619U;
+  while (names_.contains(id)) ++id;
+  ids_[instance] = id;
+  names_[id] = instance;
+  return id;
+}
+
+std::string EndpointTable::NameOf(ReplicaId id) const {
+  const auto name = names_.find(id);
+  return name == names_.end() ? "" : name->second;
+}
+
+std::string EndpointTable::Encode() const {
+  const auto name_at = [](const std::vector<std::string>& names, int index) {
+    const bool known = index >= 0 && static_cast<std::size_t>(index) < names.size();
+    return known ? names[static_cast<std::size_t>(index)] : "";
+  };
+  json instances = json::array();
+  for (const auto& [id, e] : last_listed_) {
+    const auto name = names_.find(id);
+    if (name == names_.end()) continue;
+    instances.push_back({{"instanceId", name->second},
+                         {"hostPort", core_->hosts->AddressOf(id)},
+                         {"zone", name_at(core_->config->zones, e.zone)},
+                         {"machineType", name_at(core_->config->kinds, e.kind)},
+                         {"cell", e.cell},
+                         {"weight", e.weight},
+                         {"startedAtMs", e.started_at / 1000},
+                         {"lifecycle", e.state == EndpointState::kReady ? "active" : "leaving"}});
+  }
+  return json{{"generation", generation_}, {"reset", true}, {"instances", std::move(instances)}}.dump(
+      -1, ' ', false, json::error_handler_t::replace);
+}
+
+// ---- Lists ----
+
+void EndpointTable::Apply(const ParsedEndpointList& list, EndpointListScope scope, const char* source) {
+  EndpointList update{scope, static_cast<std::uint32_t>(list.generation), {}};
+  std::set<ReplicaId> listed;
+  std::vector<ReplicaId> removed;
+  for (const ListedEndpoint& entry : list.entries) ApplyEntry(entry, &update, &listed, &removed);
+  if (scope == EndpointListScope::kDelta) {
+    listed_.insert(listed.begin(), listed.end());
+    for (const ReplicaId id : removed) listed_.erase(id);
+  } else {
+    for (const ReplicaId id : listed_) {
+      if (listed.contains(id)) continue;
+      removed.push_back(id);
+      last_listed_.erase(id);
+    }
+    listed_ = std::move(listed);
+  }
+  generation_ = list.generation;
+  if (scope != EndpointListScope::kDelta || !update.endpoints.empty()) {
+    Log(Level::kInfo, "list",
+        {{"scope", Name(scope)},
+         {"generation", static_cast<unsigned long long>(generation_)},
+         {"entries", update.endpoints.size()},
+         {"hosts", listed_.size()}});
+  }
+  if (core_->endpoint_observer != nullptr) {
+    core_->endpoint_observer->OnEndpointList(Now(), source, generation_, "");
+  }
+  Post(std::move(update));
+  for (const ReplicaId id : removed) {
+    if (!listed_.contains(id)) Forget(id);
+  }
+}
+
+void EndpointTable::ApplyEntry(const ListedEndpoint& entry, EndpointList* update, std::set<ReplicaId>* listed,
+                               std::vector<ReplicaId>* removed) {
+  if (entry.invalid != InvalidEntry::kNone) return LogInvalid(entry);
+  Endpoint e = entry.endpoint;
+  e.id = IdOf(entry.name);
+  e.started_at = incarnations_.StartOf(e.id, e.started_at, Now());
+  if (e.state == EndpointState::kRemoved) {
+    removed->push_back(e.id);
+    last_listed_.erase(e.id);
+  } else {
+    last_listed_[e.id] = e;
+    Overlay(disabled_, entry.name, e);
+    core_->hosts->SetHost(e.id, entry.host_port);
+    if (core_->endpoint_observer != nullptr) {
+      core_->endpoint_observer->OnEndpoint(Now(), e, entry.name, entry.host_port);
+    }
+    listed->insert(e.id);
+  }
+  update->endpoints.push_back(e);
+}
+
+void EndpointTable::Forget(ReplicaId id) {
+  incarnations_.Forget(id);
+  core_->hosts->RemoveHost(id);
+  // Guards against growth: ids are always new, and one that comes back gets the same number.
+  const auto known = names_.find(id);
+  if (known == names_.end()) return;
+  ids_.erase(known->second);
+  names_.erase(known);
+}
+
+void EndpointTable::ApplyWithdrawals(ParsedEndpointList list, const char* source) {
+  std::erase_if(list.entries, [this](const ListedEndpoint& entry) { return !Withdraws(entry); });
+  const std::uint64_t generation = generation_;
+  Apply(list, EndpointListScope::kDelta, source);
+  generation_ = generation;
+}
+
+// Whether an entry says that a listed replica wants nothing new, and is no older than what is known of it.
+bool EndpointTable::Withdraws(const ListedEndpoint& entry) const {
+  const auto id = ids_.find(entry.name);
+  if (id == ids_.end() || entry.lifecycle.empty() || entry.lifecycle == "active") return false;
+  const auto last = last_listed_.find(id->second);
+  if (last == last_listed_.end()) return false;
+  return entry.started_at_ms == 0 ||
+         entry.started_at_ms * 1000 >= static_cast<double>(last->second.started_at);
+}
+
+// The module first, so that nothing is decided by the old list; then what was decided by it and is not
+// written.
+void EndpointTable::Post(EndpointList update) {
+  std::vector<ReplicaId> not_ready;
+  for (const Endpoint& e : update.endpoints) {
+    if (e.state != EndpointState::kReady) not_ready.push_back(e.id);
+  }
+  core_->events->Post(std::move(update));
+  for (const ReplicaId id : not_ready) core_->hosts->DropUnsent(id);
+}
+
+// ---- What operators said ----
+
+// It comes before what the lists say.
+void EndpointTable::Overlay(const DisabledReplicas& disabled, const std::string& name, Endpoint& e) {
+  if (disabled.disabled.contains(name) && e.state == EndpointState::kReady) {
+    e.state = EndpointState::kDraining;
+  }
+  if (const auto enabled = disabled.enabled.find(name); enabled != disabled.enabled.end()) {
+    e.started_at = std::max(e.started_at, enabled->second);
+  }
+}
+
+bool EndpointTable::IsDisabled(ReplicaId id) const {
+  const auto name = names_.find(id);
+  return name != names_.end() && disabled_.disabled.contains(name->second);
+}
+
+bool EndpointTable::IsUnavailable(ReplicaId id) const {
+  const auto last = last_listed_.find(id);
+  const bool not_ready = last != last_listed_.end() && last->second.state != EndpointState::kReady;
+  return IsDisabled(id) || not_ready;
+}
+
+void EndpointTable::ReplaceDisabled(const DisabledReplicas& disabled) {
+  EndpointList update{EndpointListScope::kDelta, static_cast<std::uint32_t>(generation_), {}};
+  for (const auto& [id, listed] : last_listed_) {
+    const auto name = names_.find(id);
+    if (name == names_.end()) continue;
+    Endpoint before = listed;
+    Endpoint after = listed;
+    Overlay(disabled_, name->second, before);
+    Overlay(disabled, name->second, after);
+    if (before.state != after.state || before.started_at != after.started_at) {
+      update.endpoints.push_back(after);
+    }
+  }
+  disabled_ = disabled;
+  if (!update.endpoints.empty()) Post(std::move(update));
+}
+
+bool EndpointTable::SetDisabled(const std::string& instance, bool disabled) {
+  const auto id = ids_.find(instance);
+  const bool listed = id != ids_.end() && last_listed_.contains(id->second);
+  if (!listed && !disabled_.disabled.contains(instance)) return false;
+  if (disabled) {
+    disabled_.disabled.try_emplace(instance, Now());
+  } else if (disabled_.disabled.erase(instance) > 0) {
+    disabled_.enabled[instance] = Now();
+  }
+  if (!listed) return true;
+  Endpoint e = last_listed_.at(id->second);
+  Overlay(disabled_, instance, e);
+  Post(EndpointList{EndpointListScope::kDelta, static_cast<std::uint32_t>(generation_), {e}});
+  return true;
+}
+
+}  // namespace ryeglade
--- a/src/core/enum_names.cpp
+++ b/src/core/enum_names.cpp
@@ -6,21 +6,22 @@
 namespace ryeglade {
 namespace {
 
-constexpr std::array<const char*, 8> kOutcomes = {"served",         "error", "full",      "timeout",
-                                                  "connect-failed", "reset", "cancelled", "not-sent"};
-constexpr std::array<const char*, static_cast<std::size_t>(policy::ConclusionReason::kCount)> kReasons = {
+constexpr std::array<const char*, 8> kOutcomeNames = {"served",         "error", "full",      "timeout",
+                                                      "connect-failed", "reset", "cancelled", "not-sent"};
+constexpr std::array<const char*, static_cast<std::size_t>(policy::ConclusionReason::kCount)> kReasonNames = {
     "no-patience",  "held-too-long", "no-time-left", "attempts-spent",
     "may-have-run", "retries-spent", "stream-broken"};
 
-// A value that a record of a later version may hold is no word here.
 template <std::size_t N>
-const char* At(const std::array<const char*, N>& words, std::size_t n) {
-  return n < N ? words[n] : "?";
+const char* NameAt(const std::array<const char*, N>& names, std::size_t index) {
+  return index < N ? names[index] : "?";
 }
 
 }  // namespace
 
-const char* Name(policy::Outcome outcome) { return At(kOutcomes, static_cast<std::size_t>(outcome)); }
-const char* Name(policy::ConclusionReason why) { return At(kReasons, static_cast<std::size_t>(why)); }
+const char* Name(policy::Outcome outcome) { return NameAt(kOutcomeNames, static_cast<std::size_t>(outcome)); }
+const char* Name(policy::ConclusionReason reason) {
+  return NameAt(kReasonNames, static_cast<std::size_t>(reason));
+}
 
 }  // namespace ryeglade
--- a/src/core/json_object_reader_model.cpp
+++ b/src/core/json_object_reader_model.cpp
@@ -11,39 +11,42 @@
   while (scanned_ < text_.size()) {
     const char c = text_[scanned_++];
     if (depth_ == 0) {
-      const Found found = NextBetween(c);
-      if (found != Found::kNothingWhole) return found;
+      const Found found = NextBetweenObjects(c);
+      if (found != Found::kIncomplete) return found;
       continue;
     }
-    if (!TakeInside(c)) return Found::kMalformed;
+    if (!ConsumeInObject(c)) return Found::kMalformed;
     if (depth_ > 0) continue;
     *object = text_.substr(0, scanned_);
     text_.erase(0, scanned_);
     scanned_ = 0;
     return Found::kObject;
   }
-  if (depth_ == 0) text_.clear(), scanned_ = 0;
-  return Found::kNothingWhole;
+  if (depth_ == 0) {
+    text_.clear();
+    scanned_ = 0;
+  }
+  return Found::kIncomplete;
 }
 
-JsonObjectReader::Found JsonObjectReader::NextBetween(char c) {
-  if (IsBlank(c)) return Found::kNothingWhole;
+JsonObjectReader::Found JsonObjectReader::NextBetweenObjects(char c) {
+  if (IsBlank(c)) return Found::kIncomplete;
   if (c == '\n') {
     const bool blank = line_blank_;
     line_blank_ = true;
-    return blank ? Found::kHeartbeat : Found::kNothingWhole;
+    return blank ? Found::kHeartbeat : Found::kIncomplete;
   }
   if (c != '{') return Found::kMalformed;
   text_.erase(0, scanned_ - 1);
   scanned_ = 1;
   depth_ = 1;
   line_blank_ = false;
-  return Found::kNothingWhole;
+  return Found::kIncomplete;
 }
 
 // False: no JSON goes on like this. A line's end within a string, or a blank line within an object, shows
 // that the object was cut short: what follows belongs to another.
-bool JsonObjectReader::TakeInside(char c) {
+bool JsonObjectReader::ConsumeInObject(char c) {
   if (c == '\n') {
     if (in_string_ || line_blank_) return false;
     line_blank_ = true;
--- a/src/core/json_object_reader_model.h
+++ b/src/core/json_object_reader_model.h
@@ -10,7 +10,12 @@
 
 class JsonObjectReader {
  public:
-  enum class Found : unsigned char { kNothingWhole, kObject, kHeartbeat, kMalformed };
+  enum class Found : unsigned char {
+    kIncomplete,  // nothing more before further bytes come
+    kObject,
+    kHeartbeat,
+    kMalformed,
+  };
 
   void Append(std::string_view bytes) { text_.append(bytes); }
   // The next thing in the text. With kObject its text, which is balanced but need not be valid JSON, is put
@@ -19,11 +24,11 @@
   std::size_t pending() const { return text_.size(); }  // bytes that wait for the end of their object
 
  private:
-  Found NextBetween(char c);
-  bool TakeInside(char c);
+  Found NextBetweenObjects(char c);
+  bool ConsumeInObject(char c);
 
   std::string text_;
-  std::size_t scanned_ = 0;  // bytes of `text_` that were looked at
+  std::size_t scanned_ = 0;  // bytes of `text_` that have been read
   std::size_t depth_ = 0;    // of open braces and brackets; 0: between objects
   bool in_string_ = false;
   bool escaped_ = false;
--- a/src/core/learned_state_codec.h
+++ b/src/core/learned_state_codec.h
@@ -1,6 +1,6 @@
-// What a Router has learned, as bytes: in the hand-over between two processes of a node, and in the flight
-// record. Fields go by name, so that a reader passes over those it does not know, and takes the defaults of
-// those it does not find. Pure: no I/O, no clock.
+// What a Router has learned, as bytes: in the state that one process of a node hands over to the next, and in
+// the flight record. Fields go by name, so that a reader passes over those it does not know, and takes the
+// defaults of those it does not find. Pure: no I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -11,12 +11,12 @@
 
 namespace ryeglade {
 
-// Of sessions and beginnings that are kept somewhere, and of keys, so many of the newest pass over.
+// Of cached prefixes, and of keys' traffic, so many of the newest are encoded.
 inline constexpr std::size_t kMaxLearnedKeys = 8192;
 
 std::string EncodeLearnedState(const policy::LearnedState& learned);
 // Null where it is not ours or a number is out of all bounds (not finite, negative where that means nothing):
-// then nothing of it is used. `why` says what was wrong.
-std::optional<policy::LearnedState> DecodeLearnedState(const std::string& bytes, std::string* why);
+// then nothing of it is used. `error` says what was wrong.
+std::optional<policy::LearnedState> DecodeLearnedState(const std::string& bytes, std::string* error);
 
 }  // namespace ryeglade
--- a/src/core/replica_incarnations_model.cpp
+++ b/src/core/replica_incarnations_model.cpp
@@ -2,17 +2,19 @@
 
 namespace ryeglade {
 
-policy::Time ReplicaIncarnations::Take(policy::ReplicaId id, policy::Time told, policy::Time now) {
-  const auto before = heard_.find(id);
-  if (before != heard_.end() && before->second.told == told) return before->second.at;
-  if (told <= now) {
-    if (before != heard_.end()) heard_.erase(before);
-    return told;
+policy::Time ReplicaIncarnations::StartOf(policy::ReplicaId id, policy::Time reported, policy::Time now) {
+  const auto known = future_starts_.find(id);
+  if (known != future_starts_.end() && known->second.reported == reported) {
+    return known->second.first_reported_at;
   }
-  heard_[id] = {told, now};
+  if (reported <= now) {
+    if (known != future_starts_.end()) future_starts_.erase(known);
+    return reported;
+  }
+  future_starts_[id] = {reported, now};
   return now;
 }
 
-void ReplicaIncarnations::Forget(policy::ReplicaId id) { heard_.erase(id); }
+void ReplicaIncarnations::Forget(policy::ReplicaId id) { future_starts_.erase(id); }
 
 }  // namespace ryeglade
--- a/src/core/streams.cpp
+++ b/src/core/streams.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <cmath>
 #include <utility>
+#include <vector>
 
 #include "base/log.h"
 #include "core/enum_names.h"
@@ -10,240 +11,270 @@
 namespace ryeglade {
 namespace {
 
-constexpr Time kGuardMargin = 8'000;
-constexpr Time kMoveBefore = 600'000;  // this long before the end, clients are sent elsewhere for the rest
-constexpr Time kMoveEvery = 50'000;
-constexpr int kMoveAtOnce = 8;
-constexpr Time kMoveSpare = 50'000;  // and the last are gone by this long before the end
-constexpr Time kEndingRetryAfter = 1'000'000;
+constexpr Time kWatchdogMargin = 8'000;
+constexpr Time kMigrateBefore = 600'000;  // this long before the end, clients are sent elsewhere for the rest
+constexpr Time kMigrationInterval = 50'000;
+constexpr int kMigrationsAtOnce = 8;
+constexpr Time kMigrationReserve = 50'000;  // and the last are gone by this long before the end
+constexpr Time kShutdownRetryAfter = 1'000'000;
 
 }  // namespace
 
+// ---- Requests and their deadlines ----
+
 Handle Streams::Open(StreamRequest request, StreamSink* sink, Handle client) {
   const Time now = Now();
-  const auto& classes = core_->config->settings.classes;
-  const auto cls = static_cast<std::size_t>(request.arrival.class_index);
-  const std::string class_name = cls < classes.size() ? classes[cls].name : "";
-  if (end_by_ != 0 && now >= take_until_) {
-    if (core_->counters != nullptr) ++core_->counters->by_class[class_name].busy;
-    sink->OnRefused(client, kEndingRetryAfter);
+  const std::string class_name = ClassName(request);
+  if (conclude_by_ != 0 && now >= accept_until_) {
+    if (core_->counters != nullptr) ++core_->counters->by_class[class_name].rejected;
+    sink->OnRejected(client, kShutdownRetryAfter);
     return 0;
   }
-  Time patience = std::max<Time>(0, request.arrival.time_budget - (now - request.sent_at));
-  if (end_by_ != 0) patience = std::min(patience, std::max<Time>(0, end_by_ - now));
+  Time time_left = std::max<Time>(0, request.arrival.time_budget - (now - request.received_at));
+  if (conclude_by_ != 0) time_left = std::min(time_left, std::max<Time>(0, conclude_by_ - now));
   core_->dialect->Prepare(request);
   Stream stream{std::move(request)};
   stream.sink = sink;
   stream.client = client;
   stream.class_name = class_name;
-  const Handle handle = table_.Add(std::move(stream));
-  Stream& s = *table_.Get(handle);
+  const Handle handle = streams_.Add(std::move(stream));
+  Stream& s = *streams_.Get(handle);
   s.request.arrival.id = handle;
-  s.request.arrival.time_budget = patience;
-  Bound(s, handle, now + patience);
+  s.request.arrival.time_budget = time_left;
+  SetDeadline(s, handle, now + time_left);
   if (core_->stream_observer != nullptr) core_->stream_observer->OnCallId(now, handle, s.request.call_id);
   core_->events->Post(s.request.arrival);
   return handle;
 }
 
-// Guards against a stream that nothing answers: the module answers sooner, or the upstream request's own
-// time-out makes it do so, unless a client comes with very little time left.
-void Streams::Bound(Stream& s, Handle handle, Time deadline) {
-  const Time patience = std::max<Time>(0, deadline - Now());
-  s.deadline = deadline;
-  core_->deadlines->Cancel(s.guard);
-  s.guard =
-      core_->deadlines->Set(deadline - Margin(patience, kGuardMargin), [this, handle] { Guard(handle); });
-}
-
-// Guards against a budget that is longer than this process has to live: SIGKILL would find it unanswered. The
-// module is told, so that it concludes in time on what it knows of the attempts.
-void Streams::EndBy(Time at, Time take_until) {
-  end_by_ = at;
-  take_until_ = take_until;
-  for (const Handle handle : table_.All()) {
-    Stream* s = table_.Get(handle);
-    if (s == nullptr || s->started || s->deadline <= at) continue;
-    Bound(*s, handle, at);
-    const Time left = std::max<Time>(0, at - Now());
-    core_->upstream_requests->ShortenDeadline(s->upstream_request, at - Margin(left, kTimeoutMargin));
-    core_->events->Post(policy::DeadlineShortened{handle, left});
-  }
-  if (core_->config->settings.can_migrate_streams) {
-    core_->deadlines->Cancel(move_on_);
-    move_on_ = core_->deadlines->Set(std::max(Now(), at - kMoveBefore), [this] { MoveOn(); });
-  }
+std::string Streams::ClassName(const StreamRequest& request) const {
+  const auto& classes = core_->config->settings.classes;
+  const auto index = static_cast<std::size_t>(request.arrival.class_index);
+  return index < classes.size() ? classes[index].name : "";
 }
 
-// Guards against streams that are cut by SIGKILL: their clients ask for the rest at a node that is thought to
-// be up still, and are refused. While it drains they are sent to another. A few at a time, oldest slot first.
-void Streams::MoveOn() {
-  // Whatever ends by itself meanwhile need not be moved, so they start as late as they can.
-  const std::vector<Handle> all = table_.All();
-  const auto running = static_cast<Time>(
-      std::count_if(all.begin(), all.end(), [this](Handle h) { return table_.Get(h)->started; }));
-  if (Now() + (running / kMoveAtOnce + 1) * kMoveEvery + kMoveSpare < end_by_) {
-    move_on_ = core_->deadlines->Set(Now() + kMoveEvery, [this] { MoveOn(); });
-    return;
-  }
-  int moved = 0;
-  for (const Handle handle : all) {
-    if (!table_.Get(handle)->started) continue;
-    if (moved++ == kMoveAtOnce) break;
-    Migrate(handle);
-  }
-  if (moved > 0) Log(Level::kInfo, "moving", {{"streams", table_.size()}});
-  move_on_ = core_->deadlines->Set(Now() + kMoveEvery, [this] { MoveOn(); });
+// Guards against a stream that nothing answers: the module answers sooner, or the upstream request's own
+// timeout makes it do so, unless a client comes with very little time left.
+void Streams::SetDeadline(Stream& s, Handle handle, Time deadline) {
+  const Time time_left = std::max<Time>(0, deadline - Now());
+  s.deadline = deadline;
+  core_->deadlines->Cancel(s.watchdog);
+  s.watchdog = core_->deadlines->Set(deadline - Margin(time_left, kWatchdogMargin),
+                                     [this, handle] { OnWatchdog(handle); });
 }
 
 // The time is up. What may be told to the client hangs on what its attempts may have done, so the module
-// answers: it learns that there is no time left, then how the attempt that is out ends. Should it not answer
+// answers: it learns that there is no time left, then how the attempt in flight ends. Should it not answer
 // even so, the answer given here promises nothing.
-void Streams::Guard(Handle handle) {
-  const Stream* s = table_.Get(handle);
+void Streams::OnWatchdog(Handle handle) {
+  const Stream* s = streams_.Get(handle);
   if (s == nullptr || s->started) return;
   core_->events->Post(policy::DeadlineShortened{handle, 0});
-  s = table_.Get(handle);
+  s = streams_.Get(handle);
   if (s == nullptr) return;
   core_->upstream_requests->Abort(s->upstream_request);
-  s = table_.Get(handle);
+  s = streams_.Get(handle);
   if (s == nullptr) return;
   Log(Level::kError, "guard-reply",
-      {{"id", s->request.call_id}, {"out", s->upstream_request != 0}, {"written", s->written}});
-  if (core_->counters != nullptr) ++core_->counters->guard_replies;
+      {{"id", s->request.call_id}, {"out", s->upstream_request != 0}, {"written", s->attempts_written}});
+  if (core_->counters != nullptr) ++core_->counters->watchdog_replies;
   core_->events->Post(policy::ClientDisconnected{handle});  // to the module it is over
   Fail(handle);
 }
 
+// ---- Graceful shutdown ----
+
+// Guards against a time budget that is longer than this process has to live: SIGKILL would find it
+// unanswered. The module is told, so that it concludes in time on what it knows of the attempts.
+void Streams::BeginShutdown(Time conclude_by, Time accept_until) {
+  conclude_by_ = conclude_by;
+  accept_until_ = accept_until;
+  for (const Handle handle : streams_.All()) {
+    Stream* s = streams_.Get(handle);
+    if (s == nullptr || s->started || s->deadline <= conclude_by) continue;
+    SetDeadline(*s, handle, conclude_by);
+    const Time time_left = std::max<Time>(0, conclude_by - Now());
+    const Time attempt_by = conclude_by - Margin(time_left, kAttemptMargin);
+    core_->upstream_requests->ShortenDeadline(s->upstream_request, attempt_by);
+    core_->events->Post(policy::DeadlineShortened{handle, time_left});
+  }
+  if (!core_->config->settings.can_migrate_streams) return;
+  core_->deadlines->Cancel(migration_timer_);
+  ScheduleMigration(std::max(Now(), conclude_by - kMigrateBefore));
+}
+
+void Streams::ScheduleMigration(Time at) {
+  migration_timer_ = core_->deadlines->Set(at, [this] { MigrateSome(); });
+}
+
+// Guards against streams that are cut by SIGKILL: their clients ask for the rest at a node that is thought to
+// be up still, and are rejected. While it drains they are sent to another. A few at a time, oldest slot
+// first.
+void Streams::MigrateSome() {
+  const std::vector<Handle> all = streams_.All();
+  const auto running = static_cast<Time>(
+      std::count_if(all.begin(), all.end(), [this](Handle h) { return streams_.Get(h)->started; }));
+  // Whatever ends by itself meanwhile need not be migrated, so they start as late as they can.
+  const Time needed = (running / kMigrationsAtOnce + 1) * kMigrationInterval + kMigrationReserve;
+  if (Now() + needed < conclude_by_) return ScheduleMigration(Now() + kMigrationInterval);
+  int migrated = 0;
+  for (const Handle handle : all) {
+    if (!streams_.Get(handle)->started) continue;
+    if (migrated++ == kMigrationsAtOnce) break;
+    Migrate(handle);
+  }
+  if (migrated > 0) Log(Level::kInfo, "moving", {{"streams", streams_.size()}});
+  ScheduleMigration(Now() + kMigrationInterval);
+}
+
+// ---- The client ----
+
 bool Streams::CheckClientConnected(Handle handle) {
-  const Stream* s = table_.Get(handle);
+  const Stream* s = streams_.Get(handle);
   if (s == nullptr) return false;
   if (s->sink->Connected(s->client)) return true;
-  ClientGone(handle);
+  OnClientDisconnected(handle);
   return false;
 }
 
-void Streams::ClientGone(Handle handle) {
-  Handle client = 0;
-  const Stream* s = table_.Get(handle);
+void Streams::OnClientDisconnected(Handle handle) {
+  const Stream* s = streams_.Get(handle);
   if (s == nullptr) return;
   Log(Level::kInfo, "client-gone", {{"id", s->request.call_id}, {"started", s->started ? 1 : 0}});
   core_->events->Post(policy::ClientDisconnected{handle});
-  End(handle, &client, Ended::kGone);
+  Handle client = 0;
+  Conclude(handle, Conclusion::kDisconnected, &client);
 }
 
-void Streams::Pause(Handle handle, bool pause) {
-  if (const Stream* s = table_.Get(handle)) core_->upstream_requests->SetPaused(s->upstream_request, pause);
+void Streams::SetPaused(Handle handle, bool paused) {
+  const Stream* s = streams_.Get(handle);
+  if (s != nullptr) core_->upstream_requests->SetPaused(s->upstream_request, paused);
 }
 
+// ---- The response ----
+
 void Streams::OnData(Handle handle, std::string_view events) {
-  Stream* s = table_.Get(handle);
+  Stream* s = streams_.Get(handle);
   if (s == nullptr) return;
   if (!s->started) {
     s->started = true;
     CountStart(*s);
-    core_->deadlines->Cancel(s->guard);
+    core_->deadlines->Cancel(s->watchdog);
     s->request.body.Clear();  // it is not sent again from here on
   }
   s->sink->OnData(s->client, events);
 }
 
-void Streams::CountStart(Stream& s) {
-  if (core_->counters == nullptr) return;
-  const auto& classes = core_->config->settings.classes;
-  const auto cls = static_cast<std::size_t>(s.request.arrival.class_index);
-  const Time took = std::max<Time>(1, Now() - s.request.sent_at);
-  if (cls < classes.size()) {
-    const policy::ClassSettings& c = classes[cls];
-    const double more =
-        static_cast<double>(c.objective_per_1000_tokens) * s.request.arrival.prompt_tokens / 1000.0;
-    s.in_time = static_cast<double>(took) <= static_cast<double>(c.latency_objective) + more;
-  }
-  NodeCounters::Ends& ends = core_->counters->by_class[s.class_name];
-  const double ln = std::log(static_cast<double>(took) / 1000.0);
-  ++ends.started;
-  ends.first_ln += ln;
-  ends.first_ln_squared += ln * ln;
-}
-
 void Streams::OnComplete(Handle handle) {
   Handle client = 0;
-  if (StreamSink* sink = End(handle, &client, Ended::kServed)) sink->OnWhole(client);
+  if (StreamSink* sink = Conclude(handle, Conclusion::kServed, &client)) sink->OnComplete(client);
 }
 
 void Streams::OnTruncated(Handle handle) {
   Handle client = 0;
-  if (StreamSink* sink = End(handle, &client, Ended::kFailed)) sink->OnBroken(client);
+  if (StreamSink* sink = Conclude(handle, Conclusion::kFailed, &client)) sink->OnTruncated(client);
 }
 
 void Streams::Reject(Handle handle, Time retry_after) {
+  const Stream* s = streams_.Get(handle);
+  if (s == nullptr || s->started) return;
+  const Time longest = std::max(s->retry_after, retry_after);
   Handle client = 0;
-  const Stream* s = table_.Get(handle);
-  if (s != nullptr && s->started) return;
-  const Time told = s != nullptr ? std::max(s->stay_away, retry_after) : retry_after;
-  if (StreamSink* sink = End(handle, &client, Ended::kRefused)) sink->OnRefused(client, told);
+  if (StreamSink* sink = Conclude(handle, Conclusion::kRejected, &client)) sink->OnRejected(client, longest);
 }
 
 void Streams::Fail(Handle handle) {
-  Handle client = 0;
-  const Stream* s = table_.Get(handle);
+  const Stream* s = streams_.Get(handle);
   if (s == nullptr || s->started) return;
   const policy::Outcome last = s->last_outcome;
-  if (StreamSink* sink = End(handle, &client, Ended::kFailed)) sink->OnFailed(client, last);
+  Handle client = 0;
+  if (StreamSink* sink = Conclude(handle, Conclusion::kFailed, &client)) sink->OnFailed(client, last);
 }
 
 void Streams::OnRequestRefused(Handle handle, int status, const std::string& body) {
-  Handle client = 0;
-  const Stream* s = table_.Get(handle);
+  const Stream* s = streams_.Get(handle);
   if (s == nullptr || s->started) return;
-  if (StreamSink* sink = End(handle, &client, Ended::kFailed)) sink->OnRejected(client, status, body);
+  Handle client = 0;
+  if (StreamSink* sink = Conclude(handle, Conclusion::kFailed, &client)) {
+    sink->OnRequestRefused(client, status, body);
+  }
 }
 
 // The client asks for the rest as a new stream once its connection ends without the last chunk.
 void Streams::Migrate(Handle handle) {
-  const Stream* s = table_.Get(handle);
+  const Stream* s = streams_.Get(handle);
   if (s == nullptr || !s->started) return;
   OnTruncated(handle);
 }
 
-// What the node knew of a request's attempts when it answered by itself: enough to tell whether a refusal was
-// true.
-void Streams::LogEnd(const Stream& s, Ended how) const {
+// ---- How a stream ends ----
+
+// Guards against an upstream request that outlives its stream: nobody would ever read its response.
+StreamSink* Streams::Conclude(Handle handle, Conclusion how, Handle* client) {
+  Stream* s = streams_.Get(handle);
+  if (s == nullptr) return nullptr;
+  if (how == Conclusion::kRejected || how == Conclusion::kFailed) LogConclusion(*s, how);
+  CountConclusion(*s, how);
+  core_->deadlines->Cancel(s->watchdog);
+  *client = s->client;
+  StreamSink* sink = s->sink;
+  const Handle upstream_request = s->upstream_request;
+  streams_.Remove(handle);
+  core_->upstream_requests->Cancel(upstream_request);
+  return sink;
+}
+
+// What the node knew of a request's attempts when it answered by itself: enough to tell whether a rejection
+// was true.
+void Streams::LogConclusion(const Stream& s, Conclusion how) const {
   const Time now = Now();
   Log(Level::kInfo, "request-ended",
       {{"id", s.request.call_id},
-       {"how", how == Ended::kRefused ? "refused" : "failed"},
+       {"how", how == Conclusion::kRejected ? "refused" : "failed"},
        {"class", s.class_name},
        {"attempts", s.attempts},
-       {"written", s.written},
+       {"written", s.attempts_written},
        {"out", s.upstream_request != 0},
        {"started", s.started},
        {"last", s.last_replica == 0 ? "-" : Hex8(s.last_replica)},
        {"outcome", s.last_replica == 0 ? "-" : Name(s.last_outcome)},
-       {"age_ms", (now - s.request.sent_at) / 1000},
+       {"age_ms", (now - s.request.received_at) / 1000},
        {"left_ms", (s.deadline - now) / 1000}});
 }
 
-// Guards against an upstream request that outlives its stream: nobody would ever read its answer.
-StreamSink* Streams::End(Handle handle, Handle* client, Ended how) {
-  Stream* s = table_.Get(handle);
-  if (s == nullptr) return nullptr;
-  if (how == Ended::kRefused || how == Ended::kFailed) LogEnd(*s, how);
-  if (how != Ended::kGone && core_->counters != nullptr) {
-    NodeCounters::Ends& ends = core_->counters->by_class[s->class_name];
-    ++(how == Ended::kServed ? ends.success : how == Ended::kRefused ? ends.busy : ends.failure);
-    if (how == Ended::kServed && s->in_time) ++ends.in_time;
-    const auto tries = static_cast<std::uint64_t>(s->attempts);
-    ends.attempts += tries;
-    ends.attempts_squared += tries * tries;
+void Streams::CountStart(Stream& s) {
+  if (core_->counters == nullptr) return;
+  const auto& classes = core_->config->settings.classes;
+  const auto index = static_cast<std::size_t>(s.request.arrival.class_index);
+  const Time elapsed = std::max<Time>(1, Now() - s.request.received_at);
+  if (index < classes.size()) {
+    const policy::ClassSettings& c = classes[index];
+    const double for_prompt =
+        static_cast<double>(c.objective_per_1000_tokens) * s.request.arrival.prompt_tokens / 1000.0;
+    const double objective = static_cast<double>(c.latency_objective) + for_prompt;
+    s.within_objective = static_cast<double>(elapsed) <= objective;
   }
-  core_->deadlines->Cancel(s->guard);
-  *client = s->client;
-  StreamSink* sink = s->sink;
-  const Handle attempt = s->upstream_request;
-  table_.Remove(handle);
-  core_->upstream_requests->Cancel(attempt);
-  return sink;
+  NodeCounters::RequestClass& counters = core_->counters->by_class[s.class_name];
+  const double ln = std::log(static_cast<double>(elapsed) / 1000.0);
+  ++counters.started;
+  counters.first_token_ln += ln;
+  counters.first_token_ln_squared += ln * ln;
+}
+
+void Streams::CountConclusion(const Stream& s, Conclusion how) {
+  if (how == Conclusion::kDisconnected || core_->counters == nullptr) return;
+  NodeCounters::RequestClass& counters = core_->counters->by_class[s.class_name];
+  if (how == Conclusion::kServed) {
+    ++counters.served;
+    if (s.within_objective) ++counters.within_objective;
+  } else if (how == Conclusion::kRejected) {
+    ++counters.rejected;
+  } else {
+    ++counters.failed;
+  }
+  const auto attempts = static_cast<std::uint64_t>(s.attempts);
+  counters.attempts += attempts;
+  counters.attempts_squared += attempts * attempts;
 }
 
 }  // namespace ryeglade
--- a/src/core/streams.h
+++ b/src/core/streams.h
@@ -1,7 +1,10 @@
-// Streams: the requests that the node has taken. Each has a slot here until its one final answer is given,
-// whoever gives it: an upstream host, the decision module, or the guard that watches the client's budget.
+// Streams: the requests that the node has taken. Each has a slot here until its one final response is given,
+// whoever gives it: an upstream host, the decision module, or the watchdog that watches the client's
+// deadline.
 #pragma once
 
+#include <algorithm>
+#include <cstdint>
 #include <string>
 #include <string_view>
 
@@ -10,14 +13,14 @@
 
 namespace ryeglade {
 
-// A request as any front hands it in. `arrival.patience` counts from `sent_at`.
+// A request as any front passes it in.
 struct StreamRequest {
   std::string method, target, call_id, content_type;
   BufferChain body;
-  policy::RequestArrived arrival;
-  Time sent_at = 0;
-  bool prepared = false;    // the body already asks for a stream and for usage, as a front saw to it
-  std::string passed_on{};  // header lines of the client's that a replica gets unchanged
+  policy::RequestArrived arrival;   // its `time_budget` counts from `received_at`
+  Time received_at = 0;             // its first byte
+  bool prepared = false;            // the body already asks for a stream and for usage, as a front saw to it
+  std::string forwarded_headers{};  // header lines of the client's that a replica gets unchanged
 };
 
 // The front's side of a stream. `client` is the front's own name for it. Of the last five, exactly one comes.
@@ -25,14 +28,15 @@
  public:
   virtual ~StreamSink() = default;
   virtual bool Connected(Handle client) const = 0;  // false: the client has closed its connection
-  virtual void OnData(Handle client, std::string_view events) = 0;  // the first call starts the answer
-  virtual void OnWhole(Handle client) = 0;
-  virtual void OnBroken(Handle client) = 0;  // after data, before the end
-  virtual void OnRefused(Handle client, Time retry_after) = 0;
+  virtual void OnData(Handle client, std::string_view events) = 0;  // the first call starts the response
+  virtual void OnComplete(Handle client) = 0;
+  virtual void OnTruncated(Handle client) = 0;  // after data, before the end
+  // No attempt may have run. `retry_after`: microseconds; 0: nothing is said.
+  virtual void OnRejected(Handle client, Time retry_after) = 0;
   // `last` is how the last attempt ended.
   virtual void OnFailed(Handle client, policy::Outcome last) = 0;
   // A host said that the request itself is wrong; its own status and body.
-  virtual void OnRejected(Handle client, int status, const std::string& body) = 0;
+  virtual void OnRequestRefused(Handle client, int status, const std::string& body) = 0;
 };
 
 struct Stream {
@@ -41,14 +45,14 @@
   Handle client = 0;
   Time deadline = 0;
   int attempts = 0;
-  Handle upstream_request = 0;  // the one that is out
-  bool started = false;
-  bool in_time = false;                                    // its first event came within its aim
+  Handle upstream_request = 0;    // the one that is in flight; 0: none
+  bool started = false;           // the response has begun
+  bool within_objective = false;  // its first event came within the class's latency objective
   policy::Outcome last_outcome = policy::Outcome::kError;  // of its attempts
-  policy::ReplicaId last_replica = 0;                      // that an attempt ended at; 0: none has
-  int written = 0;     // attempts that were handed whole to a socket, so that they may have run
-  Time stay_away = 0;  // the longest that a host told
-  DeadlineId guard{};
+  ReplicaId last_replica = 0;                              // that an attempt ended at; 0: none has
+  int attempts_written = 0;  // completely handed to a socket, so that they may have run
+  Time retry_after = 0;      // the longest that a host asked for
+  DeadlineId watchdog{};
   std::string class_name{};  // as it came: the class may be gone from the settings before it ends
 };
 
@@ -56,10 +60,10 @@
  public:
   explicit Streams(Core* core) : core_(core) {}
 
-  // From the front. Open may answer before it returns; the handle is then already old.
+  // From the front. Open may conclude the stream before it returns; the handle then finds nothing.
   Handle Open(StreamRequest request, StreamSink* sink, Handle client);
-  void ClientGone(Handle stream);
-  void Pause(Handle stream, bool pause);  // the client does not drain what it is sent, or does again
+  void OnClientDisconnected(Handle stream);
+  void SetPaused(Handle stream, bool paused);  // whether the client leaves unread what it is sent
 
   // From the upstream side.
   void OnData(Handle stream, std::string_view events) override;
@@ -73,36 +77,41 @@
   void Fail(Handle stream) override;
   void Migrate(Handle stream) override;
 
-  // Whatever has not begun by `at` gets its answer then. What comes after `take_until` is refused at once.
-  // What has begun ends a little earlier if its client may ask for the rest elsewhere. May be called again
-  // with earlier times.
-  void EndBy(Time at, Time take_until);
+  // Graceful shutdown: whatever has not started by `conclude_by` gets its answer then. What comes after
+  // `accept_until` is rejected at once. What has started ends a little earlier if its client may ask for the
+  // rest elsewhere. May be called again with earlier times.
+  void BeginShutdown(Time conclude_by, Time accept_until);
 
-  Stream* Find(Handle stream) override { return table_.Get(stream); }
-  std::size_t size() const { return table_.size(); }
+  Stream* Find(Handle stream) override { return streams_.Get(stream); }
+  std::size_t size() const { return streams_.size(); }
 
-  // An attempt ends this long before the client's time is up. Guards against a last, hopeless attempt: it is
-  // after the module's own last call (20 ms before), so that a time-out makes the module answer and not send
-  // again.
-  static constexpr Time kTimeoutMargin = 15'000;
-  // How long before a deadline the node acts, so that the answer is with the client in time.
-  static Time Margin(Time patience, Time usual) { return std::min(usual, std::max<Time>(0, patience / 4)); }
+  // An attempt ends this long before the client's deadline. Guards against a last, hopeless attempt: it is
+  // after the module's own latest useful dispatch (20 ms before), so that a timeout makes the module conclude
+  // and not send again.
+  static constexpr Time kAttemptMargin = 15'000;
+  // How long before a deadline the node acts, so that the answer is with the client in time: `usual`, or less
+  // where little time is left.
+  static Time Margin(Time time_left, Time usual) { return std::min(usual, std::max<Time>(0, time_left / 4)); }
 
  private:
-  void Guard(Handle stream);
+  enum class Conclusion : std::uint8_t { kServed, kRejected, kFailed, kDisconnected };
+
+  void SetDeadline(Stream& stream, Handle handle, Time deadline);
+  void OnWatchdog(Handle stream);
+  void ScheduleMigration(Time at);
+  void MigrateSome();
+  std::string ClassName(const StreamRequest& request) const;
   void CountStart(Stream& stream);
-  void MoveOn();
-  void Bound(Stream& stream, Handle handle, Time deadline);
-  enum class Ended : unsigned char { kServed, kRefused, kFailed, kGone };
-  void LogEnd(const Stream& stream, Ended how) const;
+  void CountConclusion(const Stream& stream, Conclusion how);
+  void LogConclusion(const Stream& stream, Conclusion how) const;
   // Frees the slot and counts how it ended; null: it was free already.
-  StreamSink* End(Handle stream, Handle* client, Ended how);
+  StreamSink* Conclude(Handle stream, Conclusion how, Handle* client);
 
   Core* core_;
-  SlotTable<Stream> table_;
-  Time end_by_ = 0;  // 0: no end in sight
-  Time take_until_ = 0;
-  DeadlineId move_on_{};
+  SlotTable<Stream> streams_;
+  Time conclude_by_ = 0;  // 0: no shutdown has begun
+  Time accept_until_ = 0;
+  DeadlineId migration_timer_{};
 };
 
 }  // namespace ryeglade
--- a/src/core/upstream.cpp
+++ b/src/core/upstream.cpp
@@ -66,7 +66,7 @@
   const Time now = Now();
   if (write_within > 0) r.write_deadline = now + write_within;
   const Time time_left = s->deadline - now;
-  Time deadline = s->deadline - Streams::Margin(time_left, Streams::kTimeoutMargin);
+  Time deadline = s->deadline - Streams::Margin(time_left, Streams::kAttemptMargin);
   if (timeout > 0) deadline = std::min(deadline, now + timeout);
   if (s->started || s->upstream_request != 0 || time_left <= 0) {
     core_->events->Post(policy::AttemptEnded{stream, r.attempt, to, Outcome::kNotSent, 0, s->started, 0, {}});
@@ -168,10 +168,10 @@
   if (Stream* s = core_->responses->Find(r.stream)) {
     written = c.tcp->Write(core_->dialect->RequestHead(s->request, host_port, r.response_deadline - Now()));
     for (const std::string_view piece : s->request.body.Pieces()) written = written && c.tcp->Write(piece);
-    if (written) ++s->written;
-    if (written && core_->counters != nullptr) ++core_->counters->backend_calls;
+    if (written) ++s->attempts_written;
+    if (written && core_->counters != nullptr) ++core_->counters->attempts_written;
   } else if (r.is_health_check()) {
-    written = c.tcp->Write(core_->dialect->ProbeHead(host_port));
+    written = c.tcp->Write(core_->dialect->HealthCheckHead(host_port));
   }
   c.request_written = written;
   if (!written) OnConnectionLost(handle);
@@ -249,11 +249,11 @@
   const bool stream = response.status() == 200 && !request.is_health_check();
   *progress = !stream || body.empty();
   for (const std::string_view piece : body) {
-    response.reader()->OnBytes(piece);
+    response.reader()->OnBody(piece);
     if (!stream) continue;
-    const ResponseReader::Body read = response.reader()->OnEvents(piece);
-    if (read == ResponseReader::Body::kSpoilt) return false;
-    if (read == ResponseReader::Body::kEvents) *progress = true;
+    const ResponseReader::StreamStatus read = response.reader()->OnStream(piece);
+    if (read == ResponseReader::StreamStatus::kInvalid) return false;
+    if (read == ResponseReader::StreamStatus::kProgress) *progress = true;
   }
   return true;
 }
@@ -275,7 +275,7 @@
   if (status != 200) return;
   for (const std::string_view piece : body) c.opening.append(piece);
   if (c.opening.size() > ResponseParser::kMaxChunkBytes) return Finish(handle, Outcome::kReset);
-  if (c.response.reader()->opened() && c.response.at_chunk_boundary()) StartStream(handle, c);
+  if (c.response.reader()->has_event() && c.response.at_chunk_boundary()) StartStream(handle, c);
 }
 
 void Upstream::StartStream(Handle handle, UpstreamConnection& c) {
@@ -299,12 +299,12 @@
 
 void Upstream::OnResponseComplete(Handle handle, ResponseParser& response) {
   const Request& r = *requests_.Get(handle);
-  const ResponseResult result = response.reader()->AtEnd(response.status(), r.is_health_check());
+  const ResponseResult result = response.reader()->Result(response.status(), r.is_health_check());
   const bool never_started = !r.is_health_check() && !r.started;
   if (never_started && result.client_fault) return RejectRequest(handle);
   if (never_started) {
     if (Stream* s = core_->responses->Find(r.stream)) {
-      s->stay_away = std::max(s->stay_away, result.retry_after);
+      s->retry_after = std::max(s->retry_after, result.retry_after);
     }
   }
   const bool served_nothing = never_started && result.outcome == Outcome::kServed;
@@ -378,8 +378,8 @@
   policy::AttemptEnded ended{r.stream, r.attempt, r.replica, outcome, Now() - r.sent_at, false, 0, {}};
   if (UpstreamConnection* c = connections_.Find(r.connection)) {
     if (const ResponseReader* reader = c->response.reader()) {
-      const ResponseMetadata metadata = reader->Notes(r.is_health_check());
-      ended.cached_tokens = metadata.kept_tokens;
+      const ResponseMetadata metadata = reader->Metadata(r.is_health_check());
+      ended.cached_tokens = metadata.cached_tokens;
       ended.load_report = ParseLoadReport(metadata.load_report, core_->config->load_fields);
     }
     if (c->response.reusable() && c->tcp->unsent() == 0) {
--- a/src/dialects/openai/openai_dialect.cpp
+++ b/src/dialects/openai/openai_dialect.cpp
@@ -65,40 +65,40 @@
     if (strcasecmp(name.c_str(), "x-load-report") == 0) report_ = value;
   }
 
-  void OnBytes(std::string_view body) override {
-    if (opened_) return;
-    error_body_.append(body.substr(0, kMostErrorBody - std::min(kMostErrorBody, error_body_.size())));
+  void OnBody(std::string_view bytes) override {
+    if (has_event_) return;
+    error_body_.append(bytes.substr(0, kMostErrorBody - std::min(kMostErrorBody, error_body_.size())));
   }
 
-  Body OnEvents(std::string_view body) override {
+  StreamStatus OnStream(std::string_view bytes) override {
     bool progress = false;
-    const bool good = events_.Feed(body, [&](const EventStream::Event& e) {
+    const bool good = events_.Feed(bytes, [&](const EventStream::Event& e) {
       if (!e.has_data) return true;
       if (e.type == "error" || TellsError(e.data)) return false;
       if (done_) return false;  // nothing comes behind [DONE]
       done_ = e.data == "[DONE]";
-      progress = opened_ = true;
-      if (const auto kept = NumberAfter(e.data, "\"cached_tokens\"")) {
+      progress = has_event_ = true;
+      if (const auto kept = FindLastNumber(e.data, "\"cached_tokens\"")) {
         kept_ = std::isfinite(*kept) && *kept > 0 ? *kept : 0;
       }
       return true;
     });
-    if (!good) return Body::kSpoilt;
+    if (!good) return StreamStatus::kInvalid;
     // A part of a long event is progress too; a part of a comment is not.
     if (!events_.unfinished().empty() && events_.unfinished().front() != ':') progress = true;
-    if (opened_) error_body_ = {};
-    return progress ? Body::kEvents : Body::kIdle;
+    if (has_event_) error_body_ = {};
+    return progress ? StreamStatus::kProgress : StreamStatus::kKeepAlive;
   }
 
-  bool opened() const override { return opened_; }
+  bool has_event() const override { return has_event_; }
 
-  ResponseResult AtEnd(int status, bool probe) const override {
-    if (probe)
+  ResponseResult Result(int status, bool health_check) const override {
+    if (health_check)
       return {status == 200                    ? Outcome::kServed
               : status == 503 || status == 429 ? Outcome::kAtCapacity
                                                : Outcome::kError};
     if (status == 200) {
-      if (!opened_) return {Outcome::kError};
+      if (!has_event_) return {Outcome::kError};
       return {done_ ? Outcome::kServed : Outcome::kReset};
     }
     // A 503 may also come from something between that lost the engine in the middle of its work: it proves
@@ -109,12 +109,12 @@
     return {Outcome::kError, false, retry_after_};
   }
 
-  ResponseMetadata Notes(bool) const override { return {kept_, report_}; }
+  ResponseMetadata Metadata(bool) const override { return {kept_, report_}; }
   std::string error_body() const override { return error_body_; }
 
  private:
   EventStream events_{kMostEvent};
-  bool opened_ = false, done_ = false;
+  bool has_event_ = false, done_ = false;
   double kept_ = 0;
   Time retry_after_ = 0;
   std::string report_, error_body_;
@@ -149,7 +149,7 @@
          "\r\nContent-Length: " + std::to_string(q.body.size()) + "\r\n\r\n";
 }
 
-std::string OpenAiDialect::ProbeHead(const std::string& host) const {
+std::string OpenAiDialect::HealthCheckHead(const std::string& host) const {
   return "GET /v1/models HTTP/1.1\r\nHost: " + host +
          (api_key_.empty() ? "" : "\r\nAuthorization: Bearer " + api_key_) + "\r\n\r\n";
 }
--- a/src/dialects/openai/openai_dialect.h
+++ b/src/dialects/openai/openai_dialect.h
@@ -20,7 +20,7 @@
   void Prepare(StreamRequest& request) const override;
   std::string RequestHead(const StreamRequest& request, const std::string& host,
                           policy::Time left) const override;
-  std::string ProbeHead(const std::string& host) const override;
+  std::string HealthCheckHead(const std::string& host) const override;
   std::unique_ptr<ResponseReader> NewReader() const override;
 
  private:
--- a/src/dialects/platform/platform_dialect.h
+++ b/src/dialects/platform/platform_dialect.h
@@ -13,11 +13,11 @@
   void Prepare(StreamRequest&) const override {}
   std::string RequestHead(const StreamRequest& request, const std::string& host,
                           policy::Time left) const override;
-  std::string ProbeHead(const std::string& host) const override;
+  std::string HealthCheckHead(const std::string& host) const override;
   std::unique_ptr<ResponseReader> NewReader() const override;
 
  private:
-  bool load_reports_;  // a probe asks for the load, else only for a sign of life
+  bool load_reports_;  // a health check asks for the load, else only for a sign of life
 };
 
 }  // namespace ryeglade
--- a/src/fronts/openai/openai_front.cpp
+++ b/src/fronts/openai/openai_front.cpp
@@ -159,7 +159,7 @@
   if (it == open_.end()) return;
   const bool may_repeat = core_->retry_safety->IsSafeToRetry(it->second.stream);
   const Open o = Settle(connection, column);
-  streams_->ClientGone(o.stream);
+  streams_->OnClientDisconnected(o.stream);
   if (!o.begun && !may_repeat) return Error(connection, WithoutRepeat(e), o.headers + kNoRepeatHeader);
   if (!o.begun) return Error(connection, e, o.headers);
   Log(Level::kWarn, "stream-ended", {{"why", e.code}, {"id", o.request_id}});
@@ -339,7 +339,7 @@
   stream.target = path;
   stream.call_id = NewId();
   stream.content_type = "application/json";
-  stream.sent_at = request.first_byte;
+  stream.received_at = request.first_byte;
 
   Open o(endpoint, body.include_usage, settings_->most_answer);
   o.request_id = stream.call_id;
@@ -364,12 +364,12 @@
 void OpenAiFront::OnGone(Handle connection) {
   if (!open_.contains(connection)) return;
   const Open o = Settle(connection, Column::kClientLeft);
-  streams_->ClientGone(o.stream);
+  streams_->OnClientDisconnected(o.stream);
 }
 
 void OpenAiFront::OnFlow(Handle connection, bool congested) {
   const auto it = open_.find(connection);
-  if (it != open_.end()) streams_->Pause(it->second.stream, congested);
+  if (it != open_.end()) streams_->SetPaused(it->second.stream, congested);
 }
 
 // ---- Answers of replicas ----
@@ -425,7 +425,7 @@
   o.reserved_answer += more;
 }
 
-void OpenAiFront::OnWhole(Handle connection) {
+void OpenAiFront::OnComplete(Handle connection) {
   if (!open_.contains(connection)) return;
   const Open o = Settle(connection, Column::kServed);
   if (o.streamed) {
@@ -437,13 +437,13 @@
                      o.assembler.Whole(o.request_id, o.model, Now() / kSecond));
 }
 
-void OpenAiFront::OnBroken(Handle connection) {
+void OpenAiFront::OnTruncated(Handle connection) {
   Drop(connection,
        {502, "server_error", "upstream_broken", "The model's answer broke off.", "", kBrokenRetry},
        Column::kBroken);
 }
 
-void OpenAiFront::OnRefused(Handle connection, Time retry_after) {
+void OpenAiFront::OnRejected(Handle connection, Time retry_after) {
   if (!open_.contains(connection)) return;
   const Open o = Settle(connection, Column::kRefused);
   Error(connection,
@@ -465,7 +465,7 @@
 }
 
 // The replica's own words pass on once, in the API's shape whatever it spoke.
-void OpenAiFront::OnRejected(Handle connection, int status, const std::string& body) {
+void OpenAiFront::OnRequestRefused(Handle connection, int status, const std::string& body) {
   if (!open_.contains(connection)) return;
   const Open o = Settle(connection, Column::kRejected);
   Log(Level::kWarn, "local-reply", {{"status", status}, {"why", "rejected"}, {"id", o.request_id}});
--- a/src/fronts/platform/platform_front.cpp
+++ b/src/fronts/platform/platform_front.cpp
@@ -72,8 +72,8 @@
   if (const std::string* type = request.Header("content-type")) stream.content_type = *type;
   stream.body = std::move(request.body);
   // Guarded classes' replicas know repeats by a header of the client's, whose name no page tells.
-  stream.passed_on = FieldLines(EndToEndFields(request.headers, OwnFields()));
-  stream.sent_at = request.first_byte;
+  stream.forwarded_headers = FieldLines(EndToEndFields(request.headers, OwnFields()));
+  stream.received_at = request.first_byte;
   ids_.insert(stream.call_id);
   open_[connection] = {0, stream.call_id, false};
   const Handle handle = streams_->Open(std::move(stream), this, connection);
@@ -155,12 +155,12 @@
   if (it == open_.end()) return;
   const Handle stream = it->second.stream;
   Forget(connection);
-  streams_->ClientGone(stream);
+  streams_->OnClientDisconnected(stream);
 }
 
 void PlatformFront::OnFlow(Handle connection, bool congested) {
   const auto it = open_.find(connection);
-  if (it != open_.end()) streams_->Pause(it->second.stream, congested);
+  if (it != open_.end()) streams_->SetPaused(it->second.stream, congested);
 }
 
 void PlatformFront::OnData(Handle connection, std::string_view events) {
@@ -172,17 +172,17 @@
   downstream_->Chunk(connection, events);
 }
 
-void PlatformFront::OnWhole(Handle connection) {
+void PlatformFront::OnComplete(Handle connection) {
   Forget(connection);
   downstream_->EndChunks(connection);
 }
 
-void PlatformFront::OnBroken(Handle connection) {
+void PlatformFront::OnTruncated(Handle connection) {
   Forget(connection);
   downstream_->Abort(connection);
 }
 
-void PlatformFront::OnRefused(Handle connection, Time retry_after) {
+void PlatformFront::OnRejected(Handle connection, Time retry_after) {
   const auto it = open_.find(connection);
   if (it == open_.end()) return;
   Log(Level::kWarn, "local-reply", {{"status", 503}, {"why", "refused"}, {"id", it->second.call_id}});
@@ -202,7 +202,7 @@
   downstream_->Reply(connection, 502, "", "");
 }
 
-void PlatformFront::OnRejected(Handle connection, int status, const std::string& body) {
+void PlatformFront::OnRequestRefused(Handle connection, int status, const std::string& body) {
   Log(Level::kWarn, "local-reply", {{"status", status}, {"why", "rejected"}});
   Forget(connection);
   downstream_->Reply(connection, status, "Content-Type: application/json\r\n", body);
--- a/src/fronts/platform/platform_front.h
+++ b/src/fronts/platform/platform_front.h
@@ -23,11 +23,11 @@
 
   bool Connected(Handle connection) const override { return downstream_->Connected(connection); }
   void OnData(Handle connection, std::string_view events) override;
-  void OnWhole(Handle connection) override;
-  void OnBroken(Handle connection) override;
-  void OnRefused(Handle connection, Time retry_after) override;
+  void OnComplete(Handle connection) override;
+  void OnTruncated(Handle connection) override;
+  void OnRejected(Handle connection, Time retry_after) override;
   void OnFailed(Handle connection, policy::Outcome last) override;
-  void OnRejected(Handle connection, int status, const std::string& body) override;
+  void OnRequestRefused(Handle connection, int status, const std::string& body) override;
 
  private:
   struct Open {
--- a/tests/disabled_replicas_test.cpp
+++ b/tests/disabled_replicas_test.cpp
@@ -12,8 +12,8 @@
 
 DisabledReplicas Some() {
   DisabledReplicas h;
-  h.out = {{"s-a", 5}, {"s-5be2a07c", 1'796'153'893'361'000}};
-  h.back = {{"s-b", 7}};
+  h.disabled = {{"s-a", 5}, {"s-5be2a07c", 1'796'153'893'361'000}};
+  h.enabled = {{"s-b", 7}};
   return h;
 }
 
@@ -46,7 +46,7 @@
   for (const auto& [name, at] : out) {
     std::string plain;
     for (const char c : name) plain += c > ' ' && c != 0x7f ? c : 'x';
-    if (!plain.empty() && plain.size() <= 256) h.out[plain] = at < 0 ? -(at + 1) : at;
+    if (!plain.empty() && plain.size() <= 256) h.disabled[plain] = at < 0 ? -(at + 1) : at;
   }
   std::string why;
   const auto read = DecodeDisabledReplicas(EncodeDisabledReplicas(h, "n0"), "n0", &why);
--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -117,7 +117,7 @@
   const auto outcome = [&](int status, const char* retry_after) {
     const auto reader = dialect.NewReader();
     if (retry_after != nullptr) reader->OnHeader("Retry-After", retry_after);
-    return reader->AtEnd(status, false).outcome;
+    return reader->Result(status, false).outcome;
   };
   EXPECT_EQ(outcome(429, nullptr), policy::Outcome::kAtCapacity);
   EXPECT_EQ(outcome(503, "2"), policy::Outcome::kAtCapacity);
@@ -155,8 +155,8 @@
 
 TEST(ReplicaIncarnations, AStartInThePastIsTakenAsTold) {
   ReplicaIncarnations starts;
-  EXPECT_EQ(starts.Take(1, 0, kNow), 0);
-  EXPECT_EQ(starts.Take(1, kNow - 5'000'000, kNow), kNow - 5'000'000);
+  EXPECT_EQ(starts.StartOf(1, 0, kNow), 0);
+  EXPECT_EQ(starts.StartOf(1, kNow - 5'000'000, kNow), kNow - 5'000'000);
   EXPECT_EQ(starts.size(), 0u);
 }
 
@@ -165,15 +165,15 @@
 TEST(ReplicaIncarnations, AStartInTheFutureCountsFromWhenItWasHeardOf) {
   ReplicaIncarnations starts;
   const Time told = kNow + kHour - 20'000'000;
-  EXPECT_EQ(starts.Take(1, told, kNow), kNow);
-  EXPECT_EQ(starts.Take(1, told, kNow + 9'000'000), kNow);  // told again it has not started again
-  EXPECT_EQ(starts.Take(1, told, told + 1), kNow);          // nor once the clock has come that far
-  EXPECT_EQ(starts.Take(1, told + 30'000'000, kNow + 30'000'000), kNow + 30'000'000);  // now it has
+  EXPECT_EQ(starts.StartOf(1, told, kNow), kNow);
+  EXPECT_EQ(starts.StartOf(1, told, kNow + 9'000'000), kNow);  // told again it has not started again
+  EXPECT_EQ(starts.StartOf(1, told, told + 1), kNow);          // nor once the clock has come that far
+  EXPECT_EQ(starts.StartOf(1, told + 30'000'000, kNow + 30'000'000), kNow + 30'000'000);  // now it has
 }
 
 TEST(ReplicaIncarnations, KeepsNothingOfReplicasThatAreGone) {
   ReplicaIncarnations starts;
-  for (policy::ReplicaId id = 0; id < 100; ++id) starts.Take(id, kNow + kHour, kNow);
+  for (policy::ReplicaId id = 0; id < 100; ++id) starts.StartOf(id, kNow + kHour, kNow);
   for (policy::ReplicaId id = 0; id < 100; ++id) starts.Forget(id);
   EXPECT_EQ(starts.size(), 0u);
 }
@@ -226,7 +226,7 @@
   std::string object;
   for (std::size_t at = 0; at < text.size(); at += size) {
     reader.Append(std::string_view(text).substr(at, size));
-    for (Found found; (found = reader.Next(&object)) != Found::kNothingWhole;) {
+    for (Found found; (found = reader.Next(&object)) != Found::kIncomplete;) {
       if (found == Found::kMalformed) return all.push_back("malformed"), all;
       all.push_back(found == Found::kObject ? object : "");
     }
@@ -255,7 +255,7 @@
   std::string object;
   for (int n = 0; n < 1000; ++n) {
     reader.Append("\n{\"n\":1}\n");
-    while (reader.Next(&object) != Found::kNothingWhole) {
+    while (reader.Next(&object) != Found::kIncomplete) {
     }
     EXPECT_EQ(reader.pending(), 0U);
   }
