--- a/fuzz/rollout_fuzz.cpp
+++ b/fuzz/rollout_fuzz.cpp
@@ -25,10 +25,10 @@
       }
       break;
     case 1:
-      hot_restart::DecodeState(text, 1, "n0", &why);
+      hot_restart::DecodeHandoverState(text, 1, "n0", &why);
       break;
     case 2:
-      hot_restart::DecodeOut(text, 1);
+      hot_restart::DecodeInFlight(text, 1);
       break;
     case 3:
       if (const auto learned = DecodeLearnedState(text, &why)) {
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -58,7 +58,7 @@
   keys::Keyring keys;
 };
 
-class Node : public AdminPort, public ReplicaViewPort, public hot_restart::HandOverPort {
+class Node : public AdminPort, public ReplicaViewPort, public hot_restart::HotRestartPort {
  public:
   Node(const Config& config, const EdgeSettings& settings, Parts parts)
       : settings_(settings),
@@ -93,9 +93,13 @@
         admin_(this),
         holds_file_(&loop_, HandOverPath("holds", config),
                     [this](const std::string& text) { TakeHolds(text, false); }),
-        hand_over_(&core_, this, SharedPath("lease", config), SharedPath("state", config),
-                   SharedPath("out", config), config.name, config.sockets,
-                   config.memory_mb * 1024 * 1024 / 2) {
+        hot_restart_(&core_, this,
+                     {.node = config.name,
+                      .paths = {.lease = SharedPath("lease", config),
+                                .state = SharedPath("state", config),
+                                .in_flight = SharedPath("out", config)},
+                      .sockets = config.sockets,
+                      .memory = config.memory_mb * 1024 * 1024 / 2}) {
     front_.Use(&downstream_);
     if (const auto text = holds_file_.ReadNow()) TakeHolds(*text, true);
     if (!config.management.empty()) {
@@ -144,7 +148,7 @@
     }
     if (failed_.empty()) {
       holds_file_.Watch(kLookForHolds);
-      hand_over_.Start();
+      hot_restart_.Start();
     }
     End();
     if (!failed_.empty()) throw std::runtime_error(failed_);
@@ -161,8 +165,8 @@
     Log(Level::kInfo, "stopped", {{"after_ms", drain_began_ == 0 ? 0 : (Now() - drain_began_) / 1000}});
   }
 
-  // The hand-over's side: see handover/succession_policy.h for when each comes.
-  void Serve() override {
+  // The hot restart: hot_restart/hot_restart_policy.h decides when each comes.
+  void StartServing() override {
     if (taking_ || starting_ || !failed_.empty()) return;
     starting_ = true;
     if (inherited_) {
@@ -200,7 +204,7 @@
       return Fail(e.what());
     }
   }
-  void Inherit(hot_restart::State state) override {
+  void RestoreState(hot_restart::HandoverState state) override {
     const std::string& known = core_.config->known;
     // Generations mean something only among lists of one discovery. The other process may have been cut off
     // from it for some time: of the two lists the newer one counts.
@@ -209,16 +213,16 @@
         same_discovery && !state.roster.empty() && GenerationOf(state.roster) >= GenerationOf(known);
     inherited_ = true;
     discovery_.Known(inherits ? state.roster : known);
-    hot_restart::FitTo(ClassNames(config_.settings), &state);
+    hot_restart::DropMismatchedClasses(ClassNames(config_.settings), &state);
     decisions_.Post(
         policy::StateRestored{std::make_shared<const policy::LearnedState>(std::move(state.learned))});
   }
-  void Beside(hot_restart::Out out) override {
+  void SetSiblingInFlight(hot_restart::InFlightCounts out) override {
     if (out.empty() && !beside_) return;
     beside_ = !out.empty();
     decisions_.Post(policy::SiblingInFlightChanged{std::move(out)});
   }
-  hot_restart::State Known() override {
+  hot_restart::HandoverState ExportState() override {
     return {config_.name,
             RYEGLADE_VERSION,
             discovery_.address(),
@@ -226,18 +230,18 @@
             ClassNames(config_.settings),
             decisions_.router().ExportState()};
   }
-  hot_restart::Out OutNow() override {
-    hot_restart::Out out;
+  hot_restart::InFlightCounts CountInFlight() override {
+    hot_restart::InFlightCounts out;
     for (const auto& [id, yes] : discovery_.hosts()) {
       if (const int n = decisions_.router().in_flight(id); n > 0) out.emplace_back(id, n);
     }
     return out;
   }
-  void Yield() override {
+  void HandOverClients() override {
     downstream_.Yield();
     if (openai_ != nullptr) openai_down_->Yield();
   }
-  void TakeUp() override {
+  void ResumeClients() override {
     try {
       downstream_.TakeUp();
       if (openai_ != nullptr) openai_down_->TakeUp();
@@ -247,14 +251,15 @@
   }
   std::size_t UsedSockets() const override {
     // One that has yielded may need an upstream connection for each client that still waits.
-    const std::size_t up = hand_over_.yielded() ? std::max(upstream_.size(), clients()) : upstream_.size();
+    const std::size_t up =
+        hot_restart_.handed_over() ? std::max(upstream_.size(), clients()) : upstream_.size();
     return clients() + up + kOwnSockets + Discovery::kSockets;
   }
   std::size_t UsedMemory() const override { return buffers_.taken() * BufferPool::kSize; }
-  void Limit(std::size_t sockets, std::size_t memory) override {
+  void SetLimits(std::size_t sockets, std::size_t memory) override {
     const std::size_t own = kOwnSockets + Discovery::kSockets;
     const std::size_t share = std::max<std::size_t>(sockets, own + 16) - own;
-    upstream_.Limit(hand_over_.yielded() ? share - std::min(share, clients()) : share * 45 / 100);
+    upstream_.Limit(hot_restart_.handed_over() ? share - std::min(share, clients()) : share * 45 / 100);
     downstream_.Limit(ClientSockets(share, settings_));
     if (openai_ != nullptr) openai_down_->Limit(ClientSockets(share, settings_));
     buffers_.Limit(memory);
@@ -417,7 +422,7 @@
     }
     drain_began_ = Now();
     if (membership_ != nullptr) membership_->Leave();  // told to all before the listener closes
-    hand_over_.Term();
+    hot_restart_.Terminate();
     downstream_.Drain();
     if (openai_ != nullptr) openai_down_->Drain();
     termination_ = PlanTermination(ClassesInForce());
@@ -455,8 +460,8 @@
   // SIGKILL: as long as connections are taken or kept, one more request may be under way when it comes.
   void Tick() {
     const Time since = Now() - drain_began_;
-    const bool listened = since >= termination_.listen_until || hand_over_.yielded();
-    if (since >= termination_.close_idle || hand_over_.yielded()) {
+    const bool listened = since >= termination_.listen_until || hot_restart_.handed_over();
+    if (since >= termination_.close_idle || hot_restart_.handed_over()) {
       OnClientListeners([](Downstream& d) { d.CloseIdle(); });
     }
     if (listened) OnClientListeners([](Downstream& d) { d.StopAccepting(); });
@@ -475,7 +480,7 @@
     if (membership_ != nullptr) membership_->Close();
     if (tier_down_ != nullptr) tier_down_->Close();
     holds_file_.Close();
-    hand_over_.Close();
+    hot_restart_.Close();
     downstream_.Close();
     if (admin_down_ != nullptr) admin_down_->Close();
     if (openai_ != nullptr) openai_down_->Close();
@@ -594,7 +599,7 @@
   AdminFront admin_;
   std::unique_ptr<Downstream> admin_down_;  // where the configuration names a management address
   StateFile holds_file_;
-  hot_restart::HandOver hand_over_;
+  hot_restart::HotRestart hot_restart_;
   std::string failed_;  // why it can't serve
   bool inherited_ = false, beside_ = false;
   // Only where the settings ask for it.
--- a/src/app/rollout_command.cpp
+++ b/src/app/rollout_command.cpp
@@ -439,11 +439,12 @@
 }  // namespace
 
 std::string CompatText() {
-  return nlohmann::json{{"version", RYEGLADE_VERSION},
-                        {"membership-wire", {membership::kNeeds, membership::kSchema}},
-                        {"hand-over-state", {hot_restart::kStateMajor, hot_restart::kStateMajor}},
-                        {"keeper-protocol", {rollout::kProtocol, rollout::kProtocol}},
-                        {"flight-record", {1, timeline::kFormat}}}
+  return nlohmann::json{
+      {"version", RYEGLADE_VERSION},
+      {"membership-wire", {membership::kNeeds, membership::kSchema}},
+      {"hand-over-state", {hot_restart::kHandoverFormatMajor, hot_restart::kHandoverFormatMajor}},
+      {"keeper-protocol", {rollout::kProtocol, rollout::kProtocol}},
+      {"flight-record", {1, timeline::kFormat}}}
       .dump();
 }
 
--- a/src/hot_restart/handover_state_codec.cpp
+++ b/src/hot_restart/handover_state_codec.cpp
@@ -3,7 +3,7 @@
 #include <fmt/format.h>
 #include <xxhash.h>
 
-#include <charconv>
+#include <algorithm>
 #include <exception>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
@@ -16,86 +16,110 @@
 
 using nlohmann::json;
 
-constexpr std::string_view kState = "ryeglade-state", kOut = "ryeglade-out";
-constexpr std::size_t kMostOut = 100'000;
+// First words of the stored forms.
+constexpr std::string_view kStateMagic = "ryeglade-state";
+constexpr std::string_view kInFlightMagic = "ryeglade-out";
 
-// "WORD MAJOR PID SUM\n" and the body.
-std::string Seal(std::string_view word, std::int64_t pid, const std::string& body) {
-  return fmt::format("{} {} {} {:016x}\n", word, kStateMajor, pid, XXH3_64bits(body.data(), body.size())) +
-         body;
+constexpr std::size_t kMaxHeader = 100;  // bytes
+constexpr std::size_t kMaxReplicas = 100'000;
+constexpr int kMaxInFlight = 1'000'000;  // at one replica
+
+constexpr const char* kForAnotherProcess = "of or for another process";
+
+std::string Checksum(const std::string& body) {
+  return fmt::format("{:016x}", XXH3_64bits(body.data(), body.size()));
 }
 
-std::string Open(std::string_view word, const std::string& text, std::int64_t pid) {
-  const std::size_t end = text.find('\n');
-  if (end == std::string::npos || end > 100) throw std::runtime_error("torn: no head");
-  std::vector<std::string_view> parts;
-  for (std::string_view rest(text.data(), end); !rest.empty();) {
-    const std::size_t at = std::min(rest.find(' '), rest.size());
-    parts.push_back(rest.substr(0, at));
-    rest.remove_prefix(std::min(at + 1, rest.size()));
+// "MAGIC MAJOR PID CHECKSUM\n" and the body.
+std::string AddHeader(std::string_view magic, std::int64_t pid, const std::string& body) {
+  return fmt::format("{} {} {} {}\n", magic, kHandoverFormatMajor, pid, Checksum(body)) + body;
+}
+
+std::vector<std::string_view> SplitAtSpaces(std::string_view text) {
+  std::vector<std::string_view> fields;
+  while (!text.empty()) {
+    const std::size_t end = std::min(text.find(' '), text.size());
+    fields.push_back(text.substr(0, end));
+    text.remove_prefix(std::min(end + 1, text.size()));
   }
-  if (parts.size() < 4 || parts[0] != word) throw std::runtime_error("not ours");
-  if (parts[1] != std::to_string(kStateMajor)) throw std::runtime_error("of another major version");
-  if (parts[2] != std::to_string(pid)) throw std::runtime_error("of or for another process");
+  return fields;
+}
+
+// The body; throws std::runtime_error where the header is not as expected.
+std::string CheckAndRemoveHeader(std::string_view magic, const std::string& text, std::int64_t pid) {
+  const std::size_t end = text.find('\n');
+  if (end == std::string::npos || end > kMaxHeader) throw std::runtime_error("torn: no head");
+  const std::vector<std::string_view> fields = SplitAtSpaces(std::string_view(text.data(), end));
+  if (fields.size() < 4 || fields[0] != magic) throw std::runtime_error("not ours");
+  if (fields[1] != std::to_string(kHandoverFormatMajor)) throw std::runtime_error("of another major version");
+  if (fields[2] != std::to_string(pid)) throw std::runtime_error(kForAnotherProcess);
   std::string body = text.substr(end + 1);
-  if (parts[3] != fmt::format("{:016x}", XXH3_64bits(body.data(), body.size())))
-    throw std::runtime_error("torn: the checksum is another");
+  if (fields[3] != Checksum(body)) throw std::runtime_error("torn: the checksum is another");
   return body;
 }
 
 }  // namespace
 
-std::string EncodeState(const State& s, std::int64_t to) {
-  const std::string learned = EncodeLearnedState(s.learned);
-  const json j = {{"node", s.node},           {"program", s.program},
-                  {"discovery", s.discovery}, {"roster", s.roster},
-                  {"classes", s.classes},     {"learned", json::binary({learned.begin(), learned.end()})}};
+std::string EncodeHandoverState(const HandoverState& state, std::int64_t recipient) {
+  const std::string learned = EncodeLearnedState(state.learned);
+  const json j = {
+      {"node", state.node},           {"program", state.program},
+      {"discovery", state.discovery}, {"roster", state.roster},
+      {"classes", state.classes},     {"learned", json::binary({learned.begin(), learned.end()})}};
   const std::vector<std::uint8_t> bytes = json::to_msgpack(j);
-  return Seal(kState, to, {bytes.begin(), bytes.end()});
+  return AddHeader(kStateMagic, recipient, {bytes.begin(), bytes.end()});
 }
 
-std::optional<State> DecodeState(const std::string& text, std::int64_t to, const std::string& node,
-                                 std::string* why) {
+std::optional<HandoverState> DecodeHandoverState(const std::string& text, std::int64_t recipient,
+                                                 const std::string& node, std::string* why) {
   try {
-    const json j = json::from_msgpack(Open(kState, text, to));
-    State s;
-    s.node = j.at("node").get<std::string>();
-    if (s.node != node) throw std::runtime_error("of another node");
-    s.program = j.value("program", "");
-    s.discovery = j.value("discovery", "");
-    s.roster = j.value("roster", "");
-    s.classes = j.at("classes").get<std::vector<std::string>>();
+    const json j = json::from_msgpack(CheckAndRemoveHeader(kStateMagic, text, recipient));
+    HandoverState state;
+    state.node = j.at("node").get<std::string>();
+    if (state.node != node) throw std::runtime_error("of another node");
+    state.program = j.value("program", "");
+    state.discovery = j.value("discovery", "");
+    state.roster = j.value("roster", "");
+    state.classes = j.at("classes").get<std::vector<std::string>>();
     const auto& binary = j.at("learned").get_binary();
     auto learned = DecodeLearnedState({binary.begin(), binary.end()}, why);
     if (!learned) return std::nullopt;
-    s.learned = std::move(*learned);
-    return s;
+    state.learned = std::move(*learned);
+    return state;
   } catch (const std::exception& e) {
     *why = e.what();
     return std::nullopt;
   }
 }
 
-void FitTo(const std::vector<std::string>& classes, State* state) {
+bool IsForAnotherProcess(const std::string& why) { return why == kForAnotherProcess; }
+
+void DropMismatchedClasses(const std::vector<std::string>& classes, HandoverState* state) {
   if (state->classes == classes) return;
-  policy::LearnedState& k = state->learned;
-  k.pace_by_class.clear(), k.runtime_per_hint.clear(), k.bucket_error.clear(), k.hint_error.clear();
-  k.runtime_by_bucket.clear(), k.first_token_by_bucket.clear();
+  policy::LearnedState& learned = state->learned;
+  learned.pace_by_class.clear();
+  learned.runtime_per_hint.clear();
+  learned.bucket_error.clear();
+  learned.hint_error.clear();
+  learned.runtime_by_bucket.clear();
+  learned.first_token_by_bucket.clear();
 }
 
-std::string EncodeOut(const Out& out, std::int64_t from) {
-  const std::vector<std::uint8_t> bytes = json::to_msgpack(json(out));
-  return Seal(kOut, from, {bytes.begin(), bytes.end()});
+std::string EncodeInFlight(const InFlightCounts& counts, std::int64_t sender) {
+  const std::vector<std::uint8_t> bytes = json::to_msgpack(json(counts));
+  return AddHeader(kInFlightMagic, sender, {bytes.begin(), bytes.end()});
 }
 
-std::optional<Out> DecodeOut(const std::string& text, std::int64_t from) {
+std::optional<InFlightCounts> DecodeInFlight(const std::string& text, std::int64_t sender) {
   try {
-    Out out = json::from_msgpack(Open(kOut, text, from)).get<Out>();
-    if (out.size() > kMostOut) return std::nullopt;
-    for (const auto& [id, n] : out) {
-      if (n < 0 || n > 1'000'000) return std::nullopt;
-    }
-    return out;
+    const std::string body = CheckAndRemoveHeader(kInFlightMagic, text, sender);
+    InFlightCounts counts = json::from_msgpack(body).get<InFlightCounts>();
+    if (counts.size() > kMaxReplicas) return std::nullopt;
+    const auto is_valid = [](const auto& replica) {
+      return replica.second >= 0 && replica.second <= kMaxInFlight;
+    };
+    if (!std::all_of(counts.begin(), counts.end(), is_valid)) return std::nullopt;
+    return counts;
   } catch (const std::exception&) {
     return std::nullopt;
   }
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -2,7 +2,6 @@
 
 #include <unistd.h>
 
-#include <algorithm>
 #include <utility>
 
 #include "base/log.h"
@@ -10,145 +9,169 @@
 namespace ryeglade::hot_restart {
 namespace {
 
-constexpr Time kAlone = 100'000, kBeside = 20'000;  // between two looks
-constexpr Time kBeatEvery = 200'000;
-constexpr Time kTellOutEvery = 100'000;
-constexpr unsigned kLookForOut = 50;  // ms
+// Microseconds, unless said otherwise.
+constexpr Time kPollAlone = 100'000;
+constexpr Time kPollWithSibling = 20'000;
+constexpr Time kHeartbeatInterval = 200'000;
+constexpr Time kInFlightInterval = 100'000;
+constexpr unsigned kInFlightWatchMs = 50;
 
 }  // namespace
 
-HandOver::HandOver(const Runtime* run, HandOverPort* port, const std::string& lease, const std::string& state,
-                   const std::string& out, std::string node, std::size_t sockets, std::size_t memory)
-    : run_(run),
+HotRestart::HotRestart(const Runtime* runtime, HotRestartPort* port, HotRestartOptions options)
+    : runtime_(runtime),
       port_(port),
-      lease_(lease),
-      other_(lease_.Look()),
-      succession_(Now(), other_.alive),
-      state_(run->loop, state, [](const std::string&) {}),
-      out_(run->loop, out, [this](const std::string& text) { Told(text); }),
-      node_(std::move(node)),
-      sockets_(sockets),
-      memory_(memory) {
-  mine_.pid = getpid();
-  mine_.started = succession_.started();
-  mine_.sockets = sockets_;
-  mine_.memory = memory_;
+      options_(std::move(options)),
+      lease_file_(options_.paths.lease),
+      sibling_(lease_file_.ReadSibling()),
+      policy_(Now(), sibling_.alive),
+      state_file_(runtime->loop, options_.paths.state, [](const std::string&) {}),
+      in_flight_file_(runtime->loop, options_.paths.in_flight,
+                      [this](const std::string& text) { OnSiblingInFlight(text); }) {
+  lease_.pid = getpid();
+  lease_.started_at = policy_.started_at();
+  lease_.socket_limit = options_.sockets;
+  lease_.memory_limit = options_.memory;
 }
 
-void HandOver::Start() {
-  if (!lease_.held() && state_.on())
+void HotRestart::Start() {
+  if (!lease_file_.is_holder() && state_file_.on())
     Log(Level::kWarn, "hand-over-off", {{"why", "two processes of this node run, or no TMPDIR"}});
-  Say();
-  if (!other_.alive) {
-    port_->Serve();
+  UpdateLease();
+  if (!sibling_.alive) {
+    port_->StartServing();
   } else {
-    Log(Level::kInfo, "hand-over-waits", {{"pid", other_.said ? other_.said->pid : 0}});
+    Log(Level::kInfo, "hand-over-waits", {{"pid", SiblingPid()}});
   }
-  if (lease_.held()) Look();
+  if (lease_file_.is_holder()) Poll();
 }
 
-void HandOver::Look() {
+void HotRestart::Poll() {
   if (closed_) return;
-  other_ = lease_.Look();
-  if (succession_.word() == Word::kStarting && other_.alive) TryState();
-  Do(succession_.Look(Now(), other_));
+  sibling_ = lease_file_.ReadSibling();
+  if (policy_.phase() == Phase::kStarting && sibling_.alive) TryRestoreState();
+  Apply(policy_.Update(Now(), sibling_));
   if (closed_) return;
-  if (succession_.yielded() && Now() - told_at_ >= kTellOutEvery) {
-    told_at_ = Now();
-    Out now = port_->OutNow();
-    if (now != told_) {
-      told_ = std::move(now);
-      out_.Write(EncodeOut(told_, mine_.pid));
-    }
+  if (policy_.handed_over()) PublishInFlight();
+  const bool is_successor = policy_.phase() != Phase::kStarting && !policy_.handed_over();
+  if (sibling_.alive && is_successor && !watches_in_flight_) {
+    watches_in_flight_ = true;
+    in_flight_file_.Watch(kInFlightWatchMs);
   }
-  if (other_.alive && !watching_ && succession_.word() != Word::kStarting && !succession_.yielded()) {
-    watching_ = true;
-    out_.Watch(kLookForOut);
-  }
-  Say();
-  tick_ = run_->deadlines->Set(Now() + (other_.alive ? kBeside : kAlone), [this] { Look(); });
+  UpdateLease();
+  const Time interval = sibling_.alive ? kPollWithSibling : kPollAlone;
+  poll_timer_ = runtime_->deadlines->Set(Now() + interval, [this] { Poll(); });
+}
+
+// Tells the new process what this one still has in flight, where that has changed.
+void HotRestart::PublishInFlight() {
+  if (Now() - in_flight_published_at_ < kInFlightInterval) return;
+  in_flight_published_at_ = Now();
+  InFlightCounts counts = port_->CountInFlight();
+  if (counts == published_in_flight_) return;
+  published_in_flight_ = std::move(counts);
+  in_flight_file_.Write(EncodeInFlight(published_in_flight_, lease_.pid));
 }
 
-void HandOver::TryState() {
-  const auto text = state_.ReadNow();
+void HotRestart::TryRestoreState() {
+  const auto text = state_file_.ReadNow();
   if (!text) return;
   std::string why;
-  auto state = DecodeState(*text, mine_.pid, node_, &why);
+  auto state = DecodeHandoverState(*text, lease_.pid, options_.node, &why);
   if (!state) {
-    if (why != "of or for another process") Log(Level::kWarn, "hand-over-state-aside", {{"why", why}});
+    if (!IsForAnotherProcess(why)) Log(Level::kWarn, "hand-over-state-aside", {{"why", why}});
     return;
   }
-  Out out;
-  for (const auto& r : state->learned.replicas) {
-    if (r.in_flight > 0) out.emplace_back(r.id, r.in_flight);
+  InFlightCounts in_flight;
+  for (const auto& replica : state->learned.replicas) {
+    if (replica.in_flight > 0) in_flight.emplace_back(replica.id, replica.in_flight);
   }
   Log(Level::kInfo, "hand-over-taken",
       {{"program", state->program},
        {"bytes", text->size()},
        {"replicas", state->learned.replicas.size()},
-       {"out", out.size()}});
-  port_->Inherit(std::move(*state));
-  Do(succession_.StateCame());
-  if (!closed_) port_->Beside(std::move(out));
+       {"out", in_flight.size()}});
+  port_->RestoreState(std::move(*state));
+  Apply(policy_.OnStateReceived());
+  if (!closed_) port_->SetSiblingInFlight(std::move(in_flight));
 }
 
-void HandOver::Do(const Step& step) {
-  if (step.give) {
-    Log(Level::kInfo, "hand-over-gives", {{"to", step.to}});
-    state_.Write(EncodeState(port_->Known(), step.to));
+// StartServing may fail, which closes this object.
+void HotRestart::Apply(const Actions& actions) {
+  if (actions.send_state) {
+    Log(Level::kInfo, "hand-over-gives", {{"to", actions.state_recipient}});
+    state_file_.Write(EncodeHandoverState(port_->ExportState(), actions.state_recipient));
   }
-  if (step.serve) {
-    if (*step.why != 's') Log(Level::kInfo, "hand-over-serves", {{"why", step.why}});
-    port_->Serve();
-    Say();
+  if (actions.start_serving) {
+    if (actions.reason != Reason::kStateReceived)  // that has been logged
+      Log(Level::kInfo, "hand-over-serves", {{"why", Name(actions.reason)}});
+    port_->StartServing();
+    UpdateLease();
   }
   if (closed_) return;
-  if (step.yield) {
-    Log(Level::kInfo, "hand-over-yields", {{"to", other_.said ? other_.said->pid : 0}, {"why", step.why}});
-    port_->Yield();
+  if (actions.hand_over_clients) {
+    Log(Level::kInfo, "hand-over-yields", {{"to", SiblingPid()}, {"why", Name(actions.reason)}});
+    port_->HandOverClients();
   }
-  if (step.take_up) {
-    Log(Level::kWarn, "hand-over-taken-up-again", {{"why", step.why}});
-    port_->TakeUp();
+  if (actions.resume_clients) {
+    Log(Level::kWarn, "hand-over-taken-up-again", {{"why", Name(actions.reason)}});
+    port_->ResumeClients();
   }
-  if (step.alone) port_->Beside({});
+  if (actions.sibling_gone) port_->SetSiblingInFlight({});
 }
 
-// A beat, and the limits as they fall to this process now.
-void HandOver::Say() {
-  const bool older = !other_.said || other_.said->started > mine_.started;
-  const std::size_t sockets =
-      Share(sockets_, port_->UsedSockets(), mine_.sockets, older, succession_.yielded(), other_,
-            other_.said ? other_.said->sockets : sockets_ / 2);
-  const std::size_t memory = Share(memory_, port_->UsedMemory(), mine_.memory, older, succession_.yielded(),
-                                   other_, other_.said ? other_.said->memory : memory_ / 2);
-  const bool moved = sockets != mine_.sockets || memory != mine_.memory;
-  if (moved) port_->Limit(sockets, memory);
-  if (!moved && succession_.word() == mine_.word && Now() - said_at_ < kBeatEvery) return;
-  mine_.sockets = sockets;
-  mine_.memory = memory;
-  mine_.word = succession_.word();
-  ++mine_.beat;
-  said_at_ = Now();
-  lease_.Say(mine_);
+ShareRequest HotRestart::MakeShareRequest() const {
+  ShareRequest request;
+  request.is_older = !sibling_.lease || sibling_.lease->started_at > lease_.started_at;
+  request.handed_over = policy_.handed_over();
+  request.sibling_alive = sibling_.alive;
+  return request;
 }
 
-void HandOver::Told(const std::string& text) {
-  if (!other_.said || succession_.yielded()) return;
-  if (auto out = DecodeOut(text, other_.said->pid)) port_->Beside(std::move(*out));
+// Writes the lease where the phase or the limits have changed, and otherwise as a heartbeat.
+void HotRestart::UpdateLease() {
+  ShareRequest request = MakeShareRequest();
+  request.total = options_.sockets;
+  request.used = port_->UsedSockets();
+  request.current_share = lease_.socket_limit;
+  request.sibling_share = sibling_.lease ? sibling_.lease->socket_limit : options_.sockets / 2;
+  const std::size_t sockets = ComputeShare(request);
+  request.total = options_.memory;
+  request.used = port_->UsedMemory();
+  request.current_share = lease_.memory_limit;
+  request.sibling_share = sibling_.lease ? sibling_.lease->memory_limit : options_.memory / 2;
+  const std::size_t memory = ComputeShare(request);
+
+  const bool limits_changed = sockets != lease_.socket_limit || memory != lease_.memory_limit;
+  if (limits_changed) port_->SetLimits(sockets, memory);
+  const bool heartbeat_due = Now() - lease_written_at_ >= kHeartbeatInterval;
+  if (!limits_changed && policy_.phase() == lease_.phase && !heartbeat_due) return;
+  lease_.socket_limit = sockets;
+  lease_.memory_limit = memory;
+  lease_.phase = policy_.phase();
+  ++lease_.heartbeat;
+  lease_written_at_ = Now();
+  lease_file_.Write(lease_);
 }
 
-void HandOver::Term() {
-  if (lease_.held()) other_ = lease_.Look();
-  Do(succession_.Term(other_));
-  Say();
+void HotRestart::OnSiblingInFlight(const std::string& text) {
+  if (!sibling_.lease || policy_.handed_over()) return;
+  if (auto counts = DecodeInFlight(text, sibling_.lease->pid)) port_->SetSiblingInFlight(std::move(*counts));
+}
+
+std::int64_t HotRestart::SiblingPid() const { return sibling_.lease ? sibling_.lease->pid : 0; }
+
+void HotRestart::Terminate() {
+  if (lease_file_.is_holder()) sibling_ = lease_file_.ReadSibling();
+  Apply(policy_.OnTerminate(sibling_));
+  UpdateLease();
 }
 
-void HandOver::Close() {
+void HotRestart::Close() {
   closed_ = true;
-  run_->deadlines->Cancel(tick_);
-  state_.Close();
-  out_.Close();
+  runtime_->deadlines->Cancel(poll_timer_);
+  state_file_.Close();
+  in_flight_file_.Close();
 }
 
 }  // namespace ryeglade::hot_restart
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -1,9 +1,9 @@
-// The hand-over between two processes of one node, on the loop: the lease that each keeps, the state that
-// passes, and what the old one still has out. What is to be done is Succession's; the node does it.
+// The hot restart between two processes of one node, on the event loop: keeps this process's lease, observes
+// its sibling's, passes learned state and in-flight counts through files in $TMPDIR, and splits the node's
+// limits. HotRestartPolicy decides; the node carries it out through HotRestartPort.
 #pragma once
 
 #include <string>
-#include <vector>
 
 #include "base/runtime.h"
 #include "base/state_file.h"
@@ -13,54 +13,71 @@
 
 namespace ryeglade::hot_restart {
 
-// The node's side.
-class HandOverPort {
+// Implemented by the node.
+class HotRestartPort {
  public:
-  virtual ~HandOverPort() = default;
-  virtual void Serve() = 0;               // start to take clients
-  virtual void Inherit(State state) = 0;  // before Serve
-  virtual void Beside(Out out) = 0;       // what the other process has out, now
-  virtual State Known() = 0;
-  virtual Out OutNow() = 0;
-  virtual void Yield() = 0;
-  virtual void TakeUp() = 0;
+  virtual ~HotRestartPort() = default;
+  virtual void StartServing() = 0;                             // may come more than once
+  virtual void RestoreState(HandoverState state) = 0;          // before StartServing
+  virtual void SetSiblingInFlight(InFlightCounts counts) = 0;  // empty: none, or there is no sibling
+  virtual HandoverState ExportState() = 0;
+  virtual InFlightCounts CountInFlight() = 0;
+  virtual void HandOverClients() = 0;  // the sibling serves: accept nothing new
+  virtual void ResumeClients() = 0;    // the sibling no longer serves: accept again
   virtual std::size_t UsedSockets() const = 0;
-  virtual std::size_t UsedMemory() const = 0;
-  virtual void Limit(std::size_t sockets, std::size_t memory) = 0;
+  virtual std::size_t UsedMemory() const = 0;  // bytes of buffers
+  virtual void SetLimits(std::size_t sockets, std::size_t memory) = 0;
 };
 
-class HandOver {
+// Files in $TMPDIR that the node's processes share; an empty path: that part is off.
+struct HotRestartPaths {
+  std::string lease;      // without the number of the file
+  std::string state;      // what the old process hands over
+  std::string in_flight;  // what the old process still has in flight
+};
+
+struct HotRestartOptions {
+  std::string node;  // its name
+  HotRestartPaths paths;
+  std::size_t sockets = 0;  // the whole node's limit
+  std::size_t memory = 0;   // the same, in bytes of buffers
+};
+
+class HotRestart {
  public:
-  // `path`: where in $TMPDIR, less a word and the place. `sockets`, `memory`: the node's whole limits.
-  HandOver(const Runtime* run, HandOverPort* port, const std::string& lease, const std::string& state,
-           const std::string& out, std::string node, std::size_t sockets, std::size_t memory);
-  // Calls Serve at once where no other process lives, else once it has given what it knows.
+  HotRestart(const Runtime* runtime, HotRestartPort* port, HotRestartOptions options);
+  // Calls StartServing at once where no other process lives, else once that one has handed over its state or
+  // has let kMaxStateWait pass.
   void Start();
-  void Term();  // this process was told to end
+  void Terminate();  // this process was told to end
   void Close();
-  bool yielded() const { return succession_.yielded(); }
-  bool beside() const { return other_.alive; }
+  bool handed_over() const { return policy_.handed_over(); }  // the sibling serves in its place
 
  private:
-  void Look();
-  void Do(const Step& step);
-  void Say();
-  void TryState();
-  void Told(const std::string& text);
+  void Poll();
+  void Apply(const Actions& actions);
+  void UpdateLease();
+  void TryRestoreState();
+  void PublishInFlight();
+  void OnSiblingInFlight(const std::string& text);
+  std::int64_t SiblingPid() const;
+  ShareRequest MakeShareRequest() const;
 
-  const Runtime* run_;
-  HandOverPort* port_;
-  LeaseFile lease_;
-  Other other_;
-  Succession succession_;
-  StateFile state_, out_;
-  std::string node_;
-  std::size_t sockets_, memory_;
-  Lease mine_;
-  Time said_at_ = 0, told_at_ = 0;
-  Out told_;
-  bool watching_ = false, closed_ = false;
-  DeadlineId tick_;
+  const Runtime* runtime_;
+  HotRestartPort* port_;
+  HotRestartOptions options_;
+  LeaseFile lease_file_;
+  Sibling sibling_;
+  HotRestartPolicy policy_;
+  StateFile state_file_;
+  StateFile in_flight_file_;
+  Lease lease_;  // this process's, as last written
+  Time lease_written_at_ = 0;
+  Time in_flight_published_at_ = 0;
+  InFlightCounts published_in_flight_;
+  bool watches_in_flight_ = false;
+  bool closed_ = false;
+  DeadlineId poll_timer_;
 };
 
 }  // namespace ryeglade::hot_restart
--- a/src/hot_restart/lease_file.cpp
+++ b/src/hot_restart/lease_file.cpp
@@ -8,11 +8,11 @@
 namespace ryeglade::hot_restart {
 namespace {
 
-constexpr std::size_t kSize = 256;  // of what a process says, padded
+constexpr std::size_t kLeaseBytes = 256;  // a lease, padded
 
-struct flock Whole(short type) {
+struct flock WholeFileLock() {
   struct flock lock {};
-  lock.l_type = type;
+  lock.l_type = F_WRLCK;
   lock.l_whence = SEEK_SET;
   return lock;
 }
@@ -20,10 +20,12 @@
 }  // namespace
 
 LeaseFile::LeaseFile(const std::string& path) {
-  for (int i = 0; i < 2 && !path.empty(); ++i) {
+  if (path.empty()) return;
+  for (int i = 0; i < kFiles; ++i) {
     files_[i] = open((path + "-" + std::to_string(i)).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-    struct flock lock = Whole(F_WRLCK);
-    if (mine_ < 0 && files_[i] >= 0 && fcntl(files_[i], F_OFD_SETLK, &lock) == 0) mine_ = i;
+    if (own_ >= 0 || files_[i] < 0) continue;
+    struct flock lock = WholeFileLock();
+    if (fcntl(files_[i], F_OFD_SETLK, &lock) == 0) own_ = i;
   }
 }
 
@@ -33,26 +35,26 @@
   }
 }
 
-Other LeaseFile::Look() {
-  Other other;
-  if (!held() || files_[1 - mine_] < 0) return other;
-  const int fd = files_[1 - mine_];
-  struct flock lock = Whole(F_WRLCK);
-  // Asks only: nothing is taken, so that a process that starts now finds the place free.
-  if (fcntl(fd, F_OFD_GETLK, &lock) != 0 || lock.l_type == F_UNLCK) return other;
-  other.alive = true;
-  char text[kSize];
-  const ssize_t n = pread(fd, text, sizeof text, 0);
-  if (n > 0) other.said = DecodeLease({text, static_cast<std::size_t>(n)});
-  return other;
+Sibling LeaseFile::ReadSibling() const {
+  Sibling sibling;
+  if (!is_holder() || files_[1 - own_] < 0) return sibling;
+  const int fd = files_[1 - own_];
+  struct flock lock = WholeFileLock();
+  // Queries only: nothing is locked, so that a process that starts now finds the file free.
+  if (fcntl(fd, F_OFD_GETLK, &lock) != 0 || lock.l_type == F_UNLCK) return sibling;
+  sibling.alive = true;
+  char text[kLeaseBytes];
+  const ssize_t read = pread(fd, text, sizeof text, 0);
+  if (read > 0) sibling.lease = DecodeLease({text, static_cast<std::size_t>(read)});
+  return sibling;
 }
 
-void LeaseFile::Say(const Lease& lease) {
-  if (!held()) return;
+void LeaseFile::Write(const Lease& lease) {
+  if (!is_holder()) return;
   std::string text = EncodeLease(lease);
-  text.resize(std::max(kSize, text.size()), '\n');
-  // One that is not written whole fails its checksum; the next comes soon.
-  [[maybe_unused]] const ssize_t n = pwrite(files_[mine_], text.data(), text.size(), 0);
+  text.resize(std::max(kLeaseBytes, text.size()), '\n');
+  // A partly written lease fails its checksum; the next one follows soon.
+  [[maybe_unused]] const ssize_t written = pwrite(files_[own_], text.data(), text.size(), 0);
 }
 
 }  // namespace ryeglade::hot_restart
--- a/src/hot_restart/lease_file.h
+++ b/src/hot_restart/lease_file.h
@@ -1,6 +1,6 @@
-// The leases of a node's processes: two small files in $TMPDIR, each held by one living process (a lock that
-// the kernel drops with it). What a process says of itself stands in its own. Calls touch the page cache
-// only.
+// The leases of a node's processes: two small files in $TMPDIR, each locked by one living process (a lock
+// that the kernel releases with it). A process writes its lease into the file that it has locked and reads
+// its sibling's in the other. Calls touch the page cache only.
 #pragma once
 
 #include <string>
@@ -11,19 +11,21 @@
 
 class LeaseFile {
  public:
-  // `path`: without the number of the place. Takes the first place that is free.
+  // `path`: without the number of the file. Locks the first of the two that is free.
   explicit LeaseFile(const std::string& path);
   ~LeaseFile();
   LeaseFile(const LeaseFile&) = delete;
   LeaseFile& operator=(const LeaseFile&) = delete;
 
-  bool held() const { return mine_ >= 0; }  // false: both places are taken, or there is no such directory
-  Other Look();                             // at the other place
-  void Say(const Lease& lease);
+  bool is_holder() const { return own_ >= 0; }  // false: both are locked, or there is no such directory
+  Sibling ReadSibling() const;                  // the holder of the other file
+  void Write(const Lease& lease);
 
  private:
-  int files_[2] = {-1, -1};
-  int mine_ = -1;
+  static constexpr int kFiles = 2;
+
+  int files_[kFiles] = {-1, -1};  // descriptors
+  int own_ = -1;                  // index of the file that this process has locked
 };
 
 }  // namespace ryeglade::hot_restart
--- a/src/rollout/supervisor.cpp
+++ b/src/rollout/supervisor.cpp
@@ -27,7 +27,7 @@
 #include "base/file_io.h"
 #include "base/log.h"
 #include "base/runtime.h"
-#include "hot_restart/hot_restart_policy.h"
+#include "hot_restart/lease_codec.h"
 #include "http/blocking_client.h"
 #include "http/downstream.h"
 #include "settings/toml_reader.h"
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -30,7 +30,7 @@
 struct Pair {
   // Both processes, each seeing what the other said last; either may be dead or stopped.
   struct One {
-    std::optional<Succession> s;
+    std::optional<HotRestartPolicy> s;
     bool dead = false, stopped = false, taking = false, given = false;
     Lease lease;
   };
@@ -49,33 +49,33 @@
   }
   void Say(One& o, std::int64_t pid) {
     o.lease.pid = pid;
-    o.lease.started = o.s->started();
-    o.lease.word = o.s->word();
-    ++o.lease.beat;
+    o.lease.started_at = o.s->started_at();
+    o.lease.phase = o.s->phase();
+    ++o.lease.heartbeat;
   }
-  static Other Seen(const One& o) {
+  static Sibling Seen(const One& o) {
     if (!o.s || o.dead) return {};
     return {true, o.lease};
   }
-  void Take(One& o, const Step& step, One& other) {
-    if (step.give) other.given = true;
-    if (step.serve || step.take_up) o.taking = true;
-    if (step.yield) o.taking = false;
+  void Take(One& o, const Actions& actions, One& other) {
+    if (actions.send_state) other.given = true;
+    if (actions.start_serving || actions.resume_clients) o.taking = true;
+    if (actions.hand_over_clients) o.taking = false;
   }
   void Pass(Time span) {
     for (const Time end = now + span; now < end; now += 50'000) {
       for (One* o : {&old, &young}) {
         One& other = o == &old ? young : old;
         if (!o->s || o->dead || o->stopped) continue;
-        if (o->given && o->s->word() == Word::kStarting) Take(*o, o->s->StateCame(), other);
-        Take(*o, o->s->Look(now, Seen(other)), other);
+        if (o->given && o->s->phase() == Phase::kStarting) Take(*o, o->s->OnStateReceived(), other);
+        Take(*o, o->s->Update(now, Seen(other)), other);
         Say(*o, o == &old ? 1 : 2);
       }
     }
   }
 };
 
-TEST(Succession, TheYoungOneIsGivenTheStateServesAndTheOldOneYields) {
+TEST(HotRestartPolicy, TheYoungOneIsGivenTheStateServesAndTheOldOneYields) {
   Pair p;
   p.StartYoung();
   EXPECT_FALSE(p.young.taking);
@@ -85,14 +85,14 @@
   EXPECT_TRUE(p.young.given);
 }
 
-TEST(Succession, AYoungOneThatDiesHangsOrEndsLeavesTheOldOneServing) {
+TEST(HotRestartPolicy, AYoungOneThatDiesHangsOrEndsLeavesTheOldOneServing) {
   for (int how = 0; how < 4; ++how) {
     Pair p;
     p.StartYoung();
     if (how > 0) p.Pass(kS);
     if (how == 0 || how == 1) p.young.dead = true;
     if (how == 2) p.young.stopped = true;
-    if (how == 3) p.Take(p.young, p.young.s->Term(Pair::Seen(p.old)), p.old), p.Say(p.young, 2);
+    if (how == 3) p.Take(p.young, p.young.s->OnTerminate(Pair::Seen(p.old)), p.old), p.Say(p.young, 2);
     p.Pass(4 * kS);
     EXPECT_TRUE(p.old.taking) << how;
     if (how != 2) continue;
@@ -103,7 +103,7 @@
   }
 }
 
-TEST(Succession, AnOldOneThatGivesNothingOrDiesIsNotWaitedForForLong) {
+TEST(HotRestartPolicy, AnOldOneThatGivesNothingOrDiesIsNotWaitedForForLong) {
   for (const bool dies : {false, true}) {
     Pair p;
     p.StartYoung();
@@ -115,7 +115,7 @@
 
 // Whatever happens to either, in whatever order: as long as one lives and turns, one takes clients soon
 // after.
-RC_GTEST_PROP(Succession, SomebodyServes, (const std::vector<unsigned char>& deeds)) {
+RC_GTEST_PROP(HotRestartPolicy, SomebodyServes, (const std::vector<unsigned char>& deeds)) {
   Pair p;
   bool started = false;
   for (const unsigned char d : deeds) {
@@ -142,29 +142,42 @@
   RC_ASSERT((p.old.taking && !p.old.dead) || (p.young.taking && !p.young.dead));
 }
 
-TEST(Succession, SharesStayWithinTheWhole) {
-  const Other other{true, Lease{}};
+TEST(HotRestartPolicy, SharesStayWithinTheWhole) {
   const std::size_t total = 800;
-  // The older one leaves half before the young one serves, then never takes more than it holds.
-  const std::size_t older = Share(total, 100, total, true, false, other, 0);
-  EXPECT_EQ(older, 400U);
-  const std::size_t young = Share(total, 0, total, false, false, other, older);
-  EXPECT_EQ(older + young, total);
-  const std::size_t yielded = Share(total, 300, older, true, true, other, young);
-  EXPECT_EQ(yielded, 300U);
-  EXPECT_EQ(Share(total, 500, yielded, true, true, other, young), 300U);
-  EXPECT_EQ(Share(total, 0, young, false, false, other, yielded), 500U);
-  EXPECT_EQ(Share(total, 0, yielded, true, true, {}, 0), total);
+  // The older one leaves half before the new one serves, then never takes more than it uses.
+  ShareRequest older{
+      .total = total, .used = 100, .current_share = total, .is_older = true, .sibling_alive = true};
+  const std::size_t older_share = ComputeShare(older);
+  EXPECT_EQ(older_share, 400U);
+  ShareRequest newer{
+      .total = total, .current_share = total, .sibling_share = older_share, .sibling_alive = true};
+  const std::size_t newer_share = ComputeShare(newer);
+  EXPECT_EQ(older_share + newer_share, total);
+  older.used = 300;
+  older.current_share = older_share;
+  older.sibling_share = newer_share;
+  older.handed_over = true;
+  const std::size_t share_after_handover = ComputeShare(older);
+  EXPECT_EQ(share_after_handover, 300U);
+  older.used = 500;
+  older.current_share = share_after_handover;
+  EXPECT_EQ(ComputeShare(older), 300U);
+  newer.current_share = newer_share;
+  newer.sibling_share = share_after_handover;
+  EXPECT_EQ(ComputeShare(newer), 500U);
+  const ShareRequest without_sibling{
+      .total = total, .current_share = share_after_handover, .is_older = true, .handed_over = true};
+  EXPECT_EQ(ComputeShare(without_sibling), total);
 }
 
 TEST(Lease, IsReadBackAndATornOneIsNot) {
-  const Lease l{7, 5 * kS, Word::kYielding, 9, 100, 200};
+  const Lease l{7, 5 * kS, Phase::kDraining, 9, 100, 200};
   const std::string text = EncodeLease(l);
   const auto back = DecodeLease(text);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->pid, 7);
-  EXPECT_EQ(back->word, Word::kYielding);
-  EXPECT_EQ(back->sockets, 100U);
+  EXPECT_EQ(back->phase, Phase::kDraining);
+  EXPECT_EQ(back->socket_limit, 100U);
   for (std::size_t n = 0; n + 1 < text.size(); ++n) EXPECT_FALSE(DecodeLease(text.substr(0, n))) << n;
   std::string bent = text;
   bent[20] ^= 1;
@@ -173,8 +186,8 @@
 
 // ---- What passes ----
 
-State SomeState() {
-  State s;
+HandoverState SomeState() {
+  HandoverState s;
   s.node = "n0", s.program = "0.2.0", s.discovery = "127.0.0.1:1", s.roster = "{}";
   s.classes = {"docs", "agent"};
   s.learned.base_limit = 3.25;
@@ -188,38 +201,38 @@
 }
 
 TEST(HandOverState, IsReadBackByWhomItIsForOnly) {
-  const std::string text = EncodeState(SomeState(), 42);
+  const std::string text = EncodeHandoverState(SomeState(), 42);
   std::string why;
-  const auto s = DecodeState(text, 42, "n0", &why);
+  const auto s = DecodeHandoverState(text, 42, "n0", &why);
   ASSERT_TRUE(s) << why;
   EXPECT_EQ(s->learned.base_limit, 3.25);
   EXPECT_EQ(s->learned.runtime_by_bucket.at(5).mean, 1000);
   EXPECT_EQ(s->learned.replicas.at(0).in_flight, 2);
   EXPECT_EQ(s->learned.replicas.at(0).learned.slowness, 0.5);
-  EXPECT_FALSE(DecodeState(text, 43, "n0", &why));
-  EXPECT_FALSE(DecodeState(text, 42, "n1", &why));
+  EXPECT_FALSE(DecodeHandoverState(text, 43, "n0", &why));
+  EXPECT_FALSE(DecodeHandoverState(text, 42, "n1", &why));
   EXPECT_EQ(why, "of another node");
   std::string newer = text;
   newer.replace(newer.find(" 1 "), 3, " 2 ");
-  EXPECT_FALSE(DecodeState(newer, 42, "n0", &why));
+  EXPECT_FALSE(DecodeHandoverState(newer, 42, "n0", &why));
   EXPECT_EQ(why, "of another major version");
-  EXPECT_FALSE(DecodeState(text.substr(0, text.size() - 3), 42, "n0", &why));
+  EXPECT_FALSE(DecodeHandoverState(text.substr(0, text.size() - 3), 42, "n0", &why));
 }
 
 RC_GTEST_PROP(HandOverState, BentBytesAreNeverTaken, (std::size_t at, unsigned char with)) {
-  std::string text = EncodeState(SomeState(), 42), why;
+  std::string text = EncodeHandoverState(SomeState(), 42), why;
   const std::size_t i = at % text.size();
   const char before = text[i];
   text[i] = static_cast<char>(with);
   RC_PRE(text[i] != before);
-  RC_ASSERT(!DecodeState(text, 42, "n0", &why).has_value());
+  RC_ASSERT(!DecodeHandoverState(text, 42, "n0", &why).has_value());
 }
 
 TEST(HandOverState, OtherClassesTakeWithThemWhatWasLearnedByClass) {
-  State s = SomeState();
-  FitTo({"docs", "agent"}, &s);
+  HandoverState s = SomeState();
+  DropMismatchedClasses({"docs", "agent"}, &s);
   EXPECT_EQ(s.learned.runtime_by_bucket.size(), 1U);
-  FitTo({"docs"}, &s);
+  DropMismatchedClasses({"docs"}, &s);
   EXPECT_TRUE(s.learned.runtime_by_bucket.empty());
   EXPECT_EQ(s.learned.base_limit, 3.25);
 }
