--- a/src/admin/admin_front.h
+++ b/src/admin/admin_front.h
@@ -1,5 +1,5 @@
-// The admin listener: the operators' calls on the `management` address, one call a connection. It answers
-// from what the node tells it through AdminPort and decides nothing itself.
+// The HTTP front of the operators' management address: readiness, counters, rollout metrics, and disabling of
+// replicas; one request a connection. It answers from AdminPort and decides nothing itself.
 #pragma once
 
 #include <string>
@@ -9,20 +9,22 @@
 
 namespace ryeglade {
 
+// Implemented by the node.
 class AdminPort {
  public:
   virtual ~AdminPort() = default;
-  virtual bool taking_clients() const = 0;
+  virtual bool is_ready() const = 0;             // accepts clients
   virtual std::string CountersText() const = 0;  // in the Prometheus text format
-  virtual std::string FiguresText() const = 0;   // what cohorts are compared by, as JSON
-  // Leave the upstream host named `instance` out (true) or let it serve again (false); false: no such host.
-  virtual bool Hold(std::string_view instance, bool out) = 0;
+  virtual std::string MetricsText() const = 0;   // by which a rollout compares nodes; JSON
+  // Takes the upstream host named `instance` out of use, or puts it back. False: there is no such host.
+  virtual bool DisableReplica(std::string_view instance, bool disabled) = 0;
 };
 
 class AdminFront : public Front {
  public:
   static constexpr std::size_t kSockets = 16;
-  static constexpr Time kReadWithin = 5'000'000;  // callers may hold a connection for 4 s without a call
+  // For a whole request. Callers may keep a connection for 4 s before they send one.
+  static constexpr Time kReadWithin = 5'000'000;
 
   explicit AdminFront(AdminPort* node) : node_(node) {}
   void Use(Downstream* downstream) { downstream_ = downstream; }
@@ -32,7 +34,10 @@
   void OnFlow(Handle, bool) override {}
 
  private:
-  void Answer(Handle connection, int status, std::string_view body, const char* type = "text/plain");
+  void Reply(Handle connection, int status, std::string_view body, const char* type = "text/plain");
+  // Whether the request has this method; replies with 405 where it has another.
+  bool CheckMethod(Handle connection, const HttpRequest& request, std::string_view method);
+  void OnReplicaRequest(Handle connection, const HttpRequest& request);
 
   AdminPort* node_;
   Downstream* downstream_ = nullptr;
--- /dev/null
+++ b/src/app/node_report.cpp
@@ -0,0 +1,66 @@
+#include "app/node_report.h"
+
+#include <unistd.h>
+#include <uv.h>
+
+#include "admin/counters.h"
+#include "rollout/metrics_model.h"
+
+namespace ryeglade {
+namespace {
+
+rollout::ClassFigures ClassMetrics(const NodeCounters::Ends& counters, double priority_weight) {
+  rollout::ClassFigures metrics;
+  metrics.worth = priority_weight;
+  metrics.served = counters.success;
+  metrics.in_time = counters.in_time;
+  metrics.refused = counters.busy;
+  metrics.failed = counters.failure;
+  metrics.attempts = static_cast<double>(counters.attempts);
+  metrics.attempts_squared = static_cast<double>(counters.attempts_squared);
+  metrics.started = counters.started;
+  metrics.first_ln = counters.first_ln;
+  metrics.first_ln_squared = counters.first_ln_squared;
+  return metrics;
+}
+
+}  // namespace
+
+std::string CountersReport(const ReportSources& sources) {
+  const Config& config = sources.config;
+  CounterView view;
+  view.counters = &sources.counters;
+  for (const std::size_t i : config.in_force) view.classes.push_back(config.settings.classes[i].name);
+  view.inflight = sources.streams.size();
+  view.hosts_listed = sources.discovery.listed();
+  view.closed = sources.listener.closed();
+  const policy::Router& router = sources.decisions.router();
+  for (const auto& [id, yes] : sources.discovery.hosts()) {
+    if (sources.discovery.avoided(id) || router.ejected_until(id) > Now()) ++view.hosts_down;
+  }
+  return CountersText(view);
+}
+
+std::string RolloutMetricsReport(const ReportSources& sources, std::size_t used_sockets) {
+  const Config& config = sources.config;
+  rollout::Figures metrics;
+  metrics.pid = getpid();
+  metrics.at = Now();
+  std::size_t resident = 0;
+  uv_resident_set_memory(&resident);
+  metrics.memory = resident;
+  metrics.most_memory = config.memory_mb * 1024 * 1024;
+  metrics.descriptors = used_sockets;
+  metrics.most_descriptors = config.sockets;
+  for (const std::size_t i : config.in_force) {
+    const policy::ClassSettings& settings = config.settings.classes[i];
+    metrics.classes[settings.name].worth = settings.priority_weight;
+  }
+  for (const auto& [name, counters] : sources.counters.by_class) {
+    rollout::ClassFigures& metrics_of_class = metrics.classes[name];
+    metrics_of_class = ClassMetrics(counters, metrics_of_class.worth);
+  }
+  return EncodeFigures(metrics);
+}
+
+}  // namespace ryeglade
--- /dev/null
+++ b/src/app/openai_service.cpp
@@ -0,0 +1,55 @@
+#include "app/openai_service.h"
+
+#include <utility>
+
+#include "base/log.h"
+#include "ledger/ledger_model.h"
+
+namespace ryeglade {
+
+OpenAiService::OpenAiService(Core* core, Streams* streams, const OpenAiSettings* settings,
+                             keys::Keyring keyring, std::size_t sockets)
+    : core_(core),
+      settings_(settings),
+      front_(core, streams, settings, std::move(keyring)),
+      listener_(core, &front_, ListenerOptions(*settings, sockets, &networks_)),
+      ledger_file_(core->loop, settings->ledger_dir, core->config->name) {
+  for (const std::string& network : settings->networks) networks_.Add(network);
+  front_.Use(&listener_);
+}
+
+Downstream::Options OpenAiService::ListenerOptions(const OpenAiSettings& settings, std::size_t sockets,
+                                                   const limits::Networks* networks) {
+  Downstream::Options options;
+  options.listen = settings.listen;
+  options.most_sockets = sockets;
+  options.share_port = true;
+  options.most_body = settings.most_body;
+  options.read_within = settings.read_within;
+  if (!settings.networks.empty()) {
+    options.admits = [networks](const sockaddr_storage& peer) { return networks->Contains(peer); };
+  }
+  return options;
+}
+
+void OpenAiService::Start() {
+  const std::string address = listener_.Listen();
+  Log(Level::kInfo, "listening-openai", {{"addr", address}, {"models", settings_->models.size()}});
+  WriteLedgerAtIntervals();
+}
+
+void OpenAiService::WriteLedgerAtIntervals() {
+  if (!ledger_file_.on()) return;
+  core_->deadlines->Set(Now() + settings_->ledger_every, [this] {
+    ledger_file_.Write(LedgerText());
+    WriteLedgerAtIntervals();
+  });
+}
+
+void OpenAiService::WriteLedgerNow() { ledger_file_.WriteNow(LedgerText()); }
+
+std::string OpenAiService::LedgerText() const {
+  return ledger::ToJson(front_.ledger(), core_->config->name, Now() / 1000);
+}
+
+}  // namespace ryeglade
--- /dev/null
+++ b/src/app/openai_service.h
@@ -0,0 +1,43 @@
+// The OpenAI-style API of a node: its front, its listener, and the ledger of what clients used, written to
+// disk at intervals.
+#pragma once
+
+#include <string>
+
+#include "core/core.h"
+#include "fronts/openai/openai_front.h"
+#include "http/downstream.h"
+#include "keys/keyring.h"
+#include "ledger/ledger_file.h"
+#include "limits/networks.h"
+#include "settings/edge_settings.h"
+
+namespace ryeglade {
+
+class OpenAiService {
+ public:
+  // `core`, `streams` and `settings` must outlive this object. `sockets`: the most connections of clients.
+  OpenAiService(Core* core, Streams* streams, const OpenAiSettings* settings, keys::Keyring keyring,
+                std::size_t sockets);
+  // Begins to accept clients and to write the ledger. Throws std::runtime_error if the address can't be used.
+  void Start();
+  void ReloadKeys() { front_.ReloadKeys(); }
+  void WriteLedgerNow();  // waits for the disk; for the program's end
+  Downstream& listener() { return listener_; }
+  const Downstream& listener() const { return listener_; }
+
+ private:
+  void WriteLedgerAtIntervals();
+  std::string LedgerText() const;
+  static Downstream::Options ListenerOptions(const OpenAiSettings& settings, std::size_t sockets,
+                                             const limits::Networks* networks);
+
+  Core* core_;
+  const OpenAiSettings* settings_;
+  limits::Networks networks_;  // that may connect
+  OpenAiFront front_;
+  Downstream listener_;
+  ledger::LedgerFile ledger_file_;
+};
+
+}  // namespace ryeglade
--- /dev/null
+++ b/src/app/signal_watcher.h
@@ -0,0 +1,25 @@
+// Calls a function on the event loop when the process gets a signal.
+#pragma once
+
+#include <uv.h>
+
+#include <functional>
+
+namespace ryeglade {
+
+// Must live until the loop has ended after Close.
+class SignalWatcher {
+ public:
+  SignalWatcher() = default;
+  SignalWatcher(const SignalWatcher&) = delete;
+  SignalWatcher& operator=(const SignalWatcher&) = delete;
+
+  void Start(uv_loop_t* loop, int number, std::function<void()> on_signal);
+  void Close();  // no effect before Start
+
+ private:
+  uv_signal_t handle_{};
+  std::function<void()> on_signal_;
+};
+
+}  // namespace ryeglade
--- a/src/app/termination_policy.cpp
+++ b/src/app/termination_policy.cpp
@@ -7,13 +7,14 @@
 
 using policy::Time;
 
-constexpr Time kLongestCounted = 3'000'000;  // of the deadlines
-constexpr Time kAfterDeadline = 700'000;     // from there to SIGKILL
-constexpr Time kTakeUntil = 600'000;         // 0.1 s less than what may be under way at SIGKILL
-constexpr Time kCloseIdle = 450'000;         // new connections keep coming for 0.2 to 0.4 s
-constexpr Time kListenUntil = 1'000'000;     // and a little longer, should this process be held up
-constexpr Time kLastMoment = 100'000;        // a request must not be under way when SIGKILL comes
-constexpr Time kBeforeKill = 400'000;        // for a last answer to reach its client, where there is time
+// Microseconds.
+constexpr Time kMaxCountedBudget = 3'000'000;  // longer time budgets count as this one
+constexpr Time kKillAfterBudget = 700'000;     // from there to SIGKILL
+constexpr Time kAcceptRequests = 600'000;      // 0.1 s less than what may be under way at SIGKILL
+constexpr Time kKeepIdle = 450'000;            // new connections keep coming for 0.2 to 0.4 s
+constexpr Time kListen = 1'000'000;            // and a little longer, should this process be held up
+constexpr Time kExitBeforeKill = 100'000;      // a request must not be under way when SIGKILL comes
+constexpr Time kRespondBeforeKill = 400'000;   // for a last response to reach its client, where there is time
 
 }  // namespace
 
@@ -21,23 +22,23 @@
   Time longest = 0;
   for (const policy::ClassSettings& c : classes) longest = std::max(longest, c.time_budget);
   TerminationPlan plan;
-  plan.killed_from = std::min(longest, kLongestCounted) + kAfterDeadline;
-  plan.answer_by = plan.killed_from - std::min(kBeforeKill, plan.killed_from / 4);
-  plan.take_until = std::min(kTakeUntil, plan.answer_by);
-  plan.close_idle = std::min(kCloseIdle, plan.answer_by);
-  plan.listen_until = std::min(kListenUntil, plan.answer_by);
-  plan.stop_by = plan.killed_from - std::min(kLastMoment, plan.killed_from / 8);
+  plan.earliest_kill = std::min(longest, kMaxCountedBudget) + kKillAfterBudget;
+  plan.respond_by = plan.earliest_kill - std::min(kRespondBeforeKill, plan.earliest_kill / 4);
+  plan.accept_requests_until = std::min(kAcceptRequests, plan.respond_by);
+  plan.close_idle_from = std::min(kKeepIdle, plan.respond_by);
+  plan.listen_until = std::min(kListen, plan.respond_by);
+  plan.exit_by = plan.earliest_kill - std::min(kExitBeforeKill, plan.earliest_kill / 8);
   return plan;
 }
 
-TerminationPlan Earlier(const TerminationPlan& a, const TerminationPlan& b) {
+TerminationPlan EarlierOf(const TerminationPlan& a, const TerminationPlan& b) {
   TerminationPlan plan;
-  plan.take_until = std::min(a.take_until, b.take_until);
-  plan.close_idle = std::min(a.close_idle, b.close_idle);
+  plan.accept_requests_until = std::min(a.accept_requests_until, b.accept_requests_until);
+  plan.close_idle_from = std::min(a.close_idle_from, b.close_idle_from);
   plan.listen_until = std::min(a.listen_until, b.listen_until);
-  plan.answer_by = std::min(a.answer_by, b.answer_by);
-  plan.stop_by = std::min(a.stop_by, b.stop_by);
-  plan.killed_from = std::min(a.killed_from, b.killed_from);
+  plan.respond_by = std::min(a.respond_by, b.respond_by);
+  plan.exit_by = std::min(a.exit_by, b.exit_by);
+  plan.earliest_kill = std::min(a.earliest_kill, b.earliest_kill);
   return plan;
 }
 
--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -34,34 +34,34 @@
 }
 
 TEST(Termination, SigkillComesAfterTheLongestDeadlineCountedAsAtMostThreeSeconds) {
-  EXPECT_EQ(PlanFor({500'000, 1'200'000}).killed_from, 1'900'000);
-  EXPECT_EQ(PlanFor({500'000, 60'000'000}).killed_from, 3'700'000);
-  EXPECT_EQ(PlanFor({}).killed_from, 700'000);
+  EXPECT_EQ(PlanFor({500'000, 1'200'000}).earliest_kill, 1'900'000);
+  EXPECT_EQ(PlanFor({500'000, 60'000'000}).earliest_kill, 3'700'000);
+  EXPECT_EQ(PlanFor({}).earliest_kill, 700'000);
 }
 
 TEST(Termination, EverythingIsOverBeforeSigkillWhateverTheDeadlines) {
   for (Time deadline = 0; deadline <= 4'000'000; deadline += 10'000) {
     const TerminationPlan plan = PlanFor({deadline});
-    EXPECT_LT(plan.answer_by, plan.killed_from - 150'000);  // a node may be held up for 0.15 s
-    EXPECT_LE(plan.take_until, plan.answer_by);
-    EXPECT_LT(plan.answer_by, plan.stop_by);
-    EXPECT_LE(plan.stop_by, plan.killed_from - 80'000);
-    EXPECT_LE(plan.listen_until, plan.answer_by);
-    EXPECT_LE(plan.close_idle, plan.answer_by);
+    EXPECT_LT(plan.respond_by, plan.earliest_kill - 150'000);  // a node may be held up for 0.15 s
+    EXPECT_LE(plan.accept_requests_until, plan.respond_by);
+    EXPECT_LT(plan.respond_by, plan.exit_by);
+    EXPECT_LE(plan.exit_by, plan.earliest_kill - 80'000);
+    EXPECT_LE(plan.listen_until, plan.respond_by);
+    EXPECT_LE(plan.close_idle_from, plan.respond_by);
     // What comes later than 0.7 s after SIGTERM and is still under way at SIGKILL is lost.
-    EXPECT_LT(plan.take_until, 700'000);
-    EXPECT_GE(plan.close_idle, 400'000);
+    EXPECT_LT(plan.accept_requests_until, 700'000);
+    EXPECT_GE(plan.close_idle_from, 400'000);
     EXPECT_GT(plan.listen_until, 400'000);  // new connections come until then
   }
 }
 
 TEST(Termination, SettingsThatComeOnceItHasBegunCanOnlyBringItForward) {
   const TerminationPlan longer = PlanFor({3'000'000}), shorter = PlanFor({800'000});
-  for (const TerminationPlan& plan : {Earlier(longer, shorter), Earlier(shorter, longer)}) {
-    EXPECT_EQ(plan.killed_from, shorter.killed_from);
-    EXPECT_EQ(plan.stop_by, shorter.stop_by);
-    EXPECT_EQ(plan.answer_by, shorter.answer_by);
-    EXPECT_EQ(plan.take_until, shorter.take_until);
+  for (const TerminationPlan& plan : {EarlierOf(longer, shorter), EarlierOf(shorter, longer)}) {
+    EXPECT_EQ(plan.earliest_kill, shorter.earliest_kill);
+    EXPECT_EQ(plan.exit_by, shorter.exit_by);
+    EXPECT_EQ(plan.respond_by, shorter.respond_by);
+    EXPECT_EQ(plan.accept_requests_until, shorter.accept_requests_until);
   }
 }
 
