--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -5,44 +5,46 @@
 
 #include "ryeglade/router.h"
 
-namespace cs = ryeglade::policy;
+namespace policy = ryeglade::policy;
 
 int main() {
-  cs::Settings settings;
+  policy::Settings settings;
   settings.classes.resize(1);
-  settings.classes[0].stream = true;
+  settings.classes[0].streaming = true;
   settings.max_attempts = 3;
 
-  cs::Time now = 1'000'000;
-  cs::Router router(settings, /*seed=*/42, now);
-  std::vector<cs::Action> actions;
+  policy::Time now = 1'000'000;
+  policy::Router router(settings, /*seed=*/42, now);
+  std::vector<policy::Action> actions;
 
-  cs::EndpointList list;
-  list.entries.resize(2);
-  list.entries[0].id = 10;
-  list.entries[1].id = 11;
+  policy::EndpointList list;
+  list.endpoints.resize(2);
+  list.endpoints[0].id = 10;
+  list.endpoints[1].id = 11;
   router.Handle(now, list, actions);
 
-  cs::RequestArrived request;
+  policy::RequestArrived request;
   request.id = 1;
   request.prompt_tokens = 800;
-  request.patience = 5'000'000;
+  request.time_budget = 5'000'000;
   router.Handle(now, request, actions);
 
   int served = 0;
-  for (const cs::Action& action : std::vector<cs::Action>(actions)) {
-    const auto* send = std::get_if<cs::SendAttempt>(&action);
-    if (send == nullptr) continue;  // a node carries out the others too: timers, refusals, cancels
-    router.Handle(now += 120'000, cs::ResponseStarted{send->id, 0, send->replica, 120'000}, actions);
-    cs::AttemptEnded end;
-    end.id = send->id;
-    end.replica = send->replica;
-    end.elapsed = 900'000;
-    end.request_concluded = true;
-    router.Handle(now += 780'000, end, actions);
+  for (const policy::Action& action : std::vector<policy::Action>(actions)) {
+    const auto* send = std::get_if<policy::SendAttempt>(&action);
+    if (send == nullptr) continue;  // a node carries out the others too: timers, rejections, cancellations
+    now += 120'000;
+    router.Handle(now, policy::ResponseStarted{send->id, 0, send->replica, 120'000}, actions);
+    policy::AttemptEnded ended;
+    ended.id = send->id;
+    ended.replica = send->replica;
+    ended.elapsed = 900'000;
+    ended.request_concluded = true;
+    now += 780'000;
+    router.Handle(now, ended, actions);
     std::printf("request %llu served on replica %u\n", static_cast<unsigned long long>(send->id),
                 send->replica);
     ++served;
   }
-  return served == 1 && router.open() == 0 ? 0 : 1;
+  return served == 1 && router.open_requests() == 0 ? 0 : 1;
 }
