--- a/simhost/codec.cpp
+++ b/simhost/codec.cpp
@@ -9,7 +9,30 @@
 namespace ryeglade::policy::wire {
 namespace {
 
-constexpr std::size_t kEntryBytes = 22;
+// Codes of the records sent, by what they mean; the wire's names beside them.
+namespace action_code {
+constexpr std::uint8_t kSendAttempt = 1;     // attempt
+constexpr std::uint8_t kWatchEndpoints = 2;  // watch
+constexpr std::uint8_t kCheckHealth = 4;     // poll
+constexpr std::uint8_t kRejectRequest = 5;   // turn_away
+constexpr std::uint8_t kFailRequest = 6;     // fail
+constexpr std::uint8_t kPollEndpoints = 7;   // snapshot
+constexpr std::uint8_t kNode = 8;            // source
+constexpr std::uint8_t kMigrateStream = 10;  // move
+constexpr std::uint8_t kSetTimer = 11;       // sleep
+constexpr std::uint8_t kCancelAttempt = 12;  // undo_send
+}  // namespace action_code
+
+// Bits of a request's `opts`.
+constexpr std::uint8_t kHasCostHint = 1;
+constexpr std::uint8_t kClientRetry = 2;
+constexpr std::uint8_t kWrite = 4;
+constexpr std::uint8_t kResumed = 16;
+
+constexpr std::size_t kEndpointBytes = 22;
+constexpr std::uint16_t kLastOutcome = 7;
+constexpr std::uint8_t kLastScope = 3;
+constexpr std::uint8_t kLastState = 2;
 
 template <class... Ts>
 struct Overloaded : Ts... {
@@ -22,94 +45,94 @@
 
 Outcome DecodeOutcome(Reader& in) {
   const std::uint16_t code = in.U16("result");
-  if (code > 7) in.Defect("unknown result " + std::to_string(code));
+  if (code > kLastOutcome) in.Fail("unknown result " + std::to_string(code));
   return static_cast<Outcome>(code);
 }
 
-std::vector<double> DecodeLoad(Reader& in) {
-  const std::size_t n = in.U8("server-stats count");
-  if (n * 4 > in.left()) in.Defect("server-stats count runs past the record");
+std::vector<double> DecodeLoadReport(Reader& in) {
+  const std::size_t count = in.U8("server-stats count");
+  if (count * sizeof(float) > in.left()) in.Fail("server-stats count runs past the record");
   std::vector<double> load;
-  load.reserve(n);
-  for (std::size_t i = 0; i < n; ++i) load.push_back(in.F32("server-stats"));
+  load.reserve(count);
+  for (std::size_t i = 0; i < count; ++i) load.push_back(in.F32("server-stats"));
   return load;
 }
 
-EndpointList DecodeList(Reader& in) {
+EndpointList DecodeEndpointList(Reader& in) {
   EndpointList list;
   const std::uint8_t scope = in.U8("scope");
-  if (scope > 3) in.Defect("unknown scope " + std::to_string(scope));
+  if (scope > kLastScope) in.Fail("unknown scope " + std::to_string(scope));
   list.scope = static_cast<EndpointListScope>(scope);
   list.version = in.U32("stamp");
-  const std::size_t n = in.U32("entries count");
-  if (n > in.left() / kEntryBytes) in.Defect("entries count runs past the record");
-  list.endpoints.reserve(n);
-  for (std::size_t i = 0; i < n; ++i) {
-    Endpoint entry;
-    entry.weight = in.F32("nominal");
-    entry.kind = in.U16("shape");
-    entry.zone = in.U8("site");
-    entry.started_at = static_cast<Time>(in.U64("started-at"));
-    const std::uint8_t phase = in.U8("phase");
-    if (phase > 2) in.Defect("unknown phase " + std::to_string(phase));
-    entry.state = static_cast<EndpointState>(phase);
-    entry.id = in.U32("engine");
-    entry.cell = in.U16("cohort");
-    list.endpoints.push_back(entry);
+  const std::size_t count = in.U32("entries count");
+  if (count > in.left() / kEndpointBytes) in.Fail("entries count runs past the record");
+  list.endpoints.reserve(count);
+  for (std::size_t i = 0; i < count; ++i) {
+    Endpoint endpoint;
+    endpoint.weight = in.F32("nominal");
+    endpoint.kind = in.U16("shape");
+    endpoint.zone = in.U8("site");
+    endpoint.started_at = static_cast<Time>(in.U64("started-at"));
+    const std::uint8_t state = in.U8("phase");
+    if (state > kLastState) in.Fail("unknown phase " + std::to_string(state));
+    endpoint.state = static_cast<EndpointState>(state);
+    endpoint.id = in.U32("engine");
+    endpoint.cell = in.U16("cohort");
+    list.endpoints.push_back(endpoint);
   }
   return list;
 }
 
-RequestArrived DecodeArrival(Reader& in) {
-  RequestArrived r;
-  r.id = in.U64("corr");
-  r.session = in.U64("affinity");
-  r.prompt_tokens = in.F32("prompt-tokens");
-  r.cost_hint = in.U32("predicted");
-  r.prefix = in.U64("system-prompt");
-  r.max_answer_tokens = in.F32("n-max");
-  r.time_budget = in.U32("patience-left");
-  r.prefix_tokens = in.F32("n-prefix");
+RequestArrived DecodeRequestArrived(Reader& in) {
+  RequestArrived request;
+  request.id = in.U64("corr");
+  request.session = in.U64("affinity");
+  request.prompt_tokens = in.F32("prompt-tokens");
+  request.cost_hint = in.U32("predicted");
+  request.prefix = in.U64("system-prompt");
+  request.max_answer_tokens = in.F32("n-max");
+  request.time_budget = in.U32("patience-left");
+  request.prefix_tokens = in.F32("n-prefix");
   const std::uint8_t bits = in.U8("opts");
-  if ((bits & 1) == 0) r.cost_hint = 0;
-  r.client_retry = (bits & 2) != 0;
-  r.write = (bits & 4) != 0;
-  r.resumed = (bits & 16) != 0;
-  r.tenant_index =
+  if ((bits & kHasCostHint) == 0) request.cost_hint = 0;
+  request.client_retry = (bits & kClientRetry) != 0;
+  request.write = (bits & kWrite) != 0;
+  request.resumed = (bits & kResumed) != 0;
+  request.tenant_index =
       static_cast<int>(std::min<std::uint32_t>(in.U32("realm"), std::numeric_limits<int>::max()));
-  r.class_index = in.U8("service");
-  return r;
+  request.class_index = in.U8("service");
+  return request;
 }
 
-AttemptEnded DecodeOutcomeEvent(Reader& in) {
-  AttemptEnded e;
-  e.id = in.U64("corr");
-  e.attempt = in.U16("n");
-  e.replica = in.U32("engine");
-  e.outcome = DecodeOutcome(in);
-  e.elapsed = in.U32("delay-seen");
-  e.request_concluded = in.U8("final") != 0;
-  e.cached_tokens = in.U32("note");
-  e.load_report = DecodeLoad(in);
-  return e;
+AttemptEnded DecodeAttemptEnded(Reader& in) {
+  AttemptEnded ended;
+  ended.id = in.U64("corr");
+  ended.attempt = in.U16("n");
+  ended.replica = in.U32("engine");
+  ended.outcome = DecodeOutcome(in);
+  ended.elapsed = in.U32("delay-seen");
+  ended.request_concluded = in.U8("final") != 0;
+  ended.cached_tokens = in.U32("note");
+  ended.load_report = DecodeLoadReport(in);
+  return ended;
 }
 
 // Writes one record: its code, the size of its fields, the fields.
 template <class Fields>
-void Record(Writer& out, std::uint8_t code, Fields fields) {
+void EncodeRecord(Writer& out, std::uint8_t code, Fields fields) {
   out.U8(code);
-  const std::size_t at = out.bytes().size();
+  const std::size_t length_offset = out.bytes().size();
   out.U32(0);
   fields();
-  out.Patch32(at, out.bytes().size() - at - 4);
+  out.OverwriteU32(length_offset, out.bytes().size() - length_offset - 4);
 }
 
-std::uint64_t Delay(Time t) { return static_cast<std::uint64_t>(std::clamp<Time>(t, 0, kMaxDelay)); }
+std::uint64_t EncodableDelay(Time t) { return static_cast<std::uint64_t>(std::clamp<Time>(t, 0, kMaxDelay)); }
 
 }  // namespace
 
-void Reader::Defect(const std::string& text) const {
-  throw WireError(what_ + ": " + text + " at byte " + std::to_string(at_));
+void Reader::Fail(const std::string& text) const {
+  throw WireError(what_ + ": " + text + " at byte " + std::to_string(offset_));
 }
 
 std::uint64_t Reader::Unsigned(std::size_t width, const char* field) {
@@ -121,43 +144,43 @@
 
 double Reader::F32(const char* field) {
   const double v = std::bit_cast<float>(U32(field));
-  if (!std::isfinite(v)) Defect(std::string(field) + " is not a finite number");
+  if (!std::isfinite(v)) Fail(std::string(field) + " is not a finite number");
   return v;
 }
 
-std::string_view Reader::Bytes(std::size_t n, const char* field) {
-  if (n > left()) Defect(std::string("truncated in ") + field);
-  const std::string_view raw = bytes_.substr(at_, n);
-  at_ += n;
+std::string_view Reader::Bytes(std::size_t count, const char* field) {
+  if (count > left()) Fail(std::string("truncated in ") + field);
+  const std::string_view raw = bytes_.substr(offset_, count);
+  offset_ += count;
   return raw;
 }
 
 void Reader::ExpectEnd() const {
-  if (left() != 0) Defect(std::to_string(left()) + " bytes too many");
+  if (left() != 0) Fail(std::to_string(left()) + " bytes too many");
 }
 
 void Writer::Unsigned(std::uint64_t v, std::size_t width) {
   for (std::size_t i = 0; i < width; ++i) bytes_.push_back(static_cast<char>((v >> (8 * i)) & 0xff));
 }
 
-void Writer::Patch32(std::size_t at, std::uint64_t v) {
-  for (std::size_t i = 0; i < 4; ++i) bytes_[at + i] = static_cast<char>((v >> (8 * i)) & 0xff);
+void Writer::OverwriteU32(std::size_t offset, std::uint64_t v) {
+  for (std::size_t i = 0; i < 4; ++i) bytes_[offset + i] = static_cast<char>((v >> (8 * i)) & 0xff);
 }
 
 Event DecodeEvent(std::uint8_t code, std::string_view fields) {
-  const auto whole = [fields](const char* name, auto decode) -> Event {
+  const auto decode_all = [fields](const char* name, auto decode) -> Event {
     Reader in(fields, name);
     Event event = decode(in);
     in.ExpectEnd();
     return event;
   };
   switch (code) {
-    case 2:
-      return whole("abandoned", [](Reader& in) { return ClientDisconnected{in.U64("corr")}; });
-    case 3:
-      return whole("elapsed", [](Reader& in) { return TimerFired{in.U64("ref")}; });
-    case 4:
-      return whole("headers", [](Reader& in) {
+    case event_code::kClientDisconnected:
+      return decode_all("abandoned", [](Reader& in) { return ClientDisconnected{in.U64("corr")}; });
+    case event_code::kTimerFired:
+      return decode_all("elapsed", [](Reader& in) { return TimerFired{in.U64("ref")}; });
+    case event_code::kResponseStarted:
+      return decode_all("headers", [](Reader& in) {
         ResponseStarted e;
         e.id = in.U64("corr");
         e.attempt = in.U16("n");
@@ -165,64 +188,71 @@
         e.elapsed = in.U32("delay-seen");
         return e;
       });
-    case 6:
-      return whole("probed", [](Reader& in) {
+    case event_code::kHealthCheckCompleted:
+      return decode_all("probed", [](Reader& in) {
         HealthCheckCompleted e;
         e.replica = in.U32("engine");
         e.outcome = DecodeOutcome(in);
         e.elapsed = in.U32("delay-seen");
-        e.load_report = DecodeLoad(in);
+        e.load_report = DecodeLoadReport(in);
         return e;
       });
-    case 7:
-      return whole("directory_update", DecodeList);
-    case 8:
-      return whole("job_in", DecodeArrival);
-    case 9:
-      return whole("answer", DecodeOutcomeEvent);
+    case event_code::kEndpointList:
+      return decode_all("directory_update", DecodeEndpointList);
+    case event_code::kRequestArrived:
+      return decode_all("job_in", DecodeRequestArrived);
+    case event_code::kAttemptEnded:
+      return decode_all("answer", DecodeAttemptEnded);
     default:
       throw WireError("unknown event code " + std::to_string(code));
   }
 }
 
-void EncodeSource(std::uint16_t node, Writer& out) {
-  Record(out, 8, [&] { out.U16(node); });
+void EncodeNode(std::uint16_t node, Writer& out) {
+  EncodeRecord(out, action_code::kNode, [&] { out.U16(node); });
 }
 
 void EncodeAction(const Action& action, Writer& out) {
-  std::visit(Overloaded{
-                 [&](const SendAttempt& a) {
-                   Record(out, 1, [&] {
-                     out.U64(a.id);
-                     out.U32(Delay(a.timeout));
-                     out.U32(a.replica);
-                   });
-                 },
-                 [&](const CancelAttempt& a) {
-                   Record(out, 12, [&] {
-                     out.U64(a.id);
-                     out.U16(static_cast<std::uint16_t>(a.attempt));
-                   });
-                 },
-                 [&](const RejectRequest& a) {
-                   Record(out, 5, [&] {
-                     out.U64(a.id);
-                     out.U32(Delay(a.retry_after));
-                   });
-                 },
-                 [&](const FailRequest& a) { Record(out, 6, [&] { out.U64(a.id); }); },
-                 [&](const MigrateStream& a) { Record(out, 10, [&] { out.U64(a.id); }); },
-                 [&](const SetTimer& a) {
-                   Record(out, 11, [&] {
-                     out.U64(a.token);
-                     out.U32(Delay(a.delay));
-                   });
-                 },
-                 [&](const CheckHealth& a) { Record(out, 4, [&] { out.U32(a.replica); }); },
-                 [&](const WatchEndpoints& a) { Record(out, 2, [&] { out.U8(a.enabled ? 1 : 0); }); },
-                 [&](const PollEndpoints&) { Record(out, 7, [] {}); },
-             },
-             action);
+  std::visit(
+      Overloaded{
+          [&](const SendAttempt& a) {
+            EncodeRecord(out, action_code::kSendAttempt, [&] {
+              out.U64(a.id);
+              out.U32(EncodableDelay(a.timeout));
+              out.U32(a.replica);
+            });
+          },
+          [&](const CancelAttempt& a) {
+            EncodeRecord(out, action_code::kCancelAttempt, [&] {
+              out.U64(a.id);
+              out.U16(static_cast<std::uint16_t>(a.attempt));
+            });
+          },
+          [&](const RejectRequest& a) {
+            EncodeRecord(out, action_code::kRejectRequest, [&] {
+              out.U64(a.id);
+              out.U32(EncodableDelay(a.retry_after));
+            });
+          },
+          [&](const FailRequest& a) { EncodeRecord(out, action_code::kFailRequest, [&] { out.U64(a.id); }); },
+          [&](const MigrateStream& a) {
+            EncodeRecord(out, action_code::kMigrateStream, [&] { out.U64(a.id); });
+          },
+          [&](const SetTimer& a) {
+            EncodeRecord(out, action_code::kSetTimer, [&] {
+              out.U64(a.token);
+              out.U32(EncodableDelay(a.delay));
+            });
+          },
+          [&](const CheckHealth& a) {
+            EncodeRecord(out, action_code::kCheckHealth, [&] { out.U32(a.replica); });
+          },
+          [&](const WatchEndpoints& a) {
+            EncodeRecord(out, action_code::kWatchEndpoints, [&] { out.U8(a.enabled ? 1 : 0); });
+          },
+          [&](const PollEndpoints&) { EncodeRecord(out, action_code::kPollEndpoints, [] {}); },
+      },
+      action);
 }
 
 }  // namespace ryeglade::policy::wire
--- a/simhost/codec.h
+++ b/simhost/codec.h
@@ -1,5 +1,6 @@
 // The simulator's wire: little-endian frames of records. Every read is checked against the record's end, and
-// a defect is a WireError that names what was wrong and where.
+// a defect is a WireError that names what was wrong and where. The wire has names of its own; this codec is
+// the one place that maps them to the terms of ryeglade::policy, and errors name fields as the wire does.
 #pragma once
 
 #include <cstddef>
@@ -31,17 +32,18 @@
   std::uint32_t U32(const char* field) { return static_cast<std::uint32_t>(Unsigned(4, field)); }
   std::uint64_t U64(const char* field) { return Unsigned(8, field); }
   double F32(const char* field);  // a value that is not finite is a defect
-  std::string_view Bytes(std::size_t n, const char* field);
-  std::size_t left() const { return bytes_.size() - at_; }
+  std::string_view Bytes(std::size_t count, const char* field);
+  std::size_t left() const { return bytes_.size() - offset_; }
   void ExpectEnd() const;
-  [[noreturn]] void Defect(const std::string& text) const;
+  // Throws a WireError that names the record and the offset.
+  [[noreturn]] void Fail(const std::string& text) const;
 
  private:
   std::uint64_t Unsigned(std::size_t width, const char* field);
 
   std::string_view bytes_;
   std::string what_;
-  std::size_t at_ = 0;
+  std::size_t offset_ = 0;
 };
 
 // Appends fields to a reply.
@@ -51,7 +53,8 @@
   void U16(std::uint64_t v) { Unsigned(v, 2); }
   void U32(std::uint64_t v) { Unsigned(v, 4); }
   void U64(std::uint64_t v) { Unsigned(v, 8); }
-  void Patch32(std::size_t at, std::uint64_t v);
+  // Overwrites four bytes that have been written.
+  void OverwriteU32(std::size_t offset, std::uint64_t v);
   std::string& bytes() { return bytes_; }
 
  private:
@@ -59,17 +62,29 @@
   std::string bytes_;
 };
 
-// Codes of the event records that the host itself handles.
-inline constexpr std::uint8_t kAt = 11;
-inline constexpr std::uint8_t kProvision = 5;
-inline constexpr std::uint8_t kRetire = 10;
-inline constexpr std::uint8_t kFromPeer = 1;
+// Codes of the event records, by what they mean; the wire's names beside them.
+namespace event_code {
+// Handled by the host.
+inline constexpr std::uint8_t kPeerMessage = 1;  // from_peer
+inline constexpr std::uint8_t kStartNode = 5;    // provision
+inline constexpr std::uint8_t kStopNode = 10;    // retire
+inline constexpr std::uint8_t kSelectNode = 11;  // at
+// Handled by a Router.
+inline constexpr std::uint8_t kClientDisconnected = 2;    // abandoned
+inline constexpr std::uint8_t kTimerFired = 3;            // elapsed
+inline constexpr std::uint8_t kResponseStarted = 4;       // headers
+inline constexpr std::uint8_t kHealthCheckCompleted = 6;  // probed
+inline constexpr std::uint8_t kEndpointList = 7;          // directory_update
+inline constexpr std::uint8_t kRequestArrived = 8;        // job_in
+inline constexpr std::uint8_t kAttemptEnded = 9;          // answer
+}  // namespace event_code
 
 // The fields of one event record that goes to a Router. Throws WireError on an unknown code.
 Event DecodeEvent(std::uint8_t code, std::string_view fields);
 
-// One record naming the instance whose actions follow, and one action record.
-void EncodeSource(std::uint16_t node, Writer& out);
+// A record that names the node whose actions follow.
+void EncodeNode(std::uint16_t node, Writer& out);
+// One action record.
 void EncodeAction(const Action& action, Writer& out);
 
 }  // namespace ryeglade::policy::wire
--- a/simhost/host.cpp
+++ b/simhost/host.cpp
@@ -9,63 +9,64 @@
 
 namespace ryeglade::policy::wire {
 
-std::string Host::Answer(std::string_view frame) {
+std::string Host::HandleBatch(std::string_view frame) {
   Reader in(frame, "batch");
   const std::uint32_t size = in.U32("length");
-  if (size != frame.size()) in.Defect("length " + std::to_string(size) + " differs from the frame's");
+  if (size != frame.size()) in.Fail("length " + std::to_string(size) + " differs from the frame's");
   const Time now = static_cast<Time>(in.U64("clock"));
 
   Writer out;
   out.U32(0);
   out.U32(0);
   std::uint32_t records = 0;
-  std::optional<std::uint16_t> node;  // whom the events at hand concern
-  bool named = false;                 // whether the reply names that node already
+  std::optional<std::uint16_t> node;  // that the following events are for
+  bool node_encoded = false;          // whether the reply names it already
   std::vector<Action> actions;
 
   while (in.left() > 0) {
     const std::uint8_t code = in.U8("record code");
     const std::uint32_t length = in.U32("record length");
     const std::string_view body = in.Bytes(length, "record");
-    if (code == kAt) {
+    if (code == event_code::kSelectNode) {
       Reader fields(body, "at");
       node = fields.U16("node-id");
       fields.ExpectEnd();
-      named = false;
+      node_encoded = false;
       continue;
     }
-    if (!node) in.Defect("record " + std::to_string(code) + " before any 'at'");
-    if (code == kProvision) {
+    if (!node) in.Fail("record " + std::to_string(code) + " before any 'at'");
+    if (code == event_code::kStartNode) {
       Reader fields(body, "provision");
       const std::uint64_t seed = fields.U64("seed");
-      const std::uint32_t n = fields.U32("settings count");
-      const Settings settings = ReadSettings(fields.Bytes(n, "settings"));
+      const std::uint32_t count = fields.U32("settings count");
+      const Settings settings = ReadSettings(fields.Bytes(count, "settings"));
       fields.ExpectEnd();
       routers_.insert_or_assign(*node, Router(settings, seed, now));
       continue;
     }
-    if (code == kRetire) {
+    if (code == event_code::kStopNode) {
       Reader(body, "retire").ExpectEnd();
       routers_.erase(*node);
       continue;
     }
-    if (code == kFromPeer) continue;  // this design sends nothing to peers and expects nothing from them
+    if (code == event_code::kPeerMessage)
+      continue;  // this node sends nothing to peers and expects nothing from them
     const auto router = routers_.find(*node);
     if (router == routers_.end())
-      in.Defect("event for node " + std::to_string(*node) + " that was not started");
+      in.Fail("event for node " + std::to_string(*node) + " that was not started");
     router->second.Handle(now, DecodeEvent(code, body), actions);
     if (actions.empty()) continue;
-    if (!named) {
-      EncodeSource(*node, out);
+    if (!node_encoded) {
+      EncodeNode(*node, out);
       ++records;
-      named = true;
+      node_encoded = true;
     }
     for (const Action& action : actions) EncodeAction(action, out);
     records += static_cast<std::uint32_t>(actions.size());
     actions.clear();
   }
-  out.Patch32(0, out.bytes().size());
-  out.Patch32(4, records);
+  out.OverwriteU32(0, out.bytes().size());
+  out.OverwriteU32(4, records);
   return std::move(out.bytes());
 }
 
--- a/simhost/host.h
+++ b/simhost/host.h
@@ -12,8 +12,8 @@
 
 class Host {
  public:
-  // `frame` is a whole batch, header included. Throws WireError on any defect.
-  std::string Answer(std::string_view frame);
+  // `frame` is a complete batch, header included; returns the reply's frame. Throws WireError on any defect.
+  std::string HandleBatch(std::string_view frame);
 
  private:
   std::map<std::uint16_t, Router> routers_;
--- a/simhost/main.cpp
+++ b/simhost/main.cpp
@@ -12,17 +12,17 @@
 
 using ryeglade::policy::wire::WireError;
 
-// Appends n bytes of input to `to`, in pieces, so that a wild length allocates no more than what comes.
-// Returns false if the input ends at a frame's start.
-bool ReadBytes(std::size_t n, bool may_end, std::string& to) {
+// Appends `count` bytes of input to `to`, in pieces, so that a wrong length allocates no more than what
+// comes. Returns false if the input ends at a frame's start.
+bool ReadBytes(std::size_t count, bool may_end, std::string& to) {
   constexpr std::size_t kPiece = std::size_t{1} << 20;
   const std::size_t start = to.size();
-  while (to.size() - start < n) {
-    const std::size_t at = to.size();
-    const std::size_t want = std::min(kPiece, n - (at - start));
-    to.resize(at + want);
-    const std::size_t got = std::fread(to.data() + at, 1, want, stdin);
-    to.resize(at + got);
+  while (to.size() - start < count) {
+    const std::size_t offset = to.size();
+    const std::size_t want = std::min(kPiece, count - (offset - start));
+    to.resize(offset + want);
+    const std::size_t got = std::fread(to.data() + offset, 1, want, stdin);
+    to.resize(offset + got);
     if (got == want) continue;
     if (may_end && to.size() == start) return false;
     throw WireError("batch: input ends " + std::to_string(to.size()) + " bytes into a frame");
@@ -41,7 +41,7 @@
       throw WireError("batch: length " + std::to_string(size) + " out of range at byte 0");
     }
     ReadBytes(size - 4, false, frame);
-    const std::string reply = host.Answer(frame);
+    const std::string reply = host.HandleBatch(frame);
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
       throw WireError("reply: cannot write");
     }
--- a/simhost/settings.cpp
+++ b/simhost/settings.cpp
@@ -14,21 +14,22 @@
 
 constexpr std::size_t kMaxItems = 4096;  // of any one list of objects
 
-class Table {
+// The settings text as keys and values, with checked conversions.
+class SettingsText {
  public:
-  explicit Table(std::string_view text) {
+  explicit SettingsText(std::string_view text) {
     while (!text.empty()) {
       const std::size_t end = std::min(text.find('\n'), text.size());
       std::string_view line = text.substr(0, end);
       text.remove_prefix(std::min(end + 1, text.size()));
       if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-      const std::size_t eq = line.find('=');
-      if (eq == std::string_view::npos) {
+      const std::size_t separator = line.find('=');
+      if (separator == std::string_view::npos) {
         if (!line.empty())
           throw WireError("settings: no '=' in line '" + std::string(line.substr(0, 60)) + "'");
         continue;
       }
-      values_[std::string(line.substr(0, eq))] = std::string(line.substr(eq + 1));
+      values_[std::string(line.substr(0, separator))] = std::string(line.substr(separator + 1));
     }
   }
 
@@ -48,8 +49,8 @@
     return Has(key) ? static_cast<Time>(std::clamp(Number(key, 0), -1e15, 1e15)) : fallback;
   }
 
-  int Int(const std::string& key, int fallback, int least) const {
-    return Has(key) ? static_cast<int>(std::clamp(Number(key, 0), double(least), 1e9)) : fallback;
+  int Int(const std::string& key, int fallback, int min) const {
+    return Has(key) ? static_cast<int>(std::clamp(Number(key, 0), double(min), 1e9)) : fallback;
   }
 
   bool Bool(const std::string& key, bool fallback) const {
@@ -79,37 +80,37 @@
   }
 
   std::size_t Count(const std::string& key) const {
-    const double n = Number(key + ".count", 0);
-    if (n < 0 || n > double(kMaxItems) || n != std::floor(n)) {
+    const double count = Number(key + ".count", 0);
+    if (count < 0 || count > double(kMaxItems) || count != std::floor(count)) {
       throw WireError("settings: " + key + ".count is out of range: " + Text(key + ".count", ""));
     }
-    return static_cast<std::size_t>(n);
+    return static_cast<std::size_t>(count);
   }
 
  private:
   static double Parse(const std::string& key, const std::string& text) {
-    double v = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), v);
-    if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(v)) {
+    double value = 0;
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value)) {
       throw WireError("settings: " + key + " is not a number: '" + text.substr(0, 60) + "'");
     }
-    return v;
+    return value;
   }
 
   std::map<std::string, std::string> values_;
 };
 
 template <class T>
-T Choice(const Table& t, const std::string& key, const std::vector<std::pair<std::string, T>>& choices,
-         T fallback) {
-  if (!t.Has(key)) return fallback;
-  for (const auto& [word, value] : choices) {
-    if (t.Text(key, "") == word) return value;
+T Choice(const SettingsText& text, const std::string& key,
+         const std::vector<std::pair<std::string, T>>& choices, T fallback) {
+  if (!text.Has(key)) return fallback;
+  for (const auto& [name, value] : choices) {
+    if (text.Text(key, "") == name) return value;
   }
-  throw WireError("settings: " + key + " has an unknown value: '" + t.Text(key, "").substr(0, 60) + "'");
+  throw WireError("settings: " + key + " has an unknown value: '" + text.Text(key, "").substr(0, 60) + "'");
 }
 
-LoadField FieldOf(const std::string& name) {
+LoadField LoadFieldOf(const std::string& name) {
   static const std::map<std::string, LoadField> kFields = {
       {"inflight", LoadField::kInFlight},    {"queue", LoadField::kQueueLength},
       {"util", LoadField::kUtilization},     {"latency_ms", LoadField::kLatencyMs},
@@ -120,78 +121,95 @@
   return it == kFields.end() ? LoadField::kOther : it->second;
 }
 
+ClassSettings ReadClass(const SettingsText& keys, std::size_t index) {
+  const std::string prefix = "classes." + std::to_string(index) + ".";
+  ClassSettings request_class;
+  request_class.name = keys.Text(prefix + "name", "");
+  request_class.latency_objective = keys.Micros(prefix + "promise", request_class.latency_objective);
+  request_class.time_budget = keys.Micros(prefix + "deadline", request_class.time_budget);
+  request_class.priority_weight = keys.Number(prefix + "worth", request_class.priority_weight);
+  request_class.late_weight_share = keys.Number(prefix + "late-worth", request_class.late_weight_share);
+  request_class.idempotency = Choice<Idempotency>(keys, prefix + "effect",
+                                                  {{"free", Idempotency::kIdempotent},
+                                                   {"guarded", Idempotency::kIdempotencyKey},
+                                                   {"single_shot", Idempotency::kNotIdempotent}},
+                                                  request_class.idempotency);
+  request_class.dedup_scope = Choice<DedupScope>(
+      keys, prefix + "dedup-scope",
+      {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}, {"cell", DedupScope::kCell}},
+      request_class.dedup_scope);
+  request_class.dedup_window = keys.Micros(prefix + "window", request_class.dedup_window);
+  request_class.streaming = keys.Bool(prefix + "stream", request_class.streaming);
+  return request_class;
+}
+
+std::vector<TenantSettings> ReadTenants(const SettingsText& keys) {
+  std::vector<TenantSettings> tenants;
+  const std::size_t count = keys.Count("tenants");
+  for (std::size_t i = 0; i < count; ++i) {
+    const std::string prefix = "tenants." + std::to_string(i) + ".";
+    tenants.push_back({keys.Text(prefix + "name", ""), keys.Number(prefix + "share", 1.0),
+                       keys.Number(prefix + "quota-per-s", 0.0)});
+  }
+  return tenants;
+}
+
 }  // namespace
 
 Settings ReadSettings(std::string_view text) {
-  const Table t(text);
-  Settings s;
+  const SettingsText keys(text);
+  Settings settings;
 
-  const std::size_t classes = t.Count("classes");
+  const std::size_t classes = keys.Count("classes");
   if (classes == 0) throw WireError("settings: classes.count is missing or 0");
-  const std::vector<double> prompt_aims = t.Numbers("family-info.aim-us-per-1000-prompt-tokens");
-  const std::vector<double> token_aims = t.Numbers("family-info.token-aim");
+  const std::vector<double> objectives_per_1000_tokens =
+      keys.Numbers("family-info.aim-us-per-1000-prompt-tokens");
+  const std::vector<double> inter_token_objectives = keys.Numbers("family-info.token-aim");
   for (std::size_t i = 0; i < classes; ++i) {
-    const std::string at = "classes." + std::to_string(i) + ".";
-    ClassSettings c;
-    c.name = t.Text(at + "name", "");
-    c.latency_objective = t.Micros(at + "promise", c.latency_objective);
-    c.time_budget = t.Micros(at + "deadline", c.time_budget);
-    c.priority_weight = t.Number(at + "worth", c.priority_weight);
-    c.late_weight_share = t.Number(at + "late-worth", c.late_weight_share);
-    c.idempotency = Choice<Idempotency>(t, at + "effect",
-                                        {{"free", Idempotency::kIdempotent},
-                                         {"guarded", Idempotency::kIdempotencyKey},
-                                         {"single_shot", Idempotency::kNotIdempotent}},
-                                        c.idempotency);
-    c.dedup_scope = Choice<DedupScope>(
-        t, at + "dedup-scope",
-        {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}, {"cell", DedupScope::kCell}}, c.dedup_scope);
-    c.dedup_window = t.Micros(at + "window", c.dedup_window);
-    c.streaming = t.Bool(at + "stream", c.streaming);
-    if (i < prompt_aims.size()) c.objective_per_1000_tokens = static_cast<Time>(prompt_aims[i]);
-    if (i < token_aims.size()) c.inter_token_objective = static_cast<Time>(token_aims[i]);
-    s.classes.push_back(c);
-  }
-  const std::size_t tenants = t.Count("tenants");
-  for (std::size_t i = 0; i < tenants; ++i) {
-    const std::string at = "tenants." + std::to_string(i) + ".";
-    s.tenants.push_back(
-        {t.Text(at + "name", ""), t.Number(at + "share", 1.0), t.Number(at + "quota-per-s", 0.0)});
+    ClassSettings request_class = ReadClass(keys, i);
+    if (i < objectives_per_1000_tokens.size())
+      request_class.objective_per_1000_tokens = static_cast<Time>(objectives_per_1000_tokens[i]);
+    if (i < inter_token_objectives.size())
+      request_class.inter_token_objective = static_cast<Time>(inter_token_objectives[i]);
+    settings.classes.push_back(request_class);
   }
-  const std::string how = t.Text("stats.how", "none");
-  if (how != "none") {
-    for (const std::string& field : t.List("stats.fields")) s.load_fields.push_back(FieldOf(field));
+  settings.tenants = ReadTenants(keys);
+  const std::string report_source = keys.Text("stats.how", "none");
+  if (report_source != "none") {
+    for (const std::string& field : keys.List("stats.fields"))
+      settings.load_fields.push_back(LoadFieldOf(field));
   }
-  s.load_reports_in_responses = how == "answers";
-  s.node_count = t.Int("balancers", s.node_count, 1);
-  s.node_index = t.Int("me", s.node_index, 0);
-  s.zone = t.Int("az", s.zone, 0);
-  s.zone_count = std::max<int>(1, static_cast<int>(t.List("localities").size()));
-  s.replica_kind_count = std::max<int>(1, static_cast<int>(t.List("shapes").size()));
-  s.poll_endpoints = t.Text("membership-mode", "push") == "ask";
-  s.weights_known = t.Text("weights", "none") != "none";
-  s.over_quota_weight = t.Number("over-share-worth", s.over_quota_weight);
-  s.cross_zone_penalty = t.Number("fees.cross-zone", 0);
-  s.wasted_work_penalty = t.Number("fees.waste", 0);
-  s.late_failure_penalty = t.Number("fees.late-fail", 0);
-  s.health_check_penalty = t.Number("fees.probe", 0);
-  s.migration_penalty = t.Number("fees.moves", 0);
-  s.can_cancel = t.Bool("limits.cancel", s.can_cancel);
-  s.can_check_health = t.Bool("limits.probes", s.can_check_health);
-  s.can_hedge = t.Bool("limits.parallel-tries", s.can_hedge);
-  s.clients_honor_retry_after = t.Bool("limits.retry-after", s.clients_honor_retry_after);
-  s.can_migrate_streams = t.Bool("family-info.resume", s.can_migrate_streams);
-  s.max_attempts = t.Int("limits.max-attempts", s.max_attempts, 1);
-  s.max_retry_after = t.Micros("limits.max-retry-after", s.max_retry_after);
-  s.connect_timeout = t.Micros("limits.connect-timeout", s.connect_timeout);
-  s.response_grace = t.Micros("obligations.answer-slack", s.response_grace);
-  s.drain_grace = t.Micros("obligations.drain-grace", s.drain_grace);
-  s.max_poll_interval = t.Micros("obligations.ask-within", s.max_poll_interval);
-  s.slow_start_window = t.Micros("obligations.cold", s.slow_start_window);
-  s.slow_start_min_share = std::clamp(t.Number("obligations.cold-from", s.slow_start_min_share), 0.01, 1.0);
-  s.overload_factor = t.Number("obligations.overload-factor", s.overload_factor);
-  s.overload_window = t.Micros("obligations.overload-for", s.overload_window);
-  return s;
+  settings.load_reports_in_responses = report_source == "answers";
+  settings.node_count = keys.Int("balancers", settings.node_count, 1);
+  settings.node_index = keys.Int("me", settings.node_index, 0);
+  settings.zone = keys.Int("az", settings.zone, 0);
+  settings.zone_count = std::max<int>(1, static_cast<int>(keys.List("localities").size()));
+  settings.replica_kind_count = std::max<int>(1, static_cast<int>(keys.List("shapes").size()));
+  settings.poll_endpoints = keys.Text("membership-mode", "push") == "ask";
+  settings.weights_known = keys.Text("weights", "none") != "none";
+  settings.over_quota_weight = keys.Number("over-share-worth", settings.over_quota_weight);
+  settings.cross_zone_penalty = keys.Number("fees.cross-zone", 0);
+  settings.wasted_work_penalty = keys.Number("fees.waste", 0);
+  settings.late_failure_penalty = keys.Number("fees.late-fail", 0);
+  settings.health_check_penalty = keys.Number("fees.probe", 0);
+  settings.migration_penalty = keys.Number("fees.moves", 0);
+  settings.can_cancel = keys.Bool("limits.cancel", settings.can_cancel);
+  settings.can_check_health = keys.Bool("limits.probes", settings.can_check_health);
+  settings.can_hedge = keys.Bool("limits.parallel-tries", settings.can_hedge);
+  settings.clients_honor_retry_after = keys.Bool("limits.retry-after", settings.clients_honor_retry_after);
+  settings.can_migrate_streams = keys.Bool("family-info.resume", settings.can_migrate_streams);
+  settings.max_attempts = keys.Int("limits.max-attempts", settings.max_attempts, 1);
+  settings.max_retry_after = keys.Micros("limits.max-retry-after", settings.max_retry_after);
+  settings.connect_timeout = keys.Micros("limits.connect-timeout", settings.connect_timeout);
+  settings.response_grace = keys.Micros("obligations.answer-slack", settings.response_grace);
+  settings.drain_grace = keys.Micros("obligations.drain-grace", settings.drain_grace);
+  settings.max_poll_interval = keys.Micros("obligations.ask-within", settings.max_poll_interval);
+  settings.slow_start_window = keys.Micros("obligations.cold", settings.slow_start_window);
+  settings.slow_start_min_share =
+      std::clamp(keys.Number("obligations.cold-from", settings.slow_start_min_share), 0.01, 1.0);
+  settings.overload_factor = keys.Number("obligations.overload-factor", settings.overload_factor);
+  settings.overload_window = keys.Micros("obligations.overload-for", settings.overload_window);
+  return settings;
 }
 
 }  // namespace ryeglade::policy::wire
--- a/simhost/settings.h
+++ b/simhost/settings.h
@@ -1,6 +1,6 @@
-// Reads the settings text that comes with a new instance: one path=value a line. Unknown keys are ignored, a
+// Reads the settings text that comes with a new node: one path=value a line. Unknown keys are ignored, a
 // missing key keeps the default of ryeglade::policy::Settings, and a malformed value is a WireError naming
-// it.
+// it. The text has names of its own; ReadSettings is the one place that maps them to the terms of Settings.
 #pragma once
 
 #include <string_view>
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -53,15 +53,15 @@
 
 std::string StartedNode() {
   std::string records;
-  Append(records, kAt, Bytes("0300"));
-  Append(records, kProvision, Provision(9, kSettings));
+  Append(records, event_code::kSelectNode, Bytes("0300"));
+  Append(records, event_code::kStartNode, Provision(9, kSettings));
   return records;
 }
 
 TEST(Decode, ARequestFieldByField) {
-  const auto event =
-      DecodeEvent(8, Bytes("c4913a5d922a0800 640ad2557c3bf091 0000e144 e02e0000 107cf3d901648e2b "
-                           "00008043 80a90300 00009644 01 00000000 00"));
+  const auto event = DecodeEvent(event_code::kRequestArrived,
+                                 Bytes("c4913a5d922a0800 640ad2557c3bf091 0000e144 e02e0000 107cf3d901648e2b "
+                                       "00008043 80a90300 00009644 01 00000000 00"));
   const auto& r = std::get<RequestArrived>(event);
   EXPECT_EQ(r.id, 0x00082a925d3a91c4u);
   EXPECT_EQ(r.session, 0x91f03b7c55d20a64u);
@@ -75,9 +75,10 @@
 }
 
 TEST(Decode, AListWithItsEntries) {
-  const auto event = DecodeEvent(7, Bytes("02 29000000 02000000 "
-                                          "0000803f 0000 00 0000000000000000 01 074a1203 0000 "
-                                          "0000c03f 0100 02 20145d0000000000 02 f211902c 0500"));
+  const auto event =
+      DecodeEvent(event_code::kEndpointList, Bytes("02 29000000 02000000 "
+                                                   "0000803f 0000 00 0000000000000000 01 074a1203 0000 "
+                                                   "0000c03f 0100 02 20145d0000000000 02 f211902c 0500"));
   const auto& list = std::get<EndpointList>(event);
   EXPECT_EQ(list.scope, EndpointListScope::kCached);
   ASSERT_EQ(list.endpoints.size(), 2u);
@@ -92,7 +93,8 @@
 
 TEST(Decode, AnOutcomeWithALoadReport) {
   const auto event =
-      DecodeEvent(9, Bytes("c4913a5d922a0800 0100 074a1203 0200 44480000 00 07000000 02 0000003f 00004040"));
+      DecodeEvent(event_code::kAttemptEnded,
+                  Bytes("c4913a5d922a0800 0100 074a1203 0200 44480000 00 07000000 02 0000003f 00004040"));
   const auto& e = std::get<AttemptEnded>(event);
   EXPECT_EQ(e.attempt, 1);
   EXPECT_EQ(e.outcome, Outcome::kAtCapacity);
@@ -103,7 +105,7 @@
 
 TEST(Encode, ActionsByteForByte) {
   Writer out;
-  EncodeSource(3, out);
+  EncodeNode(3, out);
   EncodeAction(SendAttempt{0x00082a925d3a91c4, 0x03124a07, 80000}, out);
   EncodeAction(SetTimer{0x4d, 500000}, out);
   EncodeAction(CancelAttempt{0x00082a925d3a91c4, 0}, out);
@@ -163,19 +165,19 @@
 
 TEST(Host, StopAndNewStartInOneBatch) {
   Host host;
-  host.Answer(Frame(1000, StartedNode()));
+  host.HandleBatch(Frame(1000, StartedNode()));
   std::string records;
-  Append(records, kAt, Bytes("0300"));
-  Append(records, kRetire, "");
-  Append(records, kProvision, Provision(10, kSettings));
-  Append(records, 7, Bytes("02 29000000 00000000"));
-  EXPECT_GE(host.Answer(Frame(2000, records)).size(), 8u);
+  Append(records, event_code::kSelectNode, Bytes("0300"));
+  Append(records, event_code::kStopNode, "");
+  Append(records, event_code::kStartNode, Provision(10, kSettings));
+  Append(records, event_code::kEndpointList, Bytes("02 29000000 00000000"));
+  EXPECT_GE(host.HandleBatch(Frame(2000, records)).size(), 8u);
 }
 
 std::string DefectOfFrame(const std::string& frame) {
   Host host;
   try {
-    host.Answer(frame);
+    host.HandleBatch(frame);
   } catch (const WireError& e) {
     return e.what();
   }
@@ -188,25 +190,25 @@
   EXPECT_NE(DefectOfFrame(Frame(1, unknown)).find("unknown event code 99"), std::string::npos);
 
   std::string cut = StartedNode();
-  Append(cut, 2, Bytes("192b"));
+  Append(cut, event_code::kClientDisconnected, Bytes("192b"));
   EXPECT_NE(DefectOfFrame(Frame(1, cut)).find("abandoned: truncated in corr"), std::string::npos);
 
   std::string many = StartedNode();
-  Append(many, 7, Bytes("03 29000000 ffffffff"));
+  Append(many, event_code::kEndpointList, Bytes("03 29000000 ffffffff"));
   EXPECT_NE(DefectOfFrame(Frame(1, many)).find("entries count runs past"), std::string::npos);
 
   std::string longer = StartedNode();
-  Append(longer, 2, Bytes("192b6f0e8eaf0700 00"));
+  Append(longer, event_code::kClientDisconnected, Bytes("192b6f0e8eaf0700 00"));
   EXPECT_NE(DefectOfFrame(Frame(1, longer)).find("1 bytes too many"), std::string::npos);
 
   std::string stranger;
-  Append(stranger, kAt, Bytes("0500"));
-  Append(stranger, 2, Bytes("192b6f0e8eaf0700"));
+  Append(stranger, event_code::kSelectNode, Bytes("0500"));
+  Append(stranger, event_code::kClientDisconnected, Bytes("192b6f0e8eaf0700"));
   EXPECT_NE(DefectOfFrame(Frame(1, stranger)).find("node 5"), std::string::npos);
 
   std::string bare;
-  Append(bare, kAt, Bytes("0500"));
-  Append(bare, kProvision, Bytes("0100000000000000"));
+  Append(bare, event_code::kSelectNode, Bytes("0500"));
+  Append(bare, event_code::kStartNode, Bytes("0100000000000000"));
   EXPECT_NE(DefectOfFrame(Frame(1, bare)).find("provision"), std::string::npos);
 }
 
@@ -214,11 +216,13 @@
 TEST(Host, SurvivesDamagedFrames) {
   std::mt19937_64 random(20240607);
   std::string good = StartedNode();
-  Append(good, 7, Bytes("02 29000000 01000000 0000803f 0000 00 0000000000000000 01 074a1203 0000"));
-  Append(good, 8,
+  Append(good, event_code::kEndpointList,
+         Bytes("02 29000000 01000000 0000803f 0000 00 0000000000000000 01 074a1203 0000"));
+  Append(good, event_code::kRequestArrived,
          Bytes("c4913a5d922a0800 640ad2557c3bf091 0000e144 e02e0000 107cf3d901648e2b 00008043 80a90300 "
                "00009644 01 00000000 00"));
-  Append(good, 9, Bytes("c4913a5d922a0800 0000 074a1203 0000 44480000 01 00000000 00"));
+  Append(good, event_code::kAttemptEnded,
+         Bytes("c4913a5d922a0800 0000 074a1203 0000 44480000 01 00000000 00"));
   int answered = 0, named = 0;
   for (int round = 0; round < 5000; ++round) {
     std::string frame = Frame(1000, good);
@@ -236,7 +240,7 @@
     frame.replace(0, std::min<std::size_t>(4, frame.size()), size.bytes());
     Host host;
     try {
-      EXPECT_GE(host.Answer(frame).size(), 8u);
+      EXPECT_GE(host.HandleBatch(frame).size(), 8u);
       ++answered;
     } catch (const WireError&) {
       ++named;
