--- a/lab/directory.cpp
+++ b/lab/directory.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 Directory::Directory(const Runtime* run)
-    : run_(run), server_(run, this, {.listen = "127.0.0.1:0", .most_sockets = 256, .admits = {}}) {}
+    : run_(run), server_(run, this, {.listen = "127.0.0.1:0", .max_connections = 256, .admits = {}}) {}
 
 std::string Directory::Text(bool whole) const {
   nlohmann::json instances = nlohmann::json::array();
--- a/lab/directory.h
+++ b/lab/directory.h
@@ -42,8 +42,8 @@
   std::string Text(bool whole) const;  // the list as discovery sends it
 
   void OnRequest(Handle connection, HttpRequest request) override;
-  void OnGone(Handle connection) override { watches_.erase(connection); }
-  void OnFlow(Handle, bool) override {}
+  void OnClientDisconnected(Handle connection) override { watches_.erase(connection); }
+  void OnBackpressure(Handle, bool) override {}
 
  private:
   struct Entry {
--- a/lab/fake_replica.cpp
+++ b/lab/fake_replica.cpp
@@ -22,7 +22,7 @@
       options_(options),
       chance_(options.seed, emulator::Concern::kFailures, options.number),
       server_(run, this,
-              {.listen = "127.0.0.1:0", .most_sockets = 4096, .read_within = 60'000'000, .admits = {}}) {}
+              {.listen = "127.0.0.1:0", .max_connections = 4096, .request_timeout = 60'000'000, .admits = {}}) {}
 
 std::string StandIn::Listen() { return server_.Listen(); }
 
@@ -98,7 +98,7 @@
   Next();
 }
 
-void StandIn::OnGone(Handle connection) { End(connection, AttemptOver::kNodeClosed); }
+void StandIn::OnClientDisconnected(Handle connection) { End(connection, AttemptOver::kNodeClosed); }
 
 void StandIn::Send(Handle connection, const std::string& events) {
   if (options_.tap != nullptr) options_.tap->OnEvents(options_.number, connection, events);
--- a/lab/fake_replica.h
+++ b/lab/fake_replica.h
@@ -68,8 +68,8 @@
   void CloseIdle() { server_.CloseIdle(); }       // a request may be on its way on one of them
 
   void OnRequest(Handle connection, HttpRequest request) override;
-  void OnGone(Handle connection) override;
-  void OnFlow(Handle, bool) override {}
+  void OnClientDisconnected(Handle connection) override;
+  void OnBackpressure(Handle, bool) override {}
 
  private:
   struct Job {
--- a/src/admin/admin_front.h
+++ b/src/admin/admin_front.h
@@ -28,8 +28,8 @@
   void Use(Downstream* downstream) { downstream_ = downstream; }
 
   void OnRequest(Handle connection, HttpRequest request) override;
-  void OnGone(Handle) override {}
-  void OnFlow(Handle, bool) override {}
+  void OnClientDisconnected(Handle) override {}
+  void OnBackpressure(Handle, bool) override {}
 
  private:
   void Answer(Handle connection, int status, std::string_view body, const char* type = "text/plain");
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -88,7 +88,7 @@
         downstream_(&core_, &front_,
                     {.listen = config.listen,
                      .share_port = true,
-                     .most_sockets = ClientSockets(Share(config), settings),
+                     .max_connections = ClientSockets(Share(config), settings),
                      .admits = {}}),
         admin_(this),
         holds_file_(&loop_, HandOverPath("holds", config),
@@ -96,14 +96,14 @@
         hand_over_(&core_, this, SharedPath("lease", config), SharedPath("state", config),
                    SharedPath("out", config), config.name, config.sockets,
                    config.memory_mb * 1024 * 1024 / 2) {
-    front_.Use(&downstream_);
+    front_.SetDownstream(&downstream_);
     if (const auto text = holds_file_.ReadNow()) TakeHolds(*text, true);
     if (!config.management.empty()) {
       Downstream::Options o;
       o.listen = config.management;
-      o.most_sockets = AdminFront::kSockets;
-      o.most_body = 4096;
-      o.read_within = AdminFront::kReadWithin;
+      o.max_connections = AdminFront::kSockets;
+      o.max_body = 4096;
+      o.request_timeout = AdminFront::kReadWithin;
       admin_down_ = std::make_unique<Downstream>(&core_, &admin_, std::move(o));
       admin_.Use(admin_down_.get());
     }
@@ -234,13 +234,13 @@
     return out;
   }
   void Yield() override {
-    downstream_.Yield();
-    if (openai_ != nullptr) openai_down_->Yield();
+    downstream_.HandOver();
+    if (openai_ != nullptr) openai_down_->HandOver();
   }
   void TakeUp() override {
     try {
-      downstream_.TakeUp();
-      if (openai_ != nullptr) openai_down_->TakeUp();
+      downstream_.Resume();
+      if (openai_ != nullptr) openai_down_->Resume();
     } catch (const std::runtime_error& e) {
       Log(Level::kError, "cannot-take-up", {{"why", e.what()}});
     }
@@ -250,14 +250,14 @@
     const std::size_t up = hand_over_.yielded() ? std::max(upstream_.size(), clients()) : upstream_.size();
     return clients() + up + kOwnSockets + Discovery::kMaxSockets;
   }
-  std::size_t UsedMemory() const override { return buffers_.taken() * BufferPool::kSize; }
+  std::size_t UsedMemory() const override { return buffers_.in_use() * BufferPool::kSize; }
   void Limit(std::size_t sockets, std::size_t memory) override {
     const std::size_t own = kOwnSockets + Discovery::kMaxSockets;
     const std::size_t share = std::max<std::size_t>(sockets, own + 16) - own;
     upstream_.SetMaxConnections(hand_over_.yielded() ? share - std::min(share, clients()) : share * 45 / 100);
-    downstream_.Limit(ClientSockets(share, settings_));
-    if (openai_ != nullptr) openai_down_->Limit(ClientSockets(share, settings_));
-    buffers_.Limit(memory);
+    downstream_.SetMaxConnections(ClientSockets(share, settings_));
+    if (openai_ != nullptr) openai_down_->SetMaxConnections(ClientSockets(share, settings_));
+    buffers_.SetMaxBytes(memory);
   }
 
  private:
@@ -296,9 +296,9 @@
     Downstream::Options o;
     o.listen = settings_.membership.status;
     o.share_port = true;
-    o.most_sockets = membership::StatusFront::kSockets;
-    o.most_body = 1024;
-    o.read_within = membership::StatusFront::kReadWithin;
+    o.max_connections = membership::StatusFront::kSockets;
+    o.max_body = 1024;
+    o.request_timeout = membership::StatusFront::kReadWithin;
     tier_front_ = std::make_unique<membership::StatusFront>(
         membership_.get(), core_.config->name,
         tier_ == nullptr ? nullptr : std::function([this] { return tier_->StatusJson(); }));
@@ -312,10 +312,10 @@
     for (const std::string& network : o.networks) openai_networks_.Add(network);
     Downstream::Options options;
     options.listen = o.listen;
-    options.most_sockets = ClientSockets(Share(config), settings_);
+    options.max_connections = ClientSockets(Share(config), settings_);
     options.share_port = true;
-    options.most_body = o.most_body;
-    options.read_within = o.read_within;
+    options.max_body = o.most_body;
+    options.request_timeout = o.read_within;
     if (!o.networks.empty()) {
       options.admits = [this](const sockaddr_storage& peer) { return openai_networks_.Contains(peer); };
     }
@@ -460,7 +460,7 @@
       OnClientListeners([](Downstream& d) { d.CloseIdle(); });
     }
     if (listened) OnClientListeners([](Downstream& d) { d.StopAccepting(); });
-    if (since >= termination_.answer_by) OnClientListeners([](Downstream& d) { d.EndUnfinished(); });
+    if (since >= termination_.answer_by) OnClientListeners([](Downstream& d) { d.EndIncomplete(); });
     if (listened && streams_.size() == 0) {
       const Time quiet = since >= termination_.stop_by ? 0 : kQuiet;
       bool settled = true;
--- a/src/base/buffer_pool.cpp
+++ b/src/base/buffer_pool.cpp
@@ -6,20 +6,20 @@
 
 namespace ryeglade {
 
-char* BufferPool::Take() {
-  if (taken_ >= most_) return nullptr;
-  ++taken_;
+char* BufferPool::Acquire() {
+  if (in_use_ >= max_buffers_) return nullptr;
+  ++in_use_;
   if (free_.empty()) return std::make_unique<char[]>(kSize).release();
   char* buffer = free_.back().release();
   free_.pop_back();
   return buffer;
 }
 
-void BufferPool::Return(char* buffer) {
-  --taken_;
+void BufferPool::Release(char* buffer) {
+  --in_use_;
   // Guards against keeping for good what one burst took.
   std::unique_ptr<char[]> owned(buffer);
-  if (free_.size() < kMostFree) free_.push_back(std::move(owned));
+  if (free_.size() < kMaxFree) free_.push_back(std::move(owned));
 }
 
 BufferChain::BufferChain(BufferChain&& other) noexcept
@@ -40,7 +40,7 @@
   while (!bytes.empty()) {
     const std::size_t used = size_ % BufferPool::kSize;
     if (used == 0 && size_ == parts_.size() * BufferPool::kSize) {
-      char* fresh = pool_->Take();
+      char* fresh = pool_->Acquire();
       if (fresh == nullptr) return false;
       parts_.push_back(fresh);
     }
@@ -53,7 +53,7 @@
 }
 
 void BufferChain::Clear() {
-  for (char* part : parts_) pool_->Return(part);
+  for (char* part : parts_) pool_->Release(part);
   parts_.clear();
   size_ = 0;
 }
--- a/src/base/buffer_pool.h
+++ b/src/base/buffer_pool.h
@@ -1,4 +1,4 @@
-// A pool of buffers of one size, used again, and chains of them. The pool is bounded: when it is spent, an
+// A pool of buffers of one size, reused, and chains of them. The pool is bounded: when it is exhausted, an
 // append fails and the caller refuses the work, so that the node stays inside its memory limit.
 #pragma once
 
@@ -13,18 +13,18 @@
 class BufferPool {
  public:
   static constexpr std::size_t kSize = std::size_t{16} * 1024;
-  static constexpr std::size_t kMostFree = 128;  // kept for the next use
-  explicit BufferPool(std::size_t most_bytes) : most_(most_bytes / kSize) {}
+  static constexpr std::size_t kMaxFree = 128;  // buffers kept for the next use
+  explicit BufferPool(std::size_t max_bytes) : max_buffers_(max_bytes / kSize) {}
 
-  void Limit(std::size_t most_bytes) { most_ = most_bytes / kSize; }  // what is out stays out
-  char* Take();                                                       // nullptr: the pool is spent
-  void Return(char* buffer);
-  std::size_t taken() const { return taken_; }
-  bool Scarce() const { return taken_ * 10 >= most_ * 9; }
+  void SetMaxBytes(std::size_t max_bytes) { max_buffers_ = max_bytes / kSize; }  // what is in use stays
+  char* Acquire();  // nullptr: the pool is exhausted
+  void Release(char* buffer);
+  std::size_t in_use() const { return in_use_; }
+  bool NearlyExhausted() const { return in_use_ * 10 >= max_buffers_ * 9; }
 
  private:
-  std::size_t most_;
-  std::size_t taken_ = 0;
+  std::size_t max_buffers_;
+  std::size_t in_use_ = 0;
   std::vector<std::unique_ptr<char[]>> free_;
 };
 
@@ -37,7 +37,7 @@
   BufferChain& operator=(const BufferChain&) = delete;
   ~BufferChain() { Clear(); }
 
-  bool Append(std::string_view bytes);  // false: the pool is spent; what fitted is kept
+  bool Append(std::string_view bytes);  // false: the pool is exhausted; what fitted is kept
   void Clear();
   std::size_t size() const { return size_; }
   std::vector<std::string_view> Pieces() const;
--- a/src/base/deadlines.h
+++ b/src/base/deadlines.h
@@ -28,17 +28,17 @@
 class Deadlines {
  public:
   explicit Deadlines(uv_loop_t* loop);
-  DeadlineId Set(Time at, std::function<void()> what);
+  DeadlineId Set(Time at, std::function<void()> callback);
   void Cancel(DeadlineId& id);  // and clears it
   void Close();
 
  private:
-  bool ReadFirst(Time now);
+  bool ShouldReadSocketsFirst(Time now);
   void Sweep();
   void Arm();
-  std::map<DeadlineId, std::function<void()>> all_;
-  std::uint64_t order_ = 0;
-  bool read_first_ = false;  // the sockets are read once more before what is overdue is acted on
+  std::map<DeadlineId, std::function<void()>> pending_;
+  std::uint64_t last_order_ = 0;
+  bool reading_first_ = false;  // the sockets are read once more before what is overdue is acted on
   uv_timer_t timer_{};
   uv_prepare_t prepare_{};
   uv_check_t check_{};
--- a/src/base/listener.cpp
+++ b/src/base/listener.cpp
@@ -42,21 +42,21 @@
   return ntohs(reinterpret_cast<const sockaddr_in*>(&bound)->sin_port);  // stands there in both families
 }
 
-[[noreturn]] void Fail(const std::string& address, const char* why) {
-  throw std::runtime_error("cannot listen on " + address + ": " + why);
+[[noreturn]] void Fail(const std::string& address, const char* reason) {
+  throw std::runtime_error("cannot listen on " + address + ": " + reason);
 }
 
 // A socket that is bound to `address` and does not listen yet; throws std::runtime_error.
-int Bound(const std::string& address, bool share_port) {
+int BindSocket(const std::string& address, bool share_port) {
   sockaddr_storage at{};
   if (!ParseAddress(address, &at)) Fail(address, "not an ip:port");
   Descriptor bound(socket(at.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  const int on = 1;
+  const int enabled = 1;
   const auto* to = reinterpret_cast<const sockaddr*>(&at);
-  const bool good = bound.get() >= 0 &&
-                    setsockopt(bound.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) == 0 &&
-                    (!share_port || setsockopt(bound.get(), SOL_SOCKET, SO_REUSEPORT, &on, sizeof on) == 0) &&
-                    bind(bound.get(), to, LengthOf(to)) == 0;
+  const bool good =
+      bound.get() >= 0 && setsockopt(bound.get(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled) == 0 &&
+      (!share_port || setsockopt(bound.get(), SOL_SOCKET, SO_REUSEPORT, &enabled, sizeof enabled) == 0) &&
+      bind(bound.get(), to, LengthOf(to)) == 0;
   if (!good) Fail(address, uv_strerror(uv_translate_sys_error(errno)));
   return bound.Release();
 }
@@ -65,10 +65,12 @@
 
 Listener::Listener(uv_loop_t* loop, std::function<void()> ready) : loop_(loop), ready_(std::move(ready)) {}
 
-void Listener::Check(const std::string& address, bool share_port) { Descriptor(Bound(address, share_port)); }
+void Listener::Check(const std::string& address, bool share_port) {
+  Descriptor(BindSocket(address, share_port));
+}
 
 std::string Listener::Listen(const std::string& address, bool share_port) {
-  Descriptor socket_fd(Bound(address, share_port));
+  Descriptor socket_fd(BindSocket(address, share_port));
   if (listen(socket_fd.get(), kBacklog) != 0) Fail(address, uv_strerror(uv_translate_sys_error(errno)));
   auto* poll = new uv_poll_t;
   if (const int error = uv_poll_init(loop_, poll, socket_fd.get()); error != 0) {
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -17,18 +17,18 @@
 namespace ryeglade {
 namespace {
 
-constexpr std::size_t kMostLine = 1024;  // a pipe that is writable takes a whole line of this size
+constexpr std::size_t kMaxLine = 1024;  // a pipe that is writable takes a whole line of this size
 constexpr std::string_view kLevels[] = {"debug", "info", "warn", "error"};
 
 // Guards against a reader of the log that stalls: the node must not wait for it.
-class NeverWaits : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
+class NonBlockingStderr : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
   std::uint64_t dropped = 0;
 
  protected:
   void sink_it_(const spdlog::details::log_msg& msg) override {
-    pollfd room{STDERR_FILENO, POLLOUT, 0};
-    if (poll(&room, 1, 0) != 1 || (room.revents & POLLOUT) == 0) {
+    pollfd writable{STDERR_FILENO, POLLOUT, 0};
+    if (poll(&writable, 1, 0) != 1 || (writable.revents & POLLOUT) == 0) {
       ++dropped;
       return;
     }
@@ -39,35 +39,35 @@
   void flush_() override {}
 };
 
-// The line is built where the fields are known; here it only gets its end.
-class AsItIs : public spdlog::formatter {
+// The line is built where the fields are known; here it only gets its line end.
+class VerbatimFormatter : public spdlog::formatter {
  public:
   void format(const spdlog::details::log_msg& msg, spdlog::memory_buf_t& to) override {
-    const std::size_t n = std::min(msg.payload.size(), kMostLine - 1);
+    const std::size_t n = std::min(msg.payload.size(), kMaxLine - 1);
     to.append(msg.payload.data(), msg.payload.data() + n);
     to.push_back('\n');
   }
-  std::unique_ptr<spdlog::formatter> clone() const override { return std::make_unique<AsItIs>(); }
+  std::unique_ptr<spdlog::formatter> clone() const override { return std::make_unique<VerbatimFormatter>(); }
 };
 
 struct State {
   LogOptions options;
-  std::shared_ptr<NeverWaits> sink = std::make_shared<NeverWaits>();
+  std::shared_ptr<NonBlockingStderr> sink = std::make_shared<NonBlockingStderr>();
   spdlog::logger logger{"ryeglade", sink};
   Time second = 0;
   int lines = 0;
   State() {
-    sink->set_formatter(std::make_unique<AsItIs>());
+    sink->set_formatter(std::make_unique<VerbatimFormatter>());
     logger.set_level(spdlog::level::trace);
   }
 };
 
-State& Get() {
+State& LogState() {
   static State state;
   return state;
 }
 
-void Quote(fmt::memory_buffer& out, std::string_view text) {
+void AppendQuoted(fmt::memory_buffer& out, std::string_view text) {
   out.push_back('"');
   for (const char c : text) {
     if (c == '"' || c == '\\') {
@@ -82,7 +82,7 @@
   out.push_back('"');
 }
 
-void Put(fmt::memory_buffer& out, const LogField::Value& value, bool json) {
+void AppendValue(fmt::memory_buffer& out, const LogField::Value& value, bool json) {
   std::visit(
       [&](const auto& v) {
         if constexpr (std::is_same_v<std::decay_t<decltype(v)>, std::string_view>) {
@@ -90,11 +90,11 @@
           const bool plain = !json && !v.empty() && std::all_of(v.begin(), v.end(), [](unsigned char c) {
             return c > 0x20 && c != '"' && c != '=' && c != '\\' && c != 0x7f;
           });
-          const std::string_view shown = v.substr(0, kMostLine / 2);
+          const std::string_view shown = v.substr(0, kMaxLine / 2);
           if (plain) {
             out.append(shown.data(), shown.data() + shown.size());
           } else {
-            Quote(out, shown);
+            AppendQuoted(out, shown);
           }
         } else {
           fmt::format_to(std::back_inserter(out), "{}", v);
@@ -107,10 +107,10 @@
 
 std::string Hex8(std::uint32_t value) { return fmt::format("{:08x}", value); }
 
-void SetUpLog(const LogOptions& options) { Get().options = options; }
+void SetUpLog(const LogOptions& options) { LogState().options = options; }
 
 void Log(Level level, std::string_view event, std::initializer_list<LogField> fields) {
-  State& state = Get();
+  State& state = LogState();
   if (level < state.options.level) return;
   // Guards against clients who make the node write more than it serves.
   const Time now = Now();
@@ -124,26 +124,26 @@
   }
   const bool json = state.options.json;
   fmt::memory_buffer line;
-  const auto put = [&](std::string_view name, const LogField::Value& value) {
+  const auto append = [&](std::string_view name, const LogField::Value& value) {
     if (line.size() > 0) line.push_back(json ? ',' : ' ');
     if (json) {
-      Quote(line, name);
+      AppendQuoted(line, name);
       line.push_back(':');
     } else {
       line.append(name.data(), name.data() + name.size());
       line.push_back('=');
     }
-    Put(line, value, json);
+    AppendValue(line, value, json);
   };
-  put("ts", now / 1000);
-  put("level", kLevels[static_cast<std::size_t>(level)]);
-  if (state.sink->dropped > 0) put("dropped", std::exchange(state.sink->dropped, 0));
-  put("event", event);
-  for (const LogField& f : fields) put(f.name, f.value);
+  append("ts", now / 1000);
+  append("level", kLevels[static_cast<std::size_t>(level)]);
+  if (state.sink->dropped > 0) append("dropped", std::exchange(state.sink->dropped, 0));
+  append("event", event);
+  for (const LogField& f : fields) append(f.name, f.value);
   const std::string_view text(line.data(), line.size());
   // A line over the bound is cut, but a JSON line stays one object.
   if (json) {
-    const bool fits = text.size() + 3 <= kMostLine;
+    const bool fits = text.size() + 3 <= kMaxLine;
     state.logger.info("{{{}}}", fits ? text : "\"event\":\"log-line-too-long\"");
   } else {
     state.logger.info("{}", text);
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,5 +1,5 @@
-// One structured event a line on standard error, on spdlog: time, level, a stable event word, and fields. The
-// words are listed in docs/on-call.md. Never waits for its reader, and writes a bounded number of lines a
+// One structured event a line on standard error, on spdlog: time, level, a stable event name, and fields. The
+// names are listed in docs/on-call.md. Never waits for its reader, and writes a bounded number of lines a
 // second.
 #pragma once
 
--- a/src/base/runtime.h
+++ b/src/base/runtime.h
@@ -1,4 +1,4 @@
-// What every room above this one runs on. The node owns it; nothing here is reached from outside its loop.
+// What everything above src/base runs on. The node owns it; nothing here is reached from outside its loop.
 #pragma once
 
 #include <uv.h>
--- a/src/base/state_file.cpp
+++ b/src/base/state_file.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 constexpr mode_t kMode = 0600;
-constexpr std::size_t kMostBytes = std::size_t{4} * 1024 * 1024;
+constexpr std::size_t kMaxBytes = std::size_t{4} * 1024 * 1024;
 
-std::optional<std::string> Slurp(const std::string& path) {
+std::optional<std::string> ReadAll(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   if (!in) return std::nullopt;
   std::string text;
   char piece[65536];
   while (in.read(piece, sizeof piece) || in.gcount() > 0) {
     text.append(piece, static_cast<std::size_t>(in.gcount()));
-    if (text.size() > kMostBytes) return std::nullopt;
+    if (text.size() > kMaxBytes) return std::nullopt;
   }
   return text;
 }
@@ -34,7 +34,7 @@
   bool write = false;
   std::string text;
   std::optional<std::string> read;
-  FileError fault;
+  FileError error;
 };
 
 StateFile::StateFile(uv_loop_t* loop, std::string path, std::function<void(const std::string&)> changed)
@@ -42,55 +42,55 @@
 
 std::optional<std::string> StateFile::ReadNow() const {
   if (!on()) return std::nullopt;
-  return Slurp(path_);
+  return ReadAll(path_);
 }
 
 void StateFile::Write(std::string text) {
   if (!on()) return;
   last_ = text;
   pending_ = std::move(text);
-  if (!busy_) Start();
+  if (!job_running_) StartJob();
 }
 
-void StateFile::Start() {
+void StateFile::StartJob() {
   Job* job = new Job;
   job->work.data = job;
   job->file = this;
   job->write = pending_.has_value();
   if (job->write) job->text = *std::exchange(pending_, std::nullopt);
-  busy_ = true;
+  job_running_ = true;
   const int queued = uv_queue_work(
       loop_, &job->work,
       [](uv_work_t* w) {
         Job* j = static_cast<Job*>(w->data);
         if (j->write) {
-          j->fault = ReplaceFile(j->file->path_, j->text, kMode);
+          j->error = ReplaceFile(j->file->path_, j->text, kMode);
         } else {
-          j->read = Slurp(j->file->path_);
+          j->read = ReadAll(j->file->path_);
         }
       },
       [](uv_work_t* w, int) {
         Job* j = static_cast<Job*>(w->data);
-        j->file->Finished(j);
+        j->file->OnJobDone(j);
       });
   if (queued != 0) {
-    busy_ = false;
+    job_running_ = false;
     delete job;
   }
 }
 
-void StateFile::Finished(Job* job) {
-  busy_ = false;
-  if (job->write && job->fault.error != 0) {
+void StateFile::OnJobDone(Job* job) {
+  job_running_ = false;
+  if (job->write && job->error.error != 0) {
     Log(Level::kWarn, "state-not-written",
-        {{"path", path_}, {"step", job->fault.what}, {"why", std::strerror(job->fault.error)}});
+        {{"path", path_}, {"step", job->error.what}, {"why", std::strerror(job->error.error)}});
   }
   if (!job->write && job->read && *job->read != last_ && !pending_) {
     last_ = *job->read;
     if (polling_) changed_(last_);
   }
   delete job;
-  if (pending_) Start();
+  if (pending_) StartJob();
 }
 
 void StateFile::Watch(unsigned interval_ms) {
@@ -101,13 +101,13 @@
   uv_fs_poll_start(
       &poll_,
       [](uv_fs_poll_t* p, int status, const uv_stat_t*, const uv_stat_t*) {
-        if (status == 0) static_cast<StateFile*>(p->data)->Look();
+        if (status == 0) static_cast<StateFile*>(p->data)->OnFileChanged();
       },
       path_.c_str(), interval_ms);
 }
 
-void StateFile::Look() {
-  if (!busy_) Start();
+void StateFile::OnFileChanged() {
+  if (!job_running_) StartJob();
 }
 
 void StateFile::Close() {
--- a/src/base/state_file.h
+++ b/src/base/state_file.h
@@ -1,4 +1,4 @@
-// A small file in $TMPDIR that one process hands to the next over a hot restart: replaced whole off the
+// A small file in $TMPDIR that one process hands to the next over a hot restart: replaced as a whole off the
 // loop's thread, watched for what another process wrote into it. The loop never waits for it.
 #pragma once
 
@@ -12,7 +12,7 @@
 
 class StateFile {
  public:
-  // `path` empty: off. `changed` is called on the loop with the file's whole text when another writer has
+  // `path` empty: off. `changed` is called on the loop with all of the file's text when another writer has
   // replaced it.
   StateFile(uv_loop_t* loop, std::string path, std::function<void(const std::string&)> changed);
   bool on() const { return !path_.empty(); }
@@ -26,14 +26,14 @@
 
  private:
   struct Job;
-  void Start();
-  void Finished(Job* job);
-  void Look();
+  void StartJob();
+  void OnJobDone(Job* job);
+  void OnFileChanged();
 
   uv_loop_t* loop_;
   std::string path_;
   std::function<void(const std::string&)> changed_;
-  bool busy_ = false;
+  bool job_running_ = false;
   std::optional<std::string> pending_;
   std::string last_;  // what this process last wrote or read: a change to anything else is another's
   uv_fs_poll_t poll_{};
--- a/src/base/tcp.cpp
+++ b/src/base/tcp.cpp
@@ -12,11 +12,11 @@
 namespace ryeglade {
 namespace {
 
-// libuv asks for room and hands it back filled within one call, so all sockets share one piece.
-constexpr std::size_t kReadRoom = std::size_t{64} * 1024;
-std::array<char, kReadRoom>& ReadRoom() {
-  static std::array<char, kReadRoom> room;
-  return room;
+// libuv asks for a buffer and returns it filled within one call, so all sockets share one.
+constexpr std::size_t kReadBufferSize = std::size_t{64} * 1024;
+std::array<char, kReadBufferSize>& ReadBuffer() {
+  static std::array<char, kReadBufferSize> buffer;
+  return buffer;
 }
 
 }  // namespace
@@ -81,7 +81,7 @@
   uv_read_start(
       stream(),
       [](uv_handle_t*, std::size_t, uv_buf_t* buf) {
-        *buf = uv_buf_init(ReadRoom().data(), static_cast<unsigned>(ReadRoom().size()));
+        *buf = uv_buf_init(ReadBuffer().data(), static_cast<unsigned>(ReadBuffer().size()));
       },
       [](uv_stream_t* s, ssize_t n, const uv_buf_t* buf) {
         Tcp* tcp = static_cast<Tcp*>(s->data);
@@ -96,7 +96,7 @@
 
 bool Tcp::Write(std::initializer_list<std::string_view> parts) {
   if (closing_) return false;
-  std::size_t taken = 0;
+  std::size_t written = 0;
   if (unsent() == 0) {
     std::vector<uv_buf_t> bufs;
     bufs.reserve(parts.size());
@@ -105,11 +105,11 @@
     }
     const int n = uv_try_write(stream(), bufs.data(), static_cast<unsigned>(bufs.size()));
     if (n < 0 && n != UV_EAGAIN) return false;
-    if (n > 0) taken = static_cast<std::size_t>(n);
+    if (n > 0) written = static_cast<std::size_t>(n);
   }
   for (std::string_view part : parts) {
-    const std::size_t skip = std::min(taken, part.size());
-    taken -= skip;
+    const std::size_t skip = std::min(written, part.size());
+    written -= skip;
     part.remove_prefix(skip);
     if (!queued_.Append(part)) return false;
   }
@@ -158,7 +158,7 @@
   setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
 }
 
-bool Tcp::Quiet() const {
+bool Tcp::NothingToRead() const {
   uv_os_fd_t fd = -1;
   char byte = 0;
   if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&tcp_), &fd) != 0) return false;
--- a/src/base/tcp.h
+++ b/src/base/tcp.h
@@ -35,7 +35,7 @@
   void Read();
   void StopReading() { uv_read_stop(stream()); }
   // Writes at once what the kernel takes and keeps the rest; false: the connection is broken or the pool is
-  // spent, and the owner should close.
+  // exhausted, and the owner should close.
   bool Write(std::string_view bytes) { return Write({bytes}); }
   bool Write(std::initializer_list<std::string_view> parts);
   // Bytes that the kernel has not taken yet. libuv reports a write as done only on a later turn of its loop;
@@ -44,7 +44,7 @@
   sockaddr_storage Peer() const;   // all zero: not known
   sockaddr_storage Local() const;  // the same of this end
   void Reset();                    // Close sends a reset, and drops what is unsent
-  bool Quiet() const;              // nothing waits to be read, neither bytes nor the end
+  bool NothingToRead() const;      // nothing waits to be read, neither bytes nor the end
   bool PeerClosed() const;         // the peer has closed or reset, whether or not bytes wait to be read
   void EndWriting();               // a FIN after all that was written
   void Close();                    // the object is gone once the loop has closed the socket
--- a/src/base/text_table.cpp
+++ b/src/base/text_table.cpp
@@ -16,13 +16,13 @@
 }
 
 template <class T>
-const T& Find(const TextTable& sheet, const std::string& name, const char* kind) {
-  for (const Column& c : sheet.columns) {
+const T& FindColumn(const TextTable& table, const std::string& name, const char* kind) {
+  for (const Column& c : table.columns) {
     if (c.name != name) continue;
     if (const auto* values = std::get_if<T>(&c.values)) return *values;
-    throw std::runtime_error("table " + sheet.name + ": column " + name + " does not hold " + kind);
+    throw std::runtime_error("table " + table.name + ": column " + name + " does not hold " + kind);
   }
-  throw std::runtime_error("table " + sheet.name + ": there is no column " + name);
+  throw std::runtime_error("table " + table.name + ": there is no column " + name);
 }
 
 }  // namespace
@@ -32,23 +32,23 @@
 }
 
 const Numbers& TextTable::NumbersOf(const std::string& column) const {
-  return Find<Numbers>(*this, column, "numbers");
+  return FindColumn<Numbers>(*this, column, "numbers");
 }
 const Wholes& TextTable::WholesOf(const std::string& column) const {
-  return Find<Wholes>(*this, column, "whole numbers");
+  return FindColumn<Wholes>(*this, column, "whole numbers");
 }
 const Texts& TextTable::TextsOf(const std::string& column) const {
-  return Find<Texts>(*this, column, "words");
+  return FindColumn<Texts>(*this, column, "words");
 }
 
-std::string Csv(const TextTable& sheet) {
+std::string Csv(const TextTable& table) {
   std::string out;
-  for (std::size_t c = 0; c < sheet.columns.size(); ++c) out += (c > 0 ? "," : "") + sheet.columns[c].name;
+  for (std::size_t c = 0; c < table.columns.size(); ++c) out += (c > 0 ? "," : "") + table.columns[c].name;
   out += '\n';
-  for (std::size_t row = 0; row < sheet.rows(); ++row) {
-    for (std::size_t c = 0; c < sheet.columns.size(); ++c) {
+  for (std::size_t row = 0; row < table.rows(); ++row) {
+    for (std::size_t c = 0; c < table.columns.size(); ++c) {
       if (c > 0) out += ',';
-      const auto& values = sheet.columns[c].values;
+      const auto& values = table.columns[c].values;
       if (const auto* n = std::get_if<Numbers>(&values)) {
         if (!std::isnan((*n)[row])) out += fmt::format("{:.6g}", (*n)[row]);
       } else if (const auto* w = std::get_if<Wholes>(&values)) {
--- a/src/base/text_table.h
+++ b/src/base/text_table.h
@@ -29,28 +29,30 @@
 };
 
 // A NaN is an empty field; words that need it are quoted.
-std::string Csv(const TextTable& sheet);
+std::string Csv(const TextTable& table);
 
 // Adds rows field by field, in the order of the columns.
 class Rows {
  public:
-  Rows(std::string name, std::vector<Column> columns) : sheet_{std::move(name), std::move(columns)} {}
+  Rows(std::string name, std::vector<Column> columns) : table_{std::move(name), std::move(columns)} {}
   template <class... T>
   void Add(T... fields) {
     std::size_t at = 0;
-    (One(at++, fields), ...);
+    (Append(at++, fields), ...);
   }
-  TextTable Take() { return std::move(sheet_); }
+  TextTable Take() { return std::move(table_); }
 
  private:
-  void One(std::size_t at, double v) { std::get<Numbers>(sheet_.columns[at].values).push_back(v); }
-  void One(std::size_t at, const std::string& v) { std::get<Texts>(sheet_.columns[at].values).push_back(v); }
-  void One(std::size_t at, const char* v) { std::get<Texts>(sheet_.columns[at].values).emplace_back(v); }
+  void Append(std::size_t at, double v) { std::get<Numbers>(table_.columns[at].values).push_back(v); }
+  void Append(std::size_t at, const std::string& v) {
+    std::get<Texts>(table_.columns[at].values).push_back(v);
+  }
+  void Append(std::size_t at, const char* v) { std::get<Texts>(table_.columns[at].values).emplace_back(v); }
   template <std::integral T>
-  void One(std::size_t at, T v) {
-    std::get<Wholes>(sheet_.columns[at].values).push_back(static_cast<std::int64_t>(v));
+  void Append(std::size_t at, T v) {
+    std::get<Wholes>(table_.columns[at].values).push_back(static_cast<std::int64_t>(v));
   }
-  TextTable sheet_;
+  TextTable table_;
 };
 
 }  // namespace ryeglade
--- a/src/base/untrusted_fields.h
+++ b/src/base/untrusted_fields.h
@@ -1,5 +1,5 @@
 // Reads a MessagePack array from a peer field by field. Every type, range and length is checked; what does
-// not hold is thrown as BadField with a reason word: malformed or range.
+// not hold is thrown as BadField with a reason: malformed or range.
 #pragma once
 
 #include <algorithm>
@@ -19,28 +19,28 @@
  public:
   explicit UntrustedFields(const msgpack::object& o) {
     if (o.type != msgpack::type::ARRAY) throw BadField("malformed");
-    at_ = o.via.array.ptr;
-    left_ = o.via.array.size;
+    next_ = o.via.array.ptr;
+    remaining_ = o.via.array.size;
   }
   const msgpack::object& Next() {
-    if (left_ == 0) throw BadField("malformed");
-    --left_;
-    return *at_++;
+    if (remaining_ == 0) throw BadField("malformed");
+    --remaining_;
+    return *next_++;
   }
-  std::uint64_t Number(std::uint64_t most) {
+  std::uint64_t Number(std::uint64_t max) {
     const msgpack::object& o = Next();
     if (o.type != msgpack::type::POSITIVE_INTEGER) throw BadField("malformed");
-    if (o.via.u64 > most) throw BadField("range");
+    if (o.via.u64 > max) throw BadField("range");
     return o.via.u64;
   }
-  // From -most to most.
-  std::int64_t Signed(std::int64_t most) {
+  // From -max to max.
+  std::int64_t Signed(std::int64_t max) {
     const msgpack::object& o = Next();
-    if (o.type == msgpack::type::POSITIVE_INTEGER && o.via.u64 <= static_cast<std::uint64_t>(most))
+    if (o.type == msgpack::type::POSITIVE_INTEGER && o.via.u64 <= static_cast<std::uint64_t>(max))
       return static_cast<std::int64_t>(o.via.u64);
     if (o.type != msgpack::type::NEGATIVE_INTEGER && o.type != msgpack::type::POSITIVE_INTEGER)
       throw BadField("malformed");
-    if (o.type == msgpack::type::POSITIVE_INTEGER || o.via.i64 < -most) throw BadField("range");
+    if (o.type == msgpack::type::POSITIVE_INTEGER || o.via.i64 < -max) throw BadField("range");
     return o.via.i64;
   }
   bool Flag() {
@@ -54,20 +54,20 @@
     return {o.via.bin.ptr, o.via.bin.size};
   }
   // Letters that can be shown: what a peer is called goes into logs and terminals.
-  std::string Text(std::size_t least, std::size_t most) {
+  std::string Text(std::size_t min, std::size_t max) {
     const msgpack::object& o = Next();
     if (o.type != msgpack::type::STR) throw BadField("malformed");
-    if (o.via.str.size < least || o.via.str.size > most) throw BadField("range");
+    if (o.via.str.size < min || o.via.str.size > max) throw BadField("range");
     std::string text(o.via.str.ptr, o.via.str.size);
     if (std::any_of(text.begin(), text.end(), [](char c) { return c <= 0x20 || c == 0x7f; }))
       throw BadField("range");
     return text;
   }
-  std::size_t left() const { return left_; }
+  std::size_t remaining() const { return remaining_; }
 
  private:
-  const msgpack::object* at_;
-  std::uint32_t left_;
+  const msgpack::object* next_;
+  std::uint32_t remaining_;
 };
 
 }  // namespace ryeglade
--- a/src/core/connection_pool.cpp
+++ b/src/core/connection_pool.cpp
@@ -62,7 +62,7 @@
     if (c == nullptr || Now() - c->idle_since < kMinIdleTime) continue;
     // A process that was stopped for a while may look here before the deadline that ends the connection has
     // been swept; a host that has forgotten the connection sends nothing that would show it.
-    if (Now() < c->deadline.at && c->tcp->Quiet()) {
+    if (Now() < c->deadline.at && c->tcp->NothingToRead()) {
       idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(n));
       return handle;
     }
--- a/src/dialects/openai/openai_dialect.cpp
+++ b/src/dialects/openai/openai_dialect.cpp
@@ -16,40 +16,41 @@
 using policy::Outcome;
 using policy::Time;
 
-constexpr std::size_t kMostEvent = std::size_t{256} * 1024;
-constexpr std::size_t kMostErrorBody = std::size_t{16} * 1024;
-constexpr double kMostWait = 3600;  // seconds
+constexpr std::size_t kMaxEvent = std::size_t{256} * 1024;
+constexpr std::size_t kMaxErrorBody = std::size_t{16} * 1024;
+constexpr double kMaxRetryAfterSeconds = 3600;
 
-// Whether the event's JSON tells of an error: a member `error` of its outermost object that is not null, or
+// Whether the event's JSON reports an error: a member `error` of its outermost object that is not null, or
 // the object kind "error". Text of an answer can't fool it: quotes are escaped there.
-bool TellsError(std::string_view data) {
+bool ReportsError(std::string_view data) {
   static constexpr std::string_view kName = "\"error\"";
   std::size_t at = data.find(kName);
   if (at == std::string_view::npos) return false;
   int depth = 0;
-  bool string = false;
+  bool in_string = false;
   std::string_view key;  // of the outermost object, the last one read
-  for (std::size_t i = 0, from = 0; i < data.size(); ++i) {
+  std::size_t string_start = 0;
+  for (std::size_t i = 0; i < data.size(); ++i) {
     const char c = data[i];
-    if (string) {
+    if (in_string) {
       if (c == '\\') ++i;
       if (c != '"') continue;
-      string = false;
+      in_string = false;
       if (depth != 1) continue;
-      const std::string_view word = data.substr(from, i + 1 - from);
+      const std::string_view text = data.substr(string_start, i + 1 - string_start);
       std::size_t next = i + 1;
       while (next < data.size() && data[next] == ' ') ++next;
       const bool is_key = next < data.size() && data[next] == ':';
-      if (!is_key && word == kName && key == "\"object\"") return true;
+      if (!is_key && text == kName && key == "\"object\"") return true;
       if (!is_key) continue;
-      key = word;
-      if (word != kName) continue;
+      key = text;
+      if (text != kName) continue;
       for (++next; next < data.size() && data[next] == ' ';) ++next;
       return data.substr(next, 4) != "null";
     }
     if (c == '"') {
-      string = true;
-      from = i;
+      in_string = true;
+      string_start = i;
     }
     if (c == '{' || c == '[') ++depth;
     if (c == '}' || c == ']') --depth;
@@ -62,24 +63,25 @@
   void OnHeader(const std::string& name, const std::string& value) override {
     if (strcasecmp(name.c_str(), "retry-after") == 0) retry_after_ = ReadRetryAfter(value);
     if (strcasecmp(name.c_str(), "retry-after-ms") == 0) retry_after_ = ReadRetryAfter(value) / 1000;
-    if (strcasecmp(name.c_str(), "x-load-report") == 0) report_ = value;
+    if (strcasecmp(name.c_str(), "x-load-report") == 0) load_report_ = value;
   }
 
   void OnBody(std::string_view bytes) override {
     if (has_event_) return;
-    error_body_.append(bytes.substr(0, kMostErrorBody - std::min(kMostErrorBody, error_body_.size())));
+    error_body_.append(bytes.substr(0, kMaxErrorBody - std::min(kMaxErrorBody, error_body_.size())));
   }
 
   StreamStatus OnStream(std::string_view bytes) override {
     bool progress = false;
     const bool good = events_.Feed(bytes, [&](const EventStream::Event& e) {
       if (!e.has_data) return true;
-      if (e.type == "error" || TellsError(e.data)) return false;
+      if (e.type == "error" || ReportsError(e.data)) return false;
       if (done_) return false;  // nothing comes behind [DONE]
       done_ = e.data == "[DONE]";
-      progress = has_event_ = true;
-      if (const auto kept = FindLastNumber(e.data, "\"cached_tokens\"")) {
-        kept_ = std::isfinite(*kept) && *kept > 0 ? *kept : 0;
+      progress = true;
+      has_event_ = true;
+      if (const auto cached = FindLastNumber(e.data, "\"cached_tokens\"")) {
+        cached_tokens_ = std::isfinite(*cached) && *cached > 0 ? *cached : 0;
       }
       return true;
     });
@@ -93,10 +95,7 @@
   bool has_event() const override { return has_event_; }
 
   ResponseResult Result(int status, bool health_check) const override {
-    if (health_check)
-      return {status == 200                    ? Outcome::kServed
-              : status == 503 || status == 429 ? Outcome::kAtCapacity
-                                               : Outcome::kError};
+    if (health_check) return {HealthOutcome(status)};
     if (status == 200) {
       if (!has_event_) return {Outcome::kError};
       return {done_ ? Outcome::kServed : Outcome::kReset};
@@ -109,15 +108,22 @@
     return {Outcome::kError, false, retry_after_};
   }
 
-  ResponseMetadata Metadata(bool) const override { return {kept_, report_}; }
+  static Outcome HealthOutcome(int status) {
+    if (status == 200) return Outcome::kServed;
+    return status == 503 || status == 429 ? Outcome::kAtCapacity : Outcome::kError;
+  }
+
+  ResponseMetadata Metadata(bool) const override { return {cached_tokens_, load_report_}; }
   std::string error_body() const override { return error_body_; }
 
  private:
-  EventStream events_{kMostEvent};
-  bool has_event_ = false, done_ = false;
-  double kept_ = 0;
+  EventStream events_{kMaxEvent};
+  bool has_event_ = false;
+  bool done_ = false;  // [DONE] has come
+  double cached_tokens_ = 0;
   Time retry_after_ = 0;
-  std::string report_, error_body_;
+  std::string load_report_;
+  std::string error_body_;
 };
 
 }  // namespace
@@ -126,27 +132,29 @@
   double value = 0;
   const auto [end, error] = std::from_chars(seconds.data(), seconds.data() + seconds.size(), value);
   if (error != std::errc() || end != seconds.data() + seconds.size() || !(value > 0)) return 0;
-  return static_cast<Time>(std::llround(std::min(value, kMostWait) * 1e6));
+  return static_cast<Time>(std::llround(std::min(value, kMaxRetryAfterSeconds) * 1e6));
 }
 
-void OpenAiDialect::Prepare(StreamRequest& q) const {
-  if (q.prepared) return;
-  const std::string text = q.body.Text();
-  const openai::Endpoint endpoint =
-      q.target.starts_with("/v1/completions") ? openai::Endpoint::kCompletions : openai::Endpoint::kChat;
+void OpenAiDialect::Prepare(StreamRequest& request) const {
+  if (request.prepared) return;
+  const std::string text = request.body.Text();
+  const openai::Endpoint endpoint = request.target.starts_with("/v1/completions")
+                                        ? openai::Endpoint::kCompletions
+                                        : openai::Endpoint::kChat;
   const openai::BodyResult read = openai::ReadBody(text, endpoint, false);
   if (!read.body) return;  // the replica will say what it thinks of it
   const std::string changed = openai::ForReplica(text, read);
-  q.body.Clear();
-  q.body.Append(changed);
-  q.content_type = "application/json";
+  request.body.Clear();
+  request.body.Append(changed);
+  request.content_type = "application/json";
 }
 
-std::string OpenAiDialect::RequestHead(const StreamRequest& q, const std::string& host, Time) const {
-  return q.method + " " + q.target + " HTTP/1.1\r\nHost: " + host + "\r\nX-Request-Id: " + q.call_id +
-         "\r\nAccept: text/event-stream" + (api_key_.empty() ? "" : "\r\nAuthorization: Bearer " + api_key_) +
-         "\r\nContent-Type: " + (q.content_type.empty() ? "application/json" : q.content_type) +
-         "\r\nContent-Length: " + std::to_string(q.body.size()) + "\r\n\r\n";
+std::string OpenAiDialect::RequestHead(const StreamRequest& request, const std::string& host, Time) const {
+  return request.method + " " + request.target + " HTTP/1.1\r\nHost: " + host +
+         "\r\nX-Request-Id: " + request.call_id + "\r\nAccept: text/event-stream" +
+         (api_key_.empty() ? "" : "\r\nAuthorization: Bearer " + api_key_) +
+         "\r\nContent-Type: " + (request.content_type.empty() ? "application/json" : request.content_type) +
+         "\r\nContent-Length: " + std::to_string(request.body.size()) + "\r\n\r\n";
 }
 
 std::string OpenAiDialect::HealthCheckHead(const std::string& host) const {
--- a/src/dialects/openai/openai_dialect.h
+++ b/src/dialects/openai/openai_dialect.h
@@ -1,7 +1,7 @@
-// The OpenAI-style API as replicas (vLLM and its like) speak it. 429 and 503 turn a request away unseen; 400,
-// 404 and 422 are the client's fault; other statuses failed and may have run. A stream is whole only with
-// both `[DONE]` and its last chunk; an event that holds an error breaks it; comments keep it alive and are no
-// progress.
+// The OpenAI-style API as replicas (vLLM and its like) speak it. 429 and 503 reject a request before it runs;
+// 400, 404 and 422 are the client's fault; other statuses failed and may have run. A stream is complete only
+// with both `[DONE]` and its last chunk; an event that holds an error breaks it; comments keep it alive and
+// are no progress.
 #pragma once
 
 #include <string>
@@ -19,7 +19,7 @@
   // Sees to it that the body asks for a stream and for usage, where a front did not.
   void Prepare(StreamRequest& request) const override;
   std::string RequestHead(const StreamRequest& request, const std::string& host,
-                          policy::Time left) const override;
+                          policy::Time time_left) const override;
   std::string HealthCheckHead(const std::string& host) const override;
   std::unique_ptr<ResponseReader> NewReader() const override;
 
--- a/src/dialects/platform/platform_dialect.cpp
+++ b/src/dialects/platform/platform_dialect.cpp
@@ -12,14 +12,14 @@
 
 using policy::Outcome;
 
-constexpr std::size_t kMostOpening = std::size_t{256} * 1024;  // before there is a whole event
-constexpr std::size_t kTail = 512;  // holds the usage line and the report at a stream's end
+constexpr std::size_t kMaxOpening = std::size_t{256} * 1024;  // bytes before there is a complete event
+constexpr std::size_t kTail = 512;  // bytes; contains the usage line and the report at a stream's end
 
 class Reader : public ResponseReader {
  public:
   void OnHeader(const std::string& name, const std::string& value) override {
     if (strcasecmp(name.c_str(), "x-rejected") == 0) rejected_ = value == "1";
-    if (strcasecmp(name.c_str(), "x-load-report") == 0) report_ = value;
+    if (strcasecmp(name.c_str(), "x-load-report") == 0) load_report_ = value;
   }
 
   void OnBody(std::string_view bytes) override {
@@ -27,18 +27,12 @@
     if (tail_.size() > 2 * kTail) tail_.erase(0, tail_.size() - kTail);
   }
 
-  // Guards against taking noise for a stream: it has begun once a whole event is there. Until then nothing is
-  // passed on, so that another host can still be asked.
+  // Guards against taking noise for a stream: it has begun once a complete event is there. Until then nothing
+  // is passed on, so that another host can still be asked.
   StreamStatus OnStream(std::string_view bytes) override {
     if (has_event_) return StreamStatus::kProgress;
     opening_.append(bytes);
-    if (opening_.size() > kMostOpening) return StreamStatus::kInvalid;
-    static constexpr std::string_view kLines[] = {":", "data:", "event:", "id:", "retry:"};
-    const bool known = std::any_of(std::begin(kLines), std::end(kLines), [&](std::string_view line) {
-      const std::size_t n = std::min(line.size(), opening_.size());
-      return std::string_view(opening_).substr(0, n) == line.substr(0, n);
-    });
-    if (!known) return StreamStatus::kInvalid;
+    if (opening_.size() > kMaxOpening || !BeginsLikeAnEvent()) return StreamStatus::kInvalid;
     has_event_ = opening_.find("\n\n") != std::string::npos || opening_.find("\r\n\r\n") != std::string::npos;
     if (has_event_) opening_ = {};
     return StreamStatus::kProgress;
@@ -48,43 +42,58 @@
 
   ResponseResult Result(int status, bool health_check) const override {
     if (status == 200) return {health_check || has_event_ ? Outcome::kServed : Outcome::kError};
-    const bool away = (status == 503 || status == 504) && rejected_;
-    return {away || (health_check && status == 503) ? Outcome::kAtCapacity : Outcome::kError};
+    const bool rejected_unseen = (status == 503 || status == 504) && rejected_;
+    const bool at_capacity = rejected_unseen || (health_check && status == 503);
+    return {at_capacity ? Outcome::kAtCapacity : Outcome::kError};
   }
 
   ResponseMetadata Metadata(bool health_check) const override {
-    ResponseMetadata notes{FindLastNumber(tail_, "\"cached_tokens\"").value_or(0), report_};
-    // A comment line of the stream's own: the text of an answer holds no bare line break.
+    ResponseMetadata metadata{FindLastNumber(tail_, "\"cached_tokens\"").value_or(0), load_report_};
+    // A comment line of the stream's own: the text of an answer contains no bare line break.
     static constexpr std::string_view kComment = "\n: X-Load-Report:";
     const std::size_t at = tail_.rfind(kComment);
     if (at != std::string::npos) {
       const std::size_t from = at + kComment.size();
-      notes.load_report = tail_.substr(from, tail_.find('\n', from) - from);
+      metadata.load_report = tail_.substr(from, tail_.find('\n', from) - from);
     }
-    if (health_check && notes.load_report.empty()) notes.load_report = tail_;
-    return notes;
+    if (health_check && metadata.load_report.empty()) metadata.load_report = tail_;
+    return metadata;
   }
 
  private:
+  bool BeginsLikeAnEvent() const {
+    static constexpr std::string_view kLineStarts[] = {":", "data:", "event:", "id:", "retry:"};
+    return std::any_of(std::begin(kLineStarts), std::end(kLineStarts), [&](std::string_view start) {
+      const std::size_t n = std::min(start.size(), opening_.size());
+      return std::string_view(opening_).substr(0, n) == start.substr(0, n);
+    });
+  }
+
   bool rejected_ = false;  // X-Rejected: 1
   bool has_event_ = false;
-  std::string report_, opening_, tail_;
+  std::string load_report_;  // of the head
+  std::string opening_;      // what came before there was a complete event
+  std::string tail_;         // the end of what has come
 };
 
 }  // namespace
 
-std::string PlatformDialect::RequestHead(const StreamRequest& q, const std::string& host,
-                                         policy::Time left) const {
+std::string PlatformDialect::RequestHead(const StreamRequest& request, const std::string& host,
+                                         policy::Time time_left) const {
   char budget[32];
-  std::snprintf(budget, sizeof budget, "%.3f", static_cast<double>(std::max<policy::Time>(0, left)) / 1e6);
-  return q.method + " " + q.target + " HTTP/1.1\r\nHost: " + host + "\r\nX-Call-Id: " + q.call_id +
-         "\r\nX-Budget: " + budget + (q.content_type.empty() ? "" : "\r\nContent-Type: " + q.content_type) +
-         "\r\nContent-Length: " + std::to_string(q.body.size()) + "\r\n" + q.forwarded_headers + "\r\n";
+  const double seconds = static_cast<double>(std::max<policy::Time>(0, time_left)) / 1e6;
+  std::snprintf(budget, sizeof budget, "%.3f", seconds);
+  const std::string content_type =
+      request.content_type.empty() ? "" : "\r\nContent-Type: " + request.content_type;
+  return request.method + " " + request.target + " HTTP/1.1\r\nHost: " + host +
+         "\r\nX-Call-Id: " + request.call_id + "\r\nX-Budget: " + budget + content_type +
+         "\r\nContent-Length: " + std::to_string(request.body.size()) + "\r\n" + request.forwarded_headers +
+         "\r\n";
 }
 
 std::string PlatformDialect::HealthCheckHead(const std::string& host) const {
-  return std::string("GET ") + (load_reports_ ? "/_load" : "/ping") + " HTTP/1.1\r\nHost: " + host +
-         "\r\n\r\n";
+  const std::string path = load_reports_ ? "/_load" : "/ping";
+  return "GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
 }
 
 std::unique_ptr<ResponseReader> PlatformDialect::NewReader() const { return std::make_unique<Reader>(); }
--- a/src/dialects/platform/platform_dialect.h
+++ b/src/dialects/platform/platform_dialect.h
@@ -12,7 +12,7 @@
   bool HeadComesWithEvent() const override { return true; }
   void Prepare(StreamRequest&) const override {}
   std::string RequestHead(const StreamRequest& request, const std::string& host,
-                          policy::Time left) const override;
+                          policy::Time time_left) const override;
   std::string HealthCheckHead(const std::string& host) const override;
   std::unique_ptr<ResponseReader> NewReader() const override;
 
--- a/src/fronts/openai/openai_front.cpp
+++ b/src/fronts/openai/openai_front.cpp
@@ -112,7 +112,7 @@
 
 // ---- Answers that this side gives ----
 
-void OpenAiFront::Dress(int status, std::string& headers, std::string& body) {
+void OpenAiFront::FormatError(int status, std::string& headers, std::string& body) {
   const ApiError e = ErrorOfStatus(status);
   headers = "x-request-id: req_" + NewId() + "\r\n" + kJson + RetryHeaders(e.retry_after);
   body = ErrorJson(e);
@@ -164,7 +164,7 @@
   if (!o.begun) return Error(connection, e, o.headers);
   Log(Level::kWarn, "stream-ended", {{"why", e.code}, {"id", o.request_id}});
   downstream_->Chunk(connection, "event: error\ndata: " + ErrorJson(e) + "\n\n");
-  downstream_->EndBroken(connection);
+  downstream_->EndTruncated(connection);
 }
 
 // ---- Requests ----
@@ -303,7 +303,7 @@
     return reject({404, "invalid_request_error", "model_not_found",
                    fmt::format("The model '{}' does not exist.", body.model.substr(0, 100)), "model", 0});
   }
-  if (core_->buffers->Scarce()) return reject(ErrorOfStatus(503));
+  if (core_->buffers->NearlyExhausted()) return reject(ErrorOfStatus(503));
 
   const double size = sizes_.Of(model->id);
   const double prompt = std::ceil(static_cast<double>(body.prompt_chars) / size);
@@ -361,13 +361,13 @@
   if (const auto it = open_.find(connection); it != open_.end()) it->second.stream = handle;
 }
 
-void OpenAiFront::OnGone(Handle connection) {
+void OpenAiFront::OnClientDisconnected(Handle connection) {
   if (!open_.contains(connection)) return;
   const Open o = Settle(connection, Column::kClientLeft);
   streams_->OnClientDisconnected(o.stream);
 }
 
-void OpenAiFront::OnFlow(Handle connection, bool congested) {
+void OpenAiFront::OnBackpressure(Handle connection, bool congested) {
   const auto it = open_.find(connection);
   if (it != open_.end()) streams_->SetPaused(it->second.stream, congested);
 }
--- a/src/fronts/openai/openai_front.h
+++ b/src/fronts/openai/openai_front.h
@@ -34,9 +34,9 @@
   const limits::Limits& limits() const { return limits_; }
 
   void OnRequest(Handle connection, HttpRequest request) override;
-  void OnGone(Handle connection) override;
-  void OnFlow(Handle connection, bool congested) override;
-  void Dress(int status, std::string& headers, std::string& body) override;
+  void OnClientDisconnected(Handle connection) override;
+  void OnBackpressure(Handle connection, bool congested) override;
+  void FormatError(int status, std::string& headers, std::string& body) override;
 
   bool Connected(Handle connection) const override { return downstream_->Connected(connection); }
   void OnData(Handle connection, std::string_view events) override;
--- a/src/fronts/platform/platform_front.cpp
+++ b/src/fronts/platform/platform_front.cpp
@@ -16,72 +16,73 @@
 namespace ryeglade {
 namespace {
 
-constexpr const char* kPath = "/v1/chat/completions";
-constexpr const char* kHealth = "/_health";
-constexpr double kMostBudget = 3600;
+constexpr const char* kCompletionsPath = "/v1/chat/completions";
+constexpr const char* kHealthPath = "/_health";
+constexpr double kMaxBudgetSeconds = 3600;
 constexpr double kCharsPerToken = 4;
 
 // Fields that this front reads or whose value the node writes anew.
-const std::vector<std::string_view>& OwnFields() {
+const std::vector<std::string_view>& FieldsReadHere() {
   static const std::vector<std::string_view> names = {"x-call-id", "x-call-class", "x-route-hash",
                                                       "x-budget",  "x-call-info",  "x-call-cost",
                                                       "x-again",   "content-type"};
   return names;
 }
 
-bool Hex(std::string_view text, std::uint64_t* value) {
+bool ParseHex(std::string_view text, std::uint64_t* value) {
   if (text.empty() || text.size() > 16) return false;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), *value, 16);
   return error == std::errc() && end == text.data() + text.size();
 }
 
-// A name that is not a hexadecimal number is as good a name.
-std::uint64_t Name(std::string_view text) {
+// A key that is not a hexadecimal number is as good a key.
+std::uint64_t KeyOf(std::string_view text) {
   std::uint64_t value = 0;
-  if (Hex(text, &value)) return value;
+  if (ParseHex(text, &value)) return value;
   value = 14695981039346656037ULL;  // FNV-1a
   for (const char c : text) value = (value ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
   return value;
 }
 
-bool Amount(std::string_view text, double most, double* value) {
+// False: not a number from 0 to `max`.
+bool ParseAmount(std::string_view text, double max, double* value) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), *value);
-  return error == std::errc() && end == text.data() + text.size() && *value >= 0 && *value <= most;
+  return error == std::errc() && end == text.data() + text.size() && *value >= 0 && *value <= max;
 }
 
 }  // namespace
 
 void PlatformFront::OnRequest(Handle connection, HttpRequest request) {
   const std::string_view path = request.Path();
-  if (path == kHealth) return Health(connection, request);
-  if (path != kPath) return Local(connection, 404, "path");
-  if (request.method != "POST") return Local(connection, 405, "method", "Allow: POST\r\n");
-  if (!request.http11) return Local(connection, 505, "version");
+  if (path == kHealthPath) return ReplyHealth(connection, request);
+  if (path != kCompletionsPath) return ReplyLocally(connection, 404, "path");
+  if (request.method != "POST") return ReplyLocally(connection, 405, "method", "Allow: POST\r\n");
+  if (!request.http11) return ReplyLocally(connection, 505, "version");
 
   StreamRequest stream{{}, {}, {}, {}, BufferChain(core_->buffers), {}, 0};
-  if (const char* wrong = Read(request, stream)) {
+  if (const char* malformed = ReadHeaders(request, stream)) {
     // Guards against reading on behind a request of which it is not sure what it says.
-    if (std::string_view(wrong) != "X-Call-Class") downstream_->CloseAfter(connection);
-    return Local(connection, 400, wrong);
+    if (std::string_view(malformed) != "X-Call-Class") downstream_->CloseAfter(connection);
+    return ReplyLocally(connection, 400, malformed);
   }
   // Two upstream requests under one id would be two attempts out at once.
-  if (ids_.contains(stream.call_id)) return Local(connection, 409, "open-id");
-  if (core_->buffers->Scarce()) return Local(connection, 503, "memory", "Retry-After: 1\r\n");
+  if (call_ids_.contains(stream.call_id)) return ReplyLocally(connection, 409, "open-id");
+  if (core_->buffers->NearlyExhausted()) return ReplyLocally(connection, 503, "memory", "Retry-After: 1\r\n");
   stream.method = request.method;
   stream.target = request.target;
   if (const std::string* type = request.Header("content-type")) stream.content_type = *type;
   stream.body = std::move(request.body);
   // Guarded classes' replicas know repeats by a header of the client's, whose name no page tells.
-  stream.forwarded_headers = FieldLines(EndToEndFields(request.headers, OwnFields()));
+  stream.forwarded_headers = FieldLines(EndToEndFields(request.headers, FieldsReadHere()));
   stream.received_at = request.first_byte;
-  ids_.insert(stream.call_id);
-  open_[connection] = {0, stream.call_id, false};
+  call_ids_.insert(stream.call_id);
+  requests_[connection] = {0, stream.call_id, false};
   const Handle handle = streams_->Open(std::move(stream), this, connection);
   // It may be answered already, and the connection on to its next request.
-  if (streams_->Find(handle) != nullptr) open_[connection].stream = handle;
+  if (streams_->Find(handle) != nullptr) requests_[connection].stream = handle;
 }
 
-const char* PlatformFront::Read(const HttpRequest& request, StreamRequest& stream) const {
+const char* PlatformFront::ReadHeaders(const HttpRequest& request, StreamRequest& stream) const {
   policy::RequestArrived& a = stream.arrival;
   const auto text = [&](const char* name) -> std::string_view {
     const std::string* value = request.Header(name);
@@ -96,17 +97,17 @@
     }
   }
   std::uint64_t id = 0;
-  if (!Hex(text("x-call-id"), &id)) return "X-Call-Id";
+  if (!ParseHex(text("x-call-id"), &id)) return "X-Call-Id";
   stream.call_id = text("x-call-id");
 
   a.class_index = core_->config->ClassIndex(text("x-call-class"));
   if (a.class_index < 0 || text("x-call-class").empty()) return "X-Call-Class";
 
   double budget = 0;
-  if (!Amount(text("x-budget"), kMostBudget, &budget)) return "X-Budget";
+  if (!ParseAmount(text("x-budget"), kMaxBudgetSeconds, &budget)) return "X-Budget";
   a.time_budget = static_cast<Time>(std::llround(budget * 1e6));
 
-  if (!text("x-route-hash").empty()) a.session = Name(text("x-route-hash"));
+  if (!text("x-route-hash").empty()) a.session = KeyOf(text("x-route-hash"));
   a.prompt_tokens = static_cast<double>(request.body.size()) / kCharsPerToken;
   std::string_view info = text("x-call-info");
   while (!info.empty()) {
@@ -115,58 +116,61 @@
     while (!item.empty() && item.front() == ' ') item.remove_prefix(1);
     const std::size_t eq = item.find('=');
     if (eq == std::string_view::npos) return "X-Call-Info";
-    const std::string_view key = item.substr(0, eq), value = item.substr(eq + 1);
+    const std::string_view key = item.substr(0, eq);
+    const std::string_view value = item.substr(eq + 1);
     bool good = true;
-    if (key == "prefix") a.prefix = Name(value);
-    if (key == "prompt_len") good = Amount(value, 1e9, &a.prompt_tokens);
-    if (key == "prefix_len") good = Amount(value, 1e9, &a.prefix_tokens);
-    if (key == "max_out") good = Amount(value, 1e9, &a.max_answer_tokens);
+    if (key == "prefix") a.prefix = KeyOf(value);
+    if (key == "prompt_len") good = ParseAmount(value, 1e9, &a.prompt_tokens);
+    if (key == "prefix_len") good = ParseAmount(value, 1e9, &a.prefix_tokens);
+    if (key == "max_out") good = ParseAmount(value, 1e9, &a.max_answer_tokens);
     if (!good) return "X-Call-Info";
   }
   double cost = 0;
-  if (!text("x-call-cost").empty() && !Amount(text("x-call-cost"), 1e12, &cost)) return "X-Call-Cost";
+  if (!text("x-call-cost").empty() && !ParseAmount(text("x-call-cost"), 1e12, &cost)) return "X-Call-Cost";
   a.cost_hint = static_cast<Time>(cost);
   a.client_retry = text("x-again") == "1";
   a.resumed = text("x-again") == "again";
   return nullptr;
 }
 
-void PlatformFront::Health(Handle connection, const HttpRequest& request) {
-  if (request.method != "GET") return Local(connection, 405, "method", "Allow: GET\r\n");
-  const bool well = !downstream_->draining() && core_->discovery->ready();
-  downstream_->Reply(connection, well ? 200 : 503, "Content-Type: text/plain\r\n",
-                     well ? "ok\n" : "not ready\n");
+void PlatformFront::ReplyHealth(Handle connection, const HttpRequest& request) {
+  if (request.method != "GET") return ReplyLocally(connection, 405, "method", "Allow: GET\r\n");
+  const bool healthy = !downstream_->draining() && core_->discovery->ready();
+  downstream_->Reply(connection, healthy ? 200 : 503, "Content-Type: text/plain\r\n",
+                     healthy ? "ok\n" : "not ready\n");
 }
 
-void PlatformFront::Local(Handle connection, int status, const char* why, const std::string& headers) {
-  Log(Level::kWarn, "local-reply", {{"status", status}, {"why", why}});
-  downstream_->Reply(connection, status, headers + "Content-Type: text/plain\r\n", std::string(why) + "\n");
+void PlatformFront::ReplyLocally(Handle connection, int status, const char* reason,
+                                 const std::string& headers) {
+  Log(Level::kWarn, "local-reply", {{"status", status}, {"why", reason}});
+  downstream_->Reply(connection, status, headers + "Content-Type: text/plain\r\n",
+                     std::string(reason) + "\n");
 }
 
 void PlatformFront::Forget(Handle connection) {
-  const auto it = open_.find(connection);
-  if (it == open_.end()) return;
-  ids_.erase(it->second.call_id);
-  open_.erase(it);
+  const auto it = requests_.find(connection);
+  if (it == requests_.end()) return;
+  call_ids_.erase(it->second.call_id);
+  requests_.erase(it);
 }
 
-void PlatformFront::OnGone(Handle connection) {
-  const auto it = open_.find(connection);
-  if (it == open_.end()) return;
+void PlatformFront::OnClientDisconnected(Handle connection) {
+  const auto it = requests_.find(connection);
+  if (it == requests_.end()) return;
   const Handle stream = it->second.stream;
   Forget(connection);
   streams_->OnClientDisconnected(stream);
 }
 
-void PlatformFront::OnFlow(Handle connection, bool congested) {
-  const auto it = open_.find(connection);
-  if (it != open_.end()) streams_->SetPaused(it->second.stream, congested);
+void PlatformFront::OnBackpressure(Handle connection, bool congested) {
+  const auto it = requests_.find(connection);
+  if (it != requests_.end()) streams_->SetPaused(it->second.stream, congested);
 }
 
 void PlatformFront::OnData(Handle connection, std::string_view events) {
-  const auto it = open_.find(connection);
-  if (it == open_.end()) return;
-  if (!std::exchange(it->second.begun, true)) {
+  const auto it = requests_.find(connection);
+  if (it == requests_.end()) return;
+  if (!std::exchange(it->second.response_begun, true)) {
     downstream_->BeginChunks(connection, "Content-Type: text/event-stream\r\nCache-Control: no-cache\r\n");
   }
   downstream_->Chunk(connection, events);
@@ -183,8 +187,8 @@
 }
 
 void PlatformFront::OnRejected(Handle connection, Time retry_after) {
-  const auto it = open_.find(connection);
-  if (it == open_.end()) return;
+  const auto it = requests_.find(connection);
+  if (it == requests_.end()) return;
   Log(Level::kWarn, "local-reply", {{"status", 503}, {"why", "refused"}, {"id", it->second.call_id}});
   Forget(connection);
   char after[48] = "";
@@ -195,8 +199,8 @@
 }
 
 void PlatformFront::OnFailed(Handle connection, policy::Outcome) {
-  const auto it = open_.find(connection);
-  if (it == open_.end()) return;
+  const auto it = requests_.find(connection);
+  if (it == requests_.end()) return;
   Log(Level::kWarn, "local-reply", {{"status", 502}, {"why", "failed"}, {"id", it->second.call_id}});
   Forget(connection);
   downstream_->Reply(connection, 502, "", "");
--- a/src/fronts/platform/platform_front.h
+++ b/src/fronts/platform/platform_front.h
@@ -15,11 +15,11 @@
 class PlatformFront : public Front, public StreamSink {
  public:
   PlatformFront(Core* core, Streams* streams) : core_(core), streams_(streams) {}
-  void Use(Downstream* downstream) { downstream_ = downstream; }
+  void SetDownstream(Downstream* downstream) { downstream_ = downstream; }
 
   void OnRequest(Handle connection, HttpRequest request) override;
-  void OnGone(Handle connection) override;
-  void OnFlow(Handle connection, bool congested) override;
+  void OnClientDisconnected(Handle connection) override;
+  void OnBackpressure(Handle connection, bool congested) override;
 
   bool Connected(Handle connection) const override { return downstream_->Connected(connection); }
   void OnData(Handle connection, std::string_view events) override;
@@ -30,23 +30,23 @@
   void OnRequestRefused(Handle connection, int status, const std::string& body) override;
 
  private:
-  struct Open {
-    Handle stream = 0;
+  struct Request {
+    Handle stream = 0;  // 0: not open yet, or concluded already
     std::string call_id;
-    bool begun = false;
+    bool response_begun = false;
   };
 
-  void Health(Handle connection, const HttpRequest& request);
-  void Local(Handle connection, int status, const char* why, const std::string& headers = "");
-  // Fills what the headers tell; the name of the header that is malformed, or null.
-  const char* Read(const HttpRequest& request, StreamRequest& stream) const;
+  void ReplyHealth(Handle connection, const HttpRequest& request);
+  void ReplyLocally(Handle connection, int status, const char* reason, const std::string& headers = "");
+  // Fills in what the headers say; the name of a header that is malformed, or null.
+  const char* ReadHeaders(const HttpRequest& request, StreamRequest& stream) const;
   void Forget(Handle connection);
 
   Core* core_;
   Streams* streams_;
   Downstream* downstream_ = nullptr;
-  std::unordered_map<Handle, Open> open_;  // by connection
-  std::unordered_set<std::string> ids_;    // of the streams open now
+  std::unordered_map<Handle, Request> requests_;  // that are open now, by connection
+  std::unordered_set<std::string> call_ids_;      // of these
 };
 
 }  // namespace ryeglade
--- a/src/gossip/gossip_message_codec.cpp
+++ b/src/gossip/gossip_message_codec.cpp
@@ -30,8 +30,8 @@
 }
 
 std::size_t Upto(const Fields& list, std::size_t most) {
-  if (list.left() > most) throw Bad("range");
-  return list.left();
+  if (list.remaining() > most) throw Bad("range");
+  return list.remaining();
 }
 
 }  // namespace
--- a/src/http/arrival_log.h
+++ b/src/http/arrival_log.h
@@ -12,10 +12,10 @@
 
 class ArrivalLog {
  public:
-  static constexpr std::size_t kMostEntries = 64;
+  static constexpr std::size_t kMaxEntries = 64;
 
   void Add(std::size_t bytes, Time now) {
-    if (reads_.size() == kMostEntries) {
+    if (reads_.size() == kMaxEntries) {
       reads_.back().bytes += bytes;
     } else {
       reads_.push_back({bytes, now});
@@ -23,7 +23,7 @@
   }
 
   // The next so many bytes are parsed.
-  void Take(std::size_t bytes) {
+  void Consume(std::size_t bytes) {
     while (bytes > 0 && !reads_.empty()) {
       const std::size_t n = std::min(bytes, reads_.front().bytes);
       bytes -= n;
--- a/src/http/blocking_client.cpp
+++ b/src/http/blocking_client.cpp
@@ -16,11 +16,11 @@
 namespace ryeglade {
 namespace {
 
-constexpr std::size_t kMostBody = std::size_t{16} << 20;
+constexpr std::size_t kMaxBody = std::size_t{16} << 20;
 
 struct Parsed {
-  HttpResponse answer;
-  bool whole = false;
+  HttpResponse response;
+  bool complete = false;
 };
 
 struct Socket {
@@ -30,34 +30,35 @@
 
 }  // namespace
 
-HttpResponse BlockingHttpCall(const std::string& who, const std::string& at, const std::string& method,
-                              const std::string& path, const std::string& body, int patience_ms,
-                              const std::string& from) {
+HttpResponse BlockingHttpCall(const std::string& server, const std::string& address,
+                              const std::string& method, const std::string& path, const std::string& body,
+                              int timeout_ms, const std::string& from) {
   sockaddr_storage to{};
-  if (!ParseAddress(at, &to)) throw std::runtime_error(who + " " + at + " is not an ip:port");
-  const auto gone = [&](const char* step, int error) {
-    return std::runtime_error(who + " " + at + " gave no answer: " + step + ": " + std::strerror(error));
+  if (!ParseAddress(address, &to)) throw std::runtime_error(server + " " + address + " is not an ip:port");
+  const auto error_at = [&](const char* step, int error) {
+    return std::runtime_error(server + " " + address + " gave no answer: " + step + ": " +
+                              std::strerror(error));
   };
-  const auto began = std::chrono::steady_clock::now();
+  const auto started_at = std::chrono::steady_clock::now();
   const Socket s{socket(to.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0)};
-  if (s.fd < 0) throw gone("socket", errno);
-  const timeval patience{patience_ms / 1000, patience_ms % 1000 * 1000L};
-  setsockopt(s.fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
-  setsockopt(s.fd, SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
-  sockaddr_storage mine{};
+  if (s.fd < 0) throw error_at("socket", errno);
+  const timeval timeout{timeout_ms / 1000, timeout_ms % 1000 * 1000L};
+  setsockopt(s.fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  setsockopt(s.fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
+  sockaddr_storage source{};
   if (!from.empty()) {
-    if (!ParseAddress(from + ":0", &mine)) throw std::runtime_error(from + " is not an address");
-    const auto* own = reinterpret_cast<const sockaddr*>(&mine);
-    if (bind(s.fd, own, LengthOf(own)) != 0) throw gone("bind", errno);
+    if (!ParseAddress(from + ":0", &source)) throw std::runtime_error(from + " is not an address");
+    const auto* own = reinterpret_cast<const sockaddr*>(&source);
+    if (bind(s.fd, own, LengthOf(own)) != 0) throw error_at("bind", errno);
   }
   const auto* peer = reinterpret_cast<const sockaddr*>(&to);
-  if (connect(s.fd, peer, LengthOf(peer)) != 0) throw gone("connect", errno);
+  if (connect(s.fd, peer, LengthOf(peer)) != 0) throw error_at("connect", errno);
   const std::string request =
-      method + " " + path + " HTTP/1.1\r\nHost: " + at + "\r\nConnection: close\r\n" +
+      method + " " + path + " HTTP/1.1\r\nHost: " + address + "\r\nConnection: close\r\n" +
       (method == "GET" ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n") + "\r\n" + body;
   for (std::size_t sent = 0; sent < request.size();) {
     const ssize_t n = send(s.fd, request.data() + sent, request.size() - sent, MSG_NOSIGNAL);
-    if (n <= 0) throw gone("send", errno);
+    if (n <= 0) throw error_at("send", errno);
     sent += static_cast<std::size_t>(n);
   }
   Parsed parsed;
@@ -66,27 +67,27 @@
   parser.data = &parsed;
   http_parser_settings callbacks;
   http_parser_settings_init(&callbacks);
-  callbacks.on_body = [](http_parser* p, const char* piece, std::size_t n) {
-    std::string& text = static_cast<Parsed*>(p->data)->answer.body;
-    text.append(piece, n);
-    return text.size() > kMostBody ? 1 : 0;
+  callbacks.on_body = [](http_parser* p, const char* bytes, std::size_t n) {
+    std::string& text = static_cast<Parsed*>(p->data)->response.body;
+    text.append(bytes, n);
+    return text.size() > kMaxBody ? 1 : 0;
   };
   callbacks.on_message_complete = [](http_parser* p) {
-    static_cast<Parsed*>(p->data)->whole = true;
+    static_cast<Parsed*>(p->data)->complete = true;
     return 0;
   };
-  char piece[16384];
-  while (!parsed.whole) {
-    const ssize_t n = recv(s.fd, piece, sizeof piece, 0);
-    if (n < 0) throw gone("read", errno);
-    http_parser_execute(&parser, &callbacks, piece, static_cast<std::size_t>(n));
+  char bytes[16384];
+  while (!parsed.complete) {
+    const ssize_t n = recv(s.fd, bytes, sizeof bytes, 0);
+    if (n < 0) throw error_at("read", errno);
+    http_parser_execute(&parser, &callbacks, bytes, static_cast<std::size_t>(n));
     if (n == 0 || HTTP_PARSER_ERRNO(&parser) != HPE_OK) break;
-    if (std::chrono::steady_clock::now() - began > std::chrono::milliseconds(2 * patience_ms))
-      throw gone("read", ETIMEDOUT);
+    if (std::chrono::steady_clock::now() - started_at > std::chrono::milliseconds(2 * timeout_ms))
+      throw error_at("read", ETIMEDOUT);
   }
-  if (!parsed.whole) throw std::runtime_error(who + " " + at + " is none of a node");
-  parsed.answer.status = parser.status_code;
-  return parsed.answer;
+  if (!parsed.complete) throw std::runtime_error(server + " " + address + " is none of a node");
+  parsed.response.status = parser.status_code;
+  return parsed.response;
 }
 
 }  // namespace ryeglade
--- a/src/http/blocking_client.h
+++ b/src/http/blocking_client.h
@@ -1,4 +1,4 @@
-// One call over HTTP/1.1 that waits for its answer: for commands, and for what runs beside a loop.
+// One HTTP/1.1 request that waits for its response: for commands, and for what runs beside a loop.
 #pragma once
 
 #include <string>
@@ -10,10 +10,11 @@
   std::string body;
 };
 
-// `from`: the address to call from; empty: the machine's choice. Every step has the same time limit, and the
-// whole of it twice that. Throws std::runtime_error, which says what `who` did not do.
-HttpResponse BlockingHttpCall(const std::string& who, const std::string& at, const std::string& method,
-                              const std::string& path, const std::string& body, int patience_ms,
-                              const std::string& from = "");
+// Asks the server at `address` ("ip:port"), which `server` names in errors. Every step may take `timeout_ms`,
+// and all of them twice that. `from`: the address to connect from; empty: the machine's choice. Throws
+// std::runtime_error, which says what the server did not do.
+HttpResponse BlockingHttpCall(const std::string& server, const std::string& address,
+                              const std::string& method, const std::string& path, const std::string& body,
+                              int timeout_ms, const std::string& from = "");
 
 }  // namespace ryeglade
--- a/src/http/downstream.h
+++ b/src/http/downstream.h
@@ -1,44 +1,33 @@
-// Downstream: the listener and the clients' connections. It speaks HTTP/1.1, one request at a time on a
-// connection, and knows nothing of what the requests mean: a Front does.
+// Downstream: the clients' connections at one address. It speaks HTTP/1.1, one request at a time on a
+// connection, bounds how many there are and how long they may take, and knows nothing of what the requests
+// mean: a Front does.
 #pragma once
 
-#include <http_parser.h>
-
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <string>
 #include <string_view>
-#include <utility>
-#include <vector>
 
-#include "base/listener.h"
 #include "base/runtime.h"
 #include "base/slot_table.h"
 #include "base/tcp.h"
+#include "http/acceptor.h"
 #include "http/arrival_log.h"
 #include "http/close_reason.h"
+#include "http/request_parser.h"
 
 namespace ryeglade {
 
-struct HttpRequest {
-  explicit HttpRequest(BufferPool* pool) : body(pool) {}
-  std::string method, target;
-  std::vector<std::pair<std::string, std::string>> headers;
-  BufferChain body;
-  Time first_byte = 0;
-  bool http11 = true;
-
-  std::string_view Path() const { return std::string_view(target).substr(0, target.find('?')); }
-  const std::string* Header(std::string_view name) const;  // whatever its case; null: absent
-};
-
 class Front {
  public:
   virtual ~Front() = default;
   virtual void OnRequest(Handle connection, HttpRequest request) = 0;
-  virtual void OnGone(Handle connection) = 0;  // the client left while an answer was owed
-  // What HTTP itself found wrong is answered without asking; the front may give that answer its own shape.
-  virtual void Dress(int /*status*/, std::string& /*headers*/, std::string& /*body*/) {}
-  virtual void OnFlow(Handle connection, bool congested) = 0;  // the client does not drain, or does again
+  virtual void OnClientDisconnected(Handle connection) = 0;  // while a response was owed
+  // What HTTP itself found wrong is answered without asking; the front may give that response its own form.
+  virtual void FormatError(int /*status*/, std::string& /*headers*/, std::string& /*body*/) {}
+  // The client leaves unread what it is sent, or reads again.
+  virtual void OnBackpressure(Handle connection, bool congested) = 0;
 };
 
 class Downstream : public TcpOwner {
@@ -47,107 +36,122 @@
     std::string listen;  // ip:port; port 0: the kernel chooses
     // SO_REUSEPORT, so that a new process can listen beside this one during a hot restart.
     bool share_port = false;
-    std::size_t most_sockets = 0;
-    std::size_t most_body = std::size_t{256} * 1024;  // bytes
-    Time read_within = 2'700'000;  // a whole request, from its first byte or the connection's start
-    // Says whether to go on with a client at all; absent: with all.
+    // A tenth of these is for clients that get an answer and no service.
+    std::size_t max_connections = 0;
+    std::size_t max_body = std::size_t{256} * 1024;  // bytes
+    // For a complete request, from its first byte or the connection's start.
+    Time request_timeout = 2'700'000;
+    // Whether to serve a client at this address at all; absent: any.
     std::function<bool(const sockaddr_storage&)> admits;
   };
-  Downstream(const Runtime* run, Front* front, Options options);
+  // Neither `runtime` nor `front` is owned.
+  Downstream(const Runtime* runtime, Front* front, Options options);
 
   std::string Listen();  // the address in use; throws std::runtime_error
   void CheckListen() const { Listener::Check(options_.listen, options_.share_port); }  // throws the same
-  // Answers of the request at hand, one whole or one in chunks.
+
+  // The response to the current request, complete or in chunks. For a connection that is gone, or to which
+  // nothing is owed, these do nothing.
   void Reply(Handle connection, int status, const std::string& headers, std::string_view body);
   void BeginChunks(Handle connection, const std::string& headers);
   void Chunk(Handle connection, std::string_view bytes);
   void EndChunks(Handle connection);
-  sockaddr_storage PeerOf(Handle connection);  // all zero: not known
+  void Abort(Handle connection);                     // closes the connection at once, without the last chunk
+  void EndTruncated(Handle connection);              // the same, once all that was written has gone out
+  void CloseAfter(Handle connection);                // no further request is taken on it
+  sockaddr_storage PeerOf(Handle connection) const;  // all zero: not known
   // False: the client has closed it, whether or not that has been read yet.
   bool Connected(Handle connection) const;
-  void CloseAfter(Handle connection);  // no further request is taken on it
-  void Abort(Handle connection);       // ends the connection without the last chunk
-  void EndBroken(Handle connection);   // the same, once all that was written has gone out
 
   // Another process takes clients at this address from here on: what waits in the kernel is taken still, then
-  // the listener closes, and connections go as they become idle.
-  void Yield();
-  void TakeUp();  // listens again; throws std::runtime_error
-  void Limit(std::size_t most_sockets);
-  void Drain();          // from here on every answer closes its connection
+  // the listener closes, and connections are closed as they become idle.
+  void HandOver();
+  void Resume();  // after HandOver: listens again; throws std::runtime_error
+  void SetMaxConnections(std::size_t max_connections);
+
+  // Graceful shutdown, in steps.
+  void Drain();          // from here on every response closes its connection
   void StopAccepting();  // no new connection is taken; those that the kernel has accepted are
   void CloseIdle();      // connections on which nothing is owed and nothing has begun
-  void EndUnfinished();  // a request that has begun to come and is not whole gets a 503
-  // Nothing is owed to any client, and every last answer has been out for at least `quiet` microseconds.
+  void EndIncomplete();  // a request that has begun to come and is not complete gets a 503
+  // Nothing is owed to any client, and every last response has been out for at least `quiet` microseconds.
   bool Settled(Time quiet) const;
   void Close();  // all, and the listener
   bool draining() const { return draining_; }
   std::size_t size() const { return clients_.size(); }
   const CloseCounts& closed() const { return closed_; }  // connections closed so far, by reason
 
+  // From the sockets.
   void OnRead(Handle connection, std::string_view bytes) override;
   void OnEnded(Handle connection) override;
   void OnDrained(Handle connection) override;
 
  private:
-  enum class State : unsigned char { kIdle, kReading, kAnswering, kLingering };
+  enum class State : std::uint8_t {
+    kIdle,        // between requests
+    kReading,     // a request has begun to come
+    kResponding,  // a response is owed, or under way
+    kLingering,   // the last response is written; the client has not closed yet
+  };
 
   struct Client {
-    Client(BufferPool* pool, std::size_t body) : request(pool), most_body(body) {}
+    Client(BufferPool* pool, std::size_t max_body) : parser(pool, max_body) {}
     Tcp* tcp = nullptr;
-    http_parser parser{};
     State state = State::kIdle;
-    HttpRequest request;
-    std::size_t most_body;
-    bool value_next = false;
-    int reject = 0;  // the status that the parser's callbacks ended the request with
-    bool complete = false;
+    RequestParser parser;
+    std::string unparsed;  // read and not parsed yet; behind the current request
+    ArrivalLog arrivals;   // of the bytes of `unparsed`
+    bool parsing = false;  // guards against parsing within parsing
     bool keep_alive = true;
-    bool used = false;     // a whole request has come
-    bool surplus = false;  // over the budget of sockets: gets an answer, no service
-    bool congested = false;
-    bool feeding = false;
-    std::string ahead;    // read behind the request at hand
-    ArrivalLog arrivals;  // of the bytes of `ahead`
-    Time idle_since = 0;
-    CloseReason ends_as = CloseReason::kAnswered;  // of a lingering connection
+    bool used = false;       // a complete request has come
+    bool excess = false;     // over the bound of connections: gets an answer, no service
+    bool congested = false;  // the front was told to stop
+    Time idle_since = 0;     // or when it last made progress
+    CloseReason close_reason = CloseReason::kResponseSent;  // of a lingering connection
     DeadlineId deadline;
   };
 
-  void Accept();
-  bool AcceptOne();
-  void AcceptLater(const char* why);
-  void Add(int fd);
-  void WatchPaused(Handle connection);
-  void WatchUnread(Handle connection);
-  void CloseInOrder(Handle connection, CloseReason why);
+  // How soon a connection may be closed for another: the lowest first, by the longest wait.
+  struct EvictionRank {
+    int group = 3;  // 3: it is needed
+    Time since = 0;
+    auto operator<=>(const EvictionRank&) const = default;
+  };
+
+  // Connections and their bound.
+  void AddClient(int fd);
+  bool HasCapacity() const { return clients_.size() < max_served_ + max_excess_; }
+  bool EvictConnection();
+  Handle EvictionCandidate() const;
+  static EvictionRank RankForEviction(const Client& client);
+  static bool IsIdle(const Client& client);
   void SweepIdle();
-  void StopListening();
-  void CloseListener();
-  void TakeWaiting();
-  bool MakeRoom();
-  Handle LeastNeeded() const;
-  void Feed(Handle connection);
-  void Expire(Handle connection, Time at);
-  static bool Idle(const Client& client);
-  void Error(Handle connection, int status);
-  void Unfinished(Handle connection, int status, const char* why);
-  void Done(Handle connection);
-  void Linger(Handle connection);
-  void Drop(Handle connection, CloseReason why);
-  void Lost(Handle connection, CloseReason why);
-  void Sent(Handle connection, bool written);
-  static const http_parser_settings& Callbacks();
-
-  const Runtime* core_;
+  void CloseInOrder(Handle connection, CloseReason reason);
+  void CloseConnection(Handle connection, CloseReason reason);
+  void LoseClient(Handle connection, CloseReason reason);
+  void WatchForEndWhilePaused(Handle connection);
+  void WatchForEndWhileUnread(Handle connection);
+  // Requests.
+  void SetRequestDeadline(Handle connection, Time at);
+  void OnRequestTimeout(Handle connection);
+  void ParseInput(Handle connection);
+  void ParseRequest(Handle connection, Client& c);
+  void OnRequestComplete(Handle connection, Client& c);
+  void RejectIncomplete(Handle connection, int status, const char* reason);
+  // Responses.
+  void ReplyError(Handle connection, int status);
+  void OnWritten(Handle connection, bool written);
+  void OnResponseComplete(Handle connection);
+  void SetLingerDeadline(Handle connection);
+
+  const Runtime* runtime_;
   Front* front_;
   Options options_;
-  std::size_t most_, surplus_;
-  Listener listener_;
-  bool waiting_ = false;  // connections wait to be accepted, for want of room or of what the system lacks
+  std::size_t max_served_;
+  std::size_t max_excess_;  // beyond those: for clients that get an answer and no service
+  Acceptor acceptor_;
   bool draining_ = false;
-  Time stopping_ = 0;  // since when no new connection comes up; 0: they do, or the listener is closed
-  bool yielded_ = false;
+  bool handed_over_ = false;
   CloseCounts closed_{};
   SlotTable<Client> clients_;
 };
--- a/src/http/end_to_end_fields_model.cpp
+++ b/src/http/end_to_end_fields_model.cpp
@@ -7,8 +7,9 @@
 namespace ryeglade {
 namespace {
 
-// Of one connection, or made anew for each: framing, the host's name, and what is asked of the next hop only.
-constexpr std::array<std::string_view, 12> kOfOneHop = {"connection",
+// Fields of one connection, or made anew for each: framing, the host's name, and what is asked of the next
+// hop.
+constexpr std::array<std::string_view, 12> kHopByHop = {"connection",
                                                         "keep-alive",
                                                         "proxy-authenticate",
                                                         "proxy-authorization",
@@ -44,17 +45,17 @@
 }
 
 // Names that the Connection fields declare to be of this connection.
-std::vector<std::string> NamedByConnection(const HeaderFields& request) {
+std::vector<std::string> ConnectionOptions(const HeaderFields& request) {
   std::vector<std::string> names;
   for (const auto& [name, value] : request) {
     if (Lower(name) != "connection") continue;
-    std::string word;
+    std::string option;
     for (const char c : value + ",") {
       if (c == ',') {
-        if (!word.empty()) names.push_back(Lower(word));
-        word.clear();
+        if (!option.empty()) names.push_back(Lower(option));
+        option.clear();
       } else if (c != ' ' && c != '\t') {
-        word += c;
+        option += c;
       }
     }
   }
@@ -64,18 +65,18 @@
 }  // namespace
 
 HeaderFields EndToEndFields(const HeaderFields& request, const std::vector<std::string_view>& own) {
-  const std::vector<std::string> of_connection = NamedByConnection(request);
-  HeaderFields kept;
+  const std::vector<std::string> connection_options = ConnectionOptions(request);
+  HeaderFields forwarded;
   for (const auto& [name, value] : request) {
     const std::string lower = Lower(name);
     const auto is_name = [&](std::string_view other) { return lower == other; };
     if (!IsToken(name) || !IsFieldValue(value)) continue;
-    if (std::any_of(kOfOneHop.begin(), kOfOneHop.end(), is_name)) continue;
+    if (std::any_of(kHopByHop.begin(), kHopByHop.end(), is_name)) continue;
     if (std::any_of(own.begin(), own.end(), is_name)) continue;
-    if (std::any_of(of_connection.begin(), of_connection.end(), is_name)) continue;
-    kept.emplace_back(name, value);
+    if (std::any_of(connection_options.begin(), connection_options.end(), is_name)) continue;
+    forwarded.emplace_back(name, value);
   }
-  return kept;
+  return forwarded;
 }
 
 std::string FieldLines(const HeaderFields& fields) {
--- a/src/http/event_stream.cpp
+++ b/src/http/event_stream.cpp
@@ -20,10 +20,12 @@
 
 }  // namespace
 
-void EventStream::Begin() {
-  line_ = searched_ = 0;
+void EventStream::BeginBlock() {
+  line_ = 0;
+  searched_ = 0;
   data_.clear();
-  type_ = id_ = {};
+  type_ = {};
+  id_ = {};
 }
 
 // Remembers where it is, so that a block which comes byte by byte is searched once.
@@ -31,7 +33,10 @@
   while (true) {
     if (skip_lf_ && line_ < block.size()) {
       skip_lf_ = false;
-      if (block[line_] == '\n') searched_ = ++line_;
+      if (block[line_] == '\n') {
+        ++line_;
+        searched_ = line_;
+      }
     }
     const std::size_t end = LineEnd(block, searched_);
     if (end == std::string_view::npos) {
@@ -40,14 +45,15 @@
     }
     const std::size_t from = line_;
     skip_lf_ = block[end] == '\r';
-    line_ = searched_ = end + 1;
+    line_ = end + 1;
+    searched_ = line_;
     std::size_t start = from;
     if (first_line_) {
       first_line_ = false;
       if (block.substr(from, kByteOrderMark.size()) == kByteOrderMark) start += kByteOrderMark.size();
     }
     if (start != end) {
-      Line(block, start, end);
+      ReadLine(block, start, end);
       continue;
     }
     // With CRLF the LF of the empty line is taken along if it is there already.
@@ -74,7 +80,7 @@
   }
 }
 
-void EventStream::Line(std::string_view block, std::size_t from, std::size_t to) {
+void EventStream::ReadLine(std::string_view block, std::size_t from, std::size_t to) {
   const std::string_view line = block.substr(from, to - from);
   const std::size_t colon = line.find(':');
   if (colon == 0) return;  // a comment
--- a/src/http/event_stream.h
+++ b/src/http/event_stream.h
@@ -15,17 +15,17 @@
  public:
   // One block of lines, ended by an empty one. The views hold until the callback returns.
   struct Event {
-    std::string_view
-        raw;  // the bytes as they came, the empty line included; all raws in a row are the stream
+    // The bytes as they came, the empty line included; all raws in a row are the stream.
+    std::string_view raw;
     std::string_view data;  // of the `data` lines, joined by LF
     std::string_view type;  // of the last `event` line; empty: none
     std::string_view id;    // of the last `id` line
-    bool has_data =
-        false;  // false: comments, an empty line, or fields without data: no event by the standard
+    // False: comments, an empty line, or fields without data: no event by the standard.
+    bool has_data = false;
   };
 
-  // `most` bounds one block, in bytes.
-  explicit EventStream(std::size_t most) : most_(most) {}
+  // `max_block` bounds one block, in bytes.
+  explicit EventStream(std::size_t max_block) : max_block_(max_block) {}
 
   // Calls `sink(const Event&)` for each block that ends in `bytes`; a sink that returns false stops the feed.
   // False: stopped, or a block is over the bound. The rest of the stream must not be fed after that.
@@ -39,11 +39,11 @@
     Event event;
     while (NextBlock(bytes.substr(used), &event)) {
       used += event.raw.size();
-      const bool go_on = sink(static_cast<const Event&>(event));
-      Begin();
-      if (!go_on) return false;
+      const bool proceed = sink(static_cast<const Event&>(event));
+      BeginBlock();
+      if (!proceed) return false;
     }
-    if (bytes.size() - used > most_) return false;
+    if (bytes.size() - used > max_block_) return false;
     if (!pending_.empty()) {
       pending_.erase(0, used);
     } else {
@@ -57,13 +57,13 @@
 
  private:
   bool NextBlock(std::string_view block, Event* event);
-  void Line(std::string_view block, std::size_t from, std::size_t to);
-  void Begin();
+  void ReadLine(std::string_view block, std::size_t from, std::size_t to);
+  void BeginBlock();
 
   using Range = std::pair<std::size_t, std::size_t>;  // from, length; from the block's start
-  std::size_t most_;
-  std::string pending_;       // the block at hand, as far as it has come
-  std::size_t line_ = 0;      // where the line at hand starts
+  std::size_t max_block_;
+  std::string pending_;       // the current block, as far as it has come
+  std::size_t line_ = 0;      // where the current line starts
   std::size_t searched_ = 0;  // no line end before this
   std::vector<Range> data_;
   Range type_, id_;
--- a/src/membership/status_front.h
+++ b/src/membership/status_front.h
@@ -22,8 +22,8 @@
   void Use(Downstream* downstream) { downstream_ = downstream; }
 
   void OnRequest(Handle connection, HttpRequest request) override;
-  void OnGone(Handle) override {}
-  void OnFlow(Handle, bool) override {}
+  void OnClientDisconnected(Handle) override {}
+  void OnBackpressure(Handle, bool) override {}
 
  private:
   std::string AllJson() const;
--- a/src/rollout/supervisor.cpp
+++ b/src/rollout/supervisor.cpp
@@ -194,15 +194,15 @@
     if (path == "/keeper/check" && request.method == "POST") return Check(connection, request.body.Text());
     Answer(connection, 404, "{\"why\":\"path\"}");
   }
-  void OnGone(Handle) override {}
-  void OnFlow(Handle, bool) override {}
+  void OnClientDisconnected(Handle) override {}
+  void OnBackpressure(Handle, bool) override {}
 
  private:
   static Downstream::Options Options(const KeeperOptions& o) {
     Downstream::Options d;
     d.listen = o.control;
-    d.most_sockets = kSockets;
-    d.most_body = std::size_t{512} * 1024;
+    d.max_connections = kSockets;
+    d.max_body = std::size_t{512} * 1024;
     return d;
   }
   static uv_loop_t* Init(uv_loop_t* loop) {
--- a/tests/duplicate_execution.cpp
+++ b/tests/duplicate_execution_test.cpp
@@ -1,15 +1,20 @@
-// The rule on duplicates around a node as a process: what it tells a client whose request may have run, for
-// each effect that a class can have. 429 and 503 promise that a repeat is harmless; every other status
-// promises nothing. `duplicates PROGRAM NAME` plays one scenario.
-#include <functional>
-#include <map>
+// The rule on duplicate execution around a node as a process: what it tells a client whose request may have
+// run, for each effect that a class can have. 429 and 503 promise that a repeat is harmless; every other
+// status promises nothing.
+#include <gtest/gtest.h>
 
 #include "scripted_peers.h"
 
-namespace stories {
+namespace scripted {
 namespace {
 
-std::string program;
+std::string Program() { return std::getenv("RYEGLADE_PROGRAM"); }
+
+class DuplicateExecution : public testing::Test {
+ protected:
+  static void SetUpTestSuite() { signal(SIGPIPE, SIG_IGN); }
+};
+
 const std::string kNobody = "127.0.0.1:9";  // discovery that the node never needs
 
 struct EffectCase {
@@ -33,14 +38,14 @@
 }
 
 Node NodeWith(const Peer& host, const EffectCase& e, long deadline_us) {
-  return Node(program, List(1, true, {Instance("s-a", host.at())}), kNobody, "push", 1024, 192, "", false,
+  return Node(Program(), List(1, true, {Instance("s-a", host.at())}), kNobody, "push", 1024, 192, "", false,
               SettingsOf(e, deadline_us));
 }
 
-bool Refuses(int status) { return status == 429 || status == 503; }
+bool PromisesSafeRepeat(int status) { return status == 429 || status == 503; }
 
 // A replica takes a request and says nothing, until the node that was told to end has to answer.
-void HangsThroughShutdown() {
+TEST_F(DuplicateExecution, AReplicaThatHangsThroughShutdown) {
   for (const EffectCase& e : kEffects) {
     const Peer host;
     Node node = NodeWith(host, e, 1'000'000);
@@ -51,13 +56,13 @@
     node.Term();
     const int status = StatusOf(client.Message());
     std::printf("%s %s: %d\n", e.effect, e.scope, status);
-    assert(Refuses(status) == e.may_reject);
-    assert(node.Exit() == 0);
+    ASSERT_EQ(PromisesSafeRepeat(status), e.may_reject) << e.effect << ' ' << e.scope << ' ' << status;
+    ASSERT_EQ(node.Exit(), 0);
   }
 }
 
 // The client's time is nearly up as it asks: the attempt is still out when the node has to answer.
-void LittleTimeLeft() {
+TEST_F(DuplicateExecution, AnAttemptInFlightWhenLittleTimeIsLeft) {
   for (const EffectCase& e : kEffects) {
     const Peer host;
     const Node node = NodeWith(host, e, 60'000'000);
@@ -67,23 +72,11 @@
       const int status = StatusOf(client.Message());
       const bool sent = host.Called(0);
       std::printf("%s %s %s: %d%s\n", e.effect, e.scope, budget, status, sent ? ", sent" : "");
-      assert(!sent || Refuses(status) == e.may_reject);
+      ASSERT_TRUE(!sent || PromisesSafeRepeat(status) == e.may_reject);
       if (sent) host.Accept().Message();
     }
   }
 }
 
 }  // namespace
-}  // namespace stories
-
-int main(int argc, char** argv) {
-  using namespace stories;
-  const std::map<std::string, std::function<void()>> all = {{"hangs-through-shutdown", HangsThroughShutdown},
-                                                            {"little-time-left", LittleTimeLeft}};
-  signal(SIGPIPE, SIG_IGN);
-  setvbuf(stdout, nullptr, _IOLBF, 0);  // what was seen last stands before a failed assertion
-  assert(argc == 3 && all.contains(argv[2]));
-  program = argv[1];
-  all.at(argv[2])();
-  std::printf("ok %s\n", argv[2]);
-}
+}  // namespace scripted
--- a/tests/event_delay.cpp
+++ b/tests/event_delay.cpp
@@ -6,7 +6,7 @@
 
 #include "scripted_peers.h"
 
-namespace stories {
+namespace scripted {
 namespace {
 
 using Clock = std::chrono::steady_clock;
@@ -80,10 +80,10 @@
 }
 
 }  // namespace
-}  // namespace stories
+}  // namespace scripted
 
 int main(int argc, char** argv) {
   signal(SIGPIPE, SIG_IGN);
   assert(argc == 2);
-  stories::OneByOne(argv[1]);
+  scripted::OneByOne(argv[1]);
 }
--- a/tests/fault_injection.cpp
+++ b/tests/fault_injection.cpp
@@ -1,5 +1,5 @@
 // Scenarios of failures around a node as a process: system calls that fail for a while (a preloaded library),
-// clients that leave unseen, an early end, a list that is old. `faults PROGRAM LIBRARY NAME` plays one of
+// clients that leave unseen, an early end, a list that is old. `fault_injection PROGRAM LIBRARY NAME` plays one of
 // them.
 #include <atomic>
 #include <cerrno>
@@ -11,7 +11,7 @@
 #include "preloaded.h"
 #include "scripted_peers.h"
 
-namespace stories {
+namespace scripted {
 namespace {
 
 std::string program;
@@ -244,7 +244,7 @@
 }
 
 // Whether a process holds back a signal now, as /proc tells.
-bool DisabledReplicas(pid_t pid, int signal) {
+bool BlocksSignal(pid_t pid, int signal) {
   std::ifstream in("/proc/" + std::to_string(pid) + "/status");
   for (std::string line; std::getline(in, line);) {
     if (line.rfind("SigBlk:", 0) == 0)
@@ -273,7 +273,7 @@
     execl(program.c_str(), program.c_str(), "serve", "--config", path, nullptr);
     _exit(9);
   }
-  for (int n = 0; n < kPatienceMs && !DisabledReplicas(pid, SIGHUP); ++n) usleep(1'000);
+  for (int n = 0; n < kTimeoutMs && !BlocksSignal(pid, SIGHUP); ++n) usleep(1'000);
   kill(pid, SIGHUP);
   usleep(1'000);
   kill(pid, SIGTERM);
@@ -289,7 +289,7 @@
   const Peer discovery, gone, host;
   Conn watch;
   std::thread tells([&] {
-    assert(discovery.Called(kPatienceMs));
+    assert(discovery.Called(kTimeoutMs));
     usleep(300'000);
     watch = AnswerWatch(discovery, List(2, true, {Instance("s-b", host.at())}));
   });
@@ -320,10 +320,10 @@
 }
 
 }  // namespace
-}  // namespace stories
+}  // namespace scripted
 
 int main(int argc, char** argv) {
-  using namespace stories;
+  using namespace scripted;
   const std::map<std::string, std::function<void()>> all = {
       {"accept-fails", AcceptFails},
       {"accept-aborts", AcceptAborts},
--- a/tests/late_attempts.cpp
+++ b/tests/late_attempts_test.cpp
@@ -1,14 +1,18 @@
-// Attempts whose connection comes up late: what has happened since the decision to send may forbid them.
-// `late_attempts PROGRAM NAME` plays one scenario around a node as a process.
-#include <functional>
-#include <map>
+// Attempts whose connection comes up late: what has happened since the decision to send may forbid them. A
+// node as a process, between scripted peers.
+#include <gtest/gtest.h>
 
 #include "scripted_peers.h"
 
-namespace stories {
+namespace scripted {
 namespace {
 
-std::string program;
+std::string Program() { return std::getenv("RYEGLADE_PROGRAM"); }
+
+class LateAttempts : public testing::Test {
+ protected:
+  static void SetUpTestSuite() { signal(SIGPIPE, SIG_IGN); }
+};
 
 // A host whose kernel drops the first call for a connection: its queue is full until Open. The caller's
 // kernel calls again a second later.
@@ -30,7 +34,9 @@
   Conn filler_;
 };
 
-nlohmann::json Guarded(const char* scope) {
+// Settings with one class whose requests must not run twice; the replicas of `scope` drop repeats for half a
+// second.
+nlohmann::json NotIdempotent(const char* scope) {
   return {{"settings",
            {{"classes",
              {{{"name", "docs"},
@@ -42,12 +48,11 @@
                {"window", 500'000}}}}}}};
 }
 
-// The replica begins to drain while the connection to it is not up yet: the request goes elsewhere at once.
-void AfterDrain() {
+TEST_F(LateAttempts, AReplicaThatBeganToDrainMeanwhileGetsNothing) {
   const Peer discovery, other;
   LateHost late;
   std::future<Conn> first_watch = AnswerWatchAtStart(discovery, List(1, false, {}));
-  const Node node(program, List(1, true, {Instance("s-late", late.at())}), discovery.at(), "push");
+  const Node node(Program(), List(1, true, {Instance("s-late", late.at())}), discovery.at(), "push");
   Conn watch = first_watch.get();
   Conn client = node.Client();
   client.Send(Ask("1"));
@@ -57,19 +62,19 @@
       "\n");
   usleep(100'000);
   late.Open();
-  assert(!late.Requested(2'000));
-  Conn up = other.Accept();
-  assert(Has(up.Message(), "X-Call-Id: 1"));
+  ASSERT_FALSE(late.Requested(2'000));
+  Conn up = other.Accept();  // it goes elsewhere at once
+  ASSERT_TRUE(Has(up.Message(), "X-Call-Id: 1"));
 }
 
-// A repeat that would come after the window in which replicas drop repeats is not sent.
-void AfterWindow() {
+// One that would come after the window in which replicas drop repeats.
+TEST_F(LateAttempts, ARepeatAfterTheWindowIsNotSent) {
   for (const char* scope : {"all", "zone"}) {
     const Peer discovery, first;
     LateHost late;
     std::future<Conn> first_watch = AnswerWatchAtStart(discovery, List(1, false, {}));
-    const Node node(program, List(1, true, {Instance("s-first", first.at())}), discovery.at(), "push", 1024,
-                    192, "", false, Guarded(scope));
+    const Node node(Program(), List(1, true, {Instance("s-first", first.at())}), discovery.at(), "push", 1024,
+                    192, "", false, NotIdempotent(scope));
     Conn watch = first_watch.get();
     Conn client = node.Client();
     client.Send(Ask("1"));
@@ -82,16 +87,15 @@
     up.Close();  // it may have run
     usleep(100'000);
     late.Open();
-    assert(!late.Requested(2'000));
-    const int status = StatusOf(client.Message());
-    assert(std::string(scope) == "all" ? status == 503 : status == 502);
+    ASSERT_FALSE(late.Requested(2'000)) << scope;
+    ASSERT_EQ(StatusOf(client.Message()), std::string(scope) == "all" ? 503 : 502) << scope;
   }
 }
 
-// The process is held up while the connection comes up and, after that, the client leaves.
-void AfterClient() {
+// The process is stopped while the connection comes up and, after that, the client leaves.
+TEST_F(LateAttempts, AClientThatLeftMeanwhileGetsNothingSent) {
   LateHost late;
-  const Node node(program, List(1, true, {Instance("s-late", late.at())}), "127.0.0.1:9");
+  const Node node(Program(), List(1, true, {Instance("s-late", late.at())}), "127.0.0.1:9");
   Conn client = node.Client();
   client.Send(Ask("1"));
   usleep(200'000);
@@ -101,20 +105,9 @@
   client.Close();
   usleep(200'000);
   node.Continue();
-  assert(!late.Requested(1'000));
-  assert(Has(node.Log(), "client-gone"));
+  ASSERT_FALSE(late.Requested(1'000));
+  ASSERT_TRUE(Has(node.Log(), "client-gone"));
 }
 
 }  // namespace
-}  // namespace stories
-
-int main(int argc, char** argv) {
-  using namespace stories;
-  const std::map<std::string, std::function<void()>> all = {
-      {"after-drain", AfterDrain}, {"after-window", AfterWindow}, {"after-client", AfterClient}};
-  signal(SIGPIPE, SIG_IGN);
-  assert(argc == 3 && all.contains(argv[2]));
-  program = argv[1];
-  all.at(argv[2])();
-  std::printf("ok %s\n", argv[2]);
-}
+}  // namespace scripted
--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -98,16 +98,16 @@
   EXPECT_EQ(log.First(99), 99);
   log.Add(100, 10);
   log.Add(50, 20);
-  log.Take(60);
+  log.Consume(60);
   EXPECT_EQ(log.First(99), 10);
-  log.Take(40);
+  log.Consume(40);
   EXPECT_EQ(log.First(99), 20);
-  log.Take(1'000);
+  log.Consume(1'000);
   EXPECT_EQ(log.First(99), 99);
   for (std::size_t n = 0; n < 100'000; ++n)
     log.Add(1, static_cast<Time>(n));  // bounded, and never later than it came
-  log.Take(90'000);
-  EXPECT_LE(log.First(0), static_cast<Time>(ArrivalLog::kMostEntries));
+  log.Consume(90'000);
+  EXPECT_LE(log.First(0), static_cast<Time>(ArrivalLog::kMaxEntries));
 }
 
 // What an OpenAI-style engine says of an attempt: only its own word that it turned it away proves that it
--- a/tests/operations.cpp
+++ b/tests/operations.cpp
@@ -1,11 +1,11 @@
-// Stories of day-to-day operation: the admin listener, replicas out by hand, a new process beside the old.
+// Scenarios of day-to-day operation: the admin listener, replicas out by hand, a new process beside the old.
 // `operations PROGRAM NAME` plays one of them.
 #include <map>
 #include <memory>
 
 #include "scripted_peers.h"
 
-namespace stories {
+namespace scripted {
 namespace {
 
 std::string program;
@@ -365,10 +365,10 @@
 }
 
 }  // namespace
-}  // namespace stories
+}  // namespace scripted
 
 int main(int argc, char** argv) {
-  using namespace stories;
+  using namespace scripted;
   const std::map<std::string, void (*)()> all = {{"calls", Calls},
                                                  {"by-hand", ByHand},
                                                  {"slow-callers", SlowCallers},
--- a/tests/preloaded.h
+++ b/tests/preloaded.h
@@ -10,7 +10,7 @@
 #include <fstream>
 #include <string>
 
-namespace stories {
+namespace scripted {
 
 inline std::string library;  // its path, from the command line
 
@@ -42,4 +42,4 @@
   char counts_[40] = "/tmp/ryeglade-fault-count-XXXXXX";
 };
 
-}  // namespace stories
+}  // namespace scripted
--- a/tests/races.cpp
+++ b/tests/races.cpp
@@ -1,6 +1,6 @@
 // Two things that happen at the same instant around a node as a process: an end, a signal or a list that
 // meets a request. Each is forced by scripted peers, held system calls or a stopped process, not by chance.
-// `crossings PROGRAM LIBRARY NAME` plays one of them; docs/guarantees.md has the table.
+// `races PROGRAM LIBRARY NAME` plays one of them; docs/guarantees.md has the table.
 #include <cerrno>
 #include <chrono>
 #include <functional>
@@ -10,7 +10,7 @@
 #include "preloaded.h"
 #include "scripted_peers.h"
 
-namespace stories {
+namespace scripted {
 namespace {
 
 std::string program;
@@ -24,7 +24,7 @@
 // How a connection ends: 0 for an end in order, else the error of the read.
 int EndOf(const Conn& connection) {
   char byte = 0;
-  assert(connection.Readable(kPatienceMs));
+  assert(connection.Readable(kTimeoutMs));
   const ssize_t n = recv(connection.fd(), &byte, 1, 0);
   assert(n <= 0);
   return n == 0 ? 0 : errno;
@@ -46,7 +46,7 @@
   ServeOne(host, client);
   node.Term();
   for (int waited_ms = 0; hold.failures() == 0; ++waited_ms) {
-    assert(waited_ms < kPatienceMs);
+    assert(waited_ms < kTimeoutMs);
     usleep(1'000);
   }
   client.Send(Ask("2"));
@@ -230,10 +230,10 @@
 }
 
 }  // namespace
-}  // namespace stories
+}  // namespace scripted
 
 int main(int argc, char** argv) {
-  using namespace stories;
+  using namespace scripted;
   const std::map<std::string, std::function<void()>> all = {
       {"idle-close", RequestCrossesIdleClose},   {"make-room", RequestCrossesMakeRoom},
       {"held-up-idle", HeldUpBeyondIdleClose},   {"budget", BudgetIsTheWait},
--- a/tests/request_lifecycle.cpp
+++ b/tests/request_lifecycle.cpp
@@ -1,5 +1,5 @@
-// Stories: the node between scripted peers, one for each failure met or expected. `stories PROGRAM NAME`
-// plays one of them.
+// The node between scripted peers, one scenario for each failure met or expected. `request_lifecycle PROGRAM
+// NAME` plays one of them.
 #include <cstring>
 #include <future>
 #include <map>
@@ -8,7 +8,7 @@
 #include "base/slot_table.h"
 #include "scripted_peers.h"
 
-namespace stories {
+namespace scripted {
 namespace {
 
 std::string program;
@@ -519,18 +519,18 @@
   {
     ryeglade::BufferChain chain(&pool);
     const std::string text(2 * ryeglade::BufferPool::kSize + 1, 'x');
-    assert(chain.Append(text) && chain.size() == text.size() && pool.taken() == 3);
+    assert(chain.Append(text) && chain.size() == text.size() && pool.in_use() == 3);
     ryeglade::BufferChain moved = std::move(chain);
-    assert(!moved.Append(std::string(ryeglade::BufferPool::kSize, 'y')) && pool.Scarce());
+    assert(!moved.Append(std::string(ryeglade::BufferPool::kSize, 'y')) && pool.NearlyExhausted());
   }
-  assert(pool.taken() == 0);
+  assert(pool.in_use() == 0);
 }
 
 }  // namespace
-}  // namespace stories
+}  // namespace scripted
 
 int main(int argc, char** argv) {
-  using namespace stories;
+  using namespace scripted;
   const std::map<std::string, void (*)()> all = {{"calm", Calm},          {"broken", Broken},
                                                  {"silent", Silent},      {"elsewhere", Elsewhere},
                                                  {"refused", Refused},    {"timeout", Timeout},
--- a/tests/scripted_peers.h
+++ b/tests/scripted_peers.h
@@ -1,5 +1,5 @@
-// Scripted peers for the stories: blocking sockets on loopback whose ports the kernel gives, and the node as
-// a process. Nothing here measures time; a wait only ends early or fails the story.
+// Scripted peers for integration tests: blocking sockets on loopback whose ports the kernel gives, and the
+// node as a process. Nothing here measures time; a wait only ends early or fails the test.
 #pragma once
 #undef NDEBUG
 
@@ -23,9 +23,9 @@
 #include <utility>
 #include <vector>
 
-namespace stories {
+namespace scripted {
 
-inline constexpr int kPatienceMs = 30'000;
+inline constexpr int kTimeoutMs = 30'000;
 
 class Conn {
  public:
@@ -61,7 +61,7 @@
     pollfd p{fd_, POLLIN, 0};
     return poll(&p, 1, ms) == 1;
   }
-  // Everything up to and with `mark`; fails the story if it does not come.
+  // Everything up to and with `mark`; fails the test if it does not come.
   std::string Until(const std::string& mark) {
     std::size_t at = 0;
     while ((at = text_.find(mark)) == std::string::npos) assert(More());
@@ -91,7 +91,7 @@
 
  private:
   bool More() {
-    assert(Readable(kPatienceMs));
+    assert(Readable(kTimeoutMs));
     char buffer[65536];
     const ssize_t n = recv(fd_, buffer, sizeof buffer, 0);
     if (n > 0) text_.append(buffer, static_cast<std::size_t>(n));
@@ -116,7 +116,7 @@
   return Conn(fd);
 }
 
-// A server that the story plays: an upstream host or discovery.
+// A server that the test plays: an upstream host or discovery.
 class Peer {
  public:
   explicit Peer(int backlog = 64) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -138,7 +138,7 @@
     return poll(&p, 1, ms) == 1;
   }
   Conn Accept() const {
-    assert(Called(kPatienceMs));
+    assert(Called(kTimeoutMs));
     return Conn(accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
   }
 
@@ -182,7 +182,7 @@
                  {"limits", {{"max-attempts", 3}, {"idle-close", 5000000}, {"connect-timeout", 2000000}}},
                  {"obligations", {{"ask-within", 500000}}}}}};
     if (extra.is_object()) config_.merge_patch(extra);  // arrays are replaced whole
-    // Each node its own $TMPDIR, unless a story gives two processes of one node the same.
+    // Each node its own $TMPDIR, unless a test gives two processes of one node the same.
     if (config_.contains("_tmpdir")) {
       tmpdir_ = config_["_tmpdir"].get<std::string>();
       config_.erase("_tmpdir");
@@ -202,7 +202,7 @@
     pid_ = fork();
     assert(pid_ >= 0);
     if (pid_ == 0) {
-      prctl(PR_SET_PDEATHSIG, SIGKILL);  // a failed story leaves no node behind
+      prctl(PR_SET_PDEATHSIG, SIGKILL);  // a failed test leaves no node behind
       for (const char* name_of : {"EDGE_CONFIG", "EDGE_NAME", "EDGE_LISTEN", "EDGE_DISCOVERY"})
         unsetenv(name_of);
       if (!variable.empty()) setenv("EDGE_DISCOVERY", variable.c_str(), 1);
@@ -211,10 +211,10 @@
       execl(program.c_str(), program.c_str(), "serve", "--config", path_.c_str(), nullptr);
       _exit(9);
     }
-    const std::string word = "listening addr=127.0.0.1:";
-    WaitLog(word);
+    const std::string event = "listening addr=127.0.0.1:";
+    WaitLog(event);
     const std::string log = Log();
-    port_ = std::atoi(log.c_str() + log.find(word) + word.size());
+    port_ = std::atoi(log.c_str() + log.find(event) + event.size());
     const std::string admin = "listening-admin addr=127.0.0.1:";
     if (log.find(admin) != std::string::npos)
       admin_ = std::atoi(log.c_str() + log.find(admin) + admin.size());
@@ -229,7 +229,7 @@
   ~Node() {
     if (pid_ > 0) {
       kill(pid_, SIGTERM);
-      assert(Exit() == 0);  // whatever a story did to it, it ends in order
+      assert(Exit() == 0);  // whatever a test did to it, it ends in order
     }
     std::remove(path_.c_str());
     std::remove(log_.c_str());
@@ -246,9 +246,9 @@
     std::ifstream in(log_);
     return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
   }
-  void WaitLog(const std::string& word) const {
-    for (int i = 0; Log().find(word) == std::string::npos; ++i) {
-      assert(i < kPatienceMs / 10);
+  void WaitLog(const std::string& text) const {
+    for (int i = 0; Log().find(text) == std::string::npos; ++i) {
+      assert(i < kTimeoutMs / 10);
       usleep(10'000);
     }
   }
@@ -322,7 +322,7 @@
 // The same for the watch that a node opens while it starts, as it takes no client before it has been told.
 inline std::future<Conn> AnswerWatchAtStart(const Peer& discovery, const nlohmann::json& list) {
   return std::async(std::launch::async, [&discovery, list] {
-    assert(discovery.Called(kPatienceMs));
+    assert(discovery.Called(kTimeoutMs));
     return AnswerWatch(discovery, list);
   });
 }
@@ -339,4 +339,4 @@
   assert(Has(client.Until("0\r\n\r\n"), "data: x"));
 }
 
-}  // namespace stories
+}  // namespace scripted
