--- a/lab/fake_replica.cpp
+++ b/lab/fake_replica.cpp
@@ -21,8 +21,9 @@
       witness_(witness),
       options_(options),
       chance_(options.seed, emulator::Concern::kFailures, options.number),
-      server_(run, this,
-              {.listen = "127.0.0.1:0", .most_sockets = 4096, .read_within = 60'000'000, .admits = {}}) {}
+      server_(
+          run, this,
+          {.listen = "127.0.0.1:0", .max_connections = 4096, .request_timeout = 60'000'000, .admits = {}}) {}
 
 std::string FakeReplica::Listen() { return server_.Listen(); }
 
@@ -98,7 +99,7 @@
   Next();
 }
 
-void FakeReplica::OnGone(Handle connection) { End(connection, FakeAttemptEnd::kNodeClosed); }
+void FakeReplica::OnClientDisconnected(Handle connection) { End(connection, FakeAttemptEnd::kNodeClosed); }
 
 void FakeReplica::Send(Handle connection, const std::string& events) {
   if (options_.tap != nullptr) options_.tap->OnEvents(options_.number, connection, events);
--- a/src/app/cluster_service.cpp
+++ b/src/app/cluster_service.cpp
@@ -16,9 +16,9 @@
   Downstream::Options options;
   options.listen = address;
   options.share_port = true;
-  options.most_sockets = membership::StatusFront::kSockets;
-  options.most_body = kMaxStatusRequest;
-  options.read_within = membership::StatusFront::kReadWithin;
+  options.max_connections = membership::StatusFront::kSockets;
+  options.max_body = kMaxStatusRequest;
+  options.request_timeout = membership::StatusFront::kReadWithin;
   return options;
 }
 
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -61,16 +61,16 @@
   Downstream::Options options;
   options.listen = config.listen;
   options.share_port = true;
-  options.most_sockets = ListenerSockets(TrafficSockets(config.sockets), settings);
+  options.max_connections = ListenerSockets(TrafficSockets(config.sockets), settings);
   return options;
 }
 
 Downstream::Options AdminListenerOptions(const Config& config) {
   Downstream::Options options;
   options.listen = config.management;
-  options.most_sockets = AdminFront::kSockets;
-  options.most_body = kMaxAdminRequest;
-  options.read_within = AdminFront::kReadWithin;
+  options.max_connections = AdminFront::kSockets;
+  options.max_body = kMaxAdminRequest;
+  options.request_timeout = AdminFront::kReadWithin;
   return options;
 }
 
@@ -122,7 +122,7 @@
                                 [this](const std::string& text) { ApplyDisabledReplicas(text, false); }),
         hot_restart_(&core_, this, RestartOptions(config)),
         shutdown_(&deadlines_, &streams_, &hot_restart_, [this] { CloseAll(); }) {
-    front_.Use(&listener_);
+    front_.SetDownstream(&listener_);
     shutdown_.AddListener(&listener_);
     if (const auto text = disabled_replicas_file_.ReadNow()) ApplyDisabledReplicas(*text, true);
     if (!config.management.empty()) {
@@ -228,14 +228,14 @@
   }
 
   void HandOverClients() override {
-    listener_.Yield();
-    if (openai_ != nullptr) openai_->listener().Yield();
+    listener_.HandOver();
+    if (openai_ != nullptr) openai_->listener().HandOver();
   }
 
   void ResumeClients() override {
     try {
-      listener_.TakeUp();
-      if (openai_ != nullptr) openai_->listener().TakeUp();
+      listener_.Resume();
+      if (openai_ != nullptr) openai_->listener().Resume();
     } catch (const std::runtime_error& e) {
       Log(Level::kError, "cannot-take-up", {{"why", e.what()}});
     }
@@ -248,16 +248,16 @@
     return connections() + upstream + ReservedSockets();
   }
 
-  std::size_t UsedMemory() const override { return buffers_.taken() * BufferPool::kSize; }
+  std::size_t UsedMemory() const override { return buffers_.in_use() * BufferPool::kSize; }
 
   void SetLimits(std::size_t sockets, std::size_t memory) override {
     const std::size_t traffic = TrafficSockets(sockets);
     const std::size_t upstream =
         hot_restart_.handed_over() ? traffic - std::min(traffic, connections()) : UpstreamSockets(traffic);
     upstream_.SetMaxConnections(upstream);
-    listener_.Limit(ListenerSockets(traffic, settings_));
-    if (openai_ != nullptr) openai_->listener().Limit(ListenerSockets(traffic, settings_));
-    buffers_.Limit(memory);
+    listener_.SetMaxConnections(ListenerSockets(traffic, settings_));
+    if (openai_ != nullptr) openai_->listener().SetMaxConnections(ListenerSockets(traffic, settings_));
+    buffers_.SetMaxBytes(memory);
   }
 
   // ---- ReplicaViewPort ----
--- a/src/app/openai_service.cpp
+++ b/src/app/openai_service.cpp
@@ -22,10 +22,10 @@
                                                    const limits::Networks* networks) {
   Downstream::Options options;
   options.listen = settings.listen;
-  options.most_sockets = sockets;
+  options.max_connections = sockets;
   options.share_port = true;
-  options.most_body = settings.most_body;
-  options.read_within = settings.read_within;
+  options.max_body = settings.most_body;
+  options.request_timeout = settings.read_within;
   if (!settings.networks.empty()) {
     options.admits = [networks](const sockaddr_storage& peer) { return networks->Contains(peer); };
   }
--- a/src/app/shutdown_sequence.cpp
+++ b/src/app/shutdown_sequence.cpp
@@ -58,7 +58,7 @@
     for (Downstream* listener : listeners_) listener->StopAccepting();
   }
   if (since >= plan_.respond_by) {
-    for (Downstream* listener : listeners_) listener->EndUnfinished();
+    for (Downstream* listener : listeners_) listener->EndIncomplete();
   }
   if (stop_listening && streams_->size() == 0) {
     const Time quiet = since >= plan_.exit_by ? 0 : kLastResponseTime;
