--- a/lab/emulator/gossip_simulation.cpp
+++ b/lab/emulator/gossip_simulation.cpp
@@ -28,8 +28,8 @@
 }
 
 struct TalkingNode {
-  std::unique_ptr<gossip::TierModel> tier;
-  gossip::GossipModel gossip;
+  std::unique_ptr<gossip::SharedStateModel> tier;
+  gossip::GossipQueue gossip;
   std::vector<Time> made;  // by node: of the newest word known here; 0: none
   std::vector<policy::ReplicaView> fleet;
   std::vector<Time> alone;  // by failing replica: when it was left alone first, or tried for all
@@ -48,14 +48,15 @@
   Stream random(spec.seed, Concern::kNetwork, 11);
   std::vector<std::string> names;
   for (std::size_t i = 0; i < spec.nodes; ++i) names.push_back(fmt::format("node-{:03}", i));
-  std::vector<gossip::EvidenceModel::Peer> members;
+  std::vector<gossip::OutlierConsensusModel::Peer> members;
   for (std::size_t i = 0; i < spec.nodes; ++i) members.push_back({names[i], fmt::format("z{}", i % 3)});
-  gossip::TierLimits limits;
-  limits.share.tell_each = 40'000;  // as the node has it
+  gossip::SharedStateLimits limits;
+  limits.traffic_share.report_interval_per_node = 40'000;  // as the node has it
   std::vector<TalkingNode> nodes(spec.nodes);
   for (std::size_t i = 0; i < spec.nodes; ++i) {
     TalkingNode& n = nodes[i];
-    n.tier = std::make_unique<gossip::TierModel>(names[i], 1, kBegin, gossip::Uses{}, limits);
+    n.tier =
+        std::make_unique<gossip::SharedStateModel>(names[i], 1, kBegin, gossip::GossipFeatures{}, limits);
     n.made.assign(spec.nodes, 0);
     n.alone.assign(spec.failing, 0);
     n.fleet.resize(spec.replicas);
@@ -74,7 +75,7 @@
       const double before = CpuNow();
       // What comes to it, and what it finds of the replicas.
       if (random.Chance(spec.rate * 0.1)) {
-        n.tier->Arrived(now, 1 + random.Zipf(40, 1.0));
+        n.tier->OnArrival(now, 1 + random.Zipf(40, 1.0));
         policy::ReplicaView& v = n.fleet[random.Below(spec.replicas)];
         const bool fails = now >= kFailsAt && v.endpoint.id <= spec.failing;
         v.slowness_updated_at = now;
@@ -84,21 +85,21 @@
         if (v.consecutive_failures > 1) v.ejected_until = now + 4'000'000;
       }
       if ((now - kBegin) % kTurn < kTick) {
-        n.tier->View(now, members, members[i].zone, true, true);
-        n.tier->See(now, n.fleet, false);
-        if (std::optional<gossip::Word> word = n.tier->Tell(now))
-          n.gossip.Put(now, {names[i], 0, std::move(*word)}, true);
-        n.tier->Turn(now, spec.nodes);
-        for (const gossip::EvidenceModel::Line& l : n.tier->evidence().Explain()) {
-          if (l.replica <= spec.failing && n.alone[l.replica - 1] == 0 &&
-              (l.rests_until > now || std::string_view(l.why) == "tries"))
-            n.alone[l.replica - 1] = now;
+        n.tier->SetMembers(now, members, members[i].zone, true, true);
+        n.tier->ObserveReplicas(now, n.fleet, false);
+        if (std::optional<gossip::NodeReport> report = n.tier->NextReport(now))
+          n.gossip.Enqueue(now, {names[i], 0, std::move(*report)}, true);
+        n.tier->Evaluate(now, spec.nodes);
+        for (const gossip::OutlierConsensusModel::Finding& finding : n.tier->outliers().findings()) {
+          if (finding.replica <= spec.failing && n.alone[finding.replica - 1] == 0 &&
+              (finding.ejected_until > now || std::string_view(finding.reason) == "tries"))
+            n.alone[finding.replica - 1] = now;
         }
       }
-      for (std::size_t k = 0; k < kChats && n.gossip.waiting(); ++k) {
+      for (std::size_t k = 0; k < kChats && n.gossip.has_pending(); ++k) {
         const std::size_t to = random.Below(spec.nodes);
         if (to == i) continue;
-        const std::vector<std::string> words = n.gossip.Fill(now, kDatagram - spec.head, kOverhead);
+        const std::vector<std::string> words = n.gossip.TakeMessages(now, kDatagram - spec.head, kOverhead);
         if (words.empty()) break;
         ++messages;
         bytes += static_cast<double>(spec.head);
@@ -106,10 +107,10 @@
         if (random.Chance(spec.loss) || (to < spec.one_way && i % 2 == 0)) continue;
         for (const std::string& w : words) {
           const char* why = "";
-          std::optional<gossip::Telling> t = gossip::Decode(w, &why);
-          if (!t || !nodes[to].tier->Learn(now, *t)) continue;
+          std::optional<gossip::GossipMessage> t = gossip::Decode(w, &why);
+          if (!t || !nodes[to].tier->OnMessage(now, *t)) continue;
           nodes[to].made[static_cast<std::size_t>(std::stoi(t->node.substr(5)))] = now - t->age;
-          nodes[to].gossip.Put(now, std::move(*t), false);
+          nodes[to].gossip.Enqueue(now, std::move(*t), false);
         }
       }
       cpu += CpuNow() - before;
--- a/lab/emulator/routing_tier.cpp
+++ b/lab/emulator/routing_tier.cpp
@@ -19,7 +19,7 @@
       weights_(std::move(weights)),
       nodes_(weights_.size()),
       random_(seed, Concern::kNetwork, 7) {
-  limits_.share.tell_each = kTellEach;
+  limits_.traffic_share.report_interval_per_node = kTellEach;
   names_.reserve(nodes_.size());
   for (std::size_t i = 0; i < nodes_.size(); ++i) names_.push_back(fmt::format("n{}", i));
 }
@@ -27,9 +27,9 @@
 void TierWorld::Starts(std::size_t n, Time now) {
   Node& node = nodes_[n];
   node.up = true;
-  node.tier = std::make_unique<gossip::TierModel>(
-      names_[n], ++node.life, now, gossip::Uses{spec_.parts(), spec_.evidence(), spec_.beginnings()},
-      limits_);
+  node.tier = std::make_unique<gossip::SharedStateModel>(
+      names_[n], ++node.life, now,
+      gossip::GossipFeatures{spec_.parts(), spec_.evidence(), spec_.beginnings()}, limits_);
   node.lost.assign(nodes_.size(), -1);
   node.view.assign(nodes_.size(), false);
   node.size = 0;
@@ -46,7 +46,7 @@
 }
 
 void TierWorld::Arrives(std::size_t n, Time now, std::uint64_t prefix) {
-  if (nodes_[n].tier && !spec_.oracle()) nodes_[n].tier->Arrived(now, prefix);
+  if (nodes_[n].tier && !spec_.oracle()) nodes_[n].tier->OnArrival(now, prefix);
 }
 
 void TierWorld::Look(std::size_t o, Time now) {
@@ -66,7 +66,7 @@
     }
   }
   const bool doubt = node.size >= 2 && 2 * reached <= node.size;
-  std::vector<gossip::EvidenceModel::Peer> members;
+  std::vector<gossip::OutlierConsensusModel::Peer> members;
   for (std::size_t m = 0; m < nodes_.size(); ++m) {
     if (m == o || !node.view[m]) continue;
     if (!doubt && node.lost[m] >= 0 && now - node.lost[m] >= detect) {
@@ -81,19 +81,20 @@
   const bool settled = !doubt && now - node.changed >= static_cast<Time>(spec_.settles * 1e6);
   if (settled) node.size = live;
   const std::string zone = zones_ > 1 ? names_[o % static_cast<std::size_t>(zones_)] : "";
-  node.tier->View(now, members, zone, !doubt && live > 1, settled);
+  node.tier->SetMembers(now, members, zone, !doubt && live > 1, settled);
 }
 
-void TierWorld::Spread(std::size_t from, Time now, gossip::Word word) {
+void TierWorld::Spread(std::size_t from, Time now, gossip::NodeReport word) {
   if (static_cast<int>(from) == spec_.liar) {
     word.rate *= kLie;
-    word.claims.clear();
+    word.outlier_reports.clear();
     for (const policy::ReplicaView& v : fleet_) {
-      if (word.claims.size() == gossip::kMostClaims) break;
-      word.claims.push_back({v.endpoint.id, v.endpoint.started_at, 9, gossip::kMostRest, -1, 4, 255, 255});
+      if (word.outlier_reports.size() == gossip::kMaxOutlierReports) break;
+      word.outlier_reports.push_back(
+          {v.endpoint.id, v.endpoint.started_at, 9, gossip::kMaxSpan, -1, 4, 255, 255});
     }
   }
-  const auto shared = std::make_shared<const gossip::Word>(std::move(word));
+  const auto shared = std::make_shared<const gossip::NodeReport>(std::move(word));
   for (std::size_t m = 0; m < nodes_.size(); ++m) {
     if (m == from || !Hears(from, m) || random_.Chance(spec_.loss)) continue;
     way_.push(
@@ -117,7 +118,7 @@
   while (!way_.empty() && way_.top().due <= now) {
     const OnItsWay w = way_.top();
     way_.pop();
-    if (nodes_[w.to].up) nodes_[w.to].tier->Learn(now, {names_[w.from], now - w.made, *w.word});
+    if (nodes_[w.to].up) nodes_[w.to].tier->OnMessage(now, {names_[w.from], now - w.made, *w.word});
   }
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     Node& node = nodes_[i];
@@ -126,13 +127,13 @@
     if (spec_.evidence()) {
       fleet_.clear();
       sight(i, &fleet_);
-      node.tier->See(now, fleet_, false);
+      node.tier->ObserveReplicas(now, fleet_, false);
     }
-    if (std::optional<gossip::Word> word = node.tier->Tell(now)) Spread(i, now, std::move(*word));
+    if (std::optional<gossip::NodeReport> word = node.tier->NextReport(now)) Spread(i, now, std::move(*word));
   }
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     if (!nodes_[i].up) continue;
-    for (policy::Event& e : nodes_[i].tier->Turn(now, nodes_.size())) told.emplace_back(i, std::move(e));
+    for (policy::Event& e : nodes_[i].tier->Evaluate(now, nodes_.size())) told.emplace_back(i, std::move(e));
   }
   return told;
 }
--- a/lab/emulator/routing_tier.h
+++ b/lab/emulator/routing_tier.h
@@ -60,7 +60,7 @@
 
  private:
   struct Node {
-    std::unique_ptr<gossip::TierModel> tier;
+    std::unique_ptr<gossip::SharedStateModel> tier;
     bool up = false;
     std::uint64_t life = 0;
     std::vector<Time> lost;  // by member: not heard since; -1: heard
@@ -74,18 +74,18 @@
     std::uint64_t order;
     std::size_t to, from;
     Time made;
-    std::shared_ptr<const gossip::Word> word;
+    std::shared_ptr<const gossip::NodeReport> word;
     bool operator<(const OnItsWay& o) const { return due != o.due ? due > o.due : order > o.order; }
   };
   bool Hears(std::size_t from, std::size_t to) const {
     return nodes_[from].up && nodes_[to].up && (cut_ == 0 || (from < cut_) == (to < cut_));
   }
   void Look(std::size_t observer, Time now);
-  void Spread(std::size_t from, Time now, gossip::Word word);
+  void Spread(std::size_t from, Time now, gossip::NodeReport word);
 
   TierSpec spec_;
   int zones_;
-  gossip::TierLimits limits_;
+  gossip::SharedStateLimits limits_;
   std::vector<double> weights_;
   std::vector<Node> nodes_;
   std::vector<std::string> names_;
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -287,8 +287,8 @@
         static_cast<std::size_t>(std::max(1, config.settings.node_count)), &decisions_, flight_.get(),
         HandOverPath("tier", config));
     if (settings_.tier.on) {
-      tier_ = std::make_unique<gossip::Tier>(&core_, settings_.tier, membership_->name(), membership_->uid(),
-                                             membership_.get(), this, &decisions_);
+      tier_ = std::make_unique<gossip::Gossip>(&core_, settings_.tier, membership_->name(),
+                                               membership_->uid(), membership_.get(), this, &decisions_);
       membership_->Carry(tier_.get());
       decisions_.Tap(tier_.get());
     }
@@ -604,7 +604,7 @@
   std::unique_ptr<ledger::LedgerFile> ledger_file_;
   std::unique_ptr<timeline::FlightRecorder> flight_;
   std::unique_ptr<membership::Membership> membership_;
-  std::unique_ptr<gossip::Tier> tier_;
+  std::unique_ptr<gossip::Gossip> tier_;
   std::unique_ptr<membership::StatusFront> tier_front_;
   std::unique_ptr<Downstream> tier_down_;
   uv_signal_t term_{}, int_{}, hup_{}, usr2_{};
--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -12,129 +12,164 @@
 namespace ryeglade::gossip {
 namespace {
 
-constexpr Time kEvery = 250'000;
-constexpr Time kTellEach = 40'000;  // words of a tier come no closer than this, over all nodes
-
-TierLimits LimitsOf(const GossipSettings& s) {
-  TierLimits l;
-  l.share.tell_each = kTellEach;
-  l.evidence.accusers = s.accusers;
-  l.evidence.most_out = s.most_out;
-  if (!s.departed) l.evidence.ends = 0;
-  return l;
+constexpr Time kInterval = 250'000;
+constexpr Time kReportIntervalPerNode = 40'000;  // reports come no closer than this, over all nodes
+
+// The settings keep the keys of the table [tier].
+GossipFeatures FeaturesOf(const GossipSettings& settings) {
+  return {settings.parts, settings.evidence, settings.beginnings};
+}
+
+SharedStateLimits LimitsOf(const GossipSettings& settings) {
+  SharedStateLimits limits;
+  limits.traffic_share.report_interval_per_node = kReportIntervalPerNode;
+  limits.outliers.required_reporters = settings.accusers;
+  limits.outliers.max_ejected_share = settings.most_out;
+  if (!settings.departed) limits.outliers.orphan_lifetime = 0;
+  return limits;
+}
+
+std::string Joined(const std::vector<std::string>& names) {
+  std::string all;
+  for (const std::string& name : names) all += (all.empty() ? "" : ",") + name;
+  return all;
 }
 
 }  // namespace
 
-Tier::Tier(const Runtime* run, const GossipSettings& settings, const std::string& node, std::uint64_t life,
-           const ClusterViewPort* view, const ReplicaViewPort* fleet, EventPort* events)
-    : run_(run),
+Gossip::Gossip(const Runtime* runtime, const GossipSettings& settings, const std::string& node,
+               std::uint64_t incarnation, const ClusterViewPort* view, const ReplicaViewPort* fleet,
+               EventPort* events)
+    : runtime_(runtime),
       node_(node),
       view_(view),
       fleet_(fleet),
       events_(events),
-      model_(node, life, Now(), Uses{settings.parts, settings.evidence, settings.beginnings},
-             LimitsOf(settings)) {}
+      model_(node, incarnation, Now(), FeaturesOf(settings), LimitsOf(settings)) {}
 
-void Tier::Start() { Turn(); }
+void Gossip::Start() { OnTimer(); }
 
-void Tier::Close() { run_->deadlines->Cancel(turn_); }
+void Gossip::Close() { runtime_->deadlines->Cancel(timer_); }
 
-void Tier::OnDecision(Time now, const policy::Event& event, const std::vector<policy::Action>&) {
-  if (const auto* arrived = std::get_if<policy::RequestArrived>(&event)) model_.Arrived(now, arrived->prefix);
+void Gossip::OnDecision(Time now, const policy::Event& event, const std::vector<policy::Action>&) {
+  if (const auto* arrived = std::get_if<policy::RequestArrived>(&event))
+    model_.OnArrival(now, arrived->prefix);
 }
 
-void Tier::Turn() {
-  turn_ = run_->deadlines->Set(Now() + kEvery, [this] { Turn(); });
+void Gossip::OnTimer() {
+  timer_ = runtime_->deadlines->Set(Now() + kInterval, [this] { OnTimer(); });
   const Time now = Now();
   const ClusterView view = view_->View();
-  std::vector<EvidenceModel::Peer> members;
+  UpdateMembers(now, view);
+  if (model_.features().outlier_reports) {
+    observed_fleet_.clear();
+    fleet_->ListReplicas(&observed_fleet_);
+    model_.ObserveReplicas(now, observed_fleet_, false);
+  }
+  if (std::optional<NodeReport> report = model_.NextReport(now))
+    queue_.Enqueue(now, {node_, 0, std::move(*report)}, true);
+  for (policy::Event& event : model_.Evaluate(now, view.announced_nodes)) events_->Post(std::move(event));
+  LogShareState();
+  LogEjections(now);
+}
+
+void Gossip::UpdateMembers(Time now, const ClusterView& view) {
+  std::vector<OutlierConsensusModel::Peer> members;
   std::string zone;
-  for (const ClusterMember& m : view.members) {
-    if (m.name == node_) {
-      zone = m.zone;
+  for (const ClusterMember& member : view.members) {
+    if (member.name == node_) {
+      zone = member.zone;
     } else {
-      members.push_back({m.name, m.zone});
+      members.push_back({member.name, member.zone});
     }
   }
-  model_.View(now, members, zone, view.joined && !view.partition_suspected && !members.empty(), view.stable);
-  if (model_.uses().evidence) {
-    seen_.clear();
-    fleet_->ListReplicas(&seen_);
-    model_.See(now, seen_, false);
-  }
-  if (std::optional<Word> word = model_.Tell(now)) gossip_.Put(now, {node_, 0, std::move(*word)}, true);
-  for (policy::Event& event : model_.Turn(now, view.announced_nodes)) events_->Post(std::move(event));
+  const bool certain = view.joined && !view.partition_suspected && !members.empty();
+  model_.SetMembers(now, members, zone, certain, view.stable);
+}
 
-  if (state_ != model_.shares().state()) {
-    state_ = model_.shares().state();
-    Log(Level::kInfo, "tier-part", {{"state", state_}, {"part", fmt::format("{:.4f}", model_.part())}});
-  }
-  std::map<policy::ReplicaId, Time> alone;
-  for (const EvidenceModel::Line& line : model_.evidence().Explain()) {
-    if (line.rests_until <= now) continue;
-    alone[line.replica] = line.rests_until;
-    if (left_alone_.contains(line.replica)) continue;
-    std::string by;
-    for (const std::string& name : line.accusers) by += (by.empty() ? "" : ",") + name;
-    Log(Level::kWarn, "tier-left-alone", {{"host", fleet_->NameOf(line.replica)}, {"by", by}});
+void Gossip::LogShareState() {
+  const char* state = model_.traffic_shares().state();
+  if (logged_state_ == state) return;
+  logged_state_ = state;
+  Log(Level::kInfo, "tier-part", {{"state", state}, {"part", fmt::format("{:.4f}", model_.share())}});
+}
+
+void Gossip::LogEjections(Time now) {
+  std::map<policy::ReplicaId, Time> ejected;
+  for (const OutlierConsensusModel::Finding& finding : model_.outliers().findings()) {
+    if (finding.ejected_until <= now) continue;
+    ejected[finding.replica] = finding.ejected_until;
+    if (ejected_.contains(finding.replica)) continue;
+    Log(Level::kWarn, "tier-left-alone",
+        {{"host", fleet_->NameOf(finding.replica)}, {"by", Joined(finding.reporters)}});
   }
-  for (const auto& [id, until] : left_alone_) {
-    if (!alone.contains(id)) Log(Level::kInfo, "tier-released", {{"host", fleet_->NameOf(id)}});
+  for (const auto& [id, until] : ejected_) {
+    if (!ejected.contains(id)) Log(Level::kInfo, "tier-released", {{"host", fleet_->NameOf(id)}});
   }
-  left_alone_ = std::move(alone);
+  ejected_ = std::move(ejected);
 }
 
-std::vector<std::string> Tier::TakeMessages(std::size_t room, std::size_t overhead) {
-  std::vector<std::string> words = gossip_.Fill(Now(), room, overhead);
-  traffic_.out += words.size();
-  return words;
+std::vector<std::string> Gossip::TakeMessages(std::size_t capacity, std::size_t overhead) {
+  std::vector<std::string> messages = queue_.TakeMessages(Now(), capacity, overhead);
+  traffic_.sent += messages.size();
+  return messages;
 }
 
-void Tier::OnMessages(const std::vector<std::string>& words) {
+void Gossip::OnMessages(const std::vector<std::string>& messages) {
   const Time now = Now();
-  for (const std::string& bytes : words) {
-    ++traffic_.in;
+  for (const std::string& bytes : messages) {
+    ++traffic_.received;
     const char* why = "";
-    std::optional<Telling> telling = Decode(bytes, &why);
-    if (!telling) {
+    std::optional<GossipMessage> message = Decode(bytes, &why);
+    if (!message) {
       ++traffic_.dropped[why];
       continue;
     }
-    if (telling->node == node_ || !model_.Learn(now, *telling)) continue;  // known, old, or of no member
-    ++traffic_.news;
-    gossip_.Put(now, std::move(*telling), false);
+    if (message->node == node_ || !model_.OnMessage(now, *message)) continue;  // known, old, or of no member
+    ++traffic_.accepted;
+    queue_.Enqueue(now, std::move(*message), false);
   }
 }
 
-std::string Tier::StatusJson() const {
+// The status address's keys are older than the names in the code, and stay: part = share, told = announced or
+// reported, uses = features, beginnings = prefixes, words = messages (news: accepted), accusers = reporters,
+// rests = ejected.
+std::string Gossip::StatusJson() const {
   const Time now = Now();
   using nlohmann::json;
-  json j = {
-      {"name", node_},
-      {"state", model_.shares().state()},
-      {"part", model_.part()},
-      {"told", model_.told_part()},
-      {"uses",
-       {{"parts", model_.uses().parts},
-        {"evidence", model_.uses().evidence},
-        {"beginnings", model_.uses().beginnings}}},
-      {"doubts_itself", model_.evidence().doubts()},
-      {"beginnings_told", model_.beginnings().told()},
-      {"words",
-       {{"out", traffic_.out}, {"in", traffic_.in}, {"news", traffic_.news}, {"dropped", traffic_.dropped}}},
-      {"nodes", json::array()},
-      {"replicas", json::array()}};
-  for (const ShareModel::Line& l : model_.shares().Explain(now))
-    j["nodes"].push_back(
-        {{"name", l.node}, {"rate", l.rate}, {"told", l.told}, {"stale", l.stale}, {"part", l.share}});
-  for (const EvidenceModel::Line& l : model_.evidence().Explain())
-    j["replicas"].push_back({{"host", fleet_->NameOf(l.replica)},
-                             {"accusers", l.accusers},
-                             {"answered", l.answered},
-                             {"rests_ms", l.rests_until > now ? (l.rests_until - now) / 1000 : 0},
-                             {"why", l.why}});
-  return j.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
+  json status = {{"name", node_},
+                 {"state", model_.traffic_shares().state()},
+                 {"part", model_.share()},
+                 {"told", model_.announced_share()},
+                 {"uses",
+                  {{"parts", model_.features().traffic_shares},
+                   {"evidence", model_.features().outlier_reports},
+                   {"beginnings", model_.features().prefix_traffic}}},
+                 {"doubts_itself", model_.outliers().suspects_itself()},
+                 {"beginnings_told", model_.prefix_traffic().announced()},
+                 {"words",
+                  {{"out", traffic_.sent},
+                   {"in", traffic_.received},
+                   {"news", traffic_.accepted},
+                   {"dropped", traffic_.dropped}}},
+                 {"nodes", json::array()},
+                 {"replicas", json::array()}};
+  for (const TrafficShareModel::NodeShare& node : model_.traffic_shares().Explain(now)) {
+    status["nodes"].push_back({{"name", node.node},
+                               {"rate", node.rate},
+                               {"told", node.reported},
+                               {"stale", node.stale},
+                               {"part", node.share}});
+  }
+  for (const OutlierConsensusModel::Finding& finding : model_.outliers().findings()) {
+    const Time left = finding.ejected_until > now ? finding.ejected_until - now : 0;
+    status["replicas"].push_back({{"host", fleet_->NameOf(finding.replica)},
+                                  {"accusers", finding.reporters},
+                                  {"answered", finding.answered_by},
+                                  {"rests_ms", left / 1000},
+                                  {"why", finding.reason}});
+  }
+  return status.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
 }  // namespace ryeglade::gossip
--- a/src/gossip/gossip_message_codec.cpp
+++ b/src/gossip/gossip_message_codec.cpp
@@ -10,123 +10,150 @@
 namespace {
 
 constexpr std::uint64_t kForm = 1;
-constexpr std::size_t kMostName = 64;
-constexpr std::uint64_t kAny = ~std::uint64_t{0};
+constexpr std::size_t kMaxNameBytes = 64;
+constexpr std::uint64_t kAnyNumber = ~std::uint64_t{0};
 constexpr double kHundred = 100;
-constexpr std::uint64_t kMostStart = 1'000'000'000'000'000;  // ms
+constexpr std::uint64_t kMaxStartMs = 1'000'000'000'000'000;
+constexpr std::uint64_t kMaxRateHundredths = static_cast<std::uint64_t>(kMaxRate * kHundred);
 // What a peer may make the reader allocate: arrays, maps, texts, binaries, extensions, depth.
-const msgpack::unpack_limit kLimits(64, 0, kMostName, 0, 0, 4);
+const msgpack::unpack_limit kLimits(64, 0, kMaxNameBytes, 0, 0, 4);
 
-using Bad = BadField;
-using Fields = UntrustedFields;
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
-std::uint64_t Ms(Time span, Time most) {
-  return static_cast<std::uint64_t>(std::clamp<Time>(span, 0, most) / 1000);
+std::uint64_t Milliseconds(Time span, Time max) {
+  return static_cast<std::uint64_t>(std::clamp<Time>(span, 0, max) / 1000);
 }
 
-std::int64_t Hundredths(double x, double least, double most) {
-  return std::isfinite(x) ? std::llround(std::clamp(x, least, most) * kHundred) : 0;
+std::int64_t Hundredths(double value, double min, double max) {
+  return std::isfinite(value) ? std::llround(std::clamp(value, min, max) * kHundred) : 0;
 }
 
-std::size_t Upto(const Fields& list, std::size_t most) {
-  if (list.left() > most) throw Bad("range");
+void Pack(Packer& packer, const OutlierReport& report) {
+  packer.pack_array(9);
+  packer.pack(report.replica);
+  packer.pack(Milliseconds(report.started_at, static_cast<Time>(kMaxStartMs) * 1000));
+  packer.pack(std::clamp(report.consecutive_failures, 0, 255));
+  packer.pack(Milliseconds(report.ejected_for, kMaxSpan));
+  const Time age = report.last_outcome_age;
+  packer.pack(age < 0 || age > kMaxSpan ? 0 : 1 + Milliseconds(age, kMaxSpan));
+  packer.pack(Hundredths(report.slowness, -4, 4));
+  packer.pack(static_cast<std::uint32_t>(Hundredths(report.slowness_samples, 0, 255)));
+  packer.pack(std::clamp(report.in_flight, 0, 255));
+  packer.pack(Milliseconds(report.stalled_for, kMaxSpan));
+}
+
+void Pack(Packer& packer, const PrefixRate& rate) {
+  packer.pack_array(2);
+  packer.pack(rate.prefix);
+  packer.pack(static_cast<std::uint64_t>(Hundredths(rate.rate, 0, kMaxRate)));
+}
+
+// The first `max` items of a list.
+template <typename Item>
+void PackList(Packer& packer, const std::vector<Item>& items, std::size_t max) {
+  const std::size_t count = std::min(items.size(), max);
+  packer.pack_array(static_cast<std::uint32_t>(count));
+  for (std::size_t i = 0; i < count; ++i) Pack(packer, items[i]);
+}
+
+double ReadRate(UntrustedFields& fields) {
+  return static_cast<double>(fields.Number(kMaxRateHundredths)) / kHundred;
+}
+
+OutlierReport ReadOutlierReport(const msgpack::object& object) {
+  UntrustedFields fields(object);
+  OutlierReport report;
+  report.replica = static_cast<policy::ReplicaId>(fields.Number(0xffffffff));
+  report.started_at = static_cast<Time>(fields.Number(kMaxStartMs)) * 1000;
+  report.consecutive_failures = static_cast<int>(fields.Number(255));
+  report.ejected_for = static_cast<Time>(fields.Number(kMaxSpan / 1000)) * 1000;
+  const std::uint64_t age = fields.Number(1 + kMaxSpan / 1000);  // 0: none
+  report.last_outcome_age = age == 0 ? -1 : static_cast<Time>(age - 1) * 1000;
+  report.slowness = static_cast<double>(fields.Signed(400)) / kHundred;
+  report.slowness_samples = static_cast<double>(fields.Number(25'500)) / kHundred;
+  report.in_flight = static_cast<int>(fields.Number(255));
+  report.stalled_for = static_cast<Time>(fields.Number(kMaxSpan / 1000)) * 1000;
+  return report;
+}
+
+PrefixRate ReadPrefixRate(const msgpack::object& object) {
+  UntrustedFields fields(object);
+  PrefixRate rate;
+  rate.prefix = fields.Number(kAnyNumber);
+  rate.rate = ReadRate(fields);
+  return rate;
+}
+
+std::size_t CountUpTo(const UntrustedFields& list, std::size_t max) {
+  if (list.left() > max) throw BadField("range");
   return list.left();
 }
 
+GossipMessage ReadMessage(const msgpack::object& object) {
+  UntrustedFields fields(object);
+  if (fields.Number(kAnyNumber) != kForm) throw BadField("form");
+  GossipMessage message;
+  NodeReport& report = message.report;
+  message.node = fields.Text(1, kMaxNameBytes);
+  message.age = static_cast<Time>(fields.Number(kMaxAge / 1000)) * 1000;
+  report.incarnation = fields.Number(kAnyNumber);
+  report.sequence = fields.Number(kAnyNumber);
+  report.rate = ReadRate(fields);
+  report.suspects_itself = (fields.Number(kAnyNumber) & 1U) != 0;
+  report.failing_replicas = static_cast<int>(fields.Number(0xffff));
+  UntrustedFields outliers(fields.Next());
+  for (std::size_t n = CountUpTo(outliers, kMaxOutlierReports); n > 0; --n)
+    report.outlier_reports.push_back(ReadOutlierReport(outliers.Next()));
+  UntrustedFields prefixes(fields.Next());
+  for (std::size_t n = CountUpTo(prefixes, kMaxPrefixRates); n > 0; --n)
+    report.prefix_rates.push_back(ReadPrefixRate(prefixes.Next()));
+  return message;
+}
+
+const char* ReasonOf(const BadField& error) {
+  const std::string_view what = error.what();
+  if (what == "range") return "range";
+  if (what == "form") return "form";
+  return "malformed";
+}
+
 }  // namespace
 
-double MostRate(std::vector<double> rates) {
-  if (rates.size() < 3) return kMostRate;
-  const auto middle = rates.begin() + static_cast<std::ptrdiff_t>((rates.size() - 1) / 2);
-  std::nth_element(rates.begin(), middle, rates.end());
+double MaxCountedRate(std::vector<double> rates) {
+  if (rates.size() < 3) return kMaxRate;
+  const auto median = rates.begin() + static_cast<std::ptrdiff_t>((rates.size() - 1) / 2);
+  std::nth_element(rates.begin(), median, rates.end());
   // Where most nodes get next to nothing the others may get many times that.
-  return std::max(1.0, kMostOfMiddle * *middle);
+  return std::max(1.0, kMaxTimesMedian * *median);
 }
 
-std::string Encode(const Telling& t) {
-  const Word& w = t.word;
+std::string Encode(const GossipMessage& message) {
+  const NodeReport& report = message.report;
   msgpack::sbuffer buffer;
-  Packer p(buffer);
-  p.pack_array(10);
-  p.pack(kForm);
-  p.pack(t.node);
-  p.pack(Ms(t.age, kMostAge));
-  p.pack(w.life);
-  p.pack(w.number);
-  p.pack(static_cast<std::uint64_t>(Hundredths(w.rate, 0, kMostRate)));
-  p.pack(w.doubt ? 1U : 0U);
-  p.pack(static_cast<std::uint32_t>(std::clamp(w.accused, 0, 0xffff)));
-  const std::size_t claims = std::min(w.claims.size(), kMostClaims);
-  p.pack_array(static_cast<std::uint32_t>(claims));
-  for (std::size_t i = 0; i < claims; ++i) {
-    const Claim& c = w.claims[i];
-    p.pack_array(9);
-    p.pack(c.replica);
-    p.pack(Ms(c.started_at, static_cast<Time>(kMostStart) * 1000));
-    p.pack(std::clamp(c.failures, 0, 255));
-    p.pack(Ms(c.rests, kMostRest));
-    p.pack(c.last < 0 || c.last > kMostRest ? 0 : 1 + Ms(c.last, kMostRest));
-    p.pack(Hundredths(c.slow, -4, 4));
-    p.pack(static_cast<std::uint32_t>(Hundredths(c.slow_n, 0, 255)));
-    p.pack(std::clamp(c.out, 0, 255));
-    p.pack(Ms(c.waits, kMostRest));
-  }
-  const std::size_t beginnings = std::min(w.beginnings.size(), kMostBeginnings);
-  p.pack_array(static_cast<std::uint32_t>(beginnings));
-  for (std::size_t i = 0; i < beginnings; ++i) {
-    p.pack_array(2);
-    p.pack(w.beginnings[i].beginning);
-    p.pack(static_cast<std::uint64_t>(Hundredths(w.beginnings[i].rate, 0, kMostRate)));
-  }
+  Packer packer(buffer);
+  packer.pack_array(10);
+  packer.pack(kForm);
+  packer.pack(message.node);
+  packer.pack(Milliseconds(message.age, kMaxAge));
+  packer.pack(report.incarnation);
+  packer.pack(report.sequence);
+  packer.pack(static_cast<std::uint64_t>(Hundredths(report.rate, 0, kMaxRate)));
+  packer.pack(report.suspects_itself ? 1U : 0U);
+  packer.pack(static_cast<std::uint32_t>(std::clamp(report.failing_replicas, 0, 0xffff)));
+  PackList(packer, report.outlier_reports, kMaxOutlierReports);
+  PackList(packer, report.prefix_rates, kMaxPrefixRates);
   return {buffer.data(), buffer.size()};
 }
 
-std::optional<Telling> Decode(std::string_view bytes, const char** why) {
+std::optional<GossipMessage> Decode(std::string_view bytes, const char** why) {
   *why = "malformed";
-  if (bytes.size() > kMostWord) return std::nullopt;
+  if (bytes.size() > kMaxMessageBytes) return std::nullopt;
   try {
     const msgpack::object_handle handle = msgpack::unpack(
         bytes.data(), bytes.size(), [](auto, auto, void*) { return true; }, nullptr, kLimits);
-    Fields f(handle.get());
-    if (f.Number(kAny) != kForm) throw Bad("form");
-    Telling t;
-    Word& w = t.word;
-    t.node = f.Text(1, kMostName);
-    t.age = static_cast<Time>(f.Number(kMostAge / 1000)) * 1000;
-    w.life = f.Number(kAny);
-    w.number = f.Number(kAny);
-    w.rate = static_cast<double>(f.Number(static_cast<std::uint64_t>(kMostRate * kHundred))) / kHundred;
-    w.doubt = (f.Number(kAny) & 1U) != 0;
-    w.accused = static_cast<int>(f.Number(0xffff));
-    Fields claims(f.Next());
-    for (std::size_t n = Upto(claims, kMostClaims); n > 0; --n) {
-      Fields g(claims.Next());
-      Claim c;
-      c.replica = static_cast<policy::ReplicaId>(g.Number(0xffffffff));
-      c.started_at = static_cast<Time>(g.Number(kMostStart)) * 1000;
-      c.failures = static_cast<int>(g.Number(255));
-      c.rests = static_cast<Time>(g.Number(kMostRest / 1000)) * 1000;
-      const std::uint64_t last = g.Number(1 + kMostRest / 1000);
-      c.last = last == 0 ? -1 : static_cast<Time>(last - 1) * 1000;
-      c.slow = static_cast<double>(g.Signed(400)) / kHundred;
-      c.slow_n = static_cast<double>(g.Number(25'500)) / kHundred;
-      c.out = static_cast<int>(g.Number(255));
-      c.waits = static_cast<Time>(g.Number(kMostRest / 1000)) * 1000;
-      w.claims.push_back(c);
-    }
-    Fields beginnings(f.Next());
-    for (std::size_t n = Upto(beginnings, kMostBeginnings); n > 0; --n) {
-      Fields g(beginnings.Next());
-      BeginningRate b;
-      b.beginning = g.Number(kAny);
-      b.rate = static_cast<double>(g.Number(static_cast<std::uint64_t>(kMostRate * kHundred))) / kHundred;
-      w.beginnings.push_back(b);
-    }
-    return t;
-  } catch (const Bad& e) {
-    const std::string_view what = e.what();
-    *why = what == "range" ? "range" : what == "form" ? "form" : "malformed";
+    return ReadMessage(handle.get());
+  } catch (const BadField& error) {
+    *why = ReasonOf(error);
   } catch (const std::exception&) {  // the library's own
     *why = "malformed";
   }
--- a/src/gossip/gossip_queue_model.cpp
+++ b/src/gossip/gossip_queue_model.cpp
@@ -4,47 +4,52 @@
 #include <utility>
 
 namespace ryeglade::gossip {
+namespace {
 
-void GossipModel::Put(Time now, Telling telling, bool own) {
-  auto at = words_.find(telling.node);
-  if (at == words_.end()) {
-    if (words_.size() >= kMostNodes) return;
-    at = words_.emplace(telling.node, Entry{}).first;
+constexpr std::size_t kMinUsefulBytes = 64;  // no message fits into less
+
+}  // namespace
+
+void GossipQueue::Enqueue(Time now, GossipMessage message, bool own) {
+  auto it = entries_.find(message.node);
+  if (it == entries_.end()) {
+    if (entries_.size() >= kMaxNodes) return;
+    it = entries_.emplace(message.node, Entry{}).first;
   }
-  Entry& e = at->second;
-  left_ -= static_cast<std::size_t>(e.left);
-  e = {std::move(telling), now, own ? kOwnSends : kSends, 0, ++orders_};
-  left_ += static_cast<std::size_t>(e.left);
+  Entry& entry = it->second;
+  pending_sends_ -= static_cast<std::size_t>(entry.sends_left);
+  entry = {std::move(message), now, own ? kOwnSends : kForwards, 0, ++last_order_};
+  pending_sends_ += static_cast<std::size_t>(entry.sends_left);
 }
 
-std::vector<std::string> GossipModel::Fill(Time now, std::size_t room, std::size_t overhead) {
-  std::vector<std::string> out;
-  if (left_ == 0) return out;
-  std::vector<Entry*> waiting;
-  for (auto& [name, e] : words_) {
-    if (e.left > 0) waiting.push_back(&e);
+std::vector<std::string> GossipQueue::TakeMessages(Time now, std::size_t capacity, std::size_t overhead) {
+  std::vector<std::string> taken;
+  if (pending_sends_ == 0) return taken;
+  std::vector<Entry*> pending;
+  for (auto& [name, entry] : entries_) {
+    if (entry.sends_left > 0) pending.push_back(&entry);
   }
-  std::sort(waiting.begin(), waiting.end(), [](const Entry* a, const Entry* b) {
+  std::sort(pending.begin(), pending.end(), [](const Entry* a, const Entry* b) {
     return a->sent != b->sent ? a->sent < b->sent : a->order > b->order;
   });
-  for (Entry* e : waiting) {
-    Telling t = e->telling;
-    t.age += now - e->at;
-    if (t.age > kMostAge) {
-      left_ -= static_cast<std::size_t>(std::exchange(e->left, 0));
+  for (Entry* entry : pending) {
+    GossipMessage message = entry->message;
+    message.age += now - entry->enqueued_at;
+    if (message.age > kMaxAge) {
+      pending_sends_ -= static_cast<std::size_t>(std::exchange(entry->sends_left, 0));
       continue;
     }
-    std::string bytes = Encode(t);
-    // What does not fit this time goes with a message that has more room.
-    if (bytes.size() + overhead > room) continue;
-    room -= bytes.size() + overhead;
-    out.push_back(std::move(bytes));
-    --e->left;
-    --left_;
-    ++e->sent;
-    if (room < 64) break;
+    std::string bytes = Encode(message);
+    // What does not fit this time goes with a datagram that has more capacity left.
+    if (bytes.size() + overhead > capacity) continue;
+    capacity -= bytes.size() + overhead;
+    taken.push_back(std::move(bytes));
+    --entry->sends_left;
+    --pending_sends_;
+    ++entry->sent;
+    if (capacity < kMinUsefulBytes) break;
   }
-  return out;
+  return taken;
 }
 
 }  // namespace ryeglade::gossip
--- a/src/gossip/gossip_queue_model.h
+++ b/src/gossip/gossip_queue_model.h
@@ -1,6 +1,6 @@
-// Which nodes' words travel next. Each node passes on the newest word of every other a few times, on whatever
-// message leaves it, so that words get round where links are cut, at a cost that does not grow with the tier.
-// No I/O, no clock.
+// Which nodes' reports are sent next. Each node forwards the newest report of every other node a few times,
+// on whatever message leaves it, so that reports spread where links are cut, at a cost that does not grow
+// with the cluster. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -13,32 +13,31 @@
 
 namespace ryeglade::gossip {
 
-class GossipModel {
+class GossipQueue {
  public:
-  static constexpr int kSends = 3;     // of each word by each node that has it
-  static constexpr int kOwnSends = 6;  // and by the node that said it
-  static constexpr std::size_t kMostNodes = 4096;
+  static constexpr int kForwards = 3;  // of each report, by each node that received it
+  static constexpr int kOwnSends = 6;  // of each report, by the node that made it
+  static constexpr std::size_t kMaxNodes = 4096;
 
-  // The newest word of its node: it takes the place of the one before.
-  void Put(Time now, Telling telling, bool own);
-  void Forget(const std::string& node) { words_.erase(node); }
-  // Words, encoded, that fit into `room` bytes with `overhead` bytes for each: those sent least first, the
-  // newest of them first. Each counts as sent.
-  std::vector<std::string> Fill(Time now, std::size_t room, std::size_t overhead);
-  bool waiting() const { return left_ > 0; }  // something is to be sent yet
-  std::size_t size() const { return words_.size(); }
+  // Enqueues the newest report of its node in place of the one before. `own`: this node made it.
+  void Enqueue(Time now, GossipMessage message, bool own);
+  // Encoded messages that fit into `capacity` bytes with `overhead` bytes for each: those sent least first,
+  // of these the newest first. Each counts as sent.
+  std::vector<std::string> TakeMessages(Time now, std::size_t capacity, std::size_t overhead);
+  bool has_pending() const { return pending_sends_ > 0; }
+  std::size_t size() const { return entries_.size(); }
 
  private:
   struct Entry {
-    Telling telling;
-    Time at = 0;
-    int left = 0;  // sends
+    GossipMessage message;
+    Time enqueued_at = 0;
+    int sends_left = 0;
     int sent = 0;
-    std::uint64_t order = 0;
+    std::uint64_t order = 0;  // rises with each Enqueue
   };
-  std::map<std::string, Entry> words_;
-  std::size_t left_ = 0;  // of all entries
-  std::uint64_t orders_ = 0;
+  std::map<std::string, Entry> entries_;  // by node
+  std::size_t pending_sends_ = 0;         // the sum of all entries' `sends_left`
+  std::uint64_t last_order_ = 0;
 };
 
 }  // namespace ryeglade::gossip
--- a/src/gossip/outlier_consensus_model.cpp
+++ b/src/gossip/outlier_consensus_model.cpp
@@ -10,302 +10,352 @@
 namespace ryeglade::gossip {
 namespace {
 
+using policy::DecayingCounter;
 using policy::PeerReplicaReport;
 using policy::ReplicaId;
 
-constexpr Time kSlowMemory = 10'000'000;  // as in the decision module
-constexpr double kFailureSlow = 1.1;      // the same
-constexpr double kSlow = 1.0;             // ln: a slowness that the module can do something with
-constexpr double kMoved = 0.1;            // a slowness that has changed by this is told anew
-constexpr Time kTellAgain = 4'000'000;    // and all of them so often, as the module lets them fade
-constexpr Time kRestAgain = 1'000'000;    // a rest is told anew before it is over
-constexpr int kDoubtLeast = 2;            // failing replicas that are no reason to doubt oneself yet
-constexpr std::size_t kMostLines = 256;
+constexpr Time kSlownessMemory = 10'000'000;      // as in the decision module
+constexpr double kFailureSlowness = 1.1;          // the same
+constexpr double kMinUsefulSlowness = 1.0;        // ln: a slowness that the module can do something with
+constexpr double kSlownessChange = 0.1;           // a slowness that has changed by this is announced again
+constexpr Time kReannounceAfter = 4'000'000;      // all are announced so often, as the module lets them fade
+constexpr Time kRenewEjectionBefore = 1'000'000;  // an ejection is renewed before it ends
+constexpr int kMinFailingToSuspect = 2;           // failing replicas that are no reason to suspect oneself
+constexpr std::size_t kMaxFindings = 256;
 
-struct Said {
-  double slow, n;
-};
+}  // namespace
 
 // Half of the weight lies on either side, each speaker's weight bounded; of two, the one nearer to nothing.
-Said Median(std::vector<Said>& all) {
-  std::sort(all.begin(), all.end(), [](const Said& a, const Said& b) { return a.slow < b.slow; });
-  double whole = 0;
-  for (const Said& s : all) whole += s.n;
-  if (all.size() == 2)
-    return {std::abs(all[0].slow) < std::abs(all[1].slow) ? all[0].slow : all[1].slow, whole};
+OutlierConsensusModel::SlownessSample OutlierConsensusModel::WeightedMedian(
+    std::vector<SlownessSample>& all) {
+  std::sort(all.begin(), all.end(),
+            [](const SlownessSample& a, const SlownessSample& b) { return a.slowness < b.slowness; });
+  double total = 0;
+  for (const SlownessSample& sample : all) total += sample.samples;
+  if (all.size() == 2) {
+    const bool first = std::abs(all[0].slowness) < std::abs(all[1].slowness);
+    return {first ? all[0].slowness : all[1].slowness, total};
+  }
   double below = 0;
-  for (const Said& s : all) {
-    below += s.n;
-    if (2 * below >= whole) return {s.slow, whole};
+  for (const SlownessSample& sample : all) {
+    below += sample.samples;
+    if (2 * below >= total) return {sample.slowness, total};
   }
   return {0, 0};
 }
 
-}  // namespace
-
-void EvidenceModel::See(Time now, const std::vector<policy::ReplicaView>& fleet, bool doubt) {
-  for (auto& [id, r] : fleet_) r.listed = false;
+void OutlierConsensusModel::ObserveReplicas(Time now, const std::vector<policy::ReplicaView>& fleet,
+                                            bool suspects_itself) {
+  for (auto& [id, replica] : fleet_) replica.listed = false;
   int used = 0;
-  accused_ = 0;
-  for (const policy::ReplicaView& v : fleet) {
-    Replica& r = fleet_[v.endpoint.id];
-    if (r.seen.endpoint.started_at != v.endpoint.started_at) r = Replica{};
-    r.seen = v;
-    r.listed = true;
-    if (v.ejected_until > now) ++accused_;
-    if (v.ejected_until > now || (v.slowness_updated_at > 0 && now - v.slowness_updated_at < limits_.fresh))
-      ++used;
+  failing_ = 0;
+  for (const policy::ReplicaView& view : fleet) {
+    Replica& replica = fleet_[view.endpoint.id];
+    if (replica.view.endpoint.started_at != view.endpoint.started_at) replica = Replica{};
+    replica.view = view;
+    replica.listed = true;
+    const bool ejected = view.ejected_until > now;
+    const bool answered_lately =
+        view.slowness_updated_at > 0 && now - view.slowness_updated_at < limits_.max_report_age;
+    if (ejected) ++failing_;
+    if (ejected || answered_lately) ++used;
   }
-  std::erase_if(fleet_, [](const auto& e) { return !e.second.listed; });
-  doubt_ = doubt || (accused_ > kDoubtLeast && accused_ > limits_.doubts * used);
+  std::erase_if(fleet_, [](const auto& entry) { return !entry.second.listed; });
+  suspects_itself_ =
+      suspects_itself || (failing_ > kMinFailingToSuspect && failing_ > limits_.self_suspicion_share * used);
 }
 
-Claim EvidenceModel::Own(Time now, const policy::ReplicaView& v) const {
-  const double n =
-      v.slowness_samples * policy::DecayingCounter::DecayFactor(now - v.slowness_updated_at, kSlowMemory);
-  Claim c{v.endpoint.id,
-          v.endpoint.started_at,
-          v.consecutive_failures,
-          std::max<Time>(0, v.ejected_until - now),
-          -1,
-          v.slowness,
-          n,
-          v.in_flight};
-  if (v.slowness_updated_at > 0 && now - v.slowness_updated_at <= kMostRest)
-    c.last = now - v.slowness_updated_at;
-  if (v.prefill_backlog_tokens >= 1 && v.in_flight > 0) c.waits = std::min(kMostRest, now - v.waiting_since);
-  return c;
+OutlierReport OutlierConsensusModel::OwnReport(Time now, const policy::ReplicaView& view) const {
+  const Time age = now - view.slowness_updated_at;
+  OutlierReport report;
+  report.replica = view.endpoint.id;
+  report.started_at = view.endpoint.started_at;
+  report.consecutive_failures = view.consecutive_failures;
+  report.ejected_for = std::max<Time>(0, view.ejected_until - now);
+  report.slowness = view.slowness;
+  report.slowness_samples = view.slowness_samples * DecayingCounter::DecayFactor(age, kSlownessMemory);
+  report.in_flight = view.in_flight;
+  if (view.slowness_updated_at > 0 && age <= kMaxSpan) report.last_outcome_age = age;
+  if (view.prefill_backlog_tokens >= 1 && view.in_flight > 0)
+    report.stalled_for = std::min(kMaxSpan, now - view.waiting_since);
+  return report;
 }
 
-// Whether `node` is among the accusers that go on trying: the first by rendezvous, so that all agree.
-bool EvidenceModel::Tries(const std::string& node, ReplicaId replica,
-                          const std::vector<std::string>& accusers) const {
+bool OutlierConsensusModel::KeepsProbing(const std::string& node, ReplicaId replica,
+                                         const std::vector<std::string>& reporters) const {
   const auto rank = [replica](const std::string& name) {
     return XXH3_64bits_withSeed(name.data(), name.size(), replica);
   };
   const std::uint64_t own = rank(node);
-  std::size_t before = 0;
-  for (const std::string& name : accusers) before += name != node && rank(name) > own ? 1 : 0;
-  return before < std::max(limits_.tries, (peers_.size() + 1) / limits_.tries_of);
+  const auto ranked_higher = static_cast<std::size_t>(
+      std::count_if(reporters.begin(), reporters.end(),
+                    [&](const std::string& name) { return name != node && rank(name) > own; }));
+  return ranked_higher <
+         std::max(limits_.probing_reporters, (peers_.size() + 1) / limits_.nodes_per_probing_reporter);
 }
 
-void EvidenceModel::Tell(Time now, Word* word) const {
-  word->doubt = doubt_;
-  word->accused = accused_;
-  word->claims.clear();
-  // Gravest first: what fails here, then what others accuse and this node has an answer of, then what is
-  // slow.
-  std::vector<std::pair<double, Claim>> all;
-  std::set<ReplicaId> accused;
-  for (const Line& line : lines_) accused.insert(line.replica);
-  for (const auto& [id, r] : fleet_) {
-    const Claim c = Own(now, r.seen);
-    double grave = 0;
-    if (Accuses(c, 0)) {
-      grave = 1000 + c.failures;
-    } else if (accused.contains(id) && c.failures == 0 && c.last >= 0 && c.last < limits_.fresh) {
-      grave = 500;
-    } else if (CallsSlow(c) || (called_slow_.contains(id) && c.slow_n >= 1)) {
-      grave = 1 + std::min(c.slow_n, 100.0);
+void OutlierConsensusModel::FillReport(Time now, NodeReport* report) const {
+  report->suspects_itself = suspects_itself_;
+  report->failing_replicas = failing_;
+  report->outlier_reports.clear();
+  // Gravest first: what fails here, then what others report though it answered here, then what is slow.
+  std::vector<std::pair<double, OutlierReport>> all;
+  std::set<ReplicaId> reported_by_others;
+  for (const Finding& finding : findings_) reported_by_others.insert(finding.replica);
+  for (const auto& [id, replica] : fleet_) {
+    const OutlierReport own = OwnReport(now, replica.view);
+    double gravity = 0;
+    if (ReportsOutlier(own, 0)) {
+      gravity = 1000 + own.consecutive_failures;
+    } else if (reported_by_others.contains(id) && ReportsAnswer(own) &&
+               own.last_outcome_age < limits_.max_report_age) {
+      gravity = 500;
+    } else if (ReportsSlowness(own) || (reported_slow_.contains(id) && own.slowness_samples >= 1)) {
+      gravity = 1 + std::min(own.slowness_samples, 100.0);
     }
-    if (grave > 0) all.emplace_back(grave, c);
+    if (gravity > 0) all.emplace_back(gravity, own);
   }
-  const std::size_t most = std::min(all.size(), kMostClaims);
-  std::partial_sort(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(most), all.end(),
+  const std::size_t count = std::min(all.size(), kMaxOutlierReports);
+  std::partial_sort(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(count), all.end(),
                     [](const auto& a, const auto& b) {
                       return a.first != b.first ? a.first > b.first : a.second.replica < b.second.replica;
                     });
-  for (std::size_t i = 0; i < most; ++i) word->claims.push_back(all[i].second);
+  for (std::size_t i = 0; i < count; ++i) report->outlier_reports.push_back(all[i].second);
 }
 
-void EvidenceModel::Learn(Time made, const std::string& node, const Word& word) {
-  const auto at = peers_.find(node);
-  if (node == self_ || at == peers_.end()) return;
-  at->second.word = word;
-  at->second.made = made;
+void OutlierConsensusModel::OnReport(Time made_at, const std::string& node, const NodeReport& report) {
+  const auto it = peers_.find(node);
+  if (node == self_ || it == peers_.end()) return;
+  it->second.report = report;
+  it->second.made_at = made_at;
 }
 
-void EvidenceModel::View(Time now, const std::vector<Peer>& members, const std::string& zone, bool sure) {
+void OutlierConsensusModel::SetMembers(Time now, const std::vector<Peer>& members, const std::string& zone,
+                                       bool certain) {
   zone_ = zone;
-  zones_ = false;
-  for (auto& [name, h] : peers_) h.member = false;
-  for (const Peer& p : members) {
-    zones_ = zones_ || p.zone != zone;
-    if (p.name == self_ || (!peers_.contains(p.name) && peers_.size() >= kMostPeers)) continue;
-    Heard& h = peers_[p.name];
-    h.member = true;
-    h.zone = p.zone;
+  several_zones_ = false;
+  for (auto& [name, peer] : peers_) peer.member = false;
+  for (const Peer& member : members) {
+    several_zones_ = several_zones_ || member.zone != zone;
+    if (member.name == self_ || (!peers_.contains(member.name) && peers_.size() >= kMaxPeers)) continue;
+    PeerState& peer = peers_[member.name];
+    peer.member = true;
+    peer.zone = member.zone;
   }
-  if (!sure) return;
+  if (!certain) return;
   for (auto it = peers_.begin(); it != peers_.end();) {
     if (it->second.member) {
       ++it;
       continue;
     }
-    // Gone: what it last said it had out counts until it must have ended.
-    const Heard& h = it->second;
-    for (const Claim& c : h.word.claims) {
-      const auto r = fleet_.find(c.replica);
-      if (c.out == 0 || now - h.made > limits_.ends || r == fleet_.end() ||
-          r->second.seen.endpoint.started_at != c.started_at)
-        continue;
-      r->second.ghosts[it->first] = {c.out, h.made + limits_.ends};
-    }
+    RecordOrphans(now, it->first, it->second);
     it = peers_.erase(it);
   }
 }
 
-bool EvidenceModel::Trusted(const Heard& h, Time now) const {
-  if (!h.member || h.word.doubt || now - h.made > limits_.fresh) return false;
-  // One for which a fifth of the fleet fails while others go on sees its own network.
-  const double most = std::max<double>(kDoubtLeast, limits_.most_out * static_cast<double>(fleet_.size()));
-  const auto accuses =
-      std::count_if(h.word.claims.begin(), h.word.claims.end(), [](const Claim& c) { return c.rests > 0; });
-  return std::max(static_cast<double>(h.word.accused), static_cast<double>(accuses)) <= most;
+void OutlierConsensusModel::RecordOrphans(Time now, const std::string& node, const PeerState& peer) {
+  if (now - peer.made_at > limits_.orphan_lifetime) return;
+  for (const OutlierReport& report : peer.report.outlier_reports) {
+    const auto it = fleet_.find(report.replica);
+    if (report.in_flight == 0 || it == fleet_.end() ||
+        it->second.view.endpoint.started_at != report.started_at)
+      continue;
+    it->second.orphans[node] = {report.in_flight, peer.made_at + limits_.orphan_lifetime};
+  }
 }
 
-std::vector<PeerReplicaReport> EvidenceModel::Judge(Time now, double part) {
-  struct Accuser {
-    std::string name, zone;
-    Time since;  // when it failed there last, or began to wait
-    bool fails;
-  };
-  struct Case {
-    std::vector<Accuser> accusers;
-    std::string answered;
-    Time answered_at = -1;
-    std::vector<Said> said;
-    bool called_slow = false;
-  };
-  std::map<ReplicaId, Case> cases;
-  const auto hear = [&](const std::string& name, const std::string& zone, const Claim& c, Time age) {
-    Case& k = cases[c.replica];
-    // Silence is contradicted by any answer that somebody got since it began.
-    if (Accuses(c, age))
-      k.accusers.push_back({name, zone, now - age - (Fails(c, age) ? c.last : c.waits), Fails(c, age)});
-    if (c.failures == 0 && c.last >= 0 && now - age - c.last > k.answered_at) {
-      k.answered_at = now - age - c.last;
-      k.answered = name;
-    }
-    k.called_slow = k.called_slow || CallsSlow(c);
-    const double n =
-        std::min(limits_.most_n, c.slow_n * policy::DecayingCounter::DecayFactor(age, kSlowMemory));
-    if (name != self_ && n >= 0.5) k.said.push_back({std::clamp(c.slow, -2.0, 2.0), n});
-  };
-  for (const auto& [name, h] : peers_) {
-    if (!Trusted(h, now)) continue;
-    for (const Claim& c : h.word.claims) {
-      const auto r = fleet_.find(c.replica);
-      if (r != fleet_.end() && r->second.seen.endpoint.started_at == c.started_at)
-        hear(name, h.zone, c, std::max<Time>(0, now - h.made));
-    }
+bool OutlierConsensusModel::IsTrusted(const PeerState& peer, Time now) const {
+  if (!peer.member || peer.report.suspects_itself || now - peer.made_at > limits_.max_report_age)
+    return false;
+  // A node for which a fifth of the fleet fails while others go on observes its own network.
+  const double max_failing =
+      std::max<double>(kMinFailingToSuspect, limits_.max_ejected_share * static_cast<double>(fleet_.size()));
+  const auto& reports = peer.report.outlier_reports;
+  const auto ejected = std::count_if(reports.begin(), reports.end(),
+                                     [](const OutlierReport& report) { return report.ejected_for > 0; });
+  return std::max(static_cast<double>(peer.report.failing_replicas), static_cast<double>(ejected)) <=
+         max_failing;
+}
+
+OutlierConsensusModel::Reporter OutlierConsensusModel::MakeReporter(const std::string& name,
+                                                                    const std::string& zone,
+                                                                    const OutlierReport& report, Time now,
+                                                                    Time age) const {
+  const bool failed = ReportsFailure(report, age);
+  return {name, zone, now - age - (failed ? report.last_outcome_age : report.stalled_for), failed};
+}
+
+void OutlierConsensusModel::AddReport(const std::string& name, const std::string& zone,
+                                      const OutlierReport& report, Time now, Time age, Cases* cases) const {
+  Case& one = (*cases)[report.replica];
+  // A stall is contradicted by any answer that somebody got since it began.
+  if (ReportsOutlier(report, age)) one.reporters.push_back(MakeReporter(name, zone, report, now, age));
+  const Time outcome_at = now - age - report.last_outcome_age;
+  if (ReportsAnswer(report) && outcome_at > one.answered_at) {
+    one.answered_at = outcome_at;
+    one.answered_by = name;
   }
-  // Who rests by hearsay. This node's own failures count as an accuser's, its own answers before all others'.
-  lines_.clear();
-  called_slow_.clear();
-  vouched_ = 0;
-  for (auto& [id, k] : cases) {
-    if (k.called_slow) called_slow_.insert(id);
-    if (k.accusers.empty() || lines_.size() >= kMostLines) continue;
-    const Claim own = Own(now, fleet_[id].seen);
-    if (!doubt_ && Accuses(own, 0))
-      k.accusers.push_back({self_, zone_, now - (Fails(own, 0) ? own.last : own.waits), Fails(own, 0)});
-    if (own.failures == 0 && own.last >= 0 && now - own.last > k.answered_at) {
-      k.answered_at = now - own.last;
-      k.answered = self_;
-    }
-    Line line;
-    line.replica = id;
-    line.answered = k.answered;
-    std::set<std::string> zones;
-    std::size_t failed = 0;
-    for (const Accuser& a : k.accusers) {
-      if (a.since <= k.answered_at) continue;
-      line.accusers.push_back(a.name);
-      zones.insert(a.zone);
-      failed += a.fails ? 1 : 0;
-    }
-    if (own.failures == 0 && own.last >= 0 && own.last < limits_.fresh) ++vouched_;
-    if (line.accusers.empty()) {
-      line.why = "answered-since";
-    } else if ((failed < limits_.accusers &&
-                line.accusers.size() < std::max(limits_.accusers, limits_.silent)) ||
-               (zones_ && zones.size() < 2 && !zones.contains(zone_))) {
-      line.why = "too-few-accusers";
-    } else if (own.failures == 0 && own.last >= 0 && own.last < limits_.own) {
-      line.why = "answers-here";
-    } else if (!doubt_ && Fails(own, 0) && Tries(self_, id, line.accusers)) {
-      line.why = "tries";
-    } else {
-      line.rests_until = now + limits_.rests;
-      line.why = "left-alone";
+  one.reported_slow = one.reported_slow || ReportsSlowness(report);
+  const double samples = std::min(
+      limits_.max_peer_samples, report.slowness_samples * DecayingCounter::DecayFactor(age, kSlownessMemory));
+  if (name != self_ && samples >= 0.5)
+    one.slowness.push_back({std::clamp(report.slowness, -2.0, 2.0), samples});
+}
+
+OutlierConsensusModel::Cases OutlierConsensusModel::CollectCases(Time now) const {
+  Cases cases;
+  for (const auto& [name, peer] : peers_) {
+    if (!IsTrusted(peer, now)) continue;
+    for (const OutlierReport& report : peer.report.outlier_reports) {
+      const auto it = fleet_.find(report.replica);
+      if (it != fleet_.end() && it->second.view.endpoint.started_at == report.started_at)
+        AddReport(name, peer.zone, report, now, std::max<Time>(0, now - peer.made_at), &cases);
     }
-    lines_.push_back(std::move(line));
   }
-  std::vector<Line*> out;
-  for (Line& line : lines_) {
-    if (line.rests_until > 0) out.push_back(&line);
+  return cases;
+}
+
+// Whether this node ejects the replica. Its own failures count like a peer's, its own answers before all
+// peers' reports.
+OutlierConsensusModel::Finding OutlierConsensusModel::Conclude(Time now, ReplicaId id, Case* one) {
+  const OutlierReport own = OwnReport(now, fleet_[id].view);
+  if (!suspects_itself_ && ReportsOutlier(own, 0))
+    one->reporters.push_back(MakeReporter(self_, zone_, own, now, 0));
+  if (ReportsAnswer(own) && now - own.last_outcome_age > one->answered_at) {
+    one->answered_at = now - own.last_outcome_age;
+    one->answered_by = self_;
+  }
+  Finding finding;
+  finding.replica = id;
+  finding.answered_by = one->answered_by;
+  std::set<std::string> zones;
+  std::size_t failed = 0;
+  for (const Reporter& reporter : one->reporters) {
+    if (reporter.since <= one->answered_at) continue;
+    finding.reporters.push_back(reporter.name);
+    zones.insert(reporter.zone);
+    failed += reporter.failed ? 1 : 0;
+  }
+  if (ReportsAnswer(own) && own.last_outcome_age < limits_.max_report_age) ++contradicted_;
+
+  if (finding.reporters.empty()) {
+    finding.reason = "answered-since";
+    return finding;
   }
-  const std::size_t most =
-      std::max<std::size_t>(fleet_.size() >= 4 ? 1 : 0,
-                            static_cast<std::size_t>(limits_.most_out * static_cast<double>(fleet_.size())));
-  if (out.size() > most) {
-    std::sort(out.begin(), out.end(), [](const Line* a, const Line* b) {
-      return a->accusers.size() != b->accusers.size() ? a->accusers.size() > b->accusers.size()
+  const bool enough_reporters =
+      failed >= limits_.required_reporters ||
+      finding.reporters.size() >= std::max(limits_.required_reporters, limits_.required_if_stalled);
+  const bool enough_zones = !several_zones_ || zones.size() >= 2 || zones.contains(zone_);
+  if (!enough_reporters || !enough_zones) {
+    finding.reason = "too-few-accusers";
+  } else if (ReportsAnswer(own) && own.last_outcome_age < limits_.own_answer_valid) {
+    finding.reason = "answers-here";
+  } else if (!suspects_itself_ && ReportsFailure(own, 0) && KeepsProbing(self_, id, finding.reporters)) {
+    finding.reason = "tries";
+  } else {
+    finding.ejected_until = now + limits_.ejection_time;
+    finding.reason = "left-alone";
+  }
+  return finding;
+}
+
+// Where more are to be ejected than the share allows, those with the most reporters are.
+void OutlierConsensusModel::LimitEjections() {
+  std::vector<Finding*> ejected;
+  for (Finding& finding : findings_) {
+    if (finding.ejected_until > 0) ejected.push_back(&finding);
+  }
+  const std::size_t max = std::max<std::size_t>(
+      fleet_.size() >= 4 ? 1 : 0,
+      static_cast<std::size_t>(limits_.max_ejected_share * static_cast<double>(fleet_.size())));
+  if (ejected.size() <= max) return;
+  std::sort(ejected.begin(), ejected.end(), [](const Finding* a, const Finding* b) {
+    return a->reporters.size() != b->reporters.size() ? a->reporters.size() > b->reporters.size()
                                                       : a->replica < b->replica;
-    });
-    for (std::size_t i = most; i < out.size(); ++i) {
-      out[i]->rests_until = 0;
-      out[i]->why = "too-many-out";
-    }
+  });
+  for (std::size_t i = max; i < ejected.size(); ++i) {
+    ejected[i]->ejected_until = 0;
+    ejected[i]->reason = "too-many-out";
   }
+}
 
-  std::vector<PeerReplicaReport> tell;
-  std::map<ReplicaId, Time> rests;
-  for (const Line& line : lines_) rests[line.replica] = line.rests_until;
-  for (auto& [id, r] : fleet_) {
-    PeerReplicaReport t{id, r.seen.endpoint.started_at, 0, 0, 0, 0};
-    if (const auto at = rests.find(id); at != rests.end()) t.ejected_until = at->second;
-    const auto k = cases.find(id);
-    if (k != cases.end() && k->second.called_slow && k->second.said.size() >= 2) {
-      const Said s = Median(k->second.said);
-      if (s.slow >= kSlow) {
-        t.slowness = s.slow;
-        t.slowness_samples = std::min(limits_.most_n, limits_.weight * s.n);
-      }
-    }
-    // As after failures of one's own: what is left alone looks slow, and its caps go to the others with it.
-    if (t.ejected_until > now && t.slowness < kFailureSlow)
-      t.slowness = kFailureSlow, t.slowness_samples = limits_.most_n;
-    std::erase_if(r.ghosts, [&](const auto& g) { return g.second.until <= now; });
-    for (const auto& [name, g] : r.ghosts) t.orphaned_in_flight += part * g.out;
-    const PeerReplicaReport& was = r.told;
-    const bool rest_moved =
-        t.ejected_until > now ? was.ejected_until < now + kRestAgain : was.ejected_until > now;
-    const bool fades = t.slowness_samples > 0 && now - r.told_at > kTellAgain;
-    if (rest_moved || std::abs(t.slowness - was.slowness) > kMoved ||
-        std::abs(t.slowness_samples - was.slowness_samples) > 0.5 * std::max(1.0, was.slowness_samples) ||
-        std::abs(t.orphaned_in_flight - was.orphaned_in_flight) > 0.1 || fades) {
-      r.told = t;
-      r.told_at = now;
-      tell.push_back(t);
+PeerReplicaReport OutlierConsensusModel::ReportFor(Time now, ReplicaId id, Replica* replica,
+                                                   Time ejected_until, Case* one, double share) const {
+  PeerReplicaReport report{id, replica->view.endpoint.started_at, 0, 0, 0, 0};
+  report.ejected_until = ejected_until;
+  if (one != nullptr && one->reported_slow && one->slowness.size() >= 2) {
+    const SlownessSample median = WeightedMedian(one->slowness);
+    if (median.slowness >= kMinUsefulSlowness) {
+      report.slowness = median.slowness;
+      report.slowness_samples =
+          std::min(limits_.max_peer_samples, limits_.peer_answer_weight * median.samples);
     }
   }
-  return tell;
+  // As after failures of one's own: what is ejected looks slow, and its concurrency limits go to the others.
+  if (report.ejected_until > now && report.slowness < kFailureSlowness) {
+    report.slowness = kFailureSlowness;
+    report.slowness_samples = limits_.max_peer_samples;
+  }
+  std::erase_if(replica->orphans, [&](const auto& entry) { return entry.second.until <= now; });
+  for (const auto& [name, orphans] : replica->orphans) report.orphaned_in_flight += share * orphans.in_flight;
+  return report;
+}
+
+bool OutlierConsensusModel::HasChanged(Time now, const Replica& replica,
+                                       const PeerReplicaReport& report) const {
+  const PeerReplicaReport& before = replica.announced;
+  const bool ejection_changed = report.ejected_until > now ? before.ejected_until < now + kRenewEjectionBefore
+                                                           : before.ejected_until > now;
+  const bool fades = report.slowness_samples > 0 && now - replica.announced_at > kReannounceAfter;
+  return ejection_changed || std::abs(report.slowness - before.slowness) > kSlownessChange ||
+         std::abs(report.slowness_samples - before.slowness_samples) >
+             0.5 * std::max(1.0, before.slowness_samples) ||
+         std::abs(report.orphaned_in_flight - before.orphaned_in_flight) > 0.1 || fades;
+}
+
+std::vector<PeerReplicaReport> OutlierConsensusModel::Evaluate(Time now, double share) {
+  Cases cases = CollectCases(now);
+  findings_.clear();
+  reported_slow_.clear();
+  contradicted_ = 0;
+  for (auto& [id, one] : cases) {
+    if (one.reported_slow) reported_slow_.insert(id);
+    if (one.reporters.empty() || findings_.size() >= kMaxFindings) continue;
+    findings_.push_back(Conclude(now, id, &one));
+  }
+  LimitEjections();
+
+  std::map<ReplicaId, Time> ejected_until;
+  for (const Finding& finding : findings_) ejected_until[finding.replica] = finding.ejected_until;
+  std::vector<PeerReplicaReport> changed;
+  for (auto& [id, replica] : fleet_) {
+    const auto ejection = ejected_until.find(id);
+    const auto found = cases.find(id);
+    const PeerReplicaReport report =
+        ReportFor(now, id, &replica, ejection == ejected_until.end() ? 0 : ejection->second,
+                  found == cases.end() ? nullptr : &found->second, share);
+    if (!HasChanged(now, replica, report)) continue;
+    replica.announced = report;
+    replica.announced_at = now;
+    changed.push_back(report);
+  }
+  return changed;
 }
 
-std::vector<PeerReplicaReport> EvidenceModel::Withdraw(Time now) {
-  std::vector<PeerReplicaReport> tell;
-  lines_.clear();
-  for (auto& [id, r] : fleet_) {
-    r.ghosts.clear();
-    if (r.told.slowness_samples <= 0 && r.told.ejected_until <= now && r.told.orphaned_in_flight <= 0)
+std::vector<PeerReplicaReport> OutlierConsensusModel::WithdrawAll(Time now) {
+  std::vector<PeerReplicaReport> changed;
+  findings_.clear();
+  for (auto& [id, replica] : fleet_) {
+    replica.orphans.clear();
+    const PeerReplicaReport& announced = replica.announced;
+    if (announced.slowness_samples <= 0 && announced.ejected_until <= now &&
+        announced.orphaned_in_flight <= 0)
       continue;
-    r.told = {id, r.seen.endpoint.started_at, 0, 0, 0, 0};
-    r.told_at = now;
-    tell.push_back(r.told);
+    replica.announced = {id, replica.view.endpoint.started_at, 0, 0, 0, 0};
+    replica.announced_at = now;
+    changed.push_back(replica.announced);
   }
-  return tell;
+  return changed;
 }
 
 }  // namespace ryeglade::gossip
--- a/src/gossip/prefix_traffic_model.cpp
+++ b/src/gossip/prefix_traffic_model.cpp
@@ -6,114 +6,141 @@
 namespace ryeglade::gossip {
 namespace {
 
-constexpr std::size_t kMostCounts = 4096;
-constexpr double kMoved = 0.2;          // a share that has changed by this part of itself is told anew
-constexpr Time kTellAgain = 1'000'000;  // no sooner
+constexpr std::size_t kMaxCounts = 4096;
+constexpr double kRelativeChange = 0.2;  // a share that has changed by this part of itself is announced
+constexpr Time kMinAnnounceGap = 1'000'000;
+
+// Adds up the rates of several nodes.
+class RateSum {
+ public:
+  explicit RateSum(double max_counted_rate) : max_counted_rate_(max_counted_rate) {}
+
+  void Add(double rate, const std::vector<PrefixRate>& prefix_rates) {
+    if (rate <= 0) return;
+    rate = std::min(rate, max_counted_rate_);
+    total_rate_ += rate;
+    ++nodes_;
+    // What a node reports of its prefixes is bounded by what it reports of all its requests.
+    double reported = 0;
+    for (const PrefixRate& prefix : prefix_rates) reported += prefix.rate;
+    const double scale = reported > rate ? rate / reported : 1;
+    for (const PrefixRate& prefix : prefix_rates) {
+      OnePrefix& sum = prefixes_[prefix.prefix];
+      sum.rate += scale * prefix.rate;
+      ++sum.nodes;
+    }
+  }
+
+  // The shares of all prefixes that at least `min_node_share` of the nodes report.
+  std::vector<std::pair<std::uint64_t, double>> Shares(double min_node_share) const {
+    std::vector<std::pair<std::uint64_t, double>> shares;
+    if (nodes_ < 2) return shares;
+    for (const auto& [prefix, sum] : prefixes_) {
+      if (static_cast<double>(sum.nodes) >= min_node_share * static_cast<double>(nodes_))
+        shares.emplace_back(prefix, std::min(1.0, sum.rate / total_rate_));
+    }
+    return shares;
+  }
+
+ private:
+  struct OnePrefix {
+    double rate = 0;
+    std::size_t nodes = 0;
+  };
+  double max_counted_rate_;
+  double total_rate_ = 0;
+  std::size_t nodes_ = 0;
+  std::unordered_map<std::uint64_t, OnePrefix> prefixes_;
+};
 
 }  // namespace
 
-void BeginningsModel::Arrived(Time now, std::uint64_t beginning) {
-  all_.Add(now, limits_.memory, 1);
-  if (beginning == 0) return;
-  counts_[beginning].Add(now, limits_.memory, 1);
-  if (counts_.size() <= kMostCounts) return;
-  std::erase_if(counts_, [&](const auto& c) { return c.second.ValueAt(now, limits_.memory) < 1; });
-  if (counts_.size() > kMostCounts) counts_.clear();
+void PrefixTrafficModel::OnArrival(Time now, std::uint64_t prefix) {
+  all_requests_.Add(now, limits_.window, 1);
+  if (prefix == 0) return;
+  counts_[prefix].Add(now, limits_.window, 1);
+  if (counts_.size() <= kMaxCounts) return;
+  std::erase_if(counts_, [&](const auto& entry) { return entry.second.ValueAt(now, limits_.window) < 1; });
+  if (counts_.size() > kMaxCounts) counts_.clear();
 }
 
-std::vector<BeginningRate> BeginningsModel::Own(Time now, double* rate) const {
-  const double memory = static_cast<double>(limits_.memory) / 1e6;
-  const double seen =
-      memory * (1 - std::exp(-static_cast<double>(now - began_) / static_cast<double>(limits_.memory)));
-  std::vector<BeginningRate> own;
+std::vector<PrefixRate> PrefixTrafficModel::OwnRates(Time now, double* rate) const {
+  const double window = static_cast<double>(limits_.window) / 1e6;
+  // A decaying count stands for less than the window until the node has run for a few of these.
+  const double covered =
+      window * (1 - std::exp(-static_cast<double>(now - started_at_) / static_cast<double>(limits_.window)));
+  std::vector<PrefixRate> own;
   *rate = 0;
-  if (seen < 0.05 * memory) return own;
-  *rate = all_.ValueAt(now, limits_.memory) / seen;
-  for (const auto& [beginning, count] : counts_) {
-    const double n = count.ValueAt(now, limits_.memory);
-    if (n >= 0.5) own.push_back({beginning, n / seen});
+  if (covered < 0.05 * window) return own;
+  *rate = all_requests_.ValueAt(now, limits_.window) / covered;
+  for (const auto& [prefix, counter] : counts_) {
+    const double count = counter.ValueAt(now, limits_.window);
+    if (count >= 0.5) own.push_back({prefix, count / covered});
   }
-  const std::size_t most = std::min(own.size(), kMostBeginnings);
-  std::partial_sort(own.begin(), own.begin() + static_cast<std::ptrdiff_t>(most), own.end(),
-                    [](const auto& a, const auto& b) {
-                      return a.rate != b.rate ? a.rate > b.rate : a.beginning < b.beginning;
+  const std::size_t kept = std::min(own.size(), kMaxPrefixRates);
+  std::partial_sort(own.begin(), own.begin() + static_cast<std::ptrdiff_t>(kept), own.end(),
+                    [](const PrefixRate& a, const PrefixRate& b) {
+                      return a.rate != b.rate ? a.rate > b.rate : a.prefix < b.prefix;
                     });
-  own.resize(most);
+  own.resize(kept);
   return own;
 }
 
-void BeginningsModel::Tell(Time now, Word* word) const {
+void PrefixTrafficModel::FillReport(Time now, NodeReport* report) const {
   double rate = 0;
-  word->beginnings = Own(now, &rate);
+  report->prefix_rates = OwnRates(now, &rate);
 }
 
-void BeginningsModel::Learn(Time made, const std::string& node, const Word& word) {
+void PrefixTrafficModel::OnReport(Time made_at, const std::string& node, const NodeReport& report) {
   if (node == self_) return;
-  Heard& h = peers_[node];
-  h.made = made;
-  h.rate = word.rate;
-  h.beginnings = word.beginnings;
+  PeerState& peer = peers_[node];
+  peer.made_at = made_at;
+  peer.rate = report.rate;
+  peer.prefix_rates = report.prefix_rates;
 }
 
-bool BeginningsModel::Shares(Time now, policy::PrefixTrafficReceived* shares) {
-  if (now - told_at_ < kTellAgain) return false;
-  struct Sum {
-    double rate = 0;
-    std::size_t nodes = 0;
-  };
-  std::unordered_map<std::uint64_t, Sum> sums;
+PrefixTrafficModel::PrefixShares PrefixTrafficModel::CollectShares(Time now) const {
   std::vector<double> rates;
-  for (const auto& [name, h] : peers_) {
-    if (now - h.made <= limits_.fresh && h.rate > 0) rates.push_back(h.rate);
-  }
-  const double most = MostRate(std::move(rates));
-  double all = 0;
-  std::size_t nodes = 0;
-  const auto add = [&](double rate, const std::vector<BeginningRate>& beginnings) {
-    if (rate <= 0) return;
-    rate = std::min(rate, most);
-    all += rate;
-    ++nodes;
-    // What a node says of its beginnings is bounded by what it says comes to it.
-    double told = 0;
-    for (const BeginningRate& b : beginnings) told += b.rate;
-    const double scale = told > rate ? rate / told : 1;
-    for (const BeginningRate& b : beginnings) {
-      Sum& s = sums[b.beginning];
-      s.rate += scale * b.rate;
-      ++s.nodes;
-    }
-  };
-  double rate = 0;
-  const std::vector<BeginningRate> own = Own(now, &rate);
-  add(rate, own);
-  for (const auto& [name, h] : peers_) {
-    if (now - h.made <= limits_.fresh) add(h.rate, h.beginnings);
+  for (const auto& [name, peer] : peers_) {
+    if (now - peer.made_at <= limits_.max_report_age && peer.rate > 0) rates.push_back(peer.rate);
   }
-  std::vector<std::pair<std::uint64_t, double>> found;
-  for (const auto& [beginning, s] : sums) {
-    if (nodes >= 2 && static_cast<double>(s.nodes) >= limits_.least_nodes * static_cast<double>(nodes))
-      found.emplace_back(beginning, std::min(1.0, s.rate / all));
+  RateSum sum(MaxCountedRate(std::move(rates)));
+  double own_rate = 0;
+  const std::vector<PrefixRate> own = OwnRates(now, &own_rate);
+  sum.Add(own_rate, own);
+  for (const auto& [name, peer] : peers_) {
+    if (now - peer.made_at <= limits_.max_report_age) sum.Add(peer.rate, peer.prefix_rates);
   }
-  std::sort(found.begin(), found.end(), [](const auto& a, const auto& b) {
+  PrefixShares shares = sum.Shares(limits_.min_node_share);
+  std::sort(shares.begin(), shares.end(), [](const auto& a, const auto& b) {
     return a.second != b.second ? a.second > b.second : a.first < b.first;
   });
-  if (found.size() > limits_.most) found.resize(limits_.most);
-  const bool moved =
-      found.size() != told_.size() || std::any_of(found.begin(), found.end(), [&](const auto& f) {
-        const auto was = told_.find(f.first);
-        return was == told_.end() || std::abs(f.second - was->second) > kMoved * was->second;
-      });
-  if (!moved) return false;
-  told_at_ = now;
-  told_ = {found.begin(), found.end()};
+  if (shares.size() > limits_.max_prefixes) shares.resize(limits_.max_prefixes);
+  return shares;
+}
+
+bool PrefixTrafficModel::HasChanged(const PrefixShares& shares) const {
+  if (shares.size() != announced_.size()) return true;
+  return std::any_of(shares.begin(), shares.end(), [&](const auto& share) {
+    const auto before = announced_.find(share.first);
+    return before == announced_.end() ||
+           std::abs(share.second - before->second) > kRelativeChange * before->second;
+  });
+}
+
+bool PrefixTrafficModel::UpdateShares(Time now, policy::PrefixTrafficReceived* shares) {
+  if (now - announced_at_ < kMinAnnounceGap) return false;
+  PrefixShares found = CollectShares(now);
+  if (!HasChanged(found)) return false;
+  announced_at_ = now;
+  announced_ = {found.begin(), found.end()};
   shares->shares = std::move(found);
   return true;
 }
 
-bool BeginningsModel::Withdraw(policy::PrefixTrafficReceived* shares) {
-  if (told_.empty()) return false;
-  told_.clear();
+bool PrefixTrafficModel::WithdrawAll(policy::PrefixTrafficReceived* shares) {
+  if (announced_.empty()) return false;
+  announced_.clear();
   shares->shares.clear();
   return true;
 }
--- a/src/gossip/prefix_traffic_model.h
+++ b/src/gossip/prefix_traffic_model.h
@@ -1,8 +1,8 @@
-// Which shared beginnings the tier's traffic has, from what each node counts: so that all nodes give a
-// beginning the same number of homes, though each sees few requests of it. No I/O, no clock.
+// Which shared prompt prefixes the cluster's traffic has, from what each node counts: so that all nodes give
+// a prefix the same number of preferred replicas, though each sees few requests of it. No I/O, no clock.
 //
-// The homes themselves are the decision module's: by rendezvous over the replicas, so that two nodes whose
-// counts differ have sets one of which holds the other.
+// The preferred replicas themselves are chosen by the decision module: by rendezvous hashing over the
+// replicas, so that of two nodes whose counts differ one has a superset of the other's.
 #pragma once
 
 #include <cstddef>
@@ -17,44 +17,52 @@
 
 namespace ryeglade::gossip {
 
-struct BeginningLimits {
-  Time memory = 20'000'000;  // counts look back on so much
-  Time fresh = 15'000'000;   // an older word counts no more
-  double least_nodes = 0.5;  // share of the nodes that have to tell of a beginning
-  std::size_t most = 256;    // beginnings that are put together
+struct PrefixTrafficLimits {
+  Time window = 20'000'000;          // time constant of the decaying counts
+  Time max_report_age = 15'000'000;  // an older report no longer counts
+  double min_node_share = 0.5;       // of the nodes that have to report a prefix
+  std::size_t max_prefixes = 256;    // that are put together
 };
 
-class BeginningsModel {
+class PrefixTrafficModel {
  public:
-  explicit BeginningsModel(std::string self, Time now, BeginningLimits limits = {})
-      : self_(std::move(self)), limits_(limits), began_(now) {}
-
-  void Arrived(Time now, std::uint64_t beginning);  // 0: the request has none
-  void Tell(Time now, Word* word) const;
-  void Learn(Time made, const std::string& node, const Word& word);
-  void Forget(const std::string& node) { peers_.erase(node); }
-  // What the decision module is to be told; false: nothing has changed by enough.
-  bool Shares(Time now, policy::PrefixTrafficReceived* shares);
-  // What was told is taken back; false: nothing was.
-  bool Withdraw(policy::PrefixTrafficReceived* shares);
-  std::size_t told() const { return told_.size(); }
+  explicit PrefixTrafficModel(std::string self, Time now, PrefixTrafficLimits limits = {})
+      : self_(std::move(self)), limits_(limits), started_at_(now) {}
+
+  // A request arrived at this node; `prefix` 0: it has none that is shared.
+  void OnArrival(Time now, std::uint64_t prefix);
+  // This node's busiest prefixes.
+  void FillReport(Time now, NodeReport* report) const;
+  void OnReport(Time made_at, const std::string& node, const NodeReport& report);
+  void RemoveNode(const std::string& node) { peers_.erase(node); }
+  // The shares for the decision module; false: nothing has changed by enough.
+  bool UpdateShares(Time now, policy::PrefixTrafficReceived* shares);
+  // Takes back what was announced; false: nothing was.
+  bool WithdrawAll(policy::PrefixTrafficReceived* shares);
+  std::size_t announced() const { return announced_.size(); }  // prefixes
 
  private:
-  struct Heard {
+  struct PeerState {
     double rate = 0;
-    Time made = 0;
-    std::vector<BeginningRate> beginnings;
+    Time made_at = 0;
+    std::vector<PrefixRate> prefix_rates;
   };
-  std::vector<BeginningRate> Own(Time now, double* rate) const;
+  using PrefixShares = std::vector<std::pair<std::uint64_t, double>>;  // by prefix, 0 to 1
+
+  // This node's busiest prefixes; `rate`: of all its requests a second, 0 until it has counted for long
+  // enough.
+  std::vector<PrefixRate> OwnRates(Time now, double* rate) const;
+  PrefixShares CollectShares(Time now) const;  // the largest first
+  bool HasChanged(const PrefixShares& shares) const;
 
   std::string self_;
-  BeginningLimits limits_;
-  Time began_;
-  policy::DecayingCounter all_;
-  std::unordered_map<std::uint64_t, policy::DecayingCounter> counts_;
-  std::map<std::string, Heard> peers_;
-  std::map<std::uint64_t, double> told_;
-  Time told_at_ = 0;
+  PrefixTrafficLimits limits_;
+  Time started_at_;
+  policy::DecayingCounter all_requests_;
+  std::unordered_map<std::uint64_t, policy::DecayingCounter> counts_;  // by prefix
+  std::map<std::string, PeerState> peers_;
+  std::map<std::uint64_t, double> announced_;  // shares by prefix
+  Time announced_at_ = 0;
 };
 
 }  // namespace ryeglade::gossip
--- a/src/gossip/shared_state_model.cpp
+++ b/src/gossip/shared_state_model.cpp
@@ -6,82 +6,92 @@
 namespace ryeglade::gossip {
 namespace {
 
-constexpr double kWorthTelling = 0.02;  // a part that has moved by this share of itself
+constexpr double kRelativeChange = 0.02;  // a share that has changed by this part of itself is announced
 
 }  // namespace
 
-TierModel::TierModel(std::string self, std::uint64_t life, Time now, Uses uses, TierLimits limits)
+SharedStateModel::SharedStateModel(std::string self, std::uint64_t incarnation, Time now,
+                                   GossipFeatures features, SharedStateLimits limits)
     : self_(std::move(self)),
-      uses_(uses),
+      features_(features),
       limits_(limits),
-      share_(self_, life, now, limits.share),
-      evidence_(self_, limits.evidence),
-      beginnings_(self_, now, limits.beginnings) {}
+      traffic_shares_(self_, incarnation, now, limits.traffic_share),
+      outliers_(self_, limits.outliers),
+      prefix_traffic_(self_, now, limits.prefix_traffic) {}
 
-void TierModel::Arrived(Time now, std::uint64_t beginning) {
-  share_.Arrived(now);
-  if (uses_.beginnings) beginnings_.Arrived(now, beginning);
+void SharedStateModel::OnArrival(Time now, std::uint64_t prefix) {
+  traffic_shares_.OnArrival(now);
+  if (features_.prefix_traffic) prefix_traffic_.OnArrival(now, prefix);
 }
 
-void TierModel::View(Time now, const std::vector<EvidenceModel::Peer>& members, const std::string& zone,
-                     bool sure, bool settled) {
-  sure_ = sure;
-  doubt_since_ = sure ? -1 : doubt_since_ >= 0 ? doubt_since_ : now;
+void SharedStateModel::SetMembers(Time now, const std::vector<OutlierConsensusModel::Peer>& members,
+                                  const std::string& zone, bool certain, bool stable) {
+  certain_ = certain;
+  if (certain) {
+    uncertain_since_ = -1;
+  } else if (uncertain_since_ < 0) {
+    uncertain_since_ = now;
+  }
   std::vector<std::string> names;
   names.reserve(members.size());
-  for (const auto& p : members) names.push_back(p.name);
-  share_.View(now, names, sure, settled);
-  evidence_.View(now, members, zone, sure);
-  if (!sure || !settled) return;
-  std::map<std::string, bool> now_in;
-  for (const std::string& name : names) now_in[name] = true;
-  for (const auto& [name, yes] : members_) {
-    if (!now_in.contains(name)) beginnings_.Forget(name);
+  for (const OutlierConsensusModel::Peer& member : members) names.push_back(member.name);
+  traffic_shares_.SetMembers(now, names, certain, stable);
+  outliers_.SetMembers(now, members, zone, certain);
+  if (!certain || !stable) return;
+  std::set<std::string> current(names.begin(), names.end());
+  for (const std::string& name : members_) {
+    if (!current.contains(name)) prefix_traffic_.RemoveNode(name);
   }
-  members_ = std::move(now_in);
+  members_ = std::move(current);
 }
 
-void TierModel::See(Time now, const std::vector<policy::ReplicaView>& fleet, bool doubt) {
-  evidence_.See(now, fleet, doubt || !sure_);
+void SharedStateModel::ObserveReplicas(Time now, const std::vector<policy::ReplicaView>& fleet,
+                                       bool suspects_itself) {
+  outliers_.ObserveReplicas(now, fleet, suspects_itself || !certain_);
 }
 
-bool TierModel::Learn(Time now, const Telling& telling) {
-  if (!share_.Learn(now, telling.node, telling.word)) return false;
-  const Time made = now - telling.age;
-  evidence_.Learn(made, telling.node, telling.word);
-  if (uses_.beginnings) beginnings_.Learn(made, telling.node, telling.word);
+bool SharedStateModel::OnMessage(Time now, const GossipMessage& message) {
+  if (!traffic_shares_.OnReport(now, message.node, message.report)) return false;
+  const Time made_at = now - message.age;
+  outliers_.OnReport(made_at, message.node, message.report);
+  if (features_.prefix_traffic) prefix_traffic_.OnReport(made_at, message.node, message.report);
   return true;
 }
 
-std::optional<Word> TierModel::Tell(Time now) {
-  const int urgent = uses_.evidence ? evidence_.urgent() : 0;
-  std::optional<Word> word = share_.Tell(now, urgent > urgent_);
-  if (!word) return word;
-  urgent_ = urgent;
-  if (uses_.evidence) evidence_.Tell(now, &*word);
-  if (uses_.beginnings) beginnings_.Tell(now, &*word);
-  return word;
+std::optional<NodeReport> SharedStateModel::NextReport(Time now) {
+  const int urgent = features_.outlier_reports ? outliers_.urgent_reports() : 0;
+  std::optional<NodeReport> report = traffic_shares_.NextReport(now, urgent > urgent_reports_);
+  if (!report) return report;
+  urgent_reports_ = urgent;
+  if (features_.outlier_reports) outliers_.FillReport(now, &*report);
+  if (features_.prefix_traffic) prefix_traffic_.FillReport(now, &*report);
+  return report;
 }
 
-std::vector<policy::Event> TierModel::Turn(Time now, std::size_t nodes) {
+std::vector<policy::Event> SharedStateModel::Evaluate(Time now, std::size_t nodes) {
   std::vector<policy::Event> events;
-  part_ = share_.Share(now, nodes);
-  if (uses_.parts && !(told_part_ > 0 && std::abs(part_ / told_part_ - 1) < kWorthTelling)) {
-    told_part_ = part_;
-    events.emplace_back(policy::TrafficShareChanged{part_});
+  share_ = traffic_shares_.UpdateShare(now, nodes);
+  const bool near_announced =
+      announced_share_ > 0 && std::abs(share_ / announced_share_ - 1) < kRelativeChange;
+  if (features_.traffic_shares && !near_announced) {
+    announced_share_ = share_;
+    events.emplace_back(policy::TrafficShareChanged{share_});
   }
-  if (judged_ != 0 && now - judged_ < limits_.judge_every) return events;
-  judged_ = now;
-  const bool lost = doubt_since_ >= 0 && now - doubt_since_ > limits_.stand;
-  if (uses_.evidence && (sure_ || lost)) {
-    // In doubt nothing more is said: rests run out and slowness fades, step by step, as the module has it.
-    policy::PeerReportsReceived e{sure_ ? evidence_.Judge(now, part_) : evidence_.Withdraw(now)};
-    if (!e.replicas.empty()) events.emplace_back(std::move(e));
+  if (evaluated_at_ != 0 && now - evaluated_at_ < limits_.evaluate_interval) return events;
+  evaluated_at_ = now;
+  const bool uncertain_for_long = uncertain_since_ >= 0 && now - uncertain_since_ > limits_.freeze_time;
+  if (features_.outlier_reports && (certain_ || uncertain_for_long)) {
+    // While uncertain nothing more is announced: ejections end and slowness fades, step by step, as the
+    // module has it.
+    policy::PeerReportsReceived reports{certain_ ? outliers_.Evaluate(now, share_)
+                                                 : outliers_.WithdrawAll(now)};
+    if (!reports.replicas.empty()) events.emplace_back(std::move(reports));
   }
-  if (uses_.beginnings) {
-    policy::PrefixTrafficReceived keys;
-    if (sure_ ? beginnings_.Shares(now, &keys) : lost && beginnings_.Withdraw(&keys))
-      events.emplace_back(std::move(keys));
+  if (features_.prefix_traffic) {
+    policy::PrefixTrafficReceived shares;
+    const bool changed = certain_ ? prefix_traffic_.UpdateShares(now, &shares)
+                                  : uncertain_for_long && prefix_traffic_.WithdrawAll(&shares);
+    if (changed) events.emplace_back(std::move(shares));
   }
   return events;
 }
--- a/src/gossip/traffic_share_model.cpp
+++ b/src/gossip/traffic_share_model.cpp
@@ -5,128 +5,148 @@
 
 namespace ryeglade::gossip {
 
-ShareModel::ShareModel(std::string self, std::uint64_t life, Time now, ShareLimits limits)
-    : self_(std::move(self)), limits_(limits), began_(now), last_(now), window_since_(now) {
-  own_.life = life;
+TrafficShareModel::TrafficShareModel(std::string self, std::uint64_t incarnation, Time now,
+                                     TrafficShareLimits limits)
+    : self_(std::move(self)), limits_(limits), started_at_(now), updated_at_(now), window_since_(now) {
+  own_.incarnation = incarnation;
 }
 
-void ShareModel::Arrived(Time now) { arrivals_.Add(now, limits_.memory, 1); }
+void TrafficShareModel::OnArrival(Time now) { arrivals_.Add(now, limits_.window, 1); }
 
-std::optional<Word> ShareModel::Tell(Time now, bool urgent) {
-  if (told_at_ >= 0 && now - told_at_ < (urgent ? limits_.tell_every : tell_every())) return std::nullopt;
-  told_at_ = now;
-  ++own_.number;
-  // A young process has not looked back on its whole memory yet.
-  const double memory = static_cast<double>(limits_.memory) / 1e6;
-  const double age = static_cast<double>(now - began_) / 1e6;
-  const double seen = memory * (1 - std::exp(-age / memory));
-  own_.rate = seen > 0.2 * memory ? std::min(kMostRate, arrivals_.ValueAt(now, limits_.memory) / seen) : 0;
+std::optional<NodeReport> TrafficShareModel::NextReport(Time now, bool urgent) {
+  const Time interval = urgent ? limits_.report_interval : report_interval();
+  if (reported_at_ >= 0 && now - reported_at_ < interval) return std::nullopt;
+  reported_at_ = now;
+  ++own_.sequence;
+  // A decaying count stands for less than the window until the process has run for a few of these.
+  const double window = static_cast<double>(limits_.window) / 1e6;
+  const double uptime = static_cast<double>(now - started_at_) / 1e6;
+  const double covered = window * (1 - std::exp(-uptime / window));
+  own_.rate =
+      covered > 0.2 * window ? std::min(kMaxRate, arrivals_.ValueAt(now, limits_.window) / covered) : 0;
   return own_;
 }
 
-Time ShareModel::tell_every() const {
-  const Time each = limits_.tell_each * static_cast<Time>(1 + peers_.size());
-  return std::max(limits_.tell_every, std::min(each, limits_.tell_most));
+Time TrafficShareModel::report_interval() const {
+  const Time for_all = limits_.report_interval_per_node * static_cast<Time>(1 + peers_.size());
+  return std::max(limits_.report_interval, std::min(for_all, limits_.max_report_interval));
 }
 
-bool ShareModel::Learn(Time now, const std::string& node, const Word& word) {
-  if (node == self_ || !std::isfinite(word.rate) || word.rate < 0 || word.rate > kMostRate) return false;
-  const auto at = peers_.find(node);
-  if (at == peers_.end()) return false;  // no member: the view brings it first
-  Peer& p = at->second;
-  const bool newer = word.life != p.word.life ? word.life > p.word.life : word.number > p.word.number;
-  if (p.heard >= 0 && !newer) return false;
-  p.word = word;
-  p.heard = now;
+bool TrafficShareModel::OnReport(Time now, const std::string& node, const NodeReport& report) {
+  if (node == self_ || !std::isfinite(report.rate) || report.rate < 0 || report.rate > kMaxRate) return false;
+  const auto it = peers_.find(node);
+  if (it == peers_.end()) return false;  // no member: the view brings it first
+  Peer& peer = it->second;
+  const bool newer = report.incarnation != peer.report.incarnation
+                         ? report.incarnation > peer.report.incarnation
+                         : report.sequence > peer.report.sequence;
+  if (peer.received_at >= 0 && !newer) return false;
+  peer.report = report;
+  peer.received_at = now;
   return true;
 }
 
-void ShareModel::View(Time now, const std::vector<std::string>& members, bool sure, bool settled) {
-  sure_ = sure;
-  settled_ = sure && settled;
-  doubt_since_ = sure ? -1 : doubt_since_ >= 0 ? doubt_since_ : now;
-  // In doubt nobody who is absent counts as gone.
-  if (sure) {
-    for (auto& [name, p] : peers_) p.member = false;
+void TrafficShareModel::SetMembers(Time now, const std::vector<std::string>& members, bool certain,
+                                   bool stable) {
+  certain_ = certain;
+  stable_ = certain && stable;
+  if (certain) {
+    uncertain_since_ = -1;
+    // Else nobody who is absent counts as gone.
+    for (auto& [name, peer] : peers_) peer.member = false;
+  } else if (uncertain_since_ < 0) {
+    uncertain_since_ = now;
   }
   for (const std::string& name : members) {
-    if (name == self_ || (!peers_.contains(name) && peers_.size() >= kMostPeers)) continue;
+    if (name == self_ || (!peers_.contains(name) && peers_.size() >= kMaxPeers)) continue;
     peers_[name].member = true;
   }
-  if (settled_) std::erase_if(peers_, [](const auto& e) { return !e.second.member; });
+  if (stable_) std::erase_if(peers_, [](const auto& entry) { return !entry.second.member; });
 }
 
-// Each node's rate with a part of the mean on top, over the sum: what comes may move at any moment, and a
-// node without traffic must be able to serve the first request it gets.
-std::vector<ShareModel::Line> ShareModel::Lines(Time now, bool with_absent) const {
-  std::vector<Line> all{{self_, own_.rate, told_at_ >= 0, false, false, 0}};
-  for (const auto& [name, p] : peers_) {
-    if (!p.member && !with_absent) continue;
-    all.push_back(
-        {name, p.word.rate, p.heard >= 0, p.heard >= 0 && now - p.heard > limits_.stale, !p.member, 0});
+// Each node's rate with a part of the mean on top, over the sum: traffic may move at any moment, and a node
+// without any must be able to serve the first request that it gets.
+std::vector<TrafficShareModel::NodeShare> TrafficShareModel::ComputeShares(Time now, bool with_absent) const {
+  std::vector<NodeShare> all{{self_, own_.rate, reported_at_ >= 0, false, false, 0}};
+  for (const auto& [name, peer] : peers_) {
+    if (!peer.member && !with_absent) continue;
+    const bool reported = peer.received_at >= 0;
+    const bool stale = reported && now - peer.received_at > limits_.stale_after;
+    all.push_back({name, peer.report.rate, reported, stale, !peer.member, 0});
   }
   std::vector<double> rates;
-  for (const Line& l : all) {
-    if (l.told) rates.push_back(l.rate);
+  for (const NodeShare& node : all) {
+    if (node.reported) rates.push_back(node.rate);
   }
-  const double most = MostRate(rates);
-  double sum = 0, told = 0;
-  for (Line& l : all) {
-    l.rate = std::min(l.rate, most);
-    if (l.told) sum += l.rate, ++told;
+  const double max_counted_rate = MaxCountedRate(rates);
+  double sum = 0;
+  double reporting = 0;
+  for (NodeShare& node : all) {
+    node.rate = std::min(node.rate, max_counted_rate);
+    if (!node.reported) continue;
+    sum += node.rate;
+    ++reporting;
   }
-  const double mean = told > 0 ? sum / told : 0;
-  double whole = 0;
-  for (Line& l : all) {
-    if (!l.told) l.rate = mean;
-    whole += l.rate + limits_.floor * mean;
+  const double mean = reporting > 0 ? sum / reporting : 0;
+  double total = 0;
+  for (NodeShare& node : all) {
+    if (!node.reported) node.rate = mean;
+    total += node.rate + limits_.base_share * mean;
+  }
+  for (NodeShare& node : all) {
+    node.share =
+        total > 0 ? (node.rate + limits_.base_share * mean) / total : 1 / static_cast<double>(all.size());
   }
-  for (Line& l : all)
-    l.share = whole > 0 ? (l.rate + limits_.floor * mean) / whole : 1 / static_cast<double>(all.size());
   return all;
 }
 
-double ShareModel::Target(Time now, bool with_absent) const { return Lines(now, with_absent).front().share; }
+double TrafficShareModel::ComputeShare(Time now, bool with_absent) const {
+  return ComputeShares(now, with_absent).front().share;
+}
 
-double ShareModel::Share(Time now, std::size_t nodes) {
-  const double equal = 1 / static_cast<double>(std::max<std::size_t>(1, nodes));
-  const double passed = static_cast<double>(std::max<Time>(0, now - last_)) / 1e6;
-  last_ = now;
-  if (share_ <= 0) share_ = equal;
-  if (!sure_) {
-    targets_.clear();
-    window_since_ = now;
-    if (doubt_since_ < 0 || now - doubt_since_ <= limits_.stand) {
-      state_ = "held";
-      return share_;
-    }
-    // Today's behaviour without talk, reached by steps.
-    const double most = 1 + limits_.step * passed;
-    share_ = share_ > equal ? std::max(equal, share_ / most) : std::min(equal, share_ * most);
-    state_ = share_ == equal ? "equal" : "stepping-back";
+// The share of a node without gossip, reached by steps.
+double TrafficShareModel::ShareWhileUncertain(Time now, double equal, double seconds_passed) {
+  targets_.clear();
+  window_since_ = now;
+  if (uncertain_since_ < 0 || now - uncertain_since_ <= limits_.freeze_time) {
+    state_ = "held";
     return share_;
   }
+  const double max_factor = 1 + limits_.step_per_second * seconds_passed;
+  share_ = share_ > equal ? std::max(equal, share_ / max_factor) : std::min(equal, share_ * max_factor);
+  state_ = share_ == equal ? "equal" : "stepping-back";
+  return share_;
+}
+
+double TrafficShareModel::UpdateShare(Time now, std::size_t nodes) {
+  const double equal = 1 / static_cast<double>(std::max<std::size_t>(1, nodes));
+  const double seconds_passed = static_cast<double>(std::max<Time>(0, now - updated_at_)) / 1e6;
+  updated_at_ = now;
+  if (share_ <= 0) share_ = equal;
+  if (!certain_) return ShareWhileUncertain(now, equal, seconds_passed);
   state_ = "shares";
-  double target = Target(now, false);
-  if (settled_) {
-    last_sure_ = target;
+  double target = ComputeShare(now, false);
+  if (stable_) {
+    last_stable_share_ = target;
   } else {
-    // Those that are absent may live, and go by their own part still.
-    const double held = std::max(Target(now, true), last_sure_);
-    target = std::min(target, held * (1 + limits_.rise));
+    // Those that are absent may live, and still go by their own share.
+    const double with_absent = std::max(ComputeShare(now, true), last_stable_share_);
+    target = std::min(target, with_absent * (1 + limits_.max_unsettled_rise));
   }
   while (!targets_.empty() && targets_.back().second >= target) targets_.pop_back();
   targets_.emplace_back(now, target);
-  while (targets_.size() > 1 && now - targets_.front().first > limits_.settle) targets_.pop_front();
-  const double least = targets_.front().second;
+  while (targets_.size() > 1 && now - targets_.front().first > limits_.rise_delay) targets_.pop_front();
+  const double lowest = targets_.front().second;
   if (target < share_) {
     share_ = target;
-  } else if (least > share_ && now - window_since_ >= limits_.settle) {
-    share_ = least;
+  } else if (lowest > share_ && now - window_since_ >= limits_.rise_delay) {
+    share_ = lowest;
   }
   return share_;
 }
 
-std::vector<ShareModel::Line> ShareModel::Explain(Time now) const { return Lines(now, false); }
+std::vector<TrafficShareModel::NodeShare> TrafficShareModel::Explain(Time now) const {
+  return ComputeShares(now, false);
+}
 
 }  // namespace ryeglade::gossip
--- a/tests/gossip_nodes_test.cpp
+++ b/tests/gossip_nodes_test.cpp
@@ -76,27 +76,29 @@
   EXPECT_GE(r.served_all * 100, r.asked_all * 4 / 6 * 97);
 }
 
-TEST(TierNodes, OneThatLiesByAThousandTakesNeitherPartsNorReplicas) {
+TEST(TierNodes, OneThatLiesByAThousandTakesNeitherSharesNorReplicas) {
   RealOptions o;
   o.look_at = {50};
-  std::uint64_t said = 0;
-  o.liar = [&said](const std::string& name) {
-    std::vector<std::string> words;
-    gossip::Word w;
-    w.life = 1, w.number = ++said, w.rate = 1e6;
+  std::uint64_t sequence = 0;
+  o.liar = [&sequence](const std::string& name) {
+    std::vector<std::string> messages;
+    gossip::NodeReport report;
+    report.incarnation = 1;
+    report.sequence = ++sequence;
+    report.rate = 1e6;
     for (int k = 0; k < 10; ++k) {
       // As the program numbers replicas: FNV-1a of their names.
       std::uint32_t id = 2166136261U;
       for (const char c : "stand-in-" + std::to_string(k))
         id = (id ^ static_cast<unsigned char>(c)) * 16777619U;
-      w.claims.push_back({id, 0, 9, gossip::kMostRest, 0, 4, 255, 255, gossip::kMostRest});
+      report.outlier_reports.push_back({id, 0, 9, gossip::kMaxSpan, 0, 4, 255, 255, gossip::kMaxSpan});
     }
-    w.beginnings = {{42, 1e6}};
-    words.push_back(gossip::Encode({name, 0, w}));
-    words.push_back("\xc1 no word at all");
-    words.push_back(gossip::Encode({"n1", 0, w}).substr(0, 40));
-    words.push_back(gossip::Encode({"nobody", 0, w}));
-    return words;
+    report.prefix_rates = {{42, 1e6}};
+    messages.push_back(gossip::Encode({name, 0, report}));
+    messages.push_back("\xc1 no word at all");
+    messages.push_back(gossip::Encode({"n1", 0, report}).substr(0, 40));
+    messages.push_back(gossip::Encode({"nobody", 0, report}));
+    return messages;
   };
   const RealResult r = Play(Head(6, "rate = \"60/s\"\nlength = 60\n"), o);
   EXPECT_TRUE(LeftAlone(r).empty());
@@ -108,7 +110,7 @@
   EXPECT_GE(r.served_all * 100, r.asked_all * 99);
 }
 
-TEST(TierNodes, PartsAddUpThroughDeathsAndHalvesThatDoNotHearEachOther) {
+TEST(TierNodes, SharesAddUpThroughDeathsAndHalvesThatDoNotHearEachOther) {
   RealOptions o;
   o.look_at = {20, 27, 52, 68, 108};
   const RealResult r =
--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -1,4 +1,5 @@
-// Shares of the tier's traffic: that all nodes' parts add up, whatever is lost, late, dead or cut off.
+// Gossip: traffic shares that add up whatever is lost, late, dead or cut off; messages from untrusted peers;
+// the consensus on outliers; the traffic of prefixes.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -15,37 +16,40 @@
 namespace ryeglade {
 namespace {
 
-using gossip::ShareModel;
+using gossip::NodeReport;
 using gossip::Time;
-using gossip::Word;
+using gossip::TrafficShareModel;
 
 constexpr Time kSecond = 1'000'000;
 
-Word Of(std::uint64_t life, std::uint64_t number, double rate) {
-  Word w;
-  w.life = life, w.number = number, w.rate = rate;
-  return w;
+NodeReport MakeReport(std::uint64_t incarnation, std::uint64_t sequence, double rate) {
+  NodeReport report;
+  report.incarnation = incarnation;
+  report.sequence = sequence;
+  report.rate = rate;
+  return report;
 }
 
 // A node that hears of others with rates of `rates`, all sure, for `seconds`.
-double ShareAfter(ShareModel& m, const std::vector<double>& rates, double own, int seconds, Time* now) {
+double ShareAfter(TrafficShareModel& m, const std::vector<double>& rates, double own, int seconds,
+                  Time* now) {
   std::vector<std::string> names;
   for (std::size_t i = 0; i < rates.size(); ++i) names.push_back("p" + std::to_string(i));
   double share = 0;
   for (int half = 0; half < 2 * seconds; ++half, *now += kSecond / 2) {
-    for (int k = 0; k < static_cast<int>(own / 2); ++k) m.Arrived(*now);
-    m.View(*now, names, true, true);
-    m.Tell(*now);
+    for (int k = 0; k < static_cast<int>(own / 2); ++k) m.OnArrival(*now);
+    m.SetMembers(*now, names, true, true);
+    m.NextReport(*now);
     for (std::size_t i = 0; i < rates.size(); ++i)
-      m.Learn(*now, names[i], Of(1, static_cast<std::uint64_t>(*now), rates[i]));
-    share = m.Share(*now, rates.size() + 1);
+      m.OnReport(*now, names[i], MakeReport(1, static_cast<std::uint64_t>(*now), rates[i]));
+    share = m.UpdateShare(*now, rates.size() + 1);
   }
   return share;
 }
 
-TEST(Shares, ANodeThatGetsMoreHasALargerPart) {
+TEST(TrafficShare, ANodeThatGetsMoreHasALargerShare) {
   Time now = kSecond;
-  ShareModel m("me", 1, now);
+  TrafficShareModel m("me", 1, now);
   // 60 of 60 + 3 * 20 requests, with a quarter of the mean (30) for each of the four on top.
   EXPECT_NEAR(ShareAfter(m, {20, 20, 20}, 60, 40, &now), (60 + 7.5) / (120 + 30), 0.03);
   EXPECT_STREQ(m.state(), "shares");
@@ -54,50 +58,50 @@
   EXPECT_EQ(lines.front().node, "me");
 }
 
-TEST(Shares, APartFallsAtOnceAndRisesOnlyWhenOthersHaveHadTimeToHear) {
+TEST(TrafficShare, AShareFallsAtOnceAndRisesOnlyWhenOthersHaveHadTimeToHear) {
   Time now = kSecond;
-  ShareModel m("me", 1, now);
+  TrafficShareModel m("me", 1, now);
   const double before = ShareAfter(m, {20, 20}, 20, 40, &now);
   // Another gets ten times the traffic: this part falls with the first word of it.
-  m.Learn(now, "p0", Of(1, 1'000'000'000, 200));
-  const double fallen = m.Share(now, 3);
+  m.OnReport(now, "p0", MakeReport(1, 1'000'000'000, 200));
+  const double fallen = m.UpdateShare(now, 3);
   EXPECT_LT(fallen, before / 2);
   // It is over: not before the span to settle has passed.
-  m.Learn(now + 1, "p0", Of(1, 1'000'000'001, 20));
-  EXPECT_EQ(m.Share(now + kSecond, 3), fallen);
-  EXPECT_EQ(m.Share(now + 2 * kSecond, 3), fallen);
+  m.OnReport(now + 1, "p0", MakeReport(1, 1'000'000'001, 20));
+  EXPECT_EQ(m.UpdateShare(now + kSecond, 3), fallen);
+  EXPECT_EQ(m.UpdateShare(now + 2 * kSecond, 3), fallen);
   now += 4 * kSecond;
   EXPECT_GT(ShareAfter(m, {20, 20}, 20, 10, &now), 1.5 * fallen);
 }
 
-TEST(Shares, WordsOutOfBoundsOldOnesAndStrangersMoveNothing) {
+TEST(TrafficShare, ReportsOutOfBoundsOldOnesAndThoseOfNonMembersMoveNothing) {
   Time now = kSecond;
-  ShareModel m("me", 1, now);
+  TrafficShareModel m("me", 1, now);
   ShareAfter(m, {20, 20}, 20, 40, &now);
-  const double before = m.Share(now, 3);
+  const double before = m.UpdateShare(now, 3);
   const double nan = std::numeric_limits<double>::quiet_NaN();
   for (const double rate : {nan, -5.0, 1e18, std::numeric_limits<double>::infinity()})
-    m.Learn(now, "p0", Of(9, 9'000'000'000, rate));
-  m.Learn(now, "stranger", Of(1, 1, 1000));
-  m.Learn(now, "p0", Of(1, 1, 1000));  // older than what was heard
-  m.Learn(now, "me", Of(5, 5, 1000));  // of this node's own name
-  EXPECT_EQ(m.Share(now, 3), before);
+    m.OnReport(now, "p0", MakeReport(9, 9'000'000'000, rate));
+  m.OnReport(now, "stranger", MakeReport(1, 1, 1000));
+  m.OnReport(now, "p0", MakeReport(1, 1, 1000));  // older than what was heard
+  m.OnReport(now, "me", MakeReport(5, 5, 1000));  // of this node's own name
+  EXPECT_EQ(m.UpdateShare(now, 3), before);
   // A process that has started anew counts, whatever its numbers.
-  m.Learn(now, "p0", Of(2, 1, 1000));
-  EXPECT_LT(m.Share(now, 3), before);
+  m.OnReport(now, "p0", MakeReport(2, 1, 1000));
+  EXPECT_LT(m.UpdateShare(now, 3), before);
 }
 
-TEST(Shares, InDoubtAPartIsHeldAndThenGoesBackByStepsToTheEqualOne) {
+TEST(TrafficShare, WithAnUncertainViewAShareIsFrozenAndThenGoesBackByStepsToTheEqualOne) {
   Time now = kSecond;
-  ShareModel m("me", 1, now);
+  TrafficShareModel m("me", 1, now);
   const double before = ShareAfter(m, {10, 10, 10}, 60, 40, &now);
-  m.View(now, {}, false, false);
-  EXPECT_EQ(m.Share(now + 20 * kSecond, 4), before);
+  m.SetMembers(now, {}, false, false);
+  EXPECT_EQ(m.UpdateShare(now + 20 * kSecond, 4), before);
   EXPECT_STREQ(m.state(), "held");
-  double last = m.Share(now + 31 * kSecond, 4);
+  double last = m.UpdateShare(now + 31 * kSecond, 4);
   int steps = 0;
   for (Time t = now + 31 * kSecond; last > 0.25 && steps < 1000; t += kSecond / 2, ++steps) {
-    const double next = m.Share(t, 4);
+    const double next = m.UpdateShare(t, 4);
     EXPECT_GE(next, last * 0.9);  // never a jump
     last = next;
   }
@@ -106,25 +110,25 @@
   EXPECT_STREQ(m.state(), "equal");
 }
 
-TEST(Shares, OfThoseThatAreAbsentButNotSettledAsGoneOnlyABoundedPartIsTaken) {
+TEST(TrafficShare, OfThoseThatAreAbsentButNotSettledAsGoneOnlyABoundedPartIsTaken) {
   Time now = kSecond;
-  ShareModel m("me", 1, now);
+  TrafficShareModel m("me", 1, now);
   const double before = ShareAfter(m, {20, 20, 20, 20}, 20, 40, &now);
   for (int i = 0; i < 40; ++i, now += kSecond / 2) {
-    m.View(now, {"p0"}, true, false);  // three have been taken off the view, which is not settled yet
-    m.Learn(now, "p0", Of(1, static_cast<std::uint64_t>(now), 20));
-    m.Share(now, 5);
+    m.SetMembers(now, {"p0"}, true, false);  // three have been taken off the view, which is not settled yet
+    m.OnReport(now, "p0", MakeReport(1, static_cast<std::uint64_t>(now), 20));
+    m.UpdateShare(now, 5);
   }
-  EXPECT_LE(m.Share(now, 5), 1.5 * before + 1e-9);
+  EXPECT_LE(m.UpdateShare(now, 5), 1.5 * before + 1e-9);
   for (int i = 0; i < 40; ++i, now += kSecond / 2) {
-    m.View(now, {"p0"}, true, true);
-    m.Share(now, 5);
+    m.SetMembers(now, {"p0"}, true, true);
+    m.UpdateShare(now, 5);
   }
-  EXPECT_GT(m.Share(now, 5), 2 * before);
+  EXPECT_GT(m.UpdateShare(now, 5), 2 * before);
 }
 
-// Words that are lost at random, rates that move at random: the sum of all parts stays near one.
-RC_GTEST_PROP(Shares, AddUpWhateverIsLostAndHoweverRatesMove, ()) {
+// Messages that are lost at random, rates that move at random: the sum of all shares stays near one.
+RC_GTEST_PROP(TrafficShare, AddUpWhateverIsLostAndHoweverRatesMove, ()) {
   const auto n = *rc::gen::inRange<std::size_t>(2, 9);
   const double loss = *rc::gen::inRange(0, 60) / 100.0;
   std::uint64_t state = *rc::gen::inRange<std::uint64_t>(1, 1'000'000);
@@ -133,7 +137,7 @@
     return static_cast<double>(state >> 33) / static_cast<double>(1ULL << 31);
   };
   Time now = kSecond;
-  std::vector<ShareModel> nodes;
+  std::vector<TrafficShareModel> nodes;
   std::vector<std::string> names;
   std::vector<double> rates(n, 20);
   for (std::size_t i = 0; i < n; ++i) names.push_back("n" + std::to_string(i));
@@ -142,71 +146,76 @@
     if (turn % 20 == 19) rates[static_cast<std::size_t>(draw() * static_cast<double>(n))] = 5 + 100 * draw();
     double sum = 0;
     for (std::size_t i = 0; i < n; ++i) {
-      for (int k = 0; k < static_cast<int>(rates[i] / 2); ++k) nodes[i].Arrived(now);
-      nodes[i].View(now, names, true, true);
-      const auto word = nodes[i].Tell(now);
-      for (std::size_t m = 0; word && m < n; ++m) {
-        if (m != i && draw() >= loss) nodes[m].Learn(now, names[i], *word);
+      for (int k = 0; k < static_cast<int>(rates[i] / 2); ++k) nodes[i].OnArrival(now);
+      nodes[i].SetMembers(now, names, true, true);
+      const auto report = nodes[i].NextReport(now);
+      for (std::size_t m = 0; report && m < n; ++m) {
+        if (m != i && draw() >= loss) nodes[m].OnReport(now, names[i], *report);
       }
     }
-    for (std::size_t i = 0; i < n; ++i) sum += nodes[i].Share(now, n);
+    for (std::size_t i = 0; i < n; ++i) sum += nodes[i].UpdateShare(now, n);
     RC_ASSERT(sum <= 1.1);
     if (turn > 60) RC_ASSERT(sum >= 0.3);
   }
 }
 
-// ---- Words ----
+// ---- Messages ----
 
-Word Full() {
-  Word w;
-  w.life = ~std::uint64_t{0}, w.number = ~std::uint64_t{0}, w.rate = gossip::kMostRate, w.doubt = true,
-  w.accused = 0xffff;
-  for (std::size_t i = 0; i < gossip::kMostClaims; ++i)
-    w.claims.push_back({0xffffffff, Time{1'700'000'000'000'000}, 255, gossip::kMostRest, 0, -4, 255, 255,
-                        gossip::kMostRest});
-  for (std::size_t i = 0; i < gossip::kMostBeginnings; ++i)
-    w.beginnings.push_back({~std::uint64_t{0}, gossip::kMostRate});
-  return w;
+NodeReport LargestReport() {
+  NodeReport report;
+  report.incarnation = ~std::uint64_t{0};
+  report.sequence = ~std::uint64_t{0};
+  report.rate = gossip::kMaxRate;
+  report.suspects_itself = true;
+  report.failing_replicas = 0xffff;
+  const gossip::OutlierReport outlier{
+      0xffffffff, Time{1'700'000'000'000'000}, 255, gossip::kMaxSpan, 0, -4, 255, 255, gossip::kMaxSpan};
+  report.outlier_reports.assign(gossip::kMaxOutlierReports, outlier);
+  report.prefix_rates.assign(gossip::kMaxPrefixRates, {~std::uint64_t{0}, gossip::kMaxRate});
+  return report;
 }
 
-TEST(Words, TheLongestFitsAndComesBackAsItWas) {
-  const gossip::Telling t{std::string(64, 'n'), gossip::kMostAge, Full()};
+TEST(GossipMessages, TheLongestFitsAndComesBackAsItWas) {
+  const gossip::GossipMessage t{std::string(64, 'n'), gossip::kMaxAge, LargestReport()};
   const std::string bytes = gossip::Encode(t);
-  EXPECT_LE(bytes.size(), gossip::kMostWord);
+  EXPECT_LE(bytes.size(), gossip::kMaxMessageBytes);
   const char* why = "";
   const auto back = gossip::Decode(bytes, &why);
   ASSERT_TRUE(back) << why;
   EXPECT_EQ(back->node, t.node);
   EXPECT_EQ(back->age, t.age);
-  ASSERT_EQ(back->word.claims.size(), gossip::kMostClaims);
-  const gossip::Claim &a = back->word.claims[3], &b = t.word.claims[3];
-  EXPECT_EQ(std::tie(a.replica, a.started_at, a.failures, a.rests, a.last, a.slow, a.slow_n, a.out, a.waits),
-            std::tie(b.replica, b.started_at, b.failures, b.rests, b.last, b.slow, b.slow_n, b.out, b.waits));
-  EXPECT_EQ(back->word.beginnings.back().rate, gossip::kMostRate);
+  ASSERT_EQ(back->report.outlier_reports.size(), gossip::kMaxOutlierReports);
+  const gossip::OutlierReport &a = back->report.outlier_reports[3], &b = t.report.outlier_reports[3];
+  EXPECT_EQ(std::tie(a.replica, a.started_at, a.consecutive_failures, a.ejected_for, a.last_outcome_age,
+                     a.slowness, a.slowness_samples, a.in_flight, a.stalled_for),
+            std::tie(b.replica, b.started_at, b.consecutive_failures, b.ejected_for, b.last_outcome_age,
+                     b.slowness, b.slowness_samples, b.in_flight, b.stalled_for));
+  EXPECT_EQ(back->report.prefix_rates.back().rate, gossip::kMaxRate);
 }
 
-TEST(Words, WhatIsNotANumberIsToldAsNothingAndWhatIsTooMuchAsTheMost) {
-  Word w;
+TEST(GossipMessages, WhatIsNotANumberIsToldAsNothingAndWhatIsTooMuchAsTheMost) {
+  NodeReport report;
   const double nan = std::numeric_limits<double>::quiet_NaN();
-  w.rate = nan;
-  w.claims = {{1, 0, -5, -7, -1, nan, -3, -1, -1},
-              {2, 0, 9999, Time{1} << 60, 1 + gossip::kMostRest, 1e300, 1e300, 9999, Time{1} << 60}};
-  w.beginnings = {{1, -1}, {2, 1e300}};
+  report.rate = nan;
+  report.outlier_reports = {
+      {1, 0, -5, -7, -1, nan, -3, -1, -1},
+      {2, 0, 9999, Time{1} << 60, 1 + gossip::kMaxSpan, 1e300, 1e300, 9999, Time{1} << 60}};
+  report.prefix_rates = {{1, -1}, {2, 1e300}};
   const char* why = "";
-  const auto back = gossip::Decode(gossip::Encode({"n", -5, w}), &why);
+  const auto back = gossip::Decode(gossip::Encode({"n", -5, report}), &why);
   ASSERT_TRUE(back) << why;
-  EXPECT_EQ(back->word.rate, 0);
-  EXPECT_EQ(back->word.claims[0].slow, 0);
-  EXPECT_EQ(back->word.claims[0].failures, 0);
-  EXPECT_EQ(back->word.claims[1].failures, 255);
-  EXPECT_EQ(back->word.claims[1].slow, 4);
-  EXPECT_EQ(back->word.claims[1].last, -1);
-  EXPECT_EQ(back->word.beginnings[1].rate, gossip::kMostRate);
+  EXPECT_EQ(back->report.rate, 0);
+  EXPECT_EQ(back->report.outlier_reports[0].slowness, 0);
+  EXPECT_EQ(back->report.outlier_reports[0].consecutive_failures, 0);
+  EXPECT_EQ(back->report.outlier_reports[1].consecutive_failures, 255);
+  EXPECT_EQ(back->report.outlier_reports[1].slowness, 4);
+  EXPECT_EQ(back->report.outlier_reports[1].last_outcome_age, -1);
+  EXPECT_EQ(back->report.prefix_rates[1].rate, gossip::kMaxRate);
 }
 
 // Bytes that are cut, changed or made up are turned down or read within bounds, never worse.
-RC_GTEST_PROP(Words, AnyBytesAreReadWithinBoundsOrTurnedDown, ()) {
-  std::string bytes = gossip::Encode({"n1", 1000, Full()});
+RC_GTEST_PROP(GossipMessages, AnyBytesAreReadWithinBoundsOrTurnedDown, ()) {
+  std::string bytes = gossip::Encode({"n1", 1000, LargestReport()});
   const auto cut = *rc::gen::inRange<std::size_t>(0, bytes.size() + 1);
   bytes.resize(cut);
   for (const auto& [at, value] : *rc::gen::container<std::vector<std::pair<std::size_t, char>>>(
@@ -219,21 +228,21 @@
     RC_ASSERT(std::string(why) == "malformed" || std::string(why) == "range" || std::string(why) == "form");
     return;
   }
-  RC_ASSERT(t->word.claims.size() <= gossip::kMostClaims &&
-            t->word.beginnings.size() <= gossip::kMostBeginnings);
-  RC_ASSERT(t->word.rate >= 0 && t->word.rate <= gossip::kMostRate);
-  for (const gossip::Claim& c : t->word.claims)
-    RC_ASSERT(std::abs(c.slow) <= 4 && c.rests >= 0 && c.rests <= gossip::kMostRest);
+  RC_ASSERT(t->report.outlier_reports.size() <= gossip::kMaxOutlierReports &&
+            t->report.prefix_rates.size() <= gossip::kMaxPrefixRates);
+  RC_ASSERT(t->report.rate >= 0 && t->report.rate <= gossip::kMaxRate);
+  for (const gossip::OutlierReport& c : t->report.outlier_reports)
+    RC_ASSERT(std::abs(c.slowness) <= 4 && c.ejected_for >= 0 && c.ejected_for <= gossip::kMaxSpan);
 }
 
-TEST(Gossip, EveryWordGoesAFewTimesThoseSentLeastFirstAndANewerOneTakesItsPlace) {
-  gossip::GossipModel g;
-  for (int i = 0; i < 40; ++i) g.Put(0, {"n" + std::to_string(i), 0, Of(1, 1, i)}, i == 0);
+TEST(GossipQueue, EveryReportGoesAFewTimesThoseSentLeastFirstAndANewerOneTakesItsPlace) {
+  gossip::GossipQueue g;
+  for (int i = 0; i < 40; ++i) g.Enqueue(0, {"n" + std::to_string(i), 0, MakeReport(1, 1, i)}, i == 0);
   std::map<std::string, int> sent;
   const char* why = "";
-  for (int i = 0; i < 1000 && g.waiting(); ++i) {
+  for (int i = 0; i < 1000 && g.has_pending(); ++i) {
     std::size_t size = 0;
-    for (const std::string& bytes : g.Fill(kSecond, 200, 5)) {
+    for (const std::string& bytes : g.TakeMessages(kSecond, 200, 5)) {
       size += bytes.size() + 5;
       const auto t = gossip::Decode(bytes, &why);
       ASSERT_TRUE(t) << why;
@@ -248,15 +257,15 @@
   }
   EXPECT_EQ(sent.size(), 40U);
   for (const auto& [name, n] : sent)
-    EXPECT_EQ(n, name == "n0" ? gossip::GossipModel::kOwnSends : gossip::GossipModel::kSends);
-  g.Put(0, {"n1", 0, Of(1, 2, 7)}, false);
-  EXPECT_TRUE(g.waiting());
+    EXPECT_EQ(n, name == "n0" ? gossip::GossipQueue::kOwnSends : gossip::GossipQueue::kForwards);
+  g.Enqueue(0, {"n1", 0, MakeReport(1, 2, 7)}, false);
+  EXPECT_TRUE(g.has_pending());
   EXPECT_EQ(g.size(), 40U);
-  EXPECT_TRUE(g.Fill(2 * gossip::kMostAge, 1000, 5).empty());  // too old to be passed on
-  EXPECT_FALSE(g.waiting());
+  EXPECT_TRUE(g.TakeMessages(2 * gossip::kMaxAge, 1000, 5).empty());  // too old to be passed on
+  EXPECT_FALSE(g.has_pending());
 }
 
-// ---- Evidence ----
+// ---- Outlier consensus ----
 
 struct Fleet {
   std::vector<policy::ReplicaView> all;
@@ -271,259 +280,265 @@
   policy::ReplicaView& at(policy::ReplicaId id) { return all[id - 1]; }
 };
 
-gossip::Claim Failing(policy::ReplicaId id, Time started = 1000) {
+gossip::OutlierReport FailureOf(policy::ReplicaId id, Time started = 1000) {
   return {id, started, 3, 4 * kSecond, kSecond / 2, 1.1, 3, 1, 0};
 }
 
-Word Accusing(std::vector<gossip::Claim> claims) {
-  Word w = Of(1, 1, 10);
-  w.accused = static_cast<int>(claims.size());
-  w.claims = std::move(claims);
-  return w;
+NodeReport ReportWith(std::vector<gossip::OutlierReport> outlier_reports) {
+  NodeReport report = MakeReport(1, 1, 10);
+  report.failing_replicas = static_cast<int>(outlier_reports.size());
+  report.outlier_reports = std::move(outlier_reports);
+  return report;
 }
 
 // A node that sees nothing itself, among `n` others, in zones.
-struct Hearer {
+struct Node {
   Fleet fleet{20};
-  gossip::EvidenceModel model{"me", gossip::EvidenceLimits{}};
+  gossip::OutlierConsensusModel model{"me", gossip::OutlierConsensusLimits{}};
   Time now = 100 * kSecond;
-  explicit Hearer(std::size_t n, std::size_t zones = 1) {
-    std::vector<gossip::EvidenceModel::Peer> members;
+  explicit Node(std::size_t n, std::size_t zones = 1) {
+    std::vector<gossip::OutlierConsensusModel::Peer> members;
     for (std::size_t i = 0; i < n; ++i)
       members.push_back({"p" + std::to_string(i), zones > 1 ? "z" + std::to_string(i % zones) : ""});
-    model.See(now, fleet.all, false);
-    model.View(now, members, zones > 1 ? "z0" : "", true);
+    model.ObserveReplicas(now, fleet.all, false);
+    model.SetMembers(now, members, zones > 1 ? "z0" : "", true);
   }
-  std::map<policy::ReplicaId, policy::PeerReplicaReport> Judge(double part = 0.1) {
+  std::map<policy::ReplicaId, policy::PeerReplicaReport> Evaluate(double part = 0.1) {
     std::map<policy::ReplicaId, policy::PeerReplicaReport> told;
-    model.See(now, fleet.all, false);
-    for (const auto& t : model.Judge(now, part)) told[t.id] = t;
+    model.ObserveReplicas(now, fleet.all, false);
+    for (const auto& t : model.Evaluate(now, part)) told[t.id] = t;
     return told;
   }
-  bool Alone(policy::ReplicaId id) {
-    const auto told = Judge();
+  bool IsEjected(policy::ReplicaId id) {
+    const auto told = Evaluate();
     return told.contains(id) && told.at(id).ejected_until > now;
   }
 };
 
-TEST(Evidence, OneNodeTakesNothingFromOthersTwoDoAndOnesOwnAnswerComesFirst) {
-  Hearer h(4);
-  h.model.Learn(h.now, "p0", Accusing({Failing(1)}));
-  EXPECT_FALSE(h.Alone(1));
-  EXPECT_STREQ(h.model.Explain().front().why, "too-few-accusers");
-  h.model.Learn(h.now, "p1", Accusing({Failing(1)}));
-  EXPECT_TRUE(h.Alone(1));
+TEST(OutlierConsensus, OneNodeTakesNothingFromOthersTwoDoAndOnesOwnAnswerComesFirst) {
+  Node node(4);
+  node.model.OnReport(node.now, "p0", ReportWith({FailureOf(1)}));
+  EXPECT_FALSE(node.IsEjected(1));
+  EXPECT_STREQ(node.model.findings().front().reason, "too-few-accusers");
+  node.model.OnReport(node.now, "p1", ReportWith({FailureOf(1)}));
+  EXPECT_TRUE(node.IsEjected(1));
   // It answered here a moment ago.
-  h.fleet.at(1).slowness_updated_at = h.now - kSecond / 4;
-  EXPECT_TRUE(h.Judge().contains(1));
-  EXPECT_EQ(h.model.Explain().front().rests_until, 0);
-}
-
-TEST(Evidence, InMoreThanOneZoneItTakesAccusersInTwoOrInOnesOwn) {
-  Hearer h(6, 3);
-  h.model.Learn(h.now, "p1", Accusing({Failing(1)}));
-  h.model.Learn(h.now, "p4", Accusing({Failing(1)}));  // the same zone, and not this node's
-  EXPECT_FALSE(h.Alone(1));
-  h.model.Learn(h.now, "p2", Accusing({Failing(1)}));
-  EXPECT_TRUE(h.Alone(1));
+  node.fleet.at(1).slowness_updated_at = node.now - kSecond / 4;
+  EXPECT_TRUE(node.Evaluate().contains(1));
+  EXPECT_EQ(node.model.findings().front().ejected_until, 0);
+}
+
+TEST(OutlierConsensus, InMoreThanOneZoneItTakesAccusersInTwoOrInOnesOwn) {
+  Node node(6, 3);
+  node.model.OnReport(node.now, "p1", ReportWith({FailureOf(1)}));
+  node.model.OnReport(node.now, "p4", ReportWith({FailureOf(1)}));  // the same zone, and not this node's
+  EXPECT_FALSE(node.IsEjected(1));
+  node.model.OnReport(node.now, "p2", ReportWith({FailureOf(1)}));
+  EXPECT_TRUE(node.IsEjected(1));
   // Two of this node's own zone: what their network does to them it does to this node.
-  h.model.Learn(h.now, "p0", Accusing({Failing(2)}));
-  h.model.Learn(h.now, "p3", Accusing({Failing(2)}));
-  EXPECT_TRUE(h.Alone(2));
-}
-
-TEST(Evidence, AnAnswerThatSomebodyGotSinceReleasesAll) {
-  Hearer h(8);
-  for (const char* p : {"p0", "p1", "p2", "p3", "p4", "p5"}) h.model.Learn(h.now, p, Accusing({Failing(1)}));
-  ASSERT_TRUE(h.Alone(1));
-  gossip::Claim good{1, 1000, 0, 0, kSecond / 10, 0, 5, 0, 0};
-  h.now += kSecond;
-  h.model.Learn(h.now, "p6", Accusing({good}));
-  const auto told = h.Judge();
+  node.model.OnReport(node.now, "p0", ReportWith({FailureOf(2)}));
+  node.model.OnReport(node.now, "p3", ReportWith({FailureOf(2)}));
+  EXPECT_TRUE(node.IsEjected(2));
+}
+
+TEST(OutlierConsensus, AnAnswerThatSomebodyGotSinceReleasesAll) {
+  Node node(8);
+  for (const char* p : {"p0", "p1", "p2", "p3", "p4", "p5"})
+    node.model.OnReport(node.now, p, ReportWith({FailureOf(1)}));
+  ASSERT_TRUE(node.IsEjected(1));
+  gossip::OutlierReport good{1, 1000, 0, 0, kSecond / 10, 0, 5, 0, 0};
+  node.now += kSecond;
+  node.model.OnReport(node.now, "p6", ReportWith({good}));
+  const auto told = node.Evaluate();
   ASSERT_TRUE(told.contains(1));
   EXPECT_EQ(told.at(1).ejected_until, 0);
-  EXPECT_STREQ(h.model.Explain().front().why, "answered-since");
+  EXPECT_STREQ(node.model.findings().front().reason, "answered-since");
 }
 
-TEST(Evidence, ANodeThatSeesItsOwnNetworkCountsForNothing) {
-  Hearer h(6);
-  std::vector<gossip::Claim> all;
-  for (policy::ReplicaId id = 1; id <= 20; ++id) all.push_back(Failing(id));
+TEST(OutlierConsensus, ANodeThatSeesItsOwnNetworkCountsForNothing) {
+  Node node(6);
+  std::vector<gossip::OutlierReport> all;
+  for (policy::ReplicaId id = 1; id <= 20; ++id) all.push_back(FailureOf(id));
   // A third of the nodes see every replica fail.
-  h.model.Learn(h.now, "p0", Accusing(all));
-  h.model.Learn(h.now, "p1", Accusing(all));
-  for (policy::ReplicaId id = 1; id <= 20; ++id) EXPECT_FALSE(h.Alone(id));
+  node.model.OnReport(node.now, "p0", ReportWith(all));
+  node.model.OnReport(node.now, "p1", ReportWith(all));
+  for (policy::ReplicaId id = 1; id <= 20; ++id) EXPECT_FALSE(node.IsEjected(id));
   // One that says itself that it is in doubt, though it accuses one alone.
-  Word doubting = Accusing({Failing(2)});
-  doubting.doubt = true;
-  h.model.Learn(h.now, "p2", doubting);
-  h.model.Learn(h.now, "p3", Accusing({Failing(2)}));
-  EXPECT_FALSE(h.Alone(2));
+  NodeReport suspecting = ReportWith({FailureOf(2)});
+  suspecting.suspects_itself = true;
+  node.model.OnReport(node.now, "p2", suspecting);
+  node.model.OnReport(node.now, "p3", ReportWith({FailureOf(2)}));
+  EXPECT_FALSE(node.IsEjected(2));
   // And this node, cut off itself, says so.
-  for (auto& v : h.fleet.all)
-    v.ejected_until = h.now + kSecond, v.consecutive_failures = 2, v.slowness_updated_at = h.now;
-  h.model.See(h.now, h.fleet.all, false);
-  Word own;
-  h.model.Tell(h.now, &own);
-  EXPECT_TRUE(own.doubt);
-  EXPECT_EQ(own.accused, 20);
+  for (policy::ReplicaView& view : node.fleet.all) {
+    view.ejected_until = node.now + kSecond;
+    view.consecutive_failures = 2;
+    view.slowness_updated_at = node.now;
+  }
+  node.model.ObserveReplicas(node.now, node.fleet.all, false);
+  NodeReport own;
+  node.model.FillReport(node.now, &own);
+  EXPECT_TRUE(own.suspects_itself);
+  EXPECT_EQ(own.failing_replicas, 20);
 }
 
-TEST(Evidence, NeverMoreThanAShareOfTheFleetRestsByHearsay) {
-  Hearer h(10);
+TEST(OutlierConsensus, NeverMoreThanAShareOfTheFleetIsEjected) {
+  Node node(10);
   // Pairs of accusers, each pair of three replicas of its own: nobody accuses many, together they accuse
   // twelve.
   for (std::size_t i = 0; i < 8; ++i) {
-    std::vector<gossip::Claim> claims;
+    std::vector<gossip::OutlierReport> outlier_reports;
     for (policy::ReplicaId k = 0; k < 3; ++k)
-      claims.push_back(Failing(static_cast<policy::ReplicaId>(i / 2 * 3) + k + 1));
-    h.model.Learn(h.now, "p" + std::to_string(i), Accusing(claims));
+      outlier_reports.push_back(FailureOf(static_cast<policy::ReplicaId>(i / 2 * 3) + k + 1));
+    node.model.OnReport(node.now, "p" + std::to_string(i), ReportWith(outlier_reports));
   }
   std::size_t out = 0;
-  for (const auto& [id, t] : h.Judge()) out += t.ejected_until > h.now ? 1 : 0;
+  for (const auto& [id, t] : node.Evaluate()) out += t.ejected_until > node.now ? 1 : 0;
   EXPECT_EQ(out, 4U);  // a fifth of twenty
 }
 
-TEST(Evidence, WhatIsSaidOfOneThatWasReplacedAtTheSameAddressMeansNothing) {
-  Hearer h(4);
-  h.model.Learn(h.now, "p0", Accusing({Failing(1, 999)}));
-  h.model.Learn(h.now, "p1", Accusing({Failing(1, 999)}));
-  EXPECT_FALSE(h.Alone(1));
-  h.model.Learn(h.now, "p0", Accusing({Failing(1)}));
-  h.model.Learn(h.now, "p1", Accusing({Failing(1)}));
-  EXPECT_TRUE(h.Alone(1));
-  h.fleet.at(1).endpoint.started_at = 2000;  // replaced
-  EXPECT_FALSE(h.Alone(1));
-}
-
-TEST(Evidence, SilenceTakesMoreWhoWaitAndNoAnswerSinceTheyBegan) {
-  Hearer h(6);
-  const gossip::Claim waits{1, 1000, 0, 0, 20 * kSecond, 0, 1, 2, 4 * kSecond};
-  h.model.Learn(h.now, "p0", Accusing({waits}));
-  h.model.Learn(h.now, "p1", Accusing({waits}));
-  EXPECT_FALSE(h.Alone(1));
-  h.model.Learn(h.now, "p2", Accusing({waits}));
-  EXPECT_TRUE(h.Alone(1));
+TEST(OutlierConsensus, WhatIsReportedOfOneThatWasReplacedAtTheSameAddressMeansNothing) {
+  Node node(4);
+  node.model.OnReport(node.now, "p0", ReportWith({FailureOf(1, 999)}));
+  node.model.OnReport(node.now, "p1", ReportWith({FailureOf(1, 999)}));
+  EXPECT_FALSE(node.IsEjected(1));
+  node.model.OnReport(node.now, "p0", ReportWith({FailureOf(1)}));
+  node.model.OnReport(node.now, "p1", ReportWith({FailureOf(1)}));
+  EXPECT_TRUE(node.IsEjected(1));
+  node.fleet.at(1).endpoint.started_at = 2000;  // replaced
+  EXPECT_FALSE(node.IsEjected(1));
+}
+
+TEST(OutlierConsensus, SilenceTakesMoreWhoWaitAndNoAnswerSinceTheyBegan) {
+  Node node(6);
+  const gossip::OutlierReport stall{1, 1000, 0, 0, 20 * kSecond, 0, 1, 2, 4 * kSecond};
+  node.model.OnReport(node.now, "p0", ReportWith({stall}));
+  node.model.OnReport(node.now, "p1", ReportWith({stall}));
+  EXPECT_FALSE(node.IsEjected(1));
+  node.model.OnReport(node.now, "p2", ReportWith({stall}));
+  EXPECT_TRUE(node.IsEjected(1));
   // Somebody got an answer three seconds ago, so it is only slow.
-  h.model.Learn(h.now, "p3", Accusing({{1, 1000, 0, 0, 3 * kSecond, 0, 5, 0, 0}}));
-  EXPECT_FALSE(h.Alone(1));
+  node.model.OnReport(node.now, "p3", ReportWith({{1, 1000, 0, 0, 3 * kSecond, 0, 5, 0, 0}}));
+  EXPECT_FALSE(node.IsEjected(1));
 }
 
-TEST(Evidence, SlownessIsAMedianThatOneLiarCannotMove) {
-  Hearer h(8);
-  const auto slow = [](double s) { return gossip::Claim{1, 1000, 0, 0, kSecond, s, 6, 0, 0}; };
+TEST(OutlierConsensus, SlownessIsAMedianThatOneLiarCannotMove) {
+  Node node(8);
+  const auto slow = [](double s) { return gossip::OutlierReport{1, 1000, 0, 0, kSecond, s, 6, 0, 0}; };
   // One says a thousand times: nothing comes of it while the others find the replica as usual.
-  h.model.Learn(h.now, "p0", Accusing({slow(4)}));
-  h.Judge();
-  Word asked;  // who is asked says what it found
-  h.fleet.at(1).slowness = 0.05, h.fleet.at(1).slowness_samples = 4,
-  h.fleet.at(1).slowness_updated_at = h.now;
-  h.model.See(h.now, h.fleet.all, false);
-  h.model.Tell(h.now, &asked);
-  ASSERT_EQ(asked.claims.size(), 1U);
-  for (const char* p : {"p1", "p2", "p3"}) h.model.Learn(h.now, p, Accusing({slow(0.1)}));
-  for (const auto& [id, t] : h.Judge()) EXPECT_EQ(t.slowness_samples, 0) << id;
+  node.model.OnReport(node.now, "p0", ReportWith({slow(4)}));
+  node.Evaluate();
+  NodeReport asked;  // who is asked says what it found
+  policy::ReplicaView& used = node.fleet.at(1);
+  used.slowness = 0.05;
+  used.slowness_samples = 4;
+  used.slowness_updated_at = node.now;
+  node.model.ObserveReplicas(node.now, node.fleet.all, false);
+  node.model.FillReport(node.now, &asked);
+  ASSERT_EQ(asked.outlier_reports.size(), 1U);
+  for (const char* p : {"p1", "p2", "p3"}) node.model.OnReport(node.now, p, ReportWith({slow(0.1)}));
+  for (const auto& [id, t] : node.Evaluate()) EXPECT_EQ(t.slowness_samples, 0) << id;
   // Most find it slow: it counts, with a weight below an own answer's, whatever the liar says.
-  for (const char* p : {"p1", "p2", "p3"}) h.model.Learn(h.now, p, Accusing({slow(1.8)}));
-  const auto told = h.Judge();
+  for (const char* p : {"p1", "p2", "p3"}) node.model.OnReport(node.now, p, ReportWith({slow(1.8)}));
+  const auto told = node.Evaluate();
   ASSERT_TRUE(told.contains(1));
   EXPECT_NEAR(told.at(1).slowness, 1.8, 0.01);
-  EXPECT_LE(told.at(1).slowness_samples, gossip::EvidenceLimits{}.most_n);
+  EXPECT_LE(told.at(1).slowness_samples, gossip::OutlierConsensusLimits{}.max_peer_samples);
 }
 
-TEST(Evidence, WhatADeadNodeHadOutCountsUntilItMustHaveEnded) {
-  Hearer h(3);
-  h.model.Learn(h.now, "p0", Accusing({{1, 1000, 2, kSecond, kSecond, 0, 1, 8, 0}}));
-  h.Judge();
-  h.now += 2 * kSecond;
-  h.model.View(h.now, {{"p1", ""}, {"p2", ""}}, "", true);
-  auto told = h.Judge(0.5);
+TEST(OutlierConsensus, OrphanedAttemptsOfADeadNodeCountUntilTheyMustHaveEnded) {
+  Node node(3);
+  node.model.OnReport(node.now, "p0", ReportWith({{1, 1000, 2, kSecond, kSecond, 0, 1, 8, 0}}));
+  node.Evaluate();
+  node.now += 2 * kSecond;
+  node.model.SetMembers(node.now, {{"p1", ""}, {"p2", ""}}, "", true);
+  auto told = node.Evaluate(0.5);
   ASSERT_TRUE(told.contains(1));
   EXPECT_NEAR(told.at(1).orphaned_in_flight, 4, 1e-9);  // this node's part of eight
-  h.now += gossip::EvidenceLimits{}.ends;
-  told = h.Judge(0.5);
+  node.now += gossip::OutlierConsensusLimits{}.orphan_lifetime;
+  told = node.Evaluate(0.5);
   ASSERT_TRUE(told.contains(1));
   EXPECT_EQ(told.at(1).orphaned_in_flight, 0);
 }
 
-// Whatever order words come in and however often, the newest of each speaker is what is judged by.
-RC_GTEST_PROP(Evidence, AnyOrderAndRepetitionEndsTheSame, ()) {
-  gossip::TierModel a("me", 1, 0, {}), b("me", 1, 0, {});
-  std::vector<gossip::EvidenceModel::Peer> members;
+// Whatever order messages arrive in and however often, the newest report of each node counts.
+RC_GTEST_PROP(OutlierConsensus, AnyOrderAndRepetitionEndsTheSame, ()) {
+  gossip::SharedStateModel a("me", 1, 0, {}), b("me", 1, 0, {});
+  std::vector<gossip::OutlierConsensusModel::Peer> members;
   for (int i = 0; i < 6; ++i) members.push_back({"p" + std::to_string(i), ""});
   const Time now = 50 * kSecond;
   Fleet fleet(20);
-  std::vector<gossip::Telling> words;
+  std::vector<gossip::GossipMessage> messages;
   for (int i = 0; i < 6; ++i) {
     for (std::uint64_t k = 1; k <= 3; ++k) {
-      std::vector<gossip::Claim> claims;
+      std::vector<gossip::OutlierReport> outlier_reports;
       for (policy::ReplicaId id = 1; id <= 3; ++id) {
-        if (*rc::gen::arbitrary<bool>()) claims.push_back(Failing(id));
+        if (*rc::gen::arbitrary<bool>()) outlier_reports.push_back(FailureOf(id));
       }
-      Word w = Accusing(claims);
-      w.number = k;
-      words.push_back({"p" + std::to_string(i), static_cast<Time>(4 - k) * kSecond, w});
+      NodeReport report = ReportWith(outlier_reports);
+      report.sequence = k;
+      messages.push_back({"p" + std::to_string(i), static_cast<Time>(4 - k) * kSecond, report});
     }
   }
-  std::vector<gossip::Telling> mixed = words;
-  for (std::size_t i = mixed.size(); i > 1; --i)
-    std::swap(mixed[i - 1], mixed[*rc::gen::inRange<std::size_t>(0, i)]);
-  mixed.insert(mixed.end(), words.begin(), words.begin() + 5);
-  const auto play = [&](gossip::TierModel& m, const std::vector<gossip::Telling>& all) {
-    m.View(now, members, "", true, true);
-    m.See(now, fleet.all, false);
-    for (const gossip::Telling& t : all) m.Learn(now, t);
-    std::vector<policy::ReplicaId> alone;
-    for (const policy::Event& e : m.Turn(now, 7)) {
+  std::vector<gossip::GossipMessage> shuffled = messages;
+  for (std::size_t i = shuffled.size(); i > 1; --i)
+    std::swap(shuffled[i - 1], shuffled[*rc::gen::inRange<std::size_t>(0, i)]);
+  shuffled.insert(shuffled.end(), messages.begin(), messages.begin() + 5);
+  const auto play = [&](gossip::SharedStateModel& m, const std::vector<gossip::GossipMessage>& all) {
+    m.SetMembers(now, members, "", true, true);
+    m.ObserveReplicas(now, fleet.all, false);
+    for (const gossip::GossipMessage& message : all) m.OnMessage(now, message);
+    std::vector<policy::ReplicaId> ejected;
+    for (const policy::Event& e : m.Evaluate(now, 7)) {
       const auto* told = std::get_if<policy::PeerReportsReceived>(&e);
       for (std::size_t i = 0; told != nullptr && i < told->replicas.size(); ++i) {
-        if (told->replicas[i].ejected_until > now) alone.push_back(told->replicas[i].id);
+        if (told->replicas[i].ejected_until > now) ejected.push_back(told->replicas[i].id);
       }
     }
-    return alone;
+    return ejected;
   };
-  RC_ASSERT(play(a, words) == play(b, mixed));
+  RC_ASSERT(play(a, messages) == play(b, shuffled));
 }
 
-TEST(Beginnings, AreCountedOverAllNodesAndOneLiarIsBounded) {
-  gossip::BeginningsModel m("me", 0);
+TEST(PrefixTraffic, IsCountedOverAllNodesAndOneLiarIsBounded) {
+  gossip::PrefixTrafficModel m("me", 0);
   Time now = 30 * kSecond;
-  for (int i = 0; i < 200; ++i) m.Arrived(now - (i % 20) * kSecond, i % 4 == 0 ? 7 : 8);
+  for (int i = 0; i < 200; ++i) m.OnArrival(now - (i % 20) * kSecond, i % 4 == 0 ? 7 : 8);
   for (int i = 0; i < 5; ++i) {
-    Word w = Of(1, 1, 10);
-    w.beginnings = {{7, 4}, {8, 2}};
-    m.Learn(now, "p" + std::to_string(i), w);
+    NodeReport report = MakeReport(1, 1, 10);
+    report.prefix_rates = {{7, 4}, {8, 2}};
+    m.OnReport(now, "p" + std::to_string(i), report);
   }
-  policy::PrefixTrafficReceived keys;
-  ASSERT_TRUE(m.Shares(now, &keys));
-  ASSERT_EQ(keys.shares.size(), 2U);
-  EXPECT_EQ(keys.shares[0].first, 7U);
-  EXPECT_GT(keys.shares[0].second, 0.3);
-  EXPECT_LT(keys.shares[0].second, 0.4);
-  Word lie = Of(1, 1, 1e6);
-  lie.beginnings = {{99, 1e6}, {8, 1e6}};
-  m.Learn(now, "liar", lie);
+  policy::PrefixTrafficReceived traffic;
+  ASSERT_TRUE(m.UpdateShares(now, &traffic));
+  ASSERT_EQ(traffic.shares.size(), 2U);
+  EXPECT_EQ(traffic.shares[0].first, 7U);
+  EXPECT_GT(traffic.shares[0].second, 0.3);
+  EXPECT_LT(traffic.shares[0].second, 0.4);
+  NodeReport lie = MakeReport(1, 1, 1e6);
+  lie.prefix_rates = {{99, 1e6}, {8, 1e6}};
+  m.OnReport(now, "liar", lie);
   now += 2 * kSecond;
-  m.Shares(now, &keys);
-  for (const auto& [beginning, share] : keys.shares) {
-    EXPECT_NE(beginning, 99U);  // too few tell of it
+  m.UpdateShares(now, &traffic);
+  for (const auto& [prefix, share] : traffic.shares) {
+    EXPECT_NE(prefix, 99U);  // too few tell of it
     EXPECT_LT(share, 0.75);
   }
-  EXPECT_TRUE(m.Withdraw(&keys));
-  EXPECT_TRUE(keys.shares.empty());
+  EXPECT_TRUE(m.WithdrawAll(&traffic));
+  EXPECT_TRUE(traffic.shares.empty());
 }
 
-TEST(Shares, OneThatLiesByAThousandLeavesTheOthersABoundedPart) {
+TEST(TrafficShare, OneThatLiesByAThousandLeavesTheOthersABoundedPart) {
   Time now = kSecond;
-  ShareModel m("me", 1, now);
+  TrafficShareModel m("me", 1, now);
   const double before = ShareAfter(m, std::vector<double>(9, 20), 20, 40, &now);
-  m.Learn(now, "p0", Of(1, ~std::uint64_t{0}, 20'000));
-  const double after = m.Share(now, 10);
-  EXPECT_GT(after, before * 10 / (9 + 1.25 * gossip::kMostOfMiddle + 1));
+  m.OnReport(now, "p0", MakeReport(1, ~std::uint64_t{0}, 20'000));
+  const double after = m.UpdateShare(now, 10);
+  EXPECT_GT(after, before * 10 / (9 + 1.25 * gossip::kMaxTimesMedian + 1));
   EXPECT_LT(after, before);
 }
 
-TEST(Talk, WordsGetRoundThoughAThirdIsLostAndSomeHearHalfOfTheOthers) {
+TEST(GossipSimulation, ReportsSpreadThoughAThirdIsLostAndSomeHearHalfOfTheOthers) {
   emulator::TalkSpec spec;
   spec.nodes = 48;
   spec.replicas = 100;
@@ -549,7 +564,7 @@
   return d;
 }
 
-TEST(TierDay, OneSeedOneDayAndPartsThatAddUp) {
+TEST(GossipDay, OneSeedOneDayAndSharesThatAddUp) {
   emulator::DaySpec d = Day();
   d.fleet.tier.talk = "talk-parts";
   d.fleet.tier.loss = 0.3;
@@ -560,7 +575,7 @@
   EXPECT_LE(a.joint_shares, 1.1);
 }
 
-TEST(TierDay, HalvesThatDoNotHearEachOtherStayWithinTheBound) {
+TEST(GossipDay, HalvesThatDoNotHearEachOtherStayWithinTheBound) {
   emulator::DaySpec d = Day();
   d.fleet.tier.talk = "talk-parts";
   d.faults = {{"talk-cut", 25, 25, 0, 3}};  // three of eight: the five go on by themselves
@@ -571,7 +586,7 @@
   EXPECT_LE(emulator::PlayDay(d).joint_shares, 1.1);
 }
 
-TEST(TierDay, NodesThatDieAndReturnBreakNoRule) {
+TEST(GossipDay, NodesThatDieAndReturnBreakNoRule) {
   emulator::DaySpec d = Day();
   d.fleet.tier.talk = "talk-parts";
   d.faults = {{"node-dies", 25, 15, 0, 5}};
@@ -580,7 +595,7 @@
 }
 
 // Worth that stays down after its cause is over shows, and worth that is back shows when.
-TEST(TierDay, WhenADayIsBackIsSeenAndThatItNeverIs) {
+TEST(GossipDay, WhenADayIsBackIsSeenAndThatItNeverIs) {
   std::vector<emulator::Second> day(60);
   for (std::size_t s = 0; s < day.size(); ++s) {
     day[s].worth_asked = 10;
@@ -596,9 +611,9 @@
 }
 
 // It knows what comes to it after a second, and the others must have heard that before its part rises.
-TEST(Shares, ANodeThatHasJustStartedTakesPartAtAGrowingShare) {
+TEST(TrafficShare, ANodeThatHasJustStartedTakesPartAtAGrowingShare) {
   Time now = kSecond;
-  ShareModel m("me", 1, now);
+  TrafficShareModel m("me", 1, now);
   const std::vector<double> others(9, 20);
   const double first = ShareAfter(m, others, 20, 2, &now);
   EXPECT_LT(first, 0.03);  // what a node without traffic gets
@@ -611,16 +626,19 @@
   }
   EXPECT_NEAR(last, 0.1, 0.01);
   // All start at once: nobody has anything to go by, and each has its equal part until rates are told.
-  ShareModel fresh("me", 1, now);
+  TrafficShareModel fresh("me", 1, now);
   EXPECT_NEAR(ShareAfter(fresh, std::vector<double>(9, 0), 0, 2, &now), 0.1, 0.001);
 }
 
-TEST(TierDay, EvidenceSparesMostOfTheErrorsAndOneThatLiesTakesNothing) {
+TEST(GossipDay, OutlierReportsSpareMostOfTheErrorsAndOneThatLiesTakesNothing) {
   emulator::DaySpec d = Day();
   d.fleet.nodes = 24;
   d.clients.per_second = 200;
   emulator::FaultSpec bad;
-  bad.what = "fails", bad.at = 25, bad.lasts = 20, bad.count = 3;
+  bad.what = "fails";
+  bad.at = 25;
+  bad.lasts = 20;
+  bad.count = 3;
   d.faults = {bad};
   const auto alone = emulator::PlayDay(d);
   d.fleet.tier.talk = "talk-evidence";
