--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -14,8 +14,8 @@
 
 using namespace ryeglade::membership;
 
-Record Member(int n) {
-  Record r;
+MemberRecord Member(int n) {
+  MemberRecord r;
   r.name = "node-" + std::to_string(n);
   r.address = "10.1." + std::to_string(n / 250) + "." + std::to_string(n % 250 + 1) + ":7946";
   r.zone = "zone-" + std::to_string(n % 3);
@@ -30,39 +30,39 @@
       : model(Opts(), Member(0), 0,
               [this] { return state = state * 6364136223846793005u + 1442695040888963407u; }) {
     for (int i = 1; i < n; ++i) {
-      Message m = From(i, Kind::kPing, 0);
+      Message m = From(i, MessageKind::kPing, 0);
       Take(i, m);
-      for (int k = 0; k < 30 && model.StandingOf(Member(i).name) != Standing::kAlive; ++k) Period(1);
+      for (int k = 0; k < 30 && model.StateOf(Member(i).name) != MemberState::kAlive; ++k) Period(1);
     }
   }
-  static Options Opts() {
-    Options o;
+  static MembershipOptions Opts() {
+    MembershipOptions o;
     o.cluster = "bench";
     return o;
   }
-  Message From(int i, Kind kind, std::uint64_t seq) const {
+  Message From(int i, MessageKind kind, std::uint64_t seq) const {
     Message m;
     m.cluster = "bench";
-    m.from = Member(i);
+    m.sender = Member(i);
     m.kind = kind;
     m.seq = seq;
     return m;
   }
   void Take(int i, const Message& m) {
     out.Clear();
-    model.Receive(now, Member(i).address, m, out);
+    model.OnMessage(now, Member(i).address, m, out);
   }
   void Period(int ticks = 10) {
     for (int t = 0; t < ticks; ++t) {
       out.Clear();
-      now += model.step();
+      now += model.tick_interval();
       model.Tick(now, out);
       const Actions done = out;
-      for (const Send& send : done.sends) {
+      for (const OutgoingMessage& send : done.sends) {
         bytes += Encode(send.message).size();
-        if (send.message.kind != Kind::kPing) continue;
+        if (send.message.kind != MessageKind::kPing) continue;
         const int who = std::stoi(send.message.target.substr(5));
-        Take(who, From(who, Kind::kAck, send.message.seq));
+        Take(who, From(who, MessageKind::kAck, send.message.seq));
       }
     }
   }
@@ -70,7 +70,7 @@
   ryeglade::policy::Time now = 0;
   std::size_t bytes = 0;
   Actions out;
-  Model model;
+  MembershipModel model;
 };
 
 void Period(benchmark::State& state) {
@@ -93,7 +93,7 @@
   double longest = 0;
   for (auto _ : state) {
     tier.out.Clear();
-    tier.now += tier.model.step();
+    tier.now += tier.model.tick_interval();
     const auto begin = std::chrono::steady_clock::now();
     tier.model.Tick(tier.now, tier.out);  // and nobody answers any more
     const std::chrono::duration<double, std::micro> took = std::chrono::steady_clock::now() - begin;
@@ -105,14 +105,14 @@
 
 void MessageInAndOut(benchmark::State& state) {
   Tier tier(100);
-  Message m = tier.From(1, Kind::kPing, 7);
-  for (int i = 2; i < 12; ++i) m.news.push_back({News::Kind::kRecord, Member(i), {}, 0});
+  Message m = tier.From(1, MessageKind::kPing, 7);
+  for (int i = 2; i < 12; ++i) m.updates.push_back({Update::Kind::kRecord, Member(i), {}, 0});
   const std::string bytes = Encode(m);
   for (auto _ : state) {
     const char* why = "";
     const auto read = Decode(bytes, &why);
     tier.Take(1, *read);
-    for (const Send& send : tier.out.sends) benchmark::DoNotOptimize(Encode(send.message));
+    for (const OutgoingMessage& send : tier.out.sends) benchmark::DoNotOptimize(Encode(send.message));
   }
 }
 BENCHMARK(MessageInAndOut)->Unit(benchmark::kMicrosecond);
--- a/fuzz/membership_fuzz.cpp
+++ b/fuzz/membership_fuzz.cpp
@@ -16,30 +16,31 @@
 
 namespace {
 
-// A word from anywhere moves nothing out of bounds.
-void Hear(const ryeglade::gossip::Telling& t) {
+// No gossip message from anywhere moves anything out of bounds.
+void CheckGossip(const ryeglade::gossip::GossipMessage& message) {
   const char* why = "";
-  const auto again = ryeglade::gossip::Decode(ryeglade::gossip::Encode(t), &why);
-  if (!again || again->word.claims.size() != t.word.claims.size()) std::abort();
+  const auto again = ryeglade::gossip::Decode(ryeglade::gossip::Encode(message), &why);
+  if (!again || again->report.outlier_reports.size() != message.report.outlier_reports.size()) std::abort();
   constexpr ryeglade::policy::Time kNow = 100'000'000;
-  ryeglade::gossip::TierModel model("me", 1, 0, {});
-  model.View(kNow, {{t.node, "z"}, {"other", "y"}}, "z", true, true);
+  ryeglade::gossip::SharedStateModel model("me", 1, 0, {});
+  model.SetMembers(kNow, {{message.node, "z"}, {"other", "y"}}, "z", true, true);
   std::vector<ryeglade::policy::ReplicaView> fleet(8);
-  for (std::size_t i = 0; i < fleet.size(); ++i) fleet[i].entry.id = static_cast<std::uint32_t>(i);
-  for (const ryeglade::gossip::Claim& c : t.word.claims) {
-    fleet[0].entry.id = c.replica;
-    fleet[0].entry.started_at = c.started_at;
+  for (std::size_t i = 0; i < fleet.size(); ++i) fleet[i].endpoint.id = static_cast<std::uint32_t>(i);
+  for (const ryeglade::gossip::OutlierReport& report : message.report.outlier_reports) {
+    fleet[0].endpoint.id = report.replica;
+    fleet[0].endpoint.started_at = report.started_at;
   }
-  model.See(kNow, fleet, false);
-  model.Learn(kNow, t);
-  for (const auto& event : model.Turn(kNow, 3)) {
-    if (const auto* e = std::get_if<ryeglade::policy::PeerReportsReceived>(&event)) {
-      for (const auto& told : e->replicas) {
-        if (!std::isfinite(told.slow) || told.rests_until > kNow || told.slow_n < 0) std::abort();
+  model.ObserveReplicas(kNow, fleet, false);
+  model.OnMessage(kNow, message);
+  for (const auto& event : model.Evaluate(kNow, 3)) {
+    if (const auto* reports = std::get_if<ryeglade::policy::PeerReportsReceived>(&event)) {
+      for (const ryeglade::policy::PeerReplicaReport& report : reports->replicas) {
+        if (!std::isfinite(report.slowness) || report.ejected_until > kNow || report.slowness_samples < 0)
+          std::abort();
       }
     }
   }
-  if (!(model.part() > 0 && model.part() <= 1)) std::abort();
+  if (!(model.share() > 0 && model.share() <= 1)) std::abort();
 }
 
 }  // namespace
@@ -56,34 +57,36 @@
   if (!m) return 0;
   // What was read is written and read again as the same.
   const std::optional<Message> again = Decode(Encode(*m), &why);
-  if (!again || again->news.size() != m->news.size() || again->from.name != m->from.name) std::abort();
-  // What rode along: read, and told to what the nodes do with it.
-  for (const std::string& bytes_of_word : m->words) {
-    const std::optional<ryeglade::gossip::Telling> t = ryeglade::gossip::Decode(bytes_of_word, &why);
-    if (t) Hear(*t);
+  if (!again || again->updates.size() != m->updates.size() || again->sender.name != m->sender.name)
+    std::abort();
+  // The gossip that it carries.
+  for (const std::string& bytes_of_gossip : m->gossip) {
+    const std::optional<ryeglade::gossip::GossipMessage> message =
+        ryeglade::gossip::Decode(bytes_of_gossip, &why);
+    if (message) CheckGossip(*message);
   }
-  if (const auto t = ryeglade::gossip::Decode(payload, &why)) Hear(*t);
-  Record self;
+  if (const auto message = ryeglade::gossip::Decode(payload, &why)) CheckGossip(*message);
+  MemberRecord self;
   self.name = "s";
   self.address = "127.0.0.1:1";
   self.incarnation = 5;
-  Options o;
-  o.most_members = 32;
+  MembershipOptions o;
+  o.max_members = 32;
   std::uint64_t draws = 0;
-  Model model(o, self, 0, [&] { return draws += 0x9e3779b97f4a7c15; });
+  MembershipModel model(o, self, 0, [&] { return draws += 0x9e3779b97f4a7c15; });
   Actions out;
   ryeglade::policy::Time now = 0;
   for (int i = 0; i < 40; ++i) {
-    now += model.step();
+    now += model.tick_interval();
     out.Clear();
     model.Tick(now, out);
     if (i % 8 != 0) continue;
-    model.Receive(now, m->from.address, *m, out);
-    model.OnState(now, *m, i > 20, out);
-    for (const Send& send : out.sends) {
+    model.OnMessage(now, m->sender.address, *m, out);
+    model.OnPushPull(now, *m, i > 20, out);
+    for (const OutgoingMessage& send : out.sends) {
       if (Encode(send.message).size() > 1400) std::abort();
     }
   }
-  if (model.known() > o.most_members) std::abort();
+  if (model.known() > o.max_members) std::abort();
   return 0;
 }
--- a/lab/cluster/emulated.cpp
+++ b/lab/cluster/emulated.cpp
@@ -100,7 +100,7 @@
 
  private:
   struct Node {
-    std::unique_ptr<membership::Model> model;
+    std::unique_ptr<membership::MembershipModel> model;
     std::unique_ptr<Baseline> baseline;
     bool up = false, stopped = false;
     bool leaving = false;
@@ -142,11 +142,11 @@
     witness_.Said({at, i, "started", "", "", 0});
     const std::uint64_t incarnation = kOrigin + static_cast<std::uint64_t>(now_ / 1000) + n.life;
     if (Ours()) {
-      membership::Options o = OptionsFor(o_.detector, s_.period);
+      membership::MembershipOptions o = OptionsFor(o_.detector, s_.period);
       for (std::size_t k = 0; k < std::min(s_.seeds, s_.nodes); ++k) o.seeds.push_back(AddressOf(k));
-      if (std::binary_search(s_.old_wire.begin(), s_.old_wire.end(), i)) o.speak = 1;
+      if (std::binary_search(s_.old_wire.begin(), s_.old_wire.end(), i)) o.schema = 1;
       if (std::binary_search(s_.other_cluster.begin(), s_.other_cluster.end(), i)) o.cluster = "other";
-      membership::Record self;
+      membership::MemberRecord self;
       self.name = s_.NodeName(i);
       self.address = AddressOf(i);
       self.zone = s_.ZoneOf(i);
@@ -155,7 +155,7 @@
           std::make_shared<emulator::Stream>(o_.seed, emulator::Concern::kPolicy, i * 1000 + n.life);
       const auto draw = [stream] { return (stream->Below(1ULL << 32) << 32) | stream->Below(1ULL << 32); };
       self.uid = (incarnation << 20) | (draw() & 0xfffff);
-      n.model = std::make_unique<membership::Model>(o, self, now_, draw);
+      n.model = std::make_unique<membership::MembershipModel>(o, self, now_, draw);
     } else {
       BaselineSetup setup;
       setup.me = i;
@@ -236,7 +236,7 @@
       if (e.life != n.life || n.stopped) return;
       if (e.last) {
         actions_.Clear();
-        n.model->Left(now_, actions_);
+        n.model->AnnounceLeft(now_, actions_);
         Carry(e.node);
         return End(n);
       }
@@ -260,14 +260,14 @@
       return;
     }
     const Message& m = std::get<Message>(*a.packet);
-    if (*n.model->Misfit(m) != '\0') return;
+    if (*n.model->RejectReason(m) != '\0') return;
     actions_.Clear();
     if (a.how == Arrival::How::kDatagram) {
-      n.model->Receive(now_, addresses_[a.from], m, actions_);
+      n.model->OnMessage(now_, addresses_[a.from], m, actions_);
       Carry(e.node);
       return;
     }
-    n.model->OnState(now_, m, a.how == Arrival::How::kAnswer, actions_);
+    n.model->OnPushPull(now_, m, a.how == Arrival::How::kAnswer, actions_);
     Carry(e.node);
     if (a.how == Arrival::How::kAsked) State(e.node, a.from, Arrival::How::kAnswer);
   }
@@ -275,25 +275,25 @@
   void Carry(std::size_t i) {
     membership::Actions actions;
     std::swap(actions, actions_);
-    for (const membership::Note& note : actions.notes)
-      witness_.Said({Periods(now_), i, note.what, note.member, note.by, note.incarnation});
-    for (membership::Send& send : actions.sends) {
+    for (const membership::MembershipEvent& event : actions.events)
+      witness_.Said({Periods(now_), i, event.reason, event.member, event.reporter, event.value});
+    for (membership::OutgoingMessage& send : actions.sends) {
       const std::size_t to = NodeOf(send.to);
       if (to >= s_.nodes) continue;
-      std::size_t bytes = membership::kMessageHead + SizeOf(send.message.from);
-      for (const membership::News& news : send.message.news) bytes += SizeOf(news);
+      std::size_t bytes = membership::kMessageHeaderBytes + EncodedSize(send.message.sender);
+      for (const membership::Update& update : send.message.updates) bytes += EncodedSize(update);
       Datagram(i, to, std::make_shared<const Packet>(std::move(send.message)), bytes);
     }
-    for (const std::string& address : actions.exchanges) {
+    for (const std::string& address : actions.push_pulls) {
       const std::size_t to = NodeOf(address);
       if (to < s_.nodes) State(i, to, Arrival::How::kAsked);
     }
   }
 
   void State(std::size_t from, std::size_t to, Arrival::How how) {
-    Message m = nodes_[from].model->StateMessage();
-    std::size_t bytes = membership::kMessageHead;
-    for (const membership::News& news : m.news) bytes += SizeOf(news);
+    Message m = nodes_[from].model->PushPullMessage();
+    std::size_t bytes = membership::kMessageHeaderBytes;
+    for (const membership::Update& update : m.updates) bytes += EncodedSize(update);
     Count(from, 3, bytes + 120);
     const LinkState there = s_.LinkAt(from, to, Periods(now_)), back = s_.LinkAt(to, from, Periods(now_));
     if (!nodes_[to].up || there.cut || back.cut) return;
@@ -359,15 +359,15 @@
   return all;
 }
 
-membership::Options OptionsFor(const std::string& detector, Time period) {
-  membership::Options o;
+membership::MembershipOptions OptionsFor(const std::string& detector, Time period) {
+  membership::MembershipOptions o;
   o.cluster = "lab";
-  o.period = period;
-  o.most_members = 4096;
-  o.many_accusers = detector != "no-accusers";
-  o.vouches = detector != "no-vouches";
-  o.majority = detector != "no-majority";
-  o.self_doubt = detector != "no-self-doubt";
+  o.probe_interval = period;
+  o.max_members = 4096;
+  o.several_reporters = detector != "no-accusers";
+  o.reachable_reports = detector != "no-vouches";
+  o.require_majority = detector != "no-majority";
+  o.local_health = detector != "no-self-doubt";
   return o;
 }
 
--- a/lab/cluster/emulated.h
+++ b/lab/cluster/emulated.h
@@ -36,6 +36,6 @@
 EmulatedResult PlayEmulated(const Scenario& scenario, const EmulatedOptions& options);
 
 // The options of the membership part for a detector's name; others than ours and its variants: plain.
-membership::Options OptionsFor(const std::string& detector, Time period);
+membership::MembershipOptions OptionsFor(const std::string& detector, Time period);
 
 }  // namespace ryeglade::cluster
--- a/lab/cluster/explorer.cpp
+++ b/lab/cluster/explorer.cpp
@@ -21,10 +21,10 @@
 namespace {
 
 using membership::Actions;
+using membership::MemberRecord;
+using membership::MembershipModel;
+using membership::MemberState;
 using membership::Message;
-using membership::Model;
-using membership::Record;
-using membership::Standing;
 using policy::Time;
 
 constexpr Time kPeriod = 1'000'000;
@@ -128,10 +128,9 @@
     std::string all;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (!nodes_[i].up) continue;
-      all += fmt::format(" n{}{}:", i, nodes_[i].model->in_doubt() ? "?" : "");
+      all += fmt::format(" n{}{}:", i, nodes_[i].model->partition_suspected() ? "?" : "");
       for (std::size_t k = 0; k < nodes_.size(); ++k) {
-        if (k != i)
-          all += fmt::format(" n{}={}", k, Name(nodes_[i].model->StandingOf(fmt::format("n{}", k))));
+        if (k != i) all += fmt::format(" n{}={}", k, Name(nodes_[i].model->StateOf(fmt::format("n{}", k))));
       }
       all += ";";
     }
@@ -143,10 +142,10 @@
   struct Last {
     std::uint64_t incarnation = 0, dead_at = 0;
     bool was_dead = false;
-    Standing standing = Standing::kLeft;
+    MemberState state = MemberState::kLeft;
   };
   struct Node {
-    std::optional<Model> model;
+    std::optional<MembershipModel> model;
     std::shared_ptr<emulator::Stream> random;
     bool up = false, stopped = false;
     std::map<std::size_t, Last> seen;  // by member, what it was last: kept outside of the model
@@ -159,7 +158,7 @@
     std::shared_ptr<const Message> message;
   };
 
-  Model::Draw DrawOf(std::size_t i) {
+  membership::RandomBits DrawOf(std::size_t i) {
     // A stream of its own for each copy of the world, going on from where the original's stood.
     if (nodes_[i].random) nodes_[i].random = std::make_shared<emulator::Stream>(*nodes_[i].random);
     auto stream = nodes_[i].random;
@@ -173,15 +172,15 @@
     n.seen.clear();
     n.waiting.clear();
     n.random = std::make_shared<emulator::Stream>(o_.seed, emulator::Concern::kPolicy, i * 100 + ++lives_);
-    membership::Options o;
+    membership::MembershipOptions o;
     o.cluster = "x";
-    o.period = kPeriod;
+    o.probe_interval = kPeriod;
     o.seeds = {"e:0", "e:1"};
-    o.refutes = o_.variant != "no-refute";
-    o.ordered = o_.variant != "no-order";
-    o.majority = o_.variant != "no-majority";
-    if (o_.variant == "no-memory") o.forget = 0;
-    Record self;
+    o.refutation = o_.variant != "no-refute";
+    o.incarnation_order = o_.variant != "no-order";
+    o.require_majority = o_.variant != "no-majority";
+    if (o_.variant == "no-memory") o.forget_after = 0;
+    MemberRecord self;
     self.name = fmt::format("n{}", i);
     self.address = fmt::format("e:{}", i);
     self.incarnation = static_cast<std::uint64_t>(now_ / 1000) + 1;
@@ -244,28 +243,29 @@
   }
 
   void Carry(std::size_t from, Actions& out, const Choice* c) {
-    for (const membership::Note& note : out.notes) {
-      const std::string_view what = note.what;
+    for (const membership::MembershipEvent& event : out.events) {
+      const std::string_view what = event.reason;
       if (what == "member-dead") ++out_->deaths;
       if (what == "member-returned") ++out_->returns;
       if (what == "view-in-doubt") ++out_->doubts;
       // Told by itself: it decided. It must have reached a majority of what it knew as settled.
-      if (what == "member-dead" && note.by == fmt::format("n{}", from) && !breach) {
-        const std::size_t n = nodes_[from].model->settled_size();
+      if (what == "member-dead" && event.reporter == fmt::format("n{}", from) && !breach) {
+        const std::size_t n = nodes_[from].model->stable_view_size();
         std::size_t reach = 1;
         for (std::size_t k = 0; k < nodes_.size(); ++k) {
           if (k == from) continue;  // one that crashed just now was reached all the same
           const auto m = nodes_[from].model->Find(now_, fmt::format("n{}", k));
-          if (m && m->round_trip > 0 &&
-              now_ - m->round_trip <= (8 + 2 * nodes_[from].model->health()) * kPeriod)
+          if (m && m->reached_at > 0 &&
+              now_ - m->reached_at <= (8 + 2 * nodes_[from].model->health()) * kPeriod)
             ++reach;
         }
         if (2 * reach <= n)
-          Break("minority", fmt::format("n{} removed {} with {} of {} reached", from, note.member, reach, n));
+          Break("minority",
+                fmt::format("n{} removed {} with {} of {} reached", from, event.member, reach, n));
       }
     }
-    for (membership::Send& send : out.sends) Fly(from, send.to, std::move(send.message), 0, c);
-    for (const std::string& to : out.exchanges) Fly(from, to, nodes_[from].model->StateMessage(), 1, c);
+    for (membership::OutgoingMessage& send : out.sends) Fly(from, send.to, std::move(send.message), 0, c);
+    for (const std::string& to : out.push_pulls) Fly(from, to, nodes_[from].model->PushPullMessage(), 1, c);
   }
 
   void Fly(std::size_t from, const std::string& address, Message message, int way, const Choice* c) {
@@ -290,14 +290,14 @@
     }
     if (f.way == 0) return Receive(f.to, f.from, *f.message, c);
     Actions out;
-    n.model->OnState(now_, *f.message, f.way == 2, out);
+    n.model->OnPushPull(now_, *f.message, f.way == 2, out);
     Carry(f.to, out, c);
-    if (f.way == 1) Fly(f.to, fmt::format("e:{}", f.from), n.model->StateMessage(), 2, c);
+    if (f.way == 1) Fly(f.to, fmt::format("e:{}", f.from), n.model->PushPullMessage(), 2, c);
   }
 
   void Receive(std::size_t to, std::size_t from, const Message& message, const Choice* c) {
     Actions out;
-    nodes_[to].model->Receive(now_, fmt::format("e:{}", from), message, out);
+    nodes_[to].model->OnMessage(now_, fmt::format("e:{}", from), message, out);
     Carry(to, out, c);
   }
 
@@ -306,52 +306,51 @@
   }
 
   void Check(const Choice*) {
-    std::string state;
+    std::string fingerprint;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       Node& n = nodes_[i];
-      state += n.up ? n.stopped ? 's' : 'u' : 'd';
+      fingerprint += n.up ? n.stopped ? 's' : 'u' : 'd';
       if (!n.up) continue;
-      state += n.model->in_doubt() ? '?' : n.model->settled() ? '!' : '.';
-      state += static_cast<char>('0' + n.model->health());
+      fingerprint += n.model->partition_suspected() ? '?' : n.model->stable() ? '!' : '.';
+      fingerprint += static_cast<char>('0' + n.model->health());
       for (std::size_t k = 0; k < nodes_.size(); ++k) {
         if (k == i) continue;
         const auto m = n.model->Find(now_, fmt::format("n{}", k));
         Last& last = n.seen[k];
-        const Standing standing = m ? m->standing : Standing::kLeft;
-        state += static_cast<char>('a' + static_cast<int>(standing));
+        const MemberState state = m ? m->state : MemberState::kLeft;
+        fingerprint += static_cast<char>('a' + static_cast<int>(state));
         if (!m) {
-          if (last.standing == Standing::kJoining) last.incarnation = 0;  // given up before it ever counted
+          if (last.state == MemberState::kJoining) last.incarnation = 0;  // given up before it ever counted
           continue;
         }
-        state += static_cast<char>('0' + m->accusers.size() * 4 + m->vouchers.size());
+        fingerprint += static_cast<char>('0' + m->reporters.size() * 4 + m->reachable_reporters.size());
         const std::uint64_t incarnation = m->record.incarnation;
         if (incarnation < last.incarnation)
           Break("incarnation",
                 fmt::format("n{} at n{} went from {} to {}", k, i, last.incarnation, incarnation));
-        const bool live =
-            standing == Standing::kAlive || standing == Standing::kSuspect || standing == Standing::kLeaving;
+        const bool live = IsLive(state);
         if (last.was_dead && live && incarnation <= last.dead_at)
           Break("resurrection", fmt::format("n{} at n{} lives again with {}", k, i, incarnation));
-        if (standing == Standing::kDead) {
+        if (state == MemberState::kDead) {
           last.was_dead = true;
           last.dead_at = incarnation;
         }
         if (live) last.was_dead = false;
         last.incarnation = incarnation;
-        last.standing = standing;
+        last.state = state;
       }
     }
-    states_->insert(XXH3_64bits(state.data(), state.size()));
+    states_->insert(XXH3_64bits(fingerprint.data(), fingerprint.size()));
   }
 
   bool OneView() const {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (!nodes_[i].up) continue;
-      if (nodes_[i].model->in_doubt()) return false;
+      if (nodes_[i].model->partition_suspected()) return false;
       for (std::size_t k = 0; k < nodes_.size(); ++k) {
         if (k == i) continue;
-        const Standing s = nodes_[i].model->StandingOf(fmt::format("n{}", k));
-        const bool in = s == Standing::kAlive || s == Standing::kSuspect || s == Standing::kLeaving;
+        const MemberState s = nodes_[i].model->StateOf(fmt::format("n{}", k));
+        const bool in = IsLive(s);
         if (in != nodes_[k].up) return false;
       }
     }
--- a/lab/cluster/real.cpp
+++ b/lab/cluster/real.cpp
@@ -320,7 +320,7 @@
     lies_.say = [this] { return o_.liar("liar"); };
     liar_ = std::make_unique<membership::Membership>(&run_, m, "liar", s_.nodes, nullptr, nullptr,
                                                      root_ + "/liar");
-    liar_->Carry(&lies_);
+    liar_->CarryGossip(&lies_);
     liar_->Start();
   }
 
--- a/lab/cluster/relay.cpp
+++ b/lab/cluster/relay.cpp
@@ -152,14 +152,14 @@
     if (noise_.Chance(0.5)) {  // what looks right until it is read
       membership::Message m;
       m.cluster = "lab";
-      m.from.name = "noise";
-      m.from.address = "127.0.0.1:1";
+      m.sender.name = "noise";
+      m.sender.address = "127.0.0.1:1";
       for (int k = 0; k < 8; ++k) {
-        membership::News news;
-        news.record.name = "made-up-" + std::to_string(noise_.Below(100'000));
-        news.record.address = "127.0.0.1:" + std::to_string(1 + noise_.Below(60'000));
-        news.record.incarnation = noise_.Below(1ULL << 60);
-        m.news.push_back(news);
+        membership::Update update;
+        update.record.name = "made-up-" + std::to_string(noise_.Below(100'000));
+        update.record.address = "127.0.0.1:" + std::to_string(1 + noise_.Below(60'000));
+        update.record.incarnation = noise_.Below(1ULL << 60);
+        m.updates.push_back(update);
       }
       bytes = membership::Encode(m);
       if (noise_.Chance(0.5)) bytes[noise_.Below(bytes.size())] ^= 0x20;
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -289,7 +289,7 @@
     if (settings_.tier.on) {
       tier_ = std::make_unique<gossip::Gossip>(&core_, settings_.tier, membership_->name(),
                                                membership_->uid(), membership_.get(), this, &decisions_);
-      membership_->Carry(tier_.get());
+      membership_->CarryGossip(tier_.get());
       decisions_.Tap(tier_.get());
     }
     if (settings_.membership.status.empty()) return;
--- a/src/app/rollout_command.cpp
+++ b/src/app/rollout_command.cpp
@@ -440,7 +440,7 @@
 
 std::string CompatText() {
   return nlohmann::json{{"version", RYEGLADE_VERSION},
-                        {"membership-wire", {membership::kNeeds, membership::kSchema}},
+                        {"membership-wire", {membership::kMinReaderSchema, membership::kSchema}},
                         {"hand-over-state", {hot_restart::kStateMajor, hot_restart::kStateMajor}},
                         {"keeper-protocol", {rollout::kProtocol, rollout::kProtocol}},
                         {"flight-record", {1, timeline::kFormat}}}
--- a/src/membership/dissemination_queue_model.cpp
+++ b/src/membership/dissemination_queue_model.cpp
@@ -6,80 +6,83 @@
 namespace ryeglade::membership {
 namespace {
 
-std::uint64_t KeyOf(const News& news, std::uint64_t about) {
-  return news.kind == News::Kind::kBallot ? Hash(news.ballot.by, about) : about;
+std::uint64_t SubjectOf(const Update& update, std::uint64_t member) {
+  return update.kind == Update::Kind::kReport ? Hash(update.report.reporter, member) : member;
 }
 
-bool SameMatter(const News& a, const News& b) {
+bool SameSubject(const Update& a, const Update& b) {
   return a.kind == b.kind && a.record.name == b.record.name &&
-         (a.kind != News::Kind::kBallot || a.ballot.by == b.ballot.by);
+         (a.kind != Update::Kind::kReport || a.report.reporter == b.report.reporter);
 }
 
 }  // namespace
 
-bool NewsQueue::Put(News news, Time at) {
-  const std::uint64_t about = Hash(news.record.name, 0), key = KeyOf(news, about);
-  if (news.kind == News::Kind::kRecord) Void(news.record, about);
-  for (std::size_t i = 0; i < slots_.size(); ++i) {
-    if (slots_[i].key != key || !SameMatter(items_[i].news, news)) continue;
-    slots_[i] = {key, about, ++puts_, 0};
-    items_[i] = {std::move(news), at};
+bool DisseminationQueue::Enqueue(Update update, Time made_at) {
+  const std::uint64_t member = Hash(update.record.name, 0);
+  const std::uint64_t subject = SubjectOf(update, member);
+  if (update.kind == Update::Kind::kRecord) RemoveVoidReports(update.record, member);
+  for (std::size_t i = 0; i < keys_.size(); ++i) {
+    if (keys_[i].subject != subject || !SameSubject(entries_[i].update, update)) continue;
+    keys_[i] = {subject, member, ++last_order_, 0};
+    entries_[i] = {std::move(update), made_at};
     return true;
   }
-  const bool full = slots_.size() >= kMost;
+  const bool full = keys_.size() >= kMaxUpdates;
   if (full) {
-    const auto most = std::max_element(slots_.begin(), slots_.end(), [](const Slot& a, const Slot& b) {
-      return a.sent != b.sent ? a.sent < b.sent : a.order > b.order;
+    const auto most_sent = std::max_element(keys_.begin(), keys_.end(), [](const Key& a, const Key& b) {
+      return a.sends != b.sends ? a.sends < b.sends : a.order > b.order;
     });
-    Remove(static_cast<std::size_t>(most - slots_.begin()));
+    Remove(static_cast<std::size_t>(most_sent - keys_.begin()));
   }
-  slots_.push_back({key, about, ++puts_, 0});
-  items_.push_back({std::move(news), at});
+  keys_.push_back({subject, member, ++last_order_, 0});
+  entries_.push_back({std::move(update), made_at});
   return !full;
 }
 
-// Whoever knows the record passes over what was said of an earlier incarnation, or of one that is gone: told
-// on, it would only take the room of other words.
-void NewsQueue::Void(const Record& record, std::uint64_t about) {
-  const bool gone = Gone(record);
-  for (std::size_t i = slots_.size(); i-- > 0;) {
-    if (slots_[i].about != about) continue;
-    const News& news = items_[i].news;
-    if (news.kind == News::Kind::kBallot && news.record.name == record.name &&
-        news.record.incarnation < record.incarnation + (gone ? 1 : 0))
+// A node that knows the record ignores reports on an earlier incarnation, or on a member that is gone: to
+// send them would only take the place of other updates.
+void DisseminationQueue::RemoveVoidReports(const MemberRecord& record, std::uint64_t member) {
+  const std::uint64_t first_valid = record.incarnation + (IsGone(record) ? 1 : 0);
+  for (std::size_t i = keys_.size(); i-- > 0;) {
+    if (keys_[i].member != member) continue;
+    const Update& update = entries_[i].update;
+    if (update.kind == Update::Kind::kReport && update.record.name == record.name &&
+        update.record.incarnation < first_valid)
       Remove(i);
   }
 }
 
-std::size_t NewsQueue::Order() {
-  order_.clear();
-  for (std::size_t i = 0; i < slots_.size(); ++i) {
-    const bool record = slots_[i].key == slots_[i].about;
-    order_.push_back({slots_[i].sent * (record ? 1 : kRecordsOftener), slots_[i].order, i});
+std::size_t DisseminationQueue::SortCandidates() {
+  candidates_.clear();
+  for (std::size_t i = 0; i < keys_.size(); ++i) {
+    const bool record = keys_[i].subject == keys_[i].member;
+    candidates_.push_back({keys_[i].sends * (record ? 1 : kRecordPriority), keys_[i].order, i});
   }
-  const std::size_t n = std::min(order_.size(), kAtATime);
-  std::partial_sort(
-      order_.begin(), order_.begin() + static_cast<std::ptrdiff_t>(n), order_.end(),
-      [](const Place& a, const Place& b) { return a.told != b.told ? a.told < b.told : a.order > b.order; });
-  return n;
+  const std::size_t sorted = std::min(candidates_.size(), kMaxConsidered);
+  std::partial_sort(candidates_.begin(), candidates_.begin() + static_cast<std::ptrdiff_t>(sorted),
+                    candidates_.end(), [](const Candidate& a, const Candidate& b) {
+                      return a.weighted_sends != b.weighted_sends ? a.weighted_sends < b.weighted_sends
+                                                                  : a.order > b.order;
+                    });
+  return sorted;
 }
 
-void NewsQueue::Remove(std::size_t i) {
-  if (i + 1 != slots_.size()) {
-    slots_[i] = slots_.back();
-    items_[i] = std::move(items_.back());
+void DisseminationQueue::Remove(std::size_t index) {
+  if (index + 1 != keys_.size()) {
+    keys_[index] = keys_.back();
+    entries_[index] = std::move(entries_.back());
   }
-  slots_.pop_back();
-  items_.pop_back();
+  keys_.pop_back();
+  entries_.pop_back();
 }
 
-void NewsQueue::Shift(Time span) {
-  for (Item& item : items_) item.at += span;
+void DisseminationQueue::ShiftTimes(Time span) {
+  for (Entry& entry : entries_) entry.made_at += span;
 }
 
-void NewsQueue::Clear() {
-  slots_.clear();
-  items_.clear();
+void DisseminationQueue::Clear() {
+  keys_.clear();
+  entries_.clear();
 }
 
 }  // namespace ryeglade::membership
--- a/src/membership/dissemination_queue_model.h
+++ b/src/membership/dissemination_queue_model.h
@@ -1,5 +1,6 @@
-// What a node has to tell, and how often each piece was told: one place a piece, newer words in the place of
-// older ones on the same matter, bounded. No I/O, no clock.
+// The updates that a node has to send, and how often each was sent (the dissemination component of SWIM): one
+// entry for each subject, newer updates in place of older ones on the same subject, bounded. No I/O, no
+// clock.
 #pragma once
 
 #include <algorithm>
@@ -13,63 +14,67 @@
 
 namespace ryeglade::membership {
 
-class NewsQueue {
+class DisseminationQueue {
  public:
-  static constexpr std::size_t kMost = 512;    // pieces
-  static constexpr std::size_t kAtATime = 48;  // looked at for one message
-  // A record ends what is said in any number of ballots: where not all can be told, it goes out oftener.
-  static constexpr int kRecordsOftener = 2;
+  static constexpr std::size_t kMaxUpdates = 512;
+  static constexpr std::size_t kMaxConsidered = 48;  // for one message
+  // A record ends any number of reports: where not all can be sent, it goes out so many times as often.
+  static constexpr int kRecordPriority = 2;
 
-  // `at` (microseconds): when a ballot was cast. A record takes away the ballots that it makes void. False:
-  // another piece, the one told most, made room.
-  bool Put(News news, Time at);
+  // `made_at` (microseconds): when a report was made. A record removes the reports that it makes void. False:
+  // the queue was full, and the update that was sent most has been dropped.
+  bool Enqueue(Update update, Time made_at);
 
-  // Hands over the least told pieces, of those the newest first, and counts what `fits` (const News& -> bool)
-  // takes. One that has been taken `enough` times goes.
-  template <typename Fits>
-  void Tell(Time now, int enough, const Fits& fits) {
-    const std::size_t n = Order();
-    std::vector<std::size_t> spent;
-    for (std::size_t i = 0; i < n; ++i) {
-      const std::size_t at = order_[i].item;
-      News& news = items_[at].news;
-      if (news.kind == News::Kind::kBallot) news.age = std::clamp<Time>(now - items_[at].at, 0, kMostAge);
-      if (fits(std::as_const(news)) && ++slots_[at].sent >= enough) spent.push_back(at);
+  // Offers the updates that were sent least, of these the newest first, and counts those that `take` (const
+  // Update& -> bool) accepts as sent. An update that was sent `max_sends` times is removed.
+  template <typename Take>
+  void Send(Time now, int max_sends, const Take& take) {
+    const std::size_t sorted = SortCandidates();
+    std::vector<std::size_t> finished;
+    for (std::size_t i = 0; i < sorted; ++i) {
+      const std::size_t index = candidates_[i].index;
+      Update& update = entries_[index].update;
+      if (update.kind == Update::Kind::kReport)
+        update.age = std::clamp<Time>(now - entries_[index].made_at, 0, kMaxReportAge);
+      if (take(std::as_const(update)) && ++keys_[index].sends >= max_sends) finished.push_back(index);
     }
-    std::sort(spent.begin(), spent.end(), std::greater<>());  // the last first: the others keep their places
-    for (const std::size_t at : spent) Remove(at);
+    // The last first, so that the others keep their indices.
+    std::sort(finished.begin(), finished.end(), std::greater<>());
+    for (const std::size_t index : finished) Remove(index);
   }
 
-  void Shift(Time span);  // this node was not running for so long
+  // This node was not running for `span`: reports have not aged meanwhile.
+  void ShiftTimes(Time span);
   void Clear();
-  std::size_t size() const { return slots_.size(); }
-  bool empty() const { return slots_.empty(); }
+  std::size_t size() const { return keys_.size(); }
+  bool empty() const { return keys_.empty(); }
 
  private:
-  // What is gone through for each message lies apart from the pieces themselves.
-  struct Slot {
-    std::uint64_t key = 0;
-    std::uint64_t about = 0;  // the same for all pieces on one member
-    std::uint64_t order = 0;  // rises with each Put
-    int sent = 0;
+  // What is scanned for each message lies apart from the updates themselves.
+  struct Key {
+    std::uint64_t subject = 0;  // updates with the same one replace each other
+    std::uint64_t member = 0;   // the same for all updates on one member
+    std::uint64_t order = 0;    // rises with each Enqueue
+    int sends = 0;
   };
-  struct Item {
-    News news;
-    Time at = 0;
+  struct Entry {
+    Update update;
+    Time made_at = 0;
   };
-  struct Place {
-    int told = 0;  // `sent`, weighted
+  struct Candidate {
+    int weighted_sends = 0;
     std::uint64_t order = 0;
-    std::size_t item = 0;
+    std::size_t index = 0;
   };
-  std::size_t Order();  // of order_, how many from its beginning are sorted
-  void Remove(std::size_t i);
-  void Void(const Record& record, std::uint64_t about);
+  // Fills candidates_; returns how many from its beginning are sorted.
+  std::size_t SortCandidates();
+  void Remove(std::size_t index);
+  void RemoveVoidReports(const MemberRecord& record, std::uint64_t member);
 
-  std::vector<Slot> slots_;
-  std::vector<Item> items_;  // slots_[i] is of items_[i]
-  std::vector<Place> order_;
-  std::uint64_t puts_ = 0;
+  std::vector<Key> keys_;
+  std::vector<Entry> entries_;  // parallel to keys_
+  std::vector<Candidate> candidates_;
+  std::uint64_t last_order_ = 0;
 };
 
 }  // namespace ryeglade::membership
--- a/src/membership/member_record_model.cpp
+++ b/src/membership/member_record_model.cpp
@@ -4,22 +4,22 @@
 
 namespace ryeglade::membership {
 
-const char* Name(State state) {
+const char* Name(RecordState state) {
   switch (state) {
-    case State::kAlive:
+    case RecordState::kAlive:
       return "alive";
-    case State::kLeaving:
+    case RecordState::kLeaving:
       return "leaving";
-    case State::kDead:
+    case RecordState::kDead:
       return "dead";
-    case State::kLeft:
-    case State::kCount:
+    case RecordState::kLeft:
+    case RecordState::kCount:
       break;
   }
   return "left";
 }
 
-bool Supersedes(const Record& a, const Record& b) {
+bool Supersedes(const MemberRecord& a, const MemberRecord& b) {
   return a.incarnation != b.incarnation ? a.incarnation > b.incarnation : a.state > b.state;
 }
 
@@ -27,15 +27,15 @@
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
-std::size_t SizeOf(const Record& record) {
-  std::size_t n = 32 + record.name.size() + record.address.size() + record.zone.size();
-  for (const std::string& accuser : record.accusers) n += accuser.size() + 2;
-  return n;
+std::size_t EncodedSize(const MemberRecord& record) {
+  std::size_t bytes = 32 + record.name.size() + record.address.size() + record.zone.size();
+  for (const std::string& reporter : record.reporters) bytes += reporter.size() + 2;
+  return bytes;
 }
 
-std::size_t SizeOf(const News& news) {
-  if (news.kind == News::Kind::kRecord) return SizeOf(news.record) + 4;
-  return 40 + news.record.name.size() + news.ballot.by.size();
+std::size_t EncodedSize(const Update& update) {
+  if (update.kind == Update::Kind::kRecord) return EncodedSize(update.record) + 4;
+  return 40 + update.record.name.size() + update.report.reporter.size();
 }
 
 }  // namespace ryeglade::membership
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -3,6 +3,7 @@
 #include <netinet/in.h>
 
 #include <algorithm>
+#include <array>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 #include <utility>
@@ -13,15 +14,18 @@
 namespace ryeglade::membership {
 namespace {
 
-constexpr std::size_t kMostIn = 8, kMostOut = 4;
-constexpr std::size_t kMostASecond = 5000;  // datagrams read; more are dropped unread
-constexpr int kMostChats = 2;               // a tick, where words wait
-constexpr Time kTellDroppedEvery = 10'000'000;
-constexpr Time kTryAddressEvery = 100'000;
-constexpr Time kTakeUpAgainAfter = 2'000'000;
-constexpr unsigned kLookForHandOver = 100;  // ms
-
-std::string Words(const sockaddr* address) {
+constexpr std::size_t kMaxExchangesIn = 8;
+constexpr std::size_t kMaxExchangesOut = 4;
+constexpr Time kMinExchangeTimeout = 2'000'000;
+constexpr std::size_t kMaxDatagramsASecond = 5000;  // more are dropped unread
+constexpr int kMaxGossipMessages = 2;               // a tick, where gossip is pending
+constexpr Time kLogDroppedInterval = 10'000'000;
+constexpr Time kAddressRetry = 100'000;
+constexpr Time kAddressRetryAfterYield = 2'000'000;
+constexpr unsigned kHandoverPollMs = 100;
+constexpr std::size_t kLengthBytes = 4;  // ahead of each message of an exchange, little-endian
+
+std::string FormatAddress(const sockaddr* address) {
   char host[64] = {};
   if (address->sa_family == AF_INET6) {
     const auto* in6 = reinterpret_cast<const sockaddr_in6*>(address);
@@ -33,25 +37,38 @@
   return std::string(host) + ":" + std::to_string(ntohs(in4->sin_port));
 }
 
-// A message in an exchange: its length in four bytes, little-endian, ahead.
 std::string Framed(const std::string& message) {
   std::string out;
-  for (int i = 0; i < 4; ++i) out += static_cast<char>(message.size() >> (8 * i) & 0xff);
+  for (std::size_t i = 0; i < kLengthBytes; ++i) out += static_cast<char>(message.size() >> (8 * i) & 0xff);
   return out + message;
 }
 
+std::size_t ReadLength(std::string_view bytes) {
+  std::size_t length = 0;
+  for (std::size_t i = 0; i < kLengthBytes; ++i)
+    length |= static_cast<std::size_t>(static_cast<unsigned char>(bytes[i])) << (8 * i);
+  return length;
+}
+
+void AllocateDatagram(uv_handle_t*, std::size_t, uv_buf_t* buffer) {
+  static std::array<char, 2048> datagram;  // read and used within one call
+  *buffer = uv_buf_init(datagram.data(), static_cast<unsigned>(datagram.size()));
+}
+
 }  // namespace
 
-Membership::Membership(const Runtime* run, const MembershipSettings& settings, const std::string& node,
-                       std::size_t nodes, EventPort* events, ClusterObserver* tap, std::string hand_over_path)
-    : run_(run),
+Membership::Membership(const Runtime* runtime, const MembershipSettings& settings, const std::string& node,
+                       std::size_t nodes, EventPort* events, ClusterObserver* observer,
+                       std::string handover_path)
+    : runtime_(runtime),
       settings_(settings),
       events_(events),
-      tap_(tap),
-      tier_(nodes, settings.shrink_after),
+      observer_(observer),
+      node_count_(nodes, settings.shrink_after),
       node_(node),
       address_(settings.advertise),
-      hand_over_(run->loop, std::move(hand_over_path), [this](const std::string& text) { Told(text); }) {
+      handover_(runtime->loop, std::move(handover_path),
+                [this](const std::string& text) { OnSiblingMessage(text); }) {
   for (const std::string& network : settings.networks) networks_.Add(network);
   ParseAddress(settings.listen, &local_);
   std::uint64_t seed[2] = {};
@@ -77,14 +94,14 @@
 
 // ---- The address ----
 
-bool Membership::Open() {
+bool Membership::OpenSockets() {
   udp_ = new uv_udp_t;
   listener_ = new uv_tcp_t;
-  uv_udp_init(run_->loop, udp_);
-  uv_tcp_init(run_->loop, listener_);
-  udp_->data = listener_->data = this;
-  const auto* local = reinterpret_cast<const sockaddr*>(&local_);
-  int error = uv_udp_bind(udp_, local, 0);
+  uv_udp_init(runtime_->loop, udp_);
+  uv_tcp_init(runtime_->loop, listener_);
+  udp_->data = this;
+  listener_->data = this;
+  int error = uv_udp_bind(udp_, reinterpret_cast<const sockaddr*>(&local_), 0);
   sockaddr_storage bound = local_;
   if (error == 0) {
     int length = sizeof bound;
@@ -93,118 +110,115 @@
   // The same port for connections, also where the kernel chose it.
   if (error == 0) error = uv_tcp_bind(listener_, reinterpret_cast<const sockaddr*>(&bound), 0);
   if (error == 0) {
-    error = uv_listen(reinterpret_cast<uv_stream_t*>(listener_), 16, [](uv_stream_t* s, int status) {
-      if (status == 0) static_cast<Membership*>(s->data)->AcceptOne();
+    error = uv_listen(reinterpret_cast<uv_stream_t*>(listener_), 16, [](uv_stream_t* stream, int status) {
+      if (status == 0) static_cast<Membership*>(stream->data)->AcceptExchange();
     });
   }
-  if (error == 0) {
-    error = uv_udp_recv_start(
-        udp_,
-        [](uv_handle_t*, std::size_t, uv_buf_t* buf) {
-          static std::array<char, 2048> room;  // read and used within one call
-          *buf = uv_buf_init(room.data(), static_cast<unsigned>(room.size()));
-        },
-        [](uv_udp_t* u, ssize_t n, const uv_buf_t* buf, const sockaddr* from, unsigned flags) {
-          if (n <= 0 || from == nullptr) return;
-          Membership* m = static_cast<Membership*>(u->data);
-          if ((flags & UV_UDP_PARTIAL) != 0 || static_cast<std::size_t>(n) > kMostDatagram)
-            return m->Drop("too-long");
-          m->Datagram({buf->base, static_cast<std::size_t>(n)}, from);
-        });
-  }
+  if (error == 0) error = uv_udp_recv_start(udp_, AllocateDatagram, OnUdpRead);
   if (error != 0) {
-    Shut();
+    CloseSockets();
     if (error == UV_EADDRINUSE) return false;
     throw std::runtime_error("membership.listen " + settings_.listen + ": " + uv_strerror(error));
   }
-  const std::string at = Words(reinterpret_cast<const sockaddr*>(&bound));
-  if (settings_.advertise.empty()) address_ = at;
+  const std::string bound_to = FormatAddress(reinterpret_cast<const sockaddr*>(&bound));
+  if (settings_.advertise.empty()) address_ = bound_to;
   Log(Level::kInfo, "listening-membership",
-      {{"addr", at}, {"advertise", address_}, {"cluster", settings_.cluster}});
+      {{"addr", bound_to}, {"advertise", address_}, {"cluster", settings_.cluster}});
   return true;
 }
 
-void Membership::Shut() {
-  for (const Handle call : calls_.All()) End(call, false);
+void Membership::CloseSockets() {
+  for (const Handle exchange : exchanges_.All()) EndExchange(exchange, false);
   if (udp_ != nullptr) {
     uv_close(reinterpret_cast<uv_handle_t*>(udp_),
-             [](uv_handle_t* h) { delete reinterpret_cast<uv_udp_t*>(h); });
+             [](uv_handle_t* handle) { delete reinterpret_cast<uv_udp_t*>(handle); });
     uv_close(reinterpret_cast<uv_handle_t*>(listener_),
-             [](uv_handle_t* h) { delete reinterpret_cast<uv_tcp_t*>(h); });
+             [](uv_handle_t* handle) { delete reinterpret_cast<uv_tcp_t*>(handle); });
   }
   udp_ = nullptr;
   listener_ = nullptr;
 }
 
 void Membership::Start() {
-  hand_over_.Watch(kLookForHandOver);
-  if (Open()) return Begin();
+  handover_.Watch(kHandoverPollMs);
+  if (OpenSockets()) return Activate();
   // Another process of this node has it: that one is asked to yield.
   Log(Level::kInfo, "membership-waits", {{"addr", settings_.listen}});
-  Tell("wants");
+  WriteToSibling("wants");
   WaitForAddress();
 }
 
 void Membership::WaitForAddress() {
-  const Time gap = phase_ == Phase::kYielded ? kTakeUpAgainAfter : kTryAddressEvery;
-  wait_ = run_->deadlines->Set(Now() + gap, [this] {
-    wait_ = {};
+  const Time interval = phase_ == Phase::kYielded ? kAddressRetryAfterYield : kAddressRetry;
+  address_retry_ = runtime_->deadlines->Set(Now() + interval, [this] {
+    address_retry_ = {};
     if (phase_ == Phase::kClosed || leaving_) return;
     bool open = false;
     try {
-      open = Open();
+      open = OpenSockets();
     } catch (const std::runtime_error& e) {
       Log(Level::kError, "membership-address", {{"why", e.what()}});
     }
-    open ? Begin() : WaitForAddress();
+    if (open) {
+      Activate();
+    } else {
+      WaitForAddress();
+    }
   });
 }
 
-void Membership::Begin() {
+MembershipOptions Membership::ModelOptions() const {
+  MembershipOptions options;
+  options.cluster = settings_.cluster;
+  options.probe_interval = settings_.period;
+  options.suspicion_intervals = settings_.suspicion;
+  options.push_pull_intervals =
+      static_cast<double>(settings_.exchange) / static_cast<double>(settings_.period);
+  options.forget_after = settings_.forget;
+  options.max_members = settings_.most_members;
+  options.max_datagram_bytes = kMaxDatagramBytes;
+  options.schema = settings_.wire;
+  options.seeds = settings_.seeds;
+  return options;
+}
+
+void Membership::Activate() {
   phase_ = Phase::kActive;
-  Options o;
-  o.cluster = settings_.cluster;
-  o.period = settings_.period;
-  o.suspicion = settings_.suspicion;
-  o.exchange = static_cast<double>(settings_.exchange) / static_cast<double>(settings_.period);
-  o.forget = settings_.forget;
-  o.most_members = settings_.most_members;
-  o.datagram = kMostDatagram;
-  o.speak = settings_.wire;
-  o.seeds = settings_.seeds;
-  Record self;
+  MemberRecord self;
   self.name = node_;
   self.address = address_;
   self.zone = settings_.zone;
   self.uid = uid_;
-  self.incarnation = std::max(static_cast<std::uint64_t>(Now() / 1000), above_ + 1);
-  model_ = std::make_unique<Model>(std::move(o), std::move(self), Now(), [this] { return random_(); });
-  Tell("holds");
-  Tick();
+  self.incarnation = std::max(static_cast<std::uint64_t>(Now() / 1000), sibling_incarnation_ + 1);
+  model_ =
+      std::make_unique<MembershipModel>(ModelOptions(), std::move(self), Now(), [this] { return random_(); });
+  WriteToSibling("holds");
+  OnTick();
 }
 
-// What the processes of one node say to each other; text from a file, so it may be anything.
-void Membership::Told(const std::string& text) {
-  const nlohmann::json j = nlohmann::json::parse(text, nullptr, false);
-  if (!j.is_object() || !j.contains("kind") || !j["kind"].is_string() || !j.contains("uid") ||
-      !j["uid"].is_number_unsigned() || !j.contains("incarnation") || !j["incarnation"].is_number_unsigned())
+// The text is from a file, so it may be anything.
+void Membership::OnSiblingMessage(const std::string& text) {
+  const nlohmann::json json = nlohmann::json::parse(text, nullptr, false);
+  if (!json.is_object() || !json.contains("kind") || !json["kind"].is_string() || !json.contains("uid") ||
+      !json["uid"].is_number_unsigned() || !json.contains("incarnation") ||
+      !json["incarnation"].is_number_unsigned())
     return;
-  const std::uint64_t uid = j["uid"], incarnation = j["incarnation"];
+  const std::uint64_t uid = json["uid"];
+  const std::uint64_t incarnation = json["incarnation"];
   if (uid == uid_ || incarnation > (std::uint64_t{1} << 62)) return;
-  if (j["kind"] == "yields") above_ = std::max(above_, incarnation);
-  if (j["kind"] != "wants" || phase_ != Phase::kActive || uid < uid_) return;
+  if (json["kind"] == "yields") sibling_incarnation_ = std::max(sibling_incarnation_, incarnation);
+  if (json["kind"] != "wants" || phase_ != Phase::kActive || uid < uid_) return;
   Log(Level::kInfo, "membership-yields", {{"uid", uid}});
   phase_ = Phase::kYielded;
-  run_->deadlines->Cancel(tick_);
-  Shut();
-  Tell("yields");
-  WaitForAddress();  // in case the other does not live to take it
+  runtime_->deadlines->Cancel(tick_);
+  CloseSockets();
+  WriteToSibling("yields");
+  WaitForAddress();  // in case the other process does not live to take it
 }
 
-void Membership::Tell(const char* kind) {
-  hand_over_.Write(nlohmann::json{
-      {"kind", kind}, {"uid", uid_}, {"incarnation", model_ == nullptr ? 0 : model_->self().incarnation}}
-                       .dump());
+void Membership::WriteToSibling(const char* kind) {
+  const std::uint64_t incarnation = model_ == nullptr ? 0 : model_->self().incarnation;
+  handover_.Write(nlohmann::json{{"kind", kind}, {"uid", uid_}, {"incarnation", incarnation}}.dump());
 }
 
 void Membership::Leave() {
@@ -213,252 +227,273 @@
   actions_.Clear();
   model_->Leave(Now(), actions_);
   Log(Level::kInfo, "membership-leaves");
-  Act();
+  Execute();
 }
 
 void Membership::Close() {
   if (phase_ == Phase::kActive && leaving_) {
     actions_.Clear();
-    model_->Left(Now(), actions_);
-    Act();
+    model_->AnnounceLeft(Now(), actions_);
+    Execute();
   }
   phase_ = Phase::kClosed;
-  run_->deadlines->Cancel(tick_);
-  run_->deadlines->Cancel(wait_);
-  Shut();
-  hand_over_.Close();
+  runtime_->deadlines->Cancel(tick_);
+  runtime_->deadlines->Cancel(address_retry_);
+  CloseSockets();
+  handover_.Close();
 }
 
 // ---- Time and what it brings ----
 
-void Membership::Tick() {
-  tick_ = run_->deadlines->Set(Now() + model_->step(), [this] { Tick(); });
+void Membership::OnTick() {
+  tick_ = runtime_->deadlines->Set(Now() + model_->tick_interval(), [this] { OnTick(); });
   actions_.Clear();
   model_->Tick(Now(), actions_);
-  for (int i = 0; i < kMostChats && words_ != nullptr && words_->has_pending(); ++i) {
-    model_->Chat(Now(), actions_);
-    Act();
-  }
-  Act();
-  if (settings_.follow && events_ != nullptr) {
-    const TierFacts facts{model_->live(), model_->joined(), model_->in_doubt(), model_->settled(),
-                          model_->settled_since()};
-    if (const auto nodes = tier_.Look(Now(), facts)) {
-      Log(Level::kInfo, "tier-size", {{"nodes", *nodes}});
-      events_->Post(policy::NodeCountChanged{static_cast<int>(*nodes)});
-    }
-  }
-  if (!dropped_untold_.empty() && Now() - dropped_told_ >= kTellDroppedEvery) {
-    dropped_told_ = Now();
-    for (const auto& [why, n] : dropped_untold_)
-      Log(Level::kWarn, "member-messages-dropped", {{"why", why}, {"n", n}});
-    dropped_untold_.clear();
+  for (int i = 0; i < kMaxGossipMessages && gossip_ != nullptr && gossip_->has_pending(); ++i) {
+    model_->SendToRandomMember(Now(), actions_);
+    Execute();
   }
+  Execute();
+  if (settings_.follow && events_ != nullptr) UpdateNodeCount();
+  LogDropped();
 }
 
-void Membership::Act() {
+void Membership::UpdateNodeCount() {
+  const NodeCountFacts facts{model_->live(), model_->joined(), model_->partition_suspected(),
+                             model_->stable(), model_->stable_since()};
+  const std::optional<std::size_t> nodes = node_count_.Update(Now(), facts);
+  if (!nodes) return;
+  Log(Level::kInfo, "tier-size", {{"nodes", *nodes}});
+  events_->Post(policy::NodeCountChanged{static_cast<int>(*nodes)});
+}
+
+void Membership::LogDropped() {
+  if (dropped_unlogged_.empty() || Now() - dropped_logged_at_ < kLogDroppedInterval) return;
+  dropped_logged_at_ = Now();
+  for (const auto& [why, n] : dropped_unlogged_)
+    Log(Level::kWarn, "member-messages-dropped", {{"why", why}, {"n", n}});
+  dropped_unlogged_.clear();
+}
+
+void Membership::Execute() {
   Actions actions;
   std::swap(actions, actions_);
-  for (const Note& note : actions.notes) Say(note);
-  for (Send& send : actions.sends) SendTo(send.to, std::move(send.message));
-  for (const std::string& to : actions.exchanges) Dial(to);
+  for (const MembershipEvent& event : actions.events) LogEvent(event);
+  for (OutgoingMessage& send : actions.sends) SendDatagram(send.to, std::move(send.message));
+  for (const std::string& to : actions.push_pulls) StartExchange(to);
 }
 
-void Membership::Say(const Note& note) {
-  const std::string_view what = note.what;
-  const bool grave = what == "member-dead" || what == "view-in-doubt" || what == "name-taken" ||
-                     what == "name-conflict" || what == "self-paused";
-  if (note.span > 0) {
-    Log(Level::kWarn, what, {{"member", note.member}, {"ms", note.span / 1000}});
+void Membership::LogEvent(const MembershipEvent& event) {
+  const std::string_view reason = event.reason;
+  const bool grave = reason == "member-dead" || reason == "view-in-doubt" || reason == "name-taken" ||
+                     reason == "name-conflict" || reason == "self-paused";
+  if (event.span > 0) {
+    Log(Level::kWarn, reason, {{"member", event.member}, {"ms", event.span / 1000}});
   } else {
-    Log(grave ? Level::kWarn : Level::kInfo, what,
-        {{"member", note.member}, {"by", note.by}, {"n", note.incarnation}});
+    Log(grave ? Level::kWarn : Level::kInfo, reason,
+        {{"member", event.member}, {"by", event.reporter}, {"n", event.value}});
   }
-  if (tap_ != nullptr)
-    tap_->OnClusterEvent(Now(), what, note.member, note.by, note.incarnation, model_->live());
+  if (observer_ != nullptr)
+    observer_->OnClusterEvent(Now(), reason, event.member, event.reporter, event.value, model_->live());
 }
 
 // ---- Datagrams ----
 
-void Membership::Drop(const char* why) {
+void Membership::CountDropped(const char* why) {
   ++traffic_.dropped[why];
-  ++dropped_untold_[why];
+  ++dropped_unlogged_[why];
 }
 
-void Membership::Datagram(std::string_view bytes, const sockaddr* from) {
+void Membership::OnUdpRead(uv_udp_t* udp, ssize_t length, const uv_buf_t* buffer, const sockaddr* from,
+                           unsigned flags) {
+  if (length <= 0 || from == nullptr) return;
+  auto* membership = static_cast<Membership*>(udp->data);
+  const auto bytes = static_cast<std::size_t>(length);
+  if ((flags & UV_UDP_PARTIAL) != 0 || bytes > kMaxDatagramBytes) return membership->CountDropped("too-long");
+  membership->OnDatagram({buffer->base, bytes}, from);
+}
+
+void Membership::OnDatagram(std::string_view bytes, const sockaddr* from) {
   ++traffic_.datagrams_in;
   traffic_.bytes_in += bytes.size();
   const Time second = Now() / 1'000'000;
-  if (second != second_) {
-    second_ = second;
-    in_second_ = 0;
+  if (second != current_second_) {
+    current_second_ = second;
+    datagrams_this_second_ = 0;
   }
-  if (++in_second_ > kMostASecond) return Drop("too-many");
+  if (++datagrams_this_second_ > kMaxDatagramsASecond) return CountDropped("too-many");
   sockaddr_storage peer{};
   std::copy_n(reinterpret_cast<const char*>(from), LengthOf(from), reinterpret_cast<char*>(&peer));
-  if (!networks_.Contains(peer)) return Drop("networks");
+  if (!networks_.Contains(peer)) return CountDropped("networks");
   const char* why = "";
   const std::optional<Message> message = Decode(bytes, &why);
-  if (!message) return Drop(why);
-  why = model_->Misfit(*message);
-  if (*why != '\0') return Drop(why);
-  const std::string address = Words(from);
-  if (address != message->from.address) return Drop("source");
+  if (!message) return CountDropped(why);
+  why = model_->RejectReason(*message);
+  if (*why != '\0') return CountDropped(why);
+  const std::string address = FormatAddress(from);
+  if (address != message->sender.address) return CountDropped("source");
   actions_.Clear();
-  model_->Receive(Now(), address, *message, actions_);
-  Act();
-  // Only of those that this node has reached there and back.
-  if (words_ == nullptr || message->words.empty()) return;
-  const Standing standing = model_->StandingOf(message->from.name);
-  if (standing == Standing::kAlive || standing == Standing::kSuspect || standing == Standing::kLeaving)
-    words_->OnMessages(message->words);
+  model_->OnMessage(Now(), address, *message, actions_);
+  Execute();
+  // Gossip counts only of members that this node has reached there and back.
+  if (gossip_ == nullptr || message->gossip.empty()) return;
+  if (IsLive(model_->StateOf(message->sender.name))) gossip_->OnMessages(message->gossip);
 }
 
-void Membership::SendTo(const std::string& to, Message message) {
+void Membership::SendDatagram(const std::string& to, Message message) {
   sockaddr_storage address{};
   if (udp_ == nullptr || !ParseAddress(to, &address) || !networks_.Contains(address))
-    return Drop("no-address");
+    return CountDropped("no-address");
   std::string bytes = Encode(message);
-  constexpr std::size_t kLength = 4;  // of a longer list
-  if (words_ != nullptr && words_->has_pending() && bytes.size() + kLength < kMostDatagram) {
-    message.words = words_->TakeMessages(kMostDatagram - kLength - bytes.size(), kWordOverhead);
-    if (!message.words.empty()) bytes = Encode(message);
+  constexpr std::size_t kLongerListBytes = 4;  // of the updates' array header
+  if (gossip_ != nullptr && gossip_->has_pending() && bytes.size() + kLongerListBytes < kMaxDatagramBytes) {
+    message.gossip =
+        gossip_->TakeMessages(kMaxDatagramBytes - kLongerListBytes - bytes.size(), kGossipPayloadOverhead);
+    if (!message.gossip.empty()) bytes = Encode(message);
   }
-  const uv_buf_t buf = uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
-  if (uv_udp_try_send(udp_, &buf, 1, reinterpret_cast<const sockaddr*>(&address)) < 0) {
-    ++traffic_.unsent;  // as good as lost, which the protocol bears
+  const uv_buf_t buffer = uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
+  if (uv_udp_try_send(udp_, &buffer, 1, reinterpret_cast<const sockaddr*>(&address)) < 0) {
+    ++traffic_.unsent;  // as good as lost, which the protocol tolerates
     return;
   }
   ++traffic_.datagrams_out;
   traffic_.bytes_out += bytes.size();
 }
 
-// ---- Exchanges ----
+// ---- Push-pull exchanges ----
+
+void Membership::SetExchangeDeadline(Handle handle, Exchange* exchange) {
+  const Time timeout = std::max<Time>(kMinExchangeTimeout, 3 * settings_.period);
+  exchange->deadline =
+      runtime_->deadlines->Set(Now() + timeout, [this, handle] { EndExchange(handle, false); });
+}
 
-void Membership::Dial(const std::string& to) {
+void Membership::StartExchange(const std::string& to) {
   sockaddr_storage address{};
-  if (calls_out_ >= kMostOut || udp_ == nullptr || !ParseAddress(to, &address) ||
+  if (exchanges_out_ >= kMaxExchangesOut || udp_ == nullptr || !ParseAddress(to, &address) ||
       !networks_.Contains(address))
     return;
-  const Handle handle = calls_.Add({});
-  Call* call = calls_.Get(handle);
-  call->dialled = true;
-  call->tcp = Tcp::New(run_->loop, run_->buffers, this, handle);
-  ++calls_out_;
-  // From the address that peers know it by; the port is the kernel's.
+  const Handle handle = exchanges_.Add({});
+  Exchange* exchange = exchanges_.Get(handle);
+  exchange->initiated = true;
+  exchange->tcp = Tcp::New(runtime_->loop, runtime_->buffers, this, handle);
+  ++exchanges_out_;
+  // From the address that peers know this node by; the port is the kernel's.
   sockaddr_storage from = local_;
   if (from.ss_family == AF_INET6) {
     reinterpret_cast<sockaddr_in6*>(&from)->sin6_port = 0;
   } else {
     reinterpret_cast<sockaddr_in*>(&from)->sin_port = 0;
   }
-  call->deadline = run_->deadlines->Set(Now() + std::max<Time>(2'000'000, 3 * settings_.period),
-                                        [this, handle] { End(handle, false); });
-  if (call->tcp->Bind(from) != 0 || call->tcp->Connect(address) != 0) End(handle, false);
+  SetExchangeDeadline(handle, exchange);
+  if (exchange->tcp->Bind(from) != 0 || exchange->tcp->Connect(address) != 0) EndExchange(handle, false);
 }
 
 void Membership::OnConnected(Handle handle, int status) {
-  Call* call = calls_.Get(handle);
-  if (call == nullptr) return;
-  if (status != 0) return End(handle, false);
-  call->tcp->Read();
-  if (!call->tcp->Write(Framed(Encode(model_->StateMessage())))) End(handle, false);
-}
-
-void Membership::AcceptOne() {
-  const Handle handle = calls_.Add({});
-  Call* call = calls_.Get(handle);
-  call->tcp = Tcp::New(run_->loop, run_->buffers, this, handle);
-  ++calls_in_;
-  if (!call->tcp->Accept(reinterpret_cast<uv_stream_t*>(listener_)) || calls_in_ > kMostIn)
-    return End(handle, false);
-  if (!networks_.Contains(call->tcp->Peer())) {
-    Drop("networks");
-    return End(handle, false);
+  Exchange* exchange = exchanges_.Get(handle);
+  if (exchange == nullptr) return;
+  if (status != 0) return EndExchange(handle, false);
+  exchange->tcp->Read();
+  if (!exchange->tcp->Write(Framed(Encode(model_->PushPullMessage())))) EndExchange(handle, false);
+}
+
+void Membership::AcceptExchange() {
+  const Handle handle = exchanges_.Add({});
+  Exchange* exchange = exchanges_.Get(handle);
+  exchange->tcp = Tcp::New(runtime_->loop, runtime_->buffers, this, handle);
+  ++exchanges_in_;
+  if (!exchange->tcp->Accept(reinterpret_cast<uv_stream_t*>(listener_)) || exchanges_in_ > kMaxExchangesIn)
+    return EndExchange(handle, false);
+  if (!networks_.Contains(exchange->tcp->Peer())) {
+    CountDropped("networks");
+    return EndExchange(handle, false);
   }
-  call->deadline = run_->deadlines->Set(Now() + std::max<Time>(2'000'000, 3 * settings_.period),
-                                        [this, handle] { End(handle, false); });
-  call->tcp->Read();
+  SetExchangeDeadline(handle, exchange);
+  exchange->tcp->Read();
+}
+
+std::optional<Message> Membership::DecodeExchange(std::string_view bytes, const char** why) const {
+  std::optional<Message> message = Decode(bytes, why);
+  if (!message) return std::nullopt;
+  if (message->kind != MessageKind::kPushPull) {
+    *why = "malformed";
+    return std::nullopt;
+  }
+  *why = model_->RejectReason(*message);
+  if (**why != '\0') return std::nullopt;
+  return message;
 }
 
 void Membership::OnRead(Handle handle, std::string_view bytes) {
-  Call* call = calls_.Get(handle);
-  if (call == nullptr || call->answered) return;
-  if (call->text.size() + bytes.size() > kMostState + 4) {
-    Drop("too-long");
-    return End(handle, false);
+  Exchange* exchange = exchanges_.Get(handle);
+  if (exchange == nullptr || exchange->answered) return;
+  if (exchange->received.size() + bytes.size() > kMaxPushPullBytes + kLengthBytes) {
+    CountDropped("too-long");
+    return EndExchange(handle, false);
   }
-  call->text.append(bytes);
-  if (call->text.size() < 4) return;
-  std::size_t length = 0;
-  for (std::size_t i = 0; i < 4; ++i)
-    length |= static_cast<std::size_t>(static_cast<unsigned char>(call->text[i])) << (8 * i);
-  if (length > kMostState) {
-    Drop("too-long");
-    return End(handle, false);
+  exchange->received.append(bytes);
+  if (exchange->received.size() < kLengthBytes) return;
+  const std::size_t length = ReadLength(exchange->received);
+  if (length > kMaxPushPullBytes) {
+    CountDropped("too-long");
+    return EndExchange(handle, false);
   }
-  if (call->text.size() < 4 + length) return;
+  if (exchange->received.size() < kLengthBytes + length) return;
   const char* why = "";
-  std::optional<Message> message = Decode(std::string_view(call->text).substr(4, length), &why);
-  if (message && message->kind != Kind::kState) {
-    why = "malformed";
-    message.reset();
-  }
-  if (message && *(why = model_->Misfit(*message)) != '\0') message.reset();
+  const std::optional<Message> message =
+      DecodeExchange(std::string_view(exchange->received).substr(kLengthBytes, length), &why);
   if (!message) {
-    Drop(why);
-    return End(handle, false);
+    CountDropped(why);
+    return EndExchange(handle, false);
   }
-  const bool dialled = call->dialled;
+  const bool initiated = exchange->initiated;
   actions_.Clear();
-  model_->OnState(Now(), *message, dialled, actions_);
-  Act();
-  call = calls_.Get(handle);
-  if (call == nullptr) return;
+  model_->OnPushPull(Now(), *message, initiated, actions_);
+  Execute();
+  exchange = exchanges_.Get(handle);
+  if (exchange == nullptr) return;
   ++traffic_.exchanges;
-  if (dialled) return End(handle, true);
-  call->answered = true;
-  const std::string answer = Framed(Encode(model_->StateMessage()));
-  if (!call->tcp->Write(answer)) return End(handle, false);
-  if (call->tcp->unsent() == 0) OnDrained(handle);
+  if (initiated) return EndExchange(handle, true);
+  exchange->answered = true;
+  if (!exchange->tcp->Write(Framed(Encode(model_->PushPullMessage())))) return EndExchange(handle, false);
+  if (exchange->tcp->unsent() == 0) OnDrained(handle);
 }
 
 void Membership::OnDrained(Handle handle) {
-  Call* call = calls_.Get(handle);
+  Exchange* exchange = exchanges_.Get(handle);
   // The other side closes once it has read all; the deadline guards against one that does not.
-  if (call != nullptr && call->answered) call->tcp->EndWriting();
+  if (exchange != nullptr && exchange->answered) exchange->tcp->EndWriting();
 }
 
 void Membership::OnEnded(Handle handle) {
-  const Call* call = calls_.Get(handle);
-  if (call != nullptr) End(handle, call->answered);
+  const Exchange* exchange = exchanges_.Get(handle);
+  if (exchange != nullptr) EndExchange(handle, exchange->answered);
 }
 
-void Membership::End(Handle handle, bool good) {
-  Call* call = calls_.Get(handle);
-  if (call == nullptr) return;
-  if (!good) ++traffic_.exchanges_failed;
-  --(call->dialled ? calls_out_ : calls_in_);
-  run_->deadlines->Cancel(call->deadline);
-  call->tcp->Close();
-  calls_.Remove(handle);
+void Membership::EndExchange(Handle handle, bool completed) {
+  Exchange* exchange = exchanges_.Get(handle);
+  if (exchange == nullptr) return;
+  if (!completed) ++traffic_.exchanges_failed;
+  --(exchange->initiated ? exchanges_out_ : exchanges_in_);
+  runtime_->deadlines->Cancel(exchange->deadline);
+  exchange->tcp->Close();
+  exchanges_.Remove(handle);
 }
 
 // ---- The view ----
 
 ClusterView Membership::View() const {
   ClusterView view;
-  view.announced_nodes = tier_.told();
+  view.announced_nodes = node_count_.announced();
   if (model_ == nullptr) return view;
   view.version = model_->view_version();
   view.joined = model_->joined();
-  view.stable = model_->settled() && phase_ == Phase::kActive;
-  view.partition_suspected = model_->in_doubt() || phase_ != Phase::kActive;
+  view.stable = model_->stable() && phase_ == Phase::kActive;
+  view.partition_suspected = model_->partition_suspected() || phase_ != Phase::kActive;
   view.members.push_back({node_, settings_.zone, false});
-  for (const ViewMember& m : model_->View(Now())) {
-    if (m.standing == Standing::kAlive || m.standing == Standing::kSuspect ||
-        m.standing == Standing::kLeaving)
-      view.members.push_back({m.record.name, m.record.zone, m.standing == Standing::kSuspect});
+  for (const MemberView& member : model_->View(Now())) {
+    if (IsLive(member.state))
+      view.members.push_back({member.record.name, member.record.zone, member.state == MemberState::kSuspect});
   }
   return view;
 }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,10 +1,10 @@
-// The membership of this node on its loop: datagrams, exchanges over connections, the hand-over to another
-// process of the same node, and who is told. What is decided lies in membership_model.h.
+// The membership of this node on its loop: datagrams, push-pull exchanges over connections, the hand-over of
+// the address between processes of the same node, and who is told. What is decided lies in
+// membership_model.h.
 #pragma once
 
 #include <uv.h>
 
-#include <array>
 #include <cstdint>
 #include <map>
 #include <memory>
@@ -26,8 +26,13 @@
 namespace ryeglade::membership {
 
 struct Traffic {
-  std::uint64_t datagrams_in = 0, datagrams_out = 0, bytes_in = 0, bytes_out = 0;
-  std::uint64_t exchanges = 0, exchanges_failed = 0, unsent = 0;
+  std::uint64_t datagrams_in = 0;
+  std::uint64_t datagrams_out = 0;
+  std::uint64_t bytes_in = 0;   // of datagrams
+  std::uint64_t bytes_out = 0;  // of datagrams
+  std::uint64_t exchanges = 0;  // push-pull
+  std::uint64_t exchanges_failed = 0;
+  std::uint64_t unsent = 0;                      // datagrams that the kernel did not take
   std::map<std::string, std::uint64_t> dropped;  // by reason; a fixed set of words
 };
 
@@ -35,83 +40,101 @@
  public:
   static constexpr std::size_t kSockets = 1 + 1 + 8 + 4;  // datagrams, listener, exchanges in and out
 
-  // `nodes`: what the decision module was built with. `events` and `tap` may be null.
-  Membership(const Runtime* run, const MembershipSettings& settings, const std::string& node,
-             std::size_t nodes, EventPort* events, ClusterObserver* tap, std::string hand_over_path);
+  // `nodes`: what the decision module was built with. `events` and `observer` may be null; the pointers are
+  // not owned and outlive this. `handover_path`: a file that the processes of this node share.
+  Membership(const Runtime* runtime, const MembershipSettings& settings, const std::string& node,
+             std::size_t nodes, EventPort* events, ClusterObserver* observer, std::string handover_path);
   ~Membership() override;
 
-  // Throws std::runtime_error if the address can't be had and no other process of this node holds it.
+  // Throws std::runtime_error if the address can't be had and no other process of this node has it.
   void Start();
-  // What rides on this node's messages from now on; before Start.
-  void Carry(GossipPort* words) { words_ = words; }
+  // Gossip that this node's messages carry from now on; before Start. Not owned.
+  void CarryGossip(GossipPort* gossip) { gossip_ = gossip; }
   std::uint64_t uid() const { return uid_; }  // rises with each process of this node
-  void Leave();                               // said to all; goes on answering
-  void Close();                               // last words
+  void Leave();                               // announces it to all; goes on answering
+  void Close();                               // sends the last messages
 
   ClusterView View() const override;
-  const Model& model() const { return *model_; }
+  const MembershipModel& model() const { return *model_; }  // not while the phase is "waiting"
   const Traffic& traffic() const { return traffic_; }
-  std::size_t told() const { return tier_.told(); }
+  std::size_t announced_nodes() const { return node_count_.announced(); }
   const char* phase() const;  // "active", "waiting" for the process before, or "yielded" to the next
   const std::string& address() const { return address_; }
   const std::string& name() const { return node_; }
-  std::uint32_t speaks() const { return settings_.wire; }
+  std::uint32_t schema() const { return settings_.wire; }  // that is written
 
-  void OnConnected(Handle call, int status) override;
-  void OnRead(Handle call, std::string_view bytes) override;
-  void OnEnded(Handle call) override;
-  void OnDrained(Handle call) override;
+  void OnConnected(Handle exchange, int status) override;
+  void OnRead(Handle exchange, std::string_view bytes) override;
+  void OnEnded(Handle exchange) override;
+  void OnDrained(Handle exchange) override;
 
  private:
   enum class Phase : std::uint8_t { kWaiting, kActive, kYielded, kClosed };
-  struct Call {
+  struct Exchange {
     Tcp* tcp = nullptr;
-    bool dialled = false, answered = false;
-    std::string text;  // what has come
+    bool initiated = false;  // by this node
+    bool answered = false;
+    std::string received;
     DeadlineId deadline{};
   };
 
-  bool Open();  // binds both; false: the address is in use
-  void Shut();
+  bool OpenSockets();  // false: the address is in use
+  void CloseSockets();
   void WaitForAddress();
-  void Begin();
-  void Tick();
-  void Act();
-  void Datagram(std::string_view bytes, const sockaddr* from);
-  void SendTo(const std::string& to, Message message);
-  void Dial(const std::string& to);
-  void AcceptOne();
-  void End(Handle call, bool good);
-  void Drop(const char* why);
-  void Say(const Note& note);
-  void Told(const std::string& text);  // from another process of this node
-  void Tell(const char* kind);
-
-  const Runtime* run_;
+  void Activate();
+  MembershipOptions ModelOptions() const;
+  void OnTick();
+  void UpdateNodeCount();
+  void LogDropped();
+  void Execute();  // and clears actions_
+  void LogEvent(const MembershipEvent& event);
+
+  static void OnUdpRead(uv_udp_t* udp, ssize_t length, const uv_buf_t* buffer, const sockaddr* from,
+                        unsigned flags);
+  void OnDatagram(std::string_view bytes, const sockaddr* from);
+  void SendDatagram(const std::string& to, Message message);
+  void CountDropped(const char* why);
+
+  void StartExchange(const std::string& to);
+  void AcceptExchange();
+  void SetExchangeDeadline(Handle handle, Exchange* exchange);
+  // Null, and `why` a reason word.
+  std::optional<Message> DecodeExchange(std::string_view bytes, const char** why) const;
+  void EndExchange(Handle handle, bool completed);
+
+  void OnSiblingMessage(const std::string& text);  // from another process of this node
+  void WriteToSibling(const char* kind);
+
+  const Runtime* runtime_;
   MembershipSettings settings_;
   EventPort* events_;
-  ClusterObserver* tap_;
-  GossipPort* words_ = nullptr;
-  TierPolicy tier_;
-  std::string node_, address_;
+  ClusterObserver* observer_;
+  GossipPort* gossip_ = nullptr;
+  NodeCountPolicy node_count_;
+  std::string node_;
+  std::string address_;  // as peers know it
   sockaddr_storage local_{};
   limits::Networks networks_;
   pcg64 random_;
-  std::unique_ptr<Model> model_;
+  std::unique_ptr<MembershipModel> model_;
   Actions actions_;
   Phase phase_ = Phase::kWaiting;
   bool leaving_ = false;
-  uv_udp_t* udp_ = nullptr;  // freed by its close
-  uv_tcp_t* listener_ = nullptr;
-  SlotTable<Call> calls_;
-  std::size_t calls_in_ = 0, calls_out_ = 0;
-  StateFile hand_over_;
-  std::uint64_t uid_ = 0, above_ = 0;
-  DeadlineId tick_{}, wait_{};
+  uv_udp_t* udp_ = nullptr;       // freed by its close
+  uv_tcp_t* listener_ = nullptr;  // the same
+  SlotTable<Exchange> exchanges_;
+  std::size_t exchanges_in_ = 0;
+  std::size_t exchanges_out_ = 0;
+  StateFile handover_;
+  std::uint64_t uid_ = 0;
+  std::uint64_t sibling_incarnation_ = 0;  // the highest that another process of this node has used
+  DeadlineId tick_{};
+  DeadlineId address_retry_{};
   Traffic traffic_;
-  Time second_ = 0, dropped_told_ = 0;
-  std::size_t in_second_ = 0;
-  std::map<std::string, std::uint64_t> dropped_untold_;
+  Time current_second_ = 0;
+  std::size_t datagrams_this_second_ = 0;
+  Time dropped_logged_at_ = 0;
+  std::map<std::string, std::uint64_t> dropped_unlogged_;  // by reason
 };
 
 }  // namespace ryeglade::membership
--- a/src/membership/message_codec.cpp
+++ b/src/membership/message_codec.cpp
@@ -10,151 +10,180 @@
 namespace ryeglade::membership {
 namespace {
 
-constexpr std::string_view kMark = "RGM\x01";
-constexpr std::size_t kHead = 4 + 8;
-constexpr std::uint32_t kWord = 2;  // of the kinds of news
-constexpr std::uint64_t kMostIncarnation = std::uint64_t{1} << 62;
+constexpr std::string_view kMagic = "RGM\x01";
+constexpr std::size_t kChecksumBytes = 8;
+constexpr std::uint64_t kAnyNumber = ~std::uint64_t{0};
+constexpr std::uint64_t kMaxIncarnation = std::uint64_t{1} << 62;
+constexpr std::uint64_t kMaxSchema = 1'000'000;
+constexpr std::uint64_t kMaxKind = 1000;
+// Kinds of updates on the wire.
+constexpr std::uint32_t kRecordUpdate = 0;
+constexpr std::uint32_t kReportUpdate = 1;
+constexpr std::uint32_t kGossipPayload = 2;
 // What a peer may make the reader allocate: arrays, maps, texts, binaries, extensions, depth.
-const msgpack::unpack_limit kLimits(kMostNewsIn, 0, 1024, kMostDatagram, 0, 6);
+const msgpack::unpack_limit kLimits(kMaxReceivedUpdates, 0, 1024, kMaxDatagramBytes, 0, 6);
 
-using Bad = BadField;
-using Fields = UntrustedFields;
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
-void Pack(Packer& p, const Record& r) {
-  p.pack_array(7);
-  p.pack(r.name);
-  p.pack(r.address);
-  p.pack(r.zone);
-  p.pack(r.incarnation);
-  p.pack(r.uid);
-  p.pack(static_cast<std::uint32_t>(r.state));
-  p.pack(r.accusers);
+void Pack(Packer& packer, const MemberRecord& record) {
+  packer.pack_array(7);
+  packer.pack(record.name);
+  packer.pack(record.address);
+  packer.pack(record.zone);
+  packer.pack(record.incarnation);
+  packer.pack(record.uid);
+  packer.pack(static_cast<std::uint32_t>(record.state));
+  packer.pack(record.reporters);
 }
 
-void Pack(Packer& p, const News& n) {
-  if (n.kind == News::Kind::kRecord) {
-    p.pack_array(2);
-    p.pack(0U);
-    Pack(p, n.record);
+void Pack(Packer& packer, const Update& update) {
+  if (update.kind == Update::Kind::kRecord) {
+    packer.pack_array(2);
+    packer.pack(kRecordUpdate);
+    Pack(packer, update.record);
     return;
   }
-  p.pack_array(7);
-  p.pack(1U);
-  p.pack(n.record.name);
-  p.pack(n.record.incarnation);
-  p.pack(n.ballot.by);
-  p.pack(n.ballot.vouch);
-  p.pack(n.ballot.seq);
-  p.pack(static_cast<std::uint64_t>(std::clamp<Time>(n.age, 0, kMostAge)));
+  packer.pack_array(7);
+  packer.pack(kReportUpdate);
+  packer.pack(update.record.name);
+  packer.pack(update.record.incarnation);
+  packer.pack(update.report.reporter);
+  packer.pack(update.report.reachable);
+  packer.pack(update.report.seq);
+  packer.pack(static_cast<std::uint64_t>(std::clamp<Time>(update.age, 0, kMaxReportAge)));
 }
 
-Record ReadRecord(const msgpack::object& o) {
-  Fields f(o);
-  Record r;
-  r.name = f.Text(1, kMostName);
-  r.address = f.Text(3, kMostAddress);
-  r.zone = f.Text(0, kMostZone);
-  r.incarnation = f.Number(kMostIncarnation);
-  r.uid = f.Number(~std::uint64_t{0});
-  r.state = static_cast<State>(f.Number(static_cast<std::uint64_t>(State::kCount) - 1));
-  const msgpack::object& accusers = f.Next();
-  if (accusers.type != msgpack::type::ARRAY) throw Bad("malformed");
-  if (accusers.via.array.size > kMostAccusers) throw Bad("range");
-  Fields names(accusers);
-  for (std::uint32_t i = 0; i < accusers.via.array.size; ++i) r.accusers.push_back(names.Text(1, kMostName));
+void PackGossip(Packer& packer, const std::string& payload) {
+  packer.pack_array(2);
+  packer.pack(kGossipPayload);
+  packer.pack_bin(static_cast<std::uint32_t>(payload.size()));
+  packer.pack_bin_body(payload.data(), static_cast<std::uint32_t>(payload.size()));
+}
+
+std::vector<std::string> ReadReporters(const msgpack::object& object) {
+  if (object.type != msgpack::type::ARRAY) throw BadField("malformed");
+  if (object.via.array.size > kMaxRecordReporters) throw BadField("range");
+  UntrustedFields names(object);
+  std::vector<std::string> reporters;
+  for (std::uint32_t i = 0; i < object.via.array.size; ++i) reporters.push_back(names.Text(1, kMaxNameBytes));
   // Each counts once.
-  std::sort(r.accusers.begin(), r.accusers.end());
-  r.accusers.erase(std::unique(r.accusers.begin(), r.accusers.end()), r.accusers.end());
-  return r;
+  std::sort(reporters.begin(), reporters.end());
+  reporters.erase(std::unique(reporters.begin(), reporters.end()), reporters.end());
+  return reporters;
 }
 
-std::optional<News> ReadNews(const msgpack::object& o, std::vector<std::string>* words) {
-  Fields f(o);
-  const std::uint64_t kind = f.Number(~std::uint64_t{0});
-  if (kind == kWord) {
-    if (words->size() >= kMostWords) throw Bad("range");
-    words->push_back(f.Bytes());
-    return std::nullopt;
-  }
-  News n;
-  if (kind == 0) {
-    n.record = ReadRecord(f.Next());
-    return n;
+MemberRecord ReadRecord(const msgpack::object& object) {
+  UntrustedFields fields(object);
+  MemberRecord record;
+  record.name = fields.Text(1, kMaxNameBytes);
+  record.address = fields.Text(3, kMaxAddressBytes);
+  record.zone = fields.Text(0, kMaxZoneBytes);
+  record.incarnation = fields.Number(kMaxIncarnation);
+  record.uid = fields.Number(kAnyNumber);
+  record.state = static_cast<RecordState>(fields.Number(static_cast<std::uint64_t>(RecordState::kCount) - 1));
+  record.reporters = ReadReporters(fields.Next());
+  return record;
+}
+
+Update ReadReport(UntrustedFields& fields) {
+  Update update;
+  update.kind = Update::Kind::kReport;
+  update.record.name = fields.Text(1, kMaxNameBytes);
+  update.record.incarnation = fields.Number(kMaxIncarnation);
+  update.report.reporter = fields.Text(1, kMaxNameBytes);
+  update.report.reachable = fields.Flag();
+  update.report.seq = fields.Number(kAnyNumber);
+  update.age = static_cast<Time>(fields.Number(kMaxReportAge));
+  return update;
+}
+
+// Appends an update or a gossip payload to the message; one of an unknown kind is passed over.
+void ReadUpdate(const msgpack::object& object, Message* message) {
+  UntrustedFields fields(object);
+  switch (fields.Number(kAnyNumber)) {
+    case kRecordUpdate: {
+      Update update;
+      update.record = ReadRecord(fields.Next());
+      message->updates.push_back(std::move(update));
+      break;
+    }
+    case kReportUpdate:
+      message->updates.push_back(ReadReport(fields));
+      break;
+    case kGossipPayload:
+      if (message->gossip.size() >= kMaxGossipPayloads) throw BadField("range");
+      message->gossip.push_back(fields.Bytes());
+      break;
+    default:
+      break;
   }
-  if (kind != 1) return std::nullopt;
-  n.kind = News::Kind::kBallot;
-  n.record.name = f.Text(1, kMostName);
-  n.record.incarnation = f.Number(kMostIncarnation);
-  n.ballot.by = f.Text(1, kMostName);
-  n.ballot.vouch = f.Flag();
-  n.ballot.seq = f.Number(~std::uint64_t{0});
-  n.age = static_cast<Time>(f.Number(kMostAge));
-  return n;
+}
+
+Message ReadMessage(const msgpack::object& object) {
+  UntrustedFields fields(object);
+  Message message;
+  message.schema = static_cast<std::uint32_t>(fields.Number(kMaxSchema));
+  message.min_reader_schema = static_cast<std::uint32_t>(fields.Number(kMaxSchema));
+  message.cluster = fields.Text(1, kMaxNameBytes);
+  message.sender = ReadRecord(fields.Next());
+  // Of a message of an unknown kind only the updates are read.
+  const std::uint64_t kind = fields.Number(kMaxKind);
+  message.kind = static_cast<MessageKind>(std::min(kind, static_cast<std::uint64_t>(MessageKind::kCount)));
+  message.seq = fields.Number(kAnyNumber);
+  message.target = fields.Text(0, kMaxNameBytes);
+  message.target_address = fields.Text(0, kMaxAddressBytes);
+  const msgpack::object& updates = fields.Next();
+  UntrustedFields list(updates);
+  for (std::uint32_t i = 0; i < updates.via.array.size; ++i) ReadUpdate(list.Next(), &message);
+  return message;
+}
+
+std::uint64_t ReadLittleEndian(std::string_view bytes) {
+  std::uint64_t value = 0;
+  for (std::size_t i = 0; i < kChecksumBytes; ++i)
+    value |= static_cast<std::uint64_t>(static_cast<unsigned char>(bytes[i])) << (8 * i);
+  return value;
 }
 
 }  // namespace
 
-std::string Encode(const Message& m) {
+std::string Encode(const Message& message) {
   msgpack::sbuffer buffer;
-  Packer p(buffer);
-  p.pack_array(9);
-  p.pack(m.schema);
-  p.pack(m.needs);
-  p.pack(m.cluster);
-  Pack(p, m.from);
-  p.pack(static_cast<std::uint32_t>(m.kind));
-  p.pack(m.seq);
-  p.pack(m.target);
-  p.pack(m.target_address);
-  p.pack_array(static_cast<std::uint32_t>(m.news.size() + m.words.size()));
-  for (const News& n : m.news) Pack(p, n);
-  for (const std::string& word : m.words) {
-    p.pack_array(2);
-    p.pack(kWord);
-    p.pack_bin(static_cast<std::uint32_t>(word.size()));
-    p.pack_bin_body(word.data(), static_cast<std::uint32_t>(word.size()));
-  }
-  std::string out(kMark);
-  const std::uint64_t sum = XXH3_64bits(buffer.data(), buffer.size());
-  for (int i = 0; i < 8; ++i) out += static_cast<char>(sum >> (8 * i) & 0xff);
+  Packer packer(buffer);
+  packer.pack_array(9);
+  packer.pack(message.schema);
+  packer.pack(message.min_reader_schema);
+  packer.pack(message.cluster);
+  Pack(packer, message.sender);
+  packer.pack(static_cast<std::uint32_t>(message.kind));
+  packer.pack(message.seq);
+  packer.pack(message.target);
+  packer.pack(message.target_address);
+  packer.pack_array(static_cast<std::uint32_t>(message.updates.size() + message.gossip.size()));
+  for (const Update& update : message.updates) Pack(packer, update);
+  for (const std::string& payload : message.gossip) PackGossip(packer, payload);
+  std::string out(kMagic);
+  const std::uint64_t checksum = XXH3_64bits(buffer.data(), buffer.size());
+  for (std::size_t i = 0; i < kChecksumBytes; ++i) out += static_cast<char>(checksum >> (8 * i) & 0xff);
   out.append(buffer.data(), buffer.size());
   return out;
 }
 
 std::optional<Message> Decode(std::string_view bytes, const char** why) {
   *why = "not-ours";
-  if (bytes.size() < kHead || bytes.substr(0, kMark.size()) != kMark) return std::nullopt;
-  std::uint64_t sum = 0;
-  for (std::size_t i = 0; i < 8; ++i)
-    sum |= static_cast<std::uint64_t>(static_cast<unsigned char>(bytes[kMark.size() + i])) << (8 * i);
-  bytes.remove_prefix(kHead);
+  if (bytes.size() < kMagic.size() + kChecksumBytes || !bytes.starts_with(kMagic)) return std::nullopt;
+  bytes.remove_prefix(kMagic.size());
+  const std::uint64_t checksum = ReadLittleEndian(bytes);
+  bytes.remove_prefix(kChecksumBytes);
   *why = "checksum";
-  if (XXH3_64bits(bytes.data(), bytes.size()) != sum) return std::nullopt;
+  if (XXH3_64bits(bytes.data(), bytes.size()) != checksum) return std::nullopt;
   *why = "malformed";
   try {
     const msgpack::object_handle handle = msgpack::unpack(
         bytes.data(), bytes.size(), [](auto, auto, void*) { return true; }, nullptr, kLimits);
-    Fields f(handle.get());
-    Message m;
-    m.schema = static_cast<std::uint32_t>(f.Number(1'000'000));
-    m.needs = static_cast<std::uint32_t>(f.Number(1'000'000));
-    m.cluster = f.Text(1, kMostName);
-    m.from = ReadRecord(f.Next());
-    const std::uint64_t kind = f.Number(1000);
-    m.kind =
-        static_cast<Kind>(std::min(kind, static_cast<std::uint64_t>(Kind::kCount)));  // unknown: only news
-    m.seq = f.Number(~std::uint64_t{0});
-    m.target = f.Text(0, kMostName);
-    m.target_address = f.Text(0, kMostAddress);
-    const msgpack::object& news = f.Next();
-    Fields list(news);
-    for (std::uint32_t i = 0; i < news.via.array.size; ++i) {
-      if (std::optional<News> n = ReadNews(list.Next(), &m.words)) m.news.push_back(std::move(*n));
-    }
-    return m;
-  } catch (const Bad& e) {
-    *why = std::string_view(e.what()) == "range" ? "range" : "malformed";
+    return ReadMessage(handle.get());
+  } catch (const BadField& error) {
+    *why = std::string_view(error.what()) == "range" ? "range" : "malformed";
   } catch (const std::exception&) {  // the library's own
     *why = "malformed";
   }
--- a/src/membership/message_codec.h
+++ b/src/membership/message_codec.h
@@ -1,15 +1,16 @@
-// Messages as bytes: the same form in a datagram and in an exchange. What comes from a peer is untrusted:
-// every length, range and count is checked here, and what does not hold is turned down whole with a reason.
-// No I/O.
+// Messages as bytes: the same form in a datagram and in a push-pull exchange. What comes from a peer is
+// untrusted: every length, range and count is checked here, and a message that breaks one is rejected as a
+// whole, with a reason. No I/O.
 //
 // "RGM", u8 form (1), u64 XXH3 of the rest (little-endian), then a MessagePack array:
-//   schema, needs, cluster, record, kind, seq, target, target address, [news...]
-//   record: name, address, zone, incarnation, uid, state, [accusers...]
-//   news:   0, record   or   1, name, incarnation, by, vouch, seq, age in us
-//           or   2, bytes: a word of the tier (tier/word_model.h)
-// A reader passes over fields behind those that it knows, and over kinds of news that it does not know.
+//   schema, minimum reader schema, cluster, record, kind, seq, target, target address, [updates...]
+//   record: name, address, zone, incarnation, uid, state, [reporters...]
+//   update: 0, record   or   1, name, incarnation, reporter, reachable, seq, age in us
+//           or   2, bytes: a gossip payload (gossip/gossip_message_codec.h)
+// A reader passes over fields behind those that it knows, and over kinds of updates that it does not know.
 #pragma once
 
+#include <cstddef>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -18,9 +19,9 @@
 
 namespace ryeglade::membership {
 
-inline constexpr std::size_t kMostDatagram = 1400;                   // bytes
-inline constexpr std::size_t kMostState = std::size_t{1024} * 1024;  // bytes of an exchange's message
-inline constexpr std::size_t kMostNewsIn = std::size_t{16} * 1024;   // pieces in one message
+inline constexpr std::size_t kMaxDatagramBytes = 1400;
+inline constexpr std::size_t kMaxPushPullBytes = std::size_t{1024} * 1024;  // of one message
+inline constexpr std::size_t kMaxReceivedUpdates = std::size_t{16} * 1024;  // in one message
 
 std::string Encode(const Message& message);
 // Null, and `why` a reason word: not-ours, checksum, malformed, range.
--- a/src/membership/node_count_policy.cpp
+++ b/src/membership/node_count_policy.cpp
@@ -2,12 +2,13 @@
 
 namespace ryeglade::membership {
 
-std::optional<std::size_t> TierPolicy::Look(Time now, const TierFacts& f) {
-  if (f.live == told_) return std::nullopt;
-  const bool fewer_is_sure = f.joined && f.settled && !f.in_doubt && now - f.settled_since >= shrink_after_;
-  if (f.live < told_ && !fewer_is_sure) return std::nullopt;
-  told_ = f.live;
-  return told_;
+std::optional<std::size_t> NodeCountPolicy::Update(Time now, const NodeCountFacts& facts) {
+  if (facts.live == announced_) return std::nullopt;
+  const bool may_shrink =
+      facts.joined && facts.stable && !facts.partition_suspected && now - facts.stable_since >= shrink_after_;
+  if (facts.live < announced_ && !may_shrink) return std::nullopt;
+  announced_ = facts.live;
+  return announced_;
 }
 
 }  // namespace ryeglade::membership
--- a/src/membership/node_count_policy.h
+++ b/src/membership/node_count_policy.h
@@ -1,6 +1,6 @@
-// How many nodes the decision module is told there are. More are told at once: each then takes less, which is
-// safe. Fewer only once the view has been settled for long enough, and never from a view in doubt: those that
-// can't be reached may live and still send. No I/O, no clock.
+// How many nodes the decision module is told there are. A higher number is announced at once: each node then
+// takes less, which is safe. A lower one only once the view has been stable for long enough, and never while
+// a partition is suspected: members that can't be reached may live and still send. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -12,23 +12,26 @@
 
 using policy::Time;
 
-struct TierFacts {
+struct NodeCountFacts {
   std::size_t live = 1;  // this node among them
-  bool joined = false, in_doubt = false, settled = false;
-  Time settled_since = 0;
+  bool joined = false;
+  bool partition_suspected = false;
+  bool stable = false;
+  Time stable_since = 0;
 };
 
-class TierPolicy {
+class NodeCountPolicy {
  public:
-  // `told`: what the module was built with. `shrink_after`: microseconds.
-  TierPolicy(std::size_t told, Time shrink_after) : told_(told), shrink_after_(shrink_after) {}
-  // The number to tell now; null: nothing new. The first settled view counts like any other: what the
+  // `announced`: what the module was built with. `shrink_after`: microseconds.
+  NodeCountPolicy(std::size_t announced, Time shrink_after)
+      : announced_(announced), shrink_after_(shrink_after) {}
+  // The number to announce now; null: no change. The first stable view counts like any other: what the
   // settings said holds until then.
-  std::optional<std::size_t> Look(Time now, const TierFacts& facts);
-  std::size_t told() const { return told_; }
+  std::optional<std::size_t> Update(Time now, const NodeCountFacts& facts);
+  std::size_t announced() const { return announced_; }
 
  private:
-  std::size_t told_;
+  std::size_t announced_;
   Time shrink_after_;
 };
 
--- a/src/membership/status_front.h
+++ b/src/membership/status_front.h
@@ -1,5 +1,5 @@
-// The status address of the membership: what this node thinks of the others, as JSON and as Prometheus
-// series, for `ryeglade nodes` and for monitoring. It changes nothing.
+// The status address of the membership: this node's view of the others as JSON and as Prometheus series, for
+// `ryeglade nodes` and for monitoring. Read-only.
 #pragma once
 
 #include <functional>
@@ -14,25 +14,26 @@
 class StatusFront : public Front {
  public:
   static constexpr std::size_t kSockets = 8;
-  static constexpr Time kReadWithin = 5'000'000;
+  static constexpr Time kReadWithin = 5'000'000;  // microseconds, for a request's head
 
-  // `tier`: what the node does with what the others tell it, as JSON; null: nothing.
-  StatusFront(const Membership* membership, std::string node, std::function<std::string()> tier)
-      : membership_(membership), node_(std::move(node)), tier_(std::move(tier)) {}
-  void Use(Downstream* downstream) { downstream_ = downstream; }
+  // `gossip_status`: the gossip's state as JSON, for the path /tier; null: there is none. Not owned:
+  // `membership`.
+  StatusFront(const Membership* membership, std::string node, std::function<std::string()> gossip_status)
+      : membership_(membership), node_(std::move(node)), gossip_status_(std::move(gossip_status)) {}
+  void Use(Downstream* downstream) { downstream_ = downstream; }  // before the first request; not owned
 
   void OnRequest(Handle connection, HttpRequest request) override;
   void OnGone(Handle) override {}
   void OnFlow(Handle, bool) override {}
 
  private:
-  std::string AllJson() const;
-  std::string OneJson(const std::string& name) const;
-  std::string Series() const;
+  std::string NodesJson() const;
+  std::string NodeJson(const std::string& name) const;  // empty: no such node is known
+  std::string Metrics() const;
 
   const Membership* membership_;
   std::string node_;
-  std::function<std::string()> tier_;
+  std::function<std::string()> gossip_status_;
   Downstream* downstream_ = nullptr;
 };
 
--- a/tests/membership_nodes_test.cpp
+++ b/tests/membership_nodes_test.cpp
@@ -183,15 +183,15 @@
   // A list of 100,000 made-up names, then one that is as long as may be, then noise and half a message.
   membership::Message m;
   m.cluster = "ryeglade";
-  m.from.name = "liar";
-  m.from.address = tier.listen(1);
-  m.kind = membership::Kind::kState;
+  m.sender.name = "liar";
+  m.sender.address = tier.listen(1);
+  m.kind = membership::MessageKind::kPushPull;
   for (int i = 0; i < 100'000; ++i) {
-    membership::News news;
-    news.record.name = "made-up-" + std::to_string(i);
-    news.record.address = "127.0.0.1:" + std::to_string(1 + i % 60'000);
-    news.record.incarnation = static_cast<std::uint64_t>(i);
-    m.news.push_back(news);
+    membership::Update update;
+    update.record.name = "made-up-" + std::to_string(i);
+    update.record.address = "127.0.0.1:" + std::to_string(1 + i % 60'000);
+    update.record.incarnation = static_cast<std::uint64_t>(i);
+    m.updates.push_back(update);
   }
   const auto framed = [](const std::string& message) {
     std::string out;
@@ -215,7 +215,7 @@
     close(fd);
   };
   send(framed(membership::Encode(m)));
-  m.news.resize(12'000);
+  m.updates.resize(12'000);
   send(framed(membership::Encode(m)));
   send(std::string(3000, '\xff'));
   send(framed(membership::Encode(m)).substr(0, 500));
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -17,13 +17,13 @@
 namespace {
 
 using membership::Actions;
-using membership::Kind;
+using membership::MemberRecord;
+using membership::MembershipModel;
+using membership::MemberState;
 using membership::Message;
-using membership::Model;
-using membership::News;
-using membership::Record;
-using membership::Standing;
-using membership::State;
+using membership::MessageKind;
+using membership::RecordState;
+using membership::Update;
 
 Scenario Shipped(const std::string& name) {
   return ReadScenario(std::string(RYEGLADE_EXAMPLES) + "/cluster/" + name + ".toml");
@@ -161,14 +161,15 @@
 
 // ---- The pure part by itself ----
 
-Record MakeRecord(const std::string& name, std::uint64_t incarnation, State state = State::kAlive) {
-  Record r;
+MemberRecord MakeRecord(const std::string& name, std::uint64_t incarnation,
+                        RecordState state = RecordState::kAlive) {
+  MemberRecord r;
   r.name = name;
   r.address = "a:" + name;
   r.incarnation = incarnation;
   r.uid = 1000 + static_cast<std::uint64_t>(name[0]);
   r.state = state;
-  if (state == State::kDead) r.accusers = {"x", "y", "z"};
+  if (state == RecordState::kDead) r.reporters = {"x", "y", "z"};
   return r;
 }
 
@@ -177,9 +178,10 @@
       rc::gen::pair(rc::gen::inRange(0, 4), rc::gen::inRange(0, 4)));
   RC_PRE(!some.empty());
   const auto merged = [](const std::vector<std::pair<int, int>>& list) {
-    Record r = MakeRecord("n", 0);
+    MemberRecord r = MakeRecord("n", 0);
     for (const auto& [incarnation, state] : list) {
-      const Record next = MakeRecord("n", static_cast<std::uint64_t>(incarnation), static_cast<State>(state));
+      const MemberRecord next =
+          MakeRecord("n", static_cast<std::uint64_t>(incarnation), static_cast<RecordState>(state));
       if (Supersedes(next, r)) r = next;
     }
     return std::pair(r.incarnation, r.state);
@@ -196,28 +198,28 @@
 }
 
 struct Solo {
-  explicit Solo(membership::Options o = {})
+  explicit Solo(membership::MembershipOptions o = {})
       : model(o, MakeRecord("s", 100), 0, [this] { return next += 977; }) {}
-  Message From(const Record& who, Kind kind) const {
+  Message From(const MemberRecord& who, MessageKind kind) const {
     Message m;
     m.cluster = model.options().cluster;
-    m.from = who;
+    m.sender = who;
     m.kind = kind;
     return m;
   }
   void Take(const Message& m) {
     out.Clear();
-    model.Receive(now, m.from.address, m, out);
+    model.OnMessage(now, m.sender.address, m, out);
   }
   // Answers each of its pings to `who`.
-  void Meet(const Record& who) {
-    Take(From(who, Kind::kPing));
-    for (int i = 0; i < 20 && model.StandingOf(who.name) != Standing::kAlive; ++i) {
+  void Meet(const MemberRecord& who) {
+    Take(From(who, MessageKind::kPing));
+    for (int i = 0; i < 20 && model.StateOf(who.name) != MemberState::kAlive; ++i) {
       Step();
       std::vector<Message> answers;
       for (const auto& send : out.sends) {
-        if (send.to != who.address || send.message.kind != Kind::kPing) continue;
-        answers.push_back(From(who, Kind::kAck));
+        if (send.to != who.address || send.message.kind != MessageKind::kPing) continue;
+        answers.push_back(From(who, MessageKind::kAck));
         answers.back().seq = send.message.seq;
       }
       for (const Message& a : answers) Take(a);
@@ -225,7 +227,7 @@
   }
   void Step() {
     out.Clear();
-    now += model.step();
+    now += model.tick_interval();
     model.Tick(now, out);
   }
   void Run(int steps) {
@@ -234,16 +236,16 @@
   std::uint64_t next = 1;
   Time now = 0;
   Actions out;
-  Model model;
+  MembershipModel model;
 };
 
 TEST(Membership, NobodyIsAMemberBeforeItAnswered) {
   Solo s;
-  Message gossip = s.From(MakeRecord("a", 5), Kind::kNews);
+  Message gossip = s.From(MakeRecord("a", 5), MessageKind::kUpdates);
   for (int i = 0; i < 2000; ++i) {
-    News news;
-    news.record = MakeRecord("g" + std::to_string(i), 9);
-    gossip.news.push_back(news);
+    Update update;
+    update.record = MakeRecord("g" + std::to_string(i), 9);
+    gossip.updates.push_back(update);
   }
   s.Take(gossip);
   EXPECT_EQ(s.model.live(), 1U);
@@ -258,62 +260,62 @@
   for (const char* name : {"a", "b", "c", "d", "e"}) s.Meet(MakeRecord(name, 5));
   ASSERT_EQ(s.model.live(), 6U);
   s.now += 3'000'000;  // its own evidence is old
-  Message m = s.From(MakeRecord("a", 5), Kind::kNews);
-  News news;
-  news.record = MakeRecord("b", 5, State::kDead);
-  news.record.accusers = {"a"};
-  m.news = {news};
+  Message m = s.From(MakeRecord("a", 5), MessageKind::kUpdates);
+  Update update;
+  update.record = MakeRecord("b", 5, RecordState::kDead);
+  update.record.reporters = {"a"};
+  m.updates = {update};
   s.Take(m);
-  EXPECT_NE(s.model.StandingOf("b"), Standing::kDead);
-  m.news[0].record.accusers = {"a", "c", "d"};
+  EXPECT_NE(s.model.StateOf("b"), MemberState::kDead);
+  m.updates[0].record.reporters = {"a", "c", "d"};
   s.Take(m);
-  EXPECT_EQ(s.model.StandingOf("b"), Standing::kDead);
+  EXPECT_EQ(s.model.StateOf("b"), MemberState::kDead);
 }
 
 TEST(Membership, NobodyIsSaidToHaveLeftByHearsayWhileItIsReached) {
   Solo s;
   for (const char* name : {"a", "b", "c", "d"}) s.Meet(MakeRecord(name, 5));
-  Message m = s.From(MakeRecord("a", 5), Kind::kNews);
-  News news;
-  news.record = MakeRecord("d", 5, State::kLeft);
-  m.news = {news};
+  Message m = s.From(MakeRecord("a", 5), MessageKind::kUpdates);
+  Update update;
+  update.record = MakeRecord("d", 5, RecordState::kLeft);
+  m.updates = {update};
   s.Take(m);
-  EXPECT_EQ(s.model.StandingOf("d"), Standing::kAlive);  // reached just now
+  EXPECT_EQ(s.model.StateOf("d"), MemberState::kAlive);  // reached just now
   EXPECT_EQ(std::count_if(s.out.sends.begin(), s.out.sends.end(),
-                          [](const auto& send) { return send.message.kind == Kind::kPing; }),
+                          [](const auto& send) { return send.message.kind == MessageKind::kPing; }),
             1);
-  s.Take(s.From(MakeRecord("d", 5, State::kLeft), Kind::kNews));  // it says so itself
-  EXPECT_EQ(s.model.StandingOf("d"), Standing::kLeft);
-  m.news[0].record = MakeRecord("c", 5, State::kLeft);
+  s.Take(s.From(MakeRecord("d", 5, RecordState::kLeft), MessageKind::kUpdates));  // it says so itself
+  EXPECT_EQ(s.model.StateOf("d"), MemberState::kLeft);
+  m.updates[0].record = MakeRecord("c", 5, RecordState::kLeft);
   s.now += 3'000'000;  // its own evidence is old
   s.Take(m);
-  EXPECT_EQ(s.model.StandingOf("c"), Standing::kLeft);
+  EXPECT_EQ(s.model.StateOf("c"), MemberState::kLeft);
 }
 
 TEST(Membership, OneThatLeavesAndFallsSilentHasLeftByTheWordOfSeveral) {
   Solo s;
   for (const char* name : {"a", "b", "c", "d", "e"}) s.Meet(MakeRecord(name, 5));
-  s.Take(s.From(MakeRecord("d", 6, State::kLeaving), Kind::kNews));
-  ASSERT_EQ(s.model.StandingOf("d"), Standing::kLeaving);
+  s.Take(s.From(MakeRecord("d", 6, RecordState::kLeaving), MessageKind::kUpdates));
+  ASSERT_EQ(s.model.StateOf("d"), MemberState::kLeaving);
   std::uint64_t seq = 0;
   const auto accuse = [&](const char* by) {
-    Message m = s.From(MakeRecord(by, 5), Kind::kNews);
-    News news;
-    news.kind = News::Kind::kBallot;
-    news.record.name = "d";
-    news.record.incarnation = 6;
-    news.ballot = {by, false, ++seq, 0};
-    m.news = {news};
+    Message m = s.From(MakeRecord(by, 5), MessageKind::kUpdates);
+    Update update;
+    update.kind = Update::Kind::kReport;
+    update.record.name = "d";
+    update.record.incarnation = 6;
+    update.report = {by, false, ++seq, 0};
+    m.updates = {update};
     s.Take(m);
   };
   // The others answer, d does not; but for a it would be this node's word alone.
   const auto run = [&](int steps, std::initializer_list<const char*> accusers) {
-    for (int i = 0; i < steps && s.model.StandingOf("d") != Standing::kLeft; ++i) {
+    for (int i = 0; i < steps && s.model.StateOf("d") != MemberState::kLeft; ++i) {
       s.Step();
       const auto sends = s.out.sends;
       for (const auto& send : sends) {
-        if (send.message.kind != Kind::kPing || send.message.target == "d") continue;
-        Message ack = s.From(MakeRecord(send.message.target.c_str(), 5), Kind::kAck);
+        if (send.message.kind != MessageKind::kPing || send.message.target == "d") continue;
+        Message ack = s.From(MakeRecord(send.message.target.c_str(), 5), MessageKind::kAck);
         ack.seq = send.message.seq;
         s.Take(ack);
       }
@@ -323,86 +325,86 @@
     }
   };
   run(300, {"a"});
-  EXPECT_EQ(s.model.StandingOf("d"), Standing::kSuspect);
+  EXPECT_EQ(s.model.StateOf("d"), MemberState::kSuspect);
   run(150, {"a", "b"});
-  EXPECT_EQ(s.model.StandingOf("d"), Standing::kLeft);
+  EXPECT_EQ(s.model.StateOf("d"), MemberState::kLeft);
 }
 
 TEST(Membership, OneThatLeavesDoesNotComeBackToRefuteItsEnd) {
   Solo s;
   for (const char* name : {"a", "b"}) s.Meet(MakeRecord(name, 5));
-  Message m = s.From(MakeRecord("a", 5), Kind::kNews);
-  News news;
-  news.record = s.model.self();
-  news.record.state = State::kLeft;
-  m.news = {news};
+  Message m = s.From(MakeRecord("a", 5), MessageKind::kUpdates);
+  Update update;
+  update.record = s.model.self();
+  update.record.state = RecordState::kLeft;
+  m.updates = {update};
   s.Take(m);
-  EXPECT_EQ(s.model.self().incarnation, news.record.incarnation + 1);  // said of one that stays
+  EXPECT_EQ(s.model.self().incarnation, update.record.incarnation + 1);  // said of one that stays
   s.out.Clear();
   s.model.Leave(s.now, s.out);
   const std::uint64_t leaving = s.model.self().incarnation;
-  for (const State state : {State::kLeft, State::kDead}) {
-    m.news[0].record = s.model.self();
-    m.news[0].record.state = state;
+  for (const RecordState state : {RecordState::kLeft, RecordState::kDead}) {
+    m.updates[0].record = s.model.self();
+    m.updates[0].record.state = state;
     s.Take(m);
   }
   s.now += 5'000'000;  // it was not running
   s.Step();
   EXPECT_EQ(s.model.self().incarnation, leaving);
-  EXPECT_EQ(s.model.self().state, State::kLeaving);
+  EXPECT_EQ(s.model.self().state, RecordState::kLeaving);
 }
 
 TEST(Membership, TheDeadDoNotComeBackByHearsay) {
   Solo s;
   for (const char* name : {"a", "b", "c", "d"}) s.Meet(MakeRecord(name, 5));
   s.now += 3'000'000;
-  Message m = s.From(MakeRecord("a", 5), Kind::kNews);
-  News news;
-  news.record = MakeRecord("b", 5, State::kDead);
-  m.news = {news};
+  Message m = s.From(MakeRecord("a", 5), MessageKind::kUpdates);
+  Update update;
+  update.record = MakeRecord("b", 5, RecordState::kDead);
+  m.updates = {update};
   s.Take(m);
-  ASSERT_EQ(s.model.StandingOf("b"), Standing::kDead);
-  m.news[0].record = MakeRecord("b", 5);  // late
+  ASSERT_EQ(s.model.StateOf("b"), MemberState::kDead);
+  m.updates[0].record = MakeRecord("b", 5);  // late
   s.Take(m);
-  EXPECT_EQ(s.model.StandingOf("b"), Standing::kDead);
-  m.news[0].record = MakeRecord("b", 6);  // said to be back: it is looked at
+  EXPECT_EQ(s.model.StateOf("b"), MemberState::kDead);
+  m.updates[0].record = MakeRecord("b", 6);  // said to be back: it is looked at
   s.Take(m);
-  EXPECT_EQ(s.model.StandingOf("b"), Standing::kJoining);
+  EXPECT_EQ(s.model.StateOf("b"), MemberState::kJoining);
   EXPECT_EQ(s.model.live(), 4U);
   s.Meet(MakeRecord("b", 6));
-  EXPECT_EQ(s.model.StandingOf("b"), Standing::kAlive);
+  EXPECT_EQ(s.model.StateOf("b"), MemberState::kAlive);
 }
 
 TEST(Membership, AnswersToAnAccusationWithAHigherIncarnation) {
   Solo s;
   for (const char* name : {"a", "b"}) s.Meet(MakeRecord(name, 5));
-  Message m = s.From(MakeRecord("a", 5), Kind::kPing);
-  News news;
-  news.kind = News::Kind::kBallot;
-  news.record.name = "s";
-  news.record.incarnation = 100;
-  news.ballot.by = "b";
-  news.ballot.seq = 1;
-  m.news = {news};
+  Message m = s.From(MakeRecord("a", 5), MessageKind::kPing);
+  Update update;
+  update.kind = Update::Kind::kReport;
+  update.record.name = "s";
+  update.record.incarnation = 100;
+  update.report.reporter = "b";
+  update.report.seq = 1;
+  m.updates = {update};
   s.Take(m);
   EXPECT_EQ(s.model.self().incarnation, 101U);
   ASSERT_FALSE(s.out.sends.empty());
-  EXPECT_EQ(s.out.sends[0].message.from.incarnation, 101U);
+  EXPECT_EQ(s.out.sends[0].message.sender.incarnation, 101U);
   s.Take(m);  // once more: it speaks of an older incarnation now
   EXPECT_EQ(s.model.self().incarnation, 101U);
 }
 
 TEST(Membership, ARestartUnderTheSameNameWithAClockSetBackGoesAboveWhatIsKnown) {
-  membership::Options o;
+  membership::MembershipOptions o;
   o.seeds = {"a:a"};
   Solo s(o);
-  Message state = s.From(MakeRecord("a", 5), Kind::kState);
-  News news;
-  news.record = MakeRecord("s", 900);
-  news.record.uid = 1;
-  state.news = {news};
+  Message state = s.From(MakeRecord("a", 5), MessageKind::kPushPull);
+  Update update;
+  update.record = MakeRecord("s", 900);
+  update.record.uid = 1;
+  state.updates = {update};
   s.out.Clear();
-  s.model.OnState(s.now, state, true, s.out);
+  s.model.OnPushPull(s.now, state, true, s.out);
   EXPECT_TRUE(s.model.joined());
   EXPECT_EQ(s.model.self().incarnation, 901U);
 }
@@ -413,11 +415,11 @@
   s.now += 60'000'000;  // not running for a minute
   s.out.Clear();
   s.model.Tick(s.now, s.out);
-  EXPECT_TRUE(std::any_of(s.out.notes.begin(), s.out.notes.end(),
-                          [](const auto& n) { return std::string(n.what) == "self-paused"; }));
+  EXPECT_TRUE(std::any_of(s.out.events.begin(), s.out.events.end(),
+                          [](const auto& event) { return std::string(event.reason) == "self-paused"; }));
   EXPECT_EQ(s.model.self().incarnation, 101U);
   s.Run(3);
-  for (const char* name : {"a", "b", "c", "d"}) EXPECT_EQ(s.model.StandingOf(name), Standing::kAlive);
+  for (const char* name : {"a", "b", "c", "d"}) EXPECT_EQ(s.model.StateOf(name), MemberState::kAlive);
 }
 
 TEST(Membership, OneThatReachesNobodyAccusesNobodyAndDoubtsItsView) {
@@ -428,29 +430,29 @@
     s.Step();
     std::vector<Message> answers;
     for (const auto& send : s.out.sends) {
-      if (send.message.kind != Kind::kPing) continue;
-      Record who = MakeRecord(send.to.substr(2), 5);
-      answers.push_back(s.From(who, Kind::kAck));
+      if (send.message.kind != MessageKind::kPing) continue;
+      MemberRecord who = MakeRecord(send.to.substr(2), 5);
+      answers.push_back(s.From(who, MessageKind::kAck));
       answers.back().seq = send.message.seq;
     }
     for (const Message& a : answers) s.Take(a);
-    settled = s.model.settled();
+    settled = s.model.stable();
   }
   ASSERT_TRUE(settled);
   s.Run(2000);  // and no answer more
-  EXPECT_TRUE(s.model.in_doubt());
-  EXPECT_FALSE(s.model.settled());
+  EXPECT_TRUE(s.model.partition_suspected());
+  EXPECT_FALSE(s.model.stable());
   EXPECT_EQ(s.model.live(), 5U);
 }
 
 TEST(Membership, OtherClustersAndMessagesTooNewDoNotFit) {
   Solo s;
-  Message m = s.From(MakeRecord("a", 5), Kind::kPing);
-  EXPECT_STREQ(s.model.Misfit(m), "");
-  m.needs = membership::kSchema + 1;
-  EXPECT_STREQ(s.model.Misfit(m), "too-new");
+  Message m = s.From(MakeRecord("a", 5), MessageKind::kPing);
+  EXPECT_STREQ(s.model.RejectReason(m), "");
+  m.min_reader_schema = membership::kSchema + 1;
+  EXPECT_STREQ(s.model.RejectReason(m), "too-new");
   m.cluster = "elsewhere";
-  EXPECT_STREQ(s.model.Misfit(m), "other-cluster");
+  EXPECT_STREQ(s.model.RejectReason(m), "other-cluster");
 }
 
 TEST(Membership, DatagramsStayWithinTheirSizeWhateverThereIsToTell) {
@@ -460,10 +462,10 @@
   for (int i = 0; i < 50; ++i) {
     s.Step();
     for (const auto& send : s.out.sends) {
-      std::size_t bytes = membership::kMessageHead + SizeOf(send.message.from);
-      for (const News& news : send.message.news) bytes += SizeOf(news);
+      std::size_t bytes = membership::kMessageHeaderBytes + EncodedSize(send.message.sender);
+      for (const Update& update : send.message.updates) bytes += EncodedSize(update);
       EXPECT_LE(bytes, 1400U);
-      seen += send.message.news.size();
+      seen += send.message.updates.size();
     }
   }
   EXPECT_GT(seen, 50U);
