--- a/src/app/cluster_service.cpp
+++ b/src/app/cluster_service.cpp
@@ -34,8 +34,8 @@
     : membership_(core, settings.membership, core->config->name.empty() ? "node" : core->config->name,
                   ConfiguredNodes(*core->config), decisions, observer, restart_path) {
   if (settings.tier.on) {
-    gossip_ = std::make_unique<gossip::Tier>(core, settings.tier, membership_.name(), membership_.uid(),
-                                             &membership_, replicas, decisions);
+    gossip_ = std::make_unique<gossip::Gossip>(core, settings.tier, membership_.name(), membership_.uid(),
+                                               &membership_, replicas, decisions);
     membership_.Carry(gossip_.get());
     decisions->AddRecorder(gossip_.get());
   }
--- a/src/app/cluster_service.h
+++ b/src/app/cluster_service.h
@@ -30,7 +30,7 @@
 
  private:
   membership::Membership membership_;
-  std::unique_ptr<gossip::Tier> gossip_;
+  std::unique_ptr<gossip::Gossip> gossip_;
   std::unique_ptr<membership::StatusFront> status_front_;
   std::unique_ptr<Downstream> status_listener_;
 };
