--- a/lab/cluster/real.cpp
+++ b/lab/cluster/real.cpp
@@ -312,7 +312,7 @@
     m.cluster = "lab";
     m.zone = s_.ZoneOf(0);
     m.networks = {"127.0.0.0/8"};
-    m.period = s_.period;
+    m.probe_interval = s_.period;
     for (std::size_t k = 0; k < std::min(s_.seeds, s_.nodes); ++k) m.seeds.push_back(network_->face(k));
     LogOptions log;
     log.level = Level::kError;  // what this member says of the others is of no interest
--- a/src/app/cluster_service.cpp
+++ b/src/app/cluster_service.cpp
@@ -33,18 +33,18 @@
                                const std::string& restart_path)
     : membership_(core, settings.membership, core->config->name.empty() ? "node" : core->config->name,
                   ConfiguredNodes(*core->config), decisions, observer, restart_path) {
-  if (settings.tier.on) {
-    gossip_ = std::make_unique<gossip::Tier>(core, settings.tier, membership_.name(), membership_.uid(),
+  if (settings.gossip.enabled) {
+    gossip_ = std::make_unique<gossip::Tier>(core, settings.gossip, membership_.name(), membership_.uid(),
                                              &membership_, replicas, decisions);
     membership_.Carry(gossip_.get());
     decisions->Tap(gossip_.get());
   }
-  if (settings.membership.status.empty()) return;
+  if (settings.membership.status_address.empty()) return;
   const auto gossip_status =
       gossip_ == nullptr ? nullptr : std::function([this] { return gossip_->StatusJson(); });
   status_front_ = std::make_unique<membership::StatusFront>(&membership_, core->config->name, gossip_status);
   status_listener_ = std::make_unique<Downstream>(core, status_front_.get(),
-                                                  StatusListenerOptions(settings.membership.status));
+                                                  StatusListenerOptions(settings.membership.status_address));
   status_front_->Use(status_listener_.get());
 }
 
--- a/src/app/config_reload.cpp
+++ b/src/app/config_reload.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 ClassTable UpdatedClassTable(const Config& in_force, const Config& loaded) {
-  const std::string error = CheckRetune(in_force.settings_text, loaded.settings_text);
+  const std::string error = FindSettingsUpdateError(in_force.settings_text, loaded.settings_text);
   if (!error.empty()) throw ConfigError("settings." + error);
-  ClassTable table{in_force.settings.classes, in_force.in_force};
-  if (!Retune(table, loaded.settings.classes)) {
+  ClassTable table{in_force.settings.classes, in_force.active_classes};
+  if (!UpdateClasses(table, loaded.settings.classes)) {
     throw ConfigError("settings.classes: changed too often to keep them all; restart the node");
   }
   return table;
@@ -31,14 +31,14 @@
 
 void ApplySettings(const ConfigUpdate& update, Config* in_force) {
   in_force->settings.classes = update.class_table.classes;
-  in_force->in_force = update.class_table.in_force;
+  in_force->active_classes = update.class_table.active;
   in_force->settings.max_attempts = update.loaded.settings.max_attempts;
   in_force->settings_text = update.loaded.settings_text;
 }
 
 std::vector<policy::ClassSettings> ClassesInForce(const Config& config) {
   std::vector<policy::ClassSettings> classes;
-  for (const std::size_t i : config.in_force) classes.push_back(config.settings.classes[i]);
+  for (const std::size_t i : config.active_classes) classes.push_back(config.settings.classes[i]);
   return classes;
 }
 
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -60,7 +60,7 @@
   const EdgeSettings settings = Settings(settings_path, config);
   std::printf("ok: %zu classes, listen %s, discovery %s", config.settings.classes.size(),
               config.listen.c_str(), config.discovery.c_str());
-  if (settings.openai.on) {
+  if (settings.openai.enabled) {
     std::size_t keys = 0;
     if (!settings.openai.keys_file.empty())
       keys = ryeglade::keys::Keyring::Load(settings.openai.keys_file).size();
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -89,15 +89,15 @@
   timeline::RecorderOptions options;
   options.directory = settings.directory;
   options.node = node;
-  options.block_bytes = settings.block;
-  options.block_within = settings.block_within;
-  options.segment_bytes = settings.segment;
-  options.total_bytes = settings.total;
-  options.ring_bytes = settings.ring;
+  options.block_bytes = settings.block_bytes;
+  options.block_within = settings.block_interval;
+  options.segment_bytes = settings.segment_bytes;
+  options.total_bytes = settings.total_bytes;
+  options.ring_bytes = settings.ring_bytes;
   options.dump_directory = settings.dump_directory;
   options.bytes_per_second = settings.bytes_per_second;
-  options.reasons = settings.reasons;
-  options.watch = settings.watch;
+  options.reasons = settings.record_reasons;
+  options.watch = settings.detect_anomalies;
   return options;
 }
 
@@ -129,13 +129,13 @@
       admin_listener_ = std::make_unique<Downstream>(&core_, &admin_front_, AdminListenerOptions(config));
       admin_front_.Use(admin_listener_.get());
     }
-    if (settings_.openai.on) {
+    if (settings_.openai.enabled) {
       openai_ = std::make_unique<OpenAiService>(&core_, &streams_, &settings_.openai, std::move(files.keys),
                                                 ListenerSockets(TrafficSockets(config.sockets), settings_));
       shutdown_.AddListener(&openai_->listener());
     }
-    if (settings_.timeline.on()) AddFlightRecorder();
-    if (settings_.membership.on()) {
+    if (settings_.timeline.enabled()) AddFlightRecorder();
+    if (settings_.membership.enabled()) {
       cluster_ = std::make_unique<ClusterService>(&core_, settings_, &decisions_, flight_recorder_.get(),
                                                   this, NodeFilePath("tier", config));
     }
@@ -173,7 +173,7 @@
       WatchEndpoints();
       return AcceptClients();
     }
-    discovery_.Known(config_.known);
+    discovery_.Known(config_.known_endpoints);
     try {
       listener_.CheckListen();  // so that an address that can't be used shows at once
     } catch (const std::runtime_error& e) {
@@ -190,7 +190,7 @@
   void RestoreState(hot_restart::HandoverState state) override {
     // Generations can be compared only among lists of one discovery service. The other process may have been
     // cut off from it for some time: of the two lists the newer one counts.
-    const std::string& configured = config_.known;
+    const std::string& configured = config_.known_endpoints;
     const bool same_discovery = state.discovery == discovery_.address();
     const bool use_restored =
         same_discovery && !state.roster.empty() && GenerationOf(state.roster) >= GenerationOf(configured);
@@ -334,7 +334,8 @@
     sigterm_.Start(&loop_, SIGTERM, [this] { BeginShutdown(); });
     sigint_.Start(&loop_, SIGINT, [this] { BeginShutdown(); });
     sighup_.Start(&loop_, SIGHUP, [this] { ReloadConfiguration(); });
-    if (settings_.timeline.ring > 0) sigusr2_.Start(&loop_, SIGUSR2, [this] { flight_recorder_->Dump(); });
+    if (settings_.timeline.ring_bytes > 0)
+      sigusr2_.Start(&loop_, SIGUSR2, [this] { flight_recorder_->Dump(); });
     UnblockSignals();
   }
 
@@ -363,9 +364,9 @@
 
   void ReloadConfiguration() {
     try {
-      const ConfigUpdate update = LoadConfigUpdate(config_, settings_.source);
+      const ConfigUpdate update = LoadConfigUpdate(config_, settings_.source_file);
       Log(Level::kInfo, "reloaded",
-          {{"file", config_.source},
+          {{"file", config_.source_file},
            {"discovery", update.loaded.discovery},
            {"settings", update.settings_changed}});
       if (!update.needs_restart.empty()) {
@@ -379,7 +380,7 @@
     } catch (const std::exception& e) {
       ++counters_.reconfig_failed;
       Log(Level::kError, "reload-failed",
-          {{"file", config_.source},
+          {{"file", config_.source_file},
            {"why", e.what()},
            {"remedy", "mend the file and send SIGHUP again; nothing was taken"}});
     }
@@ -390,7 +391,7 @@
     decisions_.Retune(config_.settings.classes, config_.settings.max_attempts);
     shutdown_.UpdateClasses(ClassesInForce(config_));
     Log(Level::kInfo, "retuned",
-        {{"classes", config_.in_force.size()},
+        {{"classes", config_.active_classes.size()},
          {"versions", config_.settings.classes.size()},
          {"attempts", config_.settings.max_attempts}});
   }
@@ -478,7 +479,7 @@
 };
 
 std::unique_ptr<Dialect> MakeDialect(const Config& config, const EdgeSettings& settings) {
-  if (settings.dialect != "openai") {
+  if (settings.upstream_dialect != "openai") {
     return std::make_unique<PlatformDialect>(!config.settings.load_fields.empty());
   }
   std::string key;
@@ -492,7 +493,7 @@
 LogOptions MakeLogOptions(const EdgeSettings& settings) {
   LogOptions options;
   options.json = settings.log_format == "json";
-  options.lines_per_second = settings.log_lines;
+  options.lines_per_second = settings.log_lines_per_second;
   constexpr std::array<std::pair<const char*, Level>, 4> kLevels = {
       {{"debug", Level::kDebug}, {"info", Level::kInfo}, {"warn", Level::kWarn}, {"error", Level::kError}}};
   for (const auto& [name, level] : kLevels) {
@@ -514,7 +515,7 @@
 void Serve(const Config& config, const EdgeSettings& settings) {
   std::signal(SIGPIPE, SIG_IGN);
   SetUpLog(MakeLogOptions(settings));
-  if (settings.membership.on()) CheckNameForMembership(config.name);
+  if (settings.membership.enabled()) CheckNameForMembership(config.name);
   LoadedFiles files;
   files.dialect = MakeDialect(config, settings);
   if (!settings.openai.keys_file.empty()) files.keys = keys::Keyring::Load(settings.openai.keys_file);
--- a/src/app/node_report.cpp
+++ b/src/app/node_report.cpp
@@ -30,7 +30,7 @@
   const Config& config = sources.config;
   CounterView view;
   view.counters = &sources.counters;
-  for (const std::size_t i : config.in_force) view.classes.push_back(config.settings.classes[i].name);
+  for (const std::size_t i : config.active_classes) view.classes.push_back(config.settings.classes[i].name);
   view.inflight = sources.streams.size();
   view.hosts_listed = sources.discovery.listed();
   view.closed = sources.listener.closed();
@@ -52,7 +52,7 @@
   metrics.most_memory = config.memory_mb * 1024 * 1024;
   metrics.descriptors = used_sockets;
   metrics.most_descriptors = config.sockets;
-  for (const std::size_t i : config.in_force) {
+  for (const std::size_t i : config.active_classes) {
     const policy::ClassSettings& settings = config.settings.classes[i];
     metrics.classes[settings.name].worth = settings.priority_weight;
   }
--- a/src/app/openai_service.cpp
+++ b/src/app/openai_service.cpp
@@ -13,7 +13,7 @@
       settings_(settings),
       front_(core, streams, settings, std::move(keyring)),
       listener_(core, &front_, ListenerOptions(*settings, sockets, &networks_)),
-      ledger_file_(core->loop, settings->ledger_dir, core->config->name) {
+      ledger_file_(core->loop, settings->ledger_directory, core->config->name) {
   for (const std::string& network : settings->networks) networks_.Add(network);
   front_.Use(&listener_);
 }
@@ -24,8 +24,8 @@
   options.listen = settings.listen;
   options.most_sockets = sockets;
   options.share_port = true;
-  options.most_body = settings.most_body;
-  options.read_within = settings.read_within;
+  options.most_body = settings.max_body;
+  options.read_within = settings.read_timeout;
   if (!settings.networks.empty()) {
     options.admits = [networks](const sockaddr_storage& peer) { return networks->Contains(peer); };
   }
@@ -40,7 +40,7 @@
 
 void OpenAiService::WriteLedgerAtIntervals() {
   if (!ledger_file_.on()) return;
-  core_->deadlines->Set(Now() + settings_->ledger_every, [this] {
+  core_->deadlines->Set(Now() + settings_->ledger_interval, [this] {
     ledger_file_.Write(LedgerText());
     WriteLedgerAtIntervals();
   });
--- a/src/app/socket_budget.cpp
+++ b/src/app/socket_budget.cpp
@@ -26,11 +26,12 @@
 std::size_t UpstreamSockets(std::size_t traffic_sockets) { return traffic_sockets * kUpstreamPercent / 100; }
 
 std::size_t ListenerSockets(std::size_t traffic_sockets, const EdgeSettings& settings) {
-  const std::size_t membership =
-      settings.membership.on() ? membership::Membership::kSockets + membership::StatusFront::kSockets : 0;
+  const std::size_t membership = settings.membership.enabled()
+                                     ? membership::Membership::kSockets + membership::StatusFront::kSockets
+                                     : 0;
   std::size_t clients = traffic_sockets * kClientPercent / 100;
   if (clients > 2 * membership) clients -= membership;
-  const std::size_t listeners = settings.openai.on ? 2 : 1;
+  const std::size_t listeners = settings.openai.enabled ? 2 : 1;
   return clients / listeners;
 }
 
--- a/src/core/discovery.cpp
+++ b/src/core/discovery.cpp
@@ -66,7 +66,7 @@
     instances.push_back({{"instanceId", name->second},
                          {"hostPort", core_->hosts->AddressOf(id)},
                          {"zone", named(core_->config->zones, e.zone)},
-                         {"machineType", named(core_->config->kinds, e.kind)},
+                         {"machineType", named(core_->config->replica_kinds, e.kind)},
                          {"cell", e.cell},
                          {"weight", e.weight},
                          {"startedAtMs", e.started_at / 1000},
@@ -352,7 +352,7 @@
                                     : EndpointState::kDraining;
     e.weight = number("weight", 1.0);
     e.zone = IndexOf(core_->config->zones, entry, "zone");
-    e.kind = IndexOf(core_->config->kinds, entry, "machineType");
+    e.kind = IndexOf(core_->config->replica_kinds, entry, "machineType");
     e.cell = static_cast<int>(std::clamp(number("cell", kNoCell), kNoCell, 1e9));
     e.started_at = static_cast<Time>(std::clamp(number("startedAtMs", 0), 0.0, 1e15)) * 1000;
     sockaddr_storage address{};
--- a/src/core/upstream.cpp
+++ b/src/core/upstream.cpp
@@ -136,7 +136,7 @@
   c.first_byte = 0;
   c.tcp->Read();  // it may have been paused for its last client
   c.idle_since = Now();
-  const Time most = core_->config->idle_close;
+  const Time most = core_->config->idle_timeout;
   core_->deadlines->Cancel(c.deadline);
   c.deadline = core_->deadlines->Set(c.idle_since + most - std::min(kIdleMargin, most / 4),
                                      [this, handle] { Drop(handle); });
--- a/src/fronts/openai/openai_front.cpp
+++ b/src/fronts/openai/openai_front.cpp
@@ -251,7 +251,7 @@
 }
 
 limits::Rule OpenAiFront::RuleOf(const keys::Key& key) const {
-  limits::Rule rule = settings_->limits;
+  limits::Rule rule = settings_->default_limits;
   if (key.rule.requests_per_min > 0) rule.requests_per_min = key.rule.requests_per_min;
   if (key.rule.tokens_per_min > 0) rule.tokens_per_min = key.rule.tokens_per_min;
   if (key.rule.streams > 0) rule.streams = key.rule.streams;
@@ -260,18 +260,18 @@
 
 void OpenAiFront::Route(const std::string& path, const keys::Key& key, const ModelSettings& model,
                         policy::RequestArrived& a, Time* deadline) const {
-  std::string cls = key.cls.empty() ? model.cls : key.cls;
+  std::string cls = key.cls.empty() ? model.class_name : key.cls;
   for (const RouteSettings& r : settings_->routes) {
     if (!r.model.empty() && r.model != model.id) continue;
     if (!r.key.empty() && r.key != key.id && r.key != key.name) continue;
     if (!r.path.empty() && r.path != path) continue;
-    if (!r.cls.empty()) cls = r.cls;
-    *deadline = r.deadline;
+    if (!r.class_name.empty()) cls = r.class_name;
+    *deadline = r.time_budget;
     break;
   }
   const auto& classes = core_->config->settings.classes;
   const int found = core_->config->ClassIndex(cls);  // else the first in force, as before
-  const std::vector<std::size_t>& in_force = core_->config->in_force;
+  const std::vector<std::size_t>& in_force = core_->config->active_classes;
   a.class_index = found >= 0 ? found : in_force.empty() ? 0 : static_cast<int>(in_force.front());
   if (*deadline == 0) *deadline = classes[static_cast<std::size_t>(a.class_index)].time_budget;
 }
@@ -307,7 +307,7 @@
 
   const double size = sizes_.Of(model->id);
   const double prompt = std::ceil(static_cast<double>(body.prompt_chars) / size);
-  const double answer = body.max_tokens.value_or(model->answer_tokens);
+  const double answer = body.max_tokens.value_or(model->default_output_tokens);
   const limits::Rule rule = RuleOf(*key);
   const limits::Answer admitted = limits_.Admit(Now(), key->id, rule, prompt + answer);
   if (admitted.verdict != limits::Verdict::kAdmitted) {
@@ -341,7 +341,7 @@
   stream.content_type = "application/json";
   stream.sent_at = request.first_byte;
 
-  Open o(endpoint, body.include_usage, settings_->most_answer);
+  Open o(endpoint, body.include_usage, settings_->max_answer);
   o.request_id = stream.call_id;
   o.key = key->id;
   o.model = model->id;
--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -18,9 +18,9 @@
 TierLimits LimitsOf(const GossipSettings& s) {
   TierLimits l;
   l.share.tell_each = kTellEach;
-  l.evidence.accusers = s.accusers;
-  l.evidence.most_out = s.most_out;
-  if (!s.departed) l.evidence.ends = 0;
+  l.evidence.accusers = s.min_reporters;
+  l.evidence.most_out = s.max_ejected_fraction;
+  if (!s.dead_in_flight) l.evidence.ends = 0;
   return l;
 }
 
@@ -33,7 +33,8 @@
       view_(view),
       fleet_(fleet),
       events_(events),
-      model_(node, life, Now(), Uses{settings.parts, settings.evidence, settings.beginnings},
+      model_(node, life, Now(),
+             Uses{settings.traffic_shares, settings.outlier_reports, settings.prefix_shares},
              LimitsOf(settings)) {}
 
 void Tier::Start() { Turn(); }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -164,13 +164,14 @@
   phase_ = Phase::kActive;
   Options o;
   o.cluster = settings_.cluster;
-  o.period = settings_.period;
-  o.suspicion = settings_.suspicion;
-  o.exchange = static_cast<double>(settings_.exchange) / static_cast<double>(settings_.period);
-  o.forget = settings_.forget;
-  o.most_members = settings_.most_members;
+  o.period = settings_.probe_interval;
+  o.suspicion = settings_.suspicion_multiplier;
+  o.exchange =
+      static_cast<double>(settings_.push_pull_interval) / static_cast<double>(settings_.probe_interval);
+  o.forget = settings_.forget_dead_after;
+  o.most_members = settings_.max_members;
   o.datagram = kMostDatagram;
-  o.speak = settings_.wire;
+  o.speak = settings_.protocol_version;
   o.seeds = settings_.seeds;
   Record self;
   self.name = node_;
@@ -240,7 +241,7 @@
     Act();
   }
   Act();
-  if (settings_.follow && events_ != nullptr) {
+  if (settings_.update_node_count && events_ != nullptr) {
     const TierFacts facts{model_->live(), model_->joined(), model_->in_doubt(), model_->settled(),
                           model_->settled_since()};
     if (const auto nodes = tier_.Look(Now(), facts)) {
@@ -352,7 +353,7 @@
   } else {
     reinterpret_cast<sockaddr_in*>(&from)->sin_port = 0;
   }
-  call->deadline = run_->deadlines->Set(Now() + std::max<Time>(2'000'000, 3 * settings_.period),
+  call->deadline = run_->deadlines->Set(Now() + std::max<Time>(2'000'000, 3 * settings_.probe_interval),
                                         [this, handle] { End(handle, false); });
   if (call->tcp->Bind(from) != 0 || call->tcp->Connect(address) != 0) End(handle, false);
 }
@@ -376,7 +377,7 @@
     Drop("networks");
     return End(handle, false);
   }
-  call->deadline = run_->deadlines->Set(Now() + std::max<Time>(2'000'000, 3 * settings_.period),
+  call->deadline = run_->deadlines->Set(Now() + std::max<Time>(2'000'000, 3 * settings_.probe_interval),
                                         [this, handle] { End(handle, false); });
   call->tcp->Read();
 }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -55,7 +55,7 @@
   const char* phase() const;  // "active", "waiting" for the process before, or "yielded" to the next
   const std::string& address() const { return address_; }
   const std::string& name() const { return node_; }
-  std::uint32_t speaks() const { return settings_.wire; }
+  std::uint32_t speaks() const { return settings_.protocol_version; }
 
   void OnConnected(Handle call, int status) override;
   void OnRead(Handle call, std::string_view bytes) override;
--- a/src/settings/config.cpp
+++ b/src/settings/config.cpp
@@ -77,30 +77,31 @@
 Config ReadConfig(const std::string& text) {
   try {
     const json file = json::parse(text);
-    Config c;
-    c.name = file.value("name", "");
-    c.listen = file.value("listen", "");
-    c.discovery = file.value("discovery", "");
-    c.management = file.value("management", "");
-    c.seed = Seed(file);
+    Config config;
+    config.name = file.value("name", "");
+    config.listen = file.value("listen", "");
+    config.discovery = file.value("discovery", "");
+    config.management = file.value("management", "");
+    config.seed = Seed(file);
     if (file.contains("limits")) {
-      c.memory_mb = file.at("limits").value("memory_mb", c.memory_mb);
-      c.sockets = file.at("limits").value("sockets", c.sockets);
+      config.memory_mb = file.at("limits").value("memory_mb", config.memory_mb);
+      config.sockets = file.at("limits").value("sockets", config.sockets);
     }
-    if (c.memory_mb < 16 || c.sockets < 64) throw ConfigError("limits are too small to run in");
-    if (file.contains("known")) c.known = file.at("known").dump();
+    if (config.memory_mb < 16 || config.sockets < 64) throw ConfigError("limits are too small to run in");
+    if (file.contains("known")) config.known_endpoints = file.at("known").dump();
     if (!file.contains("settings")) throw ConfigError("settings are missing");
     const json& settings = file.at("settings");
-    c.settings_text = FlattenSettings(settings);
-    c.settings = policy::wire::ReadSettings(c.settings_text);
-    const std::string wrong = WrongSetting(c.settings);
-    if (!wrong.empty()) throw ConfigError("settings." + wrong);
-    for (std::size_t i = 0; i < c.settings.classes.size(); ++i) c.in_force.push_back(i);
-    c.zones = Names(settings, "localities");
-    c.kinds = Names(settings, "shapes");
-    if (settings.contains("stats")) c.load_fields = Names(settings.at("stats"), "fields");
-    if (settings.contains("limits")) c.idle_close = settings.at("limits").value("idle-close", c.idle_close);
-    return c;
+    config.settings_text = FlattenSettings(settings);
+    config.settings = policy::wire::ReadSettings(config.settings_text);
+    const std::string error = FindInvalidSetting(config.settings);
+    if (!error.empty()) throw ConfigError("settings." + error);
+    for (std::size_t i = 0; i < config.settings.classes.size(); ++i) config.active_classes.push_back(i);
+    config.zones = Names(settings, "localities");
+    config.replica_kinds = Names(settings, "shapes");
+    if (settings.contains("stats")) config.load_fields = Names(settings.at("stats"), "fields");
+    if (settings.contains("limits"))
+      config.idle_timeout = settings.at("limits").value("idle-close", config.idle_timeout);
+    return config;
   } catch (const ConfigError&) {
     throw;
   } catch (const std::exception& e) {
@@ -114,30 +115,31 @@
   std::ifstream in(path, std::ios::binary);
   if (!in) throw ConfigError("cannot read " + path);
   const std::string file{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
-  Config c;
+  Config config;
   try {
-    c = ReadConfig(file);
+    config = ReadConfig(file);
   } catch (const ConfigError& e) {
     throw ConfigError(path + ": " + e.what());
   }
-  c.source = path;
-  const auto told = [](const char* variable, std::string& value) {
+  config.source_file = path;
+  const auto override_from = [](const char* variable, std::string& value) {
     const char* text = std::getenv(variable);
     if (text != nullptr && *text != '\0') value = text;
   };
-  told("EDGE_NAME", c.name);
-  told("EDGE_LISTEN", c.listen);
-  if (!discovery_from_file || c.discovery.empty()) told("EDGE_DISCOVERY", c.discovery);
-  told("EDGE_MANAGEMENT", c.management);
+  override_from("EDGE_NAME", config.name);
+  override_from("EDGE_LISTEN", config.listen);
+  if (!discovery_from_file || config.discovery.empty()) override_from("EDGE_DISCOVERY", config.discovery);
+  override_from("EDGE_MANAGEMENT", config.management);
   sockaddr_storage address{};
-  if (!ParseAddress(c.listen, &address)) throw ConfigError("listen is not an ip:port: '" + c.listen + "'");
-  if (!c.management.empty() && !ParseAddress(c.management, &address)) {
-    throw ConfigError("management is not an ip:port: '" + c.management + "'");
+  if (!ParseAddress(config.listen, &address))
+    throw ConfigError("listen is not an ip:port: '" + config.listen + "'");
+  if (!config.management.empty() && !ParseAddress(config.management, &address)) {
+    throw ConfigError("management is not an ip:port: '" + config.management + "'");
   }
-  if (!ParseAddress(c.discovery, &address)) {
-    throw ConfigError("discovery is not an ip:port: '" + c.discovery + "'");
+  if (!ParseAddress(config.discovery, &address)) {
+    throw ConfigError("discovery is not an ip:port: '" + config.discovery + "'");
   }
-  return c;
+  return config;
 }
 
 }  // namespace
@@ -148,17 +150,19 @@
   return LoadFile(named, false);
 }
 
-Config ReloadConfig(const Config& old) { return LoadFile(old.source, true); }
+Config ReloadConfig(const Config& in_force) { return LoadFile(in_force.source_file, true); }
 
-std::string NeedsRestart(const Config& old, const Config& now) {
-  std::string what;
-  const auto say = [&](bool differs, const char* word) {
-    if (differs) what += (what.empty() ? "" : ",") + std::string(word);
+std::string NeedsRestart(const Config& in_force, const Config& loaded) {
+  std::string names;
+  const auto add_if = [&](bool differs, const char* name) {
+    if (!differs) return;
+    if (!names.empty()) names += ",";
+    names += name;
   };
-  say(old.name != now.name, "name");
-  say(old.listen != now.listen, "listen");
-  say(old.memory_mb != now.memory_mb || old.sockets != now.sockets, "limits");
-  return what;
+  add_if(in_force.name != loaded.name, "name");
+  add_if(in_force.listen != loaded.listen, "listen");
+  add_if(in_force.memory_mb != loaded.memory_mb || in_force.sockets != loaded.sockets, "limits");
+  return names;
 }
 
 }  // namespace ryeglade
--- a/src/settings/settings_check_model.h
+++ b/src/settings/settings_check_model.h
@@ -1,5 +1,5 @@
-// What no deployment can mean: settings that would make a node refuse, lose or spoil everything it is sent.
-// Whatever can be meant is taken, however unusual. No I/O, no clock.
+// Finds settings with which a node would reject, lose or corrupt everything that it is sent. Unusual settings
+// that some deployment could want pass. Pure: no I/O, no clock.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace ryeglade {
 
-// The first setting that can't be meant: its key as the configuration names it, what is wrong, and the
-// remedy. Empty: none.
-std::string WrongSetting(const policy::Settings& settings);
+// The first invalid setting: its key as the configuration names it, what is wrong, and the remedy. Empty:
+// none.
+std::string FindInvalidSetting(const policy::Settings& settings);
 
 }  // namespace ryeglade
--- a/tests/class_update_test.cpp
+++ b/tests/class_update_test.cpp
@@ -20,26 +20,26 @@
 }
 
 TEST(Retune, TakesWhatIsWhole) {
-  EXPECT_EQ(CheckRetune(kOld, kOld), "");
-  EXPECT_EQ(CheckRetune(kOld, With(kOld, "limits.max-attempts=6", "limits.max-attempts=2")), "");
+  EXPECT_EQ(FindSettingsUpdateError(kOld, kOld), "");
+  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "limits.max-attempts=6", "limits.max-attempts=2")), "");
 }
 
 TEST(Retune, TurnsDownWhatIsBroken) {
-  EXPECT_NE(CheckRetune(kOld, ""), "");
-  EXPECT_NE(CheckRetune(kOld, kOld.substr(0, kOld.size() / 2)), "");
-  EXPECT_EQ(CheckRetune(kOld, With(kOld, "classes.1.deadline=7500000\n", "")),
+  EXPECT_NE(FindSettingsUpdateError(kOld, ""), "");
+  EXPECT_NE(FindSettingsUpdateError(kOld, kOld.substr(0, kOld.size() / 2)), "");
+  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "classes.1.deadline=7500000\n", "")),
             "classes.1.deadline: is missing; every class needs it");
-  EXPECT_EQ(CheckRetune(kOld, With(kOld, "classes.1.effect=free\n", "")),
+  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "classes.1.effect=free\n", "")),
             "classes.1.effect: is missing; every class needs it");
-  EXPECT_EQ(CheckRetune(kOld, With(kOld, "limits.idle-close=5000000\n", "")),
+  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "limits.idle-close=5000000\n", "")),
             "limits.idle-close: is missing; the file in force has it, so give it a value");
-  EXPECT_EQ(CheckRetune(kOld, With(kOld, "deadline=5000000", "deadline=0")),
+  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "deadline=5000000", "deadline=0")),
             "classes.0.deadline: is not a positive number of microseconds");
-  EXPECT_EQ(CheckRetune(kOld, With(kOld, "deadline=5000000", "deadline=-1")),
+  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "deadline=5000000", "deadline=-1")),
             "classes.0.deadline: is not a positive number of microseconds");
-  EXPECT_EQ(CheckRetune(kOld, With(kOld, "max-attempts=6", "max-attempts=0")),
+  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "max-attempts=6", "max-attempts=0")),
             "limits.max-attempts: is not a positive number; give 1 or more");
-  EXPECT_EQ(CheckRetune(kOld, With(kOld, "classes.count=2", "classes.count=0")),
+  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "classes.count=2", "classes.count=0")),
             "classes: none are given; name at least one class");
 }
 
@@ -53,22 +53,23 @@
 
 TEST(Retune, KeepsIndicesAndAppendsWhatChanged) {
   ClassTable table{{Class("docs"), Class("agent")}, {0, 1}};
-  ASSERT_TRUE(Retune(table, {Class("agent"), Class("desk")}));  // docs dropped, desk added
+  ASSERT_TRUE(UpdateClasses(table, {Class("agent"), Class("desk")}));  // docs dropped, desk added
   EXPECT_EQ(table.classes.size(), 3U);
-  EXPECT_EQ(table.in_force, (std::vector<std::size_t>{1, 2}));
-  ASSERT_TRUE(Retune(table, {Class("agent", policy::Idempotency::kNotIdempotent)}));  // changed: a new index
+  EXPECT_EQ(table.active, (std::vector<std::size_t>{1, 2}));
+  ASSERT_TRUE(
+      UpdateClasses(table, {Class("agent", policy::Idempotency::kNotIdempotent)}));  // changed: a new index
   EXPECT_EQ(table.classes.size(), 4U);
-  EXPECT_EQ(table.in_force, (std::vector<std::size_t>{3}));
+  EXPECT_EQ(table.active, (std::vector<std::size_t>{3}));
   EXPECT_EQ(table.classes[1].idempotency, policy::Idempotency::kIdempotent);  // what open requests came with
 }
 
 TEST(Retune, BoundsTheTable) {
   ClassTable table{{Class("c")}, {0}};
-  for (std::size_t i = 1; i < kMostClassVersions; ++i)
-    ASSERT_TRUE(Retune(table, {Class("c" + std::to_string(i))}));
+  for (std::size_t i = 1; i < kMaxClassVersions; ++i)
+    ASSERT_TRUE(UpdateClasses(table, {Class("c" + std::to_string(i))}));
   const ClassTable before = table;
-  EXPECT_FALSE(Retune(table, {Class("new")}));
-  EXPECT_EQ(table.in_force, before.in_force);
+  EXPECT_FALSE(UpdateClasses(table, {Class("new")}));
+  EXPECT_EQ(table.active, before.active);
 }
 
 }  // namespace
--- a/tests/edge_settings_test.cpp
+++ b/tests/edge_settings_test.cpp
@@ -49,12 +49,12 @@
 
 TEST(EdgeSettings, GoodOnesAreTaken) {
   const EdgeSettings e = ReadEdgeSettings("edge.toml", kGood, kClasses);
-  EXPECT_TRUE(e.openai.on);
-  EXPECT_EQ(e.openai.most_body, 128U * 1024);
-  EXPECT_EQ(e.openai.read_within, 7'500'000);
-  EXPECT_EQ(e.openai.routes.at(0).deadline, 120'000'000);
-  EXPECT_EQ(e.openai.limits.tokens_per_min, 1e6);
-  EXPECT_FALSE(ReadEdgeSettings("edge.toml", "", kClasses).openai.on);
+  EXPECT_TRUE(e.openai.enabled);
+  EXPECT_EQ(e.openai.max_body, 128U * 1024);
+  EXPECT_EQ(e.openai.read_timeout, 7'500'000);
+  EXPECT_EQ(e.openai.routes.at(0).time_budget, 120'000'000);
+  EXPECT_EQ(e.openai.default_limits.tokens_per_min, 1e6);
+  EXPECT_FALSE(ReadEdgeSettings("edge.toml", "", kClasses).openai.enabled);
 }
 
 TEST(EdgeSettings, EachSlipNamesPlaceAndRemedy) {
--- a/tests/membership_parts_test.cpp
+++ b/tests/membership_parts_test.cpp
@@ -233,15 +233,15 @@
 }
 
 TEST(MembershipSettings, AreOffWhereTheyAreAbsentAndSlipsNamePlaceAndRemedy) {
-  EXPECT_FALSE(ReadEdgeSettings("e.toml", "", {}).membership.on());
+  EXPECT_FALSE(ReadEdgeSettings("e.toml", "", {}).membership.enabled());
   const std::string good =
       "[membership]\nlisten = \"127.0.0.1:7946\"\nnetworks = [\"127.0.0.0/8\"]\nseeds = "
       "[\"127.0.0.2:7946\"]\n"
       "period = \"500ms\"\nwire = 1\n";
   const MembershipSettings m = ReadEdgeSettings("e.toml", good, {}).membership;
-  EXPECT_TRUE(m.on());
-  EXPECT_EQ(m.period, 500'000);
-  EXPECT_EQ(m.wire, 1U);
+  EXPECT_TRUE(m.enabled());
+  EXPECT_EQ(m.probe_interval, 500'000);
+  EXPECT_EQ(m.protocol_version, 1U);
   const auto says = [&](const std::string& from, const std::string& to) -> std::string {
     std::string text = good;
     text.replace(text.find(from), from.size(), to);
