--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -72,7 +72,7 @@
 }
 
 struct KeyOptions {
-  std::string file, name, id, cls;
+  std::string file, name, id, class_name;
   double requests = 0, tokens = 0;
   int streams = 0;
 };
@@ -87,8 +87,8 @@
 int KeyNew(const KeyOptions& o) {
   ryeglade::keys::Keyring ring = LoadOrEmpty(o.file);
   ryeglade::keys::NewKey made = ryeglade::keys::MakeKey(o.name);
-  made.key.cls = o.cls;
-  made.key.rule = {o.requests, o.tokens, o.streams};
+  made.key.class_name = o.class_name;
+  made.key.limits = {o.requests, o.tokens, o.streams};
   ring.Add(made.key);
   ring.Save(o.file);
   std::printf("%s\n", made.presented.c_str());
@@ -109,8 +109,8 @@
     const ryeglade::keys::Key& k = *ring.Find(id);
     std::printf("%-10s %-20.20s %-12s %-10s %14s %14s %8s\n", id.c_str(),
                 k.name.empty() ? "-" : k.name.c_str(), k.created.empty() ? "-" : k.created.c_str(),
-                k.cls.empty() ? "-" : k.cls.c_str(), number(k.rule.requests_per_min).c_str(),
-                number(k.rule.tokens_per_min).c_str(), number(k.rule.streams).c_str());
+                k.class_name.empty() ? "-" : k.class_name.c_str(), number(k.limits.requests_per_min).c_str(),
+                number(k.limits.tokens_per_min).c_str(), number(k.limits.streams).c_str());
   }
   return 0;
 }
@@ -172,7 +172,7 @@
   };
   CLI::App* key_new = key_command("new", "make a key and print it; the file gets only its salted hash");
   key_new->add_option("--name", key.name, "whose it is");
-  key_new->add_option("--class", key.cls, "the class of its requests");
+  key_new->add_option("--class", key.class_name, "the class of its requests");
   key_new->add_option("--requests-per-min", key.requests, "0: as the settings say")
       ->check(CLI::Range(0.0, 1e9));
   key_new->add_option("--tokens-per-min", key.tokens, "0: as the settings say")->check(CLI::Range(0.0, 1e12));
--- a/src/fronts/openai/openai_front.h
+++ b/src/fronts/openai/openai_front.h
@@ -1,7 +1,7 @@
-// The OpenAI-style API as clients speak it: chat completions, completions and models, streamed or whole. It
-// finds in a request what the decision module needs, opens streams like any other front, and keeps keys,
-// limits and the ledger. Every request that it admits ends in one answer, one settlement and one column of
-// the ledger.
+// The OpenAI-style API as clients speak it: chat completions, completions and models, streamed or complete.
+// It reads from a request what the decision module needs, opens streams like any other front, and enforces
+// keys and rate limits. Every request that it admits ends in one response, one settlement of the rate limiter
+// and one outcome in the ledger.
 #pragma once
 
 #include <memory>
@@ -24,14 +24,15 @@
 
 class OpenAiFront : public Front, public StreamSink {
  public:
-  // `keyring`: what the key file holds. `settings` must outlive the front.
+  // `keyring`: the key file's. `settings` must outlive the front.
   OpenAiFront(Core* core, Streams* streams, const OpenAiSettings* settings, keys::Keyring keyring);
   void Use(Downstream* downstream) { downstream_ = downstream; }
 
-  // Whole or not at all: throws SettingsError and changes nothing. Streams of keys that are gone end.
+  // Ends the streams of keys that were revoked. Throws SettingsError and changes nothing if the file is
+  // wrong.
   void ReloadKeys();
   const ledger::Ledger& ledger() const { return ledger_; }
-  const limits::Limits& limits() const { return limits_; }
+  const limits::RateLimiter& limits() const { return limiter_; }
 
   void OnRequest(Handle connection, HttpRequest request) override;
   void OnGone(Handle connection) override;
@@ -47,56 +48,76 @@
   void OnRejected(Handle connection, int status, const std::string& body) override;
 
  private:
-  struct Open {
-    Open(openai::Endpoint e, bool usage_wanted, std::size_t most) : watch(usage_wanted), assembler(e, most) {}
+  // An admitted request until its end.
+  struct OpenRequest {
+    OpenRequest(openai::Endpoint endpoint, bool usage_wanted, std::size_t max_answer)
+        : observer(usage_wanted), assembler(endpoint, max_answer) {}
     Handle stream = 0;
     std::string request_id, key, model;
-    limits::Rule rule;
-    double reserved = 0;         // tokens
-    double reserved_answer = 0;  // of them for the answer
-    bool bounded = false;        // the request sets max_tokens, so the answer can't outgrow its reservation
-    bool streamed = false;
-    bool begun = false;
-    std::string headers;  // for the answer's head
-    AnswerWatch watch;
+    limits::KeyLimits limits;
+    double reserved_tokens = 0;         // prompt and output
+    double reserved_output_tokens = 0;  // of them for the output
+    bool has_max_tokens = false;        // then the output can't outgrow its reservation
+    bool streamed = false;              // else the response is sent when it is complete
+    bool response_begun = false;
+    std::string response_headers;
+    AnswerWatch observer;
     Assembler assembler;
   };
+  // How many tokens a request may use, by which it is admitted.
+  struct TokenEstimate {
+    double prompt = 0;
+    double prefix = 0;  // of the prompt, its leading system messages
+    double output = 0;
+    double total() const { return prompt + output; }
+  };
 
-  void Models(Handle connection, const HttpRequest& request, std::string_view path);
-  void Metrics(Handle connection, const HttpRequest& request);
-  void Completion(Handle connection, HttpRequest& request, openai::Endpoint endpoint);
+  void ServeHealth(Handle connection);
+  void ServeModels(Handle connection, const HttpRequest& request, std::string_view path);
+  void ServeMetrics(Handle connection);
+  void ServeCompletion(Handle connection, HttpRequest& request, openai::Endpoint endpoint);
   // The key that the request shows; null: it was answered with an error.
   const keys::Key* Authorize(Handle connection, const HttpRequest& request);
-  // Fills class, deadline and model; false: it was answered with an error.
-  const ModelSettings* Model(const std::string& id) const;
-  void Route(const std::string& path, const keys::Key& key, const ModelSettings& model,
-             policy::RequestArrived& a, Time* deadline) const;
-  Time Patience(const HttpRequest& request, Time deadline) const;
-  limits::Rule RuleOf(const keys::Key& key) const;
+  const ModelSettings* FindModel(const std::string& id) const;  // null: there is none
+  TokenEstimate EstimateTokens(const openai::Body& body, const ModelSettings& model) const;
+  // Sets the class; the result is the time budget that the settings give.
+  Time ApplyRoute(const std::string& path, const keys::Key& key, const ModelSettings& model,
+                  policy::RequestArrived& arrival) const;
+  Time TimeBudgetFor(const HttpRequest& request, Time configured) const;
+  limits::KeyLimits LimitsOf(const keys::Key& key) const;
 
-  void Error(Handle connection, const ApiError& error, const std::string& headers = "");
-  void Drop(Handle connection, const ApiError& error,
-            ledger::Column column);                       // ends an open request from this side
-  Open Settle(Handle connection, ledger::Column column);  // out of the table, settled and entered
-  void BeginStream(Handle connection, const Open& open);
-  std::string NewId();
+  // A response by this node, counted as a rejection before admission.
+  void Reject(Handle connection, const ApiError& error, const std::string& headers = "");
+  void ReplyError(Handle connection, const ApiError& error, const std::string& headers = "");
+  // Ends an open request by decision of this node.
+  void Abort(Handle connection, const ApiError& error, ledger::Column outcome);
+  // Removes an open request, settles its reservation and enters it in the ledger.
+  OpenRequest Settle(Handle connection, ledger::Column outcome);
+  // Whether what complete responses take up leaves space for `bytes` more of this one.
+  bool ReserveAssembly(OpenRequest& open, std::size_t bytes);
+  // Reserves tokens for an output that has outgrown its reservation; false: the key has none left.
+  bool ReserveForGrowth(OpenRequest& open);
+  void ForwardChunk(Handle connection, OpenRequest& open);
+  void BeginStream(Handle connection, const OpenRequest& open);
+  std::string NewRequestId();
 
   Core* core_;
   Streams* streams_;
   const OpenAiSettings* settings_;
   Downstream* downstream_ = nullptr;
   keys::Keyring keyring_;
-  keys::Key anyone_;  // where no key is asked for
-  limits::Limits limits_;
-  limits::WrongKeys wrong_keys_;
+  keys::Key anonymous_key_;  // where no key is asked for
+  limits::RateLimiter limiter_;
+  limits::InvalidKeyThrottle invalid_key_throttle_;
   limits::Networks metrics_networks_;
   ledger::Ledger ledger_;
-  ledger::TokenSizes sizes_;
-  std::unordered_map<Handle, Open> open_;  // by connection
-  std::size_t assembling_ = 0;             // bytes held for whole answers
-  std::size_t unfinished_ = 0;             // bytes of events that have not ended, of all streams
-  std::uint64_t id_seed_, ids_ = 0;
-  std::string out_;  // used again for each piece passed on
+  ledger::TokenSizes token_sizes_;
+  std::unordered_map<Handle, OpenRequest> open_requests_;  // by connection
+  std::size_t assembled_bytes_ = 0;   // of responses that are not complete yet and not streamed
+  std::size_t unfinished_bytes_ = 0;  // of events that have not ended, of all streams
+  std::uint64_t id_seed_;
+  std::uint64_t ids_ = 0;
+  std::string chunk_;  // reused for each piece that is forwarded
 };
 
 }  // namespace ryeglade
--- a/src/keys/keyring.cpp
+++ b/src/keys/keyring.cpp
@@ -24,7 +24,7 @@
 
 constexpr std::string_view kPrefix = "rg-";
 constexpr std::size_t kIdDigits = 8, kSecretDigits = 64, kSaltDigits = 32, kHashDigits = 64;
-constexpr std::size_t kPresented = kPrefix.size() + kIdDigits + 1 + kSecretDigits;
+constexpr std::size_t kPresentedSize = kPrefix.size() + kIdDigits + 1 + kSecretDigits;
 
 bool IsHex(std::string_view text, std::size_t digits) {
   return text.size() == digits && std::all_of(text.begin(), text.end(), [](unsigned char c) {
@@ -49,7 +49,7 @@
 
 using Digest = std::array<unsigned char, 32>;
 
-Digest HashOf(std::string_view salt_hex, std::string_view secret) {
+Digest Sha256(std::string_view salt_hex, std::string_view secret) {
   Digest digest{};
   const std::string text = FromHex(salt_hex) + std::string(secret);
   unsigned length = 0;
@@ -67,10 +67,10 @@
   return ToHex(bytes.data(), digits / 2);
 }
 
-constexpr std::size_t kMostText = 256;
+constexpr std::size_t kMaxPresented = 256;
 
 std::string IdOfText(std::string_view text) {
-  const Digest digest = HashOf("", text);
+  const Digest digest = Sha256("", text);
   return ToHex(digest.data(), kIdDigits / 2);
 }
 
@@ -91,11 +91,11 @@
     key.hash = entry.Needed("hash", "64 hexadecimal digits; the key itself never stands in this file");
     if (!IsHex(key.hash, kHashDigits)) entry.Fail("hash", "must be 64 lower-case hexadecimal digits");
     key.created = entry.Text("created", "");
-    key.cls = entry.Text("class", "");
-    key.rule = ReadRule(entry);
+    key.class_name = entry.Text("class", "");
+    key.limits = ReadKeyLimits(entry);
     entry.Close();
-    if (ring.keys_.size() >= kMostKeys)
-      entry.Fail("id", fmt::format("is one too many; {} keys are the most", kMostKeys));
+    if (ring.keys_.size() >= kMaxKeys)
+      entry.Fail("id", fmt::format("is one too many; {} keys are the most", kMaxKeys));
     ring.Add(std::move(key));
   }
   top.Close();
@@ -116,16 +116,18 @@
 }
 
 const Key* Keyring::Verify(std::string_view presented) const {
-  // An unknown id is checked against nobody's hash, so that it takes as long as a known one.
-  static const Key kNobody{"", "", std::string(kSaltDigits, '0'), std::string(kHashDigits, '0'), "", {}, ""};
-  const bool formed = presented.size() == kPresented && presented.starts_with(kPrefix) &&
-                      presented[kPrefix.size() + kIdDigits] == '-';
-  if (presented.empty() || presented.size() > kMostText) return nullptr;
+  // An unknown id is checked against a hash that nothing has, so that it takes as long as a known one.
+  static const Key kUnknownKey{"", "", std::string(kSaltDigits, '0'), std::string(kHashDigits, '0'), "",
+                               {}, ""};
+  const bool well_formed = presented.size() == kPresentedSize && presented.starts_with(kPrefix) &&
+                           presented[kPrefix.size() + kIdDigits] == '-';
+  if (presented.empty() || presented.size() > kMaxPresented) return nullptr;
   const std::string id =
-      formed ? std::string(presented.substr(kPrefix.size(), kIdDigits)) : IdOfText(presented);
+      well_formed ? std::string(presented.substr(kPrefix.size(), kIdDigits)) : IdOfText(presented);
   const auto it = keys_.find(id);
-  const Key& key = it == keys_.end() ? kNobody : it->second;
-  const Digest digest = HashOf(key.salt, formed ? presented.substr(kPresented - kSecretDigits) : presented);
+  const Key& key = it == keys_.end() ? kUnknownKey : it->second;
+  const Digest digest =
+      Sha256(key.salt, well_formed ? presented.substr(kPresentedSize - kSecretDigits) : presented);
   const std::string wanted = FromHex(key.hash);
   const bool same = CRYPTO_memcmp(digest.data(), wanted.data(), digest.size()) == 0;
   return same && it != keys_.end() ? &it->second : nullptr;
@@ -153,18 +155,18 @@
       "change up.\n";
   for (const std::string& id : order_) {
     const Key& key = keys_.at(id);
-    toml::table t;
-    t.insert("id", key.id);
-    if (!key.name.empty()) t.insert("name", key.name);
-    t.insert("salt", key.salt);
-    t.insert("hash", key.hash);
-    if (!key.created.empty()) t.insert("created", key.created);
-    if (!key.cls.empty()) t.insert("class", key.cls);
-    if (key.rule.requests_per_min > 0) t.insert("requests_per_min", key.rule.requests_per_min);
-    if (key.rule.tokens_per_min > 0) t.insert("tokens_per_min", key.rule.tokens_per_min);
-    if (key.rule.streams > 0) t.insert("streams", static_cast<std::int64_t>(key.rule.streams));
+    toml::table entry;
+    entry.insert("id", key.id);
+    if (!key.name.empty()) entry.insert("name", key.name);
+    entry.insert("salt", key.salt);
+    entry.insert("hash", key.hash);
+    if (!key.created.empty()) entry.insert("created", key.created);
+    if (!key.class_name.empty()) entry.insert("class", key.class_name);
+    if (key.limits.requests_per_min > 0) entry.insert("requests_per_min", key.limits.requests_per_min);
+    if (key.limits.tokens_per_min > 0) entry.insert("tokens_per_min", key.limits.tokens_per_min);
+    if (key.limits.streams > 0) entry.insert("streams", static_cast<std::int64_t>(key.limits.streams));
     std::ostringstream text;
-    text << t;
+    text << entry;
     out += "\n[[key]]\n" + text.str() + "\n";
   }
   return out;
@@ -182,7 +184,7 @@
   key.id = IdOfText(text);
   key.name = name;
   key.salt = RandomHex(kSaltDigits);
-  const Digest digest = HashOf(key.salt, text);
+  const Digest digest = Sha256(key.salt, text);
   key.hash = ToHex(digest.data(), digest.size());
   return key;
 }
@@ -193,7 +195,7 @@
   made.key.name = name;
   made.key.salt = RandomHex(kSaltDigits);
   const std::string secret = RandomHex(kSecretDigits);
-  const Digest digest = HashOf(made.key.salt, secret);
+  const Digest digest = Sha256(made.key.salt, secret);
   made.key.hash = ToHex(digest.data(), digest.size());
   const std::time_t now = std::time(nullptr);
   std::tm utc{};
--- a/src/keys/keyring.h
+++ b/src/keys/keyring.h
@@ -1,6 +1,6 @@
-// Keys of clients. The file holds only salted hashes; a key is `rg-<id>-<secret>`, its secret 256 random
-// bits, so one round of SHA-256 is enough: there is nothing to guess, and thousands of wrong keys a second
-// cost little.
+// API keys of clients. The key file has only salted hashes; a key is `rg-<id>-<secret>` with a secret of 256
+// random bits, so one round of SHA-256 is enough: there is nothing to guess, and thousands of invalid keys a
+// second cost little.
 #pragma once
 
 #include <cstddef>
@@ -15,17 +15,17 @@
 namespace ryeglade::keys {
 
 struct Key {
-  std::string id;          // 8 hexadecimal digits; public
-  std::string name;        // whose it is
-  std::string salt, hash;  // hexadecimal; hash = SHA-256(salt bytes, secret bytes)
-  std::string created;     // a date, for people
-  limits::Rule rule;       // a field that is 0 takes the default of the settings
-  std::string cls;         // the class of its requests, if the routes name none; empty: none
+  std::string id;            // 8 hexadecimal digits; public
+  std::string name;          // whose it is
+  std::string salt, hash;    // hexadecimal; hash = SHA-256(salt bytes, secret bytes)
+  std::string created;       // a date, for people
+  limits::KeyLimits limits;  // a field that is 0 takes the default of the settings
+  std::string class_name;    // the class of its requests, if the routes name none; empty: none
 };
 
 class Keyring {
  public:
-  static constexpr std::size_t kMostKeys = 100'000;
+  static constexpr std::size_t kMaxKeys = 100'000;
 
   // Throws SettingsError naming file, line, key and remedy.
   static Keyring Parse(const std::string& file, const std::string& text);
@@ -37,16 +37,16 @@
   const Key* Verify(std::string_view presented) const;
   const Key* Find(const std::string& id) const;
   std::size_t size() const { return keys_.size(); }
-  const std::vector<std::string>& order() const { return order_; }
+  const std::vector<std::string>& order() const { return order_; }  // ids in the order of the file
 
   void Add(Key key);
   bool Remove(const std::string& id);
-  std::string Text() const;                  // as the file holds it
-  void Save(const std::string& path) const;  // whole or not at all, mode 0600; throws SettingsError
+  std::string Text() const;                  // the key file's
+  void Save(const std::string& path) const;  // atomically, mode 0600; throws SettingsError
 
  private:
   std::unordered_map<std::string, Key> keys_;  // by id
-  std::vector<std::string> order_;             // of the file
+  std::vector<std::string> order_;             // ids, as in the file
 };
 
 struct NewKey {
--- a/src/limits/limits_policy.cpp
+++ b/src/limits/limits_policy.cpp
@@ -6,115 +6,116 @@
 namespace ryeglade::limits {
 namespace {
 
-constexpr double kMinute = 60e6;  // microseconds
-// Rounding must not turn away what a wait that we named was long enough for.
-constexpr double kGrain = 1e-9;
+constexpr double kMinuteUs = 60e6;
+// Rounding must not reject what comes after the retry_after that was given.
+constexpr double kRoundingSlack = 1e-9;
 
 }  // namespace
 
-void Limits::Fill(Bucket& bucket, double per_min, Time now) {
-  if (bucket.at < 0) {
+void RateLimiter::Refill(Bucket& bucket, double per_min, Time now) {
+  if (bucket.filled_at < 0) {
     bucket = {per_min, now};
     return;
   }
-  const Time passed = std::max<Time>(0, now - bucket.at);  // time that steps back fills nothing
-  bucket.level = std::min(per_min, bucket.level + per_min * static_cast<double>(passed) / kMinute);
-  bucket.at = std::max(bucket.at, now);
+  const Time passed = std::max<Time>(0, now - bucket.filled_at);  // time that steps back fills nothing
+  bucket.level = std::min(per_min, bucket.level + per_min * static_cast<double>(passed) / kMinuteUs);
+  bucket.filled_at = std::max(bucket.filled_at, now);
 }
 
-Time Limits::Wait(const Bucket& bucket, double per_min, double want) {
-  if (per_min <= 0 || bucket.level >= want) return 0;
-  return static_cast<Time>(std::ceil((want - bucket.level) * kMinute / per_min));
+Time RateLimiter::TimeUntil(const Bucket& bucket, double per_min, double wanted_level) {
+  if (per_min <= 0 || bucket.level >= wanted_level) return 0;
+  return static_cast<Time>(std::ceil((wanted_level - bucket.level) * kMinuteUs / per_min));
 }
 
-Left Limits::Rest(const Key& key, const Rule& rule) {
-  Left left;
-  left.limit_requests = rule.requests_per_min;
-  left.limit_tokens = rule.tokens_per_min;
-  left.requests = std::max(0.0, std::floor(key.requests.level + kGrain));
-  left.tokens = std::max(0.0, std::floor(key.tokens.level + kGrain));
-  left.requests_full_in = Wait(key.requests, rule.requests_per_min, rule.requests_per_min);
-  left.tokens_full_in = Wait(key.tokens, rule.tokens_per_min, rule.tokens_per_min);
-  return left;
+RemainingQuota RateLimiter::Remaining(const KeyState& key, const KeyLimits& limits) {
+  RemainingQuota remaining;
+  remaining.request_limit = limits.requests_per_min;
+  remaining.token_limit = limits.tokens_per_min;
+  remaining.requests = std::max(0.0, std::floor(key.requests.level + kRoundingSlack));
+  remaining.tokens = std::max(0.0, std::floor(key.tokens.level + kRoundingSlack));
+  remaining.requests_reset_after = TimeUntil(key.requests, limits.requests_per_min, limits.requests_per_min);
+  remaining.tokens_reset_after = TimeUntil(key.tokens, limits.tokens_per_min, limits.tokens_per_min);
+  return remaining;
 }
 
-Answer Limits::Admit(Time now, const std::string& name, const Rule& rule, double tokens) {
-  Key& key = keys_[name];
+AdmissionResult RateLimiter::Admit(Time now, const std::string& name, const KeyLimits& limits,
+                                   double tokens) {
+  KeyState& key = keys_[name];
   key.forgotten = false;
-  Fill(key.requests, rule.requests_per_min, now);
-  Fill(key.tokens, rule.tokens_per_min, now);
+  Refill(key.requests, limits.requests_per_min, now);
+  Refill(key.tokens, limits.tokens_per_min, now);
   tokens = std::max(0.0, tokens);
-  Answer answer;
-  if (rule.tokens_per_min > 0 && tokens > rule.tokens_per_min) {
-    answer.verdict = Verdict::kTooLarge;
-  } else if (rule.requests_per_min > 0 && key.requests.level + kGrain < 1) {
-    answer.verdict = Verdict::kRequests;
-  } else if (rule.tokens_per_min > 0 && key.tokens.level + kGrain < tokens) {
-    answer.verdict = Verdict::kTokens;
-  } else if (rule.streams > 0 && key.streams >= rule.streams) {
-    answer.verdict = Verdict::kStreams;
+  AdmissionResult result;
+  if (limits.tokens_per_min > 0 && tokens > limits.tokens_per_min) {
+    result.admission = Admission::kRequestTooLarge;
+  } else if (limits.requests_per_min > 0 && key.requests.level + kRoundingSlack < 1) {
+    result.admission = Admission::kOverRequests;
+  } else if (limits.tokens_per_min > 0 && key.tokens.level + kRoundingSlack < tokens) {
+    result.admission = Admission::kOverTokens;
+  } else if (limits.streams > 0 && key.streams >= limits.streams) {
+    result.admission = Admission::kOverStreams;
   }
-  if (answer.verdict == Verdict::kAdmitted) {
-    key.requests.level -= rule.requests_per_min > 0 ? 1 : 0;
-    key.tokens.level -= rule.tokens_per_min > 0 ? tokens : 0;
+  if (result.admission == Admission::kAdmitted) {
+    key.requests.level -= limits.requests_per_min > 0 ? 1 : 0;
+    key.tokens.level -= limits.tokens_per_min > 0 ? tokens : 0;
     ++key.streams;
     key.reserved += tokens;
-  } else if (answer.verdict != Verdict::kTooLarge) {
-    // The longer of both, so that who comes back then is not turned away for the other.
-    answer.retry_after =
-        std::max(Wait(key.requests, rule.requests_per_min, 1), Wait(key.tokens, rule.tokens_per_min, tokens));
+  } else if (result.admission != Admission::kRequestTooLarge) {
+    // The longer of both, so that a retry then is not rejected for the other.
+    result.retry_after = std::max(TimeUntil(key.requests, limits.requests_per_min, 1),
+                                  TimeUntil(key.tokens, limits.tokens_per_min, tokens));
   }
-  answer.left = Rest(key, rule);
-  return answer;
+  result.remaining = Remaining(key, limits);
+  return result;
 }
 
-bool Limits::Grow(Time now, const std::string& name, const Rule& rule, double tokens) {
+bool RateLimiter::ReserveMore(Time now, const std::string& name, const KeyLimits& limits, double tokens) {
   const auto it = keys_.find(name);
   if (it == keys_.end() || it->second.forgotten) return false;
-  Key& key = it->second;
-  Fill(key.tokens, rule.tokens_per_min, now);
-  if (rule.tokens_per_min > 0) {
-    if (key.tokens.level + kGrain < tokens) return false;
+  KeyState& key = it->second;
+  Refill(key.tokens, limits.tokens_per_min, now);
+  if (limits.tokens_per_min > 0) {
+    if (key.tokens.level + kRoundingSlack < tokens) return false;
     key.tokens.level -= tokens;
   }
   key.reserved += tokens;
   return true;
 }
 
-void Limits::Settle(Time now, const std::string& name, const Rule& rule, double reserved, double used,
-                    bool ran) {
+void RateLimiter::Settle(Time now, const std::string& name, const KeyLimits& limits, double reserved,
+                         double used, bool forwarded) {
   const auto it = keys_.find(name);
   if (it == keys_.end()) return;
-  Key& key = it->second;
+  KeyState& key = it->second;
   key.streams = std::max(0, key.streams - 1);
   key.reserved = key.streams == 0 ? 0 : std::max(0.0, key.reserved - reserved);
-  if (rule.tokens_per_min > 0) {
-    Fill(key.tokens, rule.tokens_per_min, now);
+  if (limits.tokens_per_min > 0) {
+    Refill(key.tokens, limits.tokens_per_min, now);
     // Used may be more than reserved: the level then goes below zero, and is paid off before anything is
     // admitted; by a minute's worth at most, so that one wrong figure can't shut a key out for long.
     key.tokens.level =
-        std::clamp(key.tokens.level + reserved - used, -rule.tokens_per_min, rule.tokens_per_min);
+        std::clamp(key.tokens.level + reserved - used, -limits.tokens_per_min, limits.tokens_per_min);
   }
-  if (!ran && rule.requests_per_min > 0) {
-    Fill(key.requests, rule.requests_per_min, now);
-    key.requests.level = std::min(rule.requests_per_min, key.requests.level + 1);
+  if (!forwarded && limits.requests_per_min > 0) {
+    Refill(key.requests, limits.requests_per_min, now);
+    key.requests.level = std::min(limits.requests_per_min, key.requests.level + 1);
   }
   if (key.forgotten && key.streams == 0) keys_.erase(it);
 }
 
-void Limits::Forget(const std::string& name) {
+void RateLimiter::Forget(const std::string& name) {
   const auto it = keys_.find(name);
   if (it == keys_.end()) return;
   it->second.forgotten = true;
   if (it->second.streams == 0) keys_.erase(it);
 }
 
-int Limits::streams(const std::string& name) const {
+int RateLimiter::streams(const std::string& name) const {
   const auto it = keys_.find(name);
   return it == keys_.end() ? 0 : it->second.streams;
 }
 
-double Limits::reserved(const std::string& name) const {
+double RateLimiter::reserved(const std::string& name) const {
   const auto it = keys_.find(name);
   return it == keys_.end() ? 0 : it->second.reserved;
 }
--- a/src/limits/networks.h
+++ b/src/limits/networks.h
@@ -14,14 +14,14 @@
 
 class Networks {
  public:
-  // "10.1.0.0/16", "2001:db8::/32", "192.0.2.7" or "::1". False: it is none of these, or bits behind the
-  // length are set.
+  // "10.1.0.0/16", "2001:db8::/32", "192.0.2.7" or "::1". False: it is none of these, or bits beyond the
+  // prefix length are set.
   bool Add(const std::string& network);
-  bool Contains(const sockaddr_storage& address)
-      const;  // of a socket's peer; an IPv4 address inside IPv6 counts as IPv4
+  // Of a socket's peer; an IPv4 address inside IPv6 counts as IPv4.
+  bool Contains(const sockaddr_storage& address) const;
   bool Contains(const std::string& address) const;
   bool empty() const { return set_.empty(); }
-  std::size_t ranges() const { return set_.iterative_size(); }  // after neighbours were joined
+  std::size_t ranges() const { return set_.iterative_size(); }  // after adjacent ones were merged
 
  private:
   using Address = boost::asio::ip::address_v6;  // IPv4 as ::ffff:a.b.c.d
--- a/src/limits/rate_limit_policy.cpp
+++ b/src/limits/rate_limit_policy.cpp
@@ -4,12 +4,12 @@
 
 namespace ryeglade::limits {
 
-Time WrongKeys::Wait(Time now) {
-  next_ = std::max(next_, now - slack_);
-  const Time wait = std::clamp<Time>(next_ - now, 0, most_);
-  // Turns beyond the longest wait are not given out: the debt of a long flood ends soon after it.
-  next_ = std::min(next_ + step_, now + most_);
-  return wait;
+Time InvalidKeyThrottle::DelayOfNext(Time now) {
+  next_slot_ = std::max(next_slot_, now - burst_span_);
+  const Time delay = std::clamp<Time>(next_slot_ - now, 0, max_delay_);
+  // No slots are given out beyond the longest delay: the debt of a long flood ends soon after it.
+  next_slot_ = std::min(next_slot_ + interval_, now + max_delay_);
+  return delay;
 }
 
 }  // namespace ryeglade::limits
--- a/src/limits/rate_limit_policy.h
+++ b/src/limits/rate_limit_policy.h
@@ -1,27 +1,28 @@
-// How soon a wrong key is told so. A few at a time are answered at once; when many show wrong keys together,
-// each further answer takes its turn, so that whoever tries again as soon as it is answered can't take the
-// node's time from those whose keys are right. No I/O, no clock.
+// Delays the answer to requests with an invalid key. A burst is answered at once; beyond it each answer waits
+// for its turn, so that clients that retry as soon as they are answered can't take the node's time from those
+// with valid keys. No I/O, no clock.
 #pragma once
 
 #include "ryeglade/router.h"
 
 namespace ryeglade::limits {
 
-using policy::Time;
+using policy::Time;  // microseconds
 
-class WrongKeys {
+class InvalidKeyThrottle {
  public:
-  // The wait before the answer, 0 to `most`. `per_second`: answers given once the first `at_once` are spent.
-  explicit WrongKeys(double per_second = 200, double at_once = 200, Time most = 2'000'000)
-      : step_(static_cast<Time>(1e6 / per_second)),
-        slack_(static_cast<Time>(at_once * 1e6 / per_second)),
-        most_(most) {}
+  // `per_second`: answers once the first `burst` are given. No delay is longer than `max_delay`.
+  explicit InvalidKeyThrottle(double per_second = 200, double burst = 200, Time max_delay = 2'000'000)
+      : interval_(static_cast<Time>(1e6 / per_second)),
+        burst_span_(static_cast<Time>(burst * 1e6 / per_second)),
+        max_delay_(max_delay) {}
 
-  Time Wait(Time now);
+  // How long to delay the answer to a request that came now.
+  Time DelayOfNext(Time now);
 
  private:
-  Time step_, slack_, most_;
-  Time next_ = 0;  // the next turn, were there no slack
+  Time interval_, burst_span_, max_delay_;
+  Time next_slot_ = 0;  // when the next answer would be due without the burst
 };
 
 }  // namespace ryeglade::limits
--- a/src/settings/edge_settings.cpp
+++ b/src/settings/edge_settings.cpp
@@ -91,7 +91,7 @@
   settings.ledger_interval = ledger.Span("every", kSecond, 3600 * kSecond, settings.ledger_interval);
   ledger.Close();
   TomlSection limits = section.Table("limits");
-  settings.default_limits = ReadRule(limits);
+  settings.default_limits = ReadKeyLimits(limits);
   limits.Close();
   for (TomlSection& model : section.Tables("model")) {
     settings.models.push_back(ReadModel(model, settings.models, classes));
@@ -216,12 +216,12 @@
 
 }  // namespace
 
-limits::Rule ReadRule(TomlSection& section) {
-  limits::Rule rule;
-  rule.requests_per_min = section.Number("requests_per_min", 0, 1e9, 0);
-  rule.tokens_per_min = section.Number("tokens_per_min", 0, 1e12, 0);
-  rule.streams = static_cast<int>(section.Whole("streams", 0, 1'000'000, 0));
-  return rule;
+limits::KeyLimits ReadKeyLimits(TomlSection& section) {
+  limits::KeyLimits limits;
+  limits.requests_per_min = section.Number("requests_per_min", 0, 1e9, 0);
+  limits.tokens_per_min = section.Number("tokens_per_min", 0, 1e12, 0);
+  limits.streams = static_cast<int>(section.Whole("streams", 0, 1'000'000, 0));
+  return limits;
 }
 
 std::vector<std::string> ClassNames(const policy::Settings& settings) {
--- a/src/settings/edge_settings.h
+++ b/src/settings/edge_settings.h
@@ -45,7 +45,7 @@
   Time read_timeout = 10'000'000;     // for a whole request; 0.1 s to 10 min
   std::string ledger_directory;       // empty: the ledger is not written to disk
   Time ledger_interval = 60'000'000;  // 1 s to 1 h
-  limits::Rule default_limits;        // of a key that has none of its own
+  limits::KeyLimits default_limits;   // of a key that has none of its own
   std::vector<ModelSettings> models;
   std::vector<RouteSettings> routes;
 };
@@ -112,7 +112,7 @@
 
 class TomlSection;
 // The three limits of a table; an absent one is 0, which means no limit.
-limits::Rule ReadRule(TomlSection& section);
+limits::KeyLimits ReadKeyLimits(TomlSection& section);
 std::vector<std::string> ClassNames(const policy::Settings& settings);
 
 // `classes` are the class names in the platform's JSON. Both throw SettingsError, which names file, line, key
--- a/tests/accounts_test.cpp
+++ b/tests/accounts_test.cpp
@@ -78,33 +78,33 @@
 // ---- Limits ----
 
 TEST(Limits, ARefusalNamesAWaitThatIsLongEnoughAndNotTooLong) {
-  limits::Limits limits;
-  const limits::Rule rule{2, 600, 0};
-  EXPECT_EQ(limits.Admit(0, "k", rule, 300).verdict, limits::Verdict::kAdmitted);
-  EXPECT_EQ(limits.Admit(0, "k", rule, 300).verdict, limits::Verdict::kAdmitted);
+  limits::RateLimiter limits;
+  const limits::KeyLimits rule{2, 600, 0};
+  EXPECT_EQ(limits.Admit(0, "k", rule, 300).admission, limits::Admission::kAdmitted);
+  EXPECT_EQ(limits.Admit(0, "k", rule, 300).admission, limits::Admission::kAdmitted);
   const auto third = limits.Admit(0, "k", rule, 100);
-  EXPECT_EQ(third.verdict, limits::Verdict::kRequests);
+  EXPECT_EQ(third.admission, limits::Admission::kOverRequests);
   EXPECT_EQ(third.retry_after, 30 * kSecond);
-  EXPECT_NE(limits.Admit(30 * kSecond - 2, "k", rule, 100).verdict, limits::Verdict::kAdmitted);
-  EXPECT_EQ(limits.Admit(30 * kSecond, "k", rule, 100).verdict, limits::Verdict::kAdmitted);
-  EXPECT_EQ(limits.Admit(30 * kSecond, "other", rule, 601).verdict, limits::Verdict::kTooLarge);
+  EXPECT_NE(limits.Admit(30 * kSecond - 2, "k", rule, 100).admission, limits::Admission::kAdmitted);
+  EXPECT_EQ(limits.Admit(30 * kSecond, "k", rule, 100).admission, limits::Admission::kAdmitted);
+  EXPECT_EQ(limits.Admit(30 * kSecond, "other", rule, 601).admission, limits::Admission::kRequestTooLarge);
 }
 
 TEST(Limits, WhatWasNotUsedComesBackAndWhatWasOverIsPaidOff) {
-  limits::Limits limits;
-  const limits::Rule rule{0, 1000, 1};
-  EXPECT_EQ(limits.Admit(0, "k", rule, 1000).verdict, limits::Verdict::kAdmitted);
-  EXPECT_EQ(limits.Admit(0, "k", rule, 0).verdict, limits::Verdict::kStreams);
-  EXPECT_FALSE(limits.Grow(0, "k", rule, 1));
+  limits::RateLimiter limits;
+  const limits::KeyLimits rule{0, 1000, 1};
+  EXPECT_EQ(limits.Admit(0, "k", rule, 1000).admission, limits::Admission::kAdmitted);
+  EXPECT_EQ(limits.Admit(0, "k", rule, 0).admission, limits::Admission::kOverStreams);
+  EXPECT_FALSE(limits.ReserveMore(0, "k", rule, 1));
   limits.Settle(0, "k", rule, 1000, 200, true);
-  EXPECT_EQ(limits.Admit(0, "k", rule, 800).verdict, limits::Verdict::kAdmitted);
+  EXPECT_EQ(limits.Admit(0, "k", rule, 800).admission, limits::Admission::kAdmitted);
   limits.Settle(0, "k", rule, 800, 5000, true);
-  EXPECT_EQ(limits.Admit(59 * kSecond, "k", rule, 1).verdict, limits::Verdict::kTokens);
-  EXPECT_EQ(limits.Admit(61 * kSecond, "k", rule, 1).verdict, limits::Verdict::kAdmitted);
+  EXPECT_EQ(limits.Admit(59 * kSecond, "k", rule, 1).admission, limits::Admission::kOverTokens);
+  EXPECT_EQ(limits.Admit(61 * kSecond, "k", rule, 1).admission, limits::Admission::kAdmitted);
 }
 
 RC_GTEST_PROP(LedgerProperty, EveryRequestInOneColumnAndReservationsReturnToZero, ()) {
-  limits::Limits limits;
+  limits::RateLimiter limits;
   ledger::Ledger ledger;
   struct Out {
     std::string key;
@@ -114,7 +114,7 @@
   std::uint64_t admitted = 0, ended = 0;
   double used = 0;
   Time now = 0;
-  const limits::Rule rule{600, 60'000, 5};
+  const limits::KeyLimits rule{600, 60'000, 5};
   const auto end = [&](std::size_t at, std::size_t column, double tokens, bool reported) {
     const Out o = open[at];
     open.erase(open.begin() + static_cast<std::ptrdiff_t>(at));
@@ -126,7 +126,7 @@
   for (const auto step : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 1000))) {
     now += step * 1000;
     const std::string key = "k" + std::to_string(step % 3);
-    if (step % 4 == 3 && limits.Grow(now, key, rule, step)) {
+    if (step % 4 == 3 && limits.ReserveMore(now, key, rule, step)) {
       // Only what runs may grow.
       bool running = false;
       for (Out& o : open) {
@@ -136,7 +136,7 @@
       }
       if (!running) limits.Settle(now, key, rule, step, 0, true);
     } else if (step % 2 == 0 || open.empty()) {
-      if (limits.Admit(now, key, rule, step).verdict != limits::Verdict::kAdmitted) continue;
+      if (limits.Admit(now, key, rule, step).admission != limits::Admission::kAdmitted) continue;
       ledger.Admitted(key, "m");
       open.push_back({key, static_cast<double>(step)});
       ++admitted;
@@ -247,13 +247,13 @@
   }
 }
 
-TEST(WrongKeys, AFewAreToldAtOnceAndAFloodTakesTurns) {
-  limits::WrongKeys w(100, 10, 2'000'000);
+TEST(InvalidKeyThrottle, AFewAreToldAtOnceAndAFloodTakesTurns) {
+  limits::InvalidKeyThrottle w(100, 10, 2'000'000);
   Time now = 1'000'000'000;
   int at_once = 0;
   Time last = 0;
   for (int i = 0; i < 500; ++i) {
-    const Time wait = w.Wait(now);
+    const Time wait = w.DelayOfNext(now);
     at_once += wait == 0 ? 1 : 0;
     ASSERT_GE(wait, last);
     ASSERT_LE(wait, 2'000'000);
@@ -261,7 +261,7 @@
   }
   EXPECT_EQ(at_once, 11);
   EXPECT_EQ(last, 2'000'000);
-  EXPECT_EQ(w.Wait(now + 5'000'000), 0);  // the flood leaves no debt
+  EXPECT_EQ(w.DelayOfNext(now + 5'000'000), 0);  // the flood leaves no debt
 }
 
 }  // namespace
