--- a/src/core/endpoint_list_parser.cpp
+++ b/src/core/endpoint_list_parser.cpp
@@ -59,7 +59,7 @@
   e.state = StateOf(listed.lifecycle);
   e.weight = NumberField(entry, "weight", 1.0);
   e.zone = IndexOf(config.zones, entry, "zone");
-  e.kind = IndexOf(config.kinds, entry, "machineType");
+  e.kind = IndexOf(config.replica_kinds, entry, "machineType");
   e.cell = static_cast<int>(std::clamp(NumberField(entry, "cell", kNoCell), kNoCell, kMaxCell));
   e.started_at = static_cast<Time>(std::clamp(listed.started_at_ms, 0.0, kMaxStartedAtMs)) * 1000;
   sockaddr_storage address{};
--- a/src/core/endpoint_table.cpp
+++ b/src/core/endpoint_table.cpp
@@ -65,7 +65,7 @@
     instances.push_back({{"instanceId", name->second},
                          {"hostPort", core_->hosts->AddressOf(id)},
                          {"zone", name_at(core_->config->zones, e.zone)},
-                         {"machineType", name_at(core_->config->kinds, e.kind)},
+                         {"machineType", name_at(core_->config->replica_kinds, e.kind)},
                          {"cell", e.cell},
                          {"weight", e.weight},
                          {"startedAtMs", e.started_at / 1000},
--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -17,15 +17,15 @@
 
 // The settings keep the keys of the table [tier].
 GossipFeatures FeaturesOf(const GossipSettings& settings) {
-  return {settings.parts, settings.evidence, settings.beginnings};
+  return {settings.traffic_shares, settings.outlier_reports, settings.prefix_shares};
 }
 
 SharedStateLimits LimitsOf(const GossipSettings& settings) {
   SharedStateLimits limits;
   limits.traffic_share.report_interval_per_node = kReportIntervalPerNode;
-  limits.outliers.required_reporters = settings.accusers;
-  limits.outliers.max_ejected_share = settings.most_out;
-  if (!settings.departed) limits.outliers.orphan_lifetime = 0;
+  limits.outliers.required_reporters = settings.min_reporters;
+  limits.outliers.max_ejected_share = settings.max_ejected_fraction;
+  if (!settings.dead_in_flight) limits.outliers.orphan_lifetime = 0;
   return limits;
 }
 
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -170,14 +170,14 @@
 MembershipOptions Membership::ModelOptions() const {
   MembershipOptions options;
   options.cluster = settings_.cluster;
-  options.probe_interval = settings_.period;
-  options.suspicion_intervals = settings_.suspicion;
+  options.probe_interval = settings_.probe_interval;
+  options.suspicion_intervals = settings_.suspicion_multiplier;
   options.push_pull_intervals =
-      static_cast<double>(settings_.exchange) / static_cast<double>(settings_.period);
-  options.forget_after = settings_.forget;
-  options.max_members = settings_.most_members;
+      static_cast<double>(settings_.push_pull_interval) / static_cast<double>(settings_.probe_interval);
+  options.forget_after = settings_.forget_dead_after;
+  options.max_members = settings_.max_members;
   options.max_datagram_bytes = kMaxDatagramBytes;
-  options.schema = settings_.wire;
+  options.schema = settings_.protocol_version;
   options.seeds = settings_.seeds;
   return options;
 }
@@ -254,7 +254,7 @@
     Execute();
   }
   Execute();
-  if (settings_.follow && events_ != nullptr) UpdateNodeCount();
+  if (settings_.update_node_count && events_ != nullptr) UpdateNodeCount();
   LogDropped();
 }
 
@@ -363,7 +363,7 @@
 // ---- Push-pull exchanges ----
 
 void Membership::SetExchangeDeadline(Handle handle, Exchange* exchange) {
-  const Time timeout = std::max<Time>(kMinExchangeTimeout, 3 * settings_.period);
+  const Time timeout = std::max<Time>(kMinExchangeTimeout, 3 * settings_.probe_interval);
   exchange->deadline =
       runtime_->deadlines->Set(Now() + timeout, [this, handle] { EndExchange(handle, false); });
 }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -61,7 +61,7 @@
   const char* phase() const;  // "active", "waiting" for the process before, or "yielded" to the next
   const std::string& address() const { return address_; }
   const std::string& name() const { return node_; }
-  std::uint32_t schema() const { return settings_.wire; }  // that is written
+  std::uint32_t schema() const { return settings_.protocol_version; }  // that is written
 
   void OnConnected(Handle exchange, int status) override;
   void OnRead(Handle exchange, std::string_view bytes) override;
