--- a/tests/fairness_test.cpp
+++ b/tests/fairness_test.cpp
@@ -1,5 +1,5 @@
 // Whose requests are answered: seeded arrivals at a Router before replicas that read prompts one after
-// another, below capacity and above it. Largest requests get their part of their class's share, and refusals
+// another, below capacity and above it. Largest requests get their part of their class's share, and rejections
 // do not single out sessions.
 #include <gtest/gtest.h>
 
@@ -61,7 +61,7 @@
       : load_(load), random_(seed), settings_(TwoClasses(load.late_worth)), router_(settings_, seed, 0) {}
 
   std::vector<Client> Run() {
-    Give(EndpointList{EndpointListScope::kFull, 1, Fleet(kReplicas)});
+    Give(EndpointList{EndpointListScope::kFull, 1, ReadyReplicas(kReplicas)});
     const double mean_prompt = 1500;
     const double mu = std::log(mean_prompt) - load_.spread * load_.spread / 2;
     const double per_second = load_.of_capacity * kReplicas * kReadPerSecond / mean_prompt;
@@ -205,7 +205,7 @@
   }
 }
 
-// Sessions all of whose turns were refused, as a share of all, less what chance gives with this share
+// Sessions all of whose turns were rejected, as a share of all, less what chance gives with this share
 // answered.
 double SessionsRefusedBeyondChance(const std::vector<Client>& clients) {
   std::map<std::uint64_t, std::pair<int, int>> turns;  // of a session: all, answered
@@ -225,10 +225,10 @@
   return (seen - by_chance) / static_cast<double>(turns.size());
 }
 
-TEST(Fairness, RefusalsDoNotSingleOutSessions) {
+TEST(Fairness, RejectionsDoNotSingleOutSessions) {
   for (unsigned seed = 1; seed <= 3; ++seed) {
     for (const double load : {0.8, 1.3}) {
-      // Two or three turns a session: more would hide a session that is refused throughout.
+      // Two or three turns a session: more would hide a session that is rejected throughout.
       const std::vector<Client> clients =
           Play({.of_capacity = load, .late_worth = 0.5, .sessions = 2000}, seed).Run();
       EXPECT_LE(SessionsRefusedBeyondChance(clients), 0.05) << load << " seed " << seed;
@@ -241,7 +241,7 @@
   EXPECT_LT(QueueKey(shorter), QueueKey(usual));
 }
 
-TEST(QueueKey, GivesWayToUsualRequestsForNoMoreThanItsPartOfTheTimeUntilItsAim) {
+TEST(QueueKey, GivesWayToUsualRequestsForNoMoreThanItsPartOfTheTimeUntilItsObjective) {
   for (const double size : {600'000.0, 2'000'000.0, 60'000'000.0}) {
     for (const Time until_aim : {300 * kMs, 2 * kSecond, 30 * kSecond}) {
       const Time later = static_cast<Time>(kMaxDelayShare * static_cast<double>(until_aim)) + 1;
--- a/tests/router_path_test.cpp
+++ b/tests/router_path_test.cpp
@@ -1,4 +1,4 @@
-// The ordinary path: what is held, in which order it leaves, where it goes, and what is learned.
+// The ordinary path: what is queued, in which order it is dispatched, where it goes, and what is learned.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,175 +11,179 @@
 namespace {
 
 // Serves `count` requests of one prompt length so that its bucket is known to take `runtime`.
-void Teach(Node& n, double prompt, Time runtime, int count = 30) {
+void Teach(Node& node, double prompt, Time runtime, int count = 30) {
   for (int i = 0; i < count; ++i) {
-    const RequestId id = n.Ask(6 * kSecond, prompt);
-    ASSERT_FALSE(n.Sends(id).empty());
-    n.Pass(10 * kMs);
-    n.Serve(id, 0, runtime);
+    const RequestId id = node.Arrive(6 * kSecond, prompt);
+    ASSERT_FALSE(node.AttemptsOf(id).empty());
+    node.Advance(10 * kMs);
+    node.Serve(id, 0, runtime);
   }
 }
 
 // Fills the one replica until the node holds.
-std::vector<RequestId> FillUp(Node& n, double prompt) {
+std::vector<RequestId> FillUp(Node& node, double prompt) {
   std::vector<RequestId> out;
-  while (n.router.queued_requests() == 0 && out.size() < 1000) out.push_back(n.Ask(7 * kSecond, prompt));
+  while (node.router.queued_requests() == 0 && out.size() < 1000)
+    out.push_back(node.Arrive(7 * kSecond, prompt));
   out.pop_back();
   return out;
 }
 
-TEST(HeldQueue, ShortestEstimatedLeavesFirst) {
-  Node n(BasicSettings());
-  n.List({Ready(1)});
-  Teach(n, 4000, 900 * kMs);
-  Teach(n, 200, 100 * kMs);
-  const auto out = FillUp(n, 200);
-  const RequestId filler = n.last_id;
-  const RequestId large = n.Ask(7 * kSecond, 4000);
-  const RequestId small = n.Ask(7 * kSecond, 200);
-  EXPECT_EQ(n.router.queued_requests(), 3u);
-  for (std::size_t i = 0; i < out.size() && n.Sends(large).empty(); ++i) n.Serve(out[i], 0, 100 * kMs);
+TEST(Queueing, ShortestEstimatedLeavesFirst) {
+  Node node(BasicSettings());
+  node.SetEndpoints({Ready(1)});
+  Teach(node, 4000, 900 * kMs);
+  Teach(node, 200, 100 * kMs);
+  const auto out = FillUp(node, 200);
+  const RequestId filler = node.last_request;
+  const RequestId large = node.Arrive(7 * kSecond, 4000);
+  const RequestId small = node.Arrive(7 * kSecond, 200);
+  EXPECT_EQ(node.router.queued_requests(), 3u);
+  for (std::size_t i = 0; i < out.size() && node.AttemptsOf(large).empty(); ++i)
+    node.Serve(out[i], 0, 100 * kMs);
   std::vector<RequestId> order;
-  for (const SendAttempt& s : n.All<SendAttempt>()) order.push_back(s.id);
+  for (const SendAttempt& s : node.Actions<SendAttempt>()) order.push_back(s.id);
   ASSERT_GE(order.size(), 3u);
   EXPECT_EQ(std::vector<RequestId>(order.end() - 3, order.end()),
             (std::vector<RequestId>{filler, small, large}));
 }
 
-TEST(HeldQueue, ALongRequestThatHasWaitedOvertakesShortNewcomers) {
-  Node n(BasicSettings());
-  n.List({Ready(1)});
-  Teach(n, 4000, 200 * kMs);
-  Teach(n, 200, 100 * kMs);
-  const auto out = FillUp(n, 200);
-  const RequestId large = n.Ask(7 * kSecond, 4000);
-  n.Pass(800 * kMs);
-  const RequestId small = n.Ask(7 * kSecond, 200);
-  for (std::size_t i = 0; i < 2 && n.Sends(large).empty(); ++i) n.Serve(out[i], 0, 100 * kMs);
-  EXPECT_EQ(n.Sends(large).size(), 1u);
-  EXPECT_EQ(n.Sends(small).size(), 0u);
+TEST(Queueing, ALongRequestThatHasWaitedOvertakesShortNewcomers) {
+  Node node(BasicSettings());
+  node.SetEndpoints({Ready(1)});
+  Teach(node, 4000, 200 * kMs);
+  Teach(node, 200, 100 * kMs);
+  const auto out = FillUp(node, 200);
+  const RequestId large = node.Arrive(7 * kSecond, 4000);
+  node.Advance(800 * kMs);
+  const RequestId small = node.Arrive(7 * kSecond, 200);
+  for (std::size_t i = 0; i < 2 && node.AttemptsOf(large).empty(); ++i) node.Serve(out[i], 0, 100 * kMs);
+  EXPECT_EQ(node.AttemptsOf(large).size(), 1u);
+  EXPECT_EQ(node.AttemptsOf(small).size(), 0u);
 }
 
-// Found on mandali-model rough-2: once the queue was older than the aim, the oldest went first and everything
-// left late.
-TEST(HeldQueue, WhatCanNoLongerMeetItsAimWaitsBehindWhatCan) {
-  Node n(BasicSettings());
-  n.List({Ready(1)});
-  const auto out = FillUp(n, 1000);
-  const RequestId stale = n.last_id;
-  n.Pass(2 * kSecond);
-  const RequestId fresh = n.Ask(7 * kSecond);
-  ASSERT_EQ(n.Finals(stale) + n.Sends(stale).size(), 0u);
-  for (std::size_t i = 0; i < out.size() && n.Sends(stale).empty(); ++i) n.Serve(out[i], 0, 300 * kMs);
-  const auto sends = n.All<SendAttempt>();
+// Found on mandali-model rough-2: once the queue was older than the objective, the oldest went first and
+// everything left late.
+TEST(Queueing, WhatCanNoLongerMeetItsObjectiveWaitsBehindWhatCan) {
+  Node node(BasicSettings());
+  node.SetEndpoints({Ready(1)});
+  const auto out = FillUp(node, 1000);
+  const RequestId stale = node.last_request;
+  node.Advance(2 * kSecond);
+  const RequestId fresh = node.Arrive(7 * kSecond);
+  ASSERT_EQ(node.FinalResponses(stale) + node.AttemptsOf(stale).size(), 0u);
+  for (std::size_t i = 0; i < out.size() && node.AttemptsOf(stale).empty(); ++i)
+    node.Serve(out[i], 0, 300 * kMs);
+  const auto sends = node.Actions<SendAttempt>();
   ASSERT_GE(sends.size(), 2u);
   EXPECT_EQ(sends[sends.size() - 2].id, fresh);
   EXPECT_EQ(sends[sends.size() - 1].id, stale);
 }
 
-TEST(HeldQueue, NodesTogetherDoNotAddUpFloorsOfOne) {
+TEST(Queueing, NodesTogetherDoNotAddUpFloorsOfOne) {
   Settings s = BasicSettings();
   s.node_count = 140;
-  Node n(s);
-  n.List(Fleet(100));
+  Node node(s);
+  node.SetEndpoints(ReadyReplicas(100));
   int sent = 0;
-  for (int i = 0; i < 100; ++i) sent += n.Sends(n.Ask()).empty() ? 0 : 1;
-  EXPECT_LE(sent, n.router.total_concurrency_limit() + 1);
+  for (int i = 0; i < 100; ++i) sent += node.AttemptsOf(node.Arrive()).empty() ? 0 : 1;
+  EXPECT_LE(sent, node.router.total_concurrency_limit() + 1);
   EXPECT_LT(sent, 50);
   EXPECT_GT(sent, 0);
 }
 
-TEST(Caps, RiseWhileFirstTokensComeInGoodTimeAndFallWhenTheyAreLate) {
-  Node n(BasicSettings());
-  n.List({Ready(1)});
+TEST(ConcurrencyLimits, RiseWhileFirstTokensComeInGoodTimeAndFallWhenTheyAreLate) {
+  Node node(BasicSettings());
+  node.SetEndpoints({Ready(1)});
   const auto round = [&](Time first_token, Time runtime) {
     std::vector<RequestId> ids;
-    for (int i = 0; i < 40; ++i) ids.push_back(n.Ask(7 * kSecond));
+    for (int i = 0; i < 40; ++i) ids.push_back(node.Arrive(7 * kSecond));
     for (const RequestId id : ids) {
-      if (n.Sends(id).empty()) continue;
-      n.Give(ResponseStarted{id, 0, 1, first_token});
+      if (node.AttemptsOf(id).empty()) continue;
+      node.Handle(ResponseStarted{id, 0, 1, first_token});
     }
-    n.Pass(runtime);
+    node.Advance(runtime);
     for (const RequestId id : ids) {
-      if (!n.Sends(id).empty() && n.Finals(id) == 0) n.End(id, 0, Outcome::kServed, true, runtime);
+      if (!node.AttemptsOf(id).empty() && node.FinalResponses(id) == 0)
+        node.EndAttempt(id, 0, Outcome::kServed, true, runtime);
     }
-    n.Pass(8 * kSecond);
+    node.Advance(8 * kSecond);
   };
   round(50 * kMs, 200 * kMs);
-  const double start = n.router.total_concurrency_limit();
+  const double start = node.router.total_concurrency_limit();
   for (int i = 0; i < 5; ++i) round(50 * kMs, 200 * kMs);
-  const double high = n.router.total_concurrency_limit();
+  const double high = node.router.total_concurrency_limit();
   EXPECT_GT(high, start);
   for (int i = 0; i < 5; ++i) round(3 * kSecond, 3200 * kMs);
-  EXPECT_LT(n.router.total_concurrency_limit(), 0.8 * high);
+  EXPECT_LT(node.router.total_concurrency_limit(), 0.8 * high);
 }
 
-TEST(Caps, FullLowersThatReplicasCap) {
-  Node n(BasicSettings());
-  n.List({Ready(1), Ready(2)});
-  const RequestId id = n.Ask();
-  const ReplicaId full = n.Sends(id)[0].replica;
-  const double before = n.router.concurrency_limit(full);
-  n.End(id, 0, Outcome::kAtCapacity, false, 1 * kMs);
-  n.List({}, EndpointListScope::kDelta);
-  EXPECT_LT(n.router.concurrency_limit(full), before);
-  ASSERT_EQ(n.Sends(id).size(), 2u);
-  EXPECT_NE(n.Sends(id)[1].replica, full);
+TEST(ConcurrencyLimits, AtCapacityLowersThatReplicasLimit) {
+  Node node(BasicSettings());
+  node.SetEndpoints({Ready(1), Ready(2)});
+  const RequestId id = node.Arrive();
+  const ReplicaId full = node.AttemptsOf(id)[0].replica;
+  const double before = node.router.concurrency_limit(full);
+  node.EndAttempt(id, 0, Outcome::kAtCapacity, false, 1 * kMs);
+  node.SetEndpoints({}, EndpointListScope::kDelta);
+  EXPECT_LT(node.router.concurrency_limit(full), before);
+  ASSERT_EQ(node.AttemptsOf(id).size(), 2u);
+  EXPECT_NE(node.AttemptsOf(id)[1].replica, full);
 }
 
 // Found on incident i460702: streams were too slow long before first tokens were.
-TEST(Caps, FallWhenStreamsSlowDownThoughFirstTokensAreInTime) {
-  Node n(BasicSettings());
-  n.List({Ready(1)});
+TEST(ConcurrencyLimits, FallWhenStreamsSlowDownThoughFirstTokensAreInTime) {
+  Node node(BasicSettings());
+  node.SetEndpoints({Ready(1)});
   const auto stream = [&](Time runtime, int count) {
     for (int i = 0; i < count; ++i) {
-      const RequestId id = n.Ask(7 * kSecond);
-      if (n.Sends(id).empty()) continue;
-      n.Give(ResponseStarted{id, 0, 1, runtime / 5});
-      n.Pass(runtime);
-      n.End(id, 0, Outcome::kServed, true, runtime);
+      const RequestId id = node.Arrive(7 * kSecond);
+      if (node.AttemptsOf(id).empty()) continue;
+      node.Handle(ResponseStarted{id, 0, 1, runtime / 5});
+      node.Advance(runtime);
+      node.EndAttempt(id, 0, Outcome::kServed, true, runtime);
     }
   };
   stream(300 * kMs, 30);
-  const double before = n.router.total_concurrency_limit();
+  const double before = node.router.total_concurrency_limit();
   stream(3 * kSecond, 60);
-  EXPECT_LT(n.router.total_concurrency_limit(), before);
+  EXPECT_LT(node.router.total_concurrency_limit(), before);
 }
 
 // Found on montevideo-central's quiet day: the first answers to end are the short ones, so the best pace
-// looked better than it was and caps fell though first tokens came at once.
-TEST(Caps, HoldWhenStreamsLookSlowButFirstTokensComeAtOnce) {
-  Node n(BasicSettings());
-  n.List({Ready(1)});
+// looked better than it was and limits fell though first tokens came at once.
+TEST(ConcurrencyLimits, HoldWhenStreamsLookSlowButFirstTokensComeAtOnce) {
+  Node node(BasicSettings());
+  node.SetEndpoints({Ready(1)});
   const auto stream = [&](Time runtime, int count) {
     for (int i = 0; i < count; ++i) {
-      const RequestId id = n.Ask(7 * kSecond);
-      n.Give(ResponseStarted{id, 0, 1, 20 * kMs});
-      n.Pass(runtime);
-      n.End(id, 0, Outcome::kServed, true, runtime);
+      const RequestId id = node.Arrive(7 * kSecond);
+      node.Handle(ResponseStarted{id, 0, 1, 20 * kMs});
+      node.Advance(runtime);
+      node.EndAttempt(id, 0, Outcome::kServed, true, runtime);
     }
   };
   stream(200 * kMs, 30);
-  const double before = n.router.total_concurrency_limit();
+  const double before = node.router.total_concurrency_limit();
   stream(1 * kSecond, 60);
-  EXPECT_GT(n.router.total_concurrency_limit(),
+  EXPECT_GT(node.router.total_concurrency_limit(),
             0.9 * before * std::exp(-1.7));  // only by the replica's own slowness
 }
 
-TEST(Choice, ErrorsNeverMakeAReplicaRoomy) {
-  Node n(BasicSettings());
-  n.List({Ready(1), Ready(2), Ready(3), Ready(4)});
+TEST(ReplicaSelection, ErrorsNeverMakeAReplicaLookIdle) {
+  Node node(BasicSettings());
+  node.SetEndpoints({Ready(1), Ready(2), Ready(3), Ready(4)});
   std::map<ReplicaId, int> sent;
   for (int i = 0; i < 200; ++i) {
-    const RequestId id = n.Ask(6 * kSecond);
-    n.Pass(50 * kMs);
-    for (std::size_t a = 0; a < n.Sends(id).size(); ++a) {
-      const ReplicaId to = n.Sends(id)[a].replica;
+    const RequestId id = node.Arrive(6 * kSecond);
+    node.Advance(50 * kMs);
+    for (std::size_t a = 0; a < node.AttemptsOf(id).size(); ++a) {
+      const ReplicaId to = node.AttemptsOf(id)[a].replica;
       ++sent[to];
       if (to == 1) {
-        n.End(id, static_cast<int>(a), Outcome::kError, false, 1 * kMs);
+        node.EndAttempt(id, static_cast<int>(a), Outcome::kError, false, 1 * kMs);
       } else {
-        n.Serve(id, static_cast<int>(a), 300 * kMs);
+        node.Serve(id, static_cast<int>(a), 300 * kMs);
         break;
       }
     }
@@ -187,32 +191,32 @@
   EXPECT_LT(sent[1], sent[2] / 3);
 }
 
-TEST(Choice, IfEverythingFailsTheFleetIsNotGivenUp) {
-  Node n(BasicSettings());
-  n.List({Ready(1), Ready(2), Ready(3)});
+TEST(ReplicaSelection, IfEverythingFailsTheFleetIsNotGivenUp) {
+  Node node(BasicSettings());
+  node.SetEndpoints({Ready(1), Ready(2), Ready(3)});
   for (int i = 0; i < 6; ++i) {
-    const RequestId id = n.Ask(2 * kSecond);
-    for (std::size_t a = 0; a < n.Sends(id).size() && a < 4; ++a) {
-      n.End(id, static_cast<int>(a), Outcome::kReset, false, 1 * kMs);
+    const RequestId id = node.Arrive(2 * kSecond);
+    for (std::size_t a = 0; a < node.AttemptsOf(id).size() && a < 4; ++a) {
+      node.EndAttempt(id, static_cast<int>(a), Outcome::kReset, false, 1 * kMs);
     }
-    n.Pass(10 * kMs);
+    node.Advance(10 * kMs);
   }
-  EXPECT_EQ(n.Sends(n.Ask()).size(), 1u);
+  EXPECT_EQ(node.AttemptsOf(node.Arrive()).size(), 1u);
 }
 
-TEST(Choice, NodesAgreeOnTheHomeOfASession) {
+TEST(ReplicaSelection, NodesAgreeOnThePreferredReplicaOfASession) {
   Settings s = BasicSettings();
   s.node_count = 20;
   std::map<std::uint64_t, std::map<ReplicaId, int>> where;
-  for (std::uint64_t node = 0; node < 20; ++node) {
-    Node n(s, node + 1);
-    n.List(Fleet(16));
+  for (std::uint64_t index = 0; index < 20; ++index) {
+    Node node(s, index + 1);
+    node.SetEndpoints(ReadyReplicas(16));
     for (std::uint64_t session = 1; session <= 10; ++session) {
-      const RequestId id = n.Ask(6 * kSecond, 1000, session);
-      ASSERT_EQ(n.Sends(id).size(), 1u);
-      ++where[session][n.Sends(id)[0].replica];
-      n.Pass(300 * kMs);
-      n.Serve(id, 0, 300 * kMs);
+      const RequestId id = node.Arrive(6 * kSecond, 1000, session);
+      ASSERT_EQ(node.AttemptsOf(id).size(), 1u);
+      ++where[session][node.AttemptsOf(id)[0].replica];
+      node.Advance(300 * kMs);
+      node.Serve(id, 0, 300 * kMs);
     }
   }
   std::map<ReplicaId, int> homes;
@@ -225,172 +229,173 @@
   EXPECT_GE(homes.size(), 4u);
 }
 
-TEST(Choice, AHotSessionIsSpreadWider) {
+TEST(ReplicaSelection, AHotSessionIsSpreadWider) {
   Settings s = BasicSettings();
   s.node_count = 20;
-  Node n(s);
-  n.List(Fleet(16));
+  Node node(s);
+  node.SetEndpoints(ReadyReplicas(16));
   std::map<ReplicaId, int> late;
   for (int i = 0; i < 200; ++i) {
-    const RequestId id = n.Ask(6 * kSecond, 1000, 77);
-    ASSERT_EQ(n.Sends(id).size(), 1u);
-    if (i >= 100) ++late[n.Sends(id)[0].replica];
-    n.Pass(100 * kMs);
-    n.Serve(id, 0, 300 * kMs);
+    const RequestId id = node.Arrive(6 * kSecond, 1000, 77);
+    ASSERT_EQ(node.AttemptsOf(id).size(), 1u);
+    if (i >= 100) ++late[node.AttemptsOf(id)[0].replica];
+    node.Advance(100 * kMs);
+    node.Serve(id, 0, 300 * kMs);
   }
   EXPECT_GE(late.size(), 3u);
 }
 
-// A long prompt is read before those behind it: its replica has less room than its one request tells.
-TEST(Choice, APromptStillBeingReadTakesRoom) {
-  Node n(BasicSettings());
-  n.List({Ready(1), Ready(2)});
-  const RequestId large = n.Ask(6 * kSecond, 16000);
-  const ReplicaId there = n.Sends(large)[0].replica;
-  for (int i = 0; i < 4; ++i) EXPECT_NE(n.Sends(n.Ask(6 * kSecond, 500))[0].replica, there);
-  n.Give(ResponseStarted{large, 0, there, 900 * kMs});  // read: what runs is light
-  EXPECT_EQ(n.Sends(n.Ask(6 * kSecond, 500))[0].replica, there);
+// A long prompt is read before those behind it: its replica has less spare capacity than its one request
+// tells.
+TEST(ReplicaSelection, APromptStillBeingReadTakesCapacity) {
+  Node node(BasicSettings());
+  node.SetEndpoints({Ready(1), Ready(2)});
+  const RequestId large = node.Arrive(6 * kSecond, 16000);
+  const ReplicaId there = node.AttemptsOf(large)[0].replica;
+  for (int i = 0; i < 4; ++i) EXPECT_NE(node.AttemptsOf(node.Arrive(6 * kSecond, 500))[0].replica, there);
+  node.Handle(ResponseStarted{large, 0, there, 900 * kMs});  // read: what runs is light
+  EXPECT_EQ(node.AttemptsOf(node.Arrive(6 * kSecond, 500))[0].replica, there);
 }
 
-// A session's next turn goes where the node knows its prompt to be kept, until that replica starts afresh.
-TEST(Choice, ASessionStaysWhereItsPromptIsKept) {
-  Node n(BasicSettings());
-  n.List({Ready(1)});
+// A session's next turn goes where the node knows its prompt to be cached, until that replica starts afresh.
+TEST(ReplicaSelection, ASessionStaysWhereItsPromptIsCached) {
+  Node node(BasicSettings());
+  node.SetEndpoints({Ready(1)});
   const auto turn = [&](std::uint64_t session) {
-    const RequestId id = n.Ask(6 * kSecond, 8000, session);
-    n.Serve(id, 0, 300 * kMs);
-    n.Pass(kSecond);
-    return n.Sends(id)[0].replica;
+    const RequestId id = node.Arrive(6 * kSecond, 8000, session);
+    node.Serve(id, 0, 300 * kMs);
+    node.Advance(kSecond);
+    return node.AttemptsOf(id)[0].replica;
   };
   for (std::uint64_t session = 1001; session < 1009; ++session) turn(session);
-  n.List(Fleet(8));  // whoever would now be its home
+  node.SetEndpoints(ReadyReplicas(8));  // whichever would now be preferred
   for (std::uint64_t session = 1001; session < 1009; ++session) EXPECT_EQ(turn(session), 1u);
-  auto fleet = Fleet(8);
-  fleet[1].started_at = n.now - 1;
-  n.List(fleet);
+  auto fleet = ReadyReplicas(8);
+  fleet[1].started_at = node.now - 1;
+  node.SetEndpoints(fleet);
   int away = 0;
   for (std::uint64_t session = 1001; session < 1009; ++session) away += turn(session) == 1 ? 0 : 1;
   EXPECT_GE(away, 4);
 }
 
 // After a start short answers are back first; the long ones behind them make every replica look slow at once.
-// That says nothing about any of them, so it must not shrink the caps.
-TEST(Caps, DoNotShrinkWhenAllReplicasLookSlowAlike) {
-  Node n(BasicSettings());
-  n.List({Ready(1), Ready(2), Ready(3)});
-  Teach(n, 1000, 100 * kMs);
-  const double before = n.router.total_concurrency_limit();
-  Teach(n, 1000, 350 * kMs);
-  EXPECT_GE(n.router.total_concurrency_limit(), 0.95 * before);
+// That says nothing about any of them, so it must not shrink the limits.
+TEST(ConcurrencyLimits, DoNotShrinkWhenAllReplicasLookSlowAlike) {
+  Node node(BasicSettings());
+  node.SetEndpoints({Ready(1), Ready(2), Ready(3)});
+  Teach(node, 1000, 100 * kMs);
+  const double before = node.router.total_concurrency_limit();
+  Teach(node, 1000, 350 * kMs);
+  EXPECT_GE(node.router.total_concurrency_limit(), 0.95 * before);
 }
 
 // Where a stream comes spoilt now and then, from any replica, resting each for it would take the fleet away.
-TEST(Health, ASingleFailureRestsNothingAndTwoInARowDo) {
+TEST(OutlierEjection, ASingleFailureEjectsNothingAndTwoInARowDo) {
   Settings s = BasicSettings();
   s.max_attempts = 1;
-  Node n(s);
-  n.List({Ready(1)});
-  const RequestId running = n.Ask();
-  n.End(n.Ask(), 0, Outcome::kReset, false, 20 * kMs);
-  const RequestId next = n.Ask();
-  ASSERT_EQ(n.Sends(next).size(), 1u);
-  n.End(next, 0, Outcome::kError, false, 20 * kMs);
-  EXPECT_TRUE(n.Sends(n.Ask()).empty());  // quick errors draw no more
-  n.Serve(running);
+  Node node(s);
+  node.SetEndpoints({Ready(1)});
+  const RequestId running = node.Arrive();
+  node.EndAttempt(node.Arrive(), 0, Outcome::kReset, false, 20 * kMs);
+  const RequestId next = node.Arrive();
+  ASSERT_EQ(node.AttemptsOf(next).size(), 1u);
+  node.EndAttempt(next, 0, Outcome::kError, false, 20 * kMs);
+  EXPECT_TRUE(node.AttemptsOf(node.Arrive()).empty());  // quick errors draw no more
+  node.Serve(running);
 }
 
-TEST(Choice, StaysInItsZoneWhereCrossingCosts) {
+TEST(ReplicaSelection, StaysInItsZoneWhereCrossingCosts) {
   Settings s = BasicSettings();
   s.zone_count = 2;
   s.zone = 1;
   s.cross_zone_penalty = 0.08;
-  Node n(s);
-  n.List({Ready(1, 0), Ready(2, 0), Ready(3, 1), Ready(4, 1)});
+  Node node(s);
+  node.SetEndpoints({Ready(1, 0), Ready(2, 0), Ready(3, 1), Ready(4, 1)});
   int own = 0;
   for (int i = 0; i < 50; ++i) {
-    const RequestId id = n.Ask();
-    own += n.Sends(id)[0].replica >= 3 ? 1 : 0;
-    n.Pass(50 * kMs);
-    n.Serve(id, 0, 200 * kMs);
+    const RequestId id = node.Arrive();
+    own += node.AttemptsOf(id)[0].replica >= 3 ? 1 : 0;
+    node.Advance(50 * kMs);
+    node.Serve(id, 0, 200 * kMs);
   }
   EXPECT_GE(own, 45);
 }
 
 // A node of many sees few answers of each replica, so it learns how late its zone is from all of them at
 // once.
-TEST(Choice, LeavesAZoneThatAnswersLateAsAWhole) {
+TEST(ReplicaSelection, LeavesAZoneThatAnswersLateAsAWhole) {
   Settings s = BasicSettings();
   s.node_count = 100;
   s.zone_count = 2;
   s.zone = 1;
   s.cross_zone_penalty = 0.08;
-  Node n(s);
+  Node node(s);
   std::vector<Endpoint> fleet;
   for (ReplicaId id = 0; id < 60; ++id) fleet.push_back(Ready(id, id < 30 ? 0 : 1));
-  n.List(fleet);
+  node.SetEndpoints(fleet);
   int crossed_early = 0, crossed_late = 0;
   for (int i = 0; i < 200; ++i) {
-    const RequestId id = n.Ask();
-    const bool own = n.Sends(id).at(0).replica >= 30;
+    const RequestId id = node.Arrive();
+    const bool own = node.AttemptsOf(id).at(0).replica >= 30;
     if (!own) ++(i < 100 ? crossed_early : crossed_late);
-    n.Pass(50 * kMs);
+    node.Advance(50 * kMs);
     const bool slow = own && i >= 100;
-    n.Serve(id, 0, slow ? 8000 * kMs : 400 * kMs);  // the first token comes after a quarter of it
+    node.Serve(id, 0, slow ? 8000 * kMs : 400 * kMs);  // the first token comes after a quarter of it
   }
   EXPECT_LE(crossed_early, 10);
   EXPECT_GE(crossed_late, 50);
 }
 
-// Copies of overdue requests were tried and lost: where first tokens are late, there is no room for them.
-TEST(SecondCopies, AreNotSent) {
+// Copies of overdue requests were tried and lost: where first tokens are late, there is no capacity for them.
+TEST(Hedging, AreNotSent) {
   Settings s = BasicSettings();
   s.can_hedge = true;
-  Node n(s);
-  n.List({Ready(1), Ready(2)});
-  Teach(n, 1000, 200 * kMs);
-  const RequestId id = n.Ask();
-  n.Pass(3900 * kMs);
-  EXPECT_EQ(n.Sends(id).size(), 1u);
+  Node node(s);
+  node.SetEndpoints({Ready(1), Ready(2)});
+  Teach(node, 1000, 200 * kMs);
+  const RequestId id = node.Arrive();
+  node.Advance(3900 * kMs);
+  EXPECT_EQ(node.AttemptsOf(id).size(), 1u);
 }
 
-TEST(Tenants, BeyondTheirShareWaitBehindThoseWithin) {
+TEST(TenantQuotas, BeyondTheirQuotaWaitBehindThoseWithin) {
   Settings s = BasicSettings();
   s.over_quota_weight = 0.1;
   s.tenants = {{"a", 0.5, 2.0}, {"b", 0.5, 2.0}};
-  Node n(s);
-  n.List({Ready(1)});
+  Node node(s);
+  node.SetEndpoints({Ready(1)});
   const auto ask = [&](int tenant) {
     RequestArrived r;
-    r.id = ++n.last_id;
+    r.id = ++node.last_request;
     r.tenant_index = tenant;
     r.time_budget = 7 * kSecond;
     r.prompt_tokens = 1000;
-    n.Give(r);
+    node.Handle(r);
     return r.id;
   };
   for (int i = 0; i < 200; ++i) ask(0);
-  const RequestId beyond = n.last_id;
+  const RequestId beyond = node.last_request;
   const RequestId within = ask(1);
-  ASSERT_EQ(n.Sends(beyond).size() + n.Sends(within).size(), 0u);
-  for (std::size_t i = 0; i < 200 && n.Sends(within).empty(); ++i) {
-    n.Serve(n.All<SendAttempt>()[i].id, 0, 100 * kMs);
+  ASSERT_EQ(node.AttemptsOf(beyond).size() + node.AttemptsOf(within).size(), 0u);
+  for (std::size_t i = 0; i < 200 && node.AttemptsOf(within).empty(); ++i) {
+    node.Serve(node.Actions<SendAttempt>()[i].id, 0, 100 * kMs);
   }
-  EXPECT_EQ(n.Sends(within).size(), 1u);
-  EXPECT_EQ(n.Sends(beyond).size(), 0u);
+  EXPECT_EQ(node.AttemptsOf(within).size(), 1u);
+  EXPECT_EQ(node.AttemptsOf(beyond).size(), 0u);
 }
 
 TEST(Memory, IsBoundedByWhatIsOpenAndListed) {
-  Node n(BasicSettings());
+  Node node(BasicSettings());
   for (ReplicaId i = 0; i < 500; ++i) {
-    n.List({Ready(i), Ready(i + 1)});
-    const RequestId id = n.Ask();
-    n.Pass(20 * kMs);
-    if (!n.Sends(id).empty()) n.Serve(id);
+    node.SetEndpoints({Ready(i), Ready(i + 1)});
+    const RequestId id = node.Arrive();
+    node.Advance(20 * kMs);
+    if (!node.AttemptsOf(id).empty()) node.Serve(id);
   }
-  n.Pass(20 * kSecond);
-  EXPECT_EQ(n.router.open_requests(), 0u);
-  EXPECT_EQ(n.router.queued_requests(), 0u);
-  EXPECT_EQ(n.router.concurrency_limit(3), 0);
+  node.Advance(20 * kSecond);
+  EXPECT_EQ(node.router.open_requests(), 0u);
+  EXPECT_EQ(node.router.queued_requests(), 0u);
+  EXPECT_EQ(node.router.concurrency_limit(3), 0);
 }
 
 }  // namespace
@@ -399,20 +404,20 @@
 constexpr ReplicaId kMany = 300;
 
 // Where a beginning goes while nothing else does.
-ReplicaId HomeOf(Node& n, std::uint64_t prefix) {
-  const RequestId id = n.Ask(4 * kSecond, 2000, 0, prefix);
-  const ReplicaId at = n.Sends(id).at(0).replica;
-  n.Serve(id);
-  n.Pass(2 * kSecond);
+ReplicaId HomeOf(Node& node, std::uint64_t prefix) {
+  const RequestId id = node.Arrive(4 * kSecond, 2000, 0, prefix);
+  const ReplicaId at = node.AttemptsOf(id).at(0).replica;
+  node.Serve(id);
+  node.Advance(2 * kSecond);
   return at;
 }
 
-TEST(LargeFleet, NodesAgreeOnHomesAndFewMoveWhenSomeLeave) {
+TEST(LargeFleet, NodesAgreeOnPreferredReplicasAndFewMoveWhenSomeLeave) {
   Settings s = BasicSettings();
   s.node_count = 4;
   Node a(s, 7), b(s, 8);
-  a.List(Fleet(kMany));
-  b.List(Fleet(kMany));
+  a.SetEndpoints(ReadyReplicas(kMany));
+  b.SetEndpoints(ReadyReplicas(kMany));
   std::vector<ReplicaId> before;
   int alike = 0;
   for (std::uint64_t key = 1; key <= 60; ++key) {
@@ -421,88 +426,88 @@
   }
   EXPECT_GE(alike, 54);
   Node c(s, 9);
-  std::vector<Endpoint> rest = Fleet(kMany);
+  std::vector<Endpoint> rest = ReadyReplicas(kMany);
   rest.erase(rest.begin() + 100, rest.begin() + 115);
-  c.List(rest);
+  c.SetEndpoints(rest);
   int moved = 0;
   for (std::uint64_t key = 1; key <= 60; ++key) {
     moved += HomeOf(c, 1000 + key) != before[static_cast<std::size_t>(key - 1)] ? 1 : 0;
   }
-  EXPECT_LE(moved, 15);  // 3 or so had their homes there; ties and draws add some
+  EXPECT_LE(moved, 15);  // 3 or so were preferred there; ties and draws add some
 }
 
 // Found on herd+vast: a hundred nodes that had each seen a hot prefix once or twice sent it to the same one
-// home, which took a quarter of the fleet's requests and answered seconds late.
-TEST(ManyNodes, APrefixSeenOnceIsNotSentToOneHomeByAll) {
+// replica, which took a quarter of the fleet's requests and answered seconds late.
+TEST(LargeTier, APrefixSeenOnceIsNotSentToOneReplicaByAll) {
   const auto replicas_chosen = [](int nodes) {
     Settings s = BasicSettings();
     s.node_count = nodes;
     std::map<ReplicaId, int> chosen;
     for (std::uint64_t seed = 1; seed <= 24; ++seed) {
-      Node n(s, seed);
-      n.List(Fleet(40));
-      const RequestId other = n.Ask(4 * kSecond, 2000);  // a node has seen a few requests
-      const RequestId id = n.Ask(4 * kSecond, 2000, 0, 77);
-      ++chosen[n.Sends(id).at(0).replica];
-      n.Serve(other);
+      Node node(s, seed);
+      node.SetEndpoints(ReadyReplicas(40));
+      const RequestId other = node.Arrive(4 * kSecond, 2000);  // a node has seen a few requests
+      const RequestId id = node.Arrive(4 * kSecond, 2000, 0, 77);
+      ++chosen[node.AttemptsOf(id).at(0).replica];
+      node.Serve(other);
     }
     return chosen.size();
   };
   EXPECT_GE(replicas_chosen(100), 4u);
-  EXPECT_LE(replicas_chosen(3), 2u);  // a few nodes together send its home few of it
+  EXPECT_LE(replicas_chosen(3), 2u);  // a few nodes together send its preferred replica few of it
 }
 
 TEST(LargeFleet, WhatDrainsOrFailsGetsNothingNew) {
-  Node n(BasicSettings());
-  n.List(Fleet(kMany));
+  Node node(BasicSettings());
+  node.SetEndpoints(ReadyReplicas(kMany));
   std::vector<Endpoint> gone;
   for (ReplicaId id = 0; id < kMany; id += 2) {
     Endpoint e = Ready(id);
     e.state = EndpointState::kDraining;
     gone.push_back(e);
   }
-  n.List(gone, EndpointListScope::kDelta);
+  node.SetEndpoints(gone, EndpointListScope::kDelta);
   std::map<ReplicaId, int> sent;
   for (int i = 0; i < 600; ++i) {
     const RequestId id =
-        n.Ask(4 * kSecond, 500, static_cast<std::uint64_t>(i), static_cast<std::uint64_t>(i % 9));
-    for (const SendAttempt& send : n.Sends(id)) {
+        node.Arrive(4 * kSecond, 500, static_cast<std::uint64_t>(i), static_cast<std::uint64_t>(i % 9));
+    for (const SendAttempt& send : node.AttemptsOf(id)) {
       EXPECT_EQ(send.replica % 2, 1U);
       ++sent[send.replica];
     }
-    n.Pass(5 * kMs);
-    if (!n.Sends(id).empty()) n.Serve(id);
+    node.Advance(5 * kMs);
+    if (!node.AttemptsOf(id).empty()) node.Serve(id);
   }
   EXPECT_GT(sent.size(), 60U);  // and the rest share it
-  // One that can't be reached rests, though the caps are looked at by time.
-  const RequestId id = n.Ask();
-  const ReplicaId bad = n.Sends(id).at(0).replica;
-  n.End(id, 0, Outcome::kConnectFailed, false);
+  // One that can't be reached is ejected, though the limits are updated by time.
+  const RequestId id = node.Arrive();
+  const ReplicaId bad = node.AttemptsOf(id).at(0).replica;
+  node.EndAttempt(id, 0, Outcome::kConnectFailed, false);
   for (int i = 0; i < 200; ++i) {
-    const RequestId next = n.Ask();
-    EXPECT_NE(n.Sends(next).at(0).replica, bad);
-    n.Serve(next);
-    n.Pass(1 * kMs);
+    const RequestId next = node.Arrive();
+    EXPECT_NE(node.AttemptsOf(next).at(0).replica, bad);
+    node.Serve(next);
+    node.Advance(1 * kMs);
   }
 }
 
-// What is held leaves as soon as there is room again, whatever the age of the caps.
-TEST(LargeFleet, HeldRequestsLeaveWhenRoomComesBack) {
-  Node n(BasicSettings());
-  n.List(Fleet(80));
+// What is queued leaves as soon as there is capacity again, whatever the age of the limits.
+TEST(LargeFleet, QueuedRequestsLeaveWhenCapacityComesBack) {
+  Node node(BasicSettings());
+  node.SetEndpoints(ReadyReplicas(80));
   std::vector<RequestId> all;
-  for (int i = 0; i < 6000; ++i) all.push_back(n.Ask());
-  ASSERT_GT(n.router.queued_requests(), 0U);
+  for (int i = 0; i < 6000; ++i) all.push_back(node.Arrive());
+  ASSERT_GT(node.router.queued_requests(), 0U);
   std::vector<RequestId> out;
   for (const RequestId id : all) {
-    if (!n.Sends(id).empty()) out.push_back(id);
+    if (!node.AttemptsOf(id).empty()) out.push_back(id);
   }
-  const std::size_t held = n.router.queued_requests();
+  const std::size_t queued = node.router.queued_requests();
   for (std::size_t i = 0; i < 50; ++i) {
-    n.Pass(1 * kMs);
-    n.Serve(out[i]);
+    node.Advance(1 * kMs);
+    node.Serve(out[i]);
   }
-  EXPECT_LE(n.router.queued_requests(), held - 40);
+  EXPECT_LE(node.router.queued_requests(), queued - 40);
 }
 
 }  // namespace ryeglade::policy::test
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -50,7 +50,7 @@
         timers.emplace_back(now + timer->delay, timer->token);
     }
   };
-  give(EndpointList{EndpointListScope::kFull, 1, test::Fleet(4)});
+  give(EndpointList{EndpointListScope::kFull, 1, test::ReadyReplicas(4)});
   for (RequestId id = 1; id <= 400; ++id) {
     seed = seed * 6364136223846793005ULL + 1442695040888963407ULL;
     now += static_cast<Time>(seed >> 50);
