--- a/src/policy/adaptive_concurrency.cpp
+++ b/src/policy/adaptive_concurrency.cpp
@@ -17,7 +17,7 @@
 constexpr double kInitialIncreasePerRound = 0.9;  // the same until they have fallen once
 constexpr double kRecoveredShare = 0.7;  // below this part of where they fell, they rise as if they never had
 constexpr double kMinUtilization = 0.85;         // limits used less than this have not been tried: no rise
-constexpr double kMaxObjectiveUsedToRise = 0.3;  // they rise only while first tokens take less of their aims
+constexpr double kMaxObjectiveUsedToRise = 0.3;  // and not above it, in parts of the objective
 
 // Decrease.
 constexpr double kDecreaseFactor = 0.85;  // at most once a mean runtime
--- a/src/policy/candidate_finder.cpp
+++ b/src/policy/candidate_finder.cpp
@@ -65,7 +65,8 @@
   }
 }
 
-// The prefix's preferred replicas, and among them the session's; in each zone, where crossing costs.
+// The prefix's preferred replicas, and among them the session's; in each zone, where a cross-zone request
+// costs.
 void CandidateFinder::MarkPreferred(const RequestArrived& request, double prefix_share, double session_share,
                                     std::vector<Candidate>& candidates) const {
   const bool by_zone = AvoidsOtherZones(in_.settings);
--- a/src/policy/candidate_finder.h
+++ b/src/policy/candidate_finder.h
@@ -28,7 +28,7 @@
   std::optional<double> score;     // set by ReplicaSelector; none: not eligible
 };
 
-// Whether requests are kept in this node's zone.
+// Whether a request that crosses zones costs.
 inline bool AvoidsOtherZones(const Settings& settings) {
   return settings.cross_zone_penalty > 0 && settings.zone_count > 1;
 }
--- a/src/policy/queue_order.h
+++ b/src/policy/queue_order.h
@@ -10,8 +10,8 @@
 
 namespace ryeglade::policy {
 
-// A queued request overtakes ones whose runtime is longer by at least 1/kAgingFactor of the wait between
-// them.
+// A request overtakes an earlier one whose runtime is longer by more than one part in so many of the time
+// between their arrivals.
 inline constexpr double kAgingFactor = 6.0;
 // A request gives way to usual ones of its class that came later by at most this part of the time that it had
 // until its latency objective. Without a bound, one that is many times as large as usual gives way to all
--- a/src/policy/replica.h
+++ b/src/policy/replica.h
@@ -1,5 +1,5 @@
 // A replica as the decision module keeps it: what the endpoint list says, what this node has learned and has
-// in flight there, and what others told of it. Owned by Fleet. Times are microseconds.
+// in flight there, and what other nodes report of it. Owned by Fleet. Times are microseconds.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
   bool listed = false;            // else it stays only until its last attempt has ended
   int sibling_in_flight = 0;      // attempts of another process of this node, across a hot restart
   PeerReplicaReport peer_report;  // what the other nodes of the tier know of it
-  Time peer_report_at = 0;        // 0: they have told nothing
+  Time peer_report_at = 0;        // 0: no report
   std::uint64_t last_search = 0;  // the last search of ReplicaSelector that took it as a candidate
 
   // Attempts that count against this node's limit and are not its own process's.
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -2,8 +2,6 @@
 
 #include <gtest/gtest.h>
 
-#include "policy/request.h"
-
 namespace ryeglade::policy {
 namespace {
 
@@ -73,15 +71,5 @@
   EXPECT_EQ(fleet.Find(2)->sibling_in_flight, 0);
 }
 
-TEST(Request, InFlightAttemptIsNullForUnknownAndEndedOnes) {
-  Request request;
-  request.attempts.resize(2);
-  request.attempts[0].in_flight = false;
-  EXPECT_EQ(request.InFlightAttempt(-1), nullptr);
-  EXPECT_EQ(request.InFlightAttempt(0), nullptr);
-  EXPECT_EQ(request.InFlightAttempt(1), &request.attempts[1]);
-  EXPECT_EQ(request.InFlightAttempt(2), nullptr);
-}
-
 }  // namespace
 }  // namespace ryeglade::policy
--- a/tests/policy/hashing_test.cpp
+++ b/tests/policy/hashing_test.cpp
@@ -4,8 +4,6 @@
 
 #include <limits>
 
-#include "policy/random_source.h"
-
 namespace ryeglade::policy {
 namespace {
 
@@ -24,13 +22,5 @@
   EXPECT_NEAR(heavy_first / static_cast<double>(kKeys), 0.75, 0.02);
 }
 
-TEST(RandomSource, SameSeedSameSequence) {
-  RandomSource a(7), b(7), c(8);
-  const double first = a.Next();
-  EXPECT_EQ(first, b.Next());
-  EXPECT_NE(first, c.Next());
-  EXPECT_NE(first, a.Next());
-}
-
 }  // namespace
 }  // namespace ryeglade::policy
