--- a/tests/fairness_test.cpp
+++ b/tests/fairness_test.cpp
@@ -1,6 +1,6 @@
 // Whose requests are answered: seeded arrivals at a Router before replicas that read prompts one after
-// another, below capacity and above it. Largest requests get their part of their class's share, and rejections
-// do not single out sessions.
+// another, below capacity and above it. Largest requests get their part of their class's share, and
+// rejections do not single out sessions.
 #include <gtest/gtest.h>
 
 #include <algorithm>
