--- a/tests/fairness_test.cpp
+++ b/tests/fairness_test.cpp
@@ -17,30 +17,30 @@
 namespace ryeglade::policy::test {
 namespace {
 
-constexpr double kReadPerSecond = 20'000;  // prompt tokens that a replica reads
-constexpr Time kStreamFor = 400 * kMs;     // from the first token to the last
-constexpr Time kNotice = 15 * kMs;         // an attempt ends so long before its client goes
+constexpr double kPrefillTokensPerSecond = 20'000;  // prompt tokens that a replica reads
+constexpr Time kStreamDuration = 400 * kMs;         // from the first token to the last
+constexpr Time kTimeoutMargin = 15 * kMs;           // an attempt ends so long before its client goes
 constexpr ReplicaId kReplicas = 6;
 
 struct Client {
-  int cls = 0;
+  int class_index = 0;
   std::uint64_t session = 0;
   double prompt = 0;
   Time deadline = 0;
   bool answered = false;
-  bool refused = false;
+  bool rejected = false;
 };
 
 struct Load {
-  double of_capacity = 0.7;
-  double late_worth = 0.0;
+  double share_of_capacity = 0.7;
+  double late_weight_share = 0.0;
   double spread = 1.2;  // standard deviation of ln(prompt)
   std::size_t sessions = 400;
   Time length = 60 * kSecond;
 };
 
 // Two classes with aims that grow with the prompt.
-Settings TwoClasses(double late_worth) {
+Settings TwoClasses(double late_weight_share) {
   Settings s = BasicSettings();
   s.classes.resize(2, s.classes[0]);
   s.classes[0].latency_objective = 1 * kSecond;
@@ -48,93 +48,96 @@
   s.classes[1].latency_objective = 1500 * kMs;
   s.classes[1].time_budget = 7500 * kMs;
   for (ClassSettings& c : s.classes) {
-    c.late_weight_share = late_worth;
+    c.late_weight_share = late_weight_share;
     c.objective_per_1000_tokens = 40 * kMs;
   }
   return s;
 }
 
 // Plays a load from a seed; the clients come back with what became of them.
-class Play {
+class Simulation {
  public:
-  Play(const Load& load, unsigned seed)
-      : load_(load), random_(seed), settings_(TwoClasses(load.late_worth)), router_(settings_, seed, 0) {}
+  Simulation(const Load& load, unsigned seed)
+      : load_(load),
+        random_(seed),
+        settings_(TwoClasses(load.late_weight_share)),
+        router_(settings_, seed, 0) {}
 
   std::vector<Client> Run() {
-    Give(EndpointList{EndpointListScope::kFull, 1, ReadyReplicas(kReplicas)});
+    Handle(EndpointList{EndpointListScope::kFull, 1, ReadyReplicas(kReplicas)});
     const double mean_prompt = 1500;
     const double mu = std::log(mean_prompt) - load_.spread * load_.spread / 2;
-    const double per_second = load_.of_capacity * kReplicas * kReadPerSecond / mean_prompt;
+    const double per_second = load_.share_of_capacity * kReplicas * kPrefillTokensPerSecond / mean_prompt;
     std::exponential_distribution<double> gap(per_second);
     std::lognormal_distribution<double> prompt(mu, load_.spread);
     for (Time at = 0; at < load_.length;) {
       at += static_cast<Time>(gap(random_) * 1e6);
       Client c;
-      c.cls = static_cast<int>(random_() % 2);
+      c.class_index = static_cast<int>(random_() % 2);
       c.session = 1 + random_() % load_.sessions;
       c.prompt = std::min(30'000.0, prompt(random_));
-      c.deadline = at + settings_.classes[static_cast<std::size_t>(c.cls)].time_budget;
+      c.deadline = at + settings_.classes[static_cast<std::size_t>(c.class_index)].time_budget;
       clients_.push_back(c);
-      At(at, [this, n = clients_.size() - 1] { Arrive(n); });
+      Schedule(at, [this, n = clients_.size() - 1] { Arrive(n); });
     }
-    while (!due_.empty()) {
-      const auto [at, order] = due_.begin()->first;
-      const std::function<void()> what = std::move(due_.begin()->second);
-      due_.erase(due_.begin());
+    while (!scheduled_.empty()) {
+      const auto [at, order] = scheduled_.begin()->first;
+      const std::function<void()> callback = std::move(scheduled_.begin()->second);
+      scheduled_.erase(scheduled_.begin());
       if (at > load_.length + 30 * kSecond) break;
       now_ = at;
-      what();
+      callback();
     }
     return clients_;
   }
 
  private:
-  void At(Time at, std::function<void()> what) { due_[{at, ++order_}] = std::move(what); }
+  void Schedule(Time at, std::function<void()> callback) { scheduled_[{at, ++order_}] = std::move(callback); }
 
   void Arrive(std::size_t n) {
     const Client& c = clients_[n];
     RequestArrived e;
     e.id = n + 1;
-    e.class_index = c.cls;
+    e.class_index = c.class_index;
     e.session = c.session * 0x9e3779b97f4a7c15ULL;
     e.prompt_tokens = c.prompt;
     e.max_answer_tokens = 200;
     e.time_budget = c.deadline - now_;
-    Give(e);
+    Handle(e);
   }
 
-  void Give(const Event& event) {
+  void Handle(const Event& event) {
     std::vector<Action> actions;
     router_.Handle(now_, event, actions);
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<SendAttempt>(&action)) Sent(*send);
-      if (const auto* refuse = std::get_if<RejectRequest>(&action)) clients_[refuse->id - 1].refused = true;
+      if (const auto* send = std::get_if<SendAttempt>(&action)) OnSent(*send);
+      if (const auto* reject = std::get_if<RejectRequest>(&action)) clients_[reject->id - 1].rejected = true;
       if (const auto* timer = std::get_if<SetTimer>(&action)) {
-        At(now_ + timer->delay, [this, token = timer->token] { Give(TimerFired{token}); });
+        Schedule(now_ + timer->delay, [this, token = timer->token] { Handle(TimerFired{token}); });
       }
     }
   }
 
-  void Sent(const SendAttempt& send) {
+  void OnSent(const SendAttempt& send) {
     Client& c = clients_[send.id - 1];
     const int attempt = attempts_[send.id]++;
-    Time& free_at = reads_until_[send.replica];
+    Time& free_at = prefill_ends_[send.replica];
     const Time sent = now_;
-    free_at = std::max(free_at, now_) + static_cast<Time>(c.prompt / kReadPerSecond * 1e6);
+    free_at = std::max(free_at, now_) + static_cast<Time>(c.prompt / kPrefillTokensPerSecond * 1e6);
     const Time first = free_at;
-    const Time last_call = c.deadline - kNotice;
+    const Time last_call = c.deadline - kTimeoutMargin;
     if (first > last_call) {
-      At(std::max(now_, last_call), [this, send, attempt, sent] {
-        Give(AttemptEnded{send.id, attempt, send.replica, Outcome::kTimeout, now_ - sent, false, 0, {}});
+      Schedule(std::max(now_, last_call), [this, send, attempt, sent] {
+        Handle(AttemptEnded{send.id, attempt, send.replica, Outcome::kTimeout, now_ - sent, false, 0, {}});
       });
       return;
     }
-    At(first, [this, send, attempt, sent, &c] {
+    Schedule(first, [this, send, attempt, sent, &c] {
       c.answered = true;
-      Give(ResponseStarted{send.id, attempt, send.replica, now_ - sent});
+      Handle(ResponseStarted{send.id, attempt, send.replica, now_ - sent});
     });
-    At(first + kStreamFor, [this, send, attempt, sent] {
-      Give(AttemptEnded{send.id, attempt, send.replica, Outcome::kServed, now_ - sent, true, 0, {}});
+    Schedule(first + kStreamDuration, [this, send, attempt, sent] {
+      Handle(AttemptEnded{send.id, attempt, send.replica, Outcome::kServed, now_ - sent, true, 0, {}});
     });
   }
 
@@ -144,10 +147,10 @@
   Router router_;
   Time now_ = 0;
   std::uint64_t order_ = 0;
-  std::map<std::pair<Time, std::uint64_t>, std::function<void()>> due_;
+  std::map<std::pair<Time, std::uint64_t>, std::function<void()>> scheduled_;
   std::vector<Client> clients_;
   std::map<RequestId, int> attempts_;
-  std::map<ReplicaId, Time> reads_until_;
+  std::map<ReplicaId, Time> prefill_ends_;
 };
 
 struct Shares {
@@ -155,10 +158,10 @@
          next = 0;  // answered, of a class, its tenth with the longest prompts, and the fifth below
 };
 
-Shares SharesOf(const std::vector<Client>& clients, int cls) {
+Shares SharesOf(const std::vector<Client>& clients, int class_index) {
   std::vector<Client> of;
   for (const Client& c : clients) {
-    if (c.cls == cls) of.push_back(c);
+    if (c.class_index == class_index) of.push_back(c);
   }
   std::sort(of.begin(), of.end(), [](const Client& a, const Client& b) { return a.prompt > b.prompt; });
   const auto share = [&](std::size_t from, std::size_t to) {
@@ -171,25 +174,27 @@
   return {share(0, n), share(0, n / 10), share(n / 10, n * 3 / 10)};
 }
 
-constexpr double kQuietPart =
+constexpr double kMinShareBelowCapacity =
     2.0 / 3;  // of its class's share that a class's largest requests get on a quiet day
-constexpr double kExcessPart = 0.5;  // and otherwise
+constexpr double kMinShareInExcess = 0.5;  // and otherwise
 
-void ExpectParts(const Load& load, unsigned seed, double least) {
-  const std::vector<Client> clients = Play(load, seed).Run();
-  for (int cls = 0; cls < 2; ++cls) {
-    const Shares s = SharesOf(clients, cls);
+void ExpectShares(const Load& load, unsigned seed, double least) {
+  const std::vector<Client> clients = Simulation(load, seed).Run();
+  for (int class_index = 0; class_index < 2; ++class_index) {
+    const Shares s = SharesOf(clients, class_index);
     EXPECT_GE(s.largest, least * s.all)
-        << load.of_capacity << " late " << load.late_worth << " seed " << seed;
-    EXPECT_GE(s.next, least * s.all) << load.of_capacity << " late " << load.late_worth << " seed " << seed;
+        << load.share_of_capacity << " late " << load.late_weight_share << " seed " << seed;
+    EXPECT_GE(s.next, least * s.all) << load.share_of_capacity << " late " << load.late_weight_share
+                                     << " seed " << seed;
   }
 }
 
 TEST(Fairness, BelowCapacityTheLargestRequestsOfAClassAreAnswered) {
   for (unsigned seed = 1; seed <= 3; ++seed) {
     for (const double spread : {1.0, 1.6}) {
-      for (const double late_worth : {0.0, 0.5}) {
-        ExpectParts({.of_capacity = 0.8, .late_worth = late_worth, .spread = spread}, seed, kQuietPart);
+      for (const double late_weight_share : {0.0, 0.5}) {
+        ExpectShares({.share_of_capacity = 0.8, .late_weight_share = late_weight_share, .spread = spread},
+                     seed, kMinShareBelowCapacity);
       }
     }
   }
@@ -198,8 +203,9 @@
 TEST(Fairness, InExcessTheLargestRequestsOfAClassGetHalfOfItsShare) {
   for (unsigned seed = 1; seed <= 3; ++seed) {
     for (const double excess : {1.15, 1.3}) {
-      for (const double late_worth : {0.0, 0.5}) {
-        ExpectParts({.of_capacity = excess, .late_worth = late_worth, .spread = 1.0}, seed, kExcessPart);
+      for (const double late_weight_share : {0.0, 0.5}) {
+        ExpectShares({.share_of_capacity = excess, .late_weight_share = late_weight_share, .spread = 1.0},
+                     seed, kMinShareInExcess);
       }
     }
   }
@@ -230,7 +236,7 @@
     for (const double load : {0.8, 1.3}) {
       // Two or three turns a session: more would hide a session that is rejected throughout.
       const std::vector<Client> clients =
-          Play({.of_capacity = load, .late_worth = 0.5, .sessions = 2000}, seed).Run();
+          Simulation({.share_of_capacity = load, .late_weight_share = 0.5, .sessions = 2000}, seed).Run();
       EXPECT_LE(SessionsRefusedBeyondChance(clients), 0.05) << load << " seed " << seed;
     }
   }
