--- a/src/base/buffer_pool.h
+++ b/src/base/buffer_pool.h
@@ -10,6 +10,7 @@
 
 namespace ryeglade {
 
+// Buffers of kSize bytes; at most a given number are in use at a time. Not thread-safe.
 class BufferPool {
  public:
   static constexpr std::size_t kSize = std::size_t{16} * 1024;
@@ -28,6 +29,7 @@
   std::vector<std::unique_ptr<char[]>> free_;
 };
 
+// A string of bytes in buffers of a pool, which get returned with it. Can be moved, not copied.
 class BufferChain {
  public:
   explicit BufferChain(BufferPool* pool) : pool_(pool) {}
--- a/src/base/deadlines.h
+++ b/src/base/deadlines.h
@@ -19,12 +19,14 @@
 // startedAtMs has, but a step of the system clock moves nothing.
 Time Now();
 
+// Names a deadline that is set; in the order in which they come due.
 struct DeadlineId {
   Time at = 0;
   std::uint64_t order = 0;  // 0: none
   auto operator<=>(const DeadlineId&) const = default;
 };
 
+// Calls back on the loop once a time has come, in the order of times. One a loop.
 class Deadlines {
  public:
   explicit Deadlines(uv_loop_t* loop);
--- a/src/base/file_io.h
+++ b/src/base/file_io.h
@@ -7,6 +7,7 @@
 
 namespace ryeglade {
 
+// Which step of writing a file failed, and how.
 struct FileError {
   int error = 0;          // errno; 0: none
   const char* what = "";  // which step failed, in words
--- a/src/base/listener.h
+++ b/src/base/listener.h
@@ -9,6 +9,7 @@
 
 namespace ryeglade {
 
+// Owns its descriptor; nothing is reported after Close.
 class Listener {
  public:
   // `ready` is called on the loop while connections wait, unless paused.
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -12,8 +12,10 @@
 
 namespace ryeglade {
 
+// How severe an event is; the least first.
 enum class Level : std::uint8_t { kDebug, kInfo, kWarn, kError };
 
+// A name and a value; neither is owned.
 struct LogField {
   using Value = std::variant<std::int64_t, std::uint64_t, double, bool, std::string_view>;
 
@@ -35,6 +37,7 @@
 
 void Log(Level level, std::string_view event, std::initializer_list<LogField> fields = {});
 
+// How the log is written; the same for the whole process.
 struct LogOptions {
   bool json = false;           // JSON lines instead of logfmt
   Level level = Level::kInfo;  // less than this is not written
--- a/src/base/runtime.h
+++ b/src/base/runtime.h
@@ -8,6 +8,7 @@
 
 namespace ryeglade {
 
+// Nothing is owned here. All of it is used from the thread of the loop only.
 struct Runtime {
   uv_loop_t* loop = nullptr;
   Deadlines* deadlines = nullptr;
--- a/src/base/slot_table.h
+++ b/src/base/slot_table.h
@@ -13,6 +13,7 @@
 
 using Handle = std::uint64_t;  // generation in the upper half, slot in the lower; 0: none
 
+// Owns its values; a pointer from Get holds until the value is removed.
 template <class T>
 class SlotTable {
  public:
@@ -58,6 +59,7 @@
   }
 
  private:
+  // One slot and the generation of what is, or will next be, in it.
   struct Slot {
     std::uint32_t generation = 1;
     std::optional<T> value;
--- a/src/base/socket_error_model.h
+++ b/src/base/socket_error_model.h
@@ -3,6 +3,7 @@
 
 namespace ryeglade {
 
+// What to do after an accept that failed.
 enum class AcceptStep : unsigned char {
   kNoneWaiting,  // no connection waits to be accepted
   kTryNext,      // this one connection failed; the next may not
--- a/src/base/state_file.h
+++ b/src/base/state_file.h
@@ -10,6 +10,7 @@
 
 namespace ryeglade {
 
+// Reads and writes the file in the background, one job at a time.
 class StateFile {
  public:
   // `path` empty: off. `changed` is called on the loop with all of the file's text when another writer has
--- a/src/base/tcp.h
+++ b/src/base/tcp.h
@@ -13,6 +13,7 @@
 
 namespace ryeglade {
 
+// What a socket reports, by the handle that its owner gave it. All are called on the loop.
 class TcpOwner {
  public:
   virtual ~TcpOwner() = default;
@@ -25,6 +26,7 @@
 socklen_t LengthOf(const sockaddr* address);  // bytes, of its family: IPv6, else IPv4
 bool ParseAddress(const std::string& text, sockaddr_storage* address);  // "ip:port", "[ip]:port"
 
+// Made by New, and deletes itself some time after Close; not to be used after Close.
 class Tcp {
  public:
   static Tcp* New(uv_loop_t* loop, BufferPool* pool, TcpOwner* owner, Handle handle);
--- a/src/base/text_table.h
+++ b/src/base/text_table.h
@@ -14,10 +14,12 @@
 using Wholes = std::vector<std::int64_t>;
 using Texts = std::vector<std::string>;
 
+// One column: its name, and a value for each row.
 struct Column {
   std::string name;  // with its unit
   std::variant<Numbers, Wholes, Texts> values;
 };
+// A named table, stored by columns.
 struct TextTable {
   std::string name;
   std::vector<Column> columns;  // of one length
--- a/src/base/untrusted_fields.h
+++ b/src/base/untrusted_fields.h
@@ -11,10 +11,12 @@
 
 namespace ryeglade {
 
+// A field that is missing, of another type, or out of range.
 struct BadField : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
+// Reads the array's elements in order; the array must outlive it.
 class UntrustedFields {
  public:
   explicit UntrustedFields(const msgpack::object& o) {
--- a/src/core/connection_pool.h
+++ b/src/core/connection_pool.h
@@ -15,6 +15,7 @@
 
 namespace ryeglade {
 
+// One connection: idle in the pool, or in use by one request.
 struct UpstreamConnection {
   ReplicaId host = 0;
   Tcp* tcp = nullptr;
@@ -28,6 +29,7 @@
   Handle request = 0;      // 0: idle, in the pool
 };
 
+// Not thread-safe; all callbacks come on the loop.
 class ConnectionPool {
  public:
   // None is owned. `max_connections` counts those in use and those that are idle.
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -10,6 +10,7 @@
 
 namespace ryeglade {
 
+// Nothing is owned here; all of it outlives its parts' use of it.
 struct Core : Runtime {
   const Config* config = nullptr;
   Dialect* dialect = nullptr;  // that the upstream hosts speak
--- a/src/core/decisions.h
+++ b/src/core/decisions.h
@@ -10,6 +10,7 @@
 
 namespace ryeglade {
 
+// Posting from within an action is allowed: the event waits for its turn.
 class Decisions : public EventPort, public RetrySafetyPort, private policy::DecisionObserver {
  public:
   explicit Decisions(Core* core);
--- a/src/core/dialect.h
+++ b/src/core/dialect.h
@@ -30,6 +30,7 @@
 // Reads one response, from its head on.
 class ResponseReader {
  public:
+  // What some bytes of a stream say of it.
   enum class StreamStatus : std::uint8_t {
     kKeepAlive,  // nothing of the stream's own: padding that keeps a connection alive
     kProgress,   // the stream goes on
@@ -53,6 +54,7 @@
 // with backslashes, so they do not match. Absent: no such name; 0: no number behind it.
 std::optional<double> FindLastNumber(std::string_view text, std::string_view name);
 
+// One protocol; the same object for all requests.
 class Dialect {
  public:
   virtual ~Dialect() = default;
--- a/src/core/disabled_replicas_model.h
+++ b/src/core/disabled_replicas_model.h
@@ -9,6 +9,7 @@
 
 namespace ryeglade {
 
+// What operators have said, by the names of instances.
 struct DisabledReplicas {
   // By instance name: since when, microseconds, Unix time.
   std::map<std::string, std::int64_t> disabled;
--- a/src/core/discovery.h
+++ b/src/core/discovery.h
@@ -18,6 +18,7 @@
 
 namespace ryeglade {
 
+// At most kMaxSockets connections, each for one request.
 class Discovery : public TcpOwner, public EndpointDiscoveryPort {
  public:
   static constexpr std::size_t kMaxSockets = 4;
@@ -49,11 +50,13 @@
   void OnEnded(Handle request) override;
 
  private:
+  // What a request asks for.
   enum class RequestKind : std::uint8_t {
     kWatch,
     kPoll,
     kSwitchPoll,  // for the complete list that a watch at a new address starts from
   };
+  // A request to discovery, from its connection on to the end of its response.
   struct Request {
     RequestKind kind = RequestKind::kPoll;
     Tcp* tcp = nullptr;
--- a/src/core/endpoint_list_parser.h
+++ b/src/core/endpoint_list_parser.h
@@ -16,6 +16,7 @@
 // Why an entry of a list can't be used.
 enum class InvalidEntry : std::uint8_t { kNone, kNoName, kAddress };
 
+// One entry of a list.
 struct ListedEndpoint {
   InvalidEntry invalid = InvalidEntry::kNone;  // otherwise only `name` is set, and not with kNoName
   std::string name;
@@ -25,6 +26,7 @@
   policy::Endpoint endpoint;  // all but its id; `started_at` as the list says it, microseconds
 };
 
+// A list, its entries in their order.
 struct ParsedEndpointList {
   std::uint64_t generation = 0;
   bool reset = false;  // it replaces all that is known; otherwise it tells changes
--- a/src/core/endpoint_table.h
+++ b/src/core/endpoint_table.h
@@ -14,6 +14,7 @@
 
 namespace ryeglade {
 
+// The one place that gives replicas their numbers.
 class EndpointTable {
  public:
   explicit EndpointTable(Core* core) : core_(core) {}  // not owned
--- a/src/core/json_object_reader_model.h
+++ b/src/core/json_object_reader_model.h
@@ -8,8 +8,10 @@
 
 namespace ryeglade {
 
+// Bytes are appended as they come; what is complete is taken out.
 class JsonObjectReader {
  public:
+  // What Next has found.
   enum class Found : unsigned char {
     kIncomplete,  // nothing more before further bytes come
     kObject,
--- a/src/core/node_counters.h
+++ b/src/core/node_counters.h
@@ -8,7 +8,9 @@
 
 namespace ryeglade {
 
+// All counts; sums and squares let readers work out means and deviations.
 struct NodeCounters {
+  // Of the requests of one class.
   struct RequestClass {
     // How its requests ended: with a complete response, rejected before any attempt may have run, or failed.
     std::uint64_t served = 0;
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -147,6 +147,7 @@
 
 // ---- The nodes of the routing tier ----
 
+// A node as the membership has it.
 struct ClusterMember {
   std::string name;
   std::string zone;
@@ -163,6 +164,7 @@
   std::vector<ClusterMember> members;
 };
 
+// Where the parts of the node read the view.
 class ClusterViewPort {
  public:
   virtual ~ClusterViewPort() = default;
--- a/src/core/replica_incarnations_model.h
+++ b/src/core/replica_incarnations_model.h
@@ -10,6 +10,7 @@
 
 namespace ryeglade {
 
+// Remembers only starts that were in the future.
 class ReplicaIncarnations {
  public:
   // `reported`: the start as discovery tells it; 0: long ago. The result is never later than `now` and stays
@@ -19,6 +20,7 @@
   std::size_t size() const { return future_starts_.size(); }
 
  private:
+  // A start that was in the future when first reported.
   struct FutureStart {
     policy::Time reported = 0;
     policy::Time first_reported_at = 0;
--- a/src/core/response_parser.h
+++ b/src/core/response_parser.h
@@ -15,6 +15,7 @@
 
 namespace ryeglade {
 
+// One a connection, started anew for each response.
 class ResponseParser {
  public:
   // No chunk, and nothing that comes before a first complete event, may be longer: bytes.
--- a/src/core/streams.cpp
+++ b/src/core/streams.cpp
@@ -75,7 +75,7 @@
   core_->upstream_requests->Abort(s->upstream_request);
   s = streams_.Get(handle);
   if (s == nullptr) return;
-  Log(Level::kError, "guard-reply",
+  Log(Level::kError, "watchdog-reply",
       {{"id", s->request.call_id}, {"out", s->upstream_request != 0}, {"written", s->attempts_written}});
   if (core_->counters != nullptr) ++core_->counters->watchdog_replies;
   core_->events->Post(policy::ClientDisconnected{handle});  // to the module it is over
@@ -123,7 +123,7 @@
     if (migrated++ == kMigrationsAtOnce) break;
     Migrate(handle);
   }
-  if (migrated > 0) Log(Level::kInfo, "moving", {{"streams", streams_.size()}});
+  if (migrated > 0) Log(Level::kInfo, "streams-migrating", {{"streams", streams_.size()}});
   ScheduleMigration(Now() + kMigrationInterval);
 }
 
--- a/src/core/streams.h
+++ b/src/core/streams.h
@@ -39,6 +39,7 @@
   virtual void OnRequestRefused(Handle client, int status, const std::string& body) = 0;
 };
 
+// One request that has no final response yet.
 struct Stream {
   StreamRequest request;
   StreamSink* sink = nullptr;
@@ -56,6 +57,7 @@
   std::string class_name{};  // as it came: the class may be gone from the settings before it ends
 };
 
+// All streams of the node. Gives each exactly one conclusion.
 class Streams : public ConclusionPort, public ResponsePort {
  public:
   explicit Streams(Core* core) : core_(core) {}
@@ -94,6 +96,7 @@
   static Time Margin(Time time_left, Time usual) { return std::min(usual, std::max<Time>(0, time_left / 4)); }
 
  private:
+  // How a stream ended, for its counters and the log.
   enum class Conclusion : std::uint8_t { kServed, kRejected, kFailed, kDisconnected };
 
   void SetDeadline(Stream& stream, Handle handle, Time deadline);
--- a/src/core/upstream.cpp
+++ b/src/core/upstream.cpp
@@ -25,7 +25,7 @@
 void Upstream::SetHost(ReplicaId id, const std::string& host_port) {
   if (const UpstreamHost* known = hosts_.Find(id); known != nullptr) {
     if (known->host_port == host_port) return;
-    Log(Level::kInfo, "host-moved", {{"replica", Hex8(id)}, {"to", host_port}});
+    Log(Level::kInfo, "host-address-changed", {{"replica", Hex8(id)}, {"to", host_port}});
     connections_.CloseIdle(id);
   }
   hosts_.Set(id, host_port);
@@ -113,7 +113,7 @@
 
 void Upstream::ConnectLater(Handle handle, int error) {
   const Request& r = *requests_.Get(handle);
-  Log(Level::kWarn, "no-socket", {{"replica", Hex8(r.replica)}, {"why", std::strerror(error)}});
+  Log(Level::kWarn, "connect-deferred", {{"replica", Hex8(r.replica)}, {"why", std::strerror(error)}});
   const Time retry_at = Now() + kConnectRetryDelay;
   if (retry_at >= r.sent_at + core_->config->settings.connect_timeout) {
     return Finish(handle, Outcome::kNotSent);
--- a/src/core/upstream.h
+++ b/src/core/upstream.h
@@ -16,6 +16,7 @@
 
 using policy::Outcome;
 
+// All requests to upstream hosts that are in flight. Posts one outcome for each.
 class Upstream : public TcpOwner, public AttemptPort, public UpstreamRequestPort, public UpstreamHostPort {
  public:
   // `core` is not owned; its other parts need not be there yet.
@@ -49,6 +50,7 @@
   void OnEnded(Handle connection) override;
 
  private:
+  // One attempt or health check, from the decision to send to its outcome.
   struct Request {
     Handle stream = 0;  // 0: a health check
     int attempt = 0;
--- a/src/core/upstream_host_table.h
+++ b/src/core/upstream_host_table.h
@@ -10,11 +10,13 @@
 
 namespace ryeglade {
 
+// Where a host is reached.
 struct UpstreamHost {
   std::string host_port;  // "ip:port" or "[ip]:port", as discovery wrote it
   sockaddr_storage address{};
 };
 
+// Only the hosts that are listed now.
 class UpstreamHostTable {
  public:
   // Adds a host, or gives a known one another address.
--- a/src/dialects/openai/openai_dialect.h
+++ b/src/dialects/openai/openai_dialect.h
@@ -10,6 +10,7 @@
 
 namespace ryeglade {
 
+// Stateless but for its key.
 class OpenAiDialect : public Dialect {
  public:
   // `api_key`: sent to replicas as a bearer token; empty: none.
--- a/src/dialects/platform/platform_dialect.h
+++ b/src/dialects/platform/platform_dialect.h
@@ -5,6 +5,7 @@
 
 namespace ryeglade {
 
+// Stateless but for what a health check asks for.
 class PlatformDialect : public Dialect {
  public:
   explicit PlatformDialect(bool load_reports) : load_reports_(load_reports) {}
--- a/src/fronts/platform/platform_front.h
+++ b/src/fronts/platform/platform_front.h
@@ -12,6 +12,7 @@
 
 namespace ryeglade {
 
+// One request a connection at a time, each a stream.
 class PlatformFront : public Front, public StreamSink {
  public:
   PlatformFront(Core* core, Streams* streams) : core_(core), streams_(streams) {}
@@ -30,6 +31,7 @@
   void OnRequestRefused(Handle connection, int status, const std::string& body) override;
 
  private:
+  // A request whose response is not complete.
   struct Request {
     Handle stream = 0;  // 0: not open yet, or concluded already
     std::string call_id;
--- a/src/http/acceptor.cpp
+++ b/src/http/acceptor.cpp
@@ -37,7 +37,7 @@
 void Acceptor::AcceptLater(const char* reason) {
   listener_.Pause();
   if (!waiting_) {
-    Log(Level::kWarn, "accept-waits", {{"clients", callbacks_.connections()}, {"why", reason}});
+    Log(Level::kWarn, "accept-deferred", {{"clients", callbacks_.connections()}, {"why", reason}});
   }
   waiting_ = true;
   runtime_->deadlines->Set(Now() + kAcceptRetryDelay, [this] {
--- a/src/http/acceptor.h
+++ b/src/http/acceptor.h
@@ -11,6 +11,7 @@
 
 namespace ryeglade {
 
+// Owns the listener; connections are the owner's from on_connection on.
 class Acceptor {
  public:
   // What the owner is asked. All are called on the loop.
--- a/src/http/arrival_log.h
+++ b/src/http/arrival_log.h
@@ -10,6 +10,7 @@
 
 namespace ryeglade {
 
+// A queue of reads: how many bytes, and when.
 class ArrivalLog {
  public:
   static constexpr std::size_t kMaxEntries = 64;
@@ -36,6 +37,7 @@
   Time First(Time now) const { return reads_.empty() ? now : reads_.front().at; }
 
  private:
+  // Some bytes that came at the same time.
   struct Read {
     std::size_t bytes = 0;
     Time at = 0;
--- a/src/http/blocking_client.h
+++ b/src/http/blocking_client.h
@@ -5,6 +5,7 @@
 
 namespace ryeglade {
 
+// A complete response.
 struct HttpResponse {
   unsigned status = 0;
   std::string body;
--- a/src/http/close_reason.h
+++ b/src/http/close_reason.h
@@ -7,6 +7,7 @@
 
 namespace ryeglade {
 
+// Counted by reason; in the order of the counters' labels.
 enum class CloseReason : std::uint8_t {
   kClientEnded,     // the client closed it, or it broke
   kIdle,            // nothing was owed, and the process ends or hands over
--- a/src/http/downstream.cpp
+++ b/src/http/downstream.cpp
@@ -149,7 +149,7 @@
   c.tcp->StopReading();
   c.tcp->EndWriting();
   SetLingerDeadline(handle);
-  WatchForEndWhileUnread(handle);
+  WatchForEndWhileClosing(handle);
 }
 
 void Downstream::SetLingerDeadline(Handle handle) {
@@ -172,12 +172,12 @@
 }
 
 // The same for a connection that was ended while idle: it goes as soon as its client has closed it too.
-void Downstream::WatchForEndWhileUnread(Handle handle) {
+void Downstream::WatchForEndWhileClosing(Handle handle) {
   runtime_->deadlines->Set(Now() + kEndCheckInterval, [this, handle] {
     const Client* c = clients_.Get(handle);
     if (c == nullptr) return;
     if (c->tcp->PeerClosed()) return CloseConnection(handle, c->close_reason);
-    WatchForEndWhileUnread(handle);
+    WatchForEndWhileClosing(handle);
   });
 }
 
@@ -385,7 +385,7 @@
   if (c.congested || c.tcp->unsent() < kMaxUnsent) return;
   c.congested = true;
   c.deadline = runtime_->deadlines->Set(Now() + kWriteTimeout, [this, handle] {
-    Log(Level::kWarn, "client-stuck");
+    Log(Level::kWarn, "client-write-timeout");
     LoseClient(handle, CloseReason::kWriteTimeout);
   });
   front_->OnBackpressure(handle, true);
--- a/src/http/downstream.h
+++ b/src/http/downstream.h
@@ -19,6 +19,7 @@
 
 namespace ryeglade {
 
+// What requests mean: one protocol over HTTP. Called on the loop.
 class Front {
  public:
   virtual ~Front() = default;
@@ -30,8 +31,10 @@
   virtual void OnBackpressure(Handle connection, bool congested) = 0;
 };
 
+// Owns the connections and the listener.
 class Downstream : public TcpOwner {
  public:
+  // Fixed for the life of a Downstream, but for the number of connections.
   struct Options {
     std::string listen;  // ip:port; port 0: the kernel chooses
     // SO_REUSEPORT, so that a new process can listen beside this one during a hot restart.
@@ -87,6 +90,7 @@
   void OnDrained(Handle connection) override;
 
  private:
+  // Where a connection is between two requests.
   enum class State : std::uint8_t {
     kIdle,        // between requests
     kReading,     // a request has begun to come
@@ -94,6 +98,7 @@
     kLingering,   // the last response is written; the client has not closed yet
   };
 
+  // One connection.
   struct Client {
     Client(BufferPool* pool, std::size_t max_body) : parser(pool, max_body) {}
     Tcp* tcp = nullptr;
@@ -130,7 +135,7 @@
   void CloseConnection(Handle connection, CloseReason reason);
   void LoseClient(Handle connection, CloseReason reason);
   void WatchForEndWhilePaused(Handle connection);
-  void WatchForEndWhileUnread(Handle connection);
+  void WatchForEndWhileClosing(Handle connection);
   // Requests.
   void SetRequestDeadline(Handle connection, Time at);
   void OnRequestTimeout(Handle connection);
--- a/src/http/event_stream.h
+++ b/src/http/event_stream.h
@@ -11,6 +11,7 @@
 
 namespace ryeglade {
 
+// Keeps only the block that has not ended yet.
 class EventStream {
  public:
   // One block of lines, ended by an empty one. The views hold until the callback returns.
--- a/src/http/request_parser.h
+++ b/src/http/request_parser.h
@@ -14,6 +14,7 @@
 
 namespace ryeglade {
 
+// A request; what a front gets is complete.
 struct HttpRequest {
   explicit HttpRequest(BufferPool* pool) : body(pool) {}
   std::string method, target;
@@ -26,6 +27,7 @@
   const std::string* Header(std::string_view name) const;  // whatever its case; null: absent
 };
 
+// One a connection, reset for each request.
 class RequestParser {
  public:
   // `pool` is not owned; `max_body` in bytes.
@@ -38,6 +40,7 @@
   // Before the next request on the same connection.
   void Reset();
 
+  // How far the request has come.
   enum class Result { kIncomplete, kComplete, kInvalid };
   // Parses up to the end of the request. `consumed`: how many of the bytes belong to it.
   Result Parse(std::string_view bytes, std::size_t* consumed);
--- a/tests/fault_injection.cpp
+++ b/tests/fault_injection.cpp
@@ -42,7 +42,7 @@
     const Node node(program, ListOf(host), kNobody);
     Conn client = node.Client();
     ServeOne(host, client);
-    assert(fault.failures() > 0 && !Has(node.Log(), "accept-waits"));
+    assert(fault.failures() > 0 && !Has(node.Log(), "accept-deferred"));
   }
 }
 
--- a/tests/request_lifecycle.cpp
+++ b/tests/request_lifecycle.cpp
@@ -166,7 +166,7 @@
   const std::string head = client.Message();
   assert(Has(head, " 503 ") && Has(head, "Retry-After: "));
   assert(host.ToEnd().empty());
-  assert(!w.host.Called(50) && !Has(w.node.Log(), "guard-reply"));  // no hopeless attempt after it
+  assert(!w.host.Called(50) && !Has(w.node.Log(), "watchdog-reply"));  // no hopeless attempt after it
   client.Send(Ask("2", "{}", "0"));                                 // no time at all
   assert(Has(client.Message(), " 503 "));
 }
