--- a/src/gossip/gossip.h
+++ b/src/gossip/gossip.h
@@ -23,6 +23,7 @@
   std::map<std::string, std::uint64_t> dropped;  // by reason; a fixed set of words
 };
 
+// Runs on one loop; everything is called from it.
 class Gossip : public GossipPort, public DecisionRecorder {
  public:
   // `node`: this one's name; `incarnation` rises with each of its processes. The ports are not owned and
--- a/src/gossip/gossip_message_codec.h
+++ b/src/gossip/gossip_message_codec.h
@@ -43,6 +43,7 @@
   Time stalled_for = 0;  // for so long no answer has begun there though some are awaited; 0: not stalled
 };
 
+// How often a shared prompt prefix is requested.
 struct PrefixRate {
   std::uint64_t prefix = 0;
   double rate = 0;  // requests a second, at most kMaxRate
--- a/src/gossip/gossip_queue_model.h
+++ b/src/gossip/gossip_queue_model.h
@@ -13,6 +13,7 @@
 
 namespace ryeglade::gossip {
 
+// One entry for each node, at most kMaxNodes.
 class GossipQueue {
  public:
   static constexpr int kForwards = 3;  // of each report, by each node that received it
--- a/src/gossip/outlier_consensus_model.h
+++ b/src/gossip/outlier_consensus_model.h
@@ -23,6 +23,7 @@
 
 namespace ryeglade::gossip {
 
+// Spans in microseconds.
 struct OutlierConsensusLimits {
   std::size_t required_reporters = 2;           // that an ejection takes where each of them saw failures,
   std::size_t required_if_stalled = 3;          // or so many where some only waited for an answer in vain
@@ -42,11 +43,13 @@
   Time orphan_lifetime = 15'000'000;  // attempts of a node that died have ended after so long; 0: don't count
 };
 
+// Hosted by SharedStateModel, which calls ObserveReplicas and SetMembers before Evaluate.
 class OutlierConsensusModel {
  public:
   OutlierConsensusModel(std::string self, OutlierConsensusLimits limits)
       : self_(std::move(self)), limits_(limits) {}
 
+  // Another node of the view.
   struct Peer {
     std::string name;
     std::string zone;
@@ -85,6 +88,7 @@
   const std::vector<Finding>& findings() const { return findings_; }
 
  private:
+  // What is known of another node.
   struct PeerState {
     NodeReport report;
     Time made_at = 0;
@@ -96,6 +100,7 @@
     int in_flight = 0;
     Time until = 0;
   };
+  // What this node observes of a replica, and what it announced of it.
   struct Replica {
     policy::ReplicaView view;
     bool listed = false;
@@ -103,12 +108,14 @@
     Time announced_at = 0;
     std::map<std::string, OrphanedAttempts> orphans;  // by dead node
   };
+  // A node whose report counts against a replica.
   struct Reporter {
     std::string name;
     std::string zone;
     Time since;   // when it failed there last, or began to wait
     bool failed;  // else stalled
   };
+  // One node's mean, weighted by its samples.
   struct SlownessSample {
     double slowness;
     double samples;
--- a/src/gossip/prefix_traffic_model.h
+++ b/src/gossip/prefix_traffic_model.h
@@ -17,6 +17,7 @@
 
 namespace ryeglade::gossip {
 
+// Spans in microseconds.
 struct PrefixTrafficLimits {
   Time window = 20'000'000;          // time constant of the decaying counts
   Time max_report_age = 15'000'000;  // an older report no longer counts
@@ -24,6 +25,7 @@
   std::size_t max_prefixes = 256;    // that are put together
 };
 
+// Counts this node's requests and adds up what all nodes report.
 class PrefixTrafficModel {
  public:
   explicit PrefixTrafficModel(std::string self, Time now, PrefixTrafficLimits limits = {})
@@ -42,6 +44,7 @@
   std::size_t announced() const { return announced_.size(); }  // prefixes
 
  private:
+  // The newest report of another node.
   struct PeerState {
     double rate = 0;
     Time made_at = 0;
--- a/src/gossip/shared_state_model.h
+++ b/src/gossip/shared_state_model.h
@@ -17,12 +17,14 @@
 
 namespace ryeglade::gossip {
 
+// What a node uses of the gossip.
 struct GossipFeatures {
   bool traffic_shares = true;
   bool outlier_reports = true;
   bool prefix_traffic = true;
 };
 
+// Spans in microseconds.
 struct SharedStateLimits {
   TrafficShareLimits traffic_share;
   OutlierConsensusLimits outliers;
@@ -31,6 +33,7 @@
   Time freeze_time = 30'000'000;  // while the view is uncertain, what was announced stands for so long
 };
 
+// One node's; each call is with the host's own steady clock.
 class SharedStateModel {
  public:
   // `incarnation` rises with each process of this node.
--- a/src/gossip/traffic_share_model.h
+++ b/src/gossip/traffic_share_model.h
@@ -22,6 +22,7 @@
 
 namespace ryeglade::gossip {
 
+// Spans in microseconds.
 struct TrafficShareLimits {
   Time window = 5'000'000;            // time constant of the decaying request count
   Time report_interval = 500'000;     // between reports,
@@ -37,6 +38,7 @@
                                     // the last settled one by at most this part of it
 };
 
+// One node's computation; the others make the same from the same reports.
 class TrafficShareModel {
  public:
   // `incarnation` rises with each process of this node.
@@ -56,6 +58,7 @@
   // This node's share, over 0 to 1, to go by from now on. `nodes`: as many as are announced.
   double UpdateShare(Time now, std::size_t nodes);
 
+  // One node's part in the computation.
   struct NodeShare {
     std::string node;
     double rate = 0;  // as reported, or the mean where it has reported none
@@ -70,6 +73,7 @@
   const char* state() const { return state_; }  // "shares", "held", "stepping-back" or "equal"
 
  private:
+  // What is known of another node.
   struct Peer {
     NodeReport report;
     Time received_at = -1;  // -1: never
--- a/src/membership/dissemination_queue_model.h
+++ b/src/membership/dissemination_queue_model.h
@@ -14,6 +14,7 @@
 
 namespace ryeglade::membership {
 
+// Bounded by kMaxUpdates; a look-up is a scan.
 class DisseminationQueue {
  public:
   static constexpr std::size_t kMaxUpdates = 512;
--- a/src/membership/local_health_model.h
+++ b/src/membership/local_health_model.h
@@ -8,6 +8,7 @@
 
 namespace ryeglade::membership {
 
+// A score, and the spans that it stretches.
 class LocalHealth {
  public:
   static constexpr int kMaxScore = 8;
--- a/src/membership/majority_census_model.h
+++ b/src/membership/majority_census_model.h
@@ -13,8 +13,10 @@
 
 namespace ryeglade::membership {
 
+// The census that is under way, or the last one.
 class MajorityCensus {
  public:
+  // All in microseconds.
   struct Timing {
     Time duration;        // from the probes until answers are counted
     Time valid_for;       // after that the census is repeated
--- a/src/membership/member_record_model.h
+++ b/src/membership/member_record_model.h
@@ -15,6 +15,7 @@
 using policy::Time;
 
 // A member's state as records spread it. *Suspect* and *joining* are each node's own view (MemberState).
+// The numbers are those on the wire.
 enum class RecordState : std::uint8_t { kAlive, kLeaving, kDead, kLeft, kCount };
 const char* Name(RecordState state);
 
@@ -53,6 +54,7 @@
 
 // One piece of information that spreads by gossip.
 struct Update {
+  // message_codec.cpp maps these to numbers on the wire.
   enum class Kind : std::uint8_t { kRecord, kReport, kCount };
   Kind kind = Kind::kRecord;
   MemberRecord record;        // of a report: name and incarnation of the member that it is about
@@ -61,6 +63,7 @@
 };
 inline constexpr Time kMaxReportAge = 600'000'000;
 
+// The numbers are those on the wire.
 enum class MessageKind : std::uint8_t {
   kPing,         // direct probe: to be answered
   kPingRequest,  // indirect probe: ping `target` for the sender
@@ -79,6 +82,7 @@
 inline constexpr std::uint32_t kSchema = 2;
 inline constexpr std::uint32_t kMinReaderSchema = 1;
 
+// What a datagram or one side of a push-pull exchange carries.
 struct Message {
   std::uint32_t schema = kSchema;
   std::uint32_t min_reader_schema = kMinReaderSchema;
--- a/src/membership/member_table_model.h
+++ b/src/membership/member_table_model.h
@@ -23,6 +23,7 @@
   return state == MemberState::kAlive || state == MemberState::kSuspect || state == MemberState::kLeaving;
 }
 
+// An event of one member, for people.
 struct HistoryEntry {
   Time at = 0;
   const char* event = "";  // a reason word
@@ -30,6 +31,7 @@
 };
 inline constexpr std::size_t kMaxHistory = 8;  // entries a member
 
+// What a node knows of one other member.
 struct Member {
   MemberRecord record;
   bool verified = false;        // this node has reached it there and back since it came
@@ -61,6 +63,7 @@
   std::size_t live_index = kNotListed;  // in MemberTable::live_
 };
 
+// Owns the members; copies have indices of their own.
 class MemberTable {
  public:
   MemberTable() = default;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -14,8 +14,6 @@
 namespace ryeglade::membership {
 namespace {
 
-constexpr std::size_t kMaxExchangesIn = 8;
-constexpr std::size_t kMaxExchangesOut = 4;
 constexpr Time kMinExchangeTimeout = 2'000'000;
 constexpr std::size_t kMaxDatagramsASecond = 5000;  // more are dropped unread
 constexpr int kMaxGossipMessages = 2;               // a tick, where gossip is pending
@@ -23,7 +21,6 @@
 constexpr Time kAddressRetry = 100'000;
 constexpr Time kAddressRetryAfterYield = 2'000'000;
 constexpr unsigned kHandoverPollMs = 100;
-constexpr std::size_t kLengthBytes = 4;  // ahead of each message of an exchange, little-endian
 
 std::string FormatAddress(const sockaddr* address) {
   char host[64] = {};
@@ -37,19 +34,6 @@
   return std::string(host) + ":" + std::to_string(ntohs(in4->sin_port));
 }
 
-std::string Framed(const std::string& message) {
-  std::string out;
-  for (std::size_t i = 0; i < kLengthBytes; ++i) out += static_cast<char>(message.size() >> (8 * i) & 0xff);
-  return out + message;
-}
-
-std::size_t ReadLength(std::string_view bytes) {
-  std::size_t length = 0;
-  for (std::size_t i = 0; i < kLengthBytes; ++i)
-    length |= static_cast<std::size_t>(static_cast<unsigned char>(bytes[i])) << (8 * i);
-  return length;
-}
-
 void AllocateDatagram(uv_handle_t*, std::size_t, uv_buf_t* buffer) {
   static std::array<char, 2048> datagram;  // read and used within one call
   *buffer = uv_buf_init(datagram.data(), static_cast<unsigned>(datagram.size()));
@@ -67,6 +51,7 @@
       node_count_(nodes, settings.shrink_after),
       node_(node),
       address_(settings.advertise),
+      exchanges_(runtime, &networks_, std::max<Time>(kMinExchangeTimeout, 3 * settings.period), this),
       handover_(runtime->loop, std::move(handover_path),
                 [this](const std::string& text) { OnSiblingMessage(text); }) {
   for (const std::string& network : settings.networks) networks_.Add(network);
@@ -111,7 +96,7 @@
   if (error == 0) error = uv_tcp_bind(listener_, reinterpret_cast<const sockaddr*>(&bound), 0);
   if (error == 0) {
     error = uv_listen(reinterpret_cast<uv_stream_t*>(listener_), 16, [](uv_stream_t* stream, int status) {
-      if (status == 0) static_cast<Membership*>(stream->data)->AcceptExchange();
+      if (status == 0) static_cast<Membership*>(stream->data)->exchanges_.Accept(stream);
     });
   }
   if (error == 0) error = uv_udp_recv_start(udp_, AllocateDatagram, OnUdpRead);
@@ -128,7 +113,7 @@
 }
 
 void Membership::CloseSockets() {
-  for (const Handle exchange : exchanges_.All()) EndExchange(exchange, false);
+  exchanges_.CloseAll();
   if (udp_ != nullptr) {
     uv_close(reinterpret_cast<uv_handle_t*>(udp_),
              [](uv_handle_t* handle) { delete reinterpret_cast<uv_udp_t*>(handle); });
@@ -362,22 +347,9 @@
 
 // ---- Push-pull exchanges ----
 
-void Membership::SetExchangeDeadline(Handle handle, Exchange* exchange) {
-  const Time timeout = std::max<Time>(kMinExchangeTimeout, 3 * settings_.period);
-  exchange->deadline =
-      runtime_->deadlines->Set(Now() + timeout, [this, handle] { EndExchange(handle, false); });
-}
-
 void Membership::StartExchange(const std::string& to) {
   sockaddr_storage address{};
-  if (exchanges_out_ >= kMaxExchangesOut || udp_ == nullptr || !ParseAddress(to, &address) ||
-      !networks_.Contains(address))
-    return;
-  const Handle handle = exchanges_.Add({});
-  Exchange* exchange = exchanges_.Get(handle);
-  exchange->initiated = true;
-  exchange->tcp = Tcp::New(runtime_->loop, runtime_->buffers, this, handle);
-  ++exchanges_out_;
+  if (udp_ == nullptr || !ParseAddress(to, &address) || !networks_.Contains(address)) return;
   // From the address that peers know this node by; the port is the kernel's.
   sockaddr_storage from = local_;
   if (from.ss_family == AF_INET6) {
@@ -385,99 +357,30 @@
   } else {
     reinterpret_cast<sockaddr_in*>(&from)->sin_port = 0;
   }
-  SetExchangeDeadline(handle, exchange);
-  if (exchange->tcp->Bind(from) != 0 || exchange->tcp->Connect(address) != 0) EndExchange(handle, false);
-}
-
-void Membership::OnConnected(Handle handle, int status) {
-  Exchange* exchange = exchanges_.Get(handle);
-  if (exchange == nullptr) return;
-  if (status != 0) return EndExchange(handle, false);
-  exchange->tcp->Read();
-  if (!exchange->tcp->Write(Framed(Encode(model_->PushPullMessage())))) EndExchange(handle, false);
+  exchanges_.Start(from, address);
 }
 
-void Membership::AcceptExchange() {
-  const Handle handle = exchanges_.Add({});
-  Exchange* exchange = exchanges_.Get(handle);
-  exchange->tcp = Tcp::New(runtime_->loop, runtime_->buffers, this, handle);
-  ++exchanges_in_;
-  if (!exchange->tcp->Accept(reinterpret_cast<uv_stream_t*>(listener_)) || exchanges_in_ > kMaxExchangesIn)
-    return EndExchange(handle, false);
-  if (!networks_.Contains(exchange->tcp->Peer())) {
-    CountDropped("networks");
-    return EndExchange(handle, false);
-  }
-  SetExchangeDeadline(handle, exchange);
-  exchange->tcp->Read();
-}
+std::string Membership::PushPullBytes() { return Encode(model_->PushPullMessage()); }
 
-std::optional<Message> Membership::DecodeExchange(std::string_view bytes, const char** why) const {
-  std::optional<Message> message = Decode(bytes, why);
-  if (!message) return std::nullopt;
-  if (message->kind != MessageKind::kPushPull) {
-    *why = "malformed";
-    return std::nullopt;
-  }
-  *why = model_->RejectReason(*message);
-  if (**why != '\0') return std::nullopt;
-  return message;
-}
-
-void Membership::OnRead(Handle handle, std::string_view bytes) {
-  Exchange* exchange = exchanges_.Get(handle);
-  if (exchange == nullptr || exchange->answered) return;
-  if (exchange->received.size() + bytes.size() > kMaxPushPullBytes + kLengthBytes) {
-    CountDropped("too-long");
-    return EndExchange(handle, false);
+bool Membership::OnPushPullBytes(std::string_view bytes, bool initiated) {
+  const char* why = "";
+  std::optional<Message> message = Decode(bytes, &why);
+  if (message && message->kind != MessageKind::kPushPull) {
+    why = "malformed";
+    message.reset();
   }
-  exchange->received.append(bytes);
-  if (exchange->received.size() < kLengthBytes) return;
-  const std::size_t length = ReadLength(exchange->received);
-  if (length > kMaxPushPullBytes) {
-    CountDropped("too-long");
-    return EndExchange(handle, false);
+  if (message) {
+    why = model_->RejectReason(*message);
+    if (*why != '\0') message.reset();
   }
-  if (exchange->received.size() < kLengthBytes + length) return;
-  const char* why = "";
-  const std::optional<Message> message =
-      DecodeExchange(std::string_view(exchange->received).substr(kLengthBytes, length), &why);
   if (!message) {
     CountDropped(why);
-    return EndExchange(handle, false);
+    return false;
   }
-  const bool initiated = exchange->initiated;
   actions_.Clear();
   model_->OnPushPull(Now(), *message, initiated, actions_);
   Execute();
-  exchange = exchanges_.Get(handle);
-  if (exchange == nullptr) return;
-  ++traffic_.exchanges;
-  if (initiated) return EndExchange(handle, true);
-  exchange->answered = true;
-  if (!exchange->tcp->Write(Framed(Encode(model_->PushPullMessage())))) return EndExchange(handle, false);
-  if (exchange->tcp->unsent() == 0) OnDrained(handle);
-}
-
-void Membership::OnDrained(Handle handle) {
-  Exchange* exchange = exchanges_.Get(handle);
-  // The other side closes once it has read all; the deadline guards against one that does not.
-  if (exchange != nullptr && exchange->answered) exchange->tcp->EndWriting();
-}
-
-void Membership::OnEnded(Handle handle) {
-  const Exchange* exchange = exchanges_.Get(handle);
-  if (exchange != nullptr) EndExchange(handle, exchange->answered);
-}
-
-void Membership::EndExchange(Handle handle, bool completed) {
-  Exchange* exchange = exchanges_.Get(handle);
-  if (exchange == nullptr) return;
-  if (!completed) ++traffic_.exchanges_failed;
-  --(exchange->initiated ? exchanges_out_ : exchanges_in_);
-  runtime_->deadlines->Cancel(exchange->deadline);
-  exchange->tcp->Close();
-  exchanges_.Remove(handle);
+  return true;
 }
 
 // ---- The view ----
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -14,31 +14,31 @@
 #include <string_view>
 
 #include "base/runtime.h"
-#include "base/slot_table.h"
 #include "base/state_file.h"
-#include "base/tcp.h"
 #include "core/ports.h"
 #include "limits/networks.h"
 #include "membership/membership_model.h"
 #include "membership/node_count_policy.h"
+#include "membership/push_pull_connections.h"
 #include "settings/edge_settings.h"
 
 namespace ryeglade::membership {
 
+// Counters since the start of the process.
 struct Traffic {
   std::uint64_t datagrams_in = 0;
   std::uint64_t datagrams_out = 0;
-  std::uint64_t bytes_in = 0;   // of datagrams
-  std::uint64_t bytes_out = 0;  // of datagrams
-  std::uint64_t exchanges = 0;  // push-pull
-  std::uint64_t exchanges_failed = 0;
+  std::uint64_t bytes_in = 0;                    // of datagrams
+  std::uint64_t bytes_out = 0;                   // of datagrams
   std::uint64_t unsent = 0;                      // datagrams that the kernel did not take
   std::map<std::string, std::uint64_t> dropped;  // by reason; a fixed set of words
 };
 
-class Membership : public TcpOwner, public ClusterViewPort {
+// Runs on one loop; everything is called from it.
+class Membership : public ClusterViewPort, private PushPullConnections::Owner {
  public:
-  static constexpr std::size_t kSockets = 1 + 1 + 8 + 4;  // datagrams, listener, exchanges in and out
+  // Datagrams, listener, exchanges.
+  static constexpr std::size_t kSockets = 1 + 1 + PushPullConnections::kSockets;
 
   // `nodes`: what the decision module was built with. `events` and `observer` may be null; the pointers are
   // not owned and outlive this. `handover_path`: a file that the processes of this node share.
@@ -57,27 +57,15 @@
   ClusterView View() const override;
   const MembershipModel& model() const { return *model_; }  // not while the phase is "waiting"
   const Traffic& traffic() const { return traffic_; }
+  const PushPullConnections& exchanges() const { return exchanges_; }
   std::size_t announced_nodes() const { return node_count_.announced(); }
   const char* phase() const;  // "active", "waiting" for the process before, or "yielded" to the next
   const std::string& address() const { return address_; }
   const std::string& name() const { return node_; }
   std::uint32_t schema() const { return settings_.wire; }  // that is written
 
-  void OnConnected(Handle exchange, int status) override;
-  void OnRead(Handle exchange, std::string_view bytes) override;
-  void OnEnded(Handle exchange) override;
-  void OnDrained(Handle exchange) override;
-
  private:
   enum class Phase : std::uint8_t { kWaiting, kActive, kYielded, kClosed };
-  struct Exchange {
-    Tcp* tcp = nullptr;
-    bool initiated = false;  // by this node
-    bool answered = false;
-    std::string received;
-    DeadlineId deadline{};
-  };
-
   bool OpenSockets();  // false: the address is in use
   void CloseSockets();
   void WaitForAddress();
@@ -93,14 +81,11 @@
                         unsigned flags);
   void OnDatagram(std::string_view bytes, const sockaddr* from);
   void SendDatagram(const std::string& to, Message message);
-  void CountDropped(const char* why);
 
   void StartExchange(const std::string& to);
-  void AcceptExchange();
-  void SetExchangeDeadline(Handle handle, Exchange* exchange);
-  // Null, and `why` a reason word.
-  std::optional<Message> DecodeExchange(std::string_view bytes, const char** why) const;
-  void EndExchange(Handle handle, bool completed);
+  std::string PushPullBytes() override;
+  bool OnPushPullBytes(std::string_view bytes, bool initiated) override;
+  void CountDropped(const char* why) override;
 
   void OnSiblingMessage(const std::string& text);  // from another process of this node
   void WriteToSibling(const char* kind);
@@ -122,9 +107,7 @@
   bool leaving_ = false;
   uv_udp_t* udp_ = nullptr;       // freed by its close
   uv_tcp_t* listener_ = nullptr;  // the same
-  SlotTable<Exchange> exchanges_;
-  std::size_t exchanges_in_ = 0;
-  std::size_t exchanges_out_ = 0;
+  PushPullConnections exchanges_;
   StateFile handover_;
   std::uint64_t uid_ = 0;
   std::uint64_t sibling_incarnation_ = 0;  // the highest that another process of this node has used
--- a/src/membership/membership_model.cpp
+++ b/src/membership/membership_model.cpp
@@ -12,17 +12,12 @@
 constexpr double kProbeTimeout = 0.4;    // until helpers are asked
 constexpr double kProbeDuration = 0.95;  // until a probe has failed
 constexpr double kUnreachedBefore = 4;   // without reaching anybody, a partition is suspected
-constexpr double kOthersReached = 2;     // somebody else must have been reached so lately to suspect anybody
-constexpr double kCensusDuration = 1.5;
-constexpr double kCensusValidFor = 4;
 constexpr double kGossipInterval = 0.2;
 constexpr double kRetryUnverified = 2;  // between probes of a newcomer
 constexpr double kRetryReported = 4;    // between further ones, while others report on it
 constexpr double kForgetInterval = 5;
 constexpr double kRetryName = 30;
 
-constexpr double kManySuspectsShare = 0.25;  // of the stable view at once: a cut is as likely as deaths
-constexpr std::size_t kMinManySuspects = 3;
 constexpr int kMaxVerificationProbes = 4;   // of a newcomer until it is dropped
 constexpr std::size_t kFewUnverified = 16;  // more are taken for a flood of names
 constexpr int kMaxNewProbesATick = 8;       // of newcomers
@@ -153,87 +148,6 @@
   return message;
 }
 
-// ---- What this node finds of others ----
-
-// Rises with time over restarts too, as far as clocks allow.
-std::uint64_t MembershipModel::NextReportSeq(Time now) {
-  last_report_seq_ = std::max(last_report_seq_ + 1, static_cast<std::uint64_t>(std::max<Time>(0, now)));
-  return last_report_seq_;
-}
-
-void MembershipModel::RecordOwnReport(Time now, Member& member, bool reachable) {
-  const ReachabilityReport report{self_.name, reachable, NextReportSeq(now), now};
-  if (ReachabilityReport* earlier = member.FindReport(self_.name); earlier != nullptr) {
-    *earlier = report;
-  } else if (member.reports.size() >= SuspicionRules::kMaxReports) {
-    member.reports.back() = report;
-  } else {
-    member.reports.push_back(report);
-  }
-  if (!reachable || options_.reachable_reports) EnqueueReport(now, member, report);
-}
-
-bool MembershipModel::MaySuspect(Time now, const Member& member) const {
-  if (!options_.local_health) return true;
-  return table_.live().size() > (member.live() ? 1U : 0U) &&
-         now - last_reached_at_ <= health_.ScaledAtMostTwice(options_.Intervals(kOthersReached));
-}
-
-void MembershipModel::ReportUnreachable(Time now, Member& member, Actions& out) {
-  if (!MaySuspect(now, member)) return;
-  RecordOwnReport(now, member, false);
-  if (suspects_.Add(member, now)) EmitMemberEvent(member, now, "member-suspect", self_.name, out);
-}
-
-void MembershipModel::MarkVerified(Time now, Member& member, Actions& out) {
-  const bool returns = member.returning.has_value();
-  if (returns) {
-    member.record = *member.returning;
-    member.returning.reset();
-  }
-  if (IsGone(member.record)) return;
-  member.verified = true;
-  member.state_since = now;
-  member.failed_probes = 0;
-  // What a majority is counted of grows with members that come while all is well, and with those that were
-  // removed and return. Others count once the view is stable with them: a side that is cut off must not grow
-  // into a majority.
-  const bool all_well = !view_.partition_suspected() && suspects_.empty();
-  if (!table_.stable_view().empty() && (returns || all_well)) table_.AddToStableView(member);
-  unverified_.erase(member.record.name);
-  table_.UpdateLive(member);
-  view_.OnChange(now);
-  EmitMemberEvent(member, now, returns ? "member-returned" : "member-alive", self_.name, out);
-  EnqueueRecord(now, member.record);
-}
-
-void MembershipModel::OnReached(Time now, Member& member, Actions& out) {
-  member.reached_at = now;
-  last_reached_at_ = now;
-  if (!member.verified && (!member.gone() || member.returning)) MarkVerified(now, member, out);
-  if (suspects_.Contains(member.record.name)) RecordOwnReport(now, member, true);
-}
-
-void MembershipModel::MarkGone(Time now, Member& member, const MemberRecord& record,
-                               const std::string& reporter, Actions& out) {
-  const bool was_live = member.live();
-  member.record = record;
-  member.returning.reset();
-  member.verified = false;
-  member.state_since = now;
-  member.gone_at = now;
-  member.suspect_since = 0;
-  member.reports.clear();
-  suspects_.Remove(record.name);
-  unverified_.erase(record.name);
-  EnqueueRecord(now, member.record);
-  table_.UpdateLive(member);
-  if (!was_live) return;
-  view_.OnChange(now);
-  EmitMemberEvent(member, now, record.state == RecordState::kDead ? "member-dead" : "member-left", reporter,
-                  out);
-}
-
 // ---- What time brings ----
 
 void MembershipModel::OnPause(Time now, Time span, Actions& out) {
@@ -395,94 +309,6 @@
   if (member != nullptr) StartProbe(now, *member, out);
 }
 
-void MembershipModel::CheckSuspects(Time now, Actions& out) {
-  if (suspects_.empty()) return;
-  const Time suspicion_time = Rules().SuspicionTime();
-  struct Suspect {
-    Member* member;
-    std::vector<std::string> reporters;
-  };
-  std::vector<Suspect> all;
-  all.reserve(suspects_.names().size());
-  std::size_t enough_reporters = 0;
-  for (const std::string& name : suspects_.names()) {
-    Member& member = *table_.Find(name);
-    all.push_back({&member, Rules().UnreachableReporters(member, now)});
-    if (all.back().reporters.size() >= Rules().RequiredReporters(member)) ++enough_reporters;
-  }
-  const bool many_at_once = options_.require_majority && enough_reporters >= kMinManySuspects &&
-                            static_cast<double>(enough_reporters) >=
-                                kManySuspectsShare * static_cast<double>(table_.stable_view().size());
-  bool removed = false;  // a member went just now, which may have reported others
-  for (Suspect& suspect : all) {
-    Member& member = *suspect.member;
-    std::vector<std::string> reporters =
-        removed ? Rules().UnreachableReporters(member, now) : std::move(suspect.reporters);
-    if (CheckSuspect(now, member, std::move(reporters), suspicion_time, many_at_once, out)) removed = true;
-  }
-}
-
-// True: the suspect has been declared dead, or to have left.
-bool MembershipModel::CheckSuspect(Time now, Member& member, std::vector<std::string> reporters,
-                                   Time suspicion_time, bool many_at_once, Actions& out) {
-  if (reporters.empty()) {  // all took it back, or it was long ago
-    suspects_.Remove(member.record.name);
-    member.suspect_since = 0;
-    member.state_since = now;
-    member.reports.clear();
-    EmitMemberEvent(member, now, "member-cleared", "", out);
-    return false;
-  }
-  for (const ReachabilityReport& report : member.reports) {
-    if (report.reachable) member.suspect_since = std::max(member.suspect_since, report.made_at);
-  }
-  const bool leaves = member.record.state == RecordState::kLeaving;
-  const Time suspect_for = now - member.suspect_since;
-  const bool waited = suspect_for >= (many_at_once || leaves ? 2 * suspicion_time : suspicion_time);
-  const bool enough_reporters = reporters.size() >= Rules().RequiredReporters(member);
-  const bool agreed = enough_reporters && !Rules().IsReportedReachable(member, now);
-  // It announced so itself, so that no majority is needed; but it may only be slow, and nothing depends on
-  // haste.
-  if (leaves && waited && agreed) {
-    MemberRecord left = member.record;
-    left.state = RecordState::kLeft;
-    MarkGone(now, member, left, self_.name, out);
-    return true;
-  }
-  const bool census_due =
-      !leaves && enough_reporters && suspect_for >= suspicion_time - options_.Intervals(kCensusDuration + 1);
-  const bool has_majority =
-      !options_.require_majority || (census_due && HasMajority(now, member.suspect_since, out));
-  const bool may_declare_deaths = !(options_.require_majority && view_.partition_suspected()) &&
-                                  has_majority && view_.MayDeclareDeaths(now);
-  if (!leaves && waited && may_declare_deaths && agreed) {
-    MemberRecord dead = member.record;
-    dead.state = RecordState::kDead;
-    if (reporters.size() > kMaxRecordReporters) reporters.resize(kMaxRecordReporters);
-    dead.reporters = std::move(reporters);
-    MarkGone(now, member, dead, self_.name, out);
-    return true;
-  }
-  ProbeSuspectAgain(now, member, suspicion_time, out);
-  return false;
-}
-
-// A suspect is probed again where this node has reported on it or is one of its observers.
-void MembershipModel::ProbeSuspectAgain(Time now, Member& member, Time suspicion_time, Actions& out) {
-  const Time interval = std::max(options_.Intervals(2), suspicion_time / 3);
-  const ReachabilityReport* own = member.FindReport(self_.name);
-  const bool due = own != nullptr ? now - own->made_at >= interval
-                                  : Rules().IsObserver(member) && now - member.suspect_since >= interval;
-  if (due) StartProbe(now, member, out);
-}
-
-bool MembershipModel::HasMajority(Time now, Time since, Actions& out) {
-  const MajorityCensus::Timing timing{health_.Scaled(options_.Intervals(kCensusDuration)),
-                                      options_.Intervals(kCensusValidFor), options_.probe_interval};
-  return census_.HasMajority(now, since, timing, table_, suspects_, random_,
-                             [&](Member& member) { StartProbe(now, member, out); });
-}
-
 void MembershipModel::SendGossip(Time now, Actions& out) {
   if (now < next_gossip_at_) return;
   next_gossip_at_ = now + options_.Intervals(kGossipInterval);
--- a/src/membership/membership_model.h
+++ b/src/membership/membership_model.h
@@ -68,6 +68,7 @@
   }
 };
 
+// One node. Not thread-safe; each call appends what the host is to do.
 class MembershipModel {
  public:
   // `self` with its first incarnation and its uid; `now` on the host's own steady clock.
@@ -134,11 +135,6 @@
   void HandleFailedVerification(Time now, const Probe& probe, Member& member);
   void ProbeUnverified(Time now, Actions& out);
   void ProbeNextMember(Time now, Actions& out);
-  void CheckSuspects(Time now, Actions& out);
-  bool CheckSuspect(Time now, Member& member, std::vector<std::string> reporters, Time suspicion_time,
-                    bool many_at_once, Actions& out);
-  void ProbeSuspectAgain(Time now, Member& member, Time suspicion_time, Actions& out);
-  bool HasMajority(Time now, Time since, Actions& out);
   void SendGossip(Time now, Actions& out);
   void StartPushPulls(Time now, Actions& out);
   void UpdateViewStatus(Time now, Actions& out);
@@ -147,16 +143,6 @@
   void SendPing(Time now, Probe& probe, Actions& out);
   void AskHelpers(Time now, Probe& probe, Actions& out);
 
-  void RecordOwnReport(Time now, Member& member, bool reachable);
-  std::uint64_t NextReportSeq(Time now);
-  // False: this node reaches nobody else either, so the fault is likely here.
-  bool MaySuspect(Time now, const Member& member) const;
-  void ReportUnreachable(Time now, Member& member, Actions& out);
-  void OnReached(Time now, Member& member, Actions& out);
-  void MarkVerified(Time now, Member& member, Actions& out);
-  void MarkGone(Time now, Member& member, const MemberRecord& record, const std::string& reporter,
-                Actions& out);
-
   Message MakeMessage(MessageKind kind, std::uint64_t seq) const;
   // Sends a message, filled up with updates. `about`: the member that it goes to or asks for, empty where
   // none; `schema`: of the reader.
@@ -172,6 +158,22 @@
   static void EmitMemberEvent(Member& member, Time now, const char* reason, const std::string& reporter,
                               Actions& out);
 
+  // ---- membership_suspects_model.cpp: what this node finds of others ----
+  void CheckSuspects(Time now, Actions& out);
+  bool CheckSuspect(Time now, Member& member, std::vector<std::string> reporters, Time suspicion_time,
+                    bool many_at_once, Actions& out);
+  void ProbeSuspectAgain(Time now, Member& member, Time suspicion_time, Actions& out);
+  bool HasMajority(Time now, Time since, Actions& out);
+  void RecordOwnReport(Time now, Member& member, bool reachable);
+  std::uint64_t NextReportSeq(Time now);
+  // False: this node reaches nobody else either, so the fault is likely here.
+  bool MaySuspect(Time now, const Member& member) const;
+  void ReportUnreachable(Time now, Member& member, Actions& out);
+  void OnReached(Time now, Member& member, Actions& out);
+  void MarkVerified(Time now, Member& member, Actions& out);
+  void MarkGone(Time now, Member& member, const MemberRecord& record, const std::string& reporter,
+                Actions& out);
+
   // ---- membership_updates_model.cpp: what messages bring ----
   void OnPing(Time now, const std::string& address, const Message& message, Actions& out);
   void OnPingRequest(Time now, const std::string& address, const Message& message, Actions& out);
--- a/src/membership/node_count_policy.h
+++ b/src/membership/node_count_policy.h
@@ -12,6 +12,7 @@
 
 using policy::Time;
 
+// The view, as far as it matters here.
 struct NodeCountFacts {
   std::size_t live = 1;  // this node among them
   bool joined = false;
@@ -20,6 +21,7 @@
   Time stable_since = 0;
 };
 
+// Remembers what was announced last.
 class NodeCountPolicy {
  public:
   // `announced`: what the module was built with. `shrink_after`: microseconds.
--- a/src/membership/probing_model.h
+++ b/src/membership/probing_model.h
@@ -38,6 +38,7 @@
   bool nacked = false;
 };
 
+// Bounded by kMaxProbes and kMaxRelays.
 class Probing {
  public:
   static constexpr std::size_t kMaxProbes = 64;
--- a/src/membership/push_pull_model.h
+++ b/src/membership/push_pull_model.h
@@ -11,6 +11,7 @@
 
 namespace ryeglade::membership {
 
+// Also knows whether the node has joined, as that is done by the first exchange.
 class PushPullSchedule {
  public:
   // `joined`: there is nobody to join.
--- a/src/membership/status_front.cpp
+++ b/src/membership/status_front.cpp
@@ -80,14 +80,15 @@
                     static_cast<double>(model.self().incarnation));
 }
 
-void AddTrafficMetrics(const Traffic& traffic, MetricFamilies* metrics) {
+void AddTrafficMetrics(const Membership& membership, MetricFamilies* metrics) {
+  const Traffic& traffic = membership.traffic();
   metrics->AddCounter("node_tier_datagrams_in", "Datagrams that came", traffic.datagrams_in);
   metrics->AddCounter("node_tier_datagrams_out", "Datagrams sent", traffic.datagrams_out);
   metrics->AddCounter("node_tier_bytes_in", "Bytes of datagrams that came", traffic.bytes_in);
   metrics->AddCounter("node_tier_bytes_out", "Bytes of datagrams sent", traffic.bytes_out);
-  metrics->AddCounter("node_tier_exchanges", "Full exchanges", traffic.exchanges);
+  metrics->AddCounter("node_tier_exchanges", "Full exchanges", membership.exchanges().completed());
   metrics->AddCounter("node_tier_exchanges_failed", "Exchanges that came to nothing",
-                      traffic.exchanges_failed);
+                      membership.exchanges().failed());
   prometheus::MetricFamily dropped =
       Family("node_tier_dropped", "Messages dropped, by reason", prometheus::MetricType::Counter);
   for (const auto& [why, n] : traffic.dropped) AddSample(dropped, {{"why", why}}, static_cast<double>(n));
@@ -138,7 +139,7 @@
   metrics.AddGauge("node_tier_told", "Nodes that the decision module is told there are",
                    static_cast<double>(membership_->announced_nodes()));
   if (HasModel(*membership_)) AddModelMetrics(membership_->model(), &metrics);
-  AddTrafficMetrics(membership_->traffic(), &metrics);
+  AddTrafficMetrics(*membership_, &metrics);
   return metrics.Serialize();
 }
 
--- a/src/membership/status_front.h
+++ b/src/membership/status_front.h
@@ -11,6 +11,7 @@
 
 namespace ryeglade::membership {
 
+// Serves GET /nodes, /nodes/NAME, /metrics and /tier.
 class StatusFront : public Front {
  public:
   static constexpr std::size_t kSockets = 8;
--- a/src/membership/view_status_model.h
+++ b/src/membership/view_status_model.h
@@ -11,6 +11,7 @@
 
 using policy::Time;
 
+// Changed by the events that it is told of; it computes nothing itself.
 class ViewStatus {
  public:
   explicit ViewStatus(Time now) : changed_at_(now) {}
