--- a/fuzz/event_stream_fuzz.cpp
+++ b/fuzz/event_stream_fuzz.cpp
@@ -32,11 +32,12 @@
   const std::string whole = Read(text, 0);
   // A block over the bound may be noticed earlier or later, depending on the cut.
   if (text.size() <= 4096 && Read(text, data[0] % (text.size() + 1)) != whole) std::abort();
-  ryeglade::AnswerWatch watch(true);
+  ryeglade::ResponseObserver watch(true);
   std::string out;
   watch.Feed(text, out);
-  ryeglade::Assembler assembler(ryeglade::openai::Endpoint::kChat, 4096);
-  ryeglade::AnswerWatch reader(true);
-  if (assembler.Room(text.size()) && reader.Feed(text, assembler)) assembler.Whole("1", "m", 0);
+  ryeglade::ResponseAssembler assembler(ryeglade::openai::Endpoint::kChat, 4096);
+  ryeglade::ResponseObserver reader(true);
+  if (assembler.ReserveBytes(text.size()) && reader.Feed(text, assembler))
+    assembler.CompleteResponse("1", "m", 0);
   return 0;
 }
--- a/lab/replay.cpp
+++ b/lab/replay.cpp
@@ -248,7 +248,7 @@
   }
   out += fmt::format("attempts {}, two at once {}, {:.1f} s\n", result.attempts, result.two_at_once,
                      result.seconds);
-  if (!result.ledger.empty()) out += ledger::Table(result.ledger);
+  if (!result.ledger.empty()) out += ledger::FormatTable(result.ledger);
   return out;
 }
 
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -138,7 +138,7 @@
       throw std::runtime_error(file + ": " + e.what());
     }
   }
-  std::fputs(ryeglade::ledger::Table(all).c_str(), stdout);
+  std::fputs(ryeglade::ledger::FormatTable(all).c_str(), stdout);
   return 0;
 }
 
--- a/src/fronts/openai/answer.cpp
+++ b/src/fronts/openai/answer.cpp
@@ -8,8 +8,8 @@
 
 using nlohmann::json;
 
-constexpr int kMostDepth = 64;
-constexpr std::size_t kMostTools = 256;
+constexpr int kMaxDepth = 64;
+constexpr std::size_t kMaxToolCalls = 256;
 
 std::size_t SkipSpace(std::string_view text, std::size_t at) {
   while (at < text.size() && (text[at] == ' ' || text[at] == ':')) ++at;
@@ -17,7 +17,7 @@
 }
 
 // Whether the event's `choices` is an empty list, as in the last chunk that only brings usage.
-bool NoChoices(std::string_view data) {
+bool HasNoChoices(std::string_view data) {
   static constexpr std::string_view kName = "\"choices\"";
   const std::size_t at = data.find(kName);
   if (at == std::string_view::npos) return true;
@@ -75,14 +75,14 @@
   return bytes;
 }
 
-bool AnswerWatch::Look(const EventStream::Event& e) {
+bool ResponseObserver::Observe(const EventStream::Event& e) {
   if (!e.has_data) return true;
   if (e.data == "[DONE]") {
-    done_.assign(e.raw);
+    done_event_.assign(e.raw);
     return false;
   }
   if (const std::size_t bytes = TextBytes(e.data); bytes > 0) {
-    seen_.answer_chars += bytes;
+    seen_.output_chars += bytes;
     ++seen_.text_events;
   }
   static constexpr std::string_view kUsage = "\"usage\"";
@@ -90,7 +90,7 @@
   if (usage == std::string_view::npos) return true;
   const std::size_t value = SkipSpace(e.data, usage + kUsage.size());
   if (e.data.substr(value, 4) == "null") return true;
-  if (!NoChoices(e.data)) {
+  if (!HasNoChoices(e.data)) {
     running_usage_.assign(e.data);  // so far; the last one counts if no final one comes
     return true;
   }
@@ -99,39 +99,39 @@
   return usage_wanted_;
 }
 
-bool AnswerWatch::Feed(std::string_view bytes, std::string& out) {
+bool ResponseObserver::Feed(std::string_view bytes, std::string& out) {
   return events_.Feed(bytes, [&](const EventStream::Event& e) {
-    if (Look(e)) out.append(e.raw);
+    if (Observe(e)) out.append(e.raw);
     return true;
   });
 }
 
-bool AnswerWatch::Feed(std::string_view bytes, Assembler& whole) {
+bool ResponseObserver::Feed(std::string_view bytes, ResponseAssembler& assembler) {
   return events_.Feed(bytes, [&](const EventStream::Event& e) {
-    Look(e);
-    return !e.has_data || whole.Take(e.data);
+    Observe(e);
+    return !e.has_data || assembler.AddEvent(e.data);
   });
 }
 
-// ---- Whole answers ----
+// ---- Complete responses ----
 
-bool Assembler::Room(std::size_t bytes) {
-  taken_ += bytes;
-  return taken_ <= most_;
+bool ResponseAssembler::ReserveBytes(std::size_t bytes) {
+  bytes_ += bytes;
+  return bytes_ <= max_bytes_;
 }
 
-bool Assembler::Take(std::string_view data) {
+bool ResponseAssembler::AddEvent(std::string_view data) {
   if (data == "[DONE]") return true;
   bool deep = false;
   const json chunk = json::parse(
       data,
       [&](int depth, json::parse_event_t, json&) {
-        deep = deep || depth > kMostDepth;
+        deep = deep || depth > kMaxDepth;
         return !deep;
       },
       false);
   try {
-    return !deep && chunk.is_object() && Add(chunk);
+    return !deep && chunk.is_object() && AddChunk(chunk);
   } catch (const json::exception&) {  // a field of another kind than the API's
     return false;
   }
@@ -139,7 +139,7 @@
 
 // Pieces of text are joined, lists too; objects are merged; tool calls go by their index; of all else the
 // last counts.
-void Assembler::Merge(json& into, const json& piece) {
+void ResponseAssembler::Merge(json& into, const json& piece) {
   for (const auto& [key, value] : piece.items()) {
     json& have = into[key];
     if (value.is_null()) continue;
@@ -150,7 +150,7 @@
       for (const json& call : value) {
         if (!call.is_object()) continue;
         const std::size_t index = call.value("index", have.size());
-        if (index >= kMostTools) continue;
+        if (index >= kMaxToolCalls) continue;
         while (have.size() <= index) have.push_back(json::object());
         json rest = call;
         rest.erase("index");
@@ -168,7 +168,7 @@
   }
 }
 
-bool Assembler::Add(const json& chunk) {
+bool ResponseAssembler::AddChunk(const json& chunk) {
   for (const auto& [key, value] : chunk.items()) {
     if (key == "usage") {
       if (value.is_object()) usage_ = value;
@@ -196,13 +196,14 @@
   return true;
 }
 
-std::string Assembler::Whole(const std::string& id, const std::string& model, std::int64_t created) const {
+std::string ResponseAssembler::CompleteResponse(const std::string& id, const std::string& model,
+                                                std::int64_t created) const {
   const bool chat = endpoint_ == openai::Endpoint::kChat;
-  json whole = top_;
-  if (!whole.contains("id")) whole["id"] = (chat ? "chatcmpl-" : "cmpl-") + id;
-  if (!whole.contains("created")) whole["created"] = created;
-  if (!whole.contains("model")) whole["model"] = model;
-  whole["object"] = chat ? "chat.completion" : "text_completion";
+  json response = top_;
+  if (!response.contains("id")) response["id"] = (chat ? "chatcmpl-" : "cmpl-") + id;
+  if (!response.contains("created")) response["created"] = created;
+  if (!response.contains("model")) response["model"] = model;
+  response["object"] = chat ? "chat.completion" : "text_completion";
   json choice = choice_;
   choice["index"] = 0;
   if (!choice.contains("finish_reason")) choice["finish_reason"] = nullptr;
@@ -215,9 +216,9 @@
   } else if (!choice.contains("text")) {
     choice["text"] = message_.contains("content") ? message_.at("content") : json("");
   }
-  whole["choices"] = json::array({std::move(choice)});
-  if (usage_.is_object()) whole["usage"] = usage_;
-  return whole.dump(-1, ' ', false, json::error_handler_t::replace);
+  response["choices"] = json::array({std::move(choice)});
+  if (usage_.is_object()) response["usage"] = usage_;
+  return response.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
 }  // namespace ryeglade
--- a/src/fronts/openai/metrics.cpp
+++ b/src/fronts/openai/metrics.cpp
@@ -40,13 +40,13 @@
       labels.emplace_back(name, value);
       return labels;
     };
-    for (std::size_t i = 0; i < ledger::kColumns; ++i) {
-      Add(ended, with("outcome", ledger::Name(static_cast<ledger::Column>(i))),
+    for (std::size_t i = 0; i < ledger::kOutcomes; ++i) {
+      Add(ended, with("outcome", ledger::Name(static_cast<ledger::Outcome>(i))),
           static_cast<double>(row.ended.at(i)));
     }
     const auto spent = [&](const ledger::Tokens& t, const char* whose) {
       for (const auto& [kind, value] :
-           {std::pair{"prompt", t.prompt}, {"kept", t.kept}, {"answer", t.answer}}) {
+           {std::pair{"prompt", t.prompt}, {"kept", t.cached}, {"answer", t.output}}) {
         Labels labels = with("source", whose);
         labels.emplace_back("kind", kind);
         Add(tokens, labels, value);
@@ -60,7 +60,7 @@
           static_cast<double>(row.usage_faults.at(i)));
     }
   }
-  for (const auto& [reason, count] : ledger.turned_away())
+  for (const auto& [reason, count] : ledger.rejections())
     Add(away, {{"reason", reason}}, static_cast<double>(count));
   Add(now, {}, static_cast<double>(open));
   Add(held, {}, static_cast<double>(assembling));
--- a/src/fronts/openai/openai_front.cpp
+++ b/src/fronts/openai/openai_front.cpp
@@ -18,7 +18,7 @@
 namespace ryeglade {
 namespace {
 
-using ledger::Column;
+using ledger::Outcome;
 
 constexpr const char* kChatPath = "/v1/chat/completions";
 constexpr const char* kCompletionsPath = "/v1/completions";
@@ -88,7 +88,7 @@
   Log(Level::kInfo, "keys-reloaded", {{"keys", keyring_.size()}, {"ended", revoked.size()}});
   for (const Handle connection : revoked) {
     Abort(connection, {401, "authentication_error", "key_revoked", "Your key has been revoked.", "", 0},
-          Column::kCut);
+          Outcome::kTerminated);
   }
 }
 
@@ -103,7 +103,7 @@
   const ApiError error = ErrorOfStatus(status);
   headers = RequestIdHeader(NewRequestId()) + kJsonType + RetryHeaders(error.retry_after);
   body = ErrorJson(error);
-  ledger_.TurnedAway(error.code);
+  ledger_.CountRejection(error.code);
 }
 
 void OpenAiFront::ReplyError(Handle connection, const ApiError& error, const std::string& headers) {
@@ -115,20 +115,20 @@
 }
 
 void OpenAiFront::Reject(Handle connection, const ApiError& error, const std::string& headers) {
-  ledger_.TurnedAway(error.code);
+  ledger_.CountRejection(error.code);
   ReplyError(connection, error, headers);
 }
 
 // The one way out of `open_requests_`.
-OpenAiFront::OpenRequest OpenAiFront::Settle(Handle connection, Column outcome) {
+OpenAiFront::OpenRequest OpenAiFront::Settle(Handle connection, Outcome outcome) {
   const auto it = open_requests_.find(connection);
   OpenRequest open = std::move(it->second);
   open_requests_.erase(it);
   assembled_bytes_ -= std::min(assembled_bytes_, open.assembler.bytes());
   unfinished_bytes_ -= std::min(unfinished_bytes_, open.observer.unfinished());
-  const ledger::Seen& seen = open.observer.seen();
+  const ledger::ObservedResponse& seen = open.observer.seen();
   const int usage_times = open.observer.usage_times();
-  const bool ran = outcome == Column::kServed || seen.text_events > 0 || usage_times > 0;
+  const bool ran = outcome == Outcome::kServed || seen.text_events > 0 || usage_times > 0;
   ledger::Usage used;
   bool reported = false;
   const ledger::UsageFault* fault = nullptr;
@@ -138,18 +138,18 @@
     reported = result.usage.has_value();
     used = reported ? *result.usage : token_sizes_.Estimate(open.model, seen);
     // A response that was cut off owes no usage; one that came all the same is checked like any other.
-    if (!reported && (outcome == Column::kServed || usage_times > 0)) fault = &result.fault;
+    if (!reported && (outcome == Outcome::kServed || usage_times > 0)) fault = &result.fault;
     if (reported) token_sizes_.Learn(open.model, seen.prompt_chars, used.prompt);
   }
   ledger_.Ended(open.key, open.model, outcome, used, reported, fault);
-  const bool forwarded = outcome != Column::kRefused;
-  limiter_.Settle(Now(), open.key, open.limits, open.reserved_tokens, used.prompt + used.answer, forwarded);
+  const bool forwarded = outcome != Outcome::kRejectedByNode;
+  limiter_.Settle(Now(), open.key, open.limits, open.reserved_tokens, used.prompt + used.output, forwarded);
   return open;
 }
 
 // Whatever has been forwarded, the client gets one clear end: an error response, or an error event and no
 // [DONE].
-void OpenAiFront::Abort(Handle connection, const ApiError& error, Column outcome) {
+void OpenAiFront::Abort(Handle connection, const ApiError& error, Outcome outcome) {
   const auto it = open_requests_.find(connection);
   if (it == open_requests_.end()) return;
   const bool safe_to_retry = core_->retry_safety->IsSafeToRetry(it->second.stream);
@@ -179,7 +179,7 @@
                                fmt::format("Unknown request URL: {} {}.", request.method, path), "", 0});
   }
   if (request.method != (models ? "GET" : "POST")) {
-    ledger_.TurnedAway("method_not_allowed");
+    ledger_.CountRejection("method_not_allowed");
     return ReplyError(connection, ErrorOfStatus(405), models ? "Allow: GET\r\n" : "Allow: POST\r\n");
   }
   if (models) return ServeModels(connection, request, path);
@@ -207,7 +207,7 @@
   std::string_view presented = header == nullptr ? std::string_view() : std::string_view(*header);
   if (presented.starts_with("Bearer ") || presented.starts_with("bearer ")) presented.remove_prefix(7);
   if (const keys::Key* key = keyring_.Verify(presented)) return key;
-  ledger_.TurnedAway("invalid_api_key");
+  ledger_.CountRejection("invalid_api_key");
   ApiError error{401, "authentication_error", "invalid_api_key", "Incorrect API key provided.", "", 0};
   if (header == nullptr) {
     error.message = "You didn't provide an API key. Send it as 'Authorization: Bearer KEY'.";
@@ -281,7 +281,7 @@
 
 OpenAiFront::TokenEstimate OpenAiFront::EstimateTokens(const openai::Body& body,
                                                        const ModelSettings& model) const {
-  const double bytes_per_token = token_sizes_.Of(model.id);
+  const double bytes_per_token = token_sizes_.BytesPerToken(model.id);
   TokenEstimate estimate;
   estimate.prompt = std::ceil(static_cast<double>(body.prompt_chars) / bytes_per_token);
   estimate.prefix = std::ceil(static_cast<double>(body.prefix_chars) / bytes_per_token);
@@ -354,7 +354,7 @@
 
 void OpenAiFront::OnGone(Handle connection) {
   if (!open_requests_.contains(connection)) return;
-  const OpenRequest open = Settle(connection, Column::kClientLeft);
+  const OpenRequest open = Settle(connection, Outcome::kClientDisconnected);
   streams_->ClientGone(open.stream);
 }
 
@@ -374,12 +374,12 @@
   // All together have a quarter of what buffers may take, which is half of the memory.
   const std::size_t limit = core_->config->memory_mb * 1024 * 1024 / 8;
   assembled_bytes_ += bytes;
-  return open.assembler.Room(bytes) && assembled_bytes_ <= limit;
+  return open.assembler.ReserveBytes(bytes) && assembled_bytes_ <= limit;
 }
 
 bool OpenAiFront::ReserveForGrowth(OpenRequest& open) {
   if (open.has_max_tokens) return true;
-  const double output = token_sizes_.Estimate(open.model, open.observer.seen()).answer;
+  const double output = token_sizes_.Estimate(open.model, open.observer.seen()).output;
   if (output <= open.reserved_output_tokens) return true;
   const double more = std::max(output - open.reserved_output_tokens, kMinGrowth);
   if (!limiter_.ReserveMore(Now(), open.key, open.limits, more)) return false;
@@ -404,7 +404,7 @@
     return Abort(connection,
                  {503, "server_error", "answer_too_long",
                   "The answer is longer than is put together here; ask for a stream instead.", "", kSecond},
-                 Column::kCut);
+                 Outcome::kTerminated);
   }
   chunk_.clear();
   const std::size_t unfinished_before = open.observer.unfinished();
@@ -418,37 +418,37 @@
     return Abort(connection,
                  {502, "server_error", "upstream_unreadable", "The model's answer could not be read.", "",
                   kTruncatedRetry},
-                 Column::kBroken);
+                 Outcome::kTruncated);
   }
   if (open.streamed) ForwardChunk(connection, open);
   if (ReserveForGrowth(open)) return;
   Abort(connection,
         {429, "rate_limit_error", "tokens_spent",
          "Your key's tokens for this minute are spent; the answer ends here.", "", 10 * kSecond},
-        Column::kCut);
+        Outcome::kTerminated);
 }
 
 void OpenAiFront::OnWhole(Handle connection) {
   if (!open_requests_.contains(connection)) return;
-  const OpenRequest open = Settle(connection, Column::kServed);
+  const OpenRequest open = Settle(connection, Outcome::kServed);
   if (!open.streamed) {
     return downstream_->Reply(connection, 200, open.response_headers + kJsonType,
-                              open.assembler.Whole(open.request_id, open.model, Now() / kSecond));
+                              open.assembler.CompleteResponse(open.request_id, open.model, Now() / kSecond));
   }
   if (!open.response_begun) BeginStream(connection, open);
-  downstream_->Chunk(connection, open.observer.done());
+  downstream_->Chunk(connection, open.observer.done_event());
   downstream_->EndChunks(connection);
 }
 
 void OpenAiFront::OnBroken(Handle connection) {
   Abort(connection,
         {502, "server_error", "upstream_broken", "The model's answer broke off.", "", kTruncatedRetry},
-        Column::kBroken);
+        Outcome::kTruncated);
 }
 
 void OpenAiFront::OnRefused(Handle connection, Time retry_after) {
   if (!open_requests_.contains(connection)) return;
-  const OpenRequest open = Settle(connection, Column::kRefused);
+  const OpenRequest open = Settle(connection, Outcome::kRejectedByNode);
   ReplyError(connection,
              {503, "server_error", "overloaded", "The models are at their limit; try again later.", "",
               std::max<Time>(retry_after, 1000)},
@@ -457,7 +457,7 @@
 
 void OpenAiFront::OnFailed(Handle connection, policy::Outcome last) {
   if (!open_requests_.contains(connection)) return;
-  const OpenRequest open = Settle(connection, Column::kFailed);
+  const OpenRequest open = Settle(connection, Outcome::kFailed);
   // A failure, not a rejection: an attempt may have run, and a retry is not known to be harmless.
   const std::string headers = open.response_headers + kNoRepeatHeader;
   if (last == policy::Outcome::kTimeout) {
@@ -470,7 +470,7 @@
 // The replica's own body is forwarded once, in the API's form whatever the replica spoke.
 void OpenAiFront::OnRejected(Handle connection, int status, const std::string& body) {
   if (!open_requests_.contains(connection)) return;
-  const OpenRequest open = Settle(connection, Column::kRejected);
+  const OpenRequest open = Settle(connection, Outcome::kRejectedByReplica);
   Log(Level::kWarn, "local-reply", {{"status", status}, {"why", "rejected"}, {"id", open.request_id}});
   const bool is_json_object = !body.empty() && nlohmann::json::parse(body, nullptr, false).is_object();
   const ApiError fallback{status,
--- a/src/fronts/openai/openai_front.h
+++ b/src/fronts/openai/openai_front.h
@@ -61,8 +61,8 @@
     bool streamed = false;              // else the response is sent when it is complete
     bool response_begun = false;
     std::string response_headers;
-    AnswerWatch observer;
-    Assembler assembler;
+    ResponseObserver observer;
+    ResponseAssembler assembler;
   };
   // How many tokens a request may use, by which it is admitted.
   struct TokenEstimate {
@@ -90,9 +90,9 @@
   void Reject(Handle connection, const ApiError& error, const std::string& headers = "");
   void ReplyError(Handle connection, const ApiError& error, const std::string& headers = "");
   // Ends an open request by decision of this node.
-  void Abort(Handle connection, const ApiError& error, ledger::Column outcome);
+  void Abort(Handle connection, const ApiError& error, ledger::Outcome outcome);
   // Removes an open request, settles its reservation and enters it in the ledger.
-  OpenRequest Settle(Handle connection, ledger::Column outcome);
+  OpenRequest Settle(Handle connection, ledger::Outcome outcome);
   // Whether what complete responses take up leaves space for `bytes` more of this one.
   bool ReserveAssembly(OpenRequest& open, std::size_t bytes);
   // Reserves tokens for an output that has outgrown its reservation; false: the key has none left.
@@ -111,7 +111,7 @@
   limits::InvalidKeyThrottle invalid_key_throttle_;
   limits::Networks metrics_networks_;
   ledger::Ledger ledger_;
-  ledger::TokenSizes token_sizes_;
+  ledger::TokenSizeEstimator token_sizes_;
   std::unordered_map<Handle, OpenRequest> open_requests_;  // by connection
   std::size_t assembled_bytes_ = 0;   // of responses that are not complete yet and not streamed
   std::size_t unfinished_bytes_ = 0;  // of events that have not ended, of all streams
--- a/src/ledger/ledger_model.cpp
+++ b/src/ledger/ledger_model.cpp
@@ -12,7 +12,10 @@
 
 using nlohmann::json;
 
-json TokensToJson(const Tokens& t) { return {{"prompt", t.prompt}, {"kept", t.kept}, {"answer", t.answer}}; }
+// "kept" and "answer" are the stored form's names of cached and output tokens.
+json TokensToJson(const Tokens& tokens) {
+  return {{"prompt", tokens.prompt}, {"kept", tokens.cached}, {"answer", tokens.output}};
+}
 
 Tokens TokensFromJson(const json& j) {
   return {j.at("prompt").get<double>(), j.at("kept").get<double>(), j.at("answer").get<double>()};
@@ -20,10 +23,11 @@
 
 }  // namespace
 
-const char* Name(Column column) {
-  static constexpr std::array<const char*, kColumns> kWords = {"served",      "refused", "failed", "rejected",
-                                                               "client-left", "broken",  "cut"};
-  return kWords.at(static_cast<std::size_t>(column));
+// As the ledger's file, its table and the metrics name them.
+const char* Name(Outcome outcome) {
+  static constexpr std::array<const char*, kOutcomes> kNames = {
+      "served", "refused", "failed", "rejected", "client-left", "broken", "cut"};
+  return kNames.at(static_cast<std::size_t>(outcome));
 }
 
 std::uint64_t Row::open() const {
@@ -35,11 +39,11 @@
 void Row::Add(const Row& other) {
   const auto add = [](Tokens& to, const Tokens& t) {
     to.prompt += t.prompt;
-    to.kept += t.kept;
-    to.answer += t.answer;
+    to.cached += t.cached;
+    to.output += t.output;
   };
   admitted += other.admitted;
-  for (std::size_t i = 0; i < kColumns; ++i) ended.at(i) += other.ended.at(i);
+  for (std::size_t i = 0; i < kOutcomes; ++i) ended.at(i) += other.ended.at(i);
   for (std::size_t i = 0; i < kUsageFaults; ++i) usage_faults.at(i) += other.usage_faults.at(i);
   add(reported, other.reported);
   add(estimated, other.estimated);
@@ -48,20 +52,20 @@
 Row& Ledger::At(const std::string& key, const std::string& model) {
   const auto it = rows_.find({key, model});
   if (it != rows_.end()) return it->second;
-  if (rows_.size() >= kMostRows) return rows_[{"(other)", "(other)"}];
+  if (rows_.size() >= kMaxRows) return rows_[{"(other)", "(other)"}];
   return rows_[{key, model}];
 }
 
 void Ledger::Admitted(const std::string& key, const std::string& model) { ++At(key, model).admitted; }
 
-void Ledger::Ended(const std::string& key, const std::string& model, Column column, const Usage& usage,
+void Ledger::Ended(const std::string& key, const std::string& model, Outcome outcome, const Usage& usage,
                    bool reported, const UsageFault* fault) {
   Row& row = At(key, model);
-  ++row.ended.at(static_cast<std::size_t>(column));
+  ++row.ended.at(static_cast<std::size_t>(outcome));
   Tokens& tokens = reported ? row.reported : row.estimated;
   tokens.prompt += usage.prompt;
-  tokens.kept += usage.kept;
-  tokens.answer += usage.answer;
+  tokens.cached += usage.cached;
+  tokens.output += usage.output;
   if (fault != nullptr) ++row.usage_faults.at(static_cast<std::size_t>(*fault));
 }
 
@@ -75,7 +79,7 @@
   json rows = json::array();
   for (const auto& [id, row] : ledger.rows()) {
     json ended, faults = json::object();
-    for (std::size_t i = 0; i < kColumns; ++i) ended[Name(static_cast<Column>(i))] = row.ended.at(i);
+    for (std::size_t i = 0; i < kOutcomes; ++i) ended[Name(static_cast<Outcome>(i))] = row.ended.at(i);
     for (std::size_t i = 0; i < kUsageFaults; ++i) {
       if (row.usage_faults.at(i) > 0) faults[Name(static_cast<UsageFault>(i))] = row.usage_faults.at(i);
     }
@@ -91,7 +95,7 @@
                     {"node", node},
                     {"unix_ms", unix_ms},
                     {"rows", rows},
-                    {"turned_away", ledger.turned_away()}};
+                    {"turned_away", ledger.rejections()}};
   return all.dump(1) + "\n";
 }
 
@@ -103,8 +107,8 @@
     for (const json& j : all.at("rows")) {
       Row row;
       row.admitted = j.at("admitted").get<std::uint64_t>();
-      for (std::size_t i = 0; i < kColumns; ++i) {
-        row.ended.at(i) = j.at("ended").at(Name(static_cast<Column>(i))).get<std::uint64_t>();
+      for (std::size_t i = 0; i < kOutcomes; ++i) {
+        row.ended.at(i) = j.at("ended").at(Name(static_cast<Outcome>(i))).get<std::uint64_t>();
       }
       for (std::size_t i = 0; i < kUsageFaults; ++i) {
         row.usage_faults.at(i) =
@@ -120,7 +124,7 @@
   return rows;
 }
 
-std::string Table(const std::map<Ledger::Id, Row>& rows) {
+std::string FormatTable(const std::map<Ledger::Id, Row>& rows) {
   const auto line = [](const std::string& key, const std::string& model, const Row& r) {
     std::string faults;
     for (std::size_t i = 0; i < kUsageFaults; ++i) {
@@ -131,15 +135,15 @@
     std::string out = fmt::format("{:<14.14} {:<18.18} {:>8}", key, model, r.admitted);
     for (const std::uint64_t n : r.ended) out += fmt::format(" {:>8}", n);
     out += fmt::format(" {:>6} {:>11.0f} {:>11.0f} {:>11.0f} {:>11.0f} {:>11.0f}  {}\n", r.open(),
-                       r.reported.prompt, r.reported.kept, r.reported.answer, r.estimated.prompt,
-                       r.estimated.answer, faults.empty() ? "-" : faults);
+                       r.reported.prompt, r.reported.cached, r.reported.output, r.estimated.prompt,
+                       r.estimated.output, faults.empty() ? "-" : faults);
     return out;
   };
   std::string out = fmt::format("{:<14} {:<18} {:>8}", "key", "model", "admitted");
-  for (std::size_t i = 0; i < kColumns; ++i) {
-    out += fmt::format(" {:>8.8}", i == static_cast<std::size_t>(Column::kClientLeft)
+  for (std::size_t i = 0; i < kOutcomes; ++i) {
+    out += fmt::format(" {:>8.8}", i == static_cast<std::size_t>(Outcome::kClientDisconnected)
                                        ? "left"
-                                       : Name(static_cast<Column>(i)));
+                                       : Name(static_cast<Outcome>(i)));
   }
   out += fmt::format(" {:>6} {:>11} {:>11} {:>11} {:>11} {:>11}  {}\n", "open", "prompt", "kept", "answer",
                      "est.prompt", "est.answer", "usage not believed");
--- a/src/ledger/usage_model.h
+++ b/src/ledger/usage_model.h
@@ -1,5 +1,5 @@
 // What an answer used, in tokens: the replica's own figures where they pass every check, else an estimate
-// from the text seen. A figure that fails one check is not believed in any part. No I/O, no clock.
+// from the text seen. Figures that fail one check are not used in any part. No I/O, no clock.
 #pragma once
 
 #include <array>
@@ -12,7 +12,7 @@
 
 namespace ryeglade::ledger {
 
-// What can be wrong with a usage object. The words are those of the ledger, the metrics and the pages.
+// What can be wrong with a usage object. Name gives the names in the ledger, the metrics and the pages.
 enum class UsageFault : std::uint8_t {
   kAbsent,
   kNotANumber,  // a string, a bool, null, an object
@@ -22,7 +22,7 @@
   kTwice,        // a key, or the whole object, comes twice
   kIncomplete,   // prompt_tokens or completion_tokens is missing
   kTotal,        // total_tokens is not their sum
-  kKept,         // more kept than the prompt has
+  kCached,       // more cached than the prompt has
   kOverLimit,    // more than max_tokens allowed
   kContradicts,  // fewer tokens than events that carried text
   kCount
@@ -31,12 +31,13 @@
 const char* Name(UsageFault fault);
 
 struct Usage {
-  double prompt = 0, kept = 0, answer = 0;  // tokens; kept is part of prompt
+  // Tokens; the cached ones are part of the prompt.
+  double prompt = 0, cached = 0, output = 0;
 };
 
-// What the node saw itself of the request and its answer.
-struct Seen {
-  std::size_t prompt_chars = 0, answer_chars = 0;  // bytes of UTF-8
+// What the node observed itself of the request and its response.
+struct ObservedResponse {
+  std::size_t prompt_chars = 0, output_chars = 0;  // bytes of UTF-8
   std::size_t text_events = 0;                     // that carried a piece of the answer
   std::optional<double> max_tokens;
 };
@@ -48,17 +49,18 @@
 
 // `text` is a JSON object with a member `usage`, as the last event of a stream holds it; `times` is how many
 // such objects came. Takes the time of one pass over the text.
-UsageResult CheckUsage(std::string_view text, int times, const Seen& seen);
+UsageResult CheckUsage(std::string_view text, int times, const ObservedResponse& seen);
 
-// Characters per token, learned for each model from figures that passed. Bounded in models.
-class TokenSizes {
+// Estimates tokens from bytes of text, by a ratio learned for each model from figures that passed. Bounded in
+// models.
+class TokenSizeEstimator {
  public:
-  double Of(const std::string& model) const;  // bytes per token
+  double BytesPerToken(const std::string& model) const;
   void Learn(const std::string& model, std::size_t chars, double tokens);
-  Usage Estimate(const std::string& model, const Seen& seen) const;
+  Usage Estimate(const std::string& model, const ObservedResponse& seen) const;
 
  private:
-  static constexpr std::size_t kMostModels = 256;
+  static constexpr std::size_t kMaxModels = 256;
   std::unordered_map<std::string, double> sizes_;
 };
 
--- a/tests/accounts_test.cpp
+++ b/tests/accounts_test.cpp
@@ -34,8 +34,8 @@
                             1, {400, 80, 5, 20});
   ASSERT_TRUE(r.usage.has_value());
   EXPECT_EQ(r.usage->prompt, 100);
-  EXPECT_EQ(r.usage->kept, 64);
-  EXPECT_EQ(r.usage->answer, 20);
+  EXPECT_EQ(r.usage->cached, 64);
+  EXPECT_EQ(r.usage->output, 20);
 }
 
 TEST(Usage, EachLieHasItsName) {
@@ -59,20 +59,20 @@
   EXPECT_EQ(fault(R"({"prompt_tokens":100,"completion_tokens":20,"total_tokens":121})"), UsageFault::kTotal);
   EXPECT_EQ(
       fault(R"({"prompt_tokens":100,"completion_tokens":20,"prompt_tokens_details":{"cached_tokens":101}})"),
-      UsageFault::kKept);
+      UsageFault::kCached);
   EXPECT_EQ(fault(R"({"prompt_tokens":100,"completion_tokens":21})"), UsageFault::kOverLimit);
   EXPECT_EQ(fault(R"({"prompt_tokens":100,"completion_tokens":4})"), UsageFault::kContradicts);
 }
 
 TEST(Usage, TokenSizesAreLearnedWithinBounds) {
-  ledger::TokenSizes sizes;
-  EXPECT_EQ(sizes.Of("m"), 4);
+  ledger::TokenSizeEstimator sizes;
+  EXPECT_EQ(sizes.BytesPerToken("m"), 4);
   for (int i = 0; i < 200; ++i) sizes.Learn("m", 3000, 1000);
-  EXPECT_NEAR(sizes.Of("m"), 3, 0.01);
+  EXPECT_NEAR(sizes.BytesPerToken("m"), 3, 0.01);
   for (int i = 0; i < 200; ++i) sizes.Learn("m", 1'000'000, 1);
-  EXPECT_LE(sizes.Of("m"), 16);
+  EXPECT_LE(sizes.BytesPerToken("m"), 16);
   for (int i = 0; i < 10'000; ++i) sizes.Learn("model-" + std::to_string(i), 400, 100);
-  EXPECT_EQ(sizes.Estimate("n", {400, 80, 30, std::nullopt}).answer, 30);  // an event holds a token at least
+  EXPECT_EQ(sizes.Estimate("n", {400, 80, 30, std::nullopt}).output, 30);  // an event holds a token at least
 }
 
 // ---- Limits ----
@@ -119,7 +119,7 @@
     const Out o = open[at];
     open.erase(open.begin() + static_cast<std::ptrdiff_t>(at));
     limits.Settle(now, o.key, rule, o.reserved, tokens, column != 1);
-    ledger.Ended(o.key, "m", static_cast<ledger::Column>(column), {tokens, 0, 0}, reported, nullptr);
+    ledger.Ended(o.key, "m", static_cast<ledger::Outcome>(column), {tokens, 0, 0}, reported, nullptr);
     used += tokens;
     ++ended;
   };
@@ -141,7 +141,7 @@
       open.push_back({key, static_cast<double>(step)});
       ++admitted;
     } else {
-      end(static_cast<std::size_t>(step) % open.size(), static_cast<std::size_t>(step) % ledger::kColumns,
+      end(static_cast<std::size_t>(step) % open.size(), static_cast<std::size_t>(step) % ledger::kOutcomes,
           step, step % 3 == 0);
     }
   }
--- a/tests/openai_front_test.cpp
+++ b/tests/openai_front_test.cpp
@@ -50,8 +50,8 @@
   std::unique_ptr<Rig> rig;
 };
 
-std::uint64_t In(const ledger::Row& row, ledger::Column column) {
-  return row.ended.at(static_cast<std::size_t>(column));
+std::uint64_t In(const ledger::Row& row, ledger::Outcome outcome) {
+  return row.ended.at(static_cast<std::size_t>(outcome));
 }
 
 struct Events {
@@ -105,9 +105,9 @@
     EXPECT_EQ(answer["object"], "chat.completion");
     EXPECT_EQ(answer["usage"]["completion_tokens"], 64);
     const ledger::Row row = s.Ledger();
-    EXPECT_EQ(In(row, ledger::Column::kServed), 3U);
-    EXPECT_EQ(row.reported.answer, 192);
-    EXPECT_EQ(row.estimated.answer, 0);
+    EXPECT_EQ(In(row, ledger::Outcome::kServed), 3U);
+    EXPECT_EQ(row.reported.output, 192);
+    EXPECT_EQ(row.estimated.output, 0);
   }
 }
 
@@ -156,9 +156,9 @@
     EXPECT_EQ(json::parse(whole.body)["error"]["code"], "upstream_broken");
     EXPECT_EQ(s.rig->witness().attempts, 2U) << fault;
     const ledger::Row row = s.Ledger();
-    EXPECT_EQ(In(row, ledger::Column::kBroken), 2U) << fault;
+    EXPECT_EQ(In(row, ledger::Outcome::kTruncated), 2U) << fault;
     EXPECT_EQ(row.open(), 0U);
-    EXPECT_GT(row.estimated.answer + row.reported.answer, 0);
+    EXPECT_GT(row.estimated.output + row.reported.output, 0);
   }
 }
 
@@ -231,9 +231,9 @@
     EXPECT_EQ(s.Chat(Body("#fault=" + word, R"(,"stream":true,"max_tokens":40)")).status, 200);
   }
   const ledger::Row row = s.Ledger();
-  EXPECT_EQ(In(row, ledger::Column::kServed), lies.size());
-  EXPECT_EQ(row.reported.prompt + row.reported.answer + row.reported.kept, 0);
-  EXPECT_LE(row.estimated.answer, 40.0 * static_cast<double>(lies.size()));
+  EXPECT_EQ(In(row, ledger::Outcome::kServed), lies.size());
+  EXPECT_EQ(row.reported.prompt + row.reported.output + row.reported.cached, 0);
+  EXPECT_LE(row.estimated.output, 40.0 * static_cast<double>(lies.size()));
   for (const auto& [word, fault] : lies)
     EXPECT_EQ(row.usage_faults.at(static_cast<std::size_t>(fault)), 1U) << word;
 }
@@ -255,9 +255,9 @@
   };
   EXPECT_TRUE(s.rig->Until([&] { return running() == 0; }, 2'000'000));  // before the next token
   const ledger::Row row = s.Ledger();
-  EXPECT_EQ(In(row, ledger::Column::kClientLeft), 1U);
+  EXPECT_EQ(In(row, ledger::Outcome::kClientDisconnected), 1U);
   EXPECT_EQ(row.open(), 0U);
-  EXPECT_GT(row.estimated.answer, 0);
+  EXPECT_GT(row.estimated.output, 0);
 }
 
 TEST(OpenAiFront, LimitsBindAndSayWhenToComeBack) {
@@ -275,7 +275,7 @@
   EXPECT_EQ(s.Chat(Body("x", R"(,"max_tokens":200000)")).status, 429);
   const ledger::Row row = s.Ledger();
   EXPECT_EQ(row.admitted, 3U);
-  EXPECT_EQ(row.reported.answer, 30);
+  EXPECT_EQ(row.reported.output, 30);
 }
 
 TEST(OpenAiFront, TokensSpentInTheMiddleOfAnAnswerEndItOnce) {
@@ -289,7 +289,7 @@
   const Events events = Read(r.body);
   EXPECT_TRUE(events.error && !events.done);
   EXPECT_NE(r.body.find("tokens_spent"), std::string::npos);
-  EXPECT_EQ(In(s.Ledger(), ledger::Column::kCut), 1U);
+  EXPECT_EQ(In(s.Ledger(), ledger::Outcome::kTerminated), 1U);
 }
 
 TEST(OpenAiFront, AKeyRevokedWhileItsStreamRunsEndsIt) {
@@ -325,7 +325,7 @@
   s.rig->node().Signal(SIGHUP);
   s.rig->Until([&] { return s.rig->node().Log().find("reload-failed") != std::string::npos; }, 10'000'000);
   EXPECT_EQ(s.Chat(Body("z", R"(,"max_tokens":1)"), "Authorization: Bearer o\r\n").status, 200);
-  EXPECT_EQ(In(s.Ledger(), ledger::Column::kCut), 2U);
+  EXPECT_EQ(In(s.Ledger(), ledger::Outcome::kTerminated), 2U);
 }
 
 // The same request at the same moment under two keys is two requests, each answered and entered once.
@@ -354,7 +354,7 @@
   EXPECT_EQ(answers[0], answers[1]);
   const auto rows = ledger::RowsFromJson(rig.Ledger());
   ASSERT_EQ(rows.size(), 2U);
-  for (const auto& [id, row] : rows) EXPECT_EQ(In(row, ledger::Column::kServed), 1U) << id.first;
+  for (const auto& [id, row] : rows) EXPECT_EQ(In(row, ledger::Outcome::kServed), 1U) << id.first;
 }
 
 TEST(OpenAiFront, AConnectionFromOutsideTheNetworksIsClosed) {
