--- a/fuzz/event_stream_fuzz.cpp
+++ b/fuzz/event_stream_fuzz.cpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-#include "fronts/openai/answer.h"
+#include "fronts/openai/response_translation.h"
 #include "http/event_stream.h"
 
 namespace {
--- a/src/fronts/openai/openai_front.h
+++ b/src/fronts/openai/openai_front.h
@@ -10,8 +10,8 @@
 
 #include "core/core.h"
 #include "core/streams.h"
-#include "fronts/openai/answer.h"
 #include "fronts/openai/api_error.h"
+#include "fronts/openai/response_translation.h"
 #include "http/downstream.h"
 #include "keys/keyring.h"
 #include "ledger/ledger_model.h"
--- a/src/fronts/openai/answer.cpp
+++ b/src/fronts/openai/response_translation.cpp
@@ -1,4 +1,4 @@
-#include "fronts/openai/answer.h"
+#include "fronts/openai/response_translation.h"
 
 #include <algorithm>
 #include <array>
