--- a/fuzz/rollout_fuzz.cpp
+++ b/fuzz/rollout_fuzz.cpp
@@ -1,5 +1,6 @@
-// What another process or a driver says: leases, state that passes, commands, statuses, figures, a keeper's
-// memory. Nothing of it may do more than be refused; what is taken is written and read back alike.
+// Input from another process or a driver: leases, handed-over state, commands, statuses, metrics, a
+// supervisor's state file, rollout records. Whatever it is, it is either rejected or accepted; what is
+// accepted can be encoded and decoded again.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -10,6 +11,7 @@
 #include "hot_restart/hot_restart_policy.h"
 #include "rollout/cluster_view_model.h"
 #include "rollout/release_model.h"
+#include "rollout/report_chart_model.h"
 #include "rollout/report_model.h"
 #include "rollout/supervisor_model.h"
 
@@ -38,25 +40,25 @@
     case 4: {
       const auto command = rollout::DecodeCommand(text);
       if (!command) break;
-      rollout::KeeperMemory memory;
-      memory.in_force = memory.last_good = {"old", "/old", "/c", "", "", "", ""};
-      rollout::Keeper keeper("n0", "", {}, memory);
-      std::vector<rollout::KeeperAct> acts;
-      keeper.Begin(0, false, false, false, acts);
-      keeper.Take(1, *command, acts);
-      if (keeper.memory().last_good.program.empty()) std::abort();
+      rollout::SupervisorState state;
+      state.active = state.last_good = {"old", "/old", "/c", "", "", "", ""};
+      rollout::Supervisor supervisor("n0", "", {}, state);
+      rollout::SupervisorEffects effects;
+      supervisor.Recover(0, false, false, false, effects);
+      supervisor.HandleCommand(1, *command, effects);
+      if (supervisor.state().last_good.program.empty()) std::abort();
       break;
     }
     case 5:
       rollout::DecodeReply(text);
       break;
     case 6:
-      if (const auto figures = rollout::DecodeFigures(text)) {
-        if (!rollout::DecodeFigures(rollout::EncodeFigures(*figures))) std::abort();
+      if (const auto metrics = rollout::DecodeNodeMetrics(text)) {
+        if (!rollout::DecodeNodeMetrics(rollout::EncodeNodeMetrics(*metrics))) std::abort();
       }
       break;
     case 7:
-      if (const auto said = rollout::ReadTierSaid(text)) rollout::PutTogether(1, {*said});
+      if (const auto view = rollout::DecodeNodeClusterView(text)) rollout::MergeClusterViews(1, {*view});
       break;
     case 8: {
       std::size_t skipped = 0;
@@ -66,7 +68,7 @@
       break;
     }
     default:
-      rollout::DecodeMemory(text);
+      rollout::DecodeSupervisorState(text);
   }
   return 0;
 }
--- a/lab/rollout/explorer.cpp
+++ b/lab/rollout/explorer.cpp
@@ -52,27 +52,25 @@
   int paused = 0;           // rounds still
   bool round_done = false;  // waits for the next round
   std::size_t claims = 0;   // sent in this round
-  std::map<std::string, NodeView> seen;
-  std::vector<Order> orders;  // still to be sent, from the front
-  bool acting = false;        // its claims are through
+  std::map<std::string, SupervisorResponse> seen;
+  std::vector<NodeCommand> orders;  // still to be sent, from the front
+  bool acting = false;              // its claims are through
 };
 
 struct Letter {
   int rounds = 0;
   std::size_t to = 0;
-  Command command;
+  SupervisorCommand command;
 };
 
 class Course {
-  using Course_ = rollout::Course;
-
  public:
   explicit Course(const RolloutExploreOptions& o) : o_(&o), machine_(RulesOf(o)), left_(o.faults) {
     machine_.now = kSecond;
     for (int i = 0; i < o.nodes; ++i) {
       KeptNode n;
       n.name = fmt::format("n{}", i);
-      n.disk.in_force = n.disk.last_good = {"old", "/old", "", "", "", "", ""};
+      n.disk.active = n.disk.last_good = {"old", "/old", "", "", "", "", ""};
       nodes_.push_back(std::move(n));
     }
     for (KeptNode& n : nodes_) machine_.Boot(n);
@@ -155,15 +153,15 @@
   std::uint64_t Print() const {
     std::string all = fmt::format("{} {} {} {} {}|", left_, acted_, idle_, second_plan_, killed_);
     for (const KeptNode& n : nodes_) {
-      const KeeperMemory& m = n.disk;
-      all += fmt::format("{} {} {} {} {} {} {} {} {} {} {} {} {}", m.epoch, m.driver, m.mark, m.mark_number,
-                         m.in_force.id, m.last_good.id, m.trying ? m.trying->id : "-", m.failed, m.failed_why,
-                         n.keeper_down ? n.keeper_back - machine_.now : 0, m.plan.size(), m.current.pid > 0,
-                         m.next.pid > 0);
+      const SupervisorState& m = n.disk;
+      all += fmt::format("{} {} {} {} {} {} {} {} {} {} {} {} {}", m.epoch, m.driver, m.directive,
+                         m.directive_number, m.active.id, m.last_good.id, m.pending ? m.pending->id : "-",
+                         m.failed_release, m.failure_reason, n.keeper_down ? n.keeper_back - machine_.now : 0,
+                         m.plan.size(), m.current.pid > 0, m.next.pid > 0);
       if (!n.keeper_down) {
-        const KeeperStatus s = n.keeper->Status();
+        const SupervisorStatus s = n.keeper->Status();
         all += fmt::format(" {} {} {}", static_cast<int>(s.phase), s.crashes,
-                           s.claimed == 0 ? -1 : std::min(machine_.now - s.claimed, 2 * kLease));
+                           s.claimed_at == 0 ? -1 : std::min(machine_.now - s.claimed_at, 2 * kLease));
         all += fmt::format(" {} {}", n.keeper->current(), n.keeper->next());
       }
       for (const auto& [number, p] : n.processes)
@@ -176,15 +174,16 @@
       all += fmt::format("p{} {} {} {} {} {} [", p.number, p.fresh_plan, p.paused, p.round_done, p.claims,
                          p.acting);
       for (const auto& [name, v] : p.seen)
-        all += fmt::format("{} {} {} {},", name, v.claimed, v.status->in_force.id, v.status->trying);
-      for (const Order& o : p.orders)
-        all += fmt::format("{} {} {},", o.node, static_cast<int>(o.command.what),
-                           o.command.claim > 0 ? machine_.now - o.command.claim : -1);
-      all += "]" + p.driver.Standing(machine_.now) + ";";
+        all += fmt::format("{} {} {} {},", name, v.claimed, v.status->active.id, v.status->pending);
+      for (const NodeCommand& o : p.orders)
+        all += fmt::format("{} {} {},", o.node, static_cast<int>(o.command.kind),
+                           o.command.claimed_at > 0 ? machine_.now - o.command.claimed_at : -1);
+      all += "]" + p.driver.StateFingerprint(machine_.now) + ";";
     }
     for (const Letter& l : late_)
-      all += fmt::format("l{} {} {} {} {};", l.rounds, l.to, static_cast<int>(l.command.what),
-                         l.command.epoch, l.command.claim > 0 ? machine_.now - l.command.claim : -1);
+      all +=
+          fmt::format("l{} {} {} {} {};", l.rounds, l.to, static_cast<int>(l.command.kind), l.command.epoch,
+                      l.command.claimed_at > 0 ? machine_.now - l.command.claimed_at : -1);
     return XXH3_64bits(all.data(), all.size());
   }
   // It has come to where it was before, and no fault is left to lead elsewhere.
@@ -194,10 +193,10 @@
   static Machine::Rules RulesOf(const RolloutExploreOptions& o) {
     Machine::Rules r;
     r.limits.lease = o.variant == "no-lease" || o.variant == "hasty" ? Time{1} << 50 : kLease;
-    r.limits.ready_within = 3 * kSecond;
-    r.limits.end_within = 3 * kSecond;
-    r.limits.settle = 1000 * kSecond;
-    r.limits.first_wait = kSecond;
+    r.limits.ready_timeout = 3 * kSecond;
+    r.limits.stop_timeout = 3 * kSecond;
+    r.limits.crash_window = 1000 * kSecond;
+    r.limits.initial_backoff = kSecond;
     r.ends_in = kSecond;
     return r;
   }
@@ -212,9 +211,9 @@
     plan.stages.push_back({{nodes_[0].name}, kSecond, 0, 1});
     plan.stages.push_back({{}, kSecond, 0, 1});
     for (std::size_t i = 1; i < nodes_.size(); ++i) plan.stages.back().nodes.push_back(nodes_[i].name);
-    if (Is("greedy")) plan.stages.back().at_once = nodes_.size();
-    plan.unreached_after = 8 * kSecond;
-    plan.most_passed_over = nodes_.size() > 2 ? 1 : 0;
+    if (Is("greedy")) plan.stages.back().max_concurrent = nodes_.size();
+    plan.unreachable_after = 8 * kSecond;
+    plan.max_skipped = nodes_.size() > 2 ? 1 : 0;
     return plan;
   }
 
@@ -246,7 +245,7 @@
         !p.acting ? fmt::format("claim n{}", p.claims)
         : p.orders.empty()
             ? "-"
-            : fmt::format("{} {}", static_cast<int>(p.orders.front().command.what), p.orders.front().node);
+            : fmt::format("{} {}", static_cast<int>(p.orders.front().command.kind), p.orders.front().node);
     return fmt::format("(d{} {})", p.number, to);
   }
 
@@ -262,7 +261,7 @@
         pilots_[way.pilot].paused = 6;
         break;
       case Mishap::kStop:
-        pilots_[way.pilot].driver.Say("back", "stopped");
+        pilots_[way.pilot].driver.SetDirective("back", "stopped");
         break;
       case Mishap::kKeeperDies: {
         KeptNode& n = nodes_[way.node];
@@ -295,36 +294,37 @@
     Pilot& p = pilots_[number];
     if (!p.acting) {
       const std::size_t to = p.claims++;
-      Order claim{nodes_[to].name, p.driver.Claim()};
+      NodeCommand claim{nodes_[to].name, p.driver.MakeClaim()};
       if (const auto reply = Ask(to, claim.command, fate)) {
-        p.seen[claim.node] = {reply->status, reply->yes};
-        if (!reply->yes) p.driver.Refused(reply->why);
+        p.seen[claim.node] = {reply->status, reply->accepted};
+        if (!reply->accepted) p.driver.OnRejected(reply->reason);
       }
       if (p.claims < nodes_.size()) return;
       p.acting = true;
       if (!p.driver.ended()) {
-        p.orders = p.driver.Round(machine_.now, p.seen);
-        std::stable_partition(p.orders.begin(), p.orders.end(),
-                              [](const Order& o) { return o.command.what == Command::What::kMark; });
+        p.orders = p.driver.RunRound(machine_.now, p.seen);
+        std::stable_partition(p.orders.begin(), p.orders.end(), [](const NodeCommand& o) {
+          return o.command.kind == CommandKind::kSetDirective;
+        });
       }
     } else {
-      const Order order = p.orders.front();
+      const NodeCommand order = p.orders.front();
       p.orders.erase(p.orders.begin());
       const std::size_t to = static_cast<std::size_t>(std::stoul(order.node.substr(1)));
       const auto reply = Ask(to, order.command, fate);
-      if (reply && !reply->yes) p.driver.Refused(reply->why);
+      if (reply && !reply->accepted) p.driver.OnRejected(reply->reason);
     }
     // What a round has decided is sent to its end, as the real driver does, also where one answer says stale.
     if (!p.orders.empty()) return;
     p.round_done = true;
-    if (p.driver.course() == Course_::kOver) {
+    if (p.driver.state() == RolloutState::kSuperseded) {
       p.over = true;
-    } else if (p.driver.ended() || p.driver.course() == Course_::kPaused) {
+    } else if (p.driver.ended() || p.driver.state() == RolloutState::kPaused) {
       End(p);
     }
   }
 
-  std::optional<Reply> Ask(std::size_t to, const Command& command, Fate fate) {
+  std::optional<CommandReply> Ask(std::size_t to, const SupervisorCommand& command, Fate fate) {
     switch (fate) {
       case Fate::kLost:
         return std::nullopt;
@@ -342,20 +342,20 @@
     return Take(to, command);
   }
 
-  std::optional<Reply> Take(std::size_t to, const Command& command) {
+  std::optional<CommandReply> Take(std::size_t to, const SupervisorCommand& command) {
     KeptNode& n = nodes_[to];
     if (n.keeper_down) return std::nullopt;
-    Command c = command;
-    if (Is("no-token") || Is("hasty")) c.claim = 0;
+    SupervisorCommand c = command;
+    if (Is("no-token") || Is("hasty")) c.claimed_at = 0;
     if (Is("any-epoch")) {
-      const KeeperStatus s = n.keeper->Status();
+      const SupervisorStatus s = n.keeper->Status();
       if (c.epoch < s.epoch) c.epoch = s.epoch;
       if (c.epoch == s.epoch && s.epoch > 0) c.driver = s.driver;
     }
-    std::vector<KeeperAct> acts;
-    Reply reply = n.keeper->Take(machine_.now, c, acts);
-    const bool acted =
-        reply.yes && !acts.empty() && (c.what == Command::What::kChange || c.what == Command::What::kBack);
+    std::vector<SupervisorEffect> acts;
+    CommandReply reply = n.keeper->HandleCommand(machine_.now, c, acts);
+    const bool acted = reply.accepted && !acts.empty() &&
+                       (c.kind == CommandKind::kChange || c.kind == CommandKind::kRollBack);
     machine_.Carry(n, std::move(acts));
     if (acted) {
       if (command.epoch < acted_)
@@ -363,8 +363,8 @@
                fmt::format("epoch {} acted at {} behind epoch {}", command.epoch, n.name, acted_));
       acted_ = std::max(acted_, command.epoch);
     }
-    reply.status.figures = Figures{};
-    reply.status.figures->pid = reply.status.pid;
+    reply.status.metrics = NodeMetrics{};
+    reply.status.metrics->pid = reply.status.pid;
     reply.status.now = machine_.now;
     if (Is("any-epoch")) reply.status.epoch = std::min(reply.status.epoch, command.epoch);
     return reply;
@@ -386,8 +386,8 @@
       for (auto& [number, p] : n.processes) {
         if (p.ready || machine_.now - p.started < kSecond) continue;
         p.ready = true;
-        std::vector<KeeperAct> acts;
-        n.keeper->Ready(machine_.now, number, acts);
+        std::vector<SupervisorEffect> acts;
+        n.keeper->OnProcessReady(machine_.now, number, acts);
         machine_.Carry(n, std::move(acts));
         break;
       }
@@ -431,27 +431,27 @@
   }
 
   void End(Pilot& p) {
-    switch (p.driver.course()) {
-      case Course_::kDone:
+    switch (p.driver.state()) {
+      case RolloutState::kCompleted:
         end_ = p.fresh_plan ? "second done" : "done";
         for (const KeptNode& n : nodes_) {
-          if (n.disk.in_force.id != p.driver.plan().release.id && p.driver.passed_over().empty())
-            Broken("all-changed", n.name + " runs " + n.disk.in_force.id + " and it is called done");
+          if (n.disk.active.id != p.driver.plan().release.id && p.driver.skipped_nodes().empty())
+            Broken("all-changed", n.name + " runs " + n.disk.active.id + " and it is called done");
         }
         break;
-      case Course_::kBackDone:
+      case RolloutState::kRolledBack:
         end_ = "back";
         for (const KeptNode& n : nodes_) {
-          if (n.keeper_down || n.disk.in_force.id != p.driver.plan().release.id) continue;
-          const auto gone = p.driver.passed_over();
-          if (n.disk.last_good.id != n.disk.in_force.id &&
+          if (n.keeper_down || n.disk.active.id != p.driver.plan().release.id) continue;
+          const auto gone = p.driver.skipped_nodes();
+          if (n.disk.last_good.id != n.disk.active.id &&
               std::find(gone.begin(), gone.end(), n.name) == gone.end())
             Broken("stop-reaches", "a stop did not reach " + n.name);
         }
         break;
-      case Course_::kPaused:
+      case RolloutState::kPaused:
         // An operator goes on with it: here that is where it ends, unless faults are still to come.
-        end_ = "paused: " + p.driver.why();
+        end_ = "paused: " + p.driver.reason();
         break;
       default:
         break;
@@ -462,10 +462,10 @@
     std::size_t changing = 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       const KeptNode& n = nodes_[i];
-      const KeeperMemory& m = n.disk;
+      const SupervisorState& m = n.disk;
       if (m.last_good.program.empty()) Broken("good-release", n.name + " has no good release");
-      if (m.in_force.program.empty()) Broken("good-release", n.name + " has no release");
-      if (m.trying && *m.trying != m.last_good) ++changing;
+      if (m.active.program.empty()) Broken("good-release", n.name + " has no release");
+      if (m.pending && *m.pending != m.last_good) ++changing;
       std::size_t living = 0, serving = 0;
       for (const auto& [number, p] : n.processes) {
         living += p.leaving || (p.ends_at >= 0 && p.ends_at <= machine_.now) ? 0 : 1;  // a killed one is none
--- a/lab/rollout/local_tier.cpp
+++ b/lab/rollout/local_tier.cpp
@@ -209,7 +209,7 @@
   return true;
 }
 
-std::optional<rollout::KeeperStatus> RealTier::Status(std::size_t i) const {
+std::optional<rollout::SupervisorStatus> RealTier::Status(std::size_t i) const {
   try {
     return rollout::DecodeStatus(
         BlockingHttpCall("the keeper at", nodes_[i].control, "GET", "/keeper", "", kLookWithin).body);
@@ -222,7 +222,7 @@
 
 std::string RealTier::InForce(std::size_t i) const {
   const auto s = Status(i);
-  return s ? s->in_force.id : "";
+  return s ? s->active.id : "";
 }
 
 std::size_t RealTier::On(const std::string& release) const {
@@ -241,9 +241,9 @@
   if (pid > 0) kill(pid, number);
 }
 
-std::optional<rollout::TierSaid> RealTier::Said(std::size_t i) const {
+std::optional<rollout::NodeClusterView> RealTier::Said(std::size_t i) const {
   try {
-    return rollout::ReadTierSaid(
+    return rollout::DecodeNodeClusterView(
         BlockingHttpCall("the status address", nodes_[i].status, "GET", "/nodes", "", kLookWithin).body);
   } catch (const std::exception&) {
     return std::nullopt;
@@ -254,7 +254,7 @@
   const auto said = Said(i);
   if (!said || !said->joined || said->in_doubt || !said->settled) return 0;
   std::size_t n = 1;
-  for (const auto& [name, standing] : said->standings) n += standing == "alive" ? 1 : 0;
+  for (const auto& [name, standing] : said->member_states) n += standing == "alive" ? 1 : 0;
   return n;
 }
 
@@ -284,7 +284,7 @@
       [this] {
         for (std::size_t i = 0; i < nodes_.size(); ++i) {
           const auto s = Status(i);
-          if (!s || s->phase != rollout::Phase::kRunning) return false;
+          if (!s || s->phase != rollout::NodePhase::kRunning) return false;
         }
         return true;
       },
--- a/lab/rollout/local_tier.h
+++ b/lab/rollout/local_tier.h
@@ -69,7 +69,7 @@
                    const std::string& rest = "");
   std::unique_ptr<Running> Rollout(const std::string& verb, const std::string& plan,
                                    const std::string& driver, const std::vector<std::string>& more = {});
-  std::optional<rollout::KeeperStatus> Status(std::size_t node) const;
+  std::optional<rollout::SupervisorStatus> Status(std::size_t node) const;
   std::string InForce(std::size_t node) const;
   std::string KeeperLog(std::size_t node) const;
   std::size_t On(const std::string& release) const;  // how many nodes run it
@@ -102,7 +102,7 @@
   };
   static uv_loop_t* Init(uv_loop_t* loop);
   void WriteMembership();
-  std::optional<rollout::TierSaid> Said(std::size_t node) const;
+  std::optional<rollout::NodeClusterView> Said(std::size_t node) const;
   std::vector<pid_t> Ours(const std::string& word, const std::string& file = "") const;
 
   TierOptions o_;
--- a/lab/rollout/real.cpp
+++ b/lab/rollout/real.cpp
@@ -64,7 +64,7 @@
     std::size_t changing = 0;
     for (std::size_t i = 0; i < t.nodes; ++i) {
       const auto s = tier.Status(i);
-      changing += s && !s->trying.empty() ? 1 : 0;
+      changing += s && !s->pending.empty() ? 1 : 0;
     }
     r.most_in_change = std::max(r.most_in_change, changing);
   };
--- a/lab/rollout/simulation.cpp
+++ b/lab/rollout/simulation.cpp
@@ -32,8 +32,8 @@
 struct Site : KeptNode {
   bool vanished = false;
   double rate = 0, own_failed = 0, own_refused = 0;
-  std::optional<Figures> told;  // as the keeper last read them
-  std::deque<Past> past;
+  std::optional<NodeMetrics> told;  // as the keeper last read them
+  std::deque<MetricsSample> past;
   Time read_at = 0;
 };
 
@@ -41,7 +41,7 @@
 struct Pilot {
   std::unique_ptr<Driver> driver;
   Time next_round = 0, paused_until = -1;
-  std::deque<Order> to_send;  // of the last round, left over by a pause
+  std::deque<NodeCommand> to_send;  // of the last round, left over by a pause
   bool dead = false;
 };
 
@@ -82,7 +82,7 @@
       site->rate = size_.Lognormal(s.rate, s.spread);
       site->own_failed = size_.Lognormal(s.own_failed, s.overdispersion);
       site->own_refused = size_.Lognormal(s.own_refused, s.overdispersion);
-      site->disk.in_force = site->disk.last_good = {"old", "/old", "/c", "", "", "", ""};
+      site->disk.active = site->disk.last_good = {"old", "/old", "/c", "", "", "", ""};
       sites_.push_back(std::move(site));
     }
   }
@@ -118,8 +118,8 @@
   static Machine::Rules RulesOf(const WorldSpec& s) {
     Machine::Rules r;
     r.limits.lease = s.no_lease ? Time{1} << 50 : kLease;
-    r.limits.ready_within = 3 * kSecond;
-    r.limits.end_within = 5 * kSecond;
+    r.limits.ready_timeout = 3 * kSecond;
+    r.limits.stop_timeout = 5 * kSecond;
     r.memory_limit = kMemory;
     r.fails_to_start = [&s](const KeptNode& node, const Release& release) {
       return release.id == "new" && (s.harm.does_not_start || s.harm.unreadable_at == node.name);
@@ -166,8 +166,8 @@
         const bool never = p.release.id == "new" && s_.harm.never_ready;
         if (!p.ready && !never && now_ - p.started >= kSecond) {
           p.ready = true;
-          std::vector<KeeperAct> acts;
-          site.keeper->Ready(now_, number, acts);
+          std::vector<SupervisorEffect> acts;
+          site.keeper->OnProcessReady(now_, number, acts);
           machine_.Carry(site, std::move(acts));
           break;
         }
@@ -185,8 +185,8 @@
     if (at == site.processes.end() || !at->second.ready) return;
     if (at->second.release.id == "new" && s_.harm.no_figures) return;
     site.told = at->second.figures;
-    site.told->at = now_;
-    if (site.past.empty() || now_ - site.past.back().figures.at >= 10 * kSecond)
+    site.told->measured_at = now_;
+    if (site.past.empty() || now_ - site.past.back().metrics.measured_at >= 10 * kSecond)
       site.past.push_back({at->second.release.id, *site.told});
     if (site.past.size() > 180) site.past.pop_front();
   }
@@ -225,24 +225,24 @@
       }
       const bool fresh = takes->release.id == "new";
       const bool harmed = fresh && (s_.harm.only_class.empty() || s_.harm.only_class == cls);
-      ClassFigures& c = takes->figures.classes[cls];
-      c.worth = worth;
+      ClassMetrics& c = takes->figures.classes[cls];
+      c.priority_weight = worth;
       const double u = traffic_.Unit();
       const double own_failed = std::min(0.9, site.own_failed + (world ? s_.world_failed : 0));
       const double own_refused = std::min(0.9 - own_failed, site.own_refused * (load ? 10 : 1));
       const double more_failed = harmed ? s_.harm.failed : 0, more_refused = harmed ? s_.harm.refused : 0;
       const double tries = 1 + (traffic_.Chance(0.05) ? 1 : 0);
-      c.attempts += tries, c.attempts_squared += tries * tries;
+      c.attempts_sum += tries, c.attempts_sum_of_squares += tries * tries;
       if (fresh) result_.exposed_requests += 1;
       if (u < own_failed) {
         ++c.failed;
       } else if (u < own_failed + own_refused) {
-        ++c.refused;
+        ++c.rejected;
       } else if (u < own_failed + own_refused + more_failed) {
         ++c.failed;
         result_.worth_lost += worth;
       } else if (u < own_failed + own_refused + more_failed + more_refused) {
-        ++c.refused;
+        ++c.rejected;
         result_.worth_lost += worth;
       } else {
         double ms = traffic_.Lognormal(kFirstMs, kFirstSigma) * (load ? 1.5 : 1);
@@ -250,14 +250,15 @@
         ++c.served;
         ++c.started;
         if (ms < 800) ++c.in_time;
-        c.first_ln += std::log(ms);
-        c.first_ln_squared += std::log(ms) * std::log(ms);
+        c.first_token_ln_sum += std::log(ms);
+        c.first_token_ln_sum_of_squares += std::log(ms) * std::log(ms);
       }
       takes->asked += 1;
       if (fresh && s_.harm.crash_at > 0 && takes->asked >= s_.harm.crash_at) takes->ends_at = now_;
     }
     if (takes != nullptr && takes->release.id == "new")
-      takes->figures.memory += static_cast<std::uint64_t>(s_.harm.leak * static_cast<double>(kTick) / 1e6);
+      takes->figures.memory_bytes +=
+          static_cast<std::uint64_t>(s_.harm.leak * static_cast<double>(kTick) / 1e6);
   }
 
   // ---- Drivers ----
@@ -267,30 +268,30 @@
   }
 
   // What a keeper answers, as far as the message and its answer arrive; `late`: the message sits on the way.
-  std::optional<Reply> Ask(const Order& order) {
+  std::optional<CommandReply> Ask(const NodeCommand& order) {
     const std::size_t node = IndexOf(order.node);
     Site& site = *sites_[node];
     if (Cut(node) || site.keeper_down || chance_.Chance(s_.lost)) return std::nullopt;
-    Command c = order.command;
+    SupervisorCommand c = order.command;
     if (s_.forge_epoch) {
-      const KeeperStatus s = site.keeper->Status();
+      const SupervisorStatus s = site.keeper->Status();
       if (c.epoch < s.epoch) c.epoch = s.epoch;
       if (c.epoch == s.epoch && s.epoch > 0) c.driver = s.driver;
     }
-    std::vector<KeeperAct> acts;
-    const std::uint64_t epoch = site.keeper->memory().epoch;
-    Reply reply = site.keeper->Take(now_, c, acts);
+    std::vector<SupervisorEffect> acts;
+    const std::uint64_t epoch = site.keeper->state().epoch;
+    CommandReply reply = site.keeper->HandleCommand(now_, c, acts);
     const bool acted = !acts.empty();
     machine_.Carry(site, std::move(acts));
-    const bool act = c.what == Command::What::kChange || c.what == Command::What::kBack;
-    if (reply.yes && act && acted) {
+    const bool act = c.kind == CommandKind::kChange || c.kind == CommandKind::kRollBack;
+    if (reply.accepted && act && acted) {
       if (order.command.epoch < acted_)
         Broken(fmt::format("epoch {} acted at {} behind epoch {}", order.command.epoch, site.name, acted_));
       acted_ = std::max(acted_, order.command.epoch);
     }
-    reply.status.figures = site.told;
+    reply.status.metrics = site.told;
     reply.status.now = now_;
-    if (reply.yes && site.keeper->memory().epoch > epoch)
+    if (reply.accepted && site.keeper->state().epoch > epoch)
       reply.status.history.assign(site.past.begin(), site.past.end());
     if (s_.forge_epoch) reply.status.epoch = std::min(reply.status.epoch, order.command.epoch);
     if (chance_.Chance(s_.lost)) return std::nullopt;  // the answer is lost: done all the same
@@ -306,7 +307,7 @@
     Pilot p;
     Plan plan = plan_;
     if (s_.greedy) {
-      for (Stage& stage : plan.stages) stage.at_once = 100;
+      for (Stage& stage : plan.stages) stage.max_concurrent = 100;
     }
     p.driver = std::make_unique<Driver>(plan, epoch + 1, fmt::format("d{}", ++result_.drivers),
                                         s_.no_lease ? 0 : kLease * 12 / 10);
@@ -343,20 +344,20 @@
     } else {
       if (now_ < p.next_round) return;
       p.next_round = now_ + kRound;
-      std::map<std::string, NodeView> round;
+      std::map<std::string, SupervisorResponse> round;
       for (const PlanNode& n : plan_.nodes) {
         if (Killed(p)) return;
-        const auto reply = Ask({n.name, p.driver->Claim()});
+        const auto reply = Ask({n.name, p.driver->MakeClaim()});
         if (!reply) continue;
-        round[n.name] = {reply->status, reply->yes};
-        if (!reply->yes) p.driver->Refused(reply->why);
+        round[n.name] = {reply->status, reply->accepted};
+        if (!reply->accepted) p.driver->OnRejected(reply->reason);
       }
       if (!p.driver->ended()) {
-        const std::vector<Order> orders = p.driver->Round(now_, round);
+        const std::vector<NodeCommand> orders = p.driver->RunRound(now_, round);
         // Marks go first.
         for (const bool marks : {true, false}) {
-          for (const Order& o : orders) {
-            if ((o.command.what == Command::What::kMark) == marks) p.to_send.push_back(o);
+          for (const NodeCommand& o : orders) {
+            if ((o.command.kind == CommandKind::kSetDirective) == marks) p.to_send.push_back(o);
           }
         }
       }
@@ -368,32 +369,32 @@
     }
     while (!p.to_send.empty()) {
       if (Killed(p)) return;
-      const Order order = p.to_send.front();
+      const NodeCommand order = p.to_send.front();
       p.to_send.pop_front();
-      if (order.command.what == Command::What::kMark && order.command.mark == "back" &&
+      if (order.command.kind == CommandKind::kSetDirective && order.command.directive == "back" &&
           result_.stopped_at < 0) {
         result_.stopped_at = At();
         result_.stopped_stage = p.driver->stage() + 1;
-        result_.why = order.command.why;
+        result_.why = order.command.directive_reason;
       }
       const auto reply = Ask(order);
-      if (reply && !reply->yes) p.driver->Refused(reply->why);
+      if (reply && !reply->accepted) p.driver->OnRejected(reply->reason);
     }
-    switch (p.driver->course()) {
-      case Course::kDone:
-      case Course::kBackDone:
+    switch (p.driver->state()) {
+      case RolloutState::kCompleted:
+      case RolloutState::kRolledBack:
         over_ = true;
-        result_.end = p.driver->course() == Course::kDone ? "done" : "back";
+        result_.end = p.driver->state() == RolloutState::kCompleted ? "done" : "back";
         break;
-      case Course::kPaused:
+      case RolloutState::kPaused:
         // An operator would look; here it ends, unless the fault is over before long.
         if (paused_since_ < 0) paused_since_ = now_;
         if (now_ - paused_since_ > 60 * kSecond && At() > s_.cut_at + s_.cut_for) {
-          result_.end = "paused: " + p.driver->why();
+          result_.end = "paused: " + p.driver->reason();
           over_ = true;
         }
         break;
-      case Course::kOver:
+      case RolloutState::kSuperseded:
         p.dead = true;
         break;
       default:
@@ -410,9 +411,10 @@
       const auto at = site->processes.find(site->keeper->current());
       if (at == site->processes.end() || at->second.release.id != "new") continue;
       for (const auto& [cls, c] : site->told->classes)
-        n += static_cast<double>(c.ended()), bad += static_cast<double>(c.failed + c.refused);
+        n += static_cast<double>(c.concluded()), bad += static_cast<double>(c.failed + c.rejected);
     }
-    if (n >= 100 && bad / n > 0.05) p.driver->Say("back", fmt::format("{:.3f} of requests bad", bad / n));
+    if (n >= 100 && bad / n > 0.05)
+      p.driver->SetDirective("back", fmt::format("{:.3f} of requests bad", bad / n));
   }
 
   // ---- What must hold ----
@@ -421,17 +423,17 @@
     std::size_t changing = 0, exposed = 0;
     for (const auto& site : sites_) {
       if (site->vanished) continue;
-      const KeeperMemory& m = site->disk;
+      const SupervisorState& m = site->disk;
       if (m.last_good.program.empty()) Broken(site->name + " has no good release");
-      if (m.in_force.program.empty()) Broken(site->name + " has no release");
-      if (m.trying && m.trying->id == "new") ++changing;
+      if (m.active.program.empty()) Broken(site->name + " has no release");
+      if (m.pending && m.pending->id == "new") ++changing;
       std::size_t living = 0;
       for (const auto& [number, p] : site->processes) {
         living += p.leaving ? 0 : 1;
         if (p.release.id == "new" && p.ready) fresh_.insert(site->name);
       }
       if (living > 2) Broken(fmt::format("{} has {} processes", site->name, living));
-      if (m.in_force.id == "new") ++exposed;
+      if (m.active.id == "new") ++exposed;
     }
     const std::size_t most = s_.rule == Rule::kAllAtOnce ? sites_.size() : s_.at_once;
     if (changing > most) Broken(fmt::format("{} nodes in change, {} allowed", changing, most));
@@ -447,14 +449,14 @@
       for (std::size_t i = 0; i < sites_.size(); ++i) {
         const Site& site = *sites_[i];
         if (site.vanished || site.keeper_down || Cut(i)) continue;
-        if (site.disk.in_force.id == "new" && site.disk.last_good.id != "new")
+        if (site.disk.active.id == "new" && site.disk.last_good.id != "new")
           Broken("a stop did not reach " + site.name);
       }
     }
     if (result_.end == "done") {
       std::size_t left = 0;
-      for (const auto& site : sites_) left += !site->vanished && site->disk.in_force.id != "new" ? 1 : 0;
-      if (left > plan_.most_passed_over) Broken(fmt::format("done, but {} nodes lack it", left));
+      for (const auto& site : sites_) left += !site->vanished && site->disk.active.id != "new" ? 1 : 0;
+      if (left > plan_.max_skipped) Broken(fmt::format("done, but {} nodes lack it", left));
     }
   }
 
--- a/lab/rollout/supervised_node.h
+++ b/lab/rollout/supervised_node.h
@@ -23,24 +23,24 @@
   Time started = 0;
   bool ready = false, leaving = false;
   Time ends_at = -1;
-  rollout::Figures figures;
+  rollout::NodeMetrics figures;
   double asked = 0;
 };
 
 struct KeptNode {
   std::string name, zone;
-  std::optional<rollout::Keeper> keeper;
+  std::optional<rollout::Supervisor> keeper;
   std::map<int, Process> processes;
   bool keeper_down = false;
   Time keeper_back = 0;
-  rollout::KeeperMemory disk;
+  rollout::SupervisorState disk;
 };
 
 // The machine of the nodes: its clock, and what releases do as processes.
 class Machine {
  public:
   struct Rules {
-    rollout::KeeperLimits limits;
+    rollout::SupervisorLimits limits;
     Time ends_in = 2'000'000;  // from SIGTERM
     std::uint64_t memory_limit = 0;
     std::function<bool(const KeptNode&, const rollout::Release&)> fails_to_start;  // null: none does
@@ -51,7 +51,7 @@
   Time now = 0;
   // A keeper begins, the first or one behind another.
   void Boot(KeptNode& node);
-  void Carry(KeptNode& node, std::vector<rollout::KeeperAct> acts);
+  void Carry(KeptNode& node, std::vector<rollout::SupervisorEffect> acts);
   void End(KeptNode& node, int number);  // a process has ended, and its keeper runs
   void Tick(KeptNode& node);
   // Those that did not even start end now.
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -512,27 +512,28 @@
     return ryeglade::CountersText(view);
   }
   std::string FiguresText() const override {
-    rollout::Figures f;
+    rollout::NodeMetrics f;
     f.pid = getpid();
-    f.at = Now();
+    f.measured_at = Now();
     std::size_t resident = 0;
     uv_resident_set_memory(&resident);
-    f.memory = resident;
-    f.most_memory = config_.memory_mb * 1024 * 1024;
+    f.memory_bytes = resident;
+    f.memory_limit_bytes = config_.memory_mb * 1024 * 1024;
     f.descriptors = UsedSockets();
-    f.most_descriptors = config_.sockets;
+    f.descriptor_limit = config_.sockets;
     for (const std::size_t i : config_.in_force) {
       const policy::ClassSettings& c = config_.settings.classes[i];
-      f.classes[c.name].worth = c.priority_weight;
+      f.classes[c.name].priority_weight = c.priority_weight;
     }
     for (const auto& [name, e] : counters_.by_class) {
-      rollout::ClassFigures& c = f.classes[name];
-      c.served = e.success, c.in_time = e.in_time, c.refused = e.busy, c.failed = e.failure;
-      c.attempts = static_cast<double>(e.attempts),
-      c.attempts_squared = static_cast<double>(e.attempts_squared);
-      c.started = e.started, c.first_ln = e.first_ln, c.first_ln_squared = e.first_ln_squared;
+      rollout::ClassMetrics& c = f.classes[name];
+      c.served = e.success, c.in_time = e.in_time, c.rejected = e.busy, c.failed = e.failure;
+      c.attempts_sum = static_cast<double>(e.attempts),
+      c.attempts_sum_of_squares = static_cast<double>(e.attempts_squared);
+      c.started = e.started, c.first_token_ln_sum = e.first_ln,
+      c.first_token_ln_sum_of_squares = e.first_ln_squared;
     }
-    return EncodeFigures(f);
+    return EncodeNodeMetrics(f);
   }
   bool Hold(std::string_view instance, bool out) override {
     if (!discovery_.Hold(std::string(instance), out)) return false;
--- a/src/rollout/canary_analysis_model.cpp
+++ b/src/rollout/canary_analysis_model.cpp
@@ -8,299 +8,411 @@
 namespace ryeglade::rollout {
 namespace {
 
-constexpr const char* kNames[] = {"failed", "refused", "late", "first-token", "attempts"};
-constexpr std::size_t kMostCells = 20'000;
-constexpr std::size_t kMostSamples = 600;
-constexpr Time kLeastGrowthSpan = 60'000'000;  // memory is looked at over no less
-constexpr const char* kAll = "all";            // classes together
-constexpr double kLeastToCompare = 30;
-constexpr double kStart = 10;         // requests of a process that are its start: cold, and not counted
-constexpr double kTuned = 500;        // information at which the boundary is tightest, as 1/variance
-constexpr double kWarmMemory = 0.02;  // of the limit: growth below it is a start
-// A difference that exceeds its guard by this part of its half width is doubtful: not proven, but a release
-// that is no worse stays below it on nineteen of twenty looks.
-constexpr double kDoubtful = 0.5;
-constexpr std::uint64_t kDoubtfulFor = 4;  // times the requests of a stage: by then harm has shown itself
-
-double Less(std::uint64_t now, std::uint64_t before) {
+// As records and tables name them; in the order of CanaryMetric.
+constexpr const char* kMetricNames[] = {"failed", "refused", "late", "first-token", "attempts"};
+constexpr double kAllClassesWeight = 0.5;  // beside single classes' priority weights
+
+constexpr std::size_t kMaxStrata = 20'000;
+constexpr std::size_t kMaxMemorySamples = 600;
+constexpr std::size_t kMinMemorySamples = 10;
+constexpr Time kMinGrowthSpan = 60'000'000;  // memory growth is fitted over no less
+constexpr double kMicrosPerHour = 3.6e9;
+constexpr double kWarmUpMemory = 0.02;  // of the limit: growth below it is a process's start
+constexpr double kBytesPerMiB = 1048576;
+
+constexpr double kMinRequestsToCompare = 30;   // of each cohort: the boundary is asymptotic
+constexpr double kMinRequestsOfNode = 20;      // for the variance between nodes,
+constexpr double kMinOldNodes = 3;             // of which it takes so many
+constexpr double kWarmUpRequests = 10;         // first requests of a process are served cold: not counted
+constexpr std::size_t kMinStrataToSpread = 4;  // for the variance between strata
+constexpr double kTunedInformation = 500;      // 1/variance at which the boundary is tightest
+constexpr double kMinVariance = 1e-12;
+constexpr double kUnknownHalfWidth = 1e9;
+constexpr double kMinRequestsOfEnvironment = 50;
+// A difference that exceeds what is allowed by this part of its half width is possibly worse: not proven, but
+// a release that is no worse stays below it on nineteen of twenty looks.
+constexpr double kPossiblyWorsePart = 0.5;
+// Times the requests of a stage until which a possibly worse release waits: by then harm has shown itself.
+constexpr std::uint64_t kPossiblyWorseFactor = 4;
+
+double Increase(std::uint64_t now, std::uint64_t before) {
   return now > before ? static_cast<double>(now - before) : 0;
 }
 
+double ConcludedRequests(const NodeMetrics& metrics) {
+  std::uint64_t concluded = 0;
+  for (const auto& [name, class_metrics] : metrics.classes) concluded += class_metrics.concluded();
+  return static_cast<double>(concluded);
+}
+
+// Half width of the confidence sequence for an estimate of that variance: Robbins' normal mixture boundary.
+double HalfWidth(double variance, double alpha) {
+  const double information = 1 / std::max(variance, kMinVariance);
+  return std::sqrt((information + kTunedInformation) *
+                   std::log((information + kTunedInformation) / (kTunedInformation * alpha * alpha))) /
+         information;
+}
+
+bool IsShare(CanaryMetric metric) {
+  return metric == CanaryMetric::kFailed || metric == CanaryMetric::kRejected ||
+         metric == CanaryMetric::kLate;
+}
+
 }  // namespace
 
-const char* Name(Judgement j) {
-  static constexpr const char* kWords[] = {"good", "worse", "wait", "world-changed"};
-  return kWords[static_cast<std::size_t>(j)];
+const char* Name(CanaryMetric metric) { return kMetricNames[static_cast<std::size_t>(metric)]; }
+
+void CanaryAnalysis::Sums::Add(const Sums& other) {
+  count += other.count;
+  sum += other.sum;
+  sum_of_squares += other.sum_of_squares;
 }
 
-double Verdict::Sums::variance() const {
-  if (n < 2) return 0;
-  return std::max(0.0, (squares - sum * sum / n) / (n - 1));
+double CanaryAnalysis::Sums::Variance() const {
+  if (count < 2) return 0;
+  return std::max(0.0, (sum_of_squares - sum * sum / count) / (count - 1));
 }
 
-// What happened between two looks at one process.
-void Verdict::Take(const ClassFigures& b, const ClassFigures& a, Row& row) {
-  const double served = Less(a.served, b.served), refused = Less(a.refused, b.refused),
-               failed = Less(a.failed, b.failed), in_time = std::min(served, Less(a.in_time, b.in_time));
-  const double n = served + refused + failed;
-  const double bad[] = {failed, refused, n - in_time};
-  for (int k = 0; k < 3; ++k) row[k].Add({n, bad[k], bad[k]});  // zeros and ones
-  const double started = Less(a.started, b.started);
+// What happened between two samples of one process.
+void CanaryAnalysis::AddIncrease(const ClassMetrics& before, const ClassMetrics& now, MetricSums& sums) {
+  const auto of = [&](CanaryMetric metric) -> Sums& { return sums[static_cast<std::size_t>(metric)]; };
+  const double served = Increase(now.served, before.served);
+  const double rejected = Increase(now.rejected, before.rejected);
+  const double failed = Increase(now.failed, before.failed);
+  const double in_time = std::min(served, Increase(now.in_time, before.in_time));
+  const double concluded = served + rejected + failed;
+  const double late = concluded - in_time;
+  // Each request counts as 0 or 1, which is its own square.
+  of(CanaryMetric::kFailed).Add({concluded, failed, failed});
+  of(CanaryMetric::kRejected).Add({concluded, rejected, rejected});
+  of(CanaryMetric::kLate).Add({concluded, late, late});
+  const double started = Increase(now.started, before.started);
   if (started > 0)
-    row[3].Add({started, a.first_ln - b.first_ln, std::max(0.0, a.first_ln_squared - b.first_ln_squared)});
-  if (n > 0)
-    row[4].Add(
-        {n, std::max(0.0, a.attempts - b.attempts), std::max(0.0, a.attempts_squared - b.attempts_squared)});
+    of(CanaryMetric::kFirstToken)
+        .Add({started, now.first_token_ln_sum - before.first_token_ln_sum,
+              std::max(0.0, now.first_token_ln_sum_of_squares - before.first_token_ln_sum_of_squares)});
+  if (concluded > 0)
+    of(CanaryMetric::kAttempts)
+        .Add({concluded, std::max(0.0, now.attempts_sum - before.attempts_sum),
+              std::max(0.0, now.attempts_sum_of_squares - before.attempts_sum_of_squares)});
 }
 
-void Verdict::Add(Time now, const std::string& name, const std::string& zone, bool fresh, const Figures& f) {
+void CanaryAnalysis::AddSample(Time now, const std::string& name, const std::string& zone, bool new_release,
+                               const NodeMetrics& metrics) {
   Node& node = nodes_[name];
-  const bool same = node.known && node.last.pid == f.pid && node.fresh == fresh;
-  if (!same) {
+  const bool same_process = node.last && node.last->pid == metrics.pid && node.new_release == new_release;
+  if (!same_process) {
     node.memory.clear();
-    node.sums.clear();
-    node.fresh = fresh;
+    node.by_class.clear();
+    node.new_release = new_release;
     node.zone = zone;
   }
-  const auto ended = [](const Figures& x) {
-    std::uint64_t n = 0;
-    for (const auto& [cls, c] : x.classes) n += c.ended();
-    return static_cast<double>(n);
-  };
-  node.memory.emplace_back(now, static_cast<double>(f.memory));
-  if (node.memory.size() > kMostSamples) node.memory.pop_front();
-  // A process's first requests meet it cold, whichever release it runs: they count for neither.
-  if (!same || (ended(node.last) < kStart && ended(f) < kStart)) {
-    node.last = f;
-    node.known = true;
-    return;
-  }
-  for (const auto& [cls, c] : f.classes) {
-    const auto before = node.last.classes.find(cls);
-    worth_[cls] = c.worth;
-    Cell& cell = cells_[{cls, zone, now / guards_.window}];
-    const ClassFigures from = before == node.last.classes.end() ? ClassFigures{} : before->second;
-    for (Cell* into : {&cell, &cells_[{kAll, zone, now / guards_.window}], &node.sums[cls], &node.sums[kAll]})
-      Take(from, c, into->by_what[fresh ? 1 : 0]);
+  node.memory.emplace_back(now, static_cast<double>(metrics.memory_bytes));
+  if (node.memory.size() > kMaxMemorySamples) node.memory.pop_front();
+  const bool warming_up = !same_process || (ConcludedRequests(*node.last) < kWarmUpRequests &&
+                                            ConcludedRequests(metrics) < kWarmUpRequests);
+  if (!warming_up) {
+    for (const auto& [class_name, class_metrics] : metrics.classes)
+      AddClassSample(now, node, zone, class_name, class_metrics);
+    if (strata_.size() > kMaxStrata) strata_.erase(strata_.begin());
   }
-  node.last = f;
-  if (cells_.size() > kMostCells) cells_.erase(cells_.begin());
+  node.last = metrics;
 }
 
-void Verdict::Restart() {
-  double bad = 0, n = 0;
-  for (const auto& [key, cell] : cells_) {
-    if (key.cls != kAll) continue;
-    n += cell.by_what[0][2].n;
-    bad += cell.by_what[0][2].sum;
+void CanaryAnalysis::AddClassSample(Time now, Node& node, const std::string& zone,
+                                    const std::string& class_name, const ClassMetrics& metrics) {
+  class_weights_[class_name] = metrics.priority_weight;
+  const auto before = node.last->classes.find(class_name);
+  const ClassMetrics from = before == node.last->classes.end() ? ClassMetrics{} : before->second;
+  const std::int64_t window = now / thresholds_.window;
+  const Cohort cohort = node.new_release ? kNew : kOld;
+  for (CohortSums* sums : {&strata_[{class_name, zone, window}], &strata_[{kAllClasses, zone, window}],
+                           &node.by_class[class_name], &node.by_class[kAllClasses]})
+    AddIncrease(from, metrics, sums->by_cohort[cohort]);
+}
+
+CanaryAnalysis::Sums CanaryAnalysis::OldCohortLate() const {
+  Sums late;
+  for (const auto& [key, sums] : strata_) {
+    if (key.class_name == kAllClasses)
+      late.Add(sums.by_cohort[kOld][static_cast<std::size_t>(CanaryMetric::kLate)]);
   }
-  if (n > 0) past_bad_ = bad / n, past_n_ = n;
-  cells_.clear();
-  for (auto& [name, node] : nodes_) node.sums.clear();
+  return late;
 }
 
-// The difference new less old over the strata in which both were asked something.
-Comparison Verdict::Compare(const std::string& cls, int what, double alpha) const {
-  Comparison c{cls, kNames[what]};
-  struct One {
-    double weight, difference, variance;
-  };
-  std::vector<One> strata;
-  Sums all[2];
-  for (const auto& [key, cell] : cells_) {
-    if (key.cls != cls) continue;
-    for (int side = 0; side < 2; ++side) all[side].Add(cell.by_what[side][what]);
+void CanaryAnalysis::StartComparison() {
+  const Sums late = OldCohortLate();
+  if (late.count > 0) {
+    baseline_late_share_ = late.sum / late.count;
+    baseline_requests_ = late.count;
   }
+  strata_.clear();
+  for (auto& [name, node] : nodes_) node.by_class.clear();
+}
+
+// All strata in which both cohorts served requests.
+std::vector<CanaryAnalysis::Stratum> CanaryAnalysis::Strata(const std::string& class_name, std::size_t metric,
+                                                            const Sums& all_old, const Sums& all_new) const {
+  std::vector<Stratum> strata;
   // Strata are small: their variance is borrowed from the cohort's, which they share but for their means.
-  const double pooled[2] = {all[0].variance(), all[1].variance()};
-  const auto stratum = [&](const Sums& o, const Sums& f) {
-    strata.push_back({o.n * f.n / (o.n + f.n), f.mean() - o.mean(), pooled[0] / o.n + pooled[1] / f.n});
+  const double old_variance = all_old.Variance(), new_variance = all_new.Variance();
+  const auto add = [&](const Sums& of_old, const Sums& of_new) {
+    strata.push_back({of_old.count * of_new.count / (of_old.count + of_new.count),
+                      of_new.Mean() - of_old.Mean(),
+                      old_variance / of_old.count + new_variance / of_new.count});
+  };
+  struct Pooled {
+    Sums of_old, of_new;
   };
-  std::map<std::int64_t, std::pair<Sums, Sums>> alone;
-  for (const auto& [key, cell] : cells_) {
-    if (key.cls != cls) continue;
-    const Sums &o = cell.by_what[0][what], &f = cell.by_what[1][what];
-    if (o.n > 0 && f.n > 0) {
-      stratum(o, f);
+  std::map<std::int64_t, Pooled> pooled_by_window;
+  for (const auto& [key, sums] : strata_) {
+    if (key.class_name != class_name) continue;
+    const Sums& of_old = sums.by_cohort[kOld][metric];
+    const Sums& of_new = sums.by_cohort[kNew][metric];
+    if (of_old.count > 0 && of_new.count > 0) {
+      add(of_old, of_new);
     } else {
-      alone[key.window].first.Add(o), alone[key.window].second.Add(f);
+      Pooled& pooled = pooled_by_window[key.window];
+      pooled.of_old.Add(of_old);
+      pooled.of_new.Add(of_new);
     }
   }
-  // Where a zone has one cohort only (a stage is a zone, or its other nodes are dead), what is left of the
-  // window's zones is held against each other: zones may differ, but the alternative is to know nothing.
-  for (const auto& [window, sums] : alone) {
-    if (sums.first.n > 0 && sums.second.n > 0) stratum(sums.first, sums.second);
+  // Where a zone has one cohort only (a stage is a whole zone, or its other nodes are dead), the rest of the
+  // window's zones is pooled: zones may differ, but the alternative is to know nothing.
+  for (const auto& [window, pooled] : pooled_by_window) {
+    if (pooled.of_old.count > 0 && pooled.of_new.count > 0) add(pooled.of_old, pooled.of_new);
+  }
+  return strata;
+}
+
+double CanaryAnalysis::AllowedDifference(CanaryMetric metric) const {
+  switch (metric) {
+    case CanaryMetric::kFailed:
+      return thresholds_.failed_share;
+    case CanaryMetric::kRejected:
+      return thresholds_.rejected_share;
+    case CanaryMetric::kLate:
+      return thresholds_.late_share;
+    case CanaryMetric::kFirstToken:
+      return std::log1p(thresholds_.first_token_slowdown);
+    default:
+      return thresholds_.attempts_per_request;
+  }
+}
+
+CohortComparison CanaryAnalysis::Compare(const std::string& class_name, CanaryMetric metric,
+                                         double alpha) const {
+  const auto index = static_cast<std::size_t>(metric);
+  CohortComparison comparison{class_name, Name(metric)};
+  Sums all_old, all_new;
+  for (const auto& [key, sums] : strata_) {
+    if (key.class_name != class_name) continue;
+    all_old.Add(sums.by_cohort[kOld][index]);
+    all_new.Add(sums.by_cohort[kNew][index]);
   }
-  c.n_new = all[1].n, c.n_old = all[0].n;
-  c.mean_new = all[1].mean(), c.mean_old = all[0].mean();
-  double weights = 0, sum = 0, variance = 0;
-  for (const One& s : strata) {
+  comparison.new_requests = all_new.count;
+  comparison.old_requests = all_old.count;
+  comparison.new_mean = all_new.Mean();
+  comparison.old_mean = all_old.Mean();
+  comparison.half_width = kUnknownHalfWidth;
+
+  const std::vector<Stratum> strata = Strata(class_name, index, all_old, all_new);
+  double weights = 0, weighted_difference = 0, variance = 0;
+  for (const Stratum& s : strata) {
     weights += s.weight;
-    sum += s.weight * s.difference;
+    weighted_difference += s.weight * s.difference;
     variance += s.weight * s.weight * s.variance;
   }
-  c.half = 1e9;
-  if (weights <= 0) return c;
-  c.difference = sum / weights;
+  if (weights <= 0) return comparison;
+  comparison.difference = weighted_difference / weights;
   variance /= weights * weights;
-  // What windows and nodes differ by beyond chance of single requests.
-  if (strata.size() >= 4) {
+  // What windows and zones differ by beyond the chance of single requests.
+  if (strata.size() >= kMinStrataToSpread) {
     double spread = 0;
-    for (const One& s : strata) spread += std::pow(s.weight * (s.difference - c.difference), 2);
+    for (const Stratum& s : strata) spread += std::pow(s.weight * (s.difference - comparison.difference), 2);
     variance = std::max(variance, spread / (weights * weights));
   }
-
   // A share of which nothing was seen is not known to be none: half a request more on each side.
-  if (what < 3) {
-    const double p = (all[0].sum + all[1].sum + 0.5) / (all[0].n + all[1].n + 1);
-    variance = std::max(variance, p * (1 - p) / weights);
+  if (IsShare(metric)) {
+    const double share = (all_old.sum + all_new.sum + 0.5) / (all_old.count + all_new.count + 1);
+    variance = std::max(variance, share * (1 - share) / weights);
   }
-  const auto boundary = [&](double v) {
-    const double information = 1 / std::max(v, 1e-12);
-    return std::sqrt((information + kTuned) * std::log((information + kTuned) / (kTuned * alpha * alpha))) /
-           information;
-  };
-  // The boundary is asymptotic: of a handful of requests it says nothing.
-  if (c.n_new < kLeastToCompare || c.n_old < kLeastToCompare) return c;
-  c.by_chance = boundary(variance);
-  double fresh_nodes = 0, old_nodes = 0;
-  const double between = BetweenNodes(cls, what, &fresh_nodes, &old_nodes);
-  if (fresh_nodes > 0 && old_nodes > 0) variance += between * (1 / fresh_nodes + 1 / old_nodes);
-  c.half = boundary(variance);
-  const double allowed[] = {guards_.failed, guards_.refused, guards_.late, std::log1p(guards_.slower),
-                            guards_.attempts};
-  c.allowed = allowed[what];
-  c.worse = c.difference - c.half > c.allowed;
-  c.doubtful = c.difference - kDoubtful * c.half > c.allowed;
-  return c;
+  if (all_new.count < kMinRequestsToCompare || all_old.count < kMinRequestsToCompare) return comparison;
+  comparison.sampling_half_width = HalfWidth(variance, alpha);
+  const Between between = BetweenNodes(class_name, index);
+  if (between.new_nodes > 0 && between.old_nodes > 0)
+    variance += between.variance * (1 / between.new_nodes + 1 / between.old_nodes);
+  comparison.half_width = HalfWidth(variance, alpha);
+  comparison.allowed = AllowedDifference(metric);
+  comparison.worse = comparison.difference - comparison.half_width > comparison.allowed;
+  comparison.possibly_worse =
+      comparison.difference - kPossiblyWorsePart * comparison.half_width > comparison.allowed;
+  return comparison;
 }
 
-// The variance of nodes' own means in the old cohort, beyond what chance of single requests makes of it.
-double Verdict::BetweenNodes(const std::string& cls, int what, double* fresh, double* old) const {
-  double n = 0, sum = 0, squares = 0, within = 0;
+// The variance of nodes' own means in the old cohort, beyond what the chance of single requests makes of it.
+CanaryAnalysis::Between CanaryAnalysis::BetweenNodes(const std::string& class_name,
+                                                     std::size_t metric) const {
+  Between between;
+  double sum = 0, sum_of_squares = 0, within = 0;  // over the old cohort's nodes
   for (const auto& [name, node] : nodes_) {
-    const auto at = node.sums.find(cls);
-    if (at == node.sums.end()) continue;
-    const Sums& s = at->second.by_what[node.fresh ? 1 : 0][what];
-    if (s.n < 20) continue;
-    if (node.fresh) {
-      ++*fresh;
+    const auto at = node.by_class.find(class_name);
+    if (at == node.by_class.end()) continue;
+    const Sums& sums = at->second.by_cohort[node.new_release ? kNew : kOld][metric];
+    if (sums.count < kMinRequestsOfNode) continue;
+    if (node.new_release) {
+      ++between.new_nodes;
       continue;
     }
-    ++n, sum += s.mean(), squares += s.mean() * s.mean();
-    within += s.variance() / s.n;
+    ++between.old_nodes;
+    sum += sums.Mean();
+    sum_of_squares += sums.Mean() * sums.Mean();
+    within += sums.Variance() / sums.count;
   }
-  *old = n;
-  if (n < 3) return 0;
-  return std::max(0.0, (squares - sum * sum / n) / (n - 1) - within / n);
+  const double n = between.old_nodes;
+  if (n >= kMinOldNodes)
+    between.variance = std::max(0.0, (sum_of_squares - sum * sum / n) / (n - 1) - within / n);
+  return between;
 }
 
-// How fast the cohort's processes grow, in bytes an hour: the median of each one's slope by least squares.
-double Verdict::Growth(bool fresh, double* limit) const {
+// How fast the cohort's processes grow: the median of their slopes by least squares.
+CanaryAnalysis::MemoryGrowth CanaryAnalysis::GrowthOf(bool new_release) const {
+  MemoryGrowth growth;
   std::vector<double> slopes;
   for (const auto& [name, node] : nodes_) {
-    if (node.fresh != fresh || node.memory.size() < 10) continue;
-    // Its first half is a start: buffers fill once.
-    const Time half = (node.memory.front().first + node.memory.back().first) / 2;
-    if (node.memory.back().first - half < kLeastGrowthSpan) continue;
-    double n = 0, st = 0, sm = 0, stt = 0, stm = 0;
+    if (node.new_release != new_release || node.memory.size() < kMinMemorySamples) continue;
+    // The first half is left out as the process's start: buffers fill once.
+    const Time middle = (node.memory.front().first + node.memory.back().first) / 2;
+    if (node.memory.back().first - middle < kMinGrowthSpan) continue;
+    double n = 0, sum_t = 0, sum_m = 0, sum_tt = 0, sum_tm = 0;  // t: hours; m: bytes
     for (const auto& [at, bytes] : node.memory) {
-      if (at < half) continue;
-      const double t = static_cast<double>(at - half) / 3.6e9;
-      ++n, st += t, sm += bytes, stt += t * t, stm += t * bytes;
+      if (at < middle) continue;
+      const double t = static_cast<double>(at - middle) / kMicrosPerHour;
+      ++n;
+      sum_t += t;
+      sum_m += bytes;
+      sum_tt += t * t;
+      sum_tm += t * bytes;
     }
-    const double d = n * stt - st * st;
-    if (d > 0) slopes.push_back((n * stm - st * sm) / d);
-    *limit = static_cast<double>(node.last.most_memory);
+    const double determinant = n * sum_tt - sum_t * sum_t;
+    if (determinant > 0) slopes.push_back((n * sum_tm - sum_t * sum_m) / determinant);
+    growth.limit = static_cast<double>(node.last->memory_limit_bytes);
   }
-  if (slopes.empty()) return 0;
-  std::nth_element(slopes.begin(), slopes.begin() + static_cast<std::ptrdiff_t>(slopes.size() / 2),
-                   slopes.end());
-  return slopes[slopes.size() / 2];
+  if (slopes.empty()) return growth;
+  const auto median = slopes.begin() + static_cast<std::ptrdiff_t>(slopes.size() / 2);
+  std::nth_element(slopes.begin(), median, slopes.end());
+  growth.bytes_per_hour = *median;
+  return growth;
 }
 
-Outcome Verdict::Judge(std::uint64_t least_requests) const {
-  Outcome out;
+// The reason to fail at once; null: none. So for the other two below.
+std::optional<std::string> CanaryAnalysis::ResourceLimitReached() const {
+  const auto near_limit = [&](std::uint64_t used, std::uint64_t limit) {
+    return limit > 0 && static_cast<double>(used) > thresholds_.resource_usage * static_cast<double>(limit);
+  };
   for (const auto& [name, node] : nodes_) {
-    if (!node.fresh) continue;
-    const Figures& f = node.last;
-    const auto near = [&](std::uint64_t used, std::uint64_t most) {
-      return most > 0 && static_cast<double>(used) > guards_.memory_share * static_cast<double>(most);
-    };
-    if (near(f.memory, f.most_memory) || near(f.descriptors, f.most_descriptors)) {
-      out.judgement = Judgement::kWorse;
-      out.why = fmt::format("{} is near its limit of {}", name,
-                            near(f.memory, f.most_memory) ? "memory" : "descriptors");
-      return out;
-    }
+    if (!node.new_release) continue;
+    if (near_limit(node.last->memory_bytes, node.last->memory_limit_bytes))
+      return fmt::format("{} is near its limit of memory", name);
+    if (near_limit(node.last->descriptors, node.last->descriptor_limit))
+      return fmt::format("{} is near its limit of descriptors", name);
   }
-  double limit = 0;
-  const double growth = Growth(true, &limit), usual = Growth(false, &limit);
-  double held = 0;
+  return std::nullopt;
+}
+
+std::optional<std::string> CanaryAnalysis::MemoryLeak() const {
+  const MemoryGrowth new_growth = GrowthOf(true), old_growth = GrowthOf(false);
+  const double limit = old_growth.limit.value_or(new_growth.limit.value_or(0));
+  double largest = 0;  // process of the new cohort, bytes
   for (const auto& [name, node] : nodes_) {
-    if (node.fresh) held = std::max(held, static_cast<double>(node.last.memory));
-  }
-  if (limit > 0 && held > kWarmMemory * limit && growth - std::max(0.0, usual) > guards_.growth * limit) {
-    out.judgement = Judgement::kWorse;
-    out.why = fmt::format("memory grows by {:.1f} MiB an hour, {:.1f} in the old cohort", growth / 1048576,
-                          usual / 1048576);
-    return out;
-  }
-  // Half of the error rate for all classes together, half for each by itself.
-  const double alpha =
-      guards_.error_rate / 2 / std::max<double>(1, static_cast<double>(worth_.size() * kWhats));
-  const double alpha_all = guards_.error_rate / 2 / kWhats;
-  const Comparison* worst = nullptr;
-  for (const auto& [cls, worth] : worth_) {
-    for (int what = 0; what < kWhats; ++what) out.comparisons.push_back(Compare(cls, what, alpha));
+    if (node.new_release) largest = std::max(largest, static_cast<double>(node.last->memory_bytes));
   }
-  bool sure = true;
-  if (!worth_.empty()) {
-    for (int what = 0; what < kWhats; ++what) out.comparisons.push_back(Compare(kAll, what, alpha_all));
-    const Comparison& failed = out.comparisons[out.comparisons.size() - kWhats];
-    out.least_new = static_cast<std::uint64_t>(failed.n_new);
-    // Without an old cohort there is nothing to be sure against: hard stops are all that is left.
-    const bool alone =
-        std::none_of(nodes_.begin(), nodes_.end(), [](const auto& n) { return !n.second.fresh; });
-    sure = alone || (failed.half < 1e6 && failed.by_chance <= guards_.sure);
+  const double excess = new_growth.bytes_per_hour - std::max(0.0, old_growth.bytes_per_hour);
+  const bool leaks =
+      limit > 0 && largest > kWarmUpMemory * limit && excess > thresholds_.memory_growth_per_hour * limit;
+  if (!leaks) return std::nullopt;
+  return fmt::format("memory grows by {:.1f} MiB an hour, {:.1f} in the old cohort",
+                     new_growth.bytes_per_hour / kBytesPerMiB, old_growth.bytes_per_hour / kBytesPerMiB);
+}
+
+std::optional<std::string> CanaryAnalysis::EnvironmentChange() const {
+  const Sums late = OldCohortLate();
+  if (late.count < kMinRequestsOfEnvironment || baseline_requests_ < kMinRequestsOfEnvironment)
+    return std::nullopt;
+  const double share = late.sum / late.count;
+  const double chance = 4 * std::sqrt(0.25 / late.count + 0.25 / baseline_requests_);
+  if (share - baseline_late_share_ <= thresholds_.environment_shift + chance) return std::nullopt;
+  return fmt::format("the old cohort's share not served in time rose from {:.3g} to {:.3g}",
+                     baseline_late_share_, share);
+}
+
+// Every class, then all classes together. Half of the error rate for either.
+std::vector<CohortComparison> CanaryAnalysis::CompareAll() const {
+  std::vector<CohortComparison> comparisons;
+  if (class_weights_.empty()) return comparisons;
+  const double half_rate = thresholds_.false_positive_rate / 2;
+  const double alpha = half_rate / static_cast<double>(class_weights_.size() * kMetrics);
+  const double alpha_all = half_rate / static_cast<double>(kMetrics);
+  const auto compare = [&](const std::string& class_name, double rate) {
+    for (std::size_t i = 0; i < kMetrics; ++i)
+      comparisons.push_back(Compare(class_name, static_cast<CanaryMetric>(i), rate));
+  };
+  for (const auto& [class_name, weight] : class_weights_) compare(class_name, alpha);
+  compare(kAllClasses, alpha_all);
+  return comparisons;
+}
+
+// Of those that are worse the one with the largest weighted excess; null: none is worse.
+const CohortComparison* CanaryAnalysis::Worst(const std::vector<CohortComparison>& comparisons) const {
+  const auto excess = [&](const CohortComparison& c) {
+    const auto at = class_weights_.find(c.class_name);
+    const double weight = at == class_weights_.end() ? kAllClassesWeight : at->second;
+    return weight * (c.difference - c.half_width - c.allowed);
+  };
+  const CohortComparison* worst = nullptr;
+  for (const CohortComparison& c : comparisons) {
+    if (c.worse && (worst == nullptr || excess(c) > excess(*worst))) worst = &c;
   }
-  const auto of_all = [](const Comparison& c) { return c.cls == kAll; };
-  const bool doubtful = std::any_of(out.comparisons.begin(), out.comparisons.end(),
-                                    [&](const Comparison& c) { return of_all(c) && c.doubtful; });
-  for (const Comparison& c : out.comparisons) {
-    if (!c.worse) continue;
-    const auto over = [&](const Comparison& x) {
-      return (worth_.contains(x.cls) ? worth_.at(x.cls) : 0.5) * (x.difference - x.half - x.allowed);
-    };
-    if (worst == nullptr || over(c) > over(*worst)) worst = &c;
+  return worst;
+}
+
+// Without an old cohort there is nothing to be precise against: only what fails at once is left.
+bool CanaryAnalysis::FailuresKnown(const CohortComparison& failed) const {
+  const bool no_old_cohort =
+      std::all_of(nodes_.begin(), nodes_.end(), [](const auto& n) { return n.second.new_release; });
+  return no_old_cohort || (failed.known() && failed.sampling_half_width <= thresholds_.failure_precision);
+}
+
+CanaryResult CanaryAnalysis::Evaluate(std::uint64_t min_requests) const {
+  if (const auto reason = ResourceLimitReached()) return {CanaryVerdict::kFail, *reason, {}, 0};
+  if (const auto reason = MemoryLeak()) return {CanaryVerdict::kFail, *reason, {}, 0};
+  CanaryResult result;
+  result.comparisons = CompareAll();
+  bool failures_known = true, possibly_worse = false;
+  if (!result.comparisons.empty()) {
+    const auto all_classes = result.comparisons.end() - static_cast<std::ptrdiff_t>(kMetrics);
+    result.new_requests = static_cast<std::uint64_t>(all_classes->new_requests);
+    failures_known = FailuresKnown(*all_classes);  // the first metric is kFailed
+    possibly_worse = std::any_of(all_classes, result.comparisons.end(),
+                                 [](const CohortComparison& c) { return c.possibly_worse; });
   }
-  if (worst != nullptr) {
-    out.judgement = Judgement::kWorse;
-    out.why = fmt::format(
+  if (const CohortComparison* worst = Worst(result.comparisons)) {
+    result.verdict = CanaryVerdict::kFail;
+    result.reason = fmt::format(
         "class {}: {} {:.4g}, {:.4g} in the old cohort at the same time (difference {:.4g} +- {:.4g})",
-        worst->cls, worst->what, worst->mean_new, worst->mean_old, worst->difference, worst->half);
-    return out;
+        worst->class_name, worst->metric, worst->new_mean, worst->old_mean, worst->difference,
+        worst->half_width);
+    return result;
   }
-  double bad = 0, n = 0;
-  for (const auto& [key, cell] : cells_) {
-    if (key.cls != kAll) continue;
-    n += cell.by_what[0][2].n;
-    bad += cell.by_what[0][2].sum;
-  }
-  if (n >= 50 && past_n_ >= 50) {
-    const double rise = bad / n - past_bad_;
-    const double chance = 4 * std::sqrt(0.25 / n + 0.25 / past_n_);
-    if (rise > guards_.world + chance) {
-      out.judgement = Judgement::kWorld;
-      out.why = fmt::format("the old cohort's share not served in time rose from {:.3g} to {:.3g}", past_bad_,
-                            bad / n);
-      return out;
-    }
+  if (const auto reason = EnvironmentChange()) {
+    result.verdict = CanaryVerdict::kEnvironmentChanged;
+    result.reason = *reason;
+    return result;
   }
-  const bool settled = !doubtful || out.least_new >= kDoubtfulFor * least_requests;
-  const bool enough = out.least_new >= least_requests && sure && settled;
-  if (enough || least_requests == 0) out.judgement = Judgement::kGood;
-  return out;
+  const bool decided = !possibly_worse || result.new_requests >= kPossiblyWorseFactor * min_requests;
+  const bool enough = result.new_requests >= min_requests && failures_known && decided;
+  if (enough || min_requests == 0) result.verdict = CanaryVerdict::kPass;
+  return result;
 }
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/cluster_view_model.cpp
+++ b/src/rollout/cluster_view_model.cpp
@@ -1,70 +1,82 @@
 #include "rollout/cluster_view_model.h"
 
-#include <algorithm>
 #include <exception>
 #include <nlohmann/json.hpp>
 
 namespace ryeglade::rollout {
+namespace {
 
-std::optional<TierSaid> ReadTierSaid(const std::string& body) {
-  if (body.size() > kMostStatusBytes) return std::nullopt;
+using nlohmann::json;
+
+// Throws for what is no answer of a status address.
+std::optional<NodeClusterView> NodeClusterViewFrom(const json& j) {
+  NodeClusterView view;
+  view.node = j.at("name").get<std::string>();
+  if (view.node.empty()) return std::nullopt;
+  // During a hot restart two processes answer for the node, and only the active one has a view: the new one
+  // has none yet, and the old one no longer receives messages.
+  if (!j.contains("members") || j.value("phase", "") != "active") return view;
+  view.joined = j.at("joined").get<bool>();
+  view.in_doubt = j.at("in_doubt").get<bool>();
+  view.settled = j.at("settled").get<bool>();
+  const json& members = j.at("members");
+  if (!members.is_array() || members.size() > kMaxMembers) return std::nullopt;
+  for (const json& member : members)
+    view.member_states[member.at("name").get<std::string>()] = member.at("standing").get<std::string>();
+  return view;
+}
+
+struct Votes {
+  std::size_t alive = 0, suspect = 0, dead = 0;
+};
+
+void CountVote(const std::string& state, Votes& votes) {
+  if (state == "suspect") {
+    ++votes.suspect;
+  } else if (state == "dead" || state == "left" || state == "leaving") {
+    ++votes.dead;
+  } else if (state == "alive") {
+    ++votes.alive;
+  }
+}
+
+}  // namespace
+
+std::optional<NodeClusterView> DecodeNodeClusterView(const std::string& body) {
+  if (body.size() > kMaxStatusBytes) return std::nullopt;
   try {
-    const nlohmann::json j = nlohmann::json::parse(body);
-    TierSaid said;
-    said.node = j.at("name").get<std::string>();
-    if (said.node.empty()) return std::nullopt;
-    // One that waits for the process before it has no view yet.
-    // Of two processes at one address the one that yielded answers too: it no longer hears anybody.
-    if (!j.contains("members") || j.value("phase", "") != "active") return said;
-    said.joined = j.at("joined").get<bool>();
-    said.in_doubt = j.at("in_doubt").get<bool>();
-    said.settled = j.at("settled").get<bool>();
-    const nlohmann::json& members = j.at("members");
-    if (!members.is_array() || members.size() > kMostMembersTold) return std::nullopt;
-    for (const nlohmann::json& m : members)
-      said.standings[m.at("name").get<std::string>()] = m.at("standing").get<std::string>();
-    return said;
+    return NodeClusterViewFrom(json::parse(body));
   } catch (const std::exception&) {
     return std::nullopt;
   }
 }
 
-TierWord PutTogether(std::size_t asked, const std::vector<TierSaid>& said) {
-  TierWord word;
-  word.asked = asked;
-  struct Votes {
-    std::size_t here = 0, suspect = 0, dead = 0;
-  };
+ClusterView MergeClusterViews(std::size_t polled, const std::vector<NodeClusterView>& views) {
+  ClusterView merged;
+  merged.polled = polled;
   std::map<std::string, Votes> votes;
-  std::set<std::string> heard;
-  for (const TierSaid& s : said) {
-    if (!heard.insert(s.node).second) continue;  // one node at two addresses speaks once
-    ++word.answers;
-    word.known.insert(s.node);
-    ++votes[s.node].here;
-    if (!s.joined || s.in_doubt) continue;
-    ++word.sure;
-    for (const auto& [name, standing] : s.standings) {
-      word.known.insert(name);
-      Votes& v = votes[name];
-      if (standing == "suspect") {
-        ++v.suspect;
-      } else if (standing == "dead" || standing == "left" || standing == "leaving") {
-        ++v.dead;
-      } else if (standing == "alive") {
-        ++v.here;
-      }
+  std::set<std::string> counted;
+  for (const NodeClusterView& view : views) {
+    if (!counted.insert(view.node).second) continue;  // a node at two addresses votes once
+    ++merged.answers;
+    merged.known.insert(view.node);
+    ++votes[view.node].alive;
+    if (!view.joined || view.in_doubt) continue;
+    ++merged.confident;
+    for (const auto& [name, state] : view.member_states) {
+      merged.known.insert(name);
+      CountVote(state, votes[name]);
     }
   }
   for (const auto& [name, v] : votes) {
-    const std::size_t all = v.here + v.suspect + v.dead;
+    const std::size_t all = v.alive + v.suspect + v.dead;
     if (2 * v.dead > all) {
-      word.dead.insert(name);
+      merged.dead.insert(name);
     } else if (2 * (v.suspect + v.dead) > all) {
-      word.suspect.insert(name);
+      merged.suspect.insert(name);
     }
   }
-  return word;
+  return merged;
 }
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/cluster_view_model.h
+++ b/src/rollout/cluster_view_model.h
@@ -1,6 +1,6 @@
-// What the nodes say of each other, as a rollout's driver takes it: who is not to be touched now, who counts
-// as gone, and whether the view can be trusted at all. Read from nodes' status addresses (`GET /nodes`), of
-// which any may be dead, cut off or wrong. No I/O, no clock.
+// What the nodes' membership says of the cluster, as a rollout's driver uses it: which nodes must not be
+// changed now, which count as dead, and whether the view can be trusted at all. Read from nodes' status
+// addresses (`GET /nodes`), any of which may be dead, partitioned or wrong. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -12,27 +12,31 @@
 
 namespace ryeglade::rollout {
 
-inline constexpr std::size_t kMostStatusBytes = std::size_t{4} << 20;
-inline constexpr std::size_t kMostMembersTold = 10'000;
+inline constexpr std::size_t kMaxStatusBytes = std::size_t{4} << 20;
+inline constexpr std::size_t kMaxMembers = 10'000;
 
-// One node's answer.
-struct TierSaid {
+// One node's view of the cluster.
+struct NodeClusterView {
   std::string node;
   bool joined = false, in_doubt = true, settled = false;
-  std::map<std::string, std::string> standings;  // of the others, by name: "alive", "suspect", "dead", ...
+  // Of the other members, by name: "alive", "suspect", "dead", "leaving", "left" (`standing` in JSON).
+  std::map<std::string, std::string> member_states;
 };
-// Null: not the answer of a status address, or without bounds.
-std::optional<TierSaid> ReadTierSaid(const std::string& body);
+// Null: not the body of a status address, or larger than the bounds above.
+std::optional<NodeClusterView> DecodeNodeClusterView(const std::string& body);
 
-// All answers together. A member is taken for what more than half of the answers say that know it and are
-// sure of their own views; a node's own answer is a word for it being there.
-struct TierWord {
-  std::size_t asked = 0, answers = 0, sure = 0;  // sure: joined and not in doubt
-  std::set<std::string> suspect, dead;           // leaving and left ones count as dead
-  std::set<std::string> known;                   // all that were named
-  // More than half of those asked are sure: what absent nodes do is known.
-  bool trusted() const { return 2 * sure > asked; }
+// All nodes' views merged by majority: of the views that name a member and are confident, more than half
+// decide its state. That a node answers counts as a vote that it is alive.
+struct ClusterView {
+  std::size_t polled = 0;     // status addresses asked
+  std::size_t answers = 0;    // different nodes that answered
+  std::size_t confident = 0;  // of these, joined and not in doubt
+  std::set<std::string> suspect;
+  std::set<std::string> dead;   // leaving and left members count as dead
+  std::set<std::string> known;  // all members that were named
+  // More than half of the polled addresses are confident: a node that is absent from the view is absent.
+  bool trusted() const { return 2 * confident > polled; }
 };
-TierWord PutTogether(std::size_t asked, const std::vector<TierSaid>& said);
+ClusterView MergeClusterViews(std::size_t polled, const std::vector<NodeClusterView>& views);
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/driver_model.cpp
+++ b/src/rollout/driver_model.cpp
@@ -8,401 +8,509 @@
 namespace ryeglade::rollout {
 namespace {
 
-constexpr Time kDumbFor = 20'000'000;
-constexpr const char* kCourses[] = {"waiting", "stage", "soak",      "back",
-                                    "paused",  "done",  "back-done", "over"};
+// A node of the new release that gives no metrics for longer than this counts as failed.
+constexpr Time kMaxWithoutMetrics = 20'000'000;
+// In records and on the operator's terminal; in the order of RolloutState.
+constexpr const char* kStateNames[] = {"waiting", "stage", "soak",      "back",
+                                       "paused",  "done",  "back-done", "over"};
+
+bool MeansRollBack(const std::string& directive) {
+  return directive == kDirectiveRollBack || directive == kDirectiveAbort;
+}
 
 }  // namespace
 
-const char* Name(Course course) { return kCourses[static_cast<std::size_t>(course)]; }
+const char* Name(RolloutState state) { return kStateNames[static_cast<std::size_t>(state)]; }
 
 Driver::Driver(Plan plan, std::uint64_t epoch, std::string driver, Time lease)
     : plan_(std::move(plan)),
       epoch_(epoch),
       driver_(std::move(driver)),
       lease_(lease),
-      verdict_(plan_.guards) {
-  for (std::size_t i = 0; i < plan_.nodes.size(); ++i) nodes_[plan_.nodes[i].name].plan = i;
+      analysis_(plan_.thresholds) {
+  for (std::size_t i = 0; i < plan_.nodes.size(); ++i) nodes_[plan_.nodes[i].name].plan_index = i;
   for (std::size_t s = 0; s < plan_.stages.size(); ++s) {
     for (const std::string& name : plan_.stages[s].nodes) nodes_[name].stage = s;
   }
 }
 
-Command Driver::Claim() const {
-  Command c;
-  c.what = Command::What::kClaim;
-  c.epoch = epoch_;
-  c.driver = driver_;
-  c.plan = plan_.text;
-  return c;
+SupervisorCommand Driver::MakeClaim() const {
+  SupervisorCommand claim;
+  claim.kind = CommandKind::kClaim;
+  claim.epoch = epoch_;
+  claim.driver = driver_;
+  claim.plan = plan_.text;
+  return claim;
 }
 
-Order Driver::To(const Node& n, Command::What what) const {
-  Order o;
-  o.node = plan_.nodes[n.plan].name;
-  o.command.what = what;
-  o.command.epoch = epoch_;
-  o.command.driver = driver_;
-  o.command.claim = n.last ? n.last->claimed : 0;
-  if (what == Command::What::kChange || what == Command::What::kConfirm) o.command.release = ReleaseFor(n);
-  return o;
+NodeCommand Driver::CommandFor(const Node& node, CommandKind kind) const {
+  NodeCommand to_node;
+  to_node.node = plan_.nodes[node.plan_index].name;
+  SupervisorCommand& command = to_node.command;
+  command.kind = kind;
+  command.epoch = epoch_;
+  command.driver = driver_;
+  command.claimed_at = node.status ? node.status->claimed_at : 0;
+  if (kind == CommandKind::kChange || kind == CommandKind::kConfirm) command.release = ReleaseFor(node);
+  return to_node;
 }
 
 // What the plan leaves open stays as the node's last good release has it.
-Release Driver::ReleaseFor(const Node& n) const {
-  Release r = plan_.release;
-  if (!n.last) return r;
-  const Release& from = n.last->last_good;
-  if (r.program.empty()) r.program = from.program;
-  if (r.config.empty()) r.config = from.config;
-  if (r.settings.empty()) r.settings = from.settings;
-  return r;
-}
-
-bool Driver::Through(const Node& n) const {
-  return n.last && n.last->in_force.id == plan_.release.id && n.last->trying.empty() &&
-         n.last->phase == Phase::kRunning;
-}
-bool Driver::Behind(const Node& n) const {
-  return n.last && n.last->in_force.id != plan_.release.id && n.last->trying.empty();
-}
-bool Driver::Changing(const Node& n) const {
-  if (n.commanded) return true;
-  return n.last && !Through(n) && !Behind(n);
-}
-
-// Hard stops, node by node; empty: none.
-std::string Driver::Harmed(Time now, const Node& n) const {
-  if (!n.last) return "";
-  const KeeperStatus& s = *n.last;
-  if (s.failed == plan_.release.id && s.failed_why != "keeper-restarted" && s.failed_why != "taken-back")
-    return s.node + ": " + s.failed_why;
-  if (s.in_force.id == plan_.release.id && s.crashes > n.old_crashes)
-    return fmt::format("{}: crashed {} times", s.node, s.crashes);
-  if (n.dumb_since >= 0 && now - n.dumb_since > kDumbFor)
-    return s.node + ": gives no figures that can be read";
-  return "";
-}
-
-std::vector<std::string> Driver::passed_over() const {
+Release Driver::ReleaseFor(const Node& node) const {
+  Release release = plan_.release;
+  if (!node.status) return release;
+  const Release& last_good = node.status->last_good;
+  if (release.program.empty()) release.program = last_good.program;
+  if (release.config.empty()) release.config = last_good.config;
+  if (release.settings.empty()) release.settings = last_good.settings;
+  return release;
+}
+
+bool Driver::RunsNewRelease(const SupervisorStatus& status) const {
+  return status.active.id == plan_.release.id;
+}
+bool Driver::IsUpdated(const Node& node) const {
+  return node.status && RunsNewRelease(*node.status) && node.status->pending.empty() &&
+         node.status->phase == NodePhase::kRunning;
+}
+bool Driver::IsOutdated(const Node& node) const {
+  return node.status && !RunsNewRelease(*node.status) && node.status->pending.empty();
+}
+bool Driver::IsChanging(const Node& node) const {
+  if (node.command_sent) return true;
+  return node.status && !IsUpdated(node) && !IsOutdated(node);
+}
+
+// A reason to roll back at once, whatever the canary analysis says; null: none.
+std::optional<std::string> Driver::HardFailure(Time now, const Node& node) const {
+  if (!node.status) return std::nullopt;
+  const SupervisorStatus& status = *node.status;
+  const bool harmless =
+      status.failure_reason == kFailedSupervisorRestarted || status.failure_reason == kFailedRolledBack;
+  if (status.failed_release == plan_.release.id && !harmless)
+    return status.node + ": " + status.failure_reason;
+  if (RunsNewRelease(status) && status.crashes > node.old_release_crashes)
+    return fmt::format("{}: crashed {} times", status.node, status.crashes);
+  if (node.no_metrics_since >= 0 && now - node.no_metrics_since > kMaxWithoutMetrics)
+    return status.node + ": gives no figures that can be read";
+  return std::nullopt;
+}
+
+std::vector<std::string> Driver::skipped_nodes() const {
   std::vector<std::string> names;
-  for (const auto& [name, n] : nodes_) {
-    if (n.gone) names.push_back(name);
+  for (const auto& [name, node] : nodes_) {
+    if (node.skipped) names.push_back(name);
   }
   return names;
 }
 
-std::string Driver::Standing(Time now) const {
-  const auto ago = [&](Time t) { return t < 0 ? Time{-1} : now - t; };
-  std::string all =
-      fmt::format("{} {} {} {} {} {} {} {} {} {} {} {} {};", ago(doubt_since_), epoch_,
-                  static_cast<int>(course_), stage_, std::min(ago(majority_since_), lease_), past_taken_,
-                  changed_, ago(soak_from_), ago(wait_from_), mark_.first, say_.first, mark_seen_, why_);
-  for (const auto& [name, n] : nodes_) {
-    all += fmt::format("{} {} {} {} {} {} {} {} {}", ago(n.absent_since), n.dead,
-                       ago(n.asked_at) < plan_.unreached_after, ago(n.answered_at), n.gone, ago(n.dumb_since),
-                       n.old_crashes, n.commanded, n.last.has_value());
-    if (n.last)
-      all +=
-          fmt::format(" {} {} {} {} {} {} {}", n.last->in_force.id, n.last->last_good.id, n.last->trying,
-                      n.last->failed, n.last->failed_why, n.last->crashes, static_cast<int>(n.last->phase));
-    all += ";";
+std::vector<std::string> Driver::deferred_nodes() const {
+  std::vector<std::string> names;
+  for (const auto& [name, node] : nodes_) {
+    if (node.absent_since >= 0 && !node.skipped) names.push_back(name);
   }
-  return all;
+  return names;
 }
 
-void Driver::Refused(const std::string& why) {
-  if (why != "stale") return;
-  course_ = Course::kOver;
-  why_ = "another driver has taken over";
+std::string Driver::StateFingerprint(Time now) const {
+  const auto ago = [&](Time at) { return at < 0 ? Time{-1} : now - at; };
+  std::string text = fmt::format("{} {} {} {} {} {} {} {} {} {} {} {} {};", ago(view_in_doubt_since_), epoch_,
+                                 static_cast<int>(state_), stage_, std::min(ago(first_majority_at_), lease_),
+                                 history_analysed_, change_begun_, ago(soaking_since_), ago(waiting_since_),
+                                 directive_.name, operator_directive_.name, directive_number_, reason_);
+  for (const auto& [name, node] : nodes_) {
+    text += fmt::format("{} {} {} {} {} {} {} {} {}", ago(node.absent_since), node.dead,
+                        ago(node.first_polled_at) < plan_.unreachable_after, ago(node.answered_at),
+                        node.skipped, ago(node.no_metrics_since), node.old_release_crashes, node.command_sent,
+                        node.status.has_value());
+    if (node.status) {
+      const SupervisorStatus& status = *node.status;
+      text += fmt::format(" {} {} {} {} {} {} {}", status.active.id, status.last_good.id, status.pending,
+                          status.failed_release, status.failure_reason, status.crashes,
+                          static_cast<int>(status.phase));
+    }
+    text += ";";
+  }
+  return text;
 }
 
-// What is decided is told to the keepers before it is acted on: whoever drives next goes on with it.
-void Driver::Mark(const std::string& mark, const std::string& why, std::vector<Order>& orders) {
-  mark_ = {mark, why};
-  for (const auto& [name, n] : nodes_) {
-    if (n.answered_at < 0 || n.gone) continue;
-    Order o = To(n, Command::What::kMark);
-    o.command.mark = mark;
-    o.command.why = why;
-    orders.push_back(std::move(o));
-  }
+void Driver::SetDirective(std::string directive, std::string reason) {
+  operator_directive_ = {std::move(directive), std::move(reason)};
 }
 
-std::vector<std::string> Driver::left_alone() const {
-  std::vector<std::string> names;
-  for (const auto& [name, n] : nodes_) {
-    if (n.absent_since >= 0 && !n.gone) names.push_back(name);
+void Driver::OnRejected(const std::string& reason) {
+  if (reason != kRejectedStaleEpoch) return;
+  state_ = RolloutState::kSuperseded;
+  reason_ = "another driver has taken over";
+}
+
+// What is decided is stored at the supervisors before it is acted on: a driver that takes over continues it.
+void Driver::SendDirective(const std::string& name, const std::string& reason, Commands& commands) {
+  directive_ = {name, reason};
+  for (const auto& [node_name, node] : nodes_) {
+    if (node.answered_at < 0 || node.skipped) continue;
+    NodeCommand to_node = CommandFor(node, CommandKind::kSetDirective);
+    to_node.command.directive = name;
+    to_node.command.directive_reason = reason;
+    commands.push_back(std::move(to_node));
   }
-  return names;
 }
 
-void Driver::TakeTier(Time now, const TierWord* tier) {
-  if (tier == nullptr) return;
-  const bool trusted = tier->trusted();
-  doubt_since_ = trusted ? -1 : doubt_since_ >= 0 ? doubt_since_ : now;
-  for (auto& [name, n] : nodes_) {
-    // What a view in doubt says of the absent is not taken; what was known before stands.
-    if (!trusted) continue;
-    n.dead = tier->dead.contains(name);
-    const bool absent = n.dead || tier->suspect.contains(name);
-    n.absent_since = !absent ? -1 : n.absent_since >= 0 ? n.absent_since : now;
+// ---- What a round showed ----
+
+// What a view in doubt says of absent nodes is not used; what was known before remains.
+void Driver::UpdateFromClusterView(Time now, const ClusterView& view) {
+  if (!view.trusted()) {
+    if (view_in_doubt_since_ < 0) view_in_doubt_since_ = now;
+    return;
+  }
+  view_in_doubt_since_ = -1;
+  for (auto& [name, node] : nodes_) {
+    node.dead = view.dead.contains(name);
+    const bool absent = node.dead || view.suspect.contains(name);
+    if (!absent) {
+      node.absent_since = -1;
+    } else if (node.absent_since < 0) {
+      node.absent_since = now;
+    }
   }
 }
 
-std::vector<Order> Driver::Round(Time now, const std::map<std::string, NodeView>& round,
-                                 const TierWord* tier) {
-  std::vector<Order> orders;
-  if (ended()) return orders;
-  TakeTier(now, tier);
-  std::size_t claimed = 0, answering = 0, gone = 0;
-  for (auto& [name, n] : nodes_) {
-    const auto seen = round.find(name);
-    const bool answered = seen != round.end() && seen->second.status.has_value();
+std::optional<Driver::RoundCounts> Driver::TakeResponses(
+    Time now, const std::map<std::string, SupervisorResponse>& responses) {
+  RoundCounts counts;
+  for (auto& [name, node] : nodes_) {
+    const auto response = responses.find(name);
+    const bool answered = response != responses.end() && response->second.status.has_value();
     if (answered) {
-      const KeeperStatus& s = *seen->second.status;
-      if (s.epoch > epoch_) {
-        Refused("stale");
-        return {};
-      }
-      n.last = s;
-      n.answered_at = now;
-      n.commanded = false;  // what it says now is newer than what it was asked
-      ++answering;
-      if (seen->second.claimed) ++claimed;
-      // The newest word said of this rollout, wherever it was left.
-      if (s.plan == plan_.text && s.mark_number > 0 && !s.mark.empty()) {
-        const bool stronger = s.mark == "back" || s.mark == "abort";
-        if (s.mark_number > mark_seen_ ||
-            (stronger && mark_.first != s.mark && s.mark_number == mark_seen_)) {
-          mark_seen_ = s.mark_number;
-          mark_ = {s.mark, s.why};
-        }
+      const SupervisorStatus& status = *response->second.status;
+      if (status.epoch > epoch_) {
+        OnRejected(kRejectedStaleEpoch);
+        return std::nullopt;
       }
-      if (s.in_force.id != plan_.release.id) n.old_crashes = std::max(n.old_crashes, s.crashes);
-      n.dumb_since = !Through(n) || s.figures ? -1 : n.dumb_since >= 0 ? n.dumb_since : now;
-      for (const Past& p : s.history) n.past.emplace_back(now - s.now + p.figures.at, p);
-      n.last->history.clear();
-      if (s.figures && past_taken_)
-        verdict_.Add(now, name, plan_.nodes[n.plan].zone, s.in_force.id == plan_.release.id, *s.figures);
+      TakeStatus(now, name, node, status);
+      if (response->second.claimed) ++counts.claimed;
     }
-    if (n.asked_at < 0) n.asked_at = now;
-    // One that is silent here and dead to the others needs no waiting for; one whose keeper answers though
-    // the others call it dead is waited for as long as a silent one.
-    const Time silent = answered ? 0 : now - std::max(n.asked_at, n.answered_at);
-    const Time absent = n.absent_since < 0 ? 0 : now - n.absent_since;
-    n.gone = silent > plan_.unreached_after || (silent > 0 && n.dead) || absent > plan_.unreached_after;
-    if (n.gone) n.commanded = false, ++gone;
+    UpdateReachability(now, node, answered);
+    if (node.skipped) ++counts.skipped;
+  }
+  changing_nodes_ = static_cast<std::size_t>(std::count_if(nodes_.begin(), nodes_.end(), [&](const auto& n) {
+    return !n.second.skipped && IsChanging(n.second);
+  }));
+  return counts;
+}
+
+void Driver::TakeStatus(Time now, const std::string& name, Node& node, const SupervisorStatus& status) {
+  node.status = status;
+  node.status->history.clear();
+  node.answered_at = now;
+  node.command_sent = false;  // this status is newer than the command
+  TakeDirective(status);
+  if (!RunsNewRelease(status)) node.old_release_crashes = std::max(node.old_release_crashes, status.crashes);
+  if (!IsUpdated(node) || status.metrics) {
+    node.no_metrics_since = -1;
+  } else if (node.no_metrics_since < 0) {
+    node.no_metrics_since = now;
   }
-  in_change_ = 0;
-  for (const auto& [name, n] : nodes_) in_change_ += !n.gone && Changing(n) ? 1 : 0;
+  const Time clock_offset = now - status.now;
+  for (const MetricsSample& sample : status.history)
+    node.history.emplace_back(clock_offset + sample.metrics.measured_at, sample);
+  if (status.metrics && history_analysed_)
+    analysis_.AddSample(now, name, plan_.nodes[node.plan_index].zone, RunsNewRelease(status),
+                        *status.metrics);
+}
+
+// The newest directive for this rollout, wherever it was stored; of two that are equally new, a rollback.
+void Driver::TakeDirective(const SupervisorStatus& status) {
+  if (status.plan != plan_.text || status.directive_number == 0 || status.directive.empty()) return;
+  const bool newer = status.directive_number > directive_number_;
+  const bool stronger = MeansRollBack(status.directive) && directive_.name != status.directive &&
+                        status.directive_number == directive_number_;
+  if (!newer && !stronger) return;
+  directive_number_ = status.directive_number;
+  directive_ = {status.directive, status.directive_reason};
+}
+
+// A node that does not answer here and is dead in the cluster view is skipped at once; one whose supervisor
+// answers though the others call the node dead is waited for as long as one that does not answer.
+void Driver::UpdateReachability(Time now, Node& node, bool answered) {
+  if (node.first_polled_at < 0) node.first_polled_at = now;
+  const Time silent = answered ? 0 : now - std::max(node.first_polled_at, node.answered_at);
+  const Time absent = node.absent_since < 0 ? 0 : now - node.absent_since;
+  node.skipped =
+      silent > plan_.unreachable_after || (silent > 0 && node.dead) || absent > plan_.unreachable_after;
+  if (node.skipped) node.command_sent = false;
+}
 
+// Without a majority nobody may act: another driver may have the other nodes.
+bool Driver::MayAct(Time now, std::size_t claimed) {
   const std::size_t majority = plan_.nodes.size() / 2 + 1;
   if (claimed < majority) {
-    // Nobody may act without: another driver may have the others.
-    if (course_ != Course::kWaiting)
-      why_ = fmt::format("{} of {} keepers answer", claimed, plan_.nodes.size());
-    course_ = Course::kWaiting;
-    return orders;
+    if (state_ != RolloutState::kWaiting)
+      reason_ = fmt::format("{} of {} keepers answer", claimed, plan_.nodes.size());
+    state_ = RolloutState::kWaiting;
+    return false;
   }
-  if (majority_since_ < 0) majority_since_ = now;
-  if (now - majority_since_ < lease_) {
-    course_ = Course::kWaiting;
-    why_ = "an earlier driver's lease";
-    return orders;
+  if (first_majority_at_ < 0) first_majority_at_ = now;
+  if (now - first_majority_at_ < lease_) {
+    state_ = RolloutState::kWaiting;
+    reason_ = "an earlier driver's lease";
+    return false;
+  }
+  return true;
+}
+
+// -1: nowhere in the history.
+Time Driver::NewReleaseFirstSeen() const {
+  Time first = -1;
+  for (const auto& [name, node] : nodes_) {
+    for (const auto& [at, sample] : node.history) {
+      if (sample.release_id == plan_.release.id && (first < 0 || at < first)) first = at;
+    }
+  }
+  return first;
+}
+
+// What the supervisors sampled before this driver came; what lies before the first sample of the new release
+// is the environment's baseline.
+void Driver::AnalyseHistory() {
+  history_analysed_ = true;
+  const Time first = NewReleaseFirstSeen();
+  const auto add_samples = [&](bool of_baseline) {
+    for (const auto& [name, node] : nodes_) {
+      for (const auto& [at, sample] : node.history) {
+        if ((first >= 0 && at < first) != of_baseline) continue;
+        analysis_.AddSample(at, name, plan_.nodes[node.plan_index].zone,
+                            sample.release_id == plan_.release.id, sample.metrics);
+      }
+    }
+  };
+  add_samples(true);
+  if (first >= 0) {
+    analysis_.StartComparison();
+    change_begun_ = true;
   }
-  if (!past_taken_) TakePast();
-  if (!say_.first.empty()) {
-    const auto said = std::exchange(say_, {});
-    Mark(said.first, said.second, orders);
+  add_samples(false);
+  for (auto& [name, node] : nodes_) node.history.clear();
+}
+
+// ---- What is done about it ----
+
+std::vector<NodeCommand> Driver::RunRound(Time now,
+                                          const std::map<std::string, SupervisorResponse>& responses,
+                                          const ClusterView* cluster_view) {
+  if (ended()) return {};
+  if (cluster_view != nullptr) UpdateFromClusterView(now, *cluster_view);
+  const auto counts = TakeResponses(now, responses);
+  if (!counts || !MayAct(now, counts->claimed)) return {};
+  if (!history_analysed_) AnalyseHistory();
+  Commands commands;
+  if (!operator_directive_.name.empty()) {
+    const Directive directive = std::exchange(operator_directive_, {});
+    SendDirective(directive.name, directive.reason, commands);
   }
-  if (mark_.first == "back" || mark_.first == "abort") {
-    GoBack(now, orders);
-    return orders;
+  if (MeansRollBack(directive_.name)) {
+    RollBack(now, commands);
+    return commands;
   }
-  if (mark_.first == "pause") {
-    course_ = Course::kPaused;
-    why_ = mark_.second;
-    soak_from_ = wait_from_ = -1;
-    return orders;
+  if (directive_.name == kDirectivePause) {
+    state_ = RolloutState::kPaused;
+    reason_ = directive_.reason;
+    StopSoaking();
+    return commands;
   }
-  if (gone > plan_.most_passed_over) {
-    Pause(fmt::format("{} nodes do not answer; most_passed_over is {}", gone, plan_.most_passed_over),
-          orders);
-    return orders;
+  if (counts->skipped > plan_.max_skipped) {
+    Pause(fmt::format("{} nodes do not answer; most_passed_over is {}", counts->skipped, plan_.max_skipped),
+          commands);
+    return commands;
   }
-  for (const auto& [name, n] : nodes_) {
-    const std::string harm = Harmed(now, n);
-    if (harm.empty()) continue;
-    Mark("back", harm, orders);
-    GoBack(now, orders);
-    return orders;
+  for (const auto& [name, node] : nodes_) {
+    const auto failure = HardFailure(now, node);
+    if (!failure) continue;
+    SendDirective(kDirectiveRollBack, *failure, commands);
+    RollBack(now, commands);
+    return commands;
   }
-  if (doubt_since_ >= 0 && tier != nullptr) {
-    if (now - doubt_since_ > plan_.ask_after) {
-      Pause("the view among the nodes is in doubt for too long", orders);
-    } else {
-      // Nothing is begun and nothing judged by half of a tier; going back would go on.
-      course_ = Course::kWaiting;
-      why_ = fmt::format("{} of {} status addresses are sure of their views", tier->sure, tier->asked);
-      soak_from_ = wait_from_ = -1;
-    }
-    return orders;
+  if (view_in_doubt_since_ >= 0 && cluster_view != nullptr) {
+    WaitForTrustedView(now, *cluster_view, commands);
+  } else {
+    Advance(now, commands);
   }
-  GoOn(now, orders);
-  return orders;
+  return commands;
 }
 
-// What the keepers saw before this driver came; what lies before the first sight of the new release is the
-// world's past.
-void Driver::TakePast() {
-  past_taken_ = true;
-  Time first = -1;
-  for (const auto& [name, n] : nodes_) {
-    for (const auto& [at, p] : n.past) {
-      if (p.release == plan_.release.id && (first < 0 || at < first)) first = at;
-    }
+// No change begins and nothing is analysed by half of a cluster; a rollback would go on.
+void Driver::WaitForTrustedView(Time now, const ClusterView& view, Commands& commands) {
+  if (now - view_in_doubt_since_ > plan_.inconclusive_timeout)
+    return Pause("the view among the nodes is in doubt for too long", commands);
+  state_ = RolloutState::kWaiting;
+  reason_ = fmt::format("{} of {} status addresses are sure of their views", view.confident, view.polled);
+  StopSoaking();
+}
+
+void Driver::Pause(const std::string& reason, Commands& commands) {
+  SendDirective(kDirectivePause, reason, commands);
+  state_ = RolloutState::kPaused;
+  reason_ = reason;
+  StopSoaking();
+}
+
+// The number of stages: all nodes that answer are updated.
+std::size_t Driver::FirstUnfinishedStage() const {
+  std::size_t stage = plan_.stages.size();
+  for (const auto& [name, node] : nodes_) {
+    if (!node.skipped && !IsUpdated(node)) stage = std::min(stage, node.stage);
   }
-  for (const bool before : {true, false}) {
-    for (auto& [name, n] : nodes_) {
-      for (const auto& [at, p] : n.past) {
-        if ((first >= 0 && at < first) == before)
-          verdict_.Add(at, name, plan_.nodes[n.plan].zone, p.release == plan_.release.id, p.figures);
-      }
-    }
-    if (before && first >= 0) {
-      verdict_.Restart();
-      changed_ = true;
-    }
+  return stage;
+}
+
+void Driver::Advance(Time now, Commands& commands) {
+  const std::size_t stage = FirstUnfinishedStage();
+  if (stage == plan_.stages.size()) {
+    const std::size_t last = stage - 1;
+    if (StagePasses(now, last, commands)) Complete(now, plan_.stages[last].soak, commands);
+    return;
   }
-  for (auto& [name, n] : nodes_) n.past.clear();
+  // The stage before is analysed before the next one begins; one that an earlier driver had begun has passed.
+  const bool begun = std::any_of(nodes_.begin(), nodes_.end(), [&](const auto& n) {
+    return n.second.stage == stage && (IsUpdated(n.second) || IsChanging(n.second));
+  });
+  const bool may_change =
+      !begun && stage > 0 ? StagePasses(now, stage - 1, commands) : NoHarmSeen(now, commands);
+  if (may_change) ChangeNodes(now, stage, commands);
 }
 
-void Driver::Pause(const std::string& why, std::vector<Order>& orders) {
-  Mark("pause", why, orders);
-  course_ = Course::kPaused;
-  why_ = why;
-  soak_from_ = wait_from_ = -1;
+// While a stage changes the new cohort is analysed, too: a bad release gets no more nodes.
+bool Driver::NoHarmSeen(Time now, Commands& commands) {
+  canary_result_ = analysis_.Evaluate(0);
+  if (!ActOnVerdict(now, commands)) return false;
+  StopSoaking();
+  return true;
 }
 
-void Driver::GoOn(Time now, std::vector<Order>& orders) {
-  // The first stage of which a node that answers is not through yet.
-  std::size_t stage = plan_.stages.size();
-  for (const auto& [name, n] : nodes_) {
-    if (!n.gone && !Through(n)) stage = std::min(stage, n.stage);
+// Whether the last result lets the rollout go on.
+bool Driver::ActOnVerdict(Time now, Commands& commands) {
+  switch (canary_result_.verdict) {
+    case CanaryVerdict::kFail:
+      SendDirective(kDirectiveRollBack, canary_result_.reason, commands);
+      RollBack(now, commands);
+      return false;
+    case CanaryVerdict::kEnvironmentChanged:
+      Pause("the world changed: " + canary_result_.reason, commands);
+      return false;
+    default:
+      return true;
   }
-  const bool all = stage == plan_.stages.size();
-  const std::size_t at = all ? stage - 1 : stage;
-  // A stage that has wholly changed is judged before the next begins; one begun already by an earlier driver
-  // was.
-  bool begun = false;
-  for (const auto& [name, n] : nodes_) begun = begun || (n.stage == at && (Through(n) || Changing(n)));
-  const bool to_judge = at > 0 || all;
-  const std::size_t judged = all ? at : at == 0 ? 0 : at - 1;
-  if ((all || (!begun && to_judge)) && !(all && course_ == Course::kDone)) {
-    const Stage& s = plan_.stages[judged];
-    course_ = Course::kSoak;
-    stage_ = judged;
-    if (soak_from_ < 0) soak_from_ = wait_from_ = now;
-    outcome_ = verdict_.Judge(s.requests);
-    switch (outcome_.judgement) {
-      case Judgement::kWorse:
-        Mark("back", outcome_.why, orders);
-        return GoBack(now, orders);
-      case Judgement::kWorld:
-        return Pause("the world changed: " + outcome_.why, orders);
-      case Judgement::kWait:
-        if (now - wait_from_ > std::max(s.soak, plan_.ask_after)) {
-          Pause(fmt::format("{} requests met the new release in stage {}; {} are wanted: resume, or go back",
-                            outcome_.least_new, judged + 1, s.requests),
-                orders);
-        } else {
-          why_ = fmt::format("{} of {} requests", outcome_.least_new, s.requests);
-        }
-        return;
-      case Judgement::kGood:
-        break;
-    }
-    if (now - soak_from_ < s.soak) {
-      why_ = "soaking";
-      return;
-    }
-    soak_from_ = wait_from_ = -1;
-    if (all) {
-      bool confirmed = true;
-      for (const auto& [name, n] : nodes_) {
-        if (n.gone || (n.last && n.last->last_good.id == plan_.release.id)) continue;
-        confirmed = false;
-        orders.push_back(To(n, Command::What::kConfirm));
-      }
-      if (!confirmed) {
-        soak_from_ = wait_from_ = now - s.soak;  // asked again in the next round until all have said so
-        return;
-      }
-      Mark("done", "", orders);
-      course_ = Course::kDone;
-      why_.clear();
-      return;
-    }
+}
+
+bool Driver::StagePasses(Time now, std::size_t stage, Commands& commands) {
+  const Stage& plan = plan_.stages[stage];
+  state_ = RolloutState::kSoaking;
+  stage_ = stage;
+  if (soaking_since_ < 0) soaking_since_ = waiting_since_ = now;
+  canary_result_ = analysis_.Evaluate(plan.min_requests);
+  if (!ActOnVerdict(now, commands)) return false;
+  if (canary_result_.verdict == CanaryVerdict::kInconclusive) {
+    WaitForRequests(now, stage, commands);
+    return false;
+  }
+  if (now - soaking_since_ < plan.soak) {
+    reason_ = "soaking";
+    return false;
+  }
+  StopSoaking();
+  return true;
+}
+
+void Driver::WaitForRequests(Time now, std::size_t stage, Commands& commands) {
+  const Stage& plan = plan_.stages[stage];
+  if (now - waiting_since_ > std::max(plan.soak, plan_.inconclusive_timeout)) {
+    Pause(fmt::format("{} requests met the new release in stage {}; {} are wanted: resume, or go back",
+                      canary_result_.new_requests, stage + 1, plan.min_requests),
+          commands);
   } else {
-    // While a stage changes the new cohort is looked at too: a bad one is not given more nodes.
-    outcome_ = verdict_.Judge(0);
-    if (outcome_.judgement == Judgement::kWorse) {
-      Mark("back", outcome_.why, orders);
-      return GoBack(now, orders);
-    }
-    if (outcome_.judgement == Judgement::kWorld) return Pause("the world changed: " + outcome_.why, orders);
-    soak_from_ = wait_from_ = -1;
+    reason_ = fmt::format("{} of {} requests", canary_result_.new_requests, plan.min_requests);
   }
-  course_ = Course::kStage;
-  stage_ = at;
-  why_.clear();
-  for (const std::string& name : plan_.stages[at].nodes) {
-    Node& n = nodes_.at(name);
-    if (in_change_ >= plan_.stages[at].at_once) break;
-    if (n.answered_at != now || !Behind(n) || n.absent_since >= 0) continue;
-    if (!std::exchange(changed_, true)) verdict_.Restart();  // what came before is the world's past
-    n.commanded = true;
-    ++in_change_;
-    orders.push_back(To(n, Command::What::kChange));
+}
+
+// The last stage has passed: every node's new release becomes its last good one.
+void Driver::Complete(Time now, Time soak, Commands& commands) {
+  bool confirmed = true;
+  for (const auto& [name, node] : nodes_) {
+    if (node.skipped || (node.status && node.status->last_good.id == plan_.release.id)) continue;
+    confirmed = false;
+    commands.push_back(CommandFor(node, CommandKind::kConfirm));
   }
+  if (!confirmed) {
+    // Its time is over already: asked again in the next round until all have confirmed.
+    soaking_since_ = waiting_since_ = now - soak;
+    return;
+  }
+  SendDirective(kDirectiveDone, "", commands);
+  state_ = RolloutState::kCompleted;
+  reason_.clear();
+}
+
+void Driver::ChangeNodes(Time now, std::size_t stage, Commands& commands) {
+  state_ = RolloutState::kChanging;
+  stage_ = stage;
+  reason_.clear();
+  for (const std::string& name : plan_.stages[stage].nodes) {
+    if (changing_nodes_ >= plan_.stages[stage].max_concurrent) break;
+    Node& node = nodes_.at(name);
+    if (node.answered_at != now || !IsOutdated(node) || node.absent_since >= 0) continue;
+    // What was sampled before the first change is the environment's baseline.
+    if (!std::exchange(change_begun_, true)) analysis_.StartComparison();
+    node.command_sent = true;
+    ++changing_nodes_;
+    commands.push_back(CommandFor(node, CommandKind::kChange));
+  }
+}
+
+void Driver::RollBack(Time now, Commands& commands) {
+  state_ = RolloutState::kRollingBack;
+  reason_ = directive_.reason;
+  RollBackNodes(now, commands);
+  FinishRollBack();
 }
 
-void Driver::GoBack(Time now, std::vector<Order>& orders) {
-  course_ = Course::kBack;
-  why_ = mark_.second;
-  std::size_t moving = 0, left = 0;
-  for (const auto& [name, n] : nodes_) {
-    if (n.gone || !n.last) continue;
-    const bool back = n.last->in_force.id != plan_.release.id && n.last->trying.empty();
-    if (!back) ++left;
-    if (!back && (n.commanded || (!n.last->trying.empty() && n.last->trying != plan_.release.id))) ++moving;
+void Driver::RollBackNodes(Time now, Commands& commands) {
+  std::size_t rolling_back = 0;
+  for (const auto& [name, node] : nodes_) {
+    if (node.skipped || !node.status || IsOutdated(node)) continue;
+    const std::string& pending = node.status->pending;
+    if (node.command_sent || (!pending.empty() && pending != plan_.release.id)) ++rolling_back;
   }
-  for (auto& [name, n] : nodes_) {
-    if (n.answered_at != now || !n.last) continue;
-    const bool runs = n.last->in_force.id == plan_.release.id && n.last->trying.empty();
-    const bool tries = n.last->trying == plan_.release.id;
-    // One that is only being tried is given up at once: nothing serves with it yet.
-    if (!tries && (!runs || moving >= plan_.back_at_once)) continue;
-    if (runs && n.last->last_good.id == plan_.release.id) {  // it was confirmed there: nothing to go back to
+  for (auto& [name, node] : nodes_) {
+    if (node.answered_at != now || !node.status) continue;
+    const SupervisorStatus& status = *node.status;
+    if (status.pending == plan_.release.id) {
+      // Given up at once, however many do so: nothing serves with the new release there yet.
+      node.command_sent = false;
+      commands.push_back(CommandFor(node, CommandKind::kRollBack));
       continue;
     }
-    if (!tries) ++moving;
-    n.commanded = !tries;
-    orders.push_back(To(n, Command::What::kBack));
+    const bool runs_new = RunsNewRelease(status) && status.pending.empty();
+    const bool confirmed = status.last_good.id == plan_.release.id;  // there is nothing to roll back to
+    if (!runs_new || confirmed || rolling_back >= plan_.rollback_concurrency) continue;
+    ++rolling_back;
+    node.command_sent = true;
+    commands.push_back(CommandFor(node, CommandKind::kRollBack));
   }
-  if (left == 0) {
-    course_ = Course::kBackDone;
-  } else {
-    // Those that were confirmed already and run it count as the operator's to decide.
-    bool stuck = true;
-    for (const auto& [name, n] : nodes_) {
-      if (n.gone || !n.last) continue;
-      const bool back = n.last->in_force.id != plan_.release.id && n.last->trying.empty();
-      if (!back && n.last->last_good.id != plan_.release.id) stuck = false;
-    }
-    if (stuck) course_ = Course::kBackDone, why_ += "; some nodes had confirmed the release and keep it";
+}
+
+// Nodes that have confirmed the new release already keep it: what becomes of them is the operator's to
+// decide.
+void Driver::FinishRollBack() {
+  bool any_left = false, only_confirmed_left = true;
+  for (const auto& [name, node] : nodes_) {
+    if (node.skipped || !node.status || IsOutdated(node)) continue;
+    any_left = true;
+    if (node.status->last_good.id != plan_.release.id) only_confirmed_left = false;
   }
+  if (any_left && !only_confirmed_left) return;
+  state_ = RolloutState::kRolledBack;
+  if (any_left) reason_ += "; some nodes had confirmed the release and keep it";
 }
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/metrics_model.cpp
+++ b/src/rollout/metrics_model.cpp
@@ -10,68 +10,89 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMostClasses = 1000;
+constexpr std::size_t kMaxClasses = 1000;
+constexpr double kMaxNumber = 1e18;
+constexpr std::uint64_t kMaxCount = 100'000'000'000'000'000ULL;
 
-double Real(const json& j, const char* key) {
-  const double v = j.value(key, 0.0);
-  if (!std::isfinite(v) || std::abs(v) > 1e18) throw std::runtime_error(key);
-  return v;
+// Both give 0 for a key that is absent, and throw for a number out of bounds.
+double NumberAt(const json& object, const char* key) {
+  const double number = object.value(key, 0.0);
+  if (!std::isfinite(number) || std::abs(number) > kMaxNumber) throw std::runtime_error(key);
+  return number;
 }
-std::uint64_t Whole(const json& j, const char* key) {
-  const auto at = j.find(key);
-  if (at == j.end()) return 0;
-  if (!at->is_number_unsigned() || at->get<std::uint64_t>() > 100'000'000'000'000'000ULL)
-    throw std::runtime_error(key);
+
+std::uint64_t CountAt(const json& object, const char* key) {
+  const auto at = object.find(key);
+  if (at == object.end()) return 0;
+  if (!at->is_number_unsigned() || at->get<std::uint64_t>() > kMaxCount) throw std::runtime_error(key);
   return at->get<std::uint64_t>();
 }
 
+// The keys of the JSON object are older than the names in ClassMetrics and NodeMetrics: mapped here only.
+json ToJson(const ClassMetrics& metrics) {
+  return {{"worth", metrics.priority_weight},
+          {"served", metrics.served},
+          {"in_time", metrics.in_time},
+          {"refused", metrics.rejected},
+          {"failed", metrics.failed},
+          {"attempts", metrics.attempts_sum},
+          {"attempts_squared", metrics.attempts_sum_of_squares},
+          {"started", metrics.started},
+          {"first_ln", metrics.first_token_ln_sum},
+          {"first_ln_squared", metrics.first_token_ln_sum_of_squares}};
+}
+
+ClassMetrics ClassMetricsFrom(const json& j) {
+  ClassMetrics metrics;
+  metrics.priority_weight = NumberAt(j, "worth");
+  metrics.served = CountAt(j, "served");
+  metrics.in_time = CountAt(j, "in_time");
+  metrics.rejected = CountAt(j, "refused");
+  metrics.failed = CountAt(j, "failed");
+  metrics.attempts_sum = NumberAt(j, "attempts");
+  metrics.attempts_sum_of_squares = NumberAt(j, "attempts_squared");
+  metrics.started = CountAt(j, "started");
+  metrics.first_token_ln_sum = NumberAt(j, "first_ln");
+  metrics.first_token_ln_sum_of_squares = NumberAt(j, "first_ln_squared");
+  const bool consistent =
+      metrics.priority_weight >= 0 && metrics.attempts_sum >= 0 && metrics.in_time <= metrics.served;
+  if (!consistent) throw std::runtime_error("inconsistent class metrics");
+  return metrics;
+}
+
+NodeMetrics NodeMetricsFrom(const json& j) {
+  NodeMetrics metrics;
+  metrics.pid = static_cast<std::int64_t>(CountAt(j, "pid"));
+  metrics.measured_at = static_cast<std::int64_t>(CountAt(j, "at"));
+  metrics.memory_bytes = CountAt(j, "memory");
+  metrics.memory_limit_bytes = CountAt(j, "most_memory");
+  metrics.descriptors = CountAt(j, "descriptors");
+  metrics.descriptor_limit = CountAt(j, "most_descriptors");
+  const json& classes = j.at("classes");
+  if (!classes.is_object() || classes.size() > kMaxClasses) throw std::runtime_error("classes");
+  for (const auto& [name, class_metrics] : classes.items())
+    metrics.classes[name] = ClassMetricsFrom(class_metrics);
+  return metrics;
+}
+
 }  // namespace
 
-std::string EncodeFigures(const Figures& f) {
+std::string EncodeNodeMetrics(const NodeMetrics& metrics) {
   json classes = json::object();
-  for (const auto& [name, c] : f.classes) {
-    classes[name] = {{"worth", c.worth},
-                     {"served", c.served},
-                     {"in_time", c.in_time},
-                     {"refused", c.refused},
-                     {"failed", c.failed},
-                     {"attempts", c.attempts},
-                     {"attempts_squared", c.attempts_squared},
-                     {"started", c.started},
-                     {"first_ln", c.first_ln},
-                     {"first_ln_squared", c.first_ln_squared}};
-  }
-  return json{{"pid", f.pid},
-              {"at", f.at},
-              {"memory", f.memory},
-              {"most_memory", f.most_memory},
-              {"descriptors", f.descriptors},
-              {"most_descriptors", f.most_descriptors},
+  for (const auto& [name, class_metrics] : metrics.classes) classes[name] = ToJson(class_metrics);
+  return json{{"pid", metrics.pid},
+              {"at", metrics.measured_at},
+              {"memory", metrics.memory_bytes},
+              {"most_memory", metrics.memory_limit_bytes},
+              {"descriptors", metrics.descriptors},
+              {"most_descriptors", metrics.descriptor_limit},
               {"classes", classes}}
       .dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-std::optional<Figures> DecodeFigures(const std::string& text) {
+std::optional<NodeMetrics> DecodeNodeMetrics(const std::string& text) {
   try {
-    const json j = json::parse(text);
-    Figures f;
-    f.pid = static_cast<std::int64_t>(Whole(j, "pid"));
-    f.at = static_cast<std::int64_t>(Whole(j, "at"));
-    f.memory = Whole(j, "memory"), f.most_memory = Whole(j, "most_memory");
-    f.descriptors = Whole(j, "descriptors"), f.most_descriptors = Whole(j, "most_descriptors");
-    const json& classes = j.at("classes");
-    if (!classes.is_object() || classes.size() > kMostClasses) return std::nullopt;
-    for (const auto& [name, c] : classes.items()) {
-      ClassFigures& x = f.classes[name];
-      x.worth = Real(c, "worth");
-      x.served = Whole(c, "served"), x.in_time = Whole(c, "in_time");
-      x.refused = Whole(c, "refused"), x.failed = Whole(c, "failed");
-      x.attempts = Real(c, "attempts"), x.attempts_squared = Real(c, "attempts_squared");
-      x.started = Whole(c, "started");
-      x.first_ln = Real(c, "first_ln"), x.first_ln_squared = Real(c, "first_ln_squared");
-      if (x.worth < 0 || x.attempts < 0 || x.in_time > x.served) return std::nullopt;
-    }
-    return f;
+    return NodeMetricsFrom(json::parse(text));
   } catch (const std::exception&) {
     return std::nullopt;
   }
--- a/src/rollout/metrics_model.h
+++ b/src/rollout/metrics_model.h
@@ -1,6 +1,6 @@
-// What a node counts of its own service, class by class, since its process started: what cohorts are held
-// against each other by. One JSON object; a reader passes over fields it does not know. Pure: no I/O, no
-// clock.
+// Service metrics of one node, by request class, counted since its process started. The canary analysis
+// compares cohorts of nodes by them. Exchanged as one JSON object; a reader skips fields that it does not
+// know. Pure: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -10,25 +10,25 @@
 
 namespace ryeglade::rollout {
 
-struct ClassFigures {
-  double worth = 1;  // of one request
-  std::uint64_t served = 0, in_time = 0, refused = 0, failed = 0;
-  double attempts = 0, attempts_squared = 0;  // sums over all that ended
-  std::uint64_t started = 0;
-  double first_ln = 0, first_ln_squared = 0;  // sums of ln(first token in ms)
-  std::uint64_t ended() const { return served + refused + failed; }
+struct ClassMetrics {
+  double priority_weight = 1;  // of one request of this class
+  std::uint64_t served = 0, in_time = 0, rejected = 0, failed = 0;
+  double attempts_sum = 0, attempts_sum_of_squares = 0;  // attempts per request, over all concluded requests
+  std::uint64_t started = 0;                             // responses whose first token was sent
+  double first_token_ln_sum = 0, first_token_ln_sum_of_squares = 0;  // of ln(time to first token in ms)
+  std::uint64_t concluded() const { return served + rejected + failed; }
 };
 
-struct Figures {
+struct NodeMetrics {
   std::int64_t pid = 0;
-  std::int64_t at = 0;                        // microseconds, Unix time, when it was counted
-  std::uint64_t memory = 0, most_memory = 0;  // bytes resident; the limit
-  std::uint64_t descriptors = 0, most_descriptors = 0;
-  std::map<std::string, ClassFigures> classes;
+  std::int64_t measured_at = 0;                            // microseconds, Unix time
+  std::uint64_t memory_bytes = 0, memory_limit_bytes = 0;  // resident; limit 0: none known
+  std::uint64_t descriptors = 0, descriptor_limit = 0;     // open; limit 0: none known
+  std::map<std::string, ClassMetrics> classes;             // by class name
 };
 
-std::string EncodeFigures(const Figures& figures);
-// Null: not ours, or a number is negative or not finite.
-std::optional<Figures> DecodeFigures(const std::string& text);
+std::string EncodeNodeMetrics(const NodeMetrics& metrics);
+// Null: not an object of this form, or a number is negative, not finite or out of bounds.
+std::optional<NodeMetrics> DecodeNodeMetrics(const std::string& text);
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/plan.cpp
+++ b/src/rollout/plan.cpp
@@ -11,43 +11,147 @@
 namespace {
 
 constexpr Time kSecond = 1'000'000;
-constexpr std::size_t kMostNodes = 2000;
-constexpr std::size_t kMostStatus = 64;
+constexpr Time kHour = 3600 * kSecond;
+constexpr Time kWeek = Time{7} * 24 * kHour;
+constexpr std::size_t kMaxNodes = 2000;
+constexpr std::size_t kMaxStatusAddresses = 64;
 
-// The nodes of a stage: named, or a number or share of those left, of one zone where the stage names it.
-std::vector<std::string> Chosen(TomlSection& s, const std::vector<PlanNode>& all,
-                                std::set<std::string>& taken) {
-  const std::vector<std::string> names = s.Texts("nodes");
-  const std::string zone = s.Text("zone", "");
-  const bool by_count = s.Has("count"), by_share = s.Has("share");
-  if ((names.empty() ? 0 : 1) + (by_count ? 1 : 0) + (by_share ? 1 : 0) > 1)
-    s.Fail("nodes", "comes with `count` or `share`; give one of the three");
-  std::vector<std::string> chosen;
-  const auto take = [&](const std::string& name) {
-    if (taken.insert(name).second) chosen.push_back(name);
-  };
-  if (!names.empty()) {
-    for (const std::string& name : names) {
-      if (std::none_of(all.begin(), all.end(), [&](const PlanNode& n) { return n.name == name; }))
-        s.Fail("nodes", "\"" + name + "\" is none of [[node]]");
-      if (taken.contains(name)) s.Fail("nodes", "\"" + name + "\" is in a stage before; name each node once");
-      take(name);
-    }
-    return chosen;
+bool IsAddress(const std::string& text) {
+  sockaddr_storage address{};
+  return ParseAddress(text, &address);
+}
+
+Release ParseRelease(TomlSection& root) {
+  TomlSection section = root.Table("release");
+  if (!section.present()) root.Fail("release", "is missing; add [release] with `id` and what changes");
+  Release release;
+  release.id = section.Needed("id", "a word for the release");
+  release.program = section.Text("program", "");
+  release.config = section.Text("config", "");
+  release.settings = section.Text("settings", "");
+  if (release.program.empty() && release.config.empty() && release.settings.empty())
+    section.Fail("program", "is missing, and so are `settings` and `config`: nothing would change");
+  section.Close();
+  return release;
+}
+
+std::vector<PlanNode> ParseNodes(TomlSection& root) {
+  std::vector<PlanNode> nodes;
+  std::set<std::string> names, addresses;
+  for (TomlSection& section : root.Tables("node")) {
+    PlanNode node;
+    node.name = section.Needed("name", "the node's name");
+    node.supervisor_address = section.Needed("keeper", "ip:port of its keeper");
+    node.zone = section.Text("zone", "");
+    if (!IsAddress(node.supervisor_address))
+      section.Fail("keeper", "is not an ip:port: \"" + node.supervisor_address + "\"");
+    if (!names.insert(node.name).second) section.Fail("name", "\"" + node.name + "\" comes twice");
+    if (!addresses.insert(node.supervisor_address).second)
+      section.Fail("keeper", "\"" + node.supervisor_address + "\" comes twice");
+    section.Close();
+    nodes.push_back(node);
+  }
+  if (nodes.empty()) root.Fail("node", "is missing; add a [[node]] for each node");
+  if (nodes.size() > kMaxNodes) root.Fail("node", "comes more than 2,000 times");
+  return nodes;
+}
+
+std::vector<std::string> CheckNamedNodes(TomlSection& section, std::vector<std::string> names,
+                                         const std::vector<PlanNode>& nodes,
+                                         const std::set<std::string>& assigned) {
+  std::set<std::string> seen;
+  for (const std::string& name : names) {
+    if (std::none_of(nodes.begin(), nodes.end(), [&](const PlanNode& node) { return node.name == name; }))
+      section.Fail("nodes", "\"" + name + "\" is none of [[node]]");
+    if (assigned.contains(name) || !seen.insert(name).second)
+      section.Fail("nodes", "\"" + name + "\" is in a stage before; name each node once");
   }
-  std::vector<std::string> left;
-  for (const PlanNode& n : all) {
-    if (!taken.contains(n.name) && (zone.empty() || n.zone == zone)) left.push_back(n.name);
+  return names;
+}
+
+// The nodes of a stage: named, or a count or share of those that no earlier stage has, of one zone where the
+// stage names it.
+std::vector<std::string> ParseStageNodes(TomlSection& section, const std::vector<PlanNode>& nodes,
+                                         const std::set<std::string>& assigned) {
+  const std::vector<std::string> names = section.Texts("nodes");
+  const std::string zone = section.Text("zone", "");
+  const bool by_count = section.Has("count"), by_share = section.Has("share");
+  if ((names.empty() ? 0 : 1) + (by_count ? 1 : 0) + (by_share ? 1 : 0) > 1)
+    section.Fail("nodes", "comes with `count` or `share`; give one of the three");
+  if (!names.empty()) return CheckNamedNodes(section, names, nodes, assigned);
+  std::vector<std::string> unassigned;
+  for (const PlanNode& node : nodes) {
+    if (!assigned.contains(node.name) && (zone.empty() || node.zone == zone)) unassigned.push_back(node.name);
   }
-  std::size_t count = left.size();
+  std::size_t count = unassigned.size();
   if (by_count) {
-    count = s.Whole("count", 1, kMostNodes, 1);
+    count = section.Whole("count", 1, kMaxNodes, 1);
   } else if (by_share) {
-    const double share = s.Number("share", 0.0001, 1, 1);
-    count = static_cast<std::size_t>(std::ceil(share * static_cast<double>(all.size())));
+    const double share = section.Number("share", 0.0001, 1, 1);
+    count = static_cast<std::size_t>(std::ceil(share * static_cast<double>(nodes.size())));
+  }
+  if (count < unassigned.size()) unassigned.resize(count);
+  return unassigned;
+}
+
+std::vector<Stage> ParseStages(TomlSection& root, const std::vector<PlanNode>& nodes) {
+  std::vector<Stage> stages;
+  std::set<std::string> assigned;
+  for (TomlSection& section : root.Tables("stage")) {
+    Stage stage;
+    stage.soak = section.Span("soak", 0, kWeek, stage.soak);
+    stage.min_requests = section.Whole("requests", 0, 1'000'000'000, stage.min_requests);
+    stage.max_concurrent = section.Whole("at_once", 1, kMaxNodes, stage.max_concurrent);
+    stage.nodes = ParseStageNodes(section, nodes, assigned);
+    if (stage.nodes.empty())
+      section.Fail("nodes", "no node is left for this stage; take the stage out or name fewer before");
+    section.Close();
+    assigned.insert(stage.nodes.begin(), stage.nodes.end());
+    stages.push_back(std::move(stage));
+  }
+  if (stages.empty()) root.Fail("stage", "is missing; add a [[stage]] for each step");
+  for (const PlanNode& node : nodes) {
+    if (!assigned.contains(node.name))
+      root.Fail("stage",
+                "leaves out \"" + node.name + "\"; a last [[stage]] without `nodes` takes all that are left");
   }
-  for (std::size_t i = 0; i < std::min(count, left.size()); ++i) take(left[i]);
-  return chosen;
+  return stages;
+}
+
+std::vector<std::string> ParseStatusAddresses(TomlSection& root) {
+  TomlSection section = root.Table("membership");
+  const std::vector<std::string> addresses = section.Texts("status");
+  std::set<std::string> seen;
+  for (const std::string& address : addresses) {
+    if (!IsAddress(address)) section.Fail("status", "is not an ip:port: \"" + address + "\"");
+    if (!seen.insert(address).second) section.Fail("status", "\"" + address + "\" comes twice");
+  }
+  if (addresses.size() > kMaxStatusAddresses)
+    section.Fail("status", "names more than 64 nodes; a few from each zone suffice");
+  if (section.present() && addresses.empty())
+    section.Fail("status",
+                 "is missing; name the status address of one node in each zone, or take the table out");
+  section.Close();
+  return addresses;
+}
+
+// The keys are older than the names in CanaryThresholds: mapped here only.
+CanaryThresholds ParseThresholds(TomlSection& root) {
+  TomlSection section = root.Table("guards");
+  CanaryThresholds t;
+  t.false_positive_rate = section.Number("error_rate", 1e-6, 0.5, t.false_positive_rate);
+  t.failed_share = section.Number("failed", 0, 1, t.failed_share);
+  t.rejected_share = section.Number("refused", 0, 1, t.rejected_share);
+  t.late_share = section.Number("late", 0, 1, t.late_share);
+  t.first_token_slowdown = section.Number("slower", 0, 10, t.first_token_slowdown);
+  t.attempts_per_request = section.Number("attempts", 0, 10, t.attempts_per_request);
+  t.resource_usage = section.Number("memory_share", 0.1, 1, t.resource_usage);
+  t.memory_growth_per_hour = section.Number("growth", 0, 1000, t.memory_growth_per_hour);
+  t.failure_precision = section.Number("sure", 0.001, 1, t.failure_precision);
+  t.environment_shift = section.Number("world", 0.01, 1, t.environment_shift);
+  t.window = section.Span("window", 100'000, 600 * kSecond, t.window);
+  section.Close();
+  return t;
 }
 
 }  // namespace
@@ -58,87 +162,15 @@
   Plan plan;
   plan.text = text;
   plan.name = root.Needed("name", "a word for this rollout; it is told in logs and by keepers");
-  plan.unreached_after = root.Span("unreached_after", kSecond, 3600 * kSecond, plan.unreached_after);
-  plan.most_passed_over = root.Whole("most_passed_over", 0, kMostNodes, plan.most_passed_over);
-  plan.ask_after = root.Span("ask_after", kSecond, Time{7} * 86400 * kSecond, plan.ask_after);
-  plan.back_at_once = root.Whole("back_at_once", 1, kMostNodes, plan.back_at_once);
-
-  TomlSection release = root.Table("release");
-  if (!release.present()) root.Fail("release", "is missing; add [release] with `id` and what changes");
-  plan.release.id = release.Needed("id", "a word for the release");
-  plan.release.program = release.Text("program", "");
-  plan.release.config = release.Text("config", "");
-  plan.release.settings = release.Text("settings", "");
-  if (plan.release.program.empty() && plan.release.config.empty() && plan.release.settings.empty())
-    release.Fail("program", "is missing, and so are `settings` and `config`: nothing would change");
-  release.Close();
-
-  std::set<std::string> names, keepers;
-  for (TomlSection& n : root.Tables("node")) {
-    PlanNode node;
-    node.name = n.Needed("name", "the node's name");
-    node.keeper = n.Needed("keeper", "ip:port of its keeper");
-    node.zone = n.Text("zone", "");
-    sockaddr_storage address{};
-    if (!ParseAddress(node.keeper, &address)) n.Fail("keeper", "is not an ip:port: \"" + node.keeper + "\"");
-    if (!names.insert(node.name).second) n.Fail("name", "\"" + node.name + "\" comes twice");
-    if (!keepers.insert(node.keeper).second) n.Fail("keeper", "\"" + node.keeper + "\" comes twice");
-    n.Close();
-    plan.nodes.push_back(node);
-  }
-  if (plan.nodes.empty()) root.Fail("node", "is missing; add a [[node]] for each node");
-  if (plan.nodes.size() > kMostNodes) root.Fail("node", "comes more than 2,000 times");
-
-  std::set<std::string> taken;
-  for (TomlSection& s : root.Tables("stage")) {
-    Stage stage;
-    stage.soak = s.Span("soak", 0, Time{7} * 86400 * kSecond, stage.soak);
-    stage.requests = s.Whole("requests", 0, 1'000'000'000, stage.requests);
-    stage.at_once = s.Whole("at_once", 1, kMostNodes, stage.at_once);
-    stage.nodes = Chosen(s, plan.nodes, taken);
-    if (stage.nodes.empty())
-      s.Fail("nodes", "no node is left for this stage; take the stage out or name fewer before");
-    s.Close();
-    plan.stages.push_back(std::move(stage));
-  }
-  if (plan.stages.empty()) root.Fail("stage", "is missing; add a [[stage]] for each step");
-  if (taken.size() != plan.nodes.size()) {
-    for (const PlanNode& n : plan.nodes) {
-      if (!taken.contains(n.name))
-        root.Fail("stage",
-                  "leaves out \"" + n.name + "\"; a last [[stage]] without `nodes` takes all that are left");
-    }
-  }
-
-  TomlSection tier = root.Table("membership");
-  plan.status = tier.Texts("status");
-  std::set<std::string> statuses;
-  for (const std::string& at : plan.status) {
-    sockaddr_storage address{};
-    if (!ParseAddress(at, &address)) tier.Fail("status", "is not an ip:port: \"" + at + "\"");
-    if (!statuses.insert(at).second) tier.Fail("status", "\"" + at + "\" comes twice");
-  }
-  if (plan.status.size() > kMostStatus)
-    tier.Fail("status", "names more than 64 nodes; a few from each zone suffice");
-  if (tier.present() && plan.status.empty())
-    tier.Fail("status",
-              "is missing; name the status address of one node in each zone, or take the table out");
-  tier.Close();
-
-  TomlSection g = root.Table("guards");
-  Guards& guards = plan.guards;
-  guards.error_rate = g.Number("error_rate", 1e-6, 0.5, guards.error_rate);
-  guards.failed = g.Number("failed", 0, 1, guards.failed);
-  guards.refused = g.Number("refused", 0, 1, guards.refused);
-  guards.late = g.Number("late", 0, 1, guards.late);
-  guards.slower = g.Number("slower", 0, 10, guards.slower);
-  guards.attempts = g.Number("attempts", 0, 10, guards.attempts);
-  guards.memory_share = g.Number("memory_share", 0.1, 1, guards.memory_share);
-  guards.growth = g.Number("growth", 0, 1000, guards.growth);
-  guards.sure = g.Number("sure", 0.001, 1, guards.sure);
-  guards.world = g.Number("world", 0.01, 1, guards.world);
-  guards.window = g.Span("window", 100'000, 600 * kSecond, guards.window);
-  g.Close();
+  plan.unreachable_after = root.Span("unreached_after", kSecond, kHour, plan.unreachable_after);
+  plan.max_skipped = root.Whole("most_passed_over", 0, kMaxNodes, plan.max_skipped);
+  plan.inconclusive_timeout = root.Span("ask_after", kSecond, kWeek, plan.inconclusive_timeout);
+  plan.rollback_concurrency = root.Whole("back_at_once", 1, kMaxNodes, plan.rollback_concurrency);
+  plan.release = ParseRelease(root);
+  plan.nodes = ParseNodes(root);
+  plan.stages = ParseStages(root, plan.nodes);
+  plan.status_addresses = ParseStatusAddresses(root);
+  plan.thresholds = ParseThresholds(root);
   root.Close();
   return plan;
 }
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -11,29 +11,32 @@
 namespace ryeglade::rollout {
 
 struct PlanNode {
-  std::string name, keeper, zone;  // keeper: ip:port
+  std::string name;
+  std::string supervisor_address;  // ip:port; the plan's key is `keeper`
+  std::string zone;
 };
 
 struct Stage {
-  std::vector<std::string> nodes;  // by name, in order; of this stage only
-  Time soak = 60'000'000;          // after its last node has changed
-  std::uint64_t requests = 200;    // least number by the new cohort before a verdict
-  std::size_t at_once = 1;         // most nodes in change together
+  std::vector<std::string> nodes;    // by name, in order; of this stage only
+  Time soak = 60'000'000;            // after its last node has changed
+  std::uint64_t min_requests = 200;  // served by the new release before the stage can pass
+  std::size_t max_concurrent = 1;    // nodes that change at the same time
 };
 
 struct Plan {
-  std::string name, text;  // as it was read: keepers keep it, so that any driver may go on
+  std::string name;
+  std::string text;  // as it was read: supervisors store it, so that any driver can continue
   Release release;
   std::vector<PlanNode> nodes;
   std::vector<Stage> stages;
-  Guards guards;
-  Time unreached_after = 30'000'000;  // a node that does not answer for so long is passed over,
-  std::size_t most_passed_over = 1;   // but no more than so many
-  Time ask_after = 600'000'000;       // without enough traffic for a verdict for so long: pause and ask
-  std::size_t back_at_once = 2;
-  // Status addresses of nodes whose membership is on, ip:port. Where there are some, what the nodes say of
-  // each other counts too: a suspect or dead one is not changed, and a view in doubt begins nothing.
-  std::vector<std::string> status;
+  CanaryThresholds thresholds;
+  Time unreachable_after = 30'000'000;      // a node that has not answered for so long is skipped,
+  std::size_t max_skipped = 1;              // but the rollout pauses when more than so many are
+  Time inconclusive_timeout = 600'000'000;  // pause after so long without enough traffic for a verdict
+  std::size_t rollback_concurrency = 2;     // nodes that roll back at the same time
+  // Status addresses (ip:port) of nodes with membership. Where there are some, the cluster view counts, too:
+  // a suspect or dead node is not changed, and while the view is in doubt no change begins.
+  std::vector<std::string> status_addresses;
 };
 
 // Throws SettingsError.
--- a/src/rollout/release_model.cpp
+++ b/src/rollout/release_model.cpp
@@ -12,160 +12,199 @@
 
 using nlohmann::json;
 
-constexpr const char* kPhases[] = {"down", "starting", "running", "changing", "settling"};
-constexpr const char* kWhats[] = {"claim", "change", "back", "confirm", "mark"};
-constexpr std::size_t kMostText = std::size_t{256} * 1024;
-constexpr std::size_t kMostPast = 1000;
-
-std::string Text(const json& j, const char* key) {
-  std::string text = j.value(key, "");
-  if (text.size() > kMostText) throw std::runtime_error(key);
+// On the wire; in the order of the enumerators.
+constexpr const char* kPhaseNames[] = {"down", "starting", "running", "changing", "settling"};
+constexpr const char* kCommandKindNames[] = {"claim", "change", "back", "confirm", "mark"};
+constexpr std::size_t kMaxTextBytes = std::size_t{256} * 1024;
+constexpr std::size_t kMaxHistorySamples = 1000;
+constexpr int kMaxCrashes = 1'000'000;
+
+std::string TextAt(const json& object, const char* key) {
+  std::string text = object.value(key, "");
+  if (text.size() > kMaxTextBytes) throw std::runtime_error(key);
   return text;
 }
 
-template <class E, std::size_t N>
-E Choice(const json& j, const char* key, const char* const (&words)[N]) {
-  const std::string word = Text(j, key);
-  const auto* const at = std::find(std::begin(words), std::end(words), word);
-  if (at == std::end(words)) throw std::runtime_error(key);
-  return static_cast<E>(at - std::begin(words));
-}
-
-json Of(const Release& r) {
-  return {{"id", r.id},
-          {"program", r.program},
-          {"config", r.config},
-          {"settings", r.settings},
-          {"program_sum", r.program_sum},
-          {"config_sum", r.config_sum},
-          {"settings_sum", r.settings_sum}};
-}
-Release ReleaseOf(const json& j) {
-  return {Text(j, "id"),          Text(j, "program"),    Text(j, "config"),      Text(j, "settings"),
-          Text(j, "program_sum"), Text(j, "config_sum"), Text(j, "settings_sum")};
-}
-
-json Of(const KeeperStatus& s) {
-  json j = {{"protocol", kProtocol},
-            {"node", s.node},
-            {"epoch", s.epoch},
-            {"driver", s.driver},
-            {"plan", s.plan},
-            {"mark", s.mark},
-            {"mark_number", s.mark_number},
-            {"why", s.why},
-            {"phase", Name(s.phase)},
-            {"in_force", Of(s.in_force)},
-            {"last_good", Of(s.last_good)},
-            {"trying", s.trying},
-            {"failed", s.failed},
-            {"failed_why", s.failed_why},
-            {"crashes", s.crashes},
-            {"pid", s.pid},
-            {"zone", s.zone}};
-  if (s.figures) j["figures"] = json::parse(EncodeFigures(*s.figures));
-  j["now"] = s.now;
-  j["claimed"] = s.claimed;
-  for (const Past& p : s.history)
-    j["history"].push_back({{"release", p.release}, {"figures", json::parse(EncodeFigures(p.figures))}});
-  return j;
-}
-KeeperStatus StatusOf(const json& j) {
-  KeeperStatus s;
-  s.node = Text(j, "node");
-  s.epoch = j.value("epoch", std::uint64_t{0});
-  s.driver = Text(j, "driver"), s.plan = Text(j, "plan"), s.mark = Text(j, "mark"), s.why = Text(j, "why");
-  s.mark_number = j.value("mark_number", std::uint64_t{0});
-  s.phase = Choice<Phase>(j, "phase", kPhases);
-  s.in_force = ReleaseOf(j.at("in_force"));
-  s.last_good = ReleaseOf(j.at("last_good"));
-  s.trying = Text(j, "trying"), s.failed = Text(j, "failed"), s.failed_why = Text(j, "failed_why");
-  s.crashes = std::clamp(j.value("crashes", 0), 0, 1'000'000);
-  s.pid = j.value("pid", std::int64_t{0});
-  s.zone = Text(j, "zone");
-  if (const auto at = j.find("figures"); at != j.end()) s.figures = DecodeFigures(at->dump());
-  s.now = j.value("now", std::int64_t{0});
-  s.claimed = std::max(j.value("claimed", std::int64_t{0}), std::int64_t{0});
-  if (const auto at = j.find("history"); at != j.end() && at->is_array() && at->size() <= kMostPast) {
-    for (const json& p : *at) {
-      const auto figures = DecodeFigures(p.at("figures").dump());
-      if (figures) s.history.push_back({Text(p, "release"), *figures});
-    }
-  }
-  return s;
+template <class Enum, std::size_t N>
+Enum EnumAt(const json& object, const char* key, const char* const (&names)[N]) {
+  const std::string name = TextAt(object, key);
+  const auto* const at = std::find(std::begin(names), std::end(names), name);
+  if (at == std::end(names)) throw std::runtime_error(key);
+  return static_cast<Enum>(at - std::begin(names));
 }
 
-std::string Dump(const json& j) { return j.dump(-1, ' ', false, json::error_handler_t::replace); }
+std::string Dump(const json& value) { return value.dump(-1, ' ', false, json::error_handler_t::replace); }
 
-template <class T, class F>
-std::optional<T> Read(const std::string& text, F of) {
+template <class T, class Convert>
+std::optional<T> Parse(const std::string& text, Convert convert) {
   try {
-    return of(json::parse(text));
+    return convert(json::parse(text));
   } catch (const std::exception&) {
     return std::nullopt;
   }
 }
 
+json ToJson(const Release& release) {
+  return {{"id", release.id},
+          {"program", release.program},
+          {"config", release.config},
+          {"settings", release.settings},
+          {"program_sum", release.program_digest},
+          {"config_sum", release.config_digest},
+          {"settings_sum", release.settings_digest}};
+}
+
+Release ReleaseFrom(const json& j) {
+  return {TextAt(j, "id"),          TextAt(j, "program"),    TextAt(j, "config"),      TextAt(j, "settings"),
+          TextAt(j, "program_sum"), TextAt(j, "config_sum"), TextAt(j, "settings_sum")};
+}
+
+json ToJson(const MetricsSample& sample) {
+  return {{"release", sample.release_id}, {"figures", json::parse(EncodeNodeMetrics(sample.metrics))}};
+}
+
+json ToJson(const SupervisorStatus& status) {
+  json j = {{"protocol", kProtocolVersion},
+            {"node", status.node},
+            {"epoch", status.epoch},
+            {"driver", status.driver},
+            {"plan", status.plan},
+            {"mark", status.directive},
+            {"mark_number", status.directive_number},
+            {"why", status.directive_reason},
+            {"phase", Name(status.phase)},
+            {"in_force", ToJson(status.active)},
+            {"last_good", ToJson(status.last_good)},
+            {"trying", status.pending},
+            {"failed", status.failed_release},
+            {"failed_why", status.failure_reason},
+            {"crashes", status.crashes},
+            {"pid", status.pid},
+            {"zone", status.zone},
+            {"now", status.now},
+            {"claimed", status.claimed_at}};
+  if (status.metrics) j["figures"] = json::parse(EncodeNodeMetrics(*status.metrics));
+  for (const MetricsSample& sample : status.history) j["history"].push_back(ToJson(sample));
+  return j;
+}
+
+// Samples whose metrics can't be read are left out.
+std::vector<MetricsSample> HistoryFrom(const json& status) {
+  std::vector<MetricsSample> history;
+  const auto samples = status.find("history");
+  if (samples == status.end() || !samples->is_array() || samples->size() > kMaxHistorySamples) return history;
+  for (const json& sample : *samples) {
+    const auto metrics = DecodeNodeMetrics(sample.at("figures").dump());
+    if (metrics) history.push_back({TextAt(sample, "release"), *metrics});
+  }
+  return history;
+}
+
+SupervisorStatus StatusFrom(const json& j) {
+  SupervisorStatus status;
+  status.node = TextAt(j, "node");
+  status.epoch = j.value("epoch", std::uint64_t{0});
+  status.driver = TextAt(j, "driver");
+  status.plan = TextAt(j, "plan");
+  status.directive = TextAt(j, "mark");
+  status.directive_number = j.value("mark_number", std::uint64_t{0});
+  status.directive_reason = TextAt(j, "why");
+  status.phase = EnumAt<NodePhase>(j, "phase", kPhaseNames);
+  status.active = ReleaseFrom(j.at("in_force"));
+  status.last_good = ReleaseFrom(j.at("last_good"));
+  status.pending = TextAt(j, "trying");
+  status.failed_release = TextAt(j, "failed");
+  status.failure_reason = TextAt(j, "failed_why");
+  status.crashes = std::clamp(j.value("crashes", 0), 0, kMaxCrashes);
+  status.pid = j.value("pid", std::int64_t{0});
+  status.zone = TextAt(j, "zone");
+  if (const auto at = j.find("figures"); at != j.end()) status.metrics = DecodeNodeMetrics(at->dump());
+  status.now = j.value("now", std::int64_t{0});
+  status.claimed_at = std::max(j.value("claimed", std::int64_t{0}), std::int64_t{0});
+  status.history = HistoryFrom(j);
+  return status;
+}
+
+SupervisorCommand CommandFrom(const json& j) {
+  SupervisorCommand command;
+  command.kind = EnumAt<CommandKind>(j, "what", kCommandKindNames);
+  command.epoch = j.at("epoch").get<std::uint64_t>();
+  command.driver = TextAt(j, "driver");
+  command.plan = TextAt(j, "plan");
+  command.directive = TextAt(j, "mark");
+  command.directive_reason = TextAt(j, "why");
+  if (const auto at = j.find("release"); at != j.end()) command.release = ReleaseFrom(*at);
+  command.claimed_at = std::max(j.value("claim", std::int64_t{0}), std::int64_t{0});
+  return command;
+}
+
+struct VersionRange {
+  int lowest = 0, highest = 0;
+};
+
+std::optional<VersionRange> VersionRangeFrom(const json& j) {
+  const bool pair = j.is_array() && j.size() == 2 && j[0].is_number_integer() && j[1].is_number_integer();
+  if (!pair) return std::nullopt;
+  return VersionRange{j[0].get<int>(), j[1].get<int>()};
+}
+
+// Empty: compatible in this one protocol.
+std::string ProtocolError(const char* protocol, const json& old_compat, const json& new_compat) {
+  const auto old_entry = old_compat.find(protocol);
+  const auto new_entry = new_compat.find(protocol);
+  if (old_entry == old_compat.end() || new_entry == new_compat.end()) return "";  // one does not speak it
+  const auto old_range = VersionRangeFrom(*old_entry);
+  const auto new_range = VersionRangeFrom(*new_entry);
+  if (!old_range || !new_range) return std::string(protocol) + " is no range of versions";
+  if (old_range->highest >= new_range->lowest && new_range->highest >= old_range->lowest) return "";
+  return fmt::format("{}: the program in force speaks {} to {}, the new one {} to {}", protocol,
+                     old_range->lowest, old_range->highest, new_range->lowest, new_range->highest);
+}
+
 }  // namespace
 
-const char* Name(Phase phase) { return kPhases[static_cast<std::size_t>(phase)]; }
-
-std::string EncodeRelease(const Release& r) { return Dump(Of(r)); }
-std::optional<Release> DecodeRelease(const std::string& text) { return Read<Release>(text, ReleaseOf); }
-std::string EncodeStatus(const KeeperStatus& s) { return Dump(Of(s)); }
-std::optional<KeeperStatus> DecodeStatus(const std::string& text) {
-  return Read<KeeperStatus>(text, StatusOf);
-}
-
-std::string EncodeCommand(const Command& c) {
-  return Dump({{"protocol", kProtocol},
-               {"what", kWhats[static_cast<std::size_t>(c.what)]},
-               {"epoch", c.epoch},
-               {"driver", c.driver},
-               {"plan", c.plan},
-               {"release", Of(c.release)},
-               {"mark", c.mark},
-               {"why", c.why},
-               {"claim", c.claim}});
-}
-std::optional<Command> DecodeCommand(const std::string& text) {
-  return Read<Command>(text, [](const json& j) {
-    Command c;
-    c.what = Choice<Command::What>(j, "what", kWhats);
-    c.epoch = j.at("epoch").get<std::uint64_t>();
-    c.driver = Text(j, "driver"), c.plan = Text(j, "plan"), c.mark = Text(j, "mark"), c.why = Text(j, "why");
-    if (const auto at = j.find("release"); at != j.end()) c.release = ReleaseOf(*at);
-    c.claim = std::max(j.value("claim", std::int64_t{0}), std::int64_t{0});
-    return c;
-  });
+const char* Name(NodePhase phase) { return kPhaseNames[static_cast<std::size_t>(phase)]; }
+
+std::string EncodeRelease(const Release& release) { return Dump(ToJson(release)); }
+std::optional<Release> DecodeRelease(const std::string& text) { return Parse<Release>(text, ReleaseFrom); }
+
+std::string EncodeStatus(const SupervisorStatus& status) { return Dump(ToJson(status)); }
+std::optional<SupervisorStatus> DecodeStatus(const std::string& text) {
+  return Parse<SupervisorStatus>(text, StatusFrom);
 }
-std::string EncodeReply(const Reply& r) {
-  return Dump({{"yes", r.yes}, {"why", r.why}, {"status", Of(r.status)}});
+
+std::string EncodeCommand(const SupervisorCommand& command) {
+  return Dump({{"protocol", kProtocolVersion},
+               {"what", kCommandKindNames[static_cast<std::size_t>(command.kind)]},
+               {"epoch", command.epoch},
+               {"driver", command.driver},
+               {"plan", command.plan},
+               {"release", ToJson(command.release)},
+               {"mark", command.directive},
+               {"why", command.directive_reason},
+               {"claim", command.claimed_at}});
+}
+std::optional<SupervisorCommand> DecodeCommand(const std::string& text) {
+  return Parse<SupervisorCommand>(text, CommandFrom);
+}
+
+std::string EncodeReply(const CommandReply& reply) {
+  return Dump({{"yes", reply.accepted}, {"why", reply.reason}, {"status", ToJson(reply.status)}});
 }
-std::optional<Reply> DecodeReply(const std::string& text) {
-  return Read<Reply>(text, [](const json& j) {
-    return Reply{j.at("yes").get<bool>(), Text(j, "why"), StatusOf(j.at("status"))};
+std::optional<CommandReply> DecodeReply(const std::string& text) {
+  return Parse<CommandReply>(text, [](const json& j) {
+    return CommandReply{j.at("yes").get<bool>(), TextAt(j, "why"), StatusFrom(j.at("status"))};
   });
 }
 
-std::string CannotStandBeside(const std::string& old_compat, const std::string& new_compat) {
-  const json a = json::parse(old_compat, nullptr, false), b = json::parse(new_compat, nullptr, false);
-  if (!a.is_object()) return "the program in force does not answer `version --compat`";
-  if (!b.is_object()) return "the new program does not answer `version --compat`";
-  for (const char* what : {"membership-wire", "hand-over-state", "keeper-protocol"}) {
-    const auto x = a.find(what), y = b.find(what);
-    if (x == a.end() || y == b.end()) continue;  // one that lacks it does not speak it
-    const auto range = [](const json& j, int* low, int* high) {
-      if (!j.is_array() || j.size() != 2 || !j[0].is_number_integer() || !j[1].is_number_integer())
-        return false;
-      *low = j[0].get<int>(), *high = j[1].get<int>();
-      return true;
-    };
-    int a0 = 0, a1 = 0, b0 = 0, b1 = 0;
-    if (!range(*x, &a0, &a1) || !range(*y, &b0, &b1)) return std::string(what) + " is no range of versions";
-    if (a1 < b0 || b1 < a0)
-      return fmt::format("{}: the program in force speaks {} to {}, the new one {} to {}", what, a0, a1, b0,
-                         b1);
+std::string CompatibilityError(const std::string& old_compat, const std::string& new_compat) {
+  const json old_ranges = json::parse(old_compat, nullptr, false);
+  const json new_ranges = json::parse(new_compat, nullptr, false);
+  if (!old_ranges.is_object()) return "the program in force does not answer `version --compat`";
+  if (!new_ranges.is_object()) return "the new program does not answer `version --compat`";
+  for (const char* protocol : {"membership-wire", "hand-over-state", "keeper-protocol"}) {
+    std::string error = ProtocolError(protocol, old_ranges, new_ranges);
+    if (!error.empty()) return error;
   }
   return "";
 }
--- a/src/rollout/supervisor.h
+++ b/src/rollout/supervisor.h
@@ -1,6 +1,6 @@
-// The keeper's process: starts, watches and ends the node's processes as the keeper's deciding part says,
-// keeps what it must remember in a file, and takes commands on an address of its own. One loop; what may wait
-// (looking at the node, sums of files, the disk) is done beside it.
+// The supervisor's process: starts, watches and stops the processes of one node as the Supervisor state
+// machine decides, persists its state in a file, and serves commands on a control address. One event loop;
+// what may block (polling the node, checking a release) runs on the loop's worker threads.
 #pragma once
 
 #include <string>
@@ -9,19 +9,16 @@
 
 namespace ryeglade::rollout {
 
-struct KeeperOptions {
+struct SupervisorOptions {
   std::string node, zone;
-  std::string directory;  // of the keeper: its memory, the nodes' logs, their $TMPDIR
-  std::string control;    // ip:port
-  Release release;        // at the first start only: later its memory tells
-  KeeperLimits limits;
+  std::string directory;    // the supervisor's own: its state, the node's log and $TMPDIR
+  std::string control;      // ip:port of the control address
+  Release initial_release;  // at the first start only: later the state file has it
+  SupervisorLimits limits;
 };
 
-// Serves until SIGTERM. Throws std::runtime_error where it can't start: another keeper has this directory,
-// the address is taken, the release can't be read.
-void Keep(const KeeperOptions& options);
-
-// The sum of a file's bytes as Release has it; throws std::runtime_error naming the file.
-std::string SumOf(const std::string& path);
+// Serves until SIGTERM. Throws std::runtime_error where it can't start: another supervisor has this
+// directory, the address is in use, the release can't be read.
+void RunSupervisor(const SupervisorOptions& options);
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/supervisor_model.cpp
+++ b/src/rollout/supervisor_model.cpp
@@ -6,323 +6,391 @@
 #include <utility>
 
 namespace ryeglade::rollout {
+namespace {
 
-using What = KeeperAct::What;
+using nlohmann::json;
 
-namespace {
+constexpr int kStateFormat = 1;
+constexpr int kMaxBackoffDoublings = 10;
 
-nlohmann::json Of(const KeptProcess& p) {
-  return {{"pid", p.pid}, {"ticks", p.ticks}, {"management", p.management}};
+json ToJson(const ProcessRecord& record) {
+  return {{"pid", record.pid}, {"ticks", record.start_ticks}, {"management", record.management}};
 }
 
-KeptProcess ProcessOf(const nlohmann::json& j, const char* key) {
-  const auto at = j.find(key);
-  if (at == j.end()) return {};
+ProcessRecord ProcessRecordFrom(const json& state, const char* key) {
+  const auto at = state.find(key);
+  if (at == state.end()) return {};
   return {at->value("pid", std::int64_t{0}), at->value("ticks", std::uint64_t{0}),
           at->value("management", "")};
 }
 
 }  // namespace
 
-std::string EncodeMemory(const KeeperMemory& m) {
-  nlohmann::json j = {{"format", 1},
-                      {"epoch", m.epoch},
-                      {"driver", m.driver},
-                      {"plan", m.plan},
-                      {"mark", m.mark},
-                      {"why", m.why},
-                      {"mark_number", m.mark_number},
-                      {"in_force", EncodeRelease(m.in_force)},
-                      {"last_good", EncodeRelease(m.last_good)},
-                      {"trying", m.trying ? EncodeRelease(*m.trying) : ""},
-                      {"failed", m.failed},
-                      {"failed_why", m.failed_why},
-                      {"current", Of(m.current)},
-                      {"next", Of(m.next)},
-                      {"old", Of(m.old)}};
-  return j.dump(1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
+// The keys of the state file are older than the names in SupervisorState: mapped here and in
+// DecodeSupervisorState only.
+std::string EncodeSupervisorState(const SupervisorState& state) {
+  const json j = {{"format", kStateFormat},
+                  {"epoch", state.epoch},
+                  {"driver", state.driver},
+                  {"plan", state.plan},
+                  {"mark", state.directive},
+                  {"why", state.directive_reason},
+                  {"mark_number", state.directive_number},
+                  {"in_force", EncodeRelease(state.active)},
+                  {"last_good", EncodeRelease(state.last_good)},
+                  {"trying", state.pending ? EncodeRelease(*state.pending) : ""},
+                  {"failed", state.failed_release},
+                  {"failed_why", state.failure_reason},
+                  {"current", ToJson(state.current)},
+                  {"next", ToJson(state.next)},
+                  {"old", ToJson(state.stopping)}};
+  return j.dump(1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
-std::optional<KeeperMemory> DecodeMemory(const std::string& text) {
+std::optional<SupervisorState> DecodeSupervisorState(const std::string& text) {
   try {
-    const nlohmann::json j = nlohmann::json::parse(text);
-    if (j.at("format").get<int>() != 1) return std::nullopt;
-    KeeperMemory m;
-    m.epoch = j.at("epoch").get<std::uint64_t>();
-    m.driver = j.value("driver", ""), m.plan = j.value("plan", ""), m.mark = j.value("mark", "");
-    m.why = j.value("why", "");
-    m.mark_number = j.value("mark_number", std::uint64_t{0});
-    const auto in_force = DecodeRelease(j.at("in_force").get<std::string>());
+    const json j = json::parse(text);
+    if (j.at("format").get<int>() != kStateFormat) return std::nullopt;
+    const auto active = DecodeRelease(j.at("in_force").get<std::string>());
     const auto last_good = DecodeRelease(j.at("last_good").get<std::string>());
-    if (!in_force || !last_good || in_force->program.empty() || last_good->program.empty())
-      return std::nullopt;
-    m.in_force = *in_force, m.last_good = *last_good;
-    if (const std::string trying = j.value("trying", ""); !trying.empty()) m.trying = DecodeRelease(trying);
-    m.failed = j.value("failed", ""), m.failed_why = j.value("failed_why", "");
-    m.current = ProcessOf(j, "current"), m.next = ProcessOf(j, "next"), m.old = ProcessOf(j, "old");
-    return m;
+    if (!active || !last_good || active->program.empty() || last_good->program.empty()) return std::nullopt;
+    SupervisorState state;
+    state.epoch = j.at("epoch").get<std::uint64_t>();
+    state.driver = j.value("driver", "");
+    state.plan = j.value("plan", "");
+    state.directive = j.value("mark", "");
+    state.directive_reason = j.value("why", "");
+    state.directive_number = j.value("mark_number", std::uint64_t{0});
+    state.active = *active;
+    state.last_good = *last_good;
+    if (const std::string pending = j.value("trying", ""); !pending.empty())
+      state.pending = DecodeRelease(pending);
+    state.failed_release = j.value("failed", "");
+    state.failure_reason = j.value("failed_why", "");
+    state.current = ProcessRecordFrom(j, "current");
+    state.next = ProcessRecordFrom(j, "next");
+    state.stopping = ProcessRecordFrom(j, "old");
+    return state;
   } catch (const std::exception&) {
     return std::nullopt;
   }
 }
 
-Keeper::Keeper(std::string node, std::string zone, KeeperLimits limits, KeeperMemory memory)
-    : node_(std::move(node)), zone_(std::move(zone)), limits_(limits), memory_(std::move(memory)) {}
+Supervisor::Supervisor(std::string node, std::string zone, SupervisorLimits limits, SupervisorState state)
+    : node_(std::move(node)), zone_(std::move(zone)), limits_(limits), state_(std::move(state)) {}
+
+Time Supervisor::Backoff(int failures) const {
+  const int doublings = std::clamp(failures - 1, 0, kMaxBackoffDoublings);
+  return std::min(limits_.max_backoff, limits_.initial_backoff << doublings);
+}
+
+int Supervisor::StartProcess(const Release& release, SupervisorEffects& effects) {
+  effects.push_back({SupervisorEffect::Kind::kStartProcess, ++last_process_, release});
+  return last_process_;
+}
 
-Time Keeper::Wait(int times) const {
-  return std::min(limits_.most_wait, limits_.first_wait << std::clamp(times - 1, 0, 10));
+void Supervisor::KillProcess(int process, SupervisorEffects& effects) {
+  effects.push_back({SupervisorEffect::Kind::kKillProcess, process, {}});
 }
 
-int Keeper::Start(const Release& release, std::vector<KeeperAct>& acts) {
-  acts.push_back({What::kStart, ++numbers_, release});
-  return numbers_;
+void Supervisor::Save(SupervisorEffects& effects) {
+  effects.push_back({SupervisorEffect::Kind::kSaveState, 0, {}});
 }
 
-// What an earlier keeper had begun: the one that was to follow goes, as nobody knows how far it came, and a
-// driver that still wants the change asks again; the one before takes clients again by itself. But where only
-// the one that was to follow lives, it is the node.
-void Keeper::Begin(Time now, bool current, bool next, bool old, std::vector<KeeperAct>& acts) {
-  current_since_ = old_since_ = now;
-  if (old) old_ = 3;
-  if (!old) memory_.old = {};
-  if (memory_.trying) {
-    if (!current && next) {
-      memory_.in_force = *memory_.trying;
-      memory_.current = std::exchange(memory_.next, {});
-      current_ = 2;
+void Supervisor::MarkFailed(const std::string& release_id, const std::string& reason) {
+  state_.failed_release = release_id;
+  state_.failure_reason = reason;
+}
+
+// A change that an earlier supervisor began is abandoned, as nobody knows how far it came; a driver that
+// still wants it asks again, and the process before serves clients again by itself. But where only the new
+// process lives, it is the node.
+void Supervisor::Recover(Time now, bool current_lives, bool next_lives, bool stopping_lives,
+                         SupervisorEffects& effects) {
+  current_since_ = now;
+  stopping_since_ = now;
+  if (stopping_lives) {
+    stopping_ = kRecoveredStopping;
+  } else {
+    state_.stopping = {};
+  }
+  if (state_.pending) {
+    if (!current_lives && next_lives) {
+      state_.active = *state_.pending;
+      state_.current = std::exchange(state_.next, {});
+      current_ = kRecoveredNext;
     } else {
-      if (next) acts.push_back({What::kKill, 2, {}});
-      memory_.next = {};
-      memory_.failed = memory_.trying->id;
-      memory_.failed_why = "keeper-restarted";
+      if (next_lives) KillProcess(kRecoveredNext, effects);
+      state_.next = {};
+      MarkFailed(state_.pending->id, kFailedSupervisorRestarted);
     }
-    memory_.trying.reset();
+    state_.pending.reset();
   }
-  if (current) current_ = 1;
+  if (current_lives) current_ = kRecoveredCurrent;
   if (current_ == 0) {
-    memory_.current = {};
-    current_ = Start(memory_.in_force, acts);
+    state_.current = {};
+    current_ = StartProcess(state_.active, effects);
   }
-  Save(acts);
+  Save(effects);
 }
 
-Reply Keeper::Take(Time now, const Command& c, std::vector<KeeperAct>& acts) {
-  const auto no = [&](const char* why) { return Reply{false, why, Status()}; };
-  const auto yes = [&] { return Reply{true, "", Status()}; };
-  if (ending_) return no("ending");
-  if (c.epoch < memory_.epoch || (c.epoch == memory_.epoch && c.driver != memory_.driver)) return no("stale");
-  if (c.what == Command::What::kClaim) {
-    claimed_at_ = now;
-    if (c.epoch > memory_.epoch || c.plan != memory_.plan) {
-      if (c.plan != memory_.plan) {  // another rollout: what was said of the one before is over
-        memory_.mark.clear(), memory_.why.clear();
-        memory_.mark_number = 0;
-        memory_.failed.clear(), memory_.failed_why.clear();
-      }
-      memory_.epoch = c.epoch;
-      memory_.driver = c.driver;
-      memory_.plan = c.plan;
-      Save(acts);
-    }
-    return yes();
+CommandReply Supervisor::Accept() const { return {true, "", Status()}; }
+CommandReply Supervisor::Reject(const char* reason) const { return {false, reason, Status()}; }
+
+CommandReply Supervisor::HandleCommand(Time now, const SupervisorCommand& command,
+                                       SupervisorEffects& effects) {
+  if (shutting_down_) return Reject(kRejectedShuttingDown);
+  const bool same_epoch_other_driver = command.epoch == state_.epoch && command.driver != state_.driver;
+  if (command.epoch < state_.epoch || same_epoch_other_driver) return Reject(kRejectedStaleEpoch);
+  if (command.kind == CommandKind::kClaim) {
+    Claim(now, command, effects);
+    return Accept();
+  }
+  if (command.epoch > state_.epoch) return Reject(kRejectedNotClaimed);
+  if (!HasLease(now, command)) return Reject(kRejectedLeaseExpired);
+  return ExecuteClaimed(now, command, effects);
+}
+
+void Supervisor::Claim(Time now, const SupervisorCommand& command, SupervisorEffects& effects) {
+  claimed_at_ = now;
+  const bool other_rollout = command.plan != state_.plan;
+  if (command.epoch <= state_.epoch && !other_rollout) return;
+  if (other_rollout) {  // directives and failures of the one before no longer count
+    state_.directive.clear();
+    state_.directive_reason.clear();
+    state_.directive_number = 0;
+    MarkFailed("", "");
   }
-  if (c.epoch > memory_.epoch) return no("claim-first");
-  // Guards against a driver that was paused, or whose words were on their way for long: another may act by
-  // now.
-  if (claimed_at_ < 0 || now - claimed_at_ > limits_.lease) return no("lease");
-  if (c.claim > 0 && (c.claim > now || now - c.claim > limits_.lease)) return no("lease");
-  switch (c.what) {
-    case Command::What::kMark:
-      memory_.mark = c.mark;
-      memory_.why = c.why;
-      ++memory_.mark_number;
-      Save(acts);
-      return yes();
-    case Command::What::kConfirm:
-      if (memory_.trying || memory_.in_force.id != c.release.id) return no("busy");
-      if (memory_.last_good != memory_.in_force) {
-        memory_.last_good = memory_.in_force;
-        Save(acts);
-      }
-      return yes();
-    case Command::What::kBack:
-      if (memory_.in_force == memory_.last_good && !memory_.trying) return yes();
-      if (memory_.trying && *memory_.trying == memory_.last_good) return yes();  // under way
-      Change(now, memory_.last_good, acts);
-      return yes();
-    case Command::What::kChange:
-      if (c.release.id.empty() || c.release.program.empty()) return no("no release");
-      if (memory_.trying) return *memory_.trying == c.release ? yes() : no("busy");
-      if (memory_.in_force == c.release) return yes();  // done: asked twice, or the answer was lost
-      if (memory_.failed == c.release.id && memory_.failed_why != "keeper-restarted")
-        return no("failed-before");
-      Change(now, c.release, acts);
-      return yes();
+  state_.epoch = command.epoch;
+  state_.driver = command.driver;
+  state_.plan = command.plan;
+  Save(effects);
+}
+
+// Guards against a driver that was paused, or whose commands were in transit for long: another driver may be
+// active by now.
+bool Supervisor::HasLease(Time now, const SupervisorCommand& command) const {
+  if (claimed_at_ < 0 || now - claimed_at_ > limits_.lease) return false;
+  if (command.claimed_at <= 0) return true;  // the driver does not send it
+  return command.claimed_at <= now && now - command.claimed_at <= limits_.lease;
+}
+
+CommandReply Supervisor::ExecuteClaimed(Time now, const SupervisorCommand& command,
+                                        SupervisorEffects& effects) {
+  switch (command.kind) {
+    case CommandKind::kSetDirective:
+      state_.directive = command.directive;
+      state_.directive_reason = command.directive_reason;
+      ++state_.directive_number;
+      Save(effects);
+      return Accept();
+    case CommandKind::kConfirm:
+      return Confirm(command.release, effects);
+    case CommandKind::kRollBack:
+      return RollBack(now, effects);
+    case CommandKind::kChange:
+      return Change(now, command.release, effects);
     default:
-      return no("unknown");
+      return Reject(kRejectedUnknownKind);
   }
 }
 
-// Whatever was being tried is given up for it.
-void Keeper::Change(Time now, const Release& release, std::vector<KeeperAct>& acts) {
+CommandReply Supervisor::Confirm(const Release& release, SupervisorEffects& effects) {
+  if (state_.pending || state_.active.id != release.id) return Reject(kRejectedBusy);
+  if (state_.last_good != state_.active) {
+    state_.last_good = state_.active;
+    Save(effects);
+  }
+  return Accept();
+}
+
+CommandReply Supervisor::RollBack(Time now, SupervisorEffects& effects) {
+  const bool done = !state_.pending && state_.active == state_.last_good;
+  const bool under_way = state_.pending && *state_.pending == state_.last_good;
+  if (!done && !under_way) BeginChange(now, state_.last_good, effects);
+  return Accept();
+}
+
+CommandReply Supervisor::Change(Time now, const Release& release, SupervisorEffects& effects) {
+  if (release.id.empty() || release.program.empty()) return Reject(kRejectedNoRelease);
+  if (state_.pending) return *state_.pending == release ? Accept() : Reject(kRejectedBusy);
+  if (state_.active == release) return Accept();  // done: sent twice, or the reply was lost
+  if (state_.failed_release == release.id && state_.failure_reason != kFailedSupervisorRestarted)
+    return Reject(kRejectedFailedBefore);
+  BeginChange(now, release, effects);
+  return Accept();
+}
+
+// Abandons any change that is under way.
+void Supervisor::BeginChange(Time now, const Release& release, SupervisorEffects& effects) {
   if (next_ != 0) {
-    acts.push_back({What::kKill, next_, {}});
+    KillProcess(next_, effects);
     next_ = 0;
   }
-  try_at_ = -1;
-  tries_ = 0;
-  if (release == memory_.in_force) {  // back, while a newer one was only being tried
-    if (memory_.trying) {
-      memory_.failed = memory_.trying->id;
-      memory_.failed_why = "taken-back";
-    }
-    memory_.trying.reset();
-    Save(acts);
+  restart_next_at_ = -1;
+  next_attempts_ = 0;
+  if (release == state_.active) {  // a rollback while the newer release was not active yet
+    if (state_.pending) MarkFailed(state_.pending->id, kFailedRolledBack);
+    state_.pending.reset();
+    Save(effects);
     return;
   }
-  memory_.trying = release;
-  Save(acts);
+  state_.pending = release;
+  Save(effects);
   next_since_ = now;
-  next_ = Start(release, acts);
+  next_ = StartProcess(release, effects);
 }
 
-void Keeper::Started(int process, const KeptProcess& kept, std::vector<KeeperAct>& acts) {
+void Supervisor::OnProcessStarted(int process, const ProcessRecord& record, SupervisorEffects& effects) {
   if (process == 0 || (process != next_ && process != current_)) return;
-  (process == next_ ? memory_.next : memory_.current) = kept;
-  Save(acts);
+  (process == next_ ? state_.next : state_.current) = record;
+  Save(effects);
 }
 
-void Keeper::Ready(Time now, int process, std::vector<KeeperAct>& acts) {
+void Supervisor::OnProcessReady(Time now, int process, SupervisorEffects& effects) {
   if (process == current_) {
     current_ready_ = true;
     return;
   }
-  if (process != next_ || process == 0 || !memory_.trying) return;
-  const bool back = *memory_.trying == memory_.last_good;
-  if (back && memory_.in_force.id != memory_.last_good.id && memory_.failed != memory_.in_force.id) {
-    memory_.failed = memory_.in_force.id;
-    memory_.failed_why = "taken-back";
-  }
-  if (old_ != 0) acts.push_back({What::kKill, old_, {}});  // two are the most
-  old_ = current_;
-  old_since_ = now;
-  if (old_ != 0) acts.push_back({What::kTerm, old_, {}});
+  if (process != next_ || process == 0 || !state_.pending) return;
+  const bool rolling_back = *state_.pending == state_.last_good;
+  if (rolling_back && state_.active.id != state_.last_good.id && state_.failed_release != state_.active.id)
+    MarkFailed(state_.active.id, kFailedRolledBack);
+  if (stopping_ != 0) KillProcess(stopping_, effects);  // no more than two processes of a node
+  stopping_ = current_;
+  stopping_since_ = now;
+  if (stopping_ != 0) effects.push_back({SupervisorEffect::Kind::kTerminateProcess, stopping_, {}});
   current_ = std::exchange(next_, 0);
   current_ready_ = true;
   current_since_ = now;
-  start_at_ = -1;
-  memory_.in_force = *memory_.trying;
-  memory_.trying.reset();
-  memory_.old = std::exchange(memory_.current, std::exchange(memory_.next, {}));
-  crashes_ = crashes_total_ = tries_ = 0;
-  Save(acts);
+  restart_current_at_ = -1;
+  state_.active = *state_.pending;
+  state_.pending.reset();
+  state_.stopping = std::exchange(state_.current, std::exchange(state_.next, {}));
+  recent_crashes_ = 0;
+  crashes_ = 0;
+  next_attempts_ = 0;
+  Save(effects);
 }
 
-void Keeper::GiveUp(const std::string& why, std::vector<KeeperAct>& acts) {
-  memory_.failed = memory_.trying->id;
-  memory_.failed_why = why;
-  memory_.trying.reset();
-  try_at_ = -1;
-  tries_ = 0;
-  Save(acts);
+void Supervisor::AbandonChange(const std::string& reason, SupervisorEffects& effects) {
+  MarkFailed(state_.pending->id, reason);
+  state_.pending.reset();
+  restart_next_at_ = -1;
+  next_attempts_ = 0;
+  Save(effects);
 }
 
-void Keeper::Ended(Time now, int process, const std::string& why, std::vector<KeeperAct>& acts) {
+void Supervisor::OnProcessEnded(Time now, int process, const std::string& reason,
+                                SupervisorEffects& effects) {
   if (process == 0) return;
-  if (process == old_) {
-    old_ = 0;
-    memory_.old = {};
-    return Save(acts);
-  }
-  if (process == next_) {
-    next_ = 0;
-    memory_.next = {};
-    if (!memory_.trying || ending_) return;
-    if (++tries_ >= limits_.tries) return GiveUp(why, acts);
-    try_at_ = now + Wait(tries_);
-    return;
+  if (process == stopping_) {
+    stopping_ = 0;
+    state_.stopping = {};
+    Save(effects);
+  } else if (process == next_) {
+    OnNextEnded(now, reason, effects);
+  } else if (process == current_) {
+    OnCurrentEnded(now, reason, effects);
   }
-  if (process != current_) return;
+}
+
+void Supervisor::OnNextEnded(Time now, const std::string& reason, SupervisorEffects& effects) {
+  next_ = 0;
+  state_.next = {};
+  if (!state_.pending || shutting_down_) return;
+  if (++next_attempts_ >= limits_.max_attempts) return AbandonChange(reason, effects);
+  restart_next_at_ = now + Backoff(next_attempts_);
+}
+
+void Supervisor::OnCurrentEnded(Time now, const std::string& reason, SupervisorEffects& effects) {
   current_ = 0;
   current_ready_ = false;
-  memory_.current = {};
-  if (ending_) return Save(acts);
-  if (now - crashed_at_ > limits_.settle) crashes_ = 0;
+  state_.current = {};
+  if (shutting_down_) return Save(effects);
+  if (now - crashed_at_ > limits_.crash_window) recent_crashes_ = 0;
   crashed_at_ = now;
-  ++crashes_, ++crashes_total_;
-  if (crashes_ >= limits_.tries && memory_.in_force != memory_.last_good && next_ == 0) {
-    memory_.failed = memory_.in_force.id;
-    memory_.failed_why = "crashes: " + why;
-    memory_.in_force = memory_.last_good;
-    crashes_ = crashes_total_ = 0;
-    Save(acts);
-    start_at_ = now;
+  ++recent_crashes_;
+  ++crashes_;
+  const bool crash_loops = recent_crashes_ >= limits_.max_attempts;
+  if (crash_loops && state_.active != state_.last_good && next_ == 0) {
+    MarkFailed(state_.active.id, "crashes: " + reason);
+    state_.active = state_.last_good;
+    recent_crashes_ = 0;
+    crashes_ = 0;
+    Save(effects);
+    restart_current_at_ = now;
   } else {
-    start_at_ = now + (crashes_ == 1 ? 0 : Wait(crashes_ - 1));
+    restart_current_at_ = now + (recent_crashes_ == 1 ? 0 : Backoff(recent_crashes_ - 1));
   }
-  Tick(now, acts);
+  OnTick(now, effects);
+}
+
+// A process that is never ready is treated like one that ended.
+void Supervisor::KillIfNeverReady(Time now, int process, Time started_at, SupervisorEffects& effects) {
+  if (process == 0 || now - started_at <= limits_.ready_timeout) return;
+  KillProcess(process, effects);
+  OnProcessEnded(now, process, "never-ready", effects);
 }
 
-void Keeper::Tick(Time now, std::vector<KeeperAct>& acts) {
-  if (old_ != 0 && now - old_since_ > limits_.end_within) {
-    acts.push_back({What::kKill, old_, {}});
-    old_since_ = now;
+void Supervisor::OnTick(Time now, SupervisorEffects& effects) {
+  if (stopping_ != 0 && now - stopping_since_ > limits_.stop_timeout) {
+    KillProcess(stopping_, effects);
+    stopping_since_ = now;
   }
-  if (ending_) return;
-  if (current_ == 0 && start_at_ >= 0 && now >= start_at_) {
-    start_at_ = -1;
+  if (shutting_down_) return;
+  if (current_ == 0 && restart_current_at_ >= 0 && now >= restart_current_at_) {
+    restart_current_at_ = -1;
     current_since_ = now;
-    current_ = Start(memory_.in_force, acts);
-  }
-  // One that never says ready is as good as one that ended.
-  if (current_ != 0 && !current_ready_ && now - current_since_ > limits_.ready_within) {
-    const int hung = current_;
-    acts.push_back({What::kKill, hung, {}});
-    Ended(now, hung, "never-ready", acts);
-  }
-  if (next_ != 0 && now - next_since_ > limits_.ready_within) {
-    const int hung = next_;
-    acts.push_back({What::kKill, hung, {}});
-    Ended(now, hung, "never-ready", acts);
+    current_ = StartProcess(state_.active, effects);
   }
-  if (next_ == 0 && try_at_ >= 0 && now >= try_at_ && memory_.trying) {
-    try_at_ = -1;
+  if (!current_ready_) KillIfNeverReady(now, current_, current_since_, effects);
+  KillIfNeverReady(now, next_, next_since_, effects);
+  if (next_ == 0 && restart_next_at_ >= 0 && now >= restart_next_at_ && state_.pending) {
+    restart_next_at_ = -1;
     next_since_ = now;
-    next_ = Start(*memory_.trying, acts);
+    next_ = StartProcess(*state_.pending, effects);
   }
 }
 
-void Keeper::End(Time now, std::vector<KeeperAct>& acts) {
-  if (ending_) return;
-  ending_ = true;
-  if (next_ != 0) acts.push_back({What::kKill, next_, {}});
+void Supervisor::ShutDown(Time now, SupervisorEffects& effects) {
+  if (shutting_down_) return;
+  shutting_down_ = true;
+  if (next_ != 0) KillProcess(next_, effects);
   next_ = 0;
-  if (current_ != 0) acts.push_back({What::kTerm, current_, {}});
-  old_since_ = now;
-  if (old_ != 0) acts.push_back({What::kKill, old_, {}});
-  old_ = std::exchange(current_, 0);
+  if (current_ != 0) effects.push_back({SupervisorEffect::Kind::kTerminateProcess, current_, {}});
+  stopping_since_ = now;
+  if (stopping_ != 0) KillProcess(stopping_, effects);
+  stopping_ = std::exchange(current_, 0);
 }
 
-Phase Keeper::phase() const {
-  if (memory_.trying) return Phase::kChanging;
-  if (current_ == 0) return Phase::kDown;
-  if (!current_ready_) return Phase::kStarting;
-  return old_ != 0 ? Phase::kSettling : Phase::kRunning;
+NodePhase Supervisor::phase() const {
+  if (state_.pending) return NodePhase::kChanging;
+  if (current_ == 0) return NodePhase::kDown;
+  if (!current_ready_) return NodePhase::kStarting;
+  return stopping_ != 0 ? NodePhase::kSettling : NodePhase::kRunning;
 }
 
-KeeperStatus Keeper::Status() const {
-  KeeperStatus s;
-  s.node = node_, s.zone = zone_;
-  s.epoch = memory_.epoch, s.driver = memory_.driver, s.plan = memory_.plan;
-  s.mark = memory_.mark, s.mark_number = memory_.mark_number, s.why = memory_.why;
-  s.phase = phase();
-  s.in_force = memory_.in_force, s.last_good = memory_.last_good;
-  s.trying = memory_.trying ? memory_.trying->id : "";
-  s.failed = memory_.failed, s.failed_why = memory_.failed_why;
-  s.crashes = crashes_total_;
-  s.pid = memory_.current.pid;
-  s.claimed = std::max<Time>(0, claimed_at_);
-  return s;
+SupervisorStatus Supervisor::Status() const {
+  SupervisorStatus status;
+  status.node = node_;
+  status.zone = zone_;
+  status.epoch = state_.epoch;
+  status.driver = state_.driver;
+  status.plan = state_.plan;
+  status.directive = state_.directive;
+  status.directive_number = state_.directive_number;
+  status.directive_reason = state_.directive_reason;
+  status.phase = phase();
+  status.active = state_.active;
+  status.last_good = state_.last_good;
+  status.pending = state_.pending ? state_.pending->id : "";
+  status.failed_release = state_.failed_release;
+  status.failure_reason = state_.failure_reason;
+  status.crashes = crashes_;
+  status.pid = state_.current.pid;
+  status.claimed_at = std::max<Time>(0, claimed_at_);
+  return status;
 }
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/supervisor_model.h
+++ b/src/rollout/supervisor_model.h
@@ -1,12 +1,12 @@
-// What the keeper of a node decides: which release its node runs, when a new one takes over, when it goes
-// back, and whose commands it takes. No I/O, no clock. The same part runs in `ryeglade keep`, in tests and in
-// the explorer.
+// The state machine of a node's supervisor: which release the node runs, when a new one takes over, when it
+// is rolled back, and whose commands are accepted. No I/O, no clock. The same class runs in `ryeglade keep`,
+// in tests and in the lab's explorer.
 //
-// A change starts the new release beside the old one; the two processes hand over by themselves. Once the new
-// one says ready the old one is told to end. A new one that ends or is not ready in time is tried again a
-// stated number of times, and then given up: the old one never stopped serving. One that was put in force and
-// then crashes again and again before it was confirmed is replaced by the last good one, without anybody
-// asking.
+// A change starts the new release beside the old one; the two processes hand over by hot restart. Once the
+// new process is ready the old one is terminated. A new process that ends or is not ready in time is started
+// again up to a limit, and then the change is given up: the old process never stopped serving. A release that
+// became active and then crash-loops before it was confirmed is replaced by the last good one, without a
+// command.
 #pragma once
 
 #include <cstdint>
@@ -20,85 +20,107 @@
 
 using Time = std::int64_t;  // microseconds, steady
 
-struct KeeperLimits {
-  Time ready_within = 10'000'000;                     // from the start of a process to its yes
-  Time end_within = 15'000'000;                       // from SIGTERM to SIGKILL
-  Time lease = 10'000'000;                            // a claim allows commands for so long
-  Time settle = 60'000'000;                           // crashes are forgotten when none came for so long
-  Time first_wait = 200'000, most_wait = 10'000'000;  // before a start after a crash, doubling
-  int tries = 3;  // starts of a new release, and crashes of one in force, before it is given up
+struct SupervisorLimits {
+  Time ready_timeout = 10'000'000;  // from the start of a process until it is ready
+  Time stop_timeout = 15'000'000;   // from SIGTERM to SIGKILL
+  Time lease = 10'000'000;          // a claim allows commands for so long
+  Time crash_window = 60'000'000;   // crashes are forgotten after so long without one
+  Time initial_backoff = 200'000;   // before a restart after a crash, doubling,
+  Time max_backoff = 10'000'000;    // up to this
+  int max_attempts = 3;             // starts of a new release, or crashes of the active one, before giving up
 };
 
-// A process that may outlive its keeper. `ticks`: when it started, by the kernel; a pid may be another's by
-// now.
-struct KeptProcess {
-  std::int64_t pid = 0;  // 0: none
-  std::uint64_t ticks = 0;
-  std::string management;  // where it answers
+// A process that may outlive its supervisor. The start time tells it from a later process with its pid.
+struct ProcessRecord {
+  std::int64_t pid = 0;           // 0: none
+  std::uint64_t start_ticks = 0;  // kernel clock ticks since boot
+  std::string management;         // ip:port of its management address
 };
 
-// What is kept on disk, whole.
-struct KeeperMemory {
+// What is persisted, complete, at each SupervisorEffect::kSaveState.
+struct SupervisorState {
   std::uint64_t epoch = 0;
-  std::string driver, plan, mark, why;
-  std::uint64_t mark_number = 0;
-  Release in_force, last_good;
-  std::optional<Release> trying;
-  std::string failed, failed_why;
-  // The process of the release in force, the one that is to follow it, and one that was told to end.
-  KeptProcess current, next, old;
+  std::string driver, plan, directive, directive_reason;
+  std::uint64_t directive_number = 0;
+  Release active, last_good;
+  std::optional<Release> pending;
+  std::string failed_release, failure_reason;
+  // The process of the active release, the one that is to replace it, and one that was told to stop.
+  ProcessRecord current, next, stopping;
 };
-std::string EncodeMemory(const KeeperMemory& m);
-std::optional<KeeperMemory> DecodeMemory(const std::string& text);
+std::string EncodeSupervisorState(const SupervisorState& state);
+// Null: not a state file of this version.
+std::optional<SupervisorState> DecodeSupervisorState(const std::string& text);
 
-struct KeeperAct {
-  enum class What : std::uint8_t { kStart, kTerm, kKill, kSave } what = What::kSave;
-  int process = 0;  // a number of the model's own
-  Release release;  // kStart
+// What the caller must do, in order.
+struct SupervisorEffect {
+  enum class Kind : std::uint8_t { kStartProcess, kTerminateProcess, kKillProcess, kSaveState };
+  Kind kind = Kind::kSaveState;
+  int process = 0;  // the supervisor's own number for it
+  Release release;  // kStartProcess
 };
+using SupervisorEffects = std::vector<SupervisorEffect>;
 
-class Keeper {
+class Supervisor {
  public:
-  Keeper(std::string node, std::string zone, KeeperLimits limits, KeeperMemory memory);
+  // The numbers of processes that an earlier supervisor started.
+  static constexpr int kRecoveredCurrent = 1, kRecoveredNext = 2, kRecoveredStopping = 3;
 
-  // Which of the memory's processes still live, from an earlier keeper. They are numbered 1 to 3: current,
-  // next, old.
-  void Begin(Time now, bool current, bool next, bool old, std::vector<KeeperAct>& acts);
-  Reply Take(Time now, const Command& command, std::vector<KeeperAct>& acts);
-  void Started(int process, const KeptProcess& kept, std::vector<KeeperAct>& acts);
-  void Ready(Time now, int process, std::vector<KeeperAct>& acts);
-  // `why`: in words, with the exit code or signal.
-  void Ended(Time now, int process, const std::string& why, std::vector<KeeperAct>& acts);
-  void Tick(Time now, std::vector<KeeperAct>& acts);
-  void End(Time now, std::vector<KeeperAct>& acts);  // this keeper was told to end its node and itself
-  bool ended() const { return ending_ && current_ == 0 && next_ == 0 && old_ == 0; }
+  Supervisor(std::string node, std::string zone, SupervisorLimits limits, SupervisorState state);
 
-  KeeperStatus Status() const;
-  const KeeperMemory& memory() const { return memory_; }
+  // To be called first, with those of the state's processes that still live.
+  void Recover(Time now, bool current_lives, bool next_lives, bool stopping_lives,
+               SupervisorEffects& effects);
+  CommandReply HandleCommand(Time now, const SupervisorCommand& command, SupervisorEffects& effects);
+  void OnProcessStarted(int process, const ProcessRecord& record, SupervisorEffects& effects);
+  void OnProcessReady(Time now, int process, SupervisorEffects& effects);
+  // `reason`: the exit code or signal, in words.
+  void OnProcessEnded(Time now, int process, const std::string& reason, SupervisorEffects& effects);
+  void OnTick(Time now, SupervisorEffects& effects);
+  // Stops the node and then the supervisor itself, which is done once has_shut_down().
+  void ShutDown(Time now, SupervisorEffects& effects);
+  bool has_shut_down() const { return shutting_down_ && current_ == 0 && next_ == 0 && stopping_ == 0; }
+
+  SupervisorStatus Status() const;
+  const SupervisorState& state() const { return state_; }
   int current() const { return current_; }
   int next() const { return next_; }
   bool current_ready() const { return current_ready_; }
-  Phase phase() const;
+  NodePhase phase() const;
 
  private:
-  int Start(const Release& release, std::vector<KeeperAct>& acts);
-  void Change(Time now, const Release& release, std::vector<KeeperAct>& acts);
-  void GiveUp(const std::string& why, std::vector<KeeperAct>& acts);
-  void Save(std::vector<KeeperAct>& acts) { acts.push_back({KeeperAct::What::kSave, 0, {}}); }
-  Time Wait(int times) const;
+  int StartProcess(const Release& release, SupervisorEffects& effects);
+  static void KillProcess(int process, SupervisorEffects& effects);
+  static void Save(SupervisorEffects& effects);
+  CommandReply Accept() const;
+  CommandReply Reject(const char* reason) const;
+  void Claim(Time now, const SupervisorCommand& command, SupervisorEffects& effects);
+  bool HasLease(Time now, const SupervisorCommand& command) const;
+  CommandReply ExecuteClaimed(Time now, const SupervisorCommand& command, SupervisorEffects& effects);
+  CommandReply Change(Time now, const Release& release, SupervisorEffects& effects);
+  CommandReply RollBack(Time now, SupervisorEffects& effects);
+  CommandReply Confirm(const Release& release, SupervisorEffects& effects);
+  void BeginChange(Time now, const Release& release, SupervisorEffects& effects);
+  void AbandonChange(const std::string& reason, SupervisorEffects& effects);
+  void OnNextEnded(Time now, const std::string& reason, SupervisorEffects& effects);
+  void OnCurrentEnded(Time now, const std::string& reason, SupervisorEffects& effects);
+  void KillIfNeverReady(Time now, int process, Time started_at, SupervisorEffects& effects);
+  void MarkFailed(const std::string& release_id, const std::string& reason);
+  Time Backoff(int failures) const;
 
   std::string node_, zone_;
-  KeeperLimits limits_;
-  KeeperMemory memory_;
-  int numbers_ = 3;
-  int current_ = 0, next_ = 0, old_ = 0;  // processes; 0: none. old: was told to end
+  SupervisorLimits limits_;
+  SupervisorState state_;
+  int last_process_ = kRecoveredStopping;      // the highest number given to a process
+  int current_ = 0, next_ = 0, stopping_ = 0;  // processes; 0: none
   bool current_ready_ = false;
-  Time current_since_ = 0, next_since_ = 0, old_since_ = 0;
-  Time start_at_ = -1, try_at_ = -1;  // of a start that waits
-  int tries_ = 0, crashes_ = 0, crashes_total_ = 0;
+  Time current_since_ = 0, next_since_ = 0, stopping_since_ = 0;
+  Time restart_current_at_ = -1, restart_next_at_ = -1;  // -1: no restart is due
+  int next_attempts_ = 0;                                // starts of the pending release that failed
+  int recent_crashes_ = 0, crashes_ = 0;                 // of the active release; all since it became active
   Time crashed_at_ = 0;
-  Time claimed_at_ = -1;  // by this keeper's own clock; what an earlier keeper was told is no lease
-  bool ending_ = false;
+  Time claimed_at_ = -1;  // by this supervisor's clock; a claim before its restart gives no lease. -1: none
+  bool shutting_down_ = false;
 };
 
 }  // namespace ryeglade::rollout
--- a/tests/rollout_nodes_test.cpp
+++ b/tests/rollout_nodes_test.cpp
@@ -107,7 +107,7 @@
     const auto s = t.tier.Status(i);
     ASSERT_TRUE(s);
     EXPECT_EQ(s->last_good.id, "new");
-    EXPECT_EQ(s->mark, "done");
+    EXPECT_EQ(s->directive, "done");
   }
   t.Rules();
   if (!kSanitized) {
