--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -1,6 +1,6 @@
-// The deciding parts of hand-over and rollout: leases and succession, what passes between processes, keepers,
-// plans, verdicts, and whole rollouts in virtual time with the invariants and broken variants that catch
-// them.
+// The decision logic of hot restart and rollout: leases and succession, the state that passes between
+// processes, supervisors, plans, canary analysis, and complete rollouts in virtual time with their invariants
+// and the broken variants that violate them.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -21,7 +21,8 @@
 namespace {
 
 using namespace hot_restart;
-using rollout::KeeperAct;
+using rollout::CommandKind;
+using rollout::SupervisorEffect;
 
 constexpr Time kS = 1'000'000;
 
@@ -240,131 +241,136 @@
   EXPECT_TRUE(DecodeLearnedState(EncodeLearnedState(SomeState().learned), &why)) << why;
 }
 
-// ---- The keeper ----
+// ---- The supervisor ----
 
-struct Kept {
-  rollout::KeeperLimits limits;
-  std::unique_ptr<rollout::Keeper> k;
+// A supervisor whose node runs the release "old" and is ready.
+struct SupervisorTest {
+  rollout::SupervisorLimits limits;
+  std::unique_ptr<rollout::Supervisor> supervisor;
   Time now = 100 * kS;
-  std::vector<KeeperAct> acts;
-
-  Kept() {
-    rollout::KeeperMemory m;
-    m.in_force = m.last_good = {"old", "/old", "/c", "", "", "", ""};
-    k = std::make_unique<rollout::Keeper>("n0", "a", limits, m);
-    k->Begin(now, false, false, false, acts);
-    k->Ready(now, k->current(), acts);
-    acts.clear();
+  rollout::SupervisorEffects effects;  // of the last command
+
+  SupervisorTest() {
+    rollout::SupervisorState state;
+    state.active = state.last_good = {"old", "/old", "/c", "", "", "", ""};
+    supervisor = std::make_unique<rollout::Supervisor>("n0", "a", limits, state);
+    supervisor->Recover(now, false, false, false, effects);
+    supervisor->OnProcessReady(now, supervisor->current(), effects);
+    effects.clear();
   }
-  rollout::Command Cmd(rollout::Command::What what, std::uint64_t epoch = 1,
-                       const std::string& driver = "d") {
-    rollout::Command c;
-    c.what = what, c.epoch = epoch, c.driver = driver, c.plan = "p";
-    c.release = {"new", "/new", "/c", "", "", "", ""};
-    return c;
+  static rollout::SupervisorCommand MakeCommand(CommandKind kind, std::uint64_t epoch,
+                                                const std::string& driver) {
+    rollout::SupervisorCommand command;
+    command.kind = kind;
+    command.epoch = epoch;
+    command.driver = driver;
+    command.plan = "p";
+    command.release = {"new", "/new", "/c", "", "", "", ""};
+    return command;
   }
-  rollout::Reply Take(rollout::Command::What what, std::uint64_t epoch = 1, const std::string& driver = "d") {
-    acts.clear();
-    return k->Take(now, Cmd(what, epoch, driver), acts);
+  rollout::CommandReply Send(CommandKind kind, std::uint64_t epoch = 1, const std::string& driver = "d") {
+    effects.clear();
+    return supervisor->HandleCommand(now, MakeCommand(kind, epoch, driver), effects);
   }
-  int Starts() const {
-    int n = 0;
-    for (const auto& a : acts) n += a.what == KeeperAct::What::kStart ? 1 : 0;
-    return n;
+  int StartedProcesses() const {
+    int started = 0;
+    for (const auto& effect : effects)
+      started += effect.kind == SupervisorEffect::Kind::kStartProcess ? 1 : 0;
+    return started;
   }
 };
-using What = rollout::Command::What;
-
-TEST(Keeper, TakesNoCommandWithoutAFreshClaimOfTheHighestEpoch) {
-  Kept t;
-  EXPECT_EQ(t.Take(What::kChange).why, "claim-first");
-  EXPECT_TRUE(t.Take(What::kClaim, 5).yes);
-  EXPECT_EQ(t.Take(What::kChange, 4).why, "stale");
-  EXPECT_EQ(t.Take(What::kChange, 5, "other").why, "stale");
-  EXPECT_EQ(t.Take(What::kClaim, 4).why, "stale");
+
+TEST(Supervisor, TakesNoCommandWithoutAFreshClaimOfTheHighestEpoch) {
+  SupervisorTest t;
+  EXPECT_EQ(t.Send(CommandKind::kChange).reason, "claim-first");
+  EXPECT_TRUE(t.Send(CommandKind::kClaim, 5).accepted);
+  EXPECT_EQ(t.Send(CommandKind::kChange, 4).reason, "stale");
+  EXPECT_EQ(t.Send(CommandKind::kChange, 5, "other").reason, "stale");
+  EXPECT_EQ(t.Send(CommandKind::kClaim, 4).reason, "stale");
   t.now += t.limits.lease + 1;
-  EXPECT_EQ(t.Take(What::kChange, 5).why, "lease");
-  EXPECT_TRUE(t.Take(What::kClaim, 5).yes);
-  EXPECT_TRUE(t.Take(What::kChange, 5).yes);
-  EXPECT_EQ(t.Starts(), 1);
-}
-
-TEST(Keeper, AStepAskedTwiceIsDoneOnce) {
-  Kept t;
-  t.Take(What::kClaim);
-  EXPECT_TRUE(t.Take(What::kChange).yes);
-  EXPECT_EQ(t.Starts(), 1);
-  EXPECT_TRUE(t.Take(What::kChange).yes);
-  EXPECT_EQ(t.Starts(), 0);
-  t.k->Ready(t.now, t.k->next(), t.acts);
-  EXPECT_EQ(t.k->Status().in_force.id, "new");
-  EXPECT_TRUE(t.Take(What::kChange).yes);
-  EXPECT_EQ(t.Starts(), 0);
-}
-
-TEST(Keeper, ANewReleaseThatNeverGetsReadyIsGivenUpAndTheOldOneServesOn) {
-  Kept t;
-  t.Take(What::kClaim);
-  t.Take(What::kChange);
-  const int current = t.k->current();
+  EXPECT_EQ(t.Send(CommandKind::kChange, 5).reason, "lease");
+  EXPECT_TRUE(t.Send(CommandKind::kClaim, 5).accepted);
+  EXPECT_TRUE(t.Send(CommandKind::kChange, 5).accepted);
+  EXPECT_EQ(t.StartedProcesses(), 1);
+}
+
+TEST(Supervisor, AStepAskedTwiceIsDoneOnce) {
+  SupervisorTest t;
+  t.Send(CommandKind::kClaim);
+  EXPECT_TRUE(t.Send(CommandKind::kChange).accepted);
+  EXPECT_EQ(t.StartedProcesses(), 1);
+  EXPECT_TRUE(t.Send(CommandKind::kChange).accepted);
+  EXPECT_EQ(t.StartedProcesses(), 0);
+  t.supervisor->OnProcessReady(t.now, t.supervisor->next(), t.effects);
+  EXPECT_EQ(t.supervisor->Status().active.id, "new");
+  EXPECT_TRUE(t.Send(CommandKind::kChange).accepted);
+  EXPECT_EQ(t.StartedProcesses(), 0);
+}
+
+TEST(Supervisor, ANewReleaseThatNeverGetsReadyIsGivenUpAndTheOldOneServesOn) {
+  SupervisorTest t;
+  t.Send(CommandKind::kClaim);
+  t.Send(CommandKind::kChange);
+  const int current = t.supervisor->current();
   int starts = 1;
   for (int i = 0; i < 1000; ++i) {
     t.now += 100'000;
-    t.acts.clear();
-    t.k->Tick(t.now, t.acts);
-    starts += t.Starts();
+    t.effects.clear();
+    t.supervisor->OnTick(t.now, t.effects);
+    starts += t.StartedProcesses();
   }
-  EXPECT_EQ(starts, t.limits.tries);
-  EXPECT_EQ(t.k->current(), current);
-  EXPECT_EQ(t.k->Status().failed, "new");
-  EXPECT_EQ(t.k->Status().failed_why, "never-ready");
-  t.Take(What::kClaim);
-  EXPECT_EQ(t.Take(What::kChange).why, "failed-before");
-}
-
-TEST(Keeper, OneThatCrashLoopsIsReplacedByTheLastGoodOneWithoutADriver) {
-  Kept t;
-  t.Take(What::kClaim);
-  t.Take(What::kChange);
-  t.k->Ready(t.now, t.k->next(), t.acts);
-  for (int i = 0; i < 200 && t.k->Status().in_force.id == "new"; ++i) {
+  EXPECT_EQ(starts, t.limits.max_attempts);
+  EXPECT_EQ(t.supervisor->current(), current);
+  EXPECT_EQ(t.supervisor->Status().failed_release, "new");
+  EXPECT_EQ(t.supervisor->Status().failure_reason, "never-ready");
+  t.Send(CommandKind::kClaim);
+  EXPECT_EQ(t.Send(CommandKind::kChange).reason, "failed-before");
+}
+
+TEST(Supervisor, OneThatCrashLoopsIsReplacedByTheLastGoodOneWithoutADriver) {
+  SupervisorTest t;
+  t.Send(CommandKind::kClaim);
+  t.Send(CommandKind::kChange);
+  t.supervisor->OnProcessReady(t.now, t.supervisor->next(), t.effects);
+  for (int i = 0; i < 200 && t.supervisor->Status().active.id == "new"; ++i) {
     t.now += 500'000;
-    t.acts.clear();
-    t.k->Tick(t.now, t.acts);
-    if (t.k->current() != 0) t.k->Ended(t.now, t.k->current(), "signal 6", t.acts);
+    t.effects.clear();
+    t.supervisor->OnTick(t.now, t.effects);
+    if (t.supervisor->current() != 0)
+      t.supervisor->OnProcessEnded(t.now, t.supervisor->current(), "signal 6", t.effects);
   }
-  EXPECT_EQ(t.k->Status().in_force.id, "old");
-  EXPECT_EQ(t.k->Status().failed, "new");
-  EXPECT_NE(t.k->current(), 0);
-}
-
-TEST(Keeper, RemembersAcrossItsOwnDeathAndNeverStartsASecondNode) {
-  Kept t;
-  t.Take(What::kClaim, 9);
-  t.Take(What::kChange, 9);
-  t.k->Started(t.k->next(), {77, 5, "m"}, t.acts);
-  const auto memory = rollout::DecodeMemory(rollout::EncodeMemory(t.k->memory()));
-  ASSERT_TRUE(memory);
-  EXPECT_EQ(memory->next.pid, 77);
-  rollout::Keeper after("n0", "a", t.limits, *memory);
-  std::vector<KeeperAct> acts;
-  after.Begin(t.now, true, true, false, acts);  // both live: the one that was being tried goes
+  EXPECT_EQ(t.supervisor->Status().active.id, "old");
+  EXPECT_EQ(t.supervisor->Status().failed_release, "new");
+  EXPECT_NE(t.supervisor->current(), 0);
+}
+
+TEST(Supervisor, RemembersAcrossItsOwnDeathAndNeverStartsASecondNode) {
+  SupervisorTest t;
+  t.Send(CommandKind::kClaim, 9);
+  t.Send(CommandKind::kChange, 9);
+  t.supervisor->OnProcessStarted(t.supervisor->next(), {77, 5, "m"}, t.effects);
+  const auto state = rollout::DecodeSupervisorState(rollout::EncodeSupervisorState(t.supervisor->state()));
+  ASSERT_TRUE(state);
+  EXPECT_EQ(state->next.pid, 77);
+  rollout::Supervisor after("n0", "a", t.limits, *state);
+  rollout::SupervisorEffects effects;
+  after.Recover(t.now, true, true, false, effects);  // both live: the one that was being tried goes
   int starts = 0, kills = 0;
-  for (const auto& a : acts) {
-    starts += a.what == KeeperAct::What::kStart ? 1 : 0;
-    kills += a.what == KeeperAct::What::kKill ? 1 : 0;
+  for (const auto& a : effects) {
+    starts += a.kind == SupervisorEffect::Kind::kStartProcess ? 1 : 0;
+    kills += a.kind == SupervisorEffect::Kind::kKillProcess ? 1 : 0;
   }
   EXPECT_EQ(starts, 0);
   EXPECT_EQ(kills, 1);
   EXPECT_EQ(after.Status().epoch, 9U);
-  rollout::Keeper alone("n0", "a", t.limits, *memory);
-  acts.clear();
-  alone.Begin(t.now, false, true, false, acts);  // only it lives: it is the node
-  EXPECT_EQ(alone.Status().in_force.id, "new");
-  for (const auto& a : acts) EXPECT_EQ(a.what, KeeperAct::What::kSave);
+  rollout::Supervisor alone("n0", "a", t.limits, *state);
+  effects.clear();
+  alone.Recover(t.now, false, true, false, effects);  // only it lives: it is the node
+  EXPECT_EQ(alone.Status().active.id, "new");
+  for (const auto& a : effects) EXPECT_EQ(a.kind, SupervisorEffect::Kind::kSaveState);
 }
 
-// ---- Plans, figures, compatibility ----
+// ---- Plans, metrics, compatibility ----
 
 const std::string kPlan =
     "name = \"x\"\n[release]\nid = \"r\"\nprogram = \"/p\"\n[[node]]\nname = \"a\"\nkeeper = "
@@ -402,26 +408,27 @@
   }
 }
 
-TEST(Figures, WrongOnesAreNone) {
-  rollout::Figures f;
-  f.pid = 3, f.at = 1'796'000'000'000'000;
-  f.classes["docs"].served = 5;
-  f.classes["docs"].in_time = 4;
-  EXPECT_TRUE(rollout::DecodeFigures(rollout::EncodeFigures(f)));
-  f.classes["docs"].in_time = 6;
-  EXPECT_FALSE(rollout::DecodeFigures(rollout::EncodeFigures(f)));
-  EXPECT_FALSE(rollout::DecodeFigures("{\"pid\":-1,\"classes\":{}}"));
-  EXPECT_FALSE(rollout::DecodeFigures("nonsense"));
+TEST(NodeMetrics, WrongOnesAreNone) {
+  rollout::NodeMetrics metrics;
+  metrics.pid = 3;
+  metrics.measured_at = 1'796'000'000'000'000;
+  metrics.classes["docs"].served = 5;
+  metrics.classes["docs"].in_time = 4;
+  EXPECT_TRUE(rollout::DecodeNodeMetrics(rollout::EncodeNodeMetrics(metrics)));
+  metrics.classes["docs"].in_time = 6;
+  EXPECT_FALSE(rollout::DecodeNodeMetrics(rollout::EncodeNodeMetrics(metrics)));
+  EXPECT_FALSE(rollout::DecodeNodeMetrics("{\"pid\":-1,\"classes\":{}}"));
+  EXPECT_FALSE(rollout::DecodeNodeMetrics("nonsense"));
 }
 
 TEST(Compat, ProgramsWhoseRangesDoNotMeetCannotStandSideBySide) {
   const auto with = [](int low, int high) {
     return "{\"membership-wire\":[" + std::to_string(low) + "," + std::to_string(high) + "]}";
   };
-  EXPECT_EQ(rollout::CannotStandBeside(with(1, 2), with(2, 3)), "");
-  EXPECT_NE(rollout::CannotStandBeside(with(1, 2), with(3, 4)), "");
-  EXPECT_NE(rollout::CannotStandBeside("old and silent", with(1, 2)), "");
-  EXPECT_EQ(rollout::CannotStandBeside("{}", with(1, 2)), "");
+  EXPECT_EQ(rollout::CompatibilityError(with(1, 2), with(2, 3)), "");
+  EXPECT_NE(rollout::CompatibilityError(with(1, 2), with(3, 4)), "");
+  EXPECT_NE(rollout::CompatibilityError("old and silent", with(1, 2)), "");
+  EXPECT_EQ(rollout::CompatibilityError("{}", with(1, 2)), "");
 }
 
 // ---- Whole rollouts in virtual time ----
@@ -511,70 +518,73 @@
   EXPECT_TRUE(caught("no-token", "at-once", 2));
 }
 
-TEST(Keeper, ACommandThatWasOnItsWayForLongIsRefusedThoughTheClaimWasRenewed) {
-  rollout::KeeperMemory memory;
-  memory.in_force = memory.last_good = {"old", "/old", "", "", "", "", ""};
-  rollout::KeeperLimits limits;
+TEST(Supervisor, ACommandThatWasOnItsWayForLongIsRefusedThoughTheClaimWasRenewed) {
+  rollout::SupervisorState state;
+  state.active = state.last_good = {"old", "/old", "", "", "", "", ""};
+  rollout::SupervisorLimits limits;
   limits.lease = 2'000'000;
-  rollout::Keeper keeper("n0", "", limits, memory);
-  std::vector<KeeperAct> acts;
-  keeper.Begin(1'000'000, false, false, false, acts);
-  rollout::Command claim;
+  rollout::Supervisor supervisor("n0", "", limits, state);
+  rollout::SupervisorEffects effects;
+  supervisor.Recover(1'000'000, false, false, false, effects);
+  rollout::SupervisorCommand claim;
   claim.epoch = 1;
   claim.driver = "d";
-  const auto first = keeper.Take(2'000'000, claim, acts);
-  ASSERT_TRUE(first.yes);
-  EXPECT_EQ(first.status.claimed, 2'000'000);
-  rollout::Command change = claim;
-  change.what = rollout::Command::What::kChange;
+  const auto first = supervisor.HandleCommand(2'000'000, claim, effects);
+  ASSERT_TRUE(first.accepted);
+  EXPECT_EQ(first.status.claimed_at, 2'000'000);
+  rollout::SupervisorCommand change = claim;
+  change.kind = CommandKind::kChange;
   change.release = {"new", "/new", "", "", "", "", ""};
-  change.claim = first.status.claimed;
-  ASSERT_TRUE(keeper.Take(4'500'000, claim, acts).yes);  // renewed, while `change` was on its way
-  EXPECT_EQ(keeper.Take(4'600'000, change, acts).why, "lease");
-  change.claim = 4'500'000;
-  EXPECT_TRUE(keeper.Take(4'600'000, change, acts).yes);
-  change.claim = 9'000'000;  // of no clock of this keeper's
-  EXPECT_EQ(keeper.Take(4'600'000, change, acts).why, "lease");
-}
-
-// ---- What the nodes say of each other ----
-
-rollout::TierSaid Said(const std::string& node, std::map<std::string, std::string> standings,
-                       bool doubt = false) {
-  return {node, true, doubt, true, std::move(standings)};
-}
-
-TEST(TierWord, TakesWhatMostOfTheSureSay) {
-  const auto word = rollout::PutTogether(
-      3, {Said("a", {{"b", "alive"}, {"c", "dead"}, {"d", "suspect"}}),
-          Said("b", {{"a", "alive"}, {"c", "dead"}, {"d", "alive"}}),
-          Said("e", {{"a", "dead"}, {"b", "dead"}, {"c", "alive"}}, true)});  // cut off, and knows that it is
-  EXPECT_EQ(word.dead, (std::set<std::string>{"c"}));
-  EXPECT_TRUE(word.suspect.empty());  // one says so, the other does not
-  EXPECT_TRUE(word.trusted());
-  EXPECT_EQ(word.sure, 2U);
-  EXPECT_FALSE(rollout::PutTogether(4, {Said("a", {}), Said("b", {})}).trusted());
-  EXPECT_FALSE(rollout::PutTogether(2, {Said("a", {}), Said("a", {})}).trusted());  // one node, twice
-}
-
-TEST(TierWord, OneDeafNodeTakesNobodyAway) {
-  const auto word = rollout::PutTogether(
-      3, {Said("deaf", {{"a", "dead"}, {"b", "dead"}}), Said("a", {{"b", "alive"}, {"deaf", "suspect"}}),
-          Said("b", {{"a", "alive"}, {"deaf", "suspect"}})});
-  EXPECT_TRUE(word.dead.empty());
-  EXPECT_EQ(word.suspect, (std::set<std::string>{"deaf"}));
-}
-
-TEST(TierWord, AnswersThatAreNoneAreNotTaken) {
-  EXPECT_FALSE(rollout::ReadTierSaid("{"));
-  EXPECT_FALSE(rollout::ReadTierSaid("[]"));
-  EXPECT_FALSE(rollout::ReadTierSaid(R"({"name": 3})"));
-  EXPECT_FALSE(rollout::ReadTierSaid(
+  change.claimed_at = first.status.claimed_at;
+  ASSERT_TRUE(supervisor.HandleCommand(4'500'000, claim, effects)
+                  .accepted);  // renewed, while `change` was on its way
+  EXPECT_EQ(supervisor.HandleCommand(4'600'000, change, effects).reason, "lease");
+  change.claimed_at = 4'500'000;
+  EXPECT_TRUE(supervisor.HandleCommand(4'600'000, change, effects).accepted);
+  change.claimed_at = 9'000'000;  // of no clock of this supervisor's
+  EXPECT_EQ(supervisor.HandleCommand(4'600'000, change, effects).reason, "lease");
+}
+
+// ---- The cluster view ----
+
+rollout::NodeClusterView ViewOf(const std::string& node, std::map<std::string, std::string> member_states,
+                                bool doubt = false) {
+  return {node, true, doubt, true, std::move(member_states)};
+}
+
+TEST(ClusterView, TakesWhatMostOfTheSureSay) {
+  const auto view = rollout::MergeClusterViews(
+      3,
+      {ViewOf("a", {{"b", "alive"}, {"c", "dead"}, {"d", "suspect"}}),
+       ViewOf("b", {{"a", "alive"}, {"c", "dead"}, {"d", "alive"}}),
+       ViewOf("e", {{"a", "dead"}, {"b", "dead"}, {"c", "alive"}}, true)});  // cut off, and knows that it is
+  EXPECT_EQ(view.dead, (std::set<std::string>{"c"}));
+  EXPECT_TRUE(view.suspect.empty());  // one says so, the other does not
+  EXPECT_TRUE(view.trusted());
+  EXPECT_EQ(view.confident, 2U);
+  EXPECT_FALSE(rollout::MergeClusterViews(4, {ViewOf("a", {}), ViewOf("b", {})}).trusted());
+  EXPECT_FALSE(
+      rollout::MergeClusterViews(2, {ViewOf("a", {}), ViewOf("a", {})}).trusted());  // one node, twice
+}
+
+TEST(ClusterView, OneDeafNodeTakesNobodyAway) {
+  const auto view = rollout::MergeClusterViews(
+      3, {ViewOf("deaf", {{"a", "dead"}, {"b", "dead"}}), ViewOf("a", {{"b", "alive"}, {"deaf", "suspect"}}),
+          ViewOf("b", {{"a", "alive"}, {"deaf", "suspect"}})});
+  EXPECT_TRUE(view.dead.empty());
+  EXPECT_EQ(view.suspect, (std::set<std::string>{"deaf"}));
+}
+
+TEST(ClusterView, AnswersThatAreNoneAreNotTaken) {
+  EXPECT_FALSE(rollout::DecodeNodeClusterView("{"));
+  EXPECT_FALSE(rollout::DecodeNodeClusterView("[]"));
+  EXPECT_FALSE(rollout::DecodeNodeClusterView(R"({"name": 3})"));
+  EXPECT_FALSE(rollout::DecodeNodeClusterView(
       R"({"name": "a", "phase": "active", "joined": true, "in_doubt": false, "settled": true, "members": 7})"));
-  const auto waits = rollout::ReadTierSaid(R"({"name": "a", "phase": "waiting"})");
+  const auto waits = rollout::DecodeNodeClusterView(R"({"name": "a", "phase": "waiting"})");
   ASSERT_TRUE(waits);
   EXPECT_FALSE(waits->joined);
-  const auto yielded = rollout::ReadTierSaid(
+  const auto yielded = rollout::DecodeNodeClusterView(
       R"({"name": "a", "phase": "yielded", "joined": true, "in_doubt": false, "settled": true, "members": []})");
   ASSERT_TRUE(yielded);
   EXPECT_FALSE(yielded->joined);
@@ -585,12 +595,12 @@
 RC_GTEST_PROP(RolloutRecord, LinesComeBackAsTheyWereAndNoiseIsSkipped, ()) {
   rollout::RecordedRound r;
   r.at = *rc::gen::inRange(0, 1'000'000'000);
-  r.course = "soak";
-  r.why = *rc::gen::string<std::string>();
+  r.state = "soak";
+  r.reason = *rc::gen::string<std::string>();
   r.stage = *rc::gen::inRange<std::size_t>(0, 100);
   r.nodes = {{"n0", "a", "new"}, {"n1", "b", "old"}};
-  rollout::Comparison c;
-  c.cls = "all", c.what = "failed", c.n_new = 12, c.difference = 0.25, c.half = 1e9;
+  rollout::CohortComparison c;
+  c.class_name = "all", c.metric = "failed", c.new_requests = 12, c.difference = 0.25, c.half_width = 1e9;
   r.comparisons = {c};
   std::size_t skipped = 0;
   const std::string noise = *rc::gen::string<std::string>();
@@ -600,58 +610,67 @@
   RC_ASSERT(all.size() >= 2U);
   RC_ASSERT(all.front().stage == r.stage);
   RC_ASSERT(all.front().nodes.size() == 2U);
-  RC_ASSERT(all.front().comparisons.front().half >= 1e6);
+  RC_ASSERT(all.front().comparisons.front().half_width >= 1e6);
   RC_ASSERT(skipped <= 1U);
   RC_ASSERT(ReportTable(all).find("soak") != std::string::npos);
 }
 
-TEST(Verdict, AStageThatIsAWholeZoneIsHeldAgainstTheOthers) {
-  const auto judge = [](double fails) {
-    rollout::Verdict v(rollout::Guards{});
-    rollout::Figures f[2];
-    for (int node = 0; node < 2; ++node) f[node].pid = node + 1;
+TEST(CanaryAnalysis, AStageThatIsAWholeZoneIsHeldAgainstTheOthers) {
+  const auto verdict_with = [](double fails) {
+    rollout::CanaryAnalysis analysis(rollout::CanaryThresholds{});
+    rollout::NodeMetrics metrics[2];
+    for (int node = 0; node < 2; ++node) metrics[node].pid = node + 1;
     for (int second = 0; second < 600; ++second) {
       for (int node = 0; node < 2; ++node) {  // the new one alone in zone a, the old one alone in b
-        auto& c = f[node].classes["docs"];
-        c.served += 20, c.in_time += 20, c.started += 20, c.attempts += 20, c.attempts_squared += 20;
-        c.first_ln += 100, c.first_ln_squared += 501;
+        rollout::ClassMetrics& c = metrics[node].classes["docs"];
+        c.served += 20;
+        c.in_time += 20;
+        c.started += 20;
+        c.attempts_sum += 20;
+        c.attempts_sum_of_squares += 20;
+        c.first_token_ln_sum += 100;
+        c.first_token_ln_sum_of_squares += 501;
         if (node == 0 && fails > 0 && second % 5 == 0) ++c.failed;
-        v.Add(second * 1'000'000LL, node == 0 ? "new" : "old", node == 0 ? "a" : "b", node == 0, f[node]);
+        analysis.AddSample(second * 1'000'000LL, node == 0 ? "new" : "old", node == 0 ? "a" : "b", node == 0,
+                           metrics[node]);
       }
     }
-    return v.Judge(500).judgement;
+    return analysis.Evaluate(500).verdict;
   };
-  EXPECT_EQ(judge(0), rollout::Judgement::kGood);
-  EXPECT_EQ(judge(0.01), rollout::Judgement::kWorse);
+  EXPECT_EQ(verdict_with(0), rollout::CanaryVerdict::kPass);
+  EXPECT_EQ(verdict_with(0.01), rollout::CanaryVerdict::kFail);
 }
 
 // Beside load a stage of 100 requests ended with 0.22 +- 0.19 failed, and the next one began.
-TEST(Verdict, AStageWhoseFailuresAreDoubtfulWaitsForMoreRequests) {
-  rollout::Guards wide;
-  wide.failed = 0.02;
-  wide.sure = 1;
-  wide.late = wide.slower = wide.attempts = 10;
-  rollout::Verdict verdict(wide);
-  rollout::Figures figures[2];
+TEST(CanaryAnalysis, AStageWhoseFailuresAreDoubtfulWaitsForMoreRequests) {
+  rollout::CanaryThresholds wide;
+  wide.failed_share = 0.02;
+  wide.failure_precision = 1;
+  wide.late_share = wide.first_token_slowdown = wide.attempts_per_request = 10;
+  rollout::CanaryAnalysis analysis(wide);
+  rollout::NodeMetrics metrics[2];
   const auto serve = [&](int node, int second, std::uint64_t served, std::uint64_t failed) {
-    figures[node].pid = node + 1;
-    rollout::ClassFigures& c = figures[node].classes["docs"];
-    c.served += served, c.in_time += served, c.failed += failed;
-    verdict.Add(second * 1'000'000LL, node == 0 ? "new" : "old", "a", node == 0, figures[node]);
+    metrics[node].pid = node + 1;
+    rollout::ClassMetrics& c = metrics[node].classes["docs"];
+    c.served += served;
+    c.in_time += served;
+    c.failed += failed;
+    analysis.AddSample(second * 1'000'000LL, node == 0 ? "new" : "old", "a", node == 0, metrics[node]);
   };
-  constexpr std::uint64_t kLeast = 100;
+  constexpr std::uint64_t kMinRequests = 100;
   int second = 0;
   bool waited = false;
-  rollout::Outcome outcome;
-  while (outcome.judgement != rollout::Judgement::kWorse && ++second < 60) {
+  rollout::CanaryResult result;
+  while (result.verdict != rollout::CanaryVerdict::kFail && ++second < 60) {
     serve(0, second, 8, 2);
     serve(1, second, 10, 0);
-    outcome = verdict.Judge(kLeast);
-    EXPECT_NE(outcome.judgement, rollout::Judgement::kGood) << "second " << second;
-    waited = waited || (outcome.least_new >= kLeast && outcome.judgement == rollout::Judgement::kWait);
+    result = analysis.Evaluate(kMinRequests);
+    EXPECT_NE(result.verdict, rollout::CanaryVerdict::kPass) << "second " << second;
+    waited = waited ||
+             (result.new_requests >= kMinRequests && result.verdict == rollout::CanaryVerdict::kInconclusive);
   }
   EXPECT_TRUE(waited);
-  EXPECT_EQ(outcome.judgement, rollout::Judgement::kWorse);
+  EXPECT_EQ(result.verdict, rollout::CanaryVerdict::kFail);
 }
 
 }  // namespace
