--- a/bench/timeline_bench.cpp
+++ b/bench/timeline_bench.cpp
@@ -105,7 +105,7 @@
       std::string out;
       PlayHour(o, [&](const timeline::Record& r) {
         ++records;
-        timeline::EncodeAny(r, out);
+        timeline::EncodeRecord(r, out);
         if (out.size() > 1 << 20) {
           raw << out;
           out.clear();
--- a/fuzz/flight_fuzz.cpp
+++ b/fuzz/flight_fuzz.cpp
@@ -6,6 +6,7 @@
 
 #include "timeline/block.h"
 #include "timeline/flight_record_codec.h"
+#include "timeline/flight_record_text_model.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
@@ -14,7 +15,7 @@
     ryeglade::timeline::Decode(bytes, records);
   } catch (const std::runtime_error&) {
   }
-  for (const auto& r : records) ryeglade::timeline::Words(r);
+  for (const auto& r : records) ryeglade::timeline::ToText(r);
   try {
     ryeglade::timeline::ReadBlocks(ryeglade::timeline::FileHead() + std::string(bytes),
                                    [](auto, auto) { return true; });
--- a/lab/fault_scenarios.cpp
+++ b/lab/fault_scenarios.cpp
@@ -25,13 +25,13 @@
 namespace {
 
 using namespace policy;
-using timeline::Member;
-using timeline::Note;
+using timeline::Anomaly;
+using timeline::AnomalyKind;
+using timeline::EndpointListRecord;
+using timeline::EndpointRecord;
+using timeline::ReasonRecord;
 using timeline::Record;
-using timeline::Roster;
 using timeline::Start;
-using timeline::Unusual;
-using timeline::UnusualKind;
 
 constexpr const char* kWords[] = {"none",       "errors",       "slow", "full",     "cut-off", "loaded",
                                   "fleet-slow", "fleet-errors", "dark", "replaced", "drained"};
@@ -144,7 +144,7 @@
     router_.Handle(d.now, event, d.actions);
     ++result_.decisions;
     sink_(d);
-    for (const Note& n : std::exchange(notes_, {})) sink_(n);
+    for (const ReasonRecord& n : std::exchange(notes_, {})) sink_(n);
     for (const Action& a : d.actions) {
       if (const auto* send = std::get_if<SendAttempt>(&a)) send_it(*send);
       if (const auto* timer = std::get_if<SetTimer>(&a))
@@ -163,9 +163,9 @@
     for (auto& [id, s] : servers_) {
       if (scope == EndpointListScope::kDelta && id != result_.victim) continue;
       list.endpoints.push_back(s.entry);
-      sink_(Member{Clock(), id, s.name, s.address, s.entry.started_at, s.entry.state, false});
+      sink_(EndpointRecord{Clock(), id, s.name, s.address, s.entry.started_at, s.entry.state, false});
     }
-    sink_(Roster{Clock(), source, generation_, "", false});
+    sink_(EndpointListRecord{Clock(), source, generation_, "", false});
     Give(list);
   }
 
@@ -186,7 +186,7 @@
       a.time_budget = 8'000'000;
       answers_[a.id] = a.max_answer_tokens;
       prompts_of_[a.id] = a.prompt_tokens;
-      sink_(timeline::Named{Clock(), a.id, fmt::format("call-{}", a.id)});
+      sink_(timeline::CallIdRecord{Clock(), a.id, fmt::format("call-{}", a.id)});
       Give(a);
       Arrive();
     });
@@ -257,7 +257,7 @@
     on_ = true;
     if (o_.thing == BadThing::kDark) {
       dark_ = true;
-      sink_(Roster{Clock(), "watch", generation_, "silent", false});
+      sink_(EndpointListRecord{Clock(), "watch", generation_, "silent", false});
       Give(EndpointList{EndpointListScope::kFailed, 0, {}});
       // Half of the fleet goes meanwhile, and nobody says so.
       int n = 0;
@@ -274,7 +274,7 @@
       servers_.at(result_.victim).entry.state = EndpointState::kDraining;
       List(EndpointListScope::kDelta, "watch");
     }
-    if (o_.burst_failures > 0) Burst();
+    if (o_.burst_failures > 0) CoalescedDecisions();
   }
 
   void End() {
@@ -308,7 +308,7 @@
   }
 
   // Arrivals whose every attempt fails at once.
-  void Burst() {
+  void CoalescedDecisions() {
     if (!on_) return;
     for (int i = 0; i < 100; ++i) {
       RequestArrived a;
@@ -319,7 +319,7 @@
         Give(AttemptEnded{send.id, attempts_[send.id]++, send.replica, Outcome::kReset, 300, false, 0, {}});
       });
     }
-    After(100 / o_.burst_failures, [this] { Burst(); });
+    After(100 / o_.burst_failures, [this] { CoalescedDecisions(); });
   }
 
   HourOptions o_;
@@ -337,30 +337,30 @@
   std::uint32_t generation_ = 0;
   double rate_ = 1;
   bool on_ = false, dark_ = false;
-  std::vector<Note> notes_;
+  std::vector<ReasonRecord> notes_;
   HourResult result_;
 };
 
 // The event that a bad thing ought to raise.
-bool Fits(BadThing thing, const Unusual& u, ReplicaId victim) {
+bool Fits(BadThing thing, const Anomaly& u, ReplicaId victim) {
   const bool victims = !u.fleet && u.replica == victim;
   switch (thing) {
     case BadThing::kErrors:
-      return victims && u.kind == UnusualKind::kErrors;
+      return victims && u.kind == AnomalyKind::kErrors;
     case BadThing::kSlow:
-      return victims && u.kind == UnusualKind::kFirstToken;
+      return victims && u.kind == AnomalyKind::kFirstToken;
     case BadThing::kFull:
-      return victims && u.kind == UnusualKind::kRefusals;
+      return victims && u.kind == AnomalyKind::kRejections;
     case BadThing::kCutOff:
-      return victims && (u.kind == UnusualKind::kErrors || u.kind == UnusualKind::kRosterContradicted);
+      return victims && (u.kind == AnomalyKind::kErrors || u.kind == AnomalyKind::kEndpointListContradicted);
     case BadThing::kLoaded:
-      return victims && u.kind == UnusualKind::kLoad;
+      return victims && u.kind == AnomalyKind::kLoad;
     case BadThing::kFleetSlow:
-      return u.fleet && u.kind == UnusualKind::kFirstToken;
+      return u.fleet && u.kind == AnomalyKind::kFirstToken;
     case BadThing::kFleetErrors:
-      return u.fleet && u.kind == UnusualKind::kErrors;
+      return u.fleet && u.kind == AnomalyKind::kErrors;
     case BadThing::kDark:
-      return u.fleet && u.kind == UnusualKind::kRosterDark;
+      return u.fleet && u.kind == AnomalyKind::kEndpointListUnavailable;
     default:
       return false;
   }
@@ -385,7 +385,7 @@
 
 std::string EncodeHour(const HourOptions& options, HourResult* result) {
   std::string out;
-  const HourResult r = PlayHour(options, [&](const Record& record) { timeline::EncodeAny(record, out); });
+  const HourResult r = PlayHour(options, [&](const Record& record) { timeline::EncodeRecord(record, out); });
   if (result != nullptr) *result = r;
   return out;
 }
@@ -397,12 +397,12 @@
   std::string block;
   std::uint64_t number = 0;
   const HourResult result = PlayHour(options, [&](const Record& record) {
-    timeline::EncodeAny(record, block);
+    timeline::EncodeRecord(record, block);
     if (block.size() < std::size_t{64} * 1024) return;
     file << timeline::MakeBlock(block, number++);
     block.clear();
     if (progress && number % 64 == 0)
-      progress(static_cast<double>(timeline::TimeOf(record) - options.clock - options.begin) / 1e6 /
+      progress(static_cast<double>(timeline::RecordTime(record) - options.clock - options.begin) / 1e6 /
                options.seconds);
   });
   if (!block.empty()) file << timeline::MakeBlock(block, number);
@@ -429,14 +429,14 @@
       o.at = 240;
       o.thing = thing;
       o.reasons = false;
-      std::vector<Unusual> events;
-      timeline::UnusualWatch watch([&](const Unusual& u) {
+      std::vector<Anomaly> events;
+      timeline::AnomalyDetector watch([&](const Anomaly& u) {
         if (u.begins) events.push_back(u);
       });
-      const HourResult result = PlayHour(o, [&](const Record& r) { watch.Take(r); });
+      const HourResult result = PlayHour(o, [&](const Record& r) { watch.OnRecord(r); });
       ++row.hours;
       double first = -1;
-      for (const Unusual& u : events) {
+      for (const Anomaly& u : events) {
         // What follows from the bad thing while it lasts, and as the fleet settles behind it, is its doing.
         const bool its = thing != BadThing::kNone && u.now >= result.from && u.now < result.to + 30'000'000;
         if (its && Fits(thing, u, result.victim) && first < 0)
--- a/src/app/timeline_command.cpp
+++ b/src/app/timeline_command.cpp
@@ -21,6 +21,7 @@
 #include "core/enum_names.h"
 #include "timeline/export_model.h"
 #include "timeline/flight_record_codec.h"
+#include "timeline/flight_record_text_model.h"
 #include "timeline/merge_model.h"
 #include "timeline/plot_model.h"
 #include "timeline/reader.h"
@@ -60,10 +61,10 @@
   return text;
 }
 
-const Lane& FindLane(const Lanes& lanes, const std::string& replica) {
+const ReplicaTimeline& FindLane(const ReplicaTimelines& lanes, const std::string& replica) {
   const std::string wanted = Lower(replica);
   std::string near;
-  for (const auto& [id, lane] : lanes.lanes()) {
+  for (const auto& [id, lane] : lanes.replicas()) {
     if (Lower(lane.name) == wanted || fmt::format("{:08x}", id) == wanted) return lane;
     if (Lower(lane.Title()).find(wanted) != std::string::npos && near.size() < 200)
       near += " " + lane.Title();
@@ -72,39 +73,39 @@
                            (near.empty() ? "" : "; there is" + near));
 }
 
-std::string EventLine(const Lanes& lanes, const Unusual& u) {
+std::string EventLine(const ReplicaTimelines& lanes, const Anomaly& u) {
   return fmt::format(
       "{}  #{:<4} {:<6} {:<20} {:<24} before {:<9.4g} during {:<9.4g} peers {:<9.4g} since {}\n",
       Clock(u.now), u.number, u.begins ? "begins" : "ends", Name(u.kind),
-      u.fleet ? "the fleet" : lanes.TitleOf(u.replica), u.before, u.during, u.peers, Clock(u.since));
+      u.fleet ? "the fleet" : lanes.ReplicaTitle(u.replica), u.baseline, u.during, u.peers, Clock(u.since));
 }
 
 // A lane over its span, in words.
-void Tell(const Lanes& lanes, const Lane& lane) {
+void Tell(const ReplicaTimelines& lanes, const ReplicaTimeline& lane) {
   Say(fmt::format("replica {} ({:08x}) at {}, {} to {} UTC\n", lane.Title(), lane.id,
                   lane.address.empty() ? "an address that the record does not hold" : lane.address,
                   Clock(lanes.begin()), Clock(lanes.end())));
   std::vector<std::pair<Time, std::string>> lines;
-  for (const LaneSpan& s : lane.spans) {
+  for (const StateSpan& s : lane.spans) {
     const double seconds = static_cast<double>(s.to - s.from) / 1e6;
     lines.emplace_back(
-        s.from, s.state == LaneState::kUnknown
+        s.from, s.state == ReplicaState::kUnknown
                     ? fmt::format("unknown for {:.1f} s, last known {}: {}", seconds, Name(s.known), s.why)
                     : fmt::format("{} for {:.1f} s, says {}", Name(s.state), seconds, s.why));
   }
-  for (const LaneRest& r : lane.rests) {
-    lines.emplace_back(
-        r.from, fmt::format("gets nothing new for {:.0f} ms: {}, {} failures in a row",
-                            static_cast<double>(r.until - r.from) / 1000, Name(r.outcome), r.failures));
+  for (const EjectionSpan& r : lane.ejections) {
+    lines.emplace_back(r.from, fmt::format("gets nothing new for {:.0f} ms: {}, {} failures in a row",
+                                           static_cast<double>(r.until - r.from) / 1000, Name(r.outcome),
+                                           r.consecutive_failures));
   }
-  for (const LaneMark& m : lane.marks) lines.emplace_back(m.at, m.text);
-  for (const LaneMark& m : lanes.marks()) lines.emplace_back(m.at, "(node) " + m.text);
-  for (const Unusual& u : lanes.unusual()) {
+  for (const Annotation& m : lane.annotations) lines.emplace_back(m.at, m.text);
+  for (const Annotation& m : lanes.annotations()) lines.emplace_back(m.at, "(node) " + m.text);
+  for (const Anomaly& u : lanes.anomalies()) {
     if (!u.fleet && u.replica != lane.id) continue;
     lines.emplace_back(
         u.now, fmt::format("unusual #{} {}: {}{}; {:.4g} before, {:.4g} while it lasts, {:.4g} elsewhere",
                            u.number, u.begins ? "begins" : "ends", Name(u.kind),
-                           u.fleet ? " of the fleet" : "", u.before, u.during, u.peers));
+                           u.fleet ? " of the fleet" : "", u.baseline, u.during, u.peers));
   }
   std::stable_sort(lines.begin(), lines.end(),
                    [](const auto& a, const auto& b) { return a.first < b.first; });
@@ -114,62 +115,64 @@
                   "failed", "full", "in flight", "first ms", "most ms", "load"));
   const std::uint32_t step = std::max(1U, (lanes.bins() + 29) / 30);
   for (std::uint32_t n = 0; n < lanes.bins(); n += step) {
-    LaneBin all;
+    ReplicaBin all;
     for (auto it = lane.bins.lower_bound(n); it != lane.bins.end() && it->first < n + step; ++it)
       all.Add(it->second);
-    Say(fmt::format("  {:<12} {:>6} {:>6} {:>6} {:>6} {:>9} {:>9} {:>9} {:>10}\n", Clock(lanes.BinStart(n)),
-                    all.sent, all.served, all.failed, all.full, all.in_flight,
-                    all.first_n > 0 ? fmt::format("{:.0f}", all.first_sum / all.first_n) : "-",
-                    all.first_n > 0 ? fmt::format("{:.0f}", all.first_most) : "-",
-                    all.load < 0        ? "not told"
-                    : all.load_age >= 0 ? fmt::format("{:g} ({:.0f}s)", all.load, all.load_age)
-                                        : fmt::format("{:g}", all.load)));
+    Say(fmt::format(
+        "  {:<12} {:>6} {:>6} {:>6} {:>6} {:>9} {:>9} {:>9} {:>10}\n", Clock(lanes.BinStart(n)), all.sent,
+        all.served, all.failed, all.at_capacity, all.in_flight,
+        all.first_tokens > 0 ? fmt::format("{:.0f}", all.first_token_sum / all.first_tokens) : "-",
+        all.first_tokens > 0 ? fmt::format("{:.0f}", all.first_token_max) : "-",
+        all.load < 0        ? "not told"
+        : all.load_age >= 0 ? fmt::format("{:g} ({:.0f}s)", all.load, all.load_age)
+                            : fmt::format("{:g}", all.load)));
   }
-  if (lane.left_out > 0)
-    Say(fmt::format("  {} states, rests and marks beyond the bounds are left out\n", lane.left_out));
+  if (lane.dropped_items > 0)
+    Say(fmt::format("  {} states, rests and marks beyond the bounds are left out\n", lane.dropped_items));
 }
 
 // One line for each replica.
-void TellAll(const Lanes& lanes) {
+void TellAll(const ReplicaTimelines& lanes) {
   Say(fmt::format("{}: {} to {} UTC, {} replicas\n", lanes.node(), Clock(lanes.begin()), Clock(lanes.end()),
-                  lanes.lanes().size()));
+                  lanes.replicas().size()));
   Say(fmt::format("{:<24} {:<22} {:>8} {:>8} {:>7} {:>7} {:>9} {:>6} {:>7}  {}\n", "replica", "at its end",
                   "sent", "served", "failed", "full", "first ms", "rests", "unusual", "states"));
-  for (const auto& [id, lane] : lanes.lanes()) {
-    LaneBin all;
+  for (const auto& [id, lane] : lanes.replicas()) {
+    ReplicaBin all;
     for (const auto& [n, b] : lane.bins) all.Add(b);
     std::size_t events = 0;
-    for (const Unusual& u : lanes.unusual()) events += u.begins && !u.fleet && u.replica == id ? 1 : 0;
+    for (const Anomaly& u : lanes.anomalies()) events += u.begins && !u.fleet && u.replica == id ? 1 : 0;
     std::map<std::string, double> states;
-    for (const LaneSpan& s : lane.spans) states[Name(s.state)] += static_cast<double>(s.to - s.from) / 1e6;
+    for (const StateSpan& s : lane.spans) states[Name(s.state)] += static_cast<double>(s.to - s.from) / 1e6;
     std::string told;
     for (const auto& [name, seconds] : states) told += fmt::format(" {} {:.0f}s", name, seconds);
-    const LaneSpan* last = lane.spans.empty() ? nullptr : &lane.spans.back();
+    const StateSpan* last = lane.spans.empty() ? nullptr : &lane.spans.back();
     const std::string now = last == nullptr ? "never listed"
-                            : last->state == LaneState::kUnknown
+                            : last->state == ReplicaState::kUnknown
                                 ? fmt::format("unknown, was {}", Name(last->known))
                                 : Name(last->state);
-    Say(fmt::format("{:<24} {:<22} {:>8} {:>8} {:>7} {:>7} {:>9} {:>6} {:>7} {}\n", lane.Title(), now,
-                    all.sent, all.served, all.failed, all.full,
-                    all.first_n > 0 ? fmt::format("{:.0f}", all.first_sum / all.first_n) : "-",
-                    lane.rests.size(), events, told));
+    Say(fmt::format(
+        "{:<24} {:<22} {:>8} {:>8} {:>7} {:>7} {:>9} {:>6} {:>7} {}\n", lane.Title(), now, all.sent,
+        all.served, all.failed, all.at_capacity,
+        all.first_tokens > 0 ? fmt::format("{:.0f}", all.first_token_sum / all.first_tokens) : "-",
+        lane.ejections.size(), events, told));
   }
   FleetBin all;
   for (const auto& [n, f] : lanes.fleet()) all.Add(f);
   Say(
       fmt::format("requests: {} arrived, {} served, {} refused, {} failed, {} left by their clients; {} "
                   "decisions counted, not kept\n",
-                  all.arrived, all.served, all.refused, all.failed, all.gone, all.coalesced));
+                  all.arrived, all.served, all.rejected, all.failed, all.disconnected, all.coalesced));
   std::string whys;
-  for (std::size_t w = 0; w < lanes.whys().size(); ++w) {
-    if (lanes.whys()[w] > 0)
-      whys += fmt::format(" {}={}", Name(static_cast<policy::ConclusionReason>(w)), lanes.whys()[w]);
+  for (std::size_t w = 0; w < lanes.conclusions().size(); ++w) {
+    if (lanes.conclusions()[w] > 0)
+      whys += fmt::format(" {}={}", Name(static_cast<policy::ConclusionReason>(w)), lanes.conclusions()[w]);
   }
   if (!whys.empty()) Say("refusals and failures by reason:" + whys + "\n");
-  if (lanes.lanes_left_out() > 0) Say("more replicas than lanes: some are left out\n");
+  if (lanes.dropped_replicas() > 0) Say("more replicas than lanes: some are left out\n");
   // What happened to the node itself, and among the nodes: the newest.
   constexpr std::size_t kMarks = 60;
-  const auto& marks = lanes.marks();
+  const auto& marks = lanes.annotations();
   const std::size_t from = marks.size() > kMarks ? marks.size() - kMarks : 0;
   if (from > 0) Say(fmt::format("  ({} earlier ones)\n", from));
   for (std::size_t i = from; i < marks.size(); ++i)
@@ -262,7 +265,7 @@
 
 int TimelineCommand::Show() {
   if (!o_->records && o_->request.empty()) {
-    const Loaded l = LoadLanes(o_->paths, How(*o_, 1800));
+    const LoadedTimelines l = LoadTimelines(o_->paths, How(*o_, 1800));
     if (o_->replica.empty()) {
       TellAll(l.lanes);
     } else {
@@ -272,14 +275,14 @@
     return 0;
   }
   const std::vector<std::string> files = FlightFiles(o_->paths);
-  const LaneOptions bounds = BoundsOf(How(*o_, 1), files);
+  const timeline::ReplicaTimelineOptions bounds = BoundsOf(How(*o_, 1), files);
   std::string digits = Lower(o_->replica);
   const ReadTotals totals = ReadFlight(files, [&](const Record& r) {
-    const Time at = TimeOf(r);
-    if (const auto* m = std::get_if<Member>(&r); m != nullptr && Lower(m->name) == digits)
+    const Time at = RecordTime(r);
+    if (const auto* m = std::get_if<EndpointRecord>(&r); m != nullptr && Lower(m->name) == digits)
       digits = fmt::format("{:08x}", m->id);
     if (at != 0 && ((bounds.from != 0 && at < bounds.from) || (bounds.to != 0 && at > bounds.to))) return;
-    const std::string words = Words(r);
+    const std::string words = ToText(r);
     if (!digits.empty() && words.find(digits) == std::string::npos) return;
     if (!o_->request.empty() && !Mentions(words, o_->request)) return;
     Say(words + "\n");
@@ -289,10 +292,10 @@
 }
 
 int TimelineCommand::Events() {
-  const Loaded l = LoadLanes(o_->paths, How(*o_, 1800));
-  for (const Unusual& u : l.lanes.unusual()) Say(EventLine(l.lanes, u));
+  const LoadedTimelines l = LoadTimelines(o_->paths, How(*o_, 1800));
+  for (const Anomaly& u : l.lanes.anomalies()) Say(EventLine(l.lanes, u));
   std::size_t begun = 0;
-  for (const Unusual& u : l.lanes.unusual()) begun += u.begins ? 1 : 0;
+  for (const Anomaly& u : l.lanes.anomalies()) begun += u.begins ? 1 : 0;
   Say(fmt::format("{} unusual events in {:.0f} s\n", begun,
                   static_cast<double>(l.lanes.end() - l.lanes.begin()) / 1e6));
   Say(l.totals.Losses());
@@ -300,9 +303,9 @@
 }
 
 int TimelineCommand::Why() {
-  Story story(o_->request);
+  RequestTrace story(o_->request);
   const ReadTotals totals = ReadWithReasons(
-      FlightFiles(o_->paths), [&](const Record& r) { story.Take(r); }, Progress());
+      FlightFiles(o_->paths), [&](const Record& r) { story.AddRecord(r); }, Progress());
   for (const std::string& line : story.Lines()) Say(line + "\n");
   Say(totals.Losses());
   if (story.found() > 0) return 0;
@@ -313,8 +316,8 @@
 
 int TimelineCommand::MergeNodes() {
   std::string losses;
-  const std::vector<Lanes> nodes = LoadNodes(o_->paths, How(*o_, 1800), &losses);
-  const Merge merge(nodes);
+  const std::vector<ReplicaTimelines> nodes = LoadNodes(o_->paths, How(*o_, 1800), &losses);
+  const TimelineMerge merge(nodes);
   for (const MergedNode& n : merge.nodes()) {
     Say(n.common > 0
             ? fmt::format("{}: clock {:+.3f} s, from {} generations told to both, within {:.3f} s\n", n.name,
@@ -324,15 +327,15 @@
             : fmt::format("{}: no generation in common; its clock is taken as it is\n", n.name));
   }
   if (o_->replica.empty()) {
-    TellAll(merge.lanes());
+    TellAll(merge.timelines());
   } else {
-    Tell(merge.lanes(), FindLane(merge.lanes(), o_->replica));
+    Tell(merge.timelines(), FindLane(merge.timelines(), o_->replica));
   }
   for (const Disagreement& d : merge.disagreements())
     Say(fmt::format("nodes differ on {} from {} for {:.1f} s: {}\n", d.replica, Clock(d.from),
                     static_cast<double>(d.to - d.from) / 1e6, d.what));
   Say(losses);
-  if (!o_->out.empty()) RunGnuplot(PlotScript(merge.lanes(), {o_->out, o_->title, o_->width}));
+  if (!o_->out.empty()) RunGnuplot(TimelinePlotScript(merge.timelines(), {o_->out, o_->title, o_->width}));
   return 0;
 }
 
@@ -354,10 +357,10 @@
     throw std::runtime_error(words[0] + " is not there; build with libhdf5-dev installed, or use --csv");
   }
   std::string losses;
-  const std::vector<Lanes> nodes = LoadNodes(o_->paths, How(*o_, 100'000), &losses);
-  const Merge merge(nodes);
+  const std::vector<ReplicaTimelines> nodes = LoadNodes(o_->paths, How(*o_, 100'000), &losses);
+  const TimelineMerge merge(nodes);
   fs::create_directories(o_->csv);
-  for (const TextTable& sheet : Sheets(nodes.size() == 1 ? nodes.front() : merge.lanes())) {
+  for (const TextTable& sheet : TimelineTables(nodes.size() == 1 ? nodes.front() : merge.timelines())) {
     const std::string path = (fs::path(o_->csv) / (sheet.name + ".csv")).string();
     WriteFile(path, Csv(sheet));
     Say(fmt::format("{}: {} rows\n", path, sheet.rows()));
@@ -368,9 +371,10 @@
 
 int TimelineCommand::Plot() {
   std::string losses;
-  const std::vector<Lanes> nodes = LoadNodes(o_->paths, How(*o_, 500), &losses);
-  const Merge merge(nodes);
-  RunGnuplot(PlotScript(nodes.size() == 1 ? nodes.front() : merge.lanes(), {o_->out, o_->title, o_->width}));
+  const std::vector<ReplicaTimelines> nodes = LoadNodes(o_->paths, How(*o_, 500), &losses);
+  const TimelineMerge merge(nodes);
+  RunGnuplot(TimelinePlotScript(nodes.size() == 1 ? nodes.front() : merge.timelines(),
+                                {o_->out, o_->title, o_->width}));
   Say(losses);
   return 0;
 }
--- a/src/timeline/anomaly_model.cpp
+++ b/src/timeline/anomaly_model.cpp
@@ -43,38 +43,39 @@
 
 }  // namespace
 
-void UnusualWatch::Past::Add(double x, std::size_t most) {
+void AnomalyDetector::Baseline::Add(double x, std::size_t most) {
   values_.push_back(x);
   if (values_.size() > most) values_.pop_front();
   if (++unmeasured_ >= kMeasureEvery || values_.size() <= 2 * kMeasureEvery) Measure();
 }
 
-void UnusualWatch::Past::Clear() {
+void AnomalyDetector::Baseline::Clear() {
   values_.clear();
   unmeasured_ = 0;
 }
 
-void UnusualWatch::Past::Measure() {
+void AnomalyDetector::Baseline::Measure() {
   unmeasured_ = 0;
   std::vector<double> v(values_.begin(), values_.end());
   median_ = MedianOf(v);
   scale_ = ScaleOf(v, median_);
 }
 
-UnusualWatch::UnusualWatch(Sink sink, UnusualOptions options) : sink_(std::move(sink)), options_(options) {}
+AnomalyDetector::AnomalyDetector(Sink sink, AnomalyOptions options)
+    : sink_(std::move(sink)), options_(options) {}
 
-UnusualWatch::Seen* UnusualWatch::At(policy::ReplicaId id) {
-  const auto it = seen_.find(id);
-  if (it != seen_.end()) return &it->second;
-  return seen_.size() >= options_.most_replicas ? nullptr : &seen_[id];
+AnomalyDetector::Replica* AnomalyDetector::FindOrAdd(policy::ReplicaId id) {
+  const auto it = replicas_.find(id);
+  if (it != replicas_.end()) return &it->second;
+  return replicas_.size() >= options_.max_replicas ? nullptr : &replicas_[id];
 }
 
 // What people read: shares, loads as they are, first tokens as times of the usual.
-double UnusualWatch::Show(UnusualKind kind, double x) {
-  return kind == UnusualKind::kFirstToken ? std::exp(x) : x;
+double AnomalyDetector::Displayed(AnomalyKind kind, double x) {
+  return kind == AnomalyKind::kFirstToken ? std::exp(x) : x;
 }
 
-double UnusualWatch::Usual(std::uint8_t bucket, double ln) {
+double AnomalyDetector::ExpectedFirstToken(std::uint8_t bucket, double ln) {
   Mean& m = usual_[bucket];
   const double before = m.n > 0 ? m.mean : ln;
   m.n = std::min(m.n + 1, kUsualMemory);
@@ -82,7 +83,7 @@
   return before;
 }
 
-std::uint64_t UnusualWatch::Begin(Unusual u) {
+std::uint64_t AnomalyDetector::BeginAnomaly(Anomaly u) {
   u.begins = true;
   u.number = ++number_;
   ++open_;
@@ -90,17 +91,17 @@
   return u.number;
 }
 
-void UnusualWatch::Finish(Unusual u) {
+void AnomalyDetector::EndAnomaly(Anomaly u) {
   u.begins = false;
   --open_;
   sink_(u);
 }
 
-void UnusualWatch::Advance(Time now) {
+void AnomalyDetector::Advance(Time now) {
   now_ = std::max(now_, now);
   if (tick_at_ == 0) tick_at_ = now_ + options_.tick;
   if (now_ - tick_at_ > kStep) {  // what happened in between is not known
-    for (auto& [id, r] : seen_) r.tick = {};
+    for (auto& [id, r] : replicas_) r.tick = {};
     tick_at_ = now_ + options_.tick;
   }
   while (now_ >= tick_at_) {
@@ -109,34 +110,34 @@
   }
 }
 
-void UnusualWatch::OnDecision(Time now, const policy::Event& event,
-                              const std::vector<policy::Action>& actions) {
+void AnomalyDetector::OnDecision(Time now, const policy::Event& event,
+                                 const std::vector<policy::Action>& actions) {
   Advance(now);
   if (const auto* list = std::get_if<policy::EndpointList>(&event)) {
-    if (list->scope == policy::EndpointListScope::kFailed) return OnRoster(now_, "", "failed");
+    if (list->scope == policy::EndpointListScope::kFailed) return OnEndpointList(now_, "", "failed");
     if (list->scope == policy::EndpointListScope::kFull) {
       std::vector<policy::ReplicaId> gone;
       const std::vector<policy::ReplicaId> listed = ListedIds(*list);
-      for (const auto& known : seen_) {
+      for (const auto& known : replicas_) {
         if (!std::binary_search(listed.begin(), listed.end(), known.first)) gone.push_back(known.first);
       }
       for (const policy::ReplicaId id : gone) {
-        Forget(id, seen_.at(id), now_);
-        seen_.erase(id);
+        RemoveReplica(id, replicas_.at(id), now_);
+        replicas_.erase(id);
       }
     }
     for (const policy::Endpoint& e : list->endpoints) {
       if (e.state == EndpointState::kRemoved) {
-        const auto it = seen_.find(e.id);
-        if (it == seen_.end()) continue;
-        Forget(e.id, it->second, now_);
-        seen_.erase(it);
+        const auto it = replicas_.find(e.id);
+        if (it == replicas_.end()) continue;
+        RemoveReplica(e.id, it->second, now_);
+        replicas_.erase(it);
         continue;
       }
-      Seen* r = At(e.id);
+      Replica* r = FindOrAdd(e.id);
       if (r == nullptr) continue;
       if (e.started_at > r->started_at && r->ready_since != 0) {  // another life: its past says nothing
-        Forget(e.id, *r, now_);
+        RemoveReplica(e.id, *r, now_);
         *r = {};
       }
       r->started_at = e.started_at;
@@ -145,7 +146,7 @@
     }
     // A module that was only given what the node once knew has been told nothing yet.
     const bool cached = list->scope == policy::EndpointListScope::kCached;
-    if (!cached) return OnRoster(now_, "told", "");
+    if (!cached) return OnEndpointList(now_, "told", "");
     if (told_at_ == 0) {
       cached_only_ = true;
       behind_since_ = now_;
@@ -157,17 +158,17 @@
     SizeOf(arrived->id) = {
         arrived->id, static_cast<std::uint8_t>(std::min(2 * octaves, static_cast<double>(kBuckets - 1)))};
   } else if (const auto* started = std::get_if<policy::ResponseStarted>(&event)) {
-    const Sized& sized = SizeOf(started->id);
-    if (Seen* r = At(started->replica); r != nullptr) {
+    const PromptSize& sized = SizeOf(started->id);
+    if (Replica* r = FindOrAdd(started->replica); r != nullptr) {
       r->refused = 0;
       if (sized.id == started->id) {
         const double ln = std::log(static_cast<double>(std::max<Time>(1, started->elapsed)));
         ++r->tick.first_n;
-        r->tick.first_sum += ln - Usual(sized.bucket, ln);
+        r->tick.first_sum += ln - ExpectedFirstToken(sized.bucket, ln);
       }
     }
   } else if (const auto* ended = std::get_if<policy::AttemptEnded>(&event)) {
-    if (Seen* r = At(ended->replica); r != nullptr) {
+    if (Replica* r = FindOrAdd(ended->replica); r != nullptr) {
       ++r->tick.ended;
       if (Failed(ended->outcome)) ++r->tick.failed;
       if (ended->outcome == Outcome::kAtCapacity) ++r->tick.full;
@@ -182,54 +183,54 @@
       }
     }
   } else if (const auto* probe = std::get_if<policy::HealthCheckCompleted>(&event)) {
-    if (Seen* r = At(probe->replica); r != nullptr && probe->load_report.size() > load_field_) {
+    if (Replica* r = FindOrAdd(probe->replica); r != nullptr && probe->load_report.size() > load_field_) {
       r->load = probe->load_report[load_field_];
       r->load_at = now_;
     }
   }
   for (const policy::Action& a : actions) {
     if (const auto* send = std::get_if<policy::SendAttempt>(&a)) {
-      if (Seen* r = At(send->replica); r != nullptr) ++r->tick.sent;
+      if (Replica* r = FindOrAdd(send->replica); r != nullptr) ++r->tick.sent;
     }
   }
 }
 
-void UnusualWatch::OnStart(const std::string& settings) { load_field_ = LoadFieldOf(settings); }
+void AnomalyDetector::OnStart(const std::string& settings) { load_field_ = LoadFieldOf(settings); }
 
-void UnusualWatch::OnRoster(Time now, std::string_view source, std::string_view why) {
+void AnomalyDetector::OnEndpointList(Time now, std::string_view source, std::string_view why) {
   Advance(now);
   if (source == "known") return;
   if (!why.empty()) {
     if (dark_ != 0) return;
     dark_since_ = now_;
-    dark_ = Begin({.now = now_,
-                   .kind = UnusualKind::kRosterDark,
-                   .fleet = true,
-                   .since = told_at_ != 0 ? told_at_ : now_,
-                   .before = 0,
-                   .during = 0});
+    dark_ = BeginAnomaly({.now = now_,
+                          .kind = AnomalyKind::kEndpointListUnavailable,
+                          .fleet = true,
+                          .since = told_at_ != 0 ? told_at_ : now_,
+                          .baseline = 0,
+                          .during = 0});
     return;
   }
-  const auto end = [&](std::uint64_t& number, UnusualKind kind, Time since) {
+  const auto end = [&](std::uint64_t& number, AnomalyKind kind, Time since) {
     if (number == 0) return;
-    Finish({.now = now_,
-            .number = std::exchange(number, 0),
-            .kind = kind,
-            .fleet = true,
-            .since = since,
-            .during = static_cast<double>(now_ - since) / 1e6});
+    EndAnomaly({.now = now_,
+                .number = std::exchange(number, 0),
+                .kind = kind,
+                .fleet = true,
+                .since = since,
+                .during = static_cast<double>(now_ - since) / 1e6});
   };
-  end(dark_, UnusualKind::kRosterDark, dark_since_);
-  end(behind_, UnusualKind::kRosterBehind, behind_since_);
+  end(dark_, AnomalyKind::kEndpointListUnavailable, dark_since_);
+  end(behind_, AnomalyKind::kEndpointListStale, behind_since_);
   cached_only_ = false;
   told_at_ = now_;
 }
 
 // What was counted instead of kept still counts here.
-void UnusualWatch::OnBurst(const Burst& b) {
+void AnomalyDetector::OnCoalesced(const CoalescedDecisions& b) {
   Advance(b.last);
-  for (const BurstReplica& x : b.replicas) {
-    Seen* r = At(x.id);
+  for (const CoalescedReplica& x : b.replicas) {
+    Replica* r = FindOrAdd(x.id);
     if (r == nullptr) continue;
     r->tick.sent += static_cast<std::uint32_t>(x.sent);
     r->tick.ended += static_cast<std::uint32_t>(x.served + x.failed);
@@ -237,17 +238,17 @@
   }
 }
 
-void UnusualWatch::Take(const Record& record) {
+void AnomalyDetector::OnRecord(const Record& record) {
   if (const auto* s = std::get_if<Start>(&record)) return OnStart(s->settings);
   if (const auto* d = std::get_if<Decision>(&record)) return OnDecision(d->now, d->event, d->actions);
-  if (const auto* r = std::get_if<Roster>(&record); r != nullptr && !r->again)
-    return OnRoster(r->now, r->source, r->why);
-  if (const auto* b = std::get_if<Burst>(&record)) return OnBurst(*b);
+  if (const auto* r = std::get_if<EndpointListRecord>(&record); r != nullptr && !r->repeated)
+    return OnEndpointList(r->now, r->source, r->unavailable_reason);
+  if (const auto* b = std::get_if<CoalescedDecisions>(&record)) return OnCoalesced(*b);
 }
 
 // ---- A tick ----
 
-void UnusualWatch::Fill(Seen& r, double usual_sent, double load_scale) {
+void AnomalyDetector::ComputeValues(Replica& r, double usual_sent, double load_scale) {
   const Counts& c = r.tick;
   const double ended = c.ended;
   auto& now = r.now;
@@ -259,16 +260,17 @@
     now[3] = Value{c.full / ended, floor + kFloorError};
   }
   // Few first tokens say little: they are gathered until there are some, or they get old.
-  if (c.first_n > 0 && (c.first_n >= options_.firsts || ++r.first_ticks >= options_.firsts_ticks))
+  if (c.first_n > 0 &&
+      (c.first_n >= options_.min_first_tokens || ++r.first_ticks >= options_.max_first_token_ticks))
     now[1] = Value{c.first_sum / c.first_n, kFloorFirst + kSpread / std::sqrt(c.first_n)};
   if (r.load >= 0 && now_ - r.load_at < kLoadFresh) now[2] = Value{r.load, kFloorLoad * load_scale + 1};
   if (usual_sent >= 1 && r.phase == EndpointState::kReady)
     now[4] = Value{c.sent / usual_sent, kFloorShare + 1.5 / std::sqrt(usual_sent)};
 }
 
-void UnusualWatch::Tick(Time at) {
+void AnomalyDetector::Tick(Time at) {
   double sent = 0, ready = 0, loads = 0, loaded = 0;
-  for (const auto& [id, r] : seen_) {
+  for (const auto& [id, r] : replicas_) {
     sent += r.tick.sent;
     if (r.phase == EndpointState::kReady) ++ready;
     if (r.load >= 0 && now_ - r.load_at < kLoadFresh) {
@@ -276,59 +278,63 @@
       ++loaded;
     }
   }
-  for (auto& [id, r] : seen_) Fill(r, ready > 0 ? sent / ready : 0, loaded > 0 ? loads / loaded : 0);
+  for (auto& [id, r] : replicas_)
+    ComputeValues(r, ready > 0 ? sent / ready : 0, loaded > 0 ? loads / loaded : 0);
 
   std::vector<double> others;
   for (std::size_t k = 0; k < kSeries; ++k) {
-    const auto kind = static_cast<UnusualKind>(k);
+    const auto kind = static_cast<AnomalyKind>(k);
     others.clear();
     double floors = 0;
-    for (const auto& [id, r] : seen_) {
+    for (const auto& [id, r] : replicas_) {
       if (!r.now[k]) continue;
       others.push_back(r.now[k]->x);
       floors += r.now[k]->floor;
     }
     if (others.empty()) {
-      if (fleet_[k].number != 0) Weigh(fleet_[k], at, kind, true, 0, fleet_[k].past.median(), 0, 0);
+      if (fleet_[k].number != 0)
+        UpdateSeries(fleet_[k], at, kind, true, 0, fleet_[k].baseline.median(), 0, 0);
       continue;
     }
     const double n = static_cast<double>(others.size());
     const double median = MedianOf(others), scale = ScaleOf(others, median);
     const bool compare = others.size() >= kFewestPeers;
-    for (auto& [id, r] : seen_) {
+    for (auto& [id, r] : replicas_) {
       Series& s = r.series[k];
       if (!r.now[k]) {
         // Silence is no departure, and no return either, but an event must not last for ever.
-        if (s.number != 0) Weigh(s, at, kind, false, id, s.past.median(), 0, median);
+        if (s.number != 0) UpdateSeries(s, at, kind, false, id, s.baseline.median(), 0, median);
         continue;
       }
       if (at - r.ready_since < kWarmUp) continue;
       const Value& v = *r.now[k];
-      const double own =
-          s.past.size() < options_.young ? 0 : (v.x - s.past.median()) / std::max(s.past.scale(), v.floor);
+      const double own = s.baseline.size() < options_.min_baseline_values
+                             ? 0
+                             : (v.x - s.baseline.median()) / std::max(s.baseline.scale(), v.floor);
       const double apart = (v.x - median) / std::max(scale, v.floor);
       double d = 0;
       if (compare && own * apart > 0) d = std::copysign(std::min(std::abs(own), std::abs(apart)), own);
       // Without peers there is nothing to tell one replica's doing from the fleet's: it stays with the fleet.
-      Weigh(s, at, kind, false, id, v.x, d, median);
+      UpdateSeries(s, at, kind, false, id, v.x, d, median);
     }
-    if (kind == UnusualKind::kShare) continue;  // the shares of all are always the same
+    if (kind == AnomalyKind::kTrafficShare) continue;  // the shares of all are always the same
     Series& f = fleet_[k];
     const double floor = floors / n / std::sqrt(std::max(1.0, n / 2));
-    const double d =
-        f.past.size() < options_.young ? 0 : (median - f.past.median()) / std::max(f.past.scale(), floor);
-    Weigh(f, at, kind, true, 0, median, d, median);
+    const double d = f.baseline.size() < options_.min_baseline_values
+                         ? 0
+                         : (median - f.baseline.median()) / std::max(f.baseline.scale(), floor);
+    UpdateSeries(f, at, kind, true, 0, median, d, median);
   }
 
-  for (auto& [id, r] : seen_) {
-    const bool refuses = r.phase == EndpointState::kReady && r.refused >= options_.refused_connects &&
-                         at - r.refused_since >= options_.refused_for;
+  for (auto& [id, r] : replicas_) {
+    const bool refuses = r.phase == EndpointState::kReady && r.refused >= options_.min_refused_connects &&
+                         at - r.refused_since >= options_.min_refused_time;
     if (refuses && r.contradicted == 0) {
-      r.contradicted = Begin({.now = at,
-                              .kind = UnusualKind::kRosterContradicted,
-                              .replica = id,
-                              .since = r.refused_since,
-                              .during = static_cast<double>(r.refused)});
+      r.contradicted = BeginAnomaly({.now = at,
+                                     .kind = AnomalyKind::kEndpointListContradicted,
+                                     .replica = id,
+                                     .since = r.refused_since,
+                                     .during = static_cast<double>(r.refused)});
     } else if (r.contradicted != 0 && (r.refused == 0 || r.phase != EndpointState::kReady)) {
       EndContradicted(id, r, at);
     }
@@ -341,85 +347,86 @@
       r.tick.first_sum = gathered.first_sum;
     }
   }
-  if (cached_only_ && behind_ == 0 && at - behind_since_ >= options_.behind) {
-    behind_ = Begin({.now = at, .kind = UnusualKind::kRosterBehind, .fleet = true, .since = behind_since_});
+  if (cached_only_ && behind_ == 0 && at - behind_since_ >= options_.stale_after) {
+    behind_ = BeginAnomaly(
+        {.now = at, .kind = AnomalyKind::kEndpointListStale, .fleet = true, .since = behind_since_});
   }
 }
 
-void UnusualWatch::Weigh(Series& s, Time at, UnusualKind kind, bool fleet, policy::ReplicaId id, double x,
-                         double distance, double peers) {
+void AnomalyDetector::UpdateSeries(Series& s, Time at, AnomalyKind kind, bool fleet, policy::ReplicaId id,
+                                   double x, double distance, double peers) {
   if (s.number == 0) {
-    s.past.Add(x, options_.past);
+    s.baseline.Add(x, options_.baseline_values);
     const auto sum = [&](double& total, Time& since, double d) {
       const double before = total;
-      total = std::max(0.0, total + std::min(d, options_.clip) - options_.slack);
+      total = std::max(0.0, total + std::min(d, options_.max_distance) - options_.slack);
       if (before == 0 && total > 0) since = at - options_.tick;
     };
     sum(s.up, s.up_since, distance);
     sum(s.down, s.down_since, -distance);
     // Fewer errors, refusals or less load than usual is no news; a share may depart both ways.
-    const bool both = kind == UnusualKind::kShare;
-    const bool up = s.up > options_.alarm, down = both && s.down > options_.alarm;
+    const bool both = kind == AnomalyKind::kTrafficShare;
+    const bool up = s.up > options_.alarm_sum, down = both && s.down > options_.alarm_sum;
     if (!up && !down) return;
     s.rising = up;
     s.began = up ? s.up_since : s.down_since;
-    s.before = s.past.median();
+    s.before = s.baseline.median();
     s.sum = x;
     s.n = 1;
     s.calm = 0;
     s.peers = peers;
-    s.number = Begin({.now = at,
-                      .kind = kind,
-                      .fleet = fleet,
-                      .replica = id,
-                      .since = s.began,
-                      .before = Show(kind, s.before),
-                      .during = Show(kind, x),
-                      .peers = Show(kind, peers)});
+    s.number = BeginAnomaly({.now = at,
+                             .kind = kind,
+                             .fleet = fleet,
+                             .replica = id,
+                             .since = s.began,
+                             .baseline = Displayed(kind, s.before),
+                             .during = Displayed(kind, x),
+                             .peers = Displayed(kind, peers)});
     return;
   }
   s.sum += x;
   ++s.n;
   const double d = s.rising ? distance : -distance;
-  s.calm = d < options_.calm ? s.calm + 1 : 0;
-  if (s.calm >= options_.calm_ticks) return End(s, at, kind, fleet, id);
+  s.calm = d < options_.calm_distance ? s.calm + 1 : 0;
+  if (s.calm >= options_.calm_ticks) return EndSeries(s, at, kind, fleet, id);
   // What lasts becomes the usual: the past takes it up slowly, so that a change for good ends as an event.
-  if (s.n % 4 == 0) s.past.Add(x, options_.past);
+  if (s.n % 4 == 0) s.baseline.Add(x, options_.baseline_values);
 }
 
-void UnusualWatch::End(Series& s, Time at, UnusualKind kind, bool fleet, policy::ReplicaId id) {
-  Finish({.now = at,
-          .number = std::exchange(s.number, 0),
-          .kind = kind,
-          .fleet = fleet,
-          .replica = id,
-          .since = s.began,
-          .before = Show(kind, s.before),
-          .during = Show(kind, s.sum / std::max(1, s.n)),
-          .peers = Show(kind, s.peers)});
+void AnomalyDetector::EndSeries(Series& s, Time at, AnomalyKind kind, bool fleet, policy::ReplicaId id) {
+  EndAnomaly({.now = at,
+              .number = std::exchange(s.number, 0),
+              .kind = kind,
+              .fleet = fleet,
+              .replica = id,
+              .since = s.began,
+              .baseline = Displayed(kind, s.before),
+              .during = Displayed(kind, s.sum / std::max(1, s.n)),
+              .peers = Displayed(kind, s.peers)});
   s.up = s.down = 0;
   s.calm = 0;
 }
 
-void UnusualWatch::EndContradicted(policy::ReplicaId id, Seen& r, Time at) {
-  Finish({.now = at,
-          .number = std::exchange(r.contradicted, 0),
-          .kind = UnusualKind::kRosterContradicted,
-          .replica = id,
-          .since = r.refused_since});
+void AnomalyDetector::EndContradicted(policy::ReplicaId id, Replica& r, Time at) {
+  EndAnomaly({.now = at,
+              .number = std::exchange(r.contradicted, 0),
+              .kind = AnomalyKind::kEndpointListContradicted,
+              .replica = id,
+              .since = r.refused_since});
 }
 
-void UnusualWatch::Forget(policy::ReplicaId id, Seen& r, Time at) {
+void AnomalyDetector::RemoveReplica(policy::ReplicaId id, Replica& r, Time at) {
   for (std::size_t k = 0; k < kSeries; ++k) {
-    if (r.series[k].number != 0) End(r.series[k], at, static_cast<UnusualKind>(k), false, id);
+    if (r.series[k].number != 0) EndSeries(r.series[k], at, static_cast<AnomalyKind>(k), false, id);
   }
   if (r.contradicted != 0) EndContradicted(id, r, at);
 }
 
-void UnusualWatch::Close() {
-  for (auto& [id, r] : seen_) Forget(id, r, now_);
+void AnomalyDetector::Close() {
+  for (auto& [id, r] : replicas_) RemoveReplica(id, r, now_);
   for (std::size_t k = 0; k < kSeries; ++k) {
-    if (fleet_[k].number != 0) End(fleet_[k], now_, static_cast<UnusualKind>(k), true, 0);
+    if (fleet_[k].number != 0) EndSeries(fleet_[k], now_, static_cast<AnomalyKind>(k), true, 0);
   }
 }
 
--- a/src/timeline/anomaly_model.h
+++ b/src/timeline/anomaly_model.h
@@ -27,43 +27,44 @@
 
 namespace ryeglade::timeline {
 
-struct UnusualOptions {
+struct AnomalyOptions {
   Time tick = 1'000'000;
-  std::size_t past = 90;     // values of a series that its past holds
-  std::uint32_t firsts = 5;  // first tokens that are one value, gathered over up to firsts_ticks
-  int firsts_ticks = 6;
-  std::size_t young = 15;  // fewer than this say nothing yet
-  double clip = 6;         // of one distance
-  double slack = 2.0;      // robust standard deviations that are not worth a word
-  double alarm = 9;        // summed distances that are
-  double calm = 1.5;       // a distance below this counts towards the end
+  std::size_t baseline_values = 90;  // values of a series that its baseline holds
+  std::uint32_t min_first_tokens =
+      5;  // first tokens that are one value, gathered over up to max_first_token_ticks
+  int max_first_token_ticks = 6;
+  std::size_t min_baseline_values = 15;  // below it nothing is compared
+  double max_distance = 6;               // a larger one counts as this
+  double slack = 2.0;                    // robust standard deviations that do not count
+  double alarm_sum = 9;                  // summed distances at which an anomaly begins
+  double calm_distance = 1.5;            // a distance below this counts towards the end
   int calm_ticks = 4;
-  Time behind = 5'000'000;       // a list that old, when it is only what the node once knew, is behind
-  int refused_connects = 4;      // in a row, at a replica that the roster calls ready
-  Time refused_for = 2'000'000;  // and for this long
-  std::size_t most_replicas = 4096;
+  Time stale_after = 5'000'000;       // a list that old, when it is only what the node had cached, is stale
+  int min_refused_connects = 4;       // in a row, at a replica that the endpoint list calls ready
+  Time min_refused_time = 2'000'000;  // and for this long
+  std::size_t max_replicas = 4096;
 };
 
-class UnusualWatch {
+class AnomalyDetector {
  public:
-  using Sink = std::function<void(const Unusual&)>;
-  explicit UnusualWatch(Sink sink, UnusualOptions options = {});
+  using Sink = std::function<void(const Anomaly&)>;
+  explicit AnomalyDetector(Sink sink, AnomalyOptions options = {});
 
   // In order; times that step back are held still.
   void OnDecision(Time now, const policy::Event& event, const std::vector<policy::Action>& actions);
   void OnStart(const std::string& settings);
-  void OnRoster(Time now, std::string_view source, std::string_view why);
-  void OnBurst(const Burst& burst);
-  void Take(const Record& record);  // any of them
-  void Close();                     // ends what has begun
+  void OnEndpointList(Time now, std::string_view source, std::string_view unavailable_reason);
+  void OnCoalesced(const CoalescedDecisions& coalesced);
+  void OnRecord(const Record& record);  // of any kind
+  void Close();                         // ends the anomalies that have begun
 
-  std::size_t open() const { return open_; }
+  std::size_t open_anomalies() const { return open_; }
 
  private:
-  static constexpr std::size_t kSeries = 5;  // the first kinds of UnusualKind
+  static constexpr std::size_t kSeries = 5;  // the first kinds of AnomalyKind
 
   // The last values, and their median and scale.
-  class Past {
+  class Baseline {
    public:
     void Add(double x, std::size_t most);
     std::size_t size() const { return values_.size(); }
@@ -78,7 +79,7 @@
     double median_ = 0, scale_ = 0;
   };
   struct Series {
-    Past past;
+    Baseline baseline;
     double up = 0, down = 0;  // the two sums
     Time up_since = 0, down_since = 0;
     std::uint64_t number = 0;  // of the event that lasts; 0: none
@@ -96,7 +97,7 @@
     double x = 0;
     double floor = 0;  // of the scale
   };
-  struct Seen {
+  struct Replica {
     policy::EndpointState phase = policy::EndpointState::kRemoved;
     Time ready_since = 0;
     Time started_at = 0;
@@ -111,32 +112,32 @@
     std::array<std::optional<Value>, kSeries> now;
   };
 
-  Seen* At(policy::ReplicaId id);
+  Replica* FindOrAdd(policy::ReplicaId id);
   void Advance(Time now);
   void Tick(Time at);
-  void Fill(Seen& r, double usual_sent, double load_scale);
-  void Weigh(Series& s, Time at, UnusualKind kind, bool fleet, policy::ReplicaId id, double x,
-             double distance, double peers);
-  void End(Series& s, Time at, UnusualKind kind, bool fleet, policy::ReplicaId id);
-  std::uint64_t Begin(Unusual u);
-  void Finish(Unusual u);
-  void EndContradicted(policy::ReplicaId id, Seen& r, Time at);
-  void Forget(policy::ReplicaId id, Seen& r, Time at);
-  static double Show(UnusualKind kind, double x);
-  struct Sized {  // how long a request's prompt is; a newer one may take its place
+  void ComputeValues(Replica& r, double usual_sent, double load_scale);
+  void UpdateSeries(Series& s, Time at, AnomalyKind kind, bool fleet, policy::ReplicaId id, double x,
+                    double distance, double peers);
+  void EndSeries(Series& s, Time at, AnomalyKind kind, bool fleet, policy::ReplicaId id);
+  std::uint64_t BeginAnomaly(Anomaly anomaly);
+  void EndAnomaly(Anomaly anomaly);
+  void EndContradicted(policy::ReplicaId id, Replica& r, Time at);
+  void RemoveReplica(policy::ReplicaId id, Replica& r, Time at);
+  static double Displayed(AnomalyKind kind, double x);
+  struct PromptSize {  // of a request; a newer one may take its place
     policy::RequestId id = 0;
     std::uint8_t bucket = 0;
   };
-  static constexpr std::size_t kSized = 16384, kBuckets = 40;
-  Sized& SizeOf(policy::RequestId id) { return sized_[(id * 0x9e3779b97f4a7c15ULL) >> 50]; }
-  double Usual(std::uint8_t bucket, double ln);  // of that length; and learns
+  static constexpr std::size_t kPromptSizes = 16384, kBuckets = 40;
+  PromptSize& SizeOf(policy::RequestId id) { return prompt_sizes_[(id * 0x9e3779b97f4a7c15ULL) >> 50]; }
+  double ExpectedFirstToken(std::uint8_t bucket, double ln);  // of that length; and learns
 
   Sink sink_;
-  UnusualOptions options_;
+  AnomalyOptions options_;
   Time now_ = 0, tick_at_ = 0;
-  std::map<policy::ReplicaId, Seen> seen_;
+  std::map<policy::ReplicaId, Replica> replicas_;
   std::array<Series, kSeries> fleet_;
-  std::vector<Sized> sized_ = std::vector<Sized>(kSized);
+  std::vector<PromptSize> prompt_sizes_ = std::vector<PromptSize>(kPromptSizes);
   struct Mean {
     double mean = 0, n = 0;
   };
--- a/src/timeline/block.cpp
+++ b/src/timeline/block.cpp
@@ -42,7 +42,7 @@
   if (file.size() < kHead || Take<std::uint32_t>(file, 0) != kBlockMark) return std::nullopt;
   const std::size_t raw = Take<std::uint32_t>(file, 4), packed = Take<std::uint32_t>(file, 8);
   if (XXH3_64bits(file.data(), 20) != Take<std::uint64_t>(file, 20)) return std::nullopt;
-  if (raw > kMostRaw || packed > file.size() - kHead) return std::nullopt;
+  if (raw > kMaxRawBlockBytes || packed > file.size() - kHead) return std::nullopt;
   const std::string_view payload = file.substr(kHead, packed);
   if (XXH3_64bits(payload.data(), payload.size()) != Take<std::uint64_t>(file, 28)) return std::nullopt;
   Block block{Take<std::uint64_t>(file, 12), std::string(raw, '\0'), kHead + packed};
--- a/src/timeline/block.h
+++ b/src/timeline/block.h
@@ -13,7 +13,7 @@
 
 namespace ryeglade::timeline {
 
-inline constexpr std::size_t kMostRaw = std::size_t{4} * 1024 * 1024;  // of one block
+inline constexpr std::size_t kMaxRawBlockBytes = std::size_t{4} * 1024 * 1024;  // of one block
 
 std::string FileHead();
 // The block's bytes for a file. `number` counts up through a process's life, over all its files.
--- a/src/timeline/coalescing_model.h
+++ b/src/timeline/coalescing_model.h
@@ -11,36 +11,36 @@
 
 namespace ryeglade::timeline {
 
-class Budget {
+class RecordBudget {
  public:
   // A second's worth may come at once. Once spent, nothing is kept until a quarter of that is back, so that a
   // burst leaves few holes rather than many.
-  explicit Budget(std::size_t bytes_per_second)
-      : rate_(static_cast<double>(bytes_per_second)), left_(rate_) {}
+  explicit RecordBudget(std::size_t bytes_per_second)
+      : bytes_per_second_(static_cast<double>(bytes_per_second)), available_(bytes_per_second_) {}
 
   // Whether what comes now may be kept; Spend what it took.
-  bool Open(Time now);
-  void Spend(std::size_t bytes) { left_ -= static_cast<double>(bytes); }
+  bool MayKeep(Time now);
+  void Spend(std::size_t bytes) { available_ -= static_cast<double>(bytes); }
 
  private:
-  double rate_, left_;
+  double bytes_per_second_, available_;
   Time at_ = 0;
-  bool shut_ = false;
+  bool exhausted_ = false;
 };
 
 class Coalescer {
  public:
-  static constexpr std::size_t kMostReplicas = 64;  // counted one by one
-  static constexpr Time kLongest = 1'000'000;       // of one burst record
+  static constexpr std::size_t kMaxReplicas = 64;  // counted one by one
+  static constexpr Time kMaxSpan = 1'000'000;      // of one burst record
 
   void Count(Time now, const policy::Event& event, const std::vector<policy::Action>& actions);
-  bool Due(Time now) const { return burst_.decisions > 0 && now - burst_.first >= kLongest; }
+  bool Due(Time now) const { return counted_.decisions > 0 && now - counted_.first >= kMaxSpan; }
   // What was counted since the last call; absent: nothing.
-  std::optional<Burst> Cut();
+  std::optional<CoalescedDecisions> TakeCounted();
 
  private:
-  BurstReplica* At(policy::ReplicaId id);
-  Burst burst_;
+  CoalescedReplica* FindOrAdd(policy::ReplicaId id);
+  CoalescedDecisions counted_;
 };
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/export_model.cpp
+++ b/src/timeline/export_model.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-std::vector<TextTable> Sheets(const Lanes& lanes) {
+std::vector<TextTable> TimelineTables(const ReplicaTimelines& lanes) {
   const auto ms = [](Time t) { return t / 1000; };
   Rows bins("bins", {{"start_ms", Wholes{}},
                      {"replica", Texts{}},
@@ -38,21 +38,21 @@
                        {"outcome", Texts{}},
                        {"failures", Wholes{}}});
   Rows marks("marks", {{"at_ms", Wholes{}}, {"replica", Texts{}}, {"what", Texts{}}});
-  for (const LaneMark& m : lanes.marks()) marks.Add(ms(m.at), "", m.text);
-  for (const auto& [id, lane] : lanes.lanes()) {
+  for (const Annotation& m : lanes.annotations()) marks.Add(ms(m.at), "", m.text);
+  for (const auto& [id, lane] : lanes.replicas()) {
     const std::string title = lane.Title();
     for (const auto& [n, b] : lane.bins) {
-      const LaneSpan* span = Lanes::At(lane, lanes.BinStart(n) + lanes.width() - 1);
-      bins.Add(ms(lanes.BinStart(n)), title, b.sent, b.served, b.failed, b.full, b.cancelled,
-               OrNothing(b.first_n > 0 ? b.first_sum / b.first_n : -1.0),
-               OrNothing(b.first_n > 0 ? b.first_most : -1.0), b.in_flight, OrNothing(b.load),
-               OrNothing(b.load_age), Name(span == nullptr ? LaneState::kUnlisted : span->state));
+      const StateSpan* span = ReplicaTimelines::SpanAt(lane, lanes.BinStart(n) + lanes.width() - 1);
+      bins.Add(ms(lanes.BinStart(n)), title, b.sent, b.served, b.failed, b.at_capacity, b.cancelled,
+               OrNothing(b.first_tokens > 0 ? b.first_token_sum / b.first_tokens : -1.0),
+               OrNothing(b.first_tokens > 0 ? b.first_token_max : -1.0), b.in_flight, OrNothing(b.load),
+               OrNothing(b.load_age), Name(span == nullptr ? ReplicaState::kUnlisted : span->state));
     }
-    for (const LaneSpan& s : lane.spans)
+    for (const StateSpan& s : lane.spans)
       states.Add(title, ms(s.from), ms(s.to), Name(s.state), Name(s.known), s.why);
-    for (const LaneRest& r : lane.rests)
-      rests.Add(title, ms(r.from), ms(r.until), ryeglade::Name(r.outcome), r.failures);
-    for (const LaneMark& m : lane.marks) marks.Add(ms(m.at), title, m.text);
+    for (const EjectionSpan& r : lane.ejections)
+      rests.Add(title, ms(r.from), ms(r.until), ryeglade::Name(r.outcome), r.consecutive_failures);
+    for (const Annotation& m : lane.annotations) marks.Add(ms(m.at), title, m.text);
   }
   Rows fleet("fleet", {{"start_ms", Wholes{}},
                        {"arrived", Wholes{}},
@@ -63,7 +63,8 @@
                        {"client_gone", Wholes{}},
                        {"counted_not_kept", Wholes{}}});
   for (const auto& [n, f] : lanes.fleet())
-    fleet.Add(ms(lanes.BinStart(n)), f.arrived, f.sent, f.served, f.refused, f.failed, f.gone, f.coalesced);
+    fleet.Add(ms(lanes.BinStart(n)), f.arrived, f.sent, f.served, f.rejected, f.failed, f.disconnected,
+              f.coalesced);
   Rows events("events", {{"at_ms", Wholes{}},
                          {"number", Wholes{}},
                          {"what", Texts{}},
@@ -73,10 +74,10 @@
                          {"before", Numbers{}},
                          {"during", Numbers{}},
                          {"peers", Numbers{}}});
-  for (const Unusual& u : lanes.unusual()) {
+  for (const Anomaly& u : lanes.anomalies()) {
     events.Add(ms(u.now), u.number, u.begins ? "begins" : "ends", Name(u.kind),
-               u.fleet ? std::string("fleet") : lanes.TitleOf(u.replica), ms(u.since), u.before, u.during,
-               u.peers);
+               u.fleet ? std::string("fleet") : lanes.ReplicaTitle(u.replica), ms(u.since), u.baseline,
+               u.during, u.peers);
   }
   std::vector<TextTable> sheets;
   for (Rows* r : {&bins, &fleet, &states, &rests, &events, &marks}) sheets.push_back(r->Take());
--- a/src/timeline/export_model.h
+++ b/src/timeline/export_model.h
@@ -1,4 +1,4 @@
-// Lanes as tables: columns of numbers and words, for CSV and for the columnar file. No I/O.
+// ReplicaTimelines as tables: columns of numbers and words, for CSV and for the columnar file. No I/O.
 #pragma once
 
 #include <vector>
@@ -10,6 +10,6 @@
 
 // `bins` (replica by bin), `fleet`, `states`, `rests`, `events` and `marks`. A load that was not reported is
 // NaN, in CSV an empty field: never zero.
-std::vector<TextTable> Sheets(const Lanes& lanes);
+std::vector<TextTable> TimelineTables(const ReplicaTimelines& lanes);
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/flight_record_codec.h
+++ b/src/timeline/flight_record_codec.h
@@ -15,7 +15,7 @@
 using policy::Time;
 
 // 6 had no DeadlineShortened and no bound on writing an attempt; 5 had nothing of what other nodes tell; 4 no
-// part of the tier; 3 nothing inherited; 2 no Tier; 1 no more than Start, Decision and Gap.
+// part of the tier; 3 nothing inherited; 2 no ClusterEventRecord; 1 no more than Start, Decision and Gap.
 inline constexpr std::uint32_t kFormat = 7;
 
 // The first record of a process: what a Router is built from.
@@ -39,115 +39,114 @@
   std::uint64_t records = 0;
 };
 
-// Who a replica is, and where. Said when it is first listed, when something of it changes, and again now and
-// then for readers of a record whose beginning is gone.
-struct Member {
+// Identity and address of a replica. Written when it is first listed, when something of it changes, and
+// repeated now and then for readers of a record whose beginning is gone.
+struct EndpointRecord {
   Time now = 0;
   policy::ReplicaId id = 0;
   std::string name, address;
   Time started_at = 0;
-  policy::EndpointState phase = policy::EndpointState::kReady;
-  bool again = false;  // nothing has changed
+  policy::EndpointState state = policy::EndpointState::kReady;
+  bool repeated = false;  // nothing has changed
 };
 
-// Where the list of replicas comes from, and whether it could be had.
-struct Roster {
+// Where the endpoint list comes from, and whether it could be had.
+struct EndpointListRecord {
   Time now = 0;
   std::string source;  // "known", "watch" or "fetch"
   std::uint64_t generation = 0;
-  std::string why;  // empty: a list came; else the roster is dark, for that reason
-  bool again = false;
+  std::string unavailable_reason;  // empty: a list came
+  bool repeated = false;
 };
 
 // Decisions that came faster than the record's budget allows, counted instead of kept.
-struct BurstReplica {
+struct CoalescedReplica {
   policy::ReplicaId id = 0;
   std::uint64_t sent = 0, served = 0, failed = 0;
 };
-struct Burst {
+struct CoalescedDecisions {
   Time first = 0, last = 0;
   std::uint64_t decisions = 0;
-  std::uint64_t arrived = 0, sent = 0, refused = 0, failed = 0, lists = 0;
-  std::vector<std::uint64_t> outcomes;  // of attempts, by policy::Outcome
-  std::vector<BurstReplica> replicas;   // the first that were met
-  std::uint64_t elsewhere = 0;          // attempts at others
+  std::uint64_t arrived = 0, sent = 0, rejected = 0, failed = 0, endpoint_lists = 0;
+  std::vector<std::uint64_t> outcomes;     // of attempts, by policy::Outcome
+  std::vector<CoalescedReplica> replicas;  // the first that were met
+  std::uint64_t other_attempts = 0;        // at replicas beyond those
 };
 
-// A reason, where the record keeps them; else a replay tells them.
-struct Note {
+// The reason of a decision, where the record keeps them; else a replay finds them.
+struct ReasonRecord {
   Time now = 0;
-  std::variant<policy::DispatchRecord, policy::ConclusionRecord, policy::EjectionRecord> what;
+  std::variant<policy::DispatchRecord, policy::ConclusionRecord, policy::EjectionRecord> reason;
 };
 
-// Something departed from the usual, or is back.
-enum class UnusualKind : std::uint8_t {
+// A metric has departed from its baseline, or is back.
+enum class AnomalyKind : std::uint8_t {
   kErrors,
   kFirstToken,
   kLoad,
-  kRefusals,
-  kShare,
-  kRosterDark,
-  kRosterBehind,
-  kRosterContradicted,
+  kRejections,
+  kTrafficShare,
+  kEndpointListUnavailable,
+  kEndpointListStale,
+  kEndpointListContradicted,
   kCount
 };
-struct Unusual {
+struct Anomaly {
   Time now = 0;
   std::uint64_t number = 0;  // the same at its end
   bool begins = true;
-  UnusualKind kind = UnusualKind::kErrors;
+  AnomalyKind kind = AnomalyKind::kErrors;
   bool fleet = false;  // of all replicas together
   policy::ReplicaId replica = 0;
-  Time since = 0;     // when it began to depart, as far as can be told
-  double before = 0;  // the figure before, and while it lasts (at the end: over all of it)
-  double during = 0;
-  double peers = 0;  // that of the others at the time
+  Time since = 0;       // when the departure began, as far as can be told
+  double baseline = 0;  // the metric before,
+  double during = 0;    // while it lasts (at the end: over all of it),
+  double peers = 0;     // and at the other replicas at the time
 };
 
-// What clients call a request. The number by which the module knows it comes again once the request is over.
-struct Named {
+// What clients call a request. The module uses its number again once the request has concluded.
+struct CallIdRecord {
   Time now = 0;
   policy::RequestId id = 0;
   std::string call_id;
 };
 
-// Something changed among the nodes of the tier, as this node's membership has it.
-struct Tier {
+// Something changed among the nodes of the cluster, as this node's membership has it.
+struct ClusterEventRecord {
   Time now = 0;
   std::string what;        // a reason word of docs/operators-membership.md
-  std::string member, by;  // about whom, and who said so; may be empty
+  std::string member, by;  // about whom, and who reported it; may be empty
   std::uint64_t value = 0;
   std::uint64_t live = 0;  // nodes in the view, this one included
 };
 
-using Record = std::variant<Start, Decision, Gap, Member, Roster, Burst, Note, Unusual, Named, Tier>;
+using Record = std::variant<Start, Decision, Gap, EndpointRecord, EndpointListRecord, CoalescedDecisions,
+                            ReasonRecord, Anomaly, CallIdRecord, ClusterEventRecord>;
 
 // The replicas that a list names, in order.
 std::vector<policy::ReplicaId> ListedIds(const policy::EndpointList& list);
 // When it was; 0: it does not say (a gap).
-Time TimeOf(const Record& record);
-const char* Name(UnusualKind kind);
+Time RecordTime(const Record& record);
+const char* Name(AnomalyKind kind);
 
 // Appends the record's bytes.
-void EncodeAny(const Record& record, std::string& out);
+void EncodeRecord(const Record& record, std::string& out);
 void Encode(const Start& start, std::string& out);
 void Encode(Time now, const policy::Event& event, const std::vector<policy::Action>& actions,
             std::string& out);
 void Encode(const Gap& gap, std::string& out);
-void Encode(const Member& member, std::string& out);
-void Encode(const Roster& roster, std::string& out);
-void Encode(const Burst& burst, std::string& out);
-void Encode(const Note& note, std::string& out);
-void Encode(const Unusual& unusual, std::string& out);
-void Encode(const Named& named, std::string& out);
-void Encode(const Tier& tier, std::string& out);
+void Encode(const EndpointRecord& endpoint, std::string& out);
+void Encode(const EndpointListRecord& list, std::string& out);
+void Encode(const CoalescedDecisions& coalesced, std::string& out);
+void Encode(const ReasonRecord& reason, std::string& out);
+void Encode(const Anomaly& anomaly, std::string& out);
+void Encode(const CallIdRecord& call, std::string& out);
+void Encode(const ClusterEventRecord& event, std::string& out);
 
 // Reads all records of a block; throws std::runtime_error for bytes that are none. What was read before is in
 // `out`.
 void Decode(std::string_view block, std::vector<Record>& out);
 
-// In words, for people: one line without a line end.
-std::string Words(const Record& record);
 // The same bytes mean the same action.
 std::string ActionBytes(const std::vector<policy::Action>& actions);
 
--- a/src/timeline/flight_recorder.cpp
+++ b/src/timeline/flight_recorder.cpp
@@ -24,8 +24,8 @@
 constexpr std::size_t kMostMembers = 4096;
 constexpr std::size_t kMostNotes = std::size_t{16} * 1024;  // bytes, of one decision
 
-bool Same(const Member& a, const Member& b) {
-  return a.name == b.name && a.address == b.address && a.started_at == b.started_at && a.phase == b.phase;
+bool Same(const EndpointRecord& a, const EndpointRecord& b) {
+  return a.name == b.name && a.address == b.address && a.started_at == b.started_at && a.state == b.state;
 }
 
 }  // namespace
@@ -103,7 +103,7 @@
       options_(std::move(options)),
       disk_(std::make_unique<Disk>()),
       budget_(options_.bytes_per_second),
-      watch_([this](const Unusual& u) {
+      watch_([this](const Anomaly& u) {
         unusual_ += u.begins ? 1 : 0;
         Keep(u);
         const std::string id = Hex8(u.replica);
@@ -111,7 +111,7 @@
             {{"number", u.number},
              {"kind", Name(u.kind)},
              {"of", u.fleet ? std::string_view("fleet") : std::string_view(id)},
-             {"before", u.before},
+             {"before", u.baseline},
              {"during", u.during},
              {"peers", u.peers}});
       }) {
@@ -151,7 +151,7 @@
     }
   }
   if (options_.watch) watch_.OnDecision(now, event, actions);
-  if (!budget_.Open(now)) {
+  if (!budget_.MayKeep(now)) {
     coalescer_.Count(now, event, actions);
     ++coalesced_;
     notes_.clear();
@@ -175,20 +175,20 @@
   if (block_.size() >= options_.block_bytes) Cut();
 }
 
-void FlightRecorder::Because(const decltype(Note::what)& what) {
+void FlightRecorder::Because(const decltype(ReasonRecord::reason)& what) {
   if (closed_ || notes_.size() > kMostNotes) return;
-  Encode(Note{Now(), what}, notes_);
+  Encode(ReasonRecord{Now(), what}, notes_);
   ++in_notes_;
 }
 
 void FlightRecorder::FlushBurst() {
-  if (const std::optional<Burst> burst = coalescer_.Cut()) Keep(*burst);
+  if (const std::optional<CoalescedDecisions> burst = coalescer_.TakeCounted()) Keep(*burst);
 }
 
 void FlightRecorder::OnEndpoint(Time now, const policy::Endpoint& entry, const std::string& name,
                                 const std::string& address) {
   if (closed_) return;
-  const Member m{now, entry.id, name, address, entry.started_at, entry.state, false};
+  const EndpointRecord m{now, entry.id, name, address, entry.started_at, entry.state, false};
   const auto it = members_.find(entry.id);
   if (it != members_.end() && Same(it->second, m)) return;
   if (it == members_.end() && members_.size() >= kMostMembers) return;
@@ -201,14 +201,14 @@
   if (closed_) return;
   roster_ = {now, std::string(source), generation, std::string(why), false};
   Keep(roster_);
-  if (options_.watch) watch_.OnRoster(now, source, why);
+  if (options_.watch) watch_.OnEndpointList(now, source, why);
 }
 
 // Names are left out first where the budget is short.
 void FlightRecorder::OnCallId(Time now, policy::RequestId id, std::string_view call_id) {
-  if (closed_ || call_id.empty() || !budget_.Open(now)) return;
+  if (closed_ || call_id.empty() || !budget_.MayKeep(now)) return;
   const std::size_t before = block_.size();
-  Encode(Named{now, id, std::string(call_id.substr(0, 128))}, block_);
+  Encode(CallIdRecord{now, id, std::string(call_id.substr(0, 128))}, block_);
   budget_.Spend(block_.size() - before);
   Kept();
 }
@@ -216,9 +216,10 @@
 // What flaps is left out where the budget is short.
 void FlightRecorder::OnClusterEvent(Time now, std::string_view what, std::string_view member,
                                     std::string_view by, std::uint64_t value, std::size_t live) {
-  if (closed_ || !budget_.Open(now)) return;
+  if (closed_ || !budget_.MayKeep(now)) return;
   const std::size_t before = block_.size();
-  Encode(Tier{now, std::string(what), std::string(member), std::string(by), value, live}, block_);
+  Encode(ClusterEventRecord{now, std::string(what), std::string(member), std::string(by), value, live},
+         block_);
   budget_.Spend(block_.size() - before);
   Kept();
 }
@@ -226,14 +227,14 @@
 void FlightRecorder::Again(Time now) {
   again_at_ = now + kAgainEvery;
   for (const auto& [id, member] : members_) {
-    Member m = member;
+    EndpointRecord m = member;
     m.now = now;
-    m.again = true;
+    m.repeated = true;
     Keep(m);
   }
   if (roster_.now == 0) return;
-  Roster r = roster_;
-  r.again = true;  // its time stays: that is how old the list is
+  EndpointListRecord r = roster_;
+  r.repeated = true;  // its time stays: that is how old the list is
   Keep(r);
 }
 
--- a/src/timeline/flight_recorder.h
+++ b/src/timeline/flight_recorder.h
@@ -89,7 +89,7 @@
     Kept();
   }
   void Kept(std::uint64_t records = 1);  // behind what was put into the block
-  void Because(const decltype(Note::what)& what);
+  void Because(const decltype(ReasonRecord::reason)& what);
   void FlushBurst();
   void Again(Time now);  // who is who, for readers of a record whose beginning is gone
   void Cut();            // the block at hand goes to the queue
@@ -107,13 +107,13 @@
   bool closed_ = false;
   DeadlineId due_{};
   std::uint64_t records_ = 0, dropped_ = 0, coalesced_ = 0, unusual_ = 0;
-  Budget budget_;
+  RecordBudget budget_;
   Coalescer coalescer_;
   std::string notes_;  // of the decision that is being taken
   std::uint64_t in_notes_ = 0;
-  UnusualWatch watch_;
-  std::map<policy::ReplicaId, Member> members_;
-  Roster roster_;
+  AnomalyDetector watch_;
+  std::map<policy::ReplicaId, EndpointRecord> members_;
+  EndpointListRecord roster_;
   Time again_at_ = 0;
   std::deque<std::string> ring_;  // raw blocks
   std::size_t ring_size_ = 0;
--- a/src/timeline/merge_model.cpp
+++ b/src/timeline/merge_model.cpp
@@ -20,17 +20,17 @@
 }
 
 // What is known counts more than what is not; of what two nodes know, the one that keeps work away.
-int Rank(LaneState s) {
+int Rank(ReplicaState s) {
   switch (s) {
-    case LaneState::kDraining:
+    case ReplicaState::kDraining:
       return 4;
-    case LaneState::kReady:
+    case ReplicaState::kReady:
       return 3;
-    case LaneState::kGone:
+    case ReplicaState::kGone:
       return 2;
-    case LaneState::kUnknown:
+    case ReplicaState::kUnknown:
       return 1;
-    case LaneState::kUnlisted:
+    case ReplicaState::kUnlisted:
       return 0;
   }
   return 0;
@@ -38,10 +38,10 @@
 
 }  // namespace
 
-Merge::Merge(const std::vector<Lanes>& nodes) {
+TimelineMerge::TimelineMerge(const std::vector<ReplicaTimelines>& nodes) {
   Time begin = std::numeric_limits<Time>::max(), end = 0, width = 1;
   std::uint32_t most_bins = 1;
-  for (const Lanes& n : nodes) {
+  for (const ReplicaTimelines& n : nodes) {
     MergedNode m{n.node()};
     std::vector<Time> differences;
     if (!nodes_.empty()) {
@@ -61,7 +61,7 @@
     begin = std::min(begin, n.begin() + m.offset);
     end = std::max(end, n.end() + m.offset);
     width = std::max(width, n.width());
-    most_bins = std::max(most_bins, n.options_.most_bins);
+    most_bins = std::max(most_bins, n.options_.max_bins);
   }
   merged_.width_ = width;
   if (end == 0) return;
@@ -69,78 +69,79 @@
   merged_.begin_ = begin;
   merged_.end_ = end;
   while ((end - begin) / merged_.width_ >= static_cast<Time>(most_bins)) merged_.width_ *= 2;
-  const auto bin_of = [&](const Lanes& n, std::size_t i, std::uint32_t bin) {
+  const auto bin_of = [&](const ReplicaTimelines& n, std::size_t i, std::uint32_t bin) {
     return static_cast<std::uint32_t>((n.BinStart(bin) + nodes_[i].offset - begin) / merged_.width_);
   };
 
   // By name: the number of a replica may differ where two names clash.
-  std::map<std::string, std::vector<std::pair<std::size_t, const Lane*>>> by_name;
+  std::map<std::string, std::vector<std::pair<std::size_t, const ReplicaTimeline*>>> by_name;
   for (std::size_t i = 0; i < nodes.size(); ++i) {
-    const Lanes& n = nodes[i];
-    for (const auto& [id, lane] : n.lanes()) by_name[lane.Title()].emplace_back(i, &lane);
+    const ReplicaTimelines& n = nodes[i];
+    for (const auto& [id, lane] : n.replicas()) by_name[lane.Title()].emplace_back(i, &lane);
     for (const auto& [bin, f] : n.fleet()) merged_.fleet_[bin_of(n, i, bin)].Add(f);
-    for (std::size_t w = 0; w < merged_.whys_.size(); ++w) merged_.whys_[w] += n.whys()[w];
-    merged_.lanes_left_out_ += n.lanes_left_out();
-    for (const LaneMark& m : n.marks())
-      merged_.marks_.push_back({m.at + nodes_[i].offset, nodes_[i].name + ": " + m.text});
+    for (std::size_t w = 0; w < merged_.conclusions_.size(); ++w)
+      merged_.conclusions_[w] += n.conclusions()[w];
+    merged_.dropped_replicas_ += n.dropped_replicas();
+    for (const Annotation& m : n.annotations())
+      merged_.annotations_.push_back({m.at + nodes_[i].offset, nodes_[i].name + ": " + m.text});
     merged_.node_ += (i > 0 ? "+" : "") + nodes_[i].name;
   }
-  std::stable_sort(merged_.marks_.begin(), merged_.marks_.end(),
-                   [](const LaneMark& a, const LaneMark& b) { return a.at < b.at; });
+  std::stable_sort(merged_.annotations_.begin(), merged_.annotations_.end(),
+                   [](const Annotation& a, const Annotation& b) { return a.at < b.at; });
 
   std::vector<std::map<policy::ReplicaId, policy::ReplicaId>> ids(nodes.size());  // by node: theirs to ours
   for (const auto& [name, parts] : by_name) {
     policy::ReplicaId id = parts.front().second->id;
-    while (merged_.lanes_.contains(id)) ++id;
-    Lane& lane = merged_.lanes_[id];
+    while (merged_.replicas_.contains(id)) ++id;
+    ReplicaTimeline& lane = merged_.replicas_[id];
     lane.id = id;
     for (const auto& [i, part] : parts) {
       ids[i][part->id] = id;
       if (!part->name.empty()) lane.name = part->name;
       lane.address = part->address;
-      lane.left_out += part->left_out;
+      lane.dropped_items += part->dropped_items;
       // Nodes count in flight and load side by side: this node's add up, what the replica reports does not.
-      std::map<std::uint32_t, LaneBin> folded;
+      std::map<std::uint32_t, ReplicaBin> folded;
       for (const auto& [bin, b] : part->bins) folded[bin_of(nodes[i], i, bin)].Add(b);
       for (const auto& [bin, b] : folded) {
         const std::int32_t before = lane.bins[bin].in_flight;
         lane.bins[bin].Add(b);
         lane.bins[bin].in_flight = before + b.in_flight;
       }
-      for (LaneRest r : part->rests) {
+      for (EjectionSpan r : part->ejections) {
         r.from += nodes_[i].offset;
         r.until += nodes_[i].offset;
-        lane.rests.push_back(r);
+        lane.ejections.push_back(r);
       }
-      for (const LaneMark& m : part->marks)
-        lane.marks.push_back({m.at + nodes_[i].offset, nodes_[i].name + ": " + m.text});
+      for (const Annotation& m : part->annotations)
+        lane.annotations.push_back({m.at + nodes_[i].offset, nodes_[i].name + ": " + m.text});
     }
-    std::sort(lane.rests.begin(), lane.rests.end(),
-              [](const LaneRest& a, const LaneRest& b) { return a.from < b.from; });
+    std::sort(lane.ejections.begin(), lane.ejections.end(),
+              [](const EjectionSpan& a, const EjectionSpan& b) { return a.from < b.from; });
     Join(lane, lane.Title(), parts);
   }
   for (std::size_t i = 0; i < nodes.size(); ++i) {
-    for (Unusual u : nodes[i].unusual()) {
+    for (Anomaly u : nodes[i].anomalies()) {
       u.now += nodes_[i].offset;
       u.since += nodes_[i].offset;
       u.number = u.number * nodes.size() + i;  // each node counts for itself
       if (const auto ours = ids[i].find(u.replica); !u.fleet && ours != ids[i].end())
         u.replica = ours->second;
-      merged_.unusual_.push_back(u);
+      merged_.anomalies_.push_back(u);
     }
   }
-  std::stable_sort(merged_.unusual_.begin(), merged_.unusual_.end(),
-                   [](const Unusual& a, const Unusual& b) { return a.now < b.now; });
+  std::stable_sort(merged_.anomalies_.begin(), merged_.anomalies_.end(),
+                   [](const Anomaly& a, const Anomaly& b) { return a.now < b.now; });
   std::sort(disagreements_.begin(), disagreements_.end(),
             [](const Disagreement& a, const Disagreement& b) { return a.from < b.from; });
 }
 
 // The states of one replica as all nodes together know them.
-void Merge::Join(Lane& into, const std::string& replica,
-                 const std::vector<std::pair<std::size_t, const Lane*>>& parts) {
+void TimelineMerge::Join(ReplicaTimeline& into, const std::string& replica,
+                         const std::vector<std::pair<std::size_t, const ReplicaTimeline*>>& parts) {
   std::set<Time> cuts;
   for (const auto& [i, part] : parts) {
-    for (const LaneSpan& s : part->spans) {
+    for (const StateSpan& s : part->spans) {
       cuts.insert(s.from + nodes_[i].offset);
       cuts.insert(s.to + nodes_[i].offset);
     }
@@ -149,15 +150,15 @@
   const Time last = *cuts.rbegin();
   for (const Time at : cuts) {
     if (at == last && !into.spans.empty()) break;
-    LaneSpan best{at, 0, LaneState::kUnlisted, LaneState::kUnlisted, ""};
+    StateSpan best{at, 0, ReplicaState::kUnlisted, ReplicaState::kUnlisted, ""};
     std::string said;
     bool differ = false;
     for (const auto& [i, part] : parts) {
-      const LaneSpan* s = Lanes::At(*part, at - nodes_[i].offset);
+      const StateSpan* s = ReplicaTimelines::SpanAt(*part, at - nodes_[i].offset);
       if (s == nullptr || (s->to != 0 && at - nodes_[i].offset >= s->to))
         continue;  // before it, or behind its end
-      const bool told = s->state != LaneState::kUnknown && s->state != LaneState::kUnlisted;
-      const bool best_told = best.state != LaneState::kUnknown && best.state != LaneState::kUnlisted;
+      const bool told = s->state != ReplicaState::kUnknown && s->state != ReplicaState::kUnlisted;
+      const bool best_told = best.state != ReplicaState::kUnknown && best.state != ReplicaState::kUnlisted;
       if (told && best_told && s->state != best.state) differ = true;
       if (told) said += fmt::format("{}{} says {}", said.empty() ? "" : ", ", nodes_[i].name, Name(s->state));
       if (Rank(s->state) > Rank(best.state)) {
@@ -176,7 +177,7 @@
     } else if (!disagreements_.empty() && disagreements_.back().replica == replica &&
                disagreements_.back().to == 0) {
       disagreements_.back().to = at;
-      if (at - disagreements_.back().from <= kTellWithin)
+      if (at - disagreements_.back().from <= kMaxListDelay)
         disagreements_.pop_back();  // lists take a while to arrive
     }
     if (!into.spans.empty() && into.spans.back().state == best.state && into.spans.back().known == best.known)
--- a/src/timeline/merge_model.h
+++ b/src/timeline/merge_model.h
@@ -25,22 +25,22 @@
   std::string what;
 };
 
-class Merge {
+class TimelineMerge {
  public:
-  static constexpr Time kTellWithin = 2'000'000;
+  static constexpr Time kMaxListDelay = 2'000'000;
 
   // In the order given; the first node's clock is the one that counts. Each must be closed.
-  explicit Merge(const std::vector<Lanes>& nodes);
+  explicit TimelineMerge(const std::vector<ReplicaTimelines>& nodes);
 
-  const Lanes& lanes() const { return merged_; }
+  const ReplicaTimelines& timelines() const { return merged_; }
   const std::vector<MergedNode>& nodes() const { return nodes_; }
   const std::vector<Disagreement>& disagreements() const { return disagreements_; }
 
  private:
-  void Join(Lane& into, const std::string& replica,
-            const std::vector<std::pair<std::size_t, const Lane*>>& parts);
+  void Join(ReplicaTimeline& into, const std::string& replica,
+            const std::vector<std::pair<std::size_t, const ReplicaTimeline*>>& parts);
 
-  Lanes merged_;
+  ReplicaTimelines merged_;
   std::vector<MergedNode> nodes_;
   std::vector<Disagreement> disagreements_;
 };
--- a/src/timeline/plot_model.cpp
+++ b/src/timeline/plot_model.cpp
@@ -19,13 +19,13 @@
 constexpr unsigned kSent = 0x4a7ab5, kFailed = 0xc8321f, kFull = 0xe58a1a, kRest = 0x7b5aa6,
                    kUnusual = 0xb0127b;
 
-unsigned ColourOf(LaneState s) {
+unsigned ColourOf(ReplicaState s) {
   switch (s) {
-    case LaneState::kReady:
+    case ReplicaState::kReady:
       return kReady;
-    case LaneState::kDraining:
+    case ReplicaState::kDraining:
       return kDraining;
-    case LaneState::kUnknown:
+    case ReplicaState::kUnknown:
       return kUnknown;
     default:
       return kGone;
@@ -97,45 +97,47 @@
 };
 
 // How much there is to tell of a lane, for choosing among too many.
-double Interest(const Lane& lane, const std::map<policy::ReplicaId, int>& events) {
+double Interest(const ReplicaTimeline& lane, const std::map<policy::ReplicaId, int>& events) {
   double failed = 0;
-  for (const auto& [n, b] : lane.bins) failed += b.failed + b.full;
+  for (const auto& [n, b] : lane.bins) failed += b.failed + b.at_capacity;
   const auto it = events.find(lane.id);
-  return failed + 50.0 * static_cast<double>(lane.spans.size() + lane.rests.size() + lane.marks.size()) +
+  return failed +
+         50.0 * static_cast<double>(lane.spans.size() + lane.ejections.size() + lane.annotations.size()) +
          1000.0 * (it == events.end() ? 0 : it->second);
 }
 
 }  // namespace
 
-std::string PlotScript(const Lanes& lanes, const PlotOptions& options) {
+std::string TimelinePlotScript(const ReplicaTimelines& lanes, const PlotOptions& options) {
   const double span = std::max(1.0, static_cast<double>(lanes.end() - lanes.begin()) / 1e6);
   const double bin_s = static_cast<double>(lanes.width()) / 1e6;
   const auto x = [&](Time t) { return std::clamp(static_cast<double>(t - lanes.begin()) / 1e6, 0.0, span); };
   const auto bin_x = [&](std::uint32_t n) { return static_cast<double>(n) * bin_s; };
 
   std::map<policy::ReplicaId, int> events;
-  for (const Unusual& u : lanes.unusual()) {
+  for (const Anomaly& u : lanes.anomalies()) {
     if (u.begins && !u.fleet) ++events[u.replica];
   }
-  std::vector<const Lane*> shown;
-  for (const auto& [id, lane] : lanes.lanes()) shown.push_back(&lane);
+  std::vector<const ReplicaTimeline*> shown;
+  for (const auto& [id, lane] : lanes.replicas()) shown.push_back(&lane);
   std::size_t hidden = 0;
-  if (shown.size() > kMostPlotted) {
-    std::stable_sort(shown.begin(), shown.end(), [&](const Lane* a, const Lane* b) {
+  if (shown.size() > kMaxPlottedTimelines) {
+    std::stable_sort(shown.begin(), shown.end(), [&](const ReplicaTimeline* a, const ReplicaTimeline* b) {
       return Interest(*a, events) > Interest(*b, events);
     });
-    hidden = shown.size() - kMostPlotted;
-    shown.resize(kMostPlotted);
+    hidden = shown.size() - kMaxPlottedTimelines;
+    shown.resize(kMaxPlottedTimelines);
   }
-  std::sort(shown.begin(), shown.end(), [](const Lane* a, const Lane* b) { return a->Title() < b->Title(); });
-  const bool full = shown.size() <= kMostFullLanes;
+  std::sort(shown.begin(), shown.end(),
+            [](const ReplicaTimeline* a, const ReplicaTimeline* b) { return a->Title() < b->Title(); });
+  const bool full = shown.size() <= kMaxDetailedTimelines;
 
   double most_sent = 1, most_first = 1;
   std::vector<double> firsts;
-  for (const Lane* lane : shown) {
+  for (const ReplicaTimeline* lane : shown) {
     for (const auto& [n, b] : lane->bins) {
       most_sent = std::max(most_sent, static_cast<double>(b.sent + b.failed));
-      if (b.first_n > 0) firsts.push_back(b.first_sum / b.first_n);
+      if (b.first_tokens > 0) firsts.push_back(b.first_token_sum / b.first_tokens);
     }
   }
   if (!firsts.empty()) {  // one mad answer must not flatten all lines
@@ -150,14 +152,14 @@
   const double count = static_cast<double>(shown.size());
   std::map<policy::ReplicaId, double> bottom;
   for (std::size_t i = 0; i < shown.size(); ++i) {
-    const Lane& lane = *shown[i];
+    const ReplicaTimeline& lane = *shown[i];
     const double y = count - 1 - static_cast<double>(i);
     bottom[lane.id] = y;
     tics += fmt::format("{}\"{}\" {}", tics.empty() ? "" : ", ", Text(lane.Title()), y + 0.5);
-    for (const LaneSpan& s : lane.spans)
+    for (const StateSpan& s : lane.spans)
       states.Add(x(s.from), x(s.to == 0 ? lanes.end() : s.to), y + 0.03, y + 0.97, ColourOf(s.state));
     for (const auto& [n, b] : lane.bins) {
-      const double x0 = bin_x(n), x1 = std::min(span, x0 + bin_s), failed = b.failed, turned = b.full;
+      const double x0 = bin_x(n), x1 = std::min(span, x0 + bin_s), failed = b.failed, turned = b.at_capacity;
       const double tried = std::max(1.0, static_cast<double>(b.served + b.cancelled) + failed + turned);
       if (full) {
         // What was sent, and of what ended in that bin the parts that failed or were turned away.
@@ -168,9 +170,10 @@
         const double base = 0.62 * failed / most_sent;
         faults.Add(x0, x1, y + 0.05 + base,
                    y + 0.05 + base + (turned > 0 ? std::max(0.05, 0.62 * turned / most_sent) : 0), kFull);
-        if (b.first_n > 0) {
-          firsts_block += fmt::format("{:.3f} {:.4f}\n", (x0 + x1) / 2,
-                                      y + 0.05 + 0.85 * std::min(1.0, b.first_sum / b.first_n / most_first));
+        if (b.first_tokens > 0) {
+          firsts_block +=
+              fmt::format("{:.3f} {:.4f}\n", (x0 + x1) / 2,
+                          y + 0.05 + 0.85 * std::min(1.0, b.first_token_sum / b.first_tokens / most_first));
         }
       } else if (failed + turned > 0) {
         const bool mostly = failed >= turned;
@@ -179,20 +182,20 @@
       }
     }
     firsts_block += "\n";
-    for (const LaneRest& r : lane.rests)
+    for (const EjectionSpan& r : lane.ejections)
       rests.Add(x(r.from), std::max(x(r.until), x(r.from) + span / 700), y + 0.0, y + (full ? 0.06 : 0.3),
                 kRest);
     std::size_t written = 0;
-    for (const LaneMark& m : lane.marks) {
+    for (const Annotation& m : lane.annotations) {
       if (full && written++ < 4)
         labels += fmt::format("set label \"{}\" at {:.3f},{:.3f} font \",7\" tc rgb \"#444444\"\n",
                               Text(m.text), x(m.at), y + 0.9);
     }
   }
-  std::map<std::uint64_t, Unusual> open;
+  std::map<std::uint64_t, Anomaly> open;
   std::string fleet_events;
   std::size_t fleet_n = 0;
-  const auto draw = [&](const Unusual& from, Time to) {
+  const auto draw = [&](const Anomaly& from, Time to) {
     const double x0 = x(from.since), x1 = std::max(x(to), x0 + span / 400);
     if (from.fleet) {
       fleet_events += fmt::format(
@@ -210,7 +213,7 @@
                             Name(from.kind), x0, at->second + 0.81);
     }
   };
-  for (const Unusual& u : lanes.unusual()) {
+  for (const Anomaly& u : lanes.anomalies()) {
     if (u.begins) {
       open[u.number] = u;
     } else if (const auto it = open.find(u.number); it != open.end()) {
@@ -225,13 +228,13 @@
     const auto it = lanes.fleet().find(n);
     const FleetBin f = it == lanes.fleet().end() ? FleetBin{} : it->second;
     fleet += fmt::format("{:.3f} {:.3f} {:.3f} {:.3f} {:.3f}\n", bin_x(n) + bin_s / 2, f.arrived / bin_s,
-                         f.served / bin_s, (f.refused + f.failed) / bin_s,
+                         f.served / bin_s, (f.rejected + f.failed) / bin_s,
                          static_cast<double>(f.coalesced) / bin_s);
   }
   fleet += "EOD\n";
   std::string marks;
   std::size_t written = 0;
-  for (const LaneMark& m : lanes.marks()) {
+  for (const Annotation& m : lanes.annotations()) {
     if (written >= 12) break;
     marks += fmt::format(
         "set arrow from {0:.3f}, graph 0 to {0:.3f}, graph 1 nohead lt 0 lc rgb \"#555555\"\n", x(m.at));
--- a/src/timeline/plot_model.h
+++ b/src/timeline/plot_model.h
@@ -15,10 +15,10 @@
   int width = 1400;  // pixels
 };
 
-inline constexpr std::size_t kMostFullLanes = 24;
-inline constexpr std::size_t kMostPlotted = 400;  // lanes; those with most to tell come first
+inline constexpr std::size_t kMaxDetailedTimelines = 24;
+inline constexpr std::size_t kMaxPlottedTimelines = 400;  // lanes; those with most to tell come first
 
 // Throws std::runtime_error for an ending that is neither.
-std::string PlotScript(const Lanes& lanes, const PlotOptions& options);
+std::string TimelinePlotScript(const ReplicaTimelines& lanes, const PlotOptions& options);
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/reader.cpp
+++ b/src/timeline/reader.cpp
@@ -66,7 +66,7 @@
   void Take(const Record& record) {
     // Reasons that the record keeps come right behind their decision; then the replay's are not needed.
     if (std::holds_alternative<Start>(record)) keeps_ = false;
-    if (std::holds_alternative<Note>(record)) {
+    if (std::holds_alternative<ReasonRecord>(record)) {
       found_.clear();
       keeps_ = true;
     } else {
@@ -78,7 +78,7 @@
     if (!keeps_) verifier_.Take(record);
   }
   void Flush() {
-    for (const Note& n : std::exchange(found_, {})) sink_(n);
+    for (const ReasonRecord& n : std::exchange(found_, {})) sink_(n);
   }
   void OnDispatch(const policy::DispatchRecord& n) override { found_.push_back({now_, n}); }
   void OnConclusion(const policy::ConclusionRecord& n) override { found_.push_back({now_, n}); }
@@ -88,7 +88,7 @@
   const std::function<void(const Record&)>& sink_;
   Verifier verifier_;
   bool keeps_ = false;  // the record itself, since the last start: then nothing is run again
-  std::vector<Note> found_;
+  std::vector<ReasonRecord> found_;
   Time now_ = 0;
 };
 
@@ -129,7 +129,7 @@
   ReadBlocks(file.text(), [&](std::uint64_t, std::string_view raw) {
     std::vector<Record> records;
     Decode(raw, records);
-    for (std::size_t i = 0; i < records.size() && first == 0; ++i) first = TimeOf(records[i]);
+    for (std::size_t i = 0; i < records.size() && first == 0; ++i) first = RecordTime(records[i]);
     return first == 0;
   });
   return first;
--- a/src/timeline/reader.h
+++ b/src/timeline/reader.h
@@ -30,8 +30,8 @@
 ReadTotals ReadFlight(const std::vector<std::string>& files, const std::function<void(const Record&)>& sink,
                       const std::function<void(std::size_t file, std::size_t of)>& progress = nullptr);
 
-// The same with a Note behind each decision that has a reason, whether the record kept it or a replay tells
-// it.
+// The same with a ReasonRecord behind each decision that has a reason, whether the record kept it or a replay
+// tells it.
 ReadTotals ReadWithReasons(const std::vector<std::string>& files,
                            const std::function<void(const Record&)>& sink,
                            const std::function<void(std::size_t file, std::size_t of)>& progress = nullptr);
--- a/src/timeline/record_loader.cpp
+++ b/src/timeline/record_loader.cpp
@@ -26,9 +26,9 @@
 
 }  // namespace
 
-LaneOptions BoundsOf(const LoadOptions& o, const std::vector<std::string>& files) {
-  LaneOptions bounds;
-  bounds.most_bins = o.most_bins;
+ReplicaTimelineOptions BoundsOf(const LoadOptions& o, const std::vector<std::string>& files) {
+  ReplicaTimelineOptions bounds;
+  bounds.max_bins = o.most_bins;
   if (o.span.empty()) return bounds;
   const Time begin = FirstTime(files.front());
   bounds.from = PointOf(o.span[0], begin);
@@ -38,40 +38,40 @@
   return bounds;
 }
 
-Loaded LoadLanes(const std::vector<std::string>& paths, const LoadOptions& o) {
+LoadedTimelines LoadTimelines(const std::vector<std::string>& paths, const LoadOptions& o) {
   const std::vector<std::string> files = FlightFiles(paths);
-  Loaded loaded{Lanes(BoundsOf(o, files)), {}};
-  std::vector<Unusual> found;
-  UnusualWatch watch([&](const Unusual& u) { found.push_back(u); });
+  LoadedTimelines loaded{ReplicaTimelines(BoundsOf(o, files)), {}};
+  std::vector<Anomaly> found;
+  AnomalyDetector watch([&](const Anomaly& u) { found.push_back(u); });
   bool noticed = false;  // by the node
   loaded.totals = ReadWithReasons(
       files,
       [&](const Record& r) {
-        if (std::holds_alternative<Unusual>(r)) {
+        if (std::holds_alternative<Anomaly>(r)) {
           noticed = true;
           if (o.again) return;
         }
         const bool look = o.again || !noticed;
-        if (look) watch.Take(r);
-        loaded.lanes.Take(r);
+        if (look) watch.OnRecord(r);
+        loaded.lanes.AddRecord(r);
         if (look) {
-          for (const Unusual& u : std::exchange(found, {})) loaded.lanes.Take(u);
+          for (const Anomaly& u : std::exchange(found, {})) loaded.lanes.AddRecord(u);
         }
       },
       o.progress);
   if (o.again || !noticed) {
     watch.Close();
-    for (const Unusual& u : found) loaded.lanes.Take(u);
+    for (const Anomaly& u : found) loaded.lanes.AddRecord(u);
   }
   loaded.lanes.Close();
   return loaded;
 }
 
-std::vector<Lanes> LoadNodes(const std::vector<std::string>& paths, const LoadOptions& o,
-                             std::string* losses) {
-  std::vector<Lanes> nodes;
+std::vector<ReplicaTimelines> LoadNodes(const std::vector<std::string>& paths, const LoadOptions& o,
+                                        std::string* losses) {
+  std::vector<ReplicaTimelines> nodes;
   for (const std::string& path : paths) {
-    Loaded one = LoadLanes({path}, o);
+    LoadedTimelines one = LoadTimelines({path}, o);
     if (const std::string lost = one.totals.Losses(); !lost.empty())
       losses->append(path).append(": ").append(lost);
     nodes.push_back(std::move(one.lanes));
--- a/src/timeline/record_loader.h
+++ b/src/timeline/record_loader.h
@@ -1,4 +1,4 @@
-// Lanes of whole records, with what was unusual: as the node noticed it, or else found anew.
+// ReplicaTimelines of whole records, with what was unusual: as the node noticed it, or else found anew.
 #pragma once
 
 #include <functional>
@@ -19,17 +19,17 @@
   ReadProgress progress;
 };
 
-struct Loaded {
-  Lanes lanes;  // closed
+struct LoadedTimelines {
+  ReplicaTimelines lanes;  // closed
   ReadTotals totals;
 };
 
 // The bounds that `span` asks for. Throws std::runtime_error for what is no time.
-LaneOptions BoundsOf(const LoadOptions& options, const std::vector<std::string>& files);
+ReplicaTimelineOptions BoundsOf(const LoadOptions& options, const std::vector<std::string>& files);
 // One node's record. Throws std::runtime_error.
-Loaded LoadLanes(const std::vector<std::string>& paths, const LoadOptions& options);
+LoadedTimelines LoadTimelines(const std::vector<std::string>& paths, const LoadOptions& options);
 // Each path is one node: a directory, or a file. What was lost is added to `losses` in words.
-std::vector<Lanes> LoadNodes(const std::vector<std::string>& paths, const LoadOptions& options,
-                             std::string* losses);
+std::vector<ReplicaTimelines> LoadNodes(const std::vector<std::string>& paths, const LoadOptions& options,
+                                        std::string* losses);
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/request_trace_model.h
+++ b/src/timeline/request_trace_model.h
@@ -13,33 +13,33 @@
 
 namespace ryeglade::timeline {
 
-class Story {
+class RequestTrace {
  public:
   // The module's number of the request in hexadecimal, or what its client calls it.
-  explicit Story(std::string id);
+  explicit RequestTrace(std::string id);
 
   // In the record's order, reasons included.
-  void Take(const Record& record);
-  // Lines of words; empty: it was not met.
+  void AddRecord(const Record& record);
+  // Lines of text; empty: it was not met.
   std::vector<std::string> Lines() const;
   std::size_t found() const { return found_; }  // requests by that name
 
  private:
-  bool Mine(policy::RequestId id) const { return mine_.contains(id); }
-  void Say(Time at, const std::string& words);
-  std::string Who(policy::ReplicaId id) const;
-  std::string State(policy::ReplicaId id, Time at) const;
+  bool IsTraced(policy::RequestId id) const { return traced_.contains(id); }
+  void AddLine(Time at, const std::string& text);
+  std::string ReplicaTitle(policy::ReplicaId id) const;
+  std::string StateText(policy::ReplicaId id, Time at) const;
 
   std::string id_;
   std::uint64_t number_ = 0;
   bool is_number_ = false;
-  std::set<policy::RequestId> mine_;  // open now
+  std::set<policy::RequestId> traced_;  // open now
   std::map<policy::RequestId, Time> arrived_;
-  std::map<policy::RequestId, std::string> named_;  // that have not arrived yet
+  std::map<policy::RequestId, std::string> matched_;  // call ids of requests that have not arrived yet
   std::size_t found_ = 0;
   std::vector<std::string> lines_;
-  Lanes lanes_{LaneOptions{.most_bins = 1}};
-  std::map<std::uint64_t, Unusual> open_;  // unusual events that last
+  ReplicaTimelines timelines_{ReplicaTimelineOptions{.max_bins = 1}};
+  std::map<std::uint64_t, Anomaly> open_anomalies_;  // by number
 };
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/verify.cpp
+++ b/src/timeline/verify.cpp
@@ -5,6 +5,7 @@
 #include <vector>
 
 #include "settings.h"
+#include "timeline/flight_record_text_model.h"
 
 namespace ryeglade::timeline {
 
@@ -29,7 +30,7 @@
     router_->SetObserver(observer_);
     return;
   }
-  if (std::holds_alternative<Gap>(record) || std::holds_alternative<Burst>(record)) {
+  if (std::holds_alternative<Gap>(record) || std::holds_alternative<CoalescedDecisions>(record)) {
     router_.reset();  // what it was told in the gap is not known, so what it would decide is not either
     return;
   }
@@ -47,8 +48,8 @@
     return;
   }
   if (difference_.empty()) {
-    difference_ = "decision " + std::to_string(decisions_) + "\n  recorded: " + Words(d) +
-                  "\n  now:      " + Words(Decision{d.now, d.event, actions});
+    difference_ = "decision " + std::to_string(decisions_) + "\n  recorded: " + ToText(d) +
+                  "\n  now:      " + ToText(Decision{d.now, d.event, actions});
   }
 }
 
--- a/tests/export_test.cpp
+++ b/tests/export_test.cpp
@@ -32,7 +32,7 @@
   options.most_bins = 100'000;
   std::string losses;
   std::size_t compared = 0, not_told = 0;
-  for (const TextTable& sheet : Sheets(LoadNodes({base + ".flight"}, options, &losses).front())) {
+  for (const TextTable& sheet : TimelineTables(LoadNodes({base + ".flight"}, options, &losses).front())) {
     const H5::Group group = file.openGroup(sheet.name);
     for (const Column& column : sheet.columns) {
       const H5::DataSet set = group.openDataSet(column.name);
--- a/tests/replica_timeline_test.cpp
+++ b/tests/replica_timeline_test.cpp
@@ -1,5 +1,5 @@
-// Lanes, the unusual, bursts, merging and stories, each on scripted hours in virtual time: states that lie,
-// events that are missed or made up, records that grow beyond their budget.
+// ReplicaTimelines, the unusual, bursts, merging and stories, each on scripted hours in virtual time: states
+// that lie, events that are missed or made up, records that grow beyond their budget.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -16,6 +16,7 @@
 #include "timeline/anomaly_model.h"
 #include "timeline/coalescing_model.h"
 #include "timeline/export_model.h"
+#include "timeline/flight_record_text_model.h"
 #include "timeline/merge_model.h"
 #include "timeline/plot_model.h"
 #include "timeline/reader.h"
@@ -38,17 +39,17 @@
 struct Played {
   HourResult result;
   std::vector<Record> records;
-  std::vector<Unusual> unusual;
-  Lanes lanes;
+  std::vector<Anomaly> unusual;
+  ReplicaTimelines lanes;
 };
 
 Played Play(HourOptions o) {
   Played p;
-  UnusualWatch watch([&](const Unusual& u) { p.unusual.push_back(u); });
+  AnomalyDetector watch([&](const Anomaly& u) { p.unusual.push_back(u); });
   p.result = lab::PlayHour(o, [&](const Record& r) {
     p.records.push_back(r);
-    watch.Take(r);
-    p.lanes.Take(r);
+    watch.OnRecord(r);
+    p.lanes.AddRecord(r);
   });
   watch.Close();
   p.lanes.Close();
@@ -65,11 +66,11 @@
   return o;
 }
 
-const Lane& Of(const Lanes& lanes, ReplicaId id) { return lanes.lanes().at(id); }
+const ReplicaTimeline& Of(const ReplicaTimelines& lanes, ReplicaId id) { return lanes.replicas().at(id); }
 
-LaneState StateAt(const Lanes& lanes, ReplicaId id, Time at) {
-  const LaneSpan* s = Lanes::At(Of(lanes, id), at);
-  return s == nullptr ? LaneState::kUnlisted : s->state;
+ReplicaState StateAt(const ReplicaTimelines& lanes, ReplicaId id, Time at) {
+  const StateSpan* s = ReplicaTimelines::SpanAt(Of(lanes, id), at);
+  return s == nullptr ? ReplicaState::kUnlisted : s->state;
 }
 
 // ---- Hours ----
@@ -108,23 +109,23 @@
   lab::PlayHour(o, [&](const Record& r) {
     records.push_back(r);
     kinds.insert(r.index());
-    EncodeAny(r, bytes);
+    EncodeRecord(r, bytes);
   });
   const std::vector<Record> more = {
-      Gap{7}, Burst{1, 2, 3, 4, 5, 6, 7, 8, {1, 2, 3, 4, 5, 6, 7, 8}, {{9, 1, 2, 3}}, 4},
-      Unusual{.now = 5,
+      Gap{7}, CoalescedDecisions{1, 2, 3, 4, 5, 6, 7, 8, {1, 2, 3, 4, 5, 6, 7, 8}, {{9, 1, 2, 3}}, 4},
+      Anomaly{.now = 5,
               .number = 6,
               .begins = false,
-              .kind = UnusualKind::kShare,
+              .kind = AnomalyKind::kTrafficShare,
               .replica = 7,
               .since = 3,
-              .before = 1.5},
-      Tier{8, "member-dead", "n1", "n2", 9, 3},
+              .baseline = 1.5},
+      ClusterEventRecord{8, "member-dead", "n1", "n2", 9, 3},
       Decision{9, policy::NodeCountChanged{12}, {policy::FailRequest{4}}}};
   for (const Record& r : more) {
     records.push_back(r);
     kinds.insert(r.index());
-    EncodeAny(r, bytes);
+    EncodeRecord(r, bytes);
   }
   EXPECT_EQ(kinds.size(), std::variant_size_v<Record>);
   std::vector<Record> read;
@@ -132,93 +133,95 @@
   ASSERT_EQ(read.size(), records.size());
   for (std::size_t i = 0; i < read.size(); ++i) {
     std::string a, b;
-    EncodeAny(records[i], a);
-    EncodeAny(read[i], b);
+    EncodeRecord(records[i], a);
+    EncodeRecord(read[i], b);
     ASSERT_EQ(a, b) << i;
-    ASSERT_FALSE(Words(read[i]).empty());
+    ASSERT_FALSE(ToText(read[i]).empty());
   }
 }
 
 // ---- States that do not lie ----
 
-TEST(Lanes, ADarkRosterIsUnknownWithWhatWasLastKnownAndNeverReady) {
+TEST(ReplicaTimelines, ADarkRosterIsUnknownWithWhatWasLastKnownAndNeverReady) {
   const Played p = Play(Short(BadThing::kDark));
   const Time middle = p.result.from + 10 * kSec, after = p.result.to + 5 * kSec;
   std::size_t gone = 0, ready = 0, fresh = 0;
-  for (const auto& [id, lane] : p.lanes.lanes()) {
-    if (StateAt(p.lanes, id, p.result.from - kSec) == LaneState::kUnlisted) {
+  for (const auto& [id, lane] : p.lanes.replicas()) {
+    if (StateAt(p.lanes, id, p.result.from - kSec) == ReplicaState::kUnlisted) {
       ++fresh;  // came while nobody said so
-      EXPECT_EQ(StateAt(p.lanes, id, middle), LaneState::kUnlisted) << lane.Title();
-      EXPECT_EQ(StateAt(p.lanes, id, after), LaneState::kReady);
+      EXPECT_EQ(StateAt(p.lanes, id, middle), ReplicaState::kUnlisted) << lane.Title();
+      EXPECT_EQ(StateAt(p.lanes, id, after), ReplicaState::kReady);
       continue;
     }
-    EXPECT_EQ(StateAt(p.lanes, id, p.result.from - kSec), LaneState::kReady);
-    const LaneSpan* s = Lanes::At(lane, middle);
+    EXPECT_EQ(StateAt(p.lanes, id, p.result.from - kSec), ReplicaState::kReady);
+    const StateSpan* s = ReplicaTimelines::SpanAt(lane, middle);
     ASSERT_NE(s, nullptr);
-    EXPECT_EQ(s->state, LaneState::kUnknown);
-    EXPECT_EQ(s->known, LaneState::kReady);
+    EXPECT_EQ(s->state, ReplicaState::kUnknown);
+    EXPECT_EQ(s->known, ReplicaState::kReady);
     EXPECT_EQ(s->from, p.result.from);  // since when
     EXPECT_NE(s->why.find("dark"), std::string::npos);
-    (StateAt(p.lanes, id, after) == LaneState::kGone ? gone : ready) += 1;
+    (StateAt(p.lanes, id, after) == ReplicaState::kGone ? gone : ready) += 1;
   }
   EXPECT_EQ(gone, 6U);
   EXPECT_EQ(ready, 6U);
   EXPECT_EQ(fresh, 6U);
 }
 
-TEST(Lanes, WhatANodeOnceKnewIsNoWordAboutNow) {
-  Lanes lanes;
-  lanes.Take(Start{kFormat, "n", "", 1, 100 * kSec});
+TEST(ReplicaTimelines, WhatANodeOnceKnewIsNoWordAboutNow) {
+  ReplicaTimelines lanes;
+  lanes.AddRecord(Start{kFormat, "n", "", 1, 100 * kSec});
   Endpoint e;
   e.id = 4;
-  lanes.Take(Decision{101 * kSec, EndpointList{EndpointListScope::kCached, 1, {e}}, {}});
-  EXPECT_EQ(StateAt(lanes, 4, 102 * kSec), LaneState::kUnknown);
-  EXPECT_EQ(Lanes::At(Of(lanes, 4), 102 * kSec)->known, LaneState::kReady);
-  lanes.Take(Decision{103 * kSec, EndpointList{EndpointListScope::kFull, 2, {e}}, {}});
-  EXPECT_EQ(StateAt(lanes, 4, 104 * kSec), LaneState::kReady);
+  lanes.AddRecord(Decision{101 * kSec, EndpointList{EndpointListScope::kCached, 1, {e}}, {}});
+  EXPECT_EQ(StateAt(lanes, 4, 102 * kSec), ReplicaState::kUnknown);
+  EXPECT_EQ(ReplicaTimelines::SpanAt(Of(lanes, 4), 102 * kSec)->known, ReplicaState::kReady);
+  lanes.AddRecord(Decision{103 * kSec, EndpointList{EndpointListScope::kFull, 2, {e}}, {}});
+  EXPECT_EQ(StateAt(lanes, 4, 104 * kSec), ReplicaState::kReady);
 }
 
-TEST(Lanes, AHoleIsShownAndWhatCameBeforeItIsNotTakenToHold) {
+TEST(ReplicaTimelines, AHoleIsShownAndWhatCameBeforeItIsNotTakenToHold) {
   Played p = Play(Short(BadThing::kNone));
-  Lanes lanes;
+  ReplicaTimelines lanes;
   std::size_t n = 0;
   Time hole = 0;
   for (const Record& r : p.records) {
     if (++n == p.records.size() / 2) {
-      lanes.Take(Gap{40});
+      lanes.AddRecord(Gap{40});
       hole = lanes.end();
     }
-    if (std::holds_alternative<Member>(r) || std::holds_alternative<Roster>(r)) continue;
+    if (std::holds_alternative<EndpointRecord>(r) || std::holds_alternative<EndpointListRecord>(r)) continue;
     if (const auto* d = std::get_if<Decision>(&r);
         d != nullptr && hole != 0 && std::holds_alternative<EndpointList>(d->event))
       continue;
-    lanes.Take(r);
+    lanes.AddRecord(r);
   }
   lanes.Close();
-  for (const auto& [id, lane] : lanes.lanes())
-    EXPECT_EQ(StateAt(lanes, id, hole + 5 * kSec), LaneState::kUnknown);
+  for (const auto& [id, lane] : lanes.replicas())
+    EXPECT_EQ(StateAt(lanes, id, hole + 5 * kSec), ReplicaState::kUnknown);
   bool said = false;
-  for (const LaneMark& m : lanes.marks()) said = said || m.text.find("40 records") != std::string::npos;
+  for (const Annotation& m : lanes.annotations())
+    said = said || m.text.find("40 records") != std::string::npos;
   EXPECT_TRUE(said);
   // Who is who is said again now and then, and that brings the states back.
-  lanes.Take(Member{lanes.end() + kSec, 0x1001, "replica-001", "a:1", 0, EndpointState::kDraining, true});
-  EXPECT_EQ(Of(lanes, 0x1001).spans.back().state, LaneState::kDraining);
+  lanes.AddRecord(
+      EndpointRecord{lanes.end() + kSec, 0x1001, "replica-001", "a:1", 0, EndpointState::kDraining, true});
+  EXPECT_EQ(Of(lanes, 0x1001).spans.back().state, ReplicaState::kDraining);
 }
 
-TEST(Lanes, AReplicaThatReportedNothingHasNoLoad) {
+TEST(ReplicaTimelines, AReplicaThatReportedNothingHasNoLoad) {
   Played p = Play(Short(BadThing::kCutOff));
-  Lanes lanes;
+  ReplicaTimelines lanes;
   for (Record r : p.records) {
     if (auto* d = std::get_if<Decision>(&r)) {
       if (auto* e = std::get_if<AttemptEnded>(&d->event)) e->load_report.clear();
     }
-    lanes.Take(r);
+    lanes.AddRecord(r);
   }
   lanes.Close();
-  for (const auto& [id, lane] : lanes.lanes()) {
+  for (const auto& [id, lane] : lanes.replicas()) {
     for (const auto& [n, b] : lane.bins) EXPECT_LT(b.load, 0);
   }
-  for (const TextTable& s : Sheets(lanes)) {
+  for (const TextTable& s : TimelineTables(lanes)) {
     if (s.name != "bins") continue;
     for (const Column& c : s.columns) {
       if (c.name != "load") continue;
@@ -227,43 +230,43 @@
   }
 }
 
-TEST(Lanes, AClockThatStepsBackShiftsTimeAndSaysSo) {
-  Lanes lanes;
+TEST(ReplicaTimelines, AClockThatStepsBackShiftsTimeAndSaysSo) {
+  ReplicaTimelines lanes;
   Endpoint e;
   e.id = 4;
-  lanes.Take(Start{kFormat, "n", "", 1, 1000 * kSec});
-  lanes.Take(Decision{1010 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {}});
-  lanes.Take(Start{kFormat, "n", "", 1, 400 * kSec});  // the process came back with another clock
-  lanes.Take(Decision{405 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {}});
-  lanes.Take(Decision{420 * kSec, RequestArrived{1}, {SendAttempt{1, 4, 0}}});
+  lanes.AddRecord(Start{kFormat, "n", "", 1, 1000 * kSec});
+  lanes.AddRecord(Decision{1010 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {}});
+  lanes.AddRecord(Start{kFormat, "n", "", 1, 400 * kSec});  // the process came back with another clock
+  lanes.AddRecord(Decision{405 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {}});
+  lanes.AddRecord(Decision{420 * kSec, RequestArrived{1}, {SendAttempt{1, 4, 0}}});
   lanes.Close();
   EXPECT_EQ(lanes.end(), 1030 * kSec);
   EXPECT_LT(lanes.bins(), 40U);
-  ASSERT_EQ(lanes.marks().size(), 3U);
-  EXPECT_NE(lanes.marks()[1].text.find("stepped back by 610.0 s"), std::string::npos);
-  EXPECT_EQ(StateAt(lanes, 4, 1012 * kSec), LaneState::kUnknown);  // between the start and its first list
-  EXPECT_EQ(StateAt(lanes, 4, 1020 * kSec), LaneState::kReady);
+  ASSERT_EQ(lanes.annotations().size(), 3U);
+  EXPECT_NE(lanes.annotations()[1].text.find("stepped back by 610.0 s"), std::string::npos);
+  EXPECT_EQ(StateAt(lanes, 4, 1012 * kSec), ReplicaState::kUnknown);  // between the start and its first list
+  EXPECT_EQ(StateAt(lanes, 4, 1020 * kSec), ReplicaState::kReady);
 }
 
-TEST(Lanes, AnIdThatComesBackElsewhereIsMarked) {
-  Lanes lanes;
-  lanes.Take(Start{kFormat, "n", "", 1, kSec});
-  lanes.Take(Member{2 * kSec, 4, "a", "10.0.0.1:1", 0, EndpointState::kReady, false});
-  lanes.Take(Member{9 * kSec, 4, "a", "10.0.0.2:1", 0, EndpointState::kReady, false});
-  ASSERT_EQ(Of(lanes, 4).marks.size(), 1U);
-  EXPECT_EQ(Of(lanes, 4).marks[0].text, "moved from 10.0.0.1:1 to 10.0.0.2:1");
+TEST(ReplicaTimelines, AnIdThatComesBackElsewhereIsMarked) {
+  ReplicaTimelines lanes;
+  lanes.AddRecord(Start{kFormat, "n", "", 1, kSec});
+  lanes.AddRecord(EndpointRecord{2 * kSec, 4, "a", "10.0.0.1:1", 0, EndpointState::kReady, false});
+  lanes.AddRecord(EndpointRecord{9 * kSec, 4, "a", "10.0.0.2:1", 0, EndpointState::kReady, false});
+  ASSERT_EQ(Of(lanes, 4).annotations.size(), 1U);
+  EXPECT_EQ(Of(lanes, 4).annotations[0].text, "moved from 10.0.0.1:1 to 10.0.0.2:1");
 }
 
 // However long the record and however many its replicas, memory is bounded and nothing sent is lost from the
 // sums.
 RC_GTEST_PROP(LanesProperty, FoldedBinsKeepTheSums, ()) {
-  LaneOptions o;
-  o.most_bins = 8;
-  o.most_lanes = 3;
-  o.most_items = 4;
-  Lanes lanes(o);
+  ReplicaTimelineOptions o;
+  o.max_bins = 8;
+  o.max_replicas = 3;
+  o.max_items = 4;
+  ReplicaTimelines lanes(o);
   Time now = kSec;
-  lanes.Take(Start{kFormat, "n", "", 1, now});
+  lanes.AddRecord(Start{kFormat, "n", "", 1, now});
   std::uint64_t sent = 0;
   for (const int gap : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 5'000'000))) {
     now += gap;
@@ -272,15 +275,15 @@
     Endpoint e;
     e.id = id;
     e.state = phase;
-    if (gap % 5 == 0) lanes.Take(Decision{now, EndpointList{EndpointListScope::kDelta, 1, {e}}, {}});
-    lanes.Take(Decision{now, RequestArrived{1}, {SendAttempt{1, id, 0}}});
+    if (gap % 5 == 0) lanes.AddRecord(Decision{now, EndpointList{EndpointListScope::kDelta, 1, {e}}, {}});
+    lanes.AddRecord(Decision{now, RequestArrived{1}, {SendAttempt{1, id, 0}}});
     ++sent;
   }
   lanes.Close();
-  RC_ASSERT(lanes.bins() <= o.most_bins);
+  RC_ASSERT(lanes.bins() <= o.max_bins);
   std::uint64_t counted = 0, fleet = 0;
-  for (const auto& [id, lane] : lanes.lanes()) {
-    RC_ASSERT(lane.spans.size() <= o.most_items);
+  for (const auto& [id, lane] : lanes.replicas()) {
+    RC_ASSERT(lane.spans.size() <= o.max_items);
     for (std::size_t i = 1; i < lane.spans.size(); ++i) RC_ASSERT(lane.spans[i - 1].to == lane.spans[i].from);
     for (const auto& [n, b] : lane.bins) counted += b.sent;
   }
@@ -293,49 +296,49 @@
 
 struct Expected {
   BadThing thing;
-  UnusualKind kind;
+  AnomalyKind kind;
   bool fleet;
 };
 
-TEST(Unusual, EachBadThingIsNoticedWhileItLastsAndEnds) {
-  for (const Expected e : {Expected{BadThing::kErrors, UnusualKind::kErrors, false},
-                           Expected{BadThing::kSlow, UnusualKind::kFirstToken, false},
-                           Expected{BadThing::kFull, UnusualKind::kRefusals, false},
-                           Expected{BadThing::kLoaded, UnusualKind::kLoad, false},
-                           Expected{BadThing::kFleetErrors, UnusualKind::kErrors, true},
-                           Expected{BadThing::kFleetSlow, UnusualKind::kFirstToken, true},
-                           Expected{BadThing::kDark, UnusualKind::kRosterDark, true}}) {
+TEST(Anomaly, EachBadThingIsNoticedWhileItLastsAndEnds) {
+  for (const Expected e : {Expected{BadThing::kErrors, AnomalyKind::kErrors, false},
+                           Expected{BadThing::kSlow, AnomalyKind::kFirstToken, false},
+                           Expected{BadThing::kFull, AnomalyKind::kRejections, false},
+                           Expected{BadThing::kLoaded, AnomalyKind::kLoad, false},
+                           Expected{BadThing::kFleetErrors, AnomalyKind::kErrors, true},
+                           Expected{BadThing::kFleetSlow, AnomalyKind::kFirstToken, true},
+                           Expected{BadThing::kDark, AnomalyKind::kEndpointListUnavailable, true}}) {
     HourOptions o = Short(e.thing);
     o.seconds = 240;
     o.at = 120;
     o.lasts = 30;
     const Played p = Play(o);
-    const Unusual* begins = nullptr;
+    const Anomaly* begins = nullptr;
     bool ends = false;
-    for (const Unusual& u : p.unusual) {
+    for (const Anomaly& u : p.unusual) {
       if (u.kind != e.kind || u.fleet != e.fleet || (!e.fleet && u.replica != p.result.victim)) continue;
       if (u.begins && begins == nullptr && u.now >= p.result.from && u.now <= p.result.to) begins = &u;
       ends = ends || (begins != nullptr && !u.begins && u.number == begins->number && u.now > p.result.from);
     }
     ASSERT_NE(begins, nullptr) << Name(e.thing);
     EXPECT_TRUE(ends) << Name(e.thing);
-    if (e.kind != UnusualKind::kRosterDark) {
-      EXPECT_GT(begins->during, begins->before) << Name(e.thing);
+    if (e.kind != AnomalyKind::kEndpointListUnavailable) {
+      EXPECT_GT(begins->during, begins->baseline) << Name(e.thing);
     }
   }
 }
 
 // A change of the whole fleet is one event, not one for each replica.
-TEST(Unusual, WhatAllDoAtOnceIsTheFleets) {
+TEST(Anomaly, WhatAllDoAtOnceIsTheFleets) {
   for (const BadThing thing : {BadThing::kFleetErrors, BadThing::kFleetSlow}) {
     HourOptions o = Short(thing);
     o.replicas = 20;
     o.per_second = 100;
     const Played p = Play(o);
-    const UnusualKind kind =
-        thing == BadThing::kFleetErrors ? UnusualKind::kErrors : UnusualKind::kFirstToken;
+    const AnomalyKind kind =
+        thing == BadThing::kFleetErrors ? AnomalyKind::kErrors : AnomalyKind::kFirstToken;
     int fleet = 0, single = 0;
-    for (const Unusual& u : p.unusual) {
+    for (const Anomaly& u : p.unusual) {
       if (!u.begins || u.kind != kind || u.now < p.result.from || u.now > p.result.to + 10 * kSec) continue;
       (u.fleet ? fleet : single) += 1;
     }
@@ -344,10 +347,10 @@
   }
 }
 
-TEST(Unusual, OneMadSecondIsNoEvent) {
+TEST(Anomaly, OneMadSecondIsNoEvent) {
   const Played calm = Play(Short(BadThing::kNone));
-  std::vector<Unusual> events;
-  UnusualWatch watch([&](const Unusual& u) { events.push_back(u); });
+  std::vector<Anomaly> events;
+  AnomalyDetector watch([&](const Anomaly& u) { events.push_back(u); });
   for (const Record& r : calm.records) {
     if (const auto* d = std::get_if<Decision>(&r);
         d != nullptr && d->now / kSec == (calm.lanes.begin() + 100 * kSec) / kSec) {
@@ -358,14 +361,14 @@
         continue;
       }
     }
-    watch.Take(r);
+    watch.OnRecord(r);
   }
-  for (const Unusual& u : events) EXPECT_NE(u.kind, UnusualKind::kErrors) << Words(u);
+  for (const Anomaly& u : events) EXPECT_NE(u.kind, AnomalyKind::kErrors) << ToText(u);
 }
 
-TEST(Unusual, ARosterThatCallsReadyWhatNobodyCanReachIsContradicted) {
-  std::vector<Unusual> events;
-  UnusualWatch watch([&](const Unusual& u) { events.push_back(u); });
+TEST(Anomaly, ARosterThatCallsReadyWhatNobodyCanReachIsContradicted) {
+  std::vector<Anomaly> events;
+  AnomalyDetector watch([&](const Anomaly& u) { events.push_back(u); });
   Endpoint e;
   e.id = 9;
   Time now = 100 * kSec;
@@ -375,18 +378,18 @@
     watch.OnDecision(now, AttemptEnded{id, 0, 9, Outcome::kConnectFailed, 100, false, 0, {}}, {});
   }
   ASSERT_EQ(events.size(), 1U);
-  EXPECT_EQ(events[0].kind, UnusualKind::kRosterContradicted);
+  EXPECT_EQ(events[0].kind, AnomalyKind::kEndpointListContradicted);
   EXPECT_EQ(events[0].replica, 9U);
   watch.OnDecision(now += kSec, AttemptEnded{20, 0, 9, Outcome::kServed, 100, true, 0, {}}, {});
   watch.OnDecision(now += 2 * kSec, TimerFired{1}, {});
   ASSERT_EQ(events.size(), 2U);
   EXPECT_FALSE(events[1].begins);
-  EXPECT_EQ(watch.open(), 0U);
+  EXPECT_EQ(watch.open_anomalies(), 0U);
 }
 
-TEST(Unusual, OnlyWhatItOnceKnewForLongIsBehind) {
-  std::vector<Unusual> events;
-  UnusualWatch watch([&](const Unusual& u) { events.push_back(u); });
+TEST(Anomaly, OnlyWhatItOnceKnewForLongIsBehind) {
+  std::vector<Anomaly> events;
+  AnomalyDetector watch([&](const Anomaly& u) { events.push_back(u); });
   Endpoint e;
   e.id = 9;
   watch.OnDecision(100 * kSec, EndpointList{EndpointListScope::kCached, 0, {e}}, {});
@@ -394,7 +397,7 @@
   EXPECT_TRUE(events.empty());
   watch.OnDecision(107 * kSec, TimerFired{2}, {});
   ASSERT_EQ(events.size(), 1U);
-  EXPECT_EQ(events[0].kind, UnusualKind::kRosterBehind);
+  EXPECT_EQ(events[0].kind, AnomalyKind::kEndpointListStale);
   watch.OnDecision(108 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {});
   ASSERT_EQ(events.size(), 2U);
   EXPECT_FALSE(events[1].begins);
@@ -403,10 +406,10 @@
 // Whatever comes, each event that begins ends once, and memory is bounded.
 RC_GTEST_PROP(UnusualProperty, WhatBeginsEndsOnce, ()) {
   std::map<std::uint64_t, int> open;
-  UnusualOptions o;
-  o.most_replicas = 5;
-  UnusualWatch watch(
-      [&](const Unusual& u) {
+  AnomalyOptions o;
+  o.max_replicas = 5;
+  AnomalyDetector watch(
+      [&](const Anomaly& u) {
         if (u.begins) {
           RC_ASSERT(open[u.number] == 0);
           open[u.number] = 1;
@@ -423,7 +426,7 @@
     Endpoint e;
     e.id = id;
     e.state = static_cast<EndpointState>(x / 56 % 3);
-    if (x % 11 == 0) watch.OnRoster(now, "watch", x % 2 == 0 ? "silent" : "");
+    if (x % 11 == 0) watch.OnEndpointList(now, "watch", x % 2 == 0 ? "silent" : "");
     if (x % 5 == 0)
       watch.OnDecision(now, EndpointList{static_cast<EndpointListScope>(x / 5 % 4), 1, {e}}, {});
     watch.OnDecision(
@@ -432,26 +435,26 @@
     watch.OnDecision(now, ResponseStarted{1, 0, id, x}, {SendAttempt{1, id, 0}});
   }
   watch.Close();
-  RC_ASSERT(watch.open() <= 2U);  // the roster's own may last
+  RC_ASSERT(watch.open_anomalies() <= 2U);  // the roster's own may last
 }
 
 // ---- Bursts ----
 
 TEST(Bursts, TenThousandFailuresASecondStayWithinTheBudgetAndAreCounted) {
   const std::size_t rate = std::size_t{256} * 1024;
-  Budget budget(rate);
+  RecordBudget budget(rate);
   Coalescer coalescer;
   std::string kept;
   std::uint64_t decisions = 0, counted = 0, failures = 0;
   Time last = 0;
   std::map<Time, std::size_t> by_second;
   const auto flush = [&] {
-    if (const auto burst = coalescer.Cut()) {
+    if (const auto burst = coalescer.TakeCounted()) {
       const std::size_t before = kept.size();
       Encode(*burst, kept);
       by_second[last / kSec] += kept.size() - before;
       counted += burst->decisions;
-      EXPECT_LE(burst->replicas.size(), Coalescer::kMostReplicas);
+      EXPECT_LE(burst->replicas.size(), Coalescer::kMaxReplicas);
       EXPECT_GE(burst->last, burst->first);
       failures += burst->outcomes[static_cast<std::size_t>(Outcome::kReset)];
     }
@@ -460,7 +463,7 @@
   const auto take = [&](Time now, const Event& event, const std::vector<Action>& actions) {
     ++all;
     last = now;
-    if (!budget.Open(now)) {
+    if (!budget.MayKeep(now)) {
       coalescer.Count(now, event, actions);
       if (coalescer.Due(now)) flush();
       return;
@@ -489,9 +492,9 @@
   for (const auto& [second, bytes] : by_second) EXPECT_LE(bytes, 2 * rate + 4096) << second;
   std::vector<Record> records;
   Decode(kept, records);
-  Lanes lanes;
-  lanes.Take(Start{kFormat, "n", "", 1, 0});
-  for (const Record& r : records) lanes.Take(r);
+  ReplicaTimelines lanes;
+  lanes.AddRecord(Start{kFormat, "n", "", 1, 0});
+  for (const Record& r : records) lanes.AddRecord(r);
   std::uint64_t shown = 0;
   for (const auto& [n, f] : lanes.fleet()) shown += f.coalesced;
   EXPECT_EQ(shown, counted);  // what was not kept shows as not kept
@@ -499,78 +502,79 @@
 
 // ---- Merging ----
 
-TEST(Merge, TwoClocksThreeSecondsApartBecomeOneLinePerReplica) {
+TEST(TimelineMerge, TwoClocksThreeSecondsApartBecomeOneLinePerReplica) {
   HourOptions a = Short(BadThing::kSlow), b = a;
   b.node = "n1";
   b.clock = 3 * kSec;
   b.seed = a.seed + 12;  // the same victim: 12 replicas
-  std::vector<Lanes> nodes;
+  std::vector<ReplicaTimelines> nodes;
   nodes.push_back(Play(a).lanes);
   nodes.push_back(Play(b).lanes);
-  const Merge merge(nodes);
+  const TimelineMerge merge(nodes);
   ASSERT_EQ(merge.nodes().size(), 2U);
   EXPECT_EQ(merge.nodes()[1].offset, -3 * kSec);
   EXPECT_GE(merge.nodes()[1].common, 4U);
-  EXPECT_EQ(merge.lanes().lanes().size(), 12U);
+  EXPECT_EQ(merge.timelines().replicas().size(), 12U);
   EXPECT_TRUE(merge.disagreements().empty());
   std::uint64_t parts = 0, joined = 0;
-  for (const Lanes& n : nodes) {
-    for (const auto& [id, lane] : n.lanes()) {
+  for (const ReplicaTimelines& n : nodes) {
+    for (const auto& [id, lane] : n.replicas()) {
       for (const auto& [k, bin] : lane.bins) parts += bin.sent;
     }
   }
-  for (const auto& [id, lane] : merge.lanes().lanes()) {
+  for (const auto& [id, lane] : merge.timelines().replicas()) {
     for (const auto& [k, bin] : lane.bins) joined += bin.sent;
   }
   EXPECT_EQ(parts, joined);
 }
 
-TEST(Merge, OneNodeInTheDarkDoesNotHideWhatTheOtherKnowsAndDifferencesAreTold) {
+TEST(TimelineMerge, OneNodeInTheDarkDoesNotHideWhatTheOtherKnowsAndDifferencesAreTold) {
   const auto node = [](const char* name, bool dark, bool draining) {
-    Lanes lanes;
+    ReplicaTimelines lanes;
     Endpoint e;
     e.id = 4;
-    lanes.Take(Start{kFormat, name, "", 1, 100 * kSec});
-    lanes.Take(Decision{101 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {}});
-    if (dark) lanes.Take(Roster{110 * kSec, "watch", 1, "silent", false});
+    lanes.AddRecord(Start{kFormat, name, "", 1, 100 * kSec});
+    lanes.AddRecord(Decision{101 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {}});
+    if (dark) lanes.AddRecord(EndpointListRecord{110 * kSec, "watch", 1, "silent", false});
     if (draining) {
       e.state = EndpointState::kDraining;
-      lanes.Take(Decision{110 * kSec, EndpointList{EndpointListScope::kDelta, 2, {e}}, {}});
+      lanes.AddRecord(Decision{110 * kSec, EndpointList{EndpointListScope::kDelta, 2, {e}}, {}});
     }
-    lanes.Take(Decision{130 * kSec, TimerFired{1}, {}});
+    lanes.AddRecord(Decision{130 * kSec, TimerFired{1}, {}});
     lanes.Close();
     return lanes;
   };
-  const Merge dark({node("a", true, false), node("b", false, false)});
-  EXPECT_EQ(StateAt(dark.lanes(), 4, 120 * kSec), LaneState::kReady);
+  const TimelineMerge dark({node("a", true, false), node("b", false, false)});
+  EXPECT_EQ(StateAt(dark.timelines(), 4, 120 * kSec), ReplicaState::kReady);
   EXPECT_TRUE(dark.disagreements().empty());
-  const Merge differ({node("a", false, true), node("b", false, false)});
-  EXPECT_EQ(StateAt(differ.lanes(), 4, 120 * kSec), LaneState::kDraining);
+  const TimelineMerge differ({node("a", false, true), node("b", false, false)});
+  EXPECT_EQ(StateAt(differ.timelines(), 4, 120 * kSec), ReplicaState::kDraining);
   ASSERT_EQ(differ.disagreements().size(), 1U);
   EXPECT_EQ(differ.disagreements()[0].from, 110 * kSec);
-  const Merge both({node("a", true, false), node("b", true, false)});
-  EXPECT_EQ(StateAt(both.lanes(), 4, 120 * kSec), LaneState::kUnknown);
+  const TimelineMerge both({node("a", true, false), node("b", true, false)});
+  EXPECT_EQ(StateAt(both.timelines(), 4, 120 * kSec), ReplicaState::kUnknown);
 }
 
 // Two nodes may know different replicas by one number: what was unusual stays with the replica that it was.
-TEST(Merge, ANumberThatTwoReplicasShareDoesNotMixTheirEvents) {
+TEST(TimelineMerge, ANumberThatTwoReplicasShareDoesNotMixTheirEvents) {
   const auto node = [](const char* name, const char* replica) {
-    Lanes lanes;
-    lanes.Take(Start{kFormat, name, "", 1, 100 * kSec});
-    lanes.Take(Member{101 * kSec, 4, replica, "a:1", 0, EndpointState::kReady, false});
-    lanes.Take(Unusual{.now = 105 * kSec, .number = 1, .kind = UnusualKind::kErrors, .replica = 4});
+    ReplicaTimelines lanes;
+    lanes.AddRecord(Start{kFormat, name, "", 1, 100 * kSec});
+    lanes.AddRecord(EndpointRecord{101 * kSec, 4, replica, "a:1", 0, EndpointState::kReady, false});
+    lanes.AddRecord(Anomaly{.now = 105 * kSec, .number = 1, .kind = AnomalyKind::kErrors, .replica = 4});
     lanes.Close();
     return lanes;
   };
-  const Merge merge({node("a", "left"), node("b", "right")});
+  const TimelineMerge merge({node("a", "left"), node("b", "right")});
   std::set<std::string> named;
-  for (const Unusual& u : merge.lanes().unusual()) named.insert(merge.lanes().TitleOf(u.replica));
+  for (const Anomaly& u : merge.timelines().anomalies())
+    named.insert(merge.timelines().ReplicaTitle(u.replica));
   EXPECT_EQ(named, (std::set<std::string>{"left", "right"}));
 }
 
 // ---- Stories ----
 
-TEST(Story, TellsWhoWasAskedAndWhyAndHowItEnded) {
+TEST(RequestTrace, TellsWhoWasAskedAndWhyAndHowItEnded) {
   HourOptions o = Short(BadThing::kErrors);
   const Played p = Play(o);
   // A request whose first attempt failed at the victim.
@@ -582,8 +586,8 @@
   }
   ASSERT_NE(id, 0U);
   for (const std::string& name : {"call-" + std::to_string(id), "req_call-" + std::to_string(id)}) {
-    Story story(name);
-    for (const Record& r : p.records) story.Take(r);
+    RequestTrace story(name);
+    for (const Record& r : p.records) story.AddRecord(r);
     EXPECT_EQ(story.found(), 1U);
     std::string all;
     for (const std::string& line : story.Lines()) all += line + "\n";
@@ -593,13 +597,13 @@
     EXPECT_TRUE(all.find("served") != std::string::npos || all.find("refused") != std::string::npos) << all;
     EXPECT_NE(all.find("ready for"), std::string::npos) << all;
   }
-  Story nobody("call-0");
-  for (const Record& r : p.records) nobody.Take(r);
+  RequestTrace nobody("call-0");
+  for (const Record& r : p.records) nobody.AddRecord(r);
   EXPECT_EQ(nobody.found(), 0U);
 }
 
 // Reasons from a replay are those that the node itself would have kept.
-TEST(Story, AReplayTellsTheReasonsThatTheRecordDoesNotKeep) {
+TEST(RequestTrace, AReplayTellsTheReasonsThatTheRecordDoesNotKeep) {
   const std::string path =
       std::filesystem::temp_directory_path().string() + "/ryeglade-reasons-" + std::to_string(getpid());
   std::filesystem::create_directories(path);
@@ -611,7 +615,7 @@
     const std::string file = path + "/" + (kept ? "kept" : "bare") + ".flight";
     lab::WriteHour(o, file);
     ReadWithReasons({file}, [&](const Record& r) {
-      if (std::holds_alternative<Note>(r)) notes[kept ? 0 : 1].push_back(Words(r));
+      if (std::holds_alternative<ReasonRecord>(r)) notes[kept ? 0 : 1].push_back(ToText(r));
     });
   }
   std::filesystem::remove_all(path);
@@ -623,10 +627,10 @@
 
 TEST(Export, EverySheetIsSquareAndCsvHasItsRows) {
   const Played p = Play(Short(BadThing::kDark));
-  Lanes lanes = p.lanes;
-  for (const Unusual& u : p.unusual) lanes.Take(u);
+  ReplicaTimelines lanes = p.lanes;
+  for (const Anomaly& u : p.unusual) lanes.AddRecord(u);
   std::set<std::string> names;
-  for (const TextTable& s : Sheets(lanes)) {
+  for (const TextTable& s : TimelineTables(lanes)) {
     names.insert(s.name);
     for (const Column& c : s.columns)
       EXPECT_EQ(std::visit([](const auto& v) { return v.size(); }, c.values), s.rows()) << s.name << c.name;
@@ -640,15 +644,16 @@
   HourOptions o = Short(BadThing::kErrors);
   for (const int replicas : {3, 200}) {
     o.replicas = replicas;
-    Lanes lanes = Play(o).lanes;
-    lanes.Take(Member{lanes.end(), 0x1001, "na\"me`date`\\", "a:1", 0, EndpointState::kReady, false});
-    const std::string script = PlotScript(lanes, {"x.svg", "a \"title\"", 1400});
+    ReplicaTimelines lanes = Play(o).lanes;
+    lanes.AddRecord(
+        EndpointRecord{lanes.end(), 0x1001, "na\"me`date`\\", "a:1", 0, EndpointState::kReady, false});
+    const std::string script = TimelinePlotScript(lanes, {"x.svg", "a \"title\"", 1400});
     EXPECT_NE(script.find("set terminal svg"), std::string::npos);
     EXPECT_EQ(script.find('`'), std::string::npos);
     EXPECT_NE(script.find("na'me'date''"), std::string::npos);
     EXPECT_LT(script.size(), 4U * 1024 * 1024);
   }
-  EXPECT_THROW(PlotScript(Lanes(), {"x.gif", "", 1400}), std::runtime_error);
+  EXPECT_THROW(TimelinePlotScript(ReplicaTimelines(), {"x.gif", "", 1400}), std::runtime_error);
 }
 
 // ---- A node as a process ----
@@ -715,10 +720,10 @@
   std::set<std::string> members;
   const ReadTotals totals = ReadFlight(FlightFiles({directory}), [&](const Record& r) {
     std::string raw;
-    EncodeAny(r, raw);
+    EncodeRecord(r, raw);
     bytes += raw.size();
     decisions += std::holds_alternative<Decision>(r) ? 1 : 0;
-    if (const auto* m = std::get_if<Member>(&r)) members.insert(m->name);
+    if (const auto* m = std::get_if<EndpointRecord>(&r)) members.insert(m->name);
   });
   EXPECT_EQ(totals.Losses(), "");
   EXPECT_GT(decisions, 100U);
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -16,6 +16,7 @@
 #include "shell.h"
 #include "timeline/block.h"
 #include "timeline/flight_record_codec.h"
+#include "timeline/flight_record_text_model.h"
 #include "timeline/flight_recorder.h"
 #include "timeline/verify.h"
 
@@ -130,7 +131,7 @@
     Decode(bytes, records);
   } catch (const std::runtime_error&) {
   }
-  for (const Record& r : records) RC_ASSERT(!Words(r).empty());
+  for (const Record& r : records) RC_ASSERT(!ToText(r).empty());
 }
 
 std::string File(std::vector<std::string>* raws) {
--- a/tools/export/main.cpp
+++ b/tools/export/main.cpp
@@ -26,10 +26,11 @@
   app.add_option("path", paths, "each is one node: a directory, or a file")->required();
   CLI11_PARSE(app, argc, argv);
   std::string losses;
-  const std::vector<ryeglade::timeline::Lanes> nodes = ryeglade::timeline::LoadNodes(paths, options, &losses);
-  const ryeglade::timeline::Merge merge(nodes);
+  const std::vector<ryeglade::timeline::ReplicaTimelines> nodes =
+      ryeglade::timeline::LoadNodes(paths, options, &losses);
+  const ryeglade::timeline::TimelineMerge merge(nodes);
   const std::vector<ryeglade::TextTable> sheets =
-      ryeglade::timeline::Sheets(nodes.size() == 1 ? nodes.front() : merge.lanes());
+      ryeglade::timeline::TimelineTables(nodes.size() == 1 ? nodes.front() : merge.timelines());
   ryeglade::WriteColumns(out, {{}, sheets});
   for (const ryeglade::TextTable& sheet : sheets) {
     std::printf("%s /%s: %zu rows, %zu columns\n", out.c_str(), sheet.name.c_str(), sheet.rows(),
