--- a/src/app/timeline_command.h
+++ b/src/app/timeline_command.h
@@ -39,7 +39,7 @@
   int Export();
   int Plot();
 
-  TimelineOptions* o_;
+  TimelineOptions* options_;
   CLI::App* group_;
   CLI::App *verify_, *show_, *events_, *why_, *merge_, *export_, *plot_;
 };
--- a/src/timeline/anomaly_model.h
+++ b/src/timeline/anomaly_model.h
@@ -1,17 +1,18 @@
-// Notices when a replica, or the whole fleet, departs from the usual: its own past and its peers. No I/O, no
+// Detects when a replica, or the whole fleet, departs from its own baseline and from its peers. No I/O, no
 // clock; a node runs it as things happen, `timeline events` over a record.
 //
 // Once a tick (1 s of the record's time) each series gets a value: the share of attempts that failed, the
-// mean of ln(first-token time over what is usual for prompts of that length), the load reported, the share of
-// attempts turned away, the share of traffic. Routers send a slow replica short prompts: without the length
-// it would look well. What is usual is learned over the whole fleet, slowly, by half octaves of the length.
-// Its distance from its own past is (x - median) / scale, the scale from the median absolute deviation (times
-// 1.4826, Hampel 1974) and a floor for the sampling error of a tick; its distance from its peers is the same
-// over the other replicas in that tick. What counts is the smaller of the two, and only if both point the
-// same way: what all replicas do at once is not one replica's doing. The peers' median itself is one more
-// series, the fleet's, against its own past. Distances add up in a one-sided cumulative sum each way (Page,
-// Biometrika 41, 1954): S <- max(0, S + min(d, clip) - slack); S above `alarm` begins an event, and the event
-// ends when d has stayed under `calm` for some ticks. While an event lasts the past is not taught.
+// mean of ln(time to first token over what is expected for prompts of that length), the load reported, the
+// share of attempts that met a full replica, the share of traffic. Routers send short prompts to a slow
+// replica: without the length it would seem fast. What is expected is learned over the whole fleet, slowly,
+// by half octaves of the length. A value's distance from the replica's own baseline is (x - median) / scale,
+// the scale from the median absolute deviation (times 1.4826, Hampel 1974) and a floor for the sampling error
+// of a tick; its distance from its peers is the same over the other replicas in that tick. What counts is the
+// smaller of the two, and only if both have the same sign: what all replicas do at once is not one replica's
+// fault. The peers' median itself is one more series, the fleet's, against its own baseline. Distances add up
+// in a one-sided cumulative sum in each direction (Page, Biometrika 41, 1954): S <- max(0, S + min(d,
+// max_distance) - slack); S above `alarm_sum` begins an anomaly, which ends when d has stayed below
+// `calm_distance` for some ticks. While it lasts the baseline does not learn.
 #pragma once
 
 #include <array>
--- a/src/timeline/export_model.cpp
+++ b/src/timeline/export_model.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-std::vector<TextTable> TimelineTables(const ReplicaTimelines& lanes) {
+std::vector<TextTable> TimelineTables(const ReplicaTimelines& timelines) {
   const auto ms = [](Time t) { return t / 1000; };
   Rows bins("bins", {{"start_ms", Wholes{}},
                      {"replica", Texts{}},
@@ -38,21 +38,22 @@
                        {"outcome", Texts{}},
                        {"failures", Wholes{}}});
   Rows marks("marks", {{"at_ms", Wholes{}}, {"replica", Texts{}}, {"what", Texts{}}});
-  for (const Annotation& m : lanes.annotations()) marks.Add(ms(m.at), "", m.text);
-  for (const auto& [id, lane] : lanes.replicas()) {
-    const std::string title = lane.Title();
-    for (const auto& [n, b] : lane.bins) {
-      const StateSpan* span = ReplicaTimelines::SpanAt(lane, lanes.BinStart(n) + lanes.width() - 1);
-      bins.Add(ms(lanes.BinStart(n)), title, b.sent, b.served, b.failed, b.at_capacity, b.cancelled,
+  for (const Annotation& m : timelines.annotations()) marks.Add(ms(m.at), "", m.text);
+  for (const auto& [id, replica] : timelines.replicas()) {
+    const std::string title = replica.Title();
+    for (const auto& [n, b] : replica.bins) {
+      const StateSpan* span =
+          ReplicaTimelines::SpanAt(replica, timelines.BinStart(n) + timelines.width() - 1);
+      bins.Add(ms(timelines.BinStart(n)), title, b.sent, b.served, b.failed, b.at_capacity, b.cancelled,
                OrNothing(b.first_tokens > 0 ? b.first_token_sum / b.first_tokens : -1.0),
                OrNothing(b.first_tokens > 0 ? b.first_token_max : -1.0), b.in_flight, OrNothing(b.load),
                OrNothing(b.load_age), Name(span == nullptr ? ReplicaState::kUnlisted : span->state));
     }
-    for (const StateSpan& s : lane.spans)
+    for (const StateSpan& s : replica.spans)
       states.Add(title, ms(s.from), ms(s.to), Name(s.state), Name(s.known), s.why);
-    for (const EjectionSpan& r : lane.ejections)
+    for (const EjectionSpan& r : replica.ejections)
       rests.Add(title, ms(r.from), ms(r.until), ryeglade::Name(r.outcome), r.consecutive_failures);
-    for (const Annotation& m : lane.annotations) marks.Add(ms(m.at), title, m.text);
+    for (const Annotation& m : replica.annotations) marks.Add(ms(m.at), title, m.text);
   }
   Rows fleet("fleet", {{"start_ms", Wholes{}},
                        {"arrived", Wholes{}},
@@ -62,8 +63,8 @@
                        {"failed", Wholes{}},
                        {"client_gone", Wholes{}},
                        {"counted_not_kept", Wholes{}}});
-  for (const auto& [n, f] : lanes.fleet())
-    fleet.Add(ms(lanes.BinStart(n)), f.arrived, f.sent, f.served, f.rejected, f.failed, f.disconnected,
+  for (const auto& [n, f] : timelines.fleet())
+    fleet.Add(ms(timelines.BinStart(n)), f.arrived, f.sent, f.served, f.rejected, f.failed, f.disconnected,
               f.coalesced);
   Rows events("events", {{"at_ms", Wholes{}},
                          {"number", Wholes{}},
@@ -74,9 +75,9 @@
                          {"before", Numbers{}},
                          {"during", Numbers{}},
                          {"peers", Numbers{}}});
-  for (const Anomaly& u : lanes.anomalies()) {
+  for (const Anomaly& u : timelines.anomalies()) {
     events.Add(ms(u.now), u.number, u.begins ? "begins" : "ends", Name(u.kind),
-               u.fleet ? std::string("fleet") : lanes.ReplicaTitle(u.replica), ms(u.since), u.baseline,
+               u.fleet ? std::string("fleet") : timelines.ReplicaTitle(u.replica), ms(u.since), u.baseline,
                u.during, u.peers);
   }
   std::vector<TextTable> sheets;
--- a/src/timeline/export_model.h
+++ b/src/timeline/export_model.h
@@ -10,6 +10,6 @@
 
 // `bins` (replica by bin), `fleet`, `states`, `rests`, `events` and `marks`. A load that was not reported is
 // NaN, in CSV an empty field: never zero.
-std::vector<TextTable> TimelineTables(const ReplicaTimelines& lanes);
+std::vector<TextTable> TimelineTables(const ReplicaTimelines& timelines);
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/merge_model.cpp
+++ b/src/timeline/merge_model.cpp
@@ -11,7 +11,7 @@
 namespace ryeglade::timeline {
 namespace {
 
-constexpr std::size_t kMostDisagreements = 4096;
+constexpr std::size_t kMaxDisagreements = 4096;
 
 Time MedianOf(std::vector<Time> v) {
   const auto middle = v.begin() + static_cast<std::ptrdiff_t>(v.size() / 2);
@@ -39,106 +39,138 @@
 }  // namespace
 
 TimelineMerge::TimelineMerge(const std::vector<ReplicaTimelines>& nodes) {
+  for (const ReplicaTimelines& node : nodes) nodes_.push_back(ClockOf(node, nodes.front()));
+  if (!SetBounds(nodes)) return;
+  for (std::size_t i = 0; i < nodes.size(); ++i) AddFleet(nodes[i], i);
+  std::stable_sort(merged_.annotations_.begin(), merged_.annotations_.end(),
+                   [](const Annotation& a, const Annotation& b) { return a.at < b.at; });
+
+  // By name: the number of a replica may differ where two names clash.
+  std::map<std::string, Parts> parts_by_name;
+  for (std::size_t i = 0; i < nodes.size(); ++i) {
+    for (const auto& [id, replica] : nodes[i].replicas())
+      parts_by_name[replica.Title()].emplace_back(i, &replica);
+  }
+  std::vector<ReplicaIds> ids(nodes.size());
+  for (const auto& [name, parts] : parts_by_name) AddReplica(nodes, parts, ids);
+  for (std::size_t i = 0; i < nodes.size(); ++i) AddAnomalies(nodes[i], i, nodes.size(), ids[i]);
+  std::stable_sort(merged_.anomalies_.begin(), merged_.anomalies_.end(),
+                   [](const Anomaly& a, const Anomaly& b) { return a.now < b.now; });
+  std::sort(disagreements_.begin(), disagreements_.end(),
+            [](const Disagreement& a, const Disagreement& b) { return a.from < b.from; });
+}
+
+// The median difference of the times at which both received a generation of the endpoint list.
+MergedNode TimelineMerge::ClockOf(const ReplicaTimelines& node, const ReplicaTimelines& reference) {
+  MergedNode merged{node.node()};
+  if (&node == &reference) return merged;
+  std::vector<Time> differences;
+  for (const auto& [generation, at] : node.generations()) {
+    const auto there = reference.generations().find(generation);
+    if (there != reference.generations().end()) differences.push_back(there->second - at);
+  }
+  if (differences.empty()) return merged;
+  merged.offset = MedianOf(differences);
+  merged.common = differences.size();
+  for (Time& difference : differences) difference = std::abs(difference - merged.offset);
+  merged.spread = MedianOf(differences);
+  return merged;
+}
+
+// Of all nodes together, in bins as wide as the widest or wider. False: no node has a record.
+bool TimelineMerge::SetBounds(const std::vector<ReplicaTimelines>& nodes) {
   Time begin = std::numeric_limits<Time>::max(), end = 0, width = 1;
-  std::uint32_t most_bins = 1;
-  for (const ReplicaTimelines& n : nodes) {
-    MergedNode m{n.node()};
-    std::vector<Time> differences;
-    if (!nodes_.empty()) {
-      for (const auto& [generation, at] : n.generations()) {
-        const auto first = nodes.front().generations().find(generation);
-        if (first != nodes.front().generations().end()) differences.push_back(first->second - at);
-      }
-    }
-    if (!differences.empty()) {
-      m.offset = MedianOf(differences);
-      m.common = differences.size();
-      for (Time& d : differences) d = std::abs(d - m.offset);
-      m.spread = MedianOf(differences);
-    }
-    nodes_.push_back(m);
-    if (n.bins() == 0) continue;
-    begin = std::min(begin, n.begin() + m.offset);
-    end = std::max(end, n.end() + m.offset);
-    width = std::max(width, n.width());
-    most_bins = std::max(most_bins, n.options_.max_bins);
+  std::uint32_t max_bins = 1;
+  for (std::size_t i = 0; i < nodes.size(); ++i) {
+    const ReplicaTimelines& node = nodes[i];
+    if (node.bins() == 0) continue;
+    begin = std::min(begin, node.begin() + nodes_[i].offset);
+    end = std::max(end, node.end() + nodes_[i].offset);
+    width = std::max(width, node.width());
+    max_bins = std::max(max_bins, node.options_.max_bins);
   }
   merged_.width_ = width;
-  if (end == 0) return;
+  if (end == 0) return false;
   merged_.begun_ = true;
   merged_.begin_ = begin;
   merged_.end_ = end;
-  while ((end - begin) / merged_.width_ >= static_cast<Time>(most_bins)) merged_.width_ *= 2;
-  const auto bin_of = [&](const ReplicaTimelines& n, std::size_t i, std::uint32_t bin) {
-    return static_cast<std::uint32_t>((n.BinStart(bin) + nodes_[i].offset - begin) / merged_.width_);
-  };
+  while ((end - begin) / merged_.width_ >= static_cast<Time>(max_bins)) merged_.width_ *= 2;
+  return true;
+}
 
-  // By name: the number of a replica may differ where two names clash.
-  std::map<std::string, std::vector<std::pair<std::size_t, const ReplicaTimeline*>>> by_name;
-  for (std::size_t i = 0; i < nodes.size(); ++i) {
-    const ReplicaTimelines& n = nodes[i];
-    for (const auto& [id, lane] : n.replicas()) by_name[lane.Title()].emplace_back(i, &lane);
-    for (const auto& [bin, f] : n.fleet()) merged_.fleet_[bin_of(n, i, bin)].Add(f);
-    for (std::size_t w = 0; w < merged_.conclusions_.size(); ++w)
-      merged_.conclusions_[w] += n.conclusions()[w];
-    merged_.dropped_replicas_ += n.dropped_replicas();
-    for (const Annotation& m : n.annotations())
-      merged_.annotations_.push_back({m.at + nodes_[i].offset, nodes_[i].name + ": " + m.text});
-    merged_.node_ += (i > 0 ? "+" : "") + nodes_[i].name;
-  }
-  std::stable_sort(merged_.annotations_.begin(), merged_.annotations_.end(),
-                   [](const Annotation& a, const Annotation& b) { return a.at < b.at; });
+// Where a bin of node `i` lies in the merged timelines.
+std::uint32_t TimelineMerge::MergedBin(const ReplicaTimelines& node, std::size_t i, std::uint32_t bin) const {
+  return static_cast<std::uint32_t>((node.BinStart(bin) + nodes_[i].offset - merged_.begin_) /
+                                    merged_.width_);
+}
 
-  std::vector<std::map<policy::ReplicaId, policy::ReplicaId>> ids(nodes.size());  // by node: theirs to ours
-  for (const auto& [name, parts] : by_name) {
-    policy::ReplicaId id = parts.front().second->id;
-    while (merged_.replicas_.contains(id)) ++id;
-    ReplicaTimeline& lane = merged_.replicas_[id];
-    lane.id = id;
-    for (const auto& [i, part] : parts) {
-      ids[i][part->id] = id;
-      if (!part->name.empty()) lane.name = part->name;
-      lane.address = part->address;
-      lane.dropped_items += part->dropped_items;
-      // Nodes count in flight and load side by side: this node's add up, what the replica reports does not.
-      std::map<std::uint32_t, ReplicaBin> folded;
-      for (const auto& [bin, b] : part->bins) folded[bin_of(nodes[i], i, bin)].Add(b);
-      for (const auto& [bin, b] : folded) {
-        const std::int32_t before = lane.bins[bin].in_flight;
-        lane.bins[bin].Add(b);
-        lane.bins[bin].in_flight = before + b.in_flight;
-      }
-      for (EjectionSpan r : part->ejections) {
-        r.from += nodes_[i].offset;
-        r.until += nodes_[i].offset;
-        lane.ejections.push_back(r);
-      }
-      for (const Annotation& m : part->annotations)
-        lane.annotations.push_back({m.at + nodes_[i].offset, nodes_[i].name + ": " + m.text});
+void TimelineMerge::AddFleet(const ReplicaTimelines& node, std::size_t i) {
+  for (const auto& [n, bin] : node.fleet()) merged_.fleet_[MergedBin(node, i, n)].Add(bin);
+  for (std::size_t reason = 0; reason < merged_.conclusions_.size(); ++reason)
+    merged_.conclusions_[reason] += node.conclusions()[reason];
+  merged_.dropped_replicas_ += node.dropped_replicas();
+  for (const Annotation& annotation : node.annotations())
+    merged_.annotations_.push_back(Shifted(annotation, i));
+  merged_.node_ += (i > 0 ? "+" : "") + nodes_[i].name;
+}
+
+Annotation TimelineMerge::Shifted(const Annotation& annotation, std::size_t i) const {
+  return {annotation.at + nodes_[i].offset, nodes_[i].name + ": " + annotation.text};
+}
+
+void TimelineMerge::AddReplica(const std::vector<ReplicaTimelines>& nodes, const Parts& parts,
+                               std::vector<ReplicaIds>& ids) {
+  policy::ReplicaId id = parts.front().second->id;
+  while (merged_.replicas_.contains(id)) ++id;
+  ReplicaTimeline& replica = merged_.replicas_[id];
+  replica.id = id;
+  for (const auto& [i, part] : parts) {
+    ids[i][part->id] = id;
+    if (!part->name.empty()) replica.name = part->name;
+    replica.address = part->address;
+    replica.dropped_items += part->dropped_items;
+    AddBins(nodes[i], i, *part, replica);
+    for (EjectionSpan ejection : part->ejections) {
+      ejection.from += nodes_[i].offset;
+      ejection.until += nodes_[i].offset;
+      replica.ejections.push_back(ejection);
     }
-    std::sort(lane.ejections.begin(), lane.ejections.end(),
-              [](const EjectionSpan& a, const EjectionSpan& b) { return a.from < b.from; });
-    Join(lane, lane.Title(), parts);
+    for (const Annotation& annotation : part->annotations)
+      replica.annotations.push_back(Shifted(annotation, i));
   }
-  for (std::size_t i = 0; i < nodes.size(); ++i) {
-    for (Anomaly u : nodes[i].anomalies()) {
-      u.now += nodes_[i].offset;
-      u.since += nodes_[i].offset;
-      u.number = u.number * nodes.size() + i;  // each node counts for itself
-      if (const auto ours = ids[i].find(u.replica); !u.fleet && ours != ids[i].end())
-        u.replica = ours->second;
-      merged_.anomalies_.push_back(u);
-    }
+  std::sort(replica.ejections.begin(), replica.ejections.end(),
+            [](const EjectionSpan& a, const EjectionSpan& b) { return a.from < b.from; });
+  MergeStates(replica, replica.Title(), parts);
+}
+
+// Of what is in flight each node counts its own, and the sum counts; the load that the replica reports is the
+// same for all.
+void TimelineMerge::AddBins(const ReplicaTimelines& node, std::size_t i, const ReplicaTimeline& part,
+                            ReplicaTimeline& into) const {
+  std::map<std::uint32_t, ReplicaBin> bins;
+  for (const auto& [n, bin] : part.bins) bins[MergedBin(node, i, n)].Add(bin);
+  for (const auto& [n, bin] : bins) {
+    ReplicaBin& merged = into.bins[n];
+    const std::int32_t in_flight_before = merged.in_flight;
+    merged.Add(bin);
+    merged.in_flight = in_flight_before + bin.in_flight;
+  }
+}
+
+void TimelineMerge::AddAnomalies(const ReplicaTimelines& node, std::size_t i, std::size_t node_count,
+                                 const ReplicaIds& ids) {
+  for (Anomaly anomaly : node.anomalies()) {
+    anomaly.now += nodes_[i].offset;
+    anomaly.since += nodes_[i].offset;
+    anomaly.number = anomaly.number * node_count + i;  // each node counts for itself
+    if (const auto merged = ids.find(anomaly.replica); !anomaly.fleet && merged != ids.end())
+      anomaly.replica = merged->second;
+    merged_.anomalies_.push_back(anomaly);
   }
-  std::stable_sort(merged_.anomalies_.begin(), merged_.anomalies_.end(),
-                   [](const Anomaly& a, const Anomaly& b) { return a.now < b.now; });
-  std::sort(disagreements_.begin(), disagreements_.end(),
-            [](const Disagreement& a, const Disagreement& b) { return a.from < b.from; });
 }
 
 // The states of one replica as all nodes together know them.
-void TimelineMerge::Join(ReplicaTimeline& into, const std::string& replica,
-                         const std::vector<std::pair<std::size_t, const ReplicaTimeline*>>& parts) {
+void TimelineMerge::MergeStates(ReplicaTimeline& into, const std::string& replica, const Parts& parts) {
   std::set<Time> cuts;
   for (const auto& [i, part] : parts) {
     for (const StateSpan& s : part->spans) {
@@ -171,7 +203,7 @@
       if (!disagreements_.empty() && disagreements_.back().replica == replica &&
           disagreements_.back().to == 0) {
         disagreements_.back().what = said;
-      } else if (disagreements_.size() < kMostDisagreements) {
+      } else if (disagreements_.size() < kMaxDisagreements) {
         disagreements_.push_back({replica, at, 0, said});
       }
     } else if (!disagreements_.empty() && disagreements_.back().replica == replica &&
--- a/src/timeline/merge_model.h
+++ b/src/timeline/merge_model.h
@@ -1,11 +1,13 @@
-// Joins the lanes of several nodes into one line per replica. Clocks differ: each generation of the list is
-// told to all nodes at about the same time, so the median of the differences between the times at which two
-// nodes were told the same generations is the difference of their clocks (the rest is how late discovery is).
-// No I/O, no clock.
+// Merges several nodes' records into one timeline for each replica. Clocks differ: each generation of the
+// endpoint list reaches all nodes at about the same time, so the median of the differences between the times
+// at which two nodes received the same generations is the difference of their clocks (the rest is how late
+// discovery is). No I/O, no clock.
 #pragma once
 
 #include <cstdint>
+#include <map>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "timeline/replica_timeline_model.h"
@@ -37,8 +39,22 @@
   const std::vector<Disagreement>& disagreements() const { return disagreements_; }
 
  private:
-  void Join(ReplicaTimeline& into, const std::string& replica,
-            const std::vector<std::pair<std::size_t, const ReplicaTimeline*>>& parts);
+  // One replica as several nodes know it: the node's index, and its timeline.
+  using Parts = std::vector<std::pair<std::size_t, const ReplicaTimeline*>>;
+  using ReplicaIds = std::map<policy::ReplicaId, policy::ReplicaId>;  // a node's number to the merged one
+
+  static MergedNode ClockOf(const ReplicaTimelines& node, const ReplicaTimelines& reference);
+  bool SetBounds(const std::vector<ReplicaTimelines>& nodes);
+  std::uint32_t MergedBin(const ReplicaTimelines& node, std::size_t i, std::uint32_t bin) const;
+  Annotation Shifted(const Annotation& annotation, std::size_t i) const;
+  void AddFleet(const ReplicaTimelines& node, std::size_t i);
+  void AddReplica(const std::vector<ReplicaTimelines>& nodes, const Parts& parts,
+                  std::vector<ReplicaIds>& ids);
+  void AddBins(const ReplicaTimelines& node, std::size_t i, const ReplicaTimeline& part,
+               ReplicaTimeline& into) const;
+  void AddAnomalies(const ReplicaTimelines& node, std::size_t i, std::size_t node_count,
+                    const ReplicaIds& ids);
+  void MergeStates(ReplicaTimeline& into, const std::string& replica, const Parts& parts);
 
   ReplicaTimelines merged_;
   std::vector<MergedNode> nodes_;
--- a/src/timeline/plot_model.cpp
+++ b/src/timeline/plot_model.cpp
@@ -15,12 +15,19 @@
 namespace ryeglade::timeline {
 namespace {
 
+// Colours, as RGB.
 constexpr unsigned kReady = 0xd4ead4, kDraining = 0xf4d58a, kUnknown = 0xc9c9d1, kGone = 0xf3f3f3;
-constexpr unsigned kSent = 0x4a7ab5, kFailed = 0xc8321f, kFull = 0xe58a1a, kRest = 0x7b5aa6,
-                   kUnusual = 0xb0127b;
+constexpr unsigned kSent = 0x4a7ab5, kFailed = 0xc8321f, kAtCapacity = 0xe58a1a, kEjected = 0x7b5aa6,
+                   kAnomaly = 0xb0127b;
 
-unsigned ColourOf(ReplicaState s) {
-  switch (s) {
+constexpr double kFleetPanelPixels = 210;
+constexpr double kDetailedRowPixels = 54, kPlainRowPixels = 11;  // of one replica
+constexpr double kBarHeight = 0.62;                              // of the largest bar, in rows
+constexpr std::size_t kMaxReplicaLabels = 4, kMaxFleetLabels = 12;
+constexpr double kFirstTokenQuantile = 0.995;  // that is the top of a row: one outlier must not flatten all
+
+unsigned ColourOf(ReplicaState state) {
+  switch (state) {
     case ReplicaState::kReady:
       return kReady;
     case ReplicaState::kDraining:
@@ -41,8 +48,8 @@
   return out;
 }
 
-// Text within gnuplot's double quotes, with its markup switched off.
-std::string Text(const std::string& text) {
+// For gnuplot's double quotes.
+std::string Escaped(const std::string& text) {
   std::string out;
   for (const char c : text) {
     if (c == '"' || c == '\\' || c == '`' || c == '$') {
@@ -66,7 +73,11 @@
       return;
     }
     Flush();
-    x0_ = x0, x1_ = x1, y0_ = y0, y1_ = y1, colour_ = colour;
+    x0_ = x0;
+    x1_ = x1;
+    y0_ = y0;
+    y1_ = y1;
+    colour_ = colour;
     ++n_;
   }
   // The block, and the term of the plot command that draws it.
@@ -96,208 +107,281 @@
   unsigned colour_ = 0;
 };
 
-// How much there is to tell of a lane, for choosing among too many.
-double Interest(const ReplicaTimeline& lane, const std::map<policy::ReplicaId, int>& events) {
+// How much there is to see of a replica, for choosing among too many.
+double Interest(const ReplicaTimeline& replica, const std::map<policy::ReplicaId, int>& anomalies) {
   double failed = 0;
-  for (const auto& [n, b] : lane.bins) failed += b.failed + b.at_capacity;
-  const auto it = events.find(lane.id);
-  return failed +
-         50.0 * static_cast<double>(lane.spans.size() + lane.ejections.size() + lane.annotations.size()) +
-         1000.0 * (it == events.end() ? 0 : it->second);
+  for (const auto& [n, bin] : replica.bins) failed += bin.failed + bin.at_capacity;
+  const auto at = anomalies.find(replica.id);
+  const auto items =
+      static_cast<double>(replica.spans.size() + replica.ejections.size() + replica.annotations.size());
+  return failed + 50.0 * items + 1000.0 * (at == anomalies.end() ? 0 : at->second);
 }
 
-}  // namespace
-
-std::string TimelinePlotScript(const ReplicaTimelines& lanes, const PlotOptions& options) {
-  const double span = std::max(1.0, static_cast<double>(lanes.end() - lanes.begin()) / 1e6);
-  const double bin_s = static_cast<double>(lanes.width()) / 1e6;
-  const auto x = [&](Time t) { return std::clamp(static_cast<double>(t - lanes.begin()) / 1e6, 0.0, span); };
-  const auto bin_x = [&](std::uint32_t n) { return static_cast<double>(n) * bin_s; };
+// Builds the script of one chart. A row for each replica, the first at the top; x in seconds since the begin.
+class TimelinePlot {
+ public:
+  // Both must outlive this.
+  TimelinePlot(const ReplicaTimelines& timelines, const PlotOptions& options)
+      : timelines_(timelines),
+        options_(options),
+        span_(std::max(1.0, static_cast<double>(timelines.end() - timelines.begin()) / 1e6)),
+        bin_seconds_(static_cast<double>(timelines.width()) / 1e6) {
+    ChooseReplicas();
+    detailed_ = shown_.size() <= kMaxDetailedTimelines;
+    rows_ = static_cast<double>(shown_.size());
+    footer_pixels_ = detailed_ ? 84 : 60;
+    height_pixels_ = kFleetPanelPixels + footer_pixels_ +
+                     (detailed_ ? kDetailedRowPixels : kPlainRowPixels) * std::max(1.0, rows_);
+  }
 
-  std::map<policy::ReplicaId, int> events;
-  for (const Anomaly& u : lanes.anomalies()) {
-    if (u.begins && !u.fleet) ++events[u.replica];
+  std::string Build() {
+    ComputeScales();
+    for (std::size_t i = 0; i < shown_.size(); ++i)
+      AddReplica(*shown_[i], rows_ - 1 - static_cast<double>(i));
+    AddAnomalies();
+    std::string script = GnuplotHead(options_.out, options_.width, height_pixels_, 10);
+    script += FleetData() + states_.Block() + traffic_.Block() + faults_.Block() + ejections_.Block() +
+              anomalies_.Block();
+    script += "$first << EOD\n" + (first_tokens_.empty() ? std::string("\n") : first_tokens_) + "EOD\n";
+    script += "set multiplot\n";
+    script += fmt::format("set xrange [0:{:.3f}]\nset lmargin at screen 0.13\nset rmargin at screen 0.985\n",
+                          span_);
+    script += FleetPanel() + ReplicaPanel();
+    return script + "\nunset multiplot\nunset output\n";
   }
-  std::vector<const ReplicaTimeline*> shown;
-  for (const auto& [id, lane] : lanes.replicas()) shown.push_back(&lane);
-  std::size_t hidden = 0;
-  if (shown.size() > kMaxPlottedTimelines) {
-    std::stable_sort(shown.begin(), shown.end(), [&](const ReplicaTimeline* a, const ReplicaTimeline* b) {
-      return Interest(*a, events) > Interest(*b, events);
-    });
-    hidden = shown.size() - kMaxPlottedTimelines;
-    shown.resize(kMaxPlottedTimelines);
+
+ private:
+  double X(Time at) const {
+    return std::clamp(static_cast<double>(at - timelines_.begin()) / 1e6, 0.0, span_);
   }
-  std::sort(shown.begin(), shown.end(),
-            [](const ReplicaTimeline* a, const ReplicaTimeline* b) { return a->Title() < b->Title(); });
-  const bool full = shown.size() <= kMaxDetailedTimelines;
-
-  double most_sent = 1, most_first = 1;
-  std::vector<double> firsts;
-  for (const ReplicaTimeline* lane : shown) {
-    for (const auto& [n, b] : lane->bins) {
-      most_sent = std::max(most_sent, static_cast<double>(b.sent + b.failed));
-      if (b.first_tokens > 0) firsts.push_back(b.first_token_sum / b.first_tokens);
+  double BinX(std::uint32_t bin) const { return static_cast<double>(bin) * bin_seconds_; }
+
+  void ChooseReplicas() {
+    std::map<policy::ReplicaId, int> anomalies;
+    for (const Anomaly& anomaly : timelines_.anomalies()) {
+      if (anomaly.begins && !anomaly.fleet) ++anomalies[anomaly.replica];
+    }
+    for (const auto& [id, replica] : timelines_.replicas()) shown_.push_back(&replica);
+    if (shown_.size() > kMaxPlottedTimelines) {
+      std::stable_sort(shown_.begin(), shown_.end(), [&](const ReplicaTimeline* a, const ReplicaTimeline* b) {
+        return Interest(*a, anomalies) > Interest(*b, anomalies);
+      });
+      hidden_ = shown_.size() - kMaxPlottedTimelines;
+      shown_.resize(kMaxPlottedTimelines);
     }
+    std::sort(shown_.begin(), shown_.end(),
+              [](const ReplicaTimeline* a, const ReplicaTimeline* b) { return a->Title() < b->Title(); });
   }
-  if (!firsts.empty()) {  // one mad answer must not flatten all lines
-    const auto at =
-        firsts.begin() + static_cast<std::ptrdiff_t>(static_cast<double>(firsts.size() - 1) * 0.995);
-    std::nth_element(firsts.begin(), at, firsts.end());
-    most_first = std::max(1.0, *at);
+
+  void ComputeScales() {
+    std::vector<double> first_tokens;
+    for (const ReplicaTimeline* replica : shown_) {
+      for (const auto& [n, bin] : replica->bins) {
+        max_sent_ = std::max(max_sent_, static_cast<double>(bin.sent + bin.failed));
+        if (bin.first_tokens > 0) first_tokens.push_back(bin.first_token_sum / bin.first_tokens);
+      }
+    }
+    if (first_tokens.empty()) return;
+    const double index = static_cast<double>(first_tokens.size() - 1) * kFirstTokenQuantile;
+    const auto at = first_tokens.begin() + static_cast<std::ptrdiff_t>(index);
+    std::nth_element(first_tokens.begin(), at, first_tokens.end());
+    max_first_token_ = std::max(1.0, *at);
   }
 
-  Boxes states("states"), traffic("traffic"), faults("faults"), rests("rests"), unusual("unusual");
-  std::string firsts_block, labels, tics;
-  const double count = static_cast<double>(shown.size());
-  std::map<policy::ReplicaId, double> bottom;
-  for (std::size_t i = 0; i < shown.size(); ++i) {
-    const ReplicaTimeline& lane = *shown[i];
-    const double y = count - 1 - static_cast<double>(i);
-    bottom[lane.id] = y;
-    tics += fmt::format("{}\"{}\" {}", tics.empty() ? "" : ", ", Text(lane.Title()), y + 0.5);
-    for (const StateSpan& s : lane.spans)
-      states.Add(x(s.from), x(s.to == 0 ? lanes.end() : s.to), y + 0.03, y + 0.97, ColourOf(s.state));
-    for (const auto& [n, b] : lane.bins) {
-      const double x0 = bin_x(n), x1 = std::min(span, x0 + bin_s), failed = b.failed, turned = b.at_capacity;
-      const double tried = std::max(1.0, static_cast<double>(b.served + b.cancelled) + failed + turned);
-      if (full) {
-        // What was sent, and of what ended in that bin the parts that failed or were turned away.
-        const double top = 0.62 * (b.sent + 0.0) / most_sent;
-        traffic.Add(x0, x1, y + 0.05, y + 0.05 + top, kSent);
-        faults.Add(x0, x1, y + 0.05, y + 0.05 + std::max(failed > 0 ? 0.06 : 0.0, 0.62 * failed / most_sent),
-                   kFailed);
-        const double base = 0.62 * failed / most_sent;
-        faults.Add(x0, x1, y + 0.05 + base,
-                   y + 0.05 + base + (turned > 0 ? std::max(0.05, 0.62 * turned / most_sent) : 0), kFull);
-        if (b.first_tokens > 0) {
-          firsts_block +=
-              fmt::format("{:.3f} {:.4f}\n", (x0 + x1) / 2,
-                          y + 0.05 + 0.85 * std::min(1.0, b.first_token_sum / b.first_tokens / most_first));
-        }
-      } else if (failed + turned > 0) {
-        const bool mostly = failed >= turned;
-        faults.Add(x0, x1, y + 0.03, y + 0.97,
-                   Blend(kReady, mostly ? kFailed : kFull, 0.25 + 0.75 * (failed + turned) / tried));
+  // `y`: the bottom of its row.
+  void AddReplica(const ReplicaTimeline& replica, double y) {
+    row_of_[replica.id] = y;
+    tics_ += fmt::format("{}\"{}\" {}", tics_.empty() ? "" : ", ", Escaped(replica.Title()), y + 0.5);
+    for (const StateSpan& span : replica.spans)
+      states_.Add(X(span.from), X(span.to == 0 ? timelines_.end() : span.to), y + 0.03, y + 0.97,
+                  ColourOf(span.state));
+    for (const auto& [n, bin] : replica.bins) {
+      if (detailed_) {
+        AddDetailedBin(n, bin, y);
+      } else {
+        AddPlainBin(n, bin, y);
       }
     }
-    firsts_block += "\n";
-    for (const EjectionSpan& r : lane.ejections)
-      rests.Add(x(r.from), std::max(x(r.until), x(r.from) + span / 700), y + 0.0, y + (full ? 0.06 : 0.3),
-                kRest);
-    std::size_t written = 0;
-    for (const Annotation& m : lane.annotations) {
-      if (full && written++ < 4)
-        labels += fmt::format("set label \"{}\" at {:.3f},{:.3f} font \",7\" tc rgb \"#444444\"\n",
-                              Text(m.text), x(m.at), y + 0.9);
+    first_tokens_ += "\n";  // ends the line of this replica
+    for (const EjectionSpan& ejection : replica.ejections)
+      ejections_.Add(X(ejection.from), std::max(X(ejection.until), X(ejection.from) + span_ / 700), y + 0.0,
+                     y + (detailed_ ? 0.06 : 0.3), kEjected);
+    if (!detailed_) return;
+    const std::size_t labels = std::min(replica.annotations.size(), kMaxReplicaLabels);
+    for (std::size_t i = 0; i < labels; ++i) {
+      const Annotation& annotation = replica.annotations[i];
+      labels_ += fmt::format("set label \"{}\" at {:.3f},{:.3f} font \",7\" tc rgb \"#444444\"\n",
+                             Escaped(annotation.text), X(annotation.at), y + 0.9);
+    }
+  }
+
+  // What was sent, and of what ended in that bin the parts that failed or met a full replica.
+  void AddDetailedBin(std::uint32_t n, const ReplicaBin& bin, double y) {
+    const double x0 = BinX(n), x1 = std::min(span_, x0 + bin_seconds_);
+    const double failed = bin.failed, at_capacity = bin.at_capacity;
+    const double top = kBarHeight * (bin.sent + 0.0) / max_sent_;
+    traffic_.Add(x0, x1, y + 0.05, y + 0.05 + top, kSent);
+    faults_.Add(x0, x1, y + 0.05,
+                y + 0.05 + std::max(failed > 0 ? 0.06 : 0.0, kBarHeight * failed / max_sent_), kFailed);
+    const double base = kBarHeight * failed / max_sent_;
+    const double height = at_capacity > 0 ? std::max(0.05, kBarHeight * at_capacity / max_sent_) : 0;
+    faults_.Add(x0, x1, y + 0.05 + base, y + 0.05 + base + height, kAtCapacity);
+    if (bin.first_tokens == 0) return;
+    const double mean = bin.first_token_sum / bin.first_tokens;
+    first_tokens_ += fmt::format("{:.3f} {:.4f}\n", (x0 + x1) / 2,
+                                 y + 0.05 + 0.85 * std::min(1.0, mean / max_first_token_));
+  }
+
+  // The share of attempts that failed or met a full replica, as a colour.
+  void AddPlainBin(std::uint32_t n, const ReplicaBin& bin, double y) {
+    const double x0 = BinX(n), x1 = std::min(span_, x0 + bin_seconds_);
+    const double failed = bin.failed, at_capacity = bin.at_capacity;
+    if (failed + at_capacity <= 0) return;
+    const double ended =
+        std::max(1.0, static_cast<double>(bin.served + bin.cancelled) + failed + at_capacity);
+    const unsigned colour = failed >= at_capacity ? kFailed : kAtCapacity;
+    faults_.Add(x0, x1, y + 0.03, y + 0.97,
+                Blend(kReady, colour, 0.25 + 0.75 * (failed + at_capacity) / ended));
+  }
+
+  void AddAnomalies() {
+    std::map<std::uint64_t, Anomaly> open;
+    for (const Anomaly& anomaly : timelines_.anomalies()) {
+      if (anomaly.begins) {
+        open[anomaly.number] = anomaly;
+      } else if (const auto begun = open.find(anomaly.number); begun != open.end()) {
+        AddAnomaly(begun->second, anomaly.now);
+        open.erase(begun);
+      }
     }
+    for (const auto& [number, anomaly] : open) AddAnomaly(anomaly, timelines_.end());
   }
-  std::map<std::uint64_t, Anomaly> open;
-  std::string fleet_events;
-  std::size_t fleet_n = 0;
-  const auto draw = [&](const Anomaly& from, Time to) {
-    const double x0 = x(from.since), x1 = std::max(x(to), x0 + span / 400);
-    if (from.fleet) {
-      fleet_events += fmt::format(
+
+  void AddAnomaly(const Anomaly& begin, Time end) {
+    const double x0 = X(begin.since), x1 = std::max(X(end), x0 + span_ / 400);
+    if (begin.fleet) {
+      fleet_anomalies_ += fmt::format(
           "set object rect from {:.3f}, graph 0 to {:.3f}, graph 1 fc rgb \"#f7d5ea\" fs solid noborder "
           "behind\n"
           "set label \"{}\" at {:.3f}, graph {:.2f} font \",8\" tc rgb \"#b0127b\"\n",
-          x0, x1, Name(from.kind), x0, 0.93 - 0.11 * static_cast<double>(fleet_n++ % 3));
+          x0, x1, Name(begin.kind), x0, 0.93 - 0.11 * static_cast<double>(fleet_anomaly_count_++ % 3));
       return;
     }
-    const auto at = bottom.find(from.replica);
-    if (at == bottom.end()) return;
-    unusual.Add(x0, x1, at->second + (full ? 0.9 : 0.55), at->second + 0.97, kUnusual);
-    if (full) {
-      labels += fmt::format("set label \"{}\" at {:.3f},{:.3f} font \",8\" tc rgb \"#b0127b\" front\n",
-                            Name(from.kind), x0, at->second + 0.81);
+    const auto row = row_of_.find(begin.replica);
+    if (row == row_of_.end()) return;
+    const double y = row->second;
+    anomalies_.Add(x0, x1, y + (detailed_ ? 0.9 : 0.55), y + 0.97, kAnomaly);
+    if (detailed_)
+      labels_ += fmt::format("set label \"{}\" at {:.3f},{:.3f} font \",8\" tc rgb \"#b0127b\" front\n",
+                             Name(begin.kind), x0, y + 0.81);
+  }
+
+  // Of each bin, per second: arrived, served, rejected or failed, coalesced.
+  std::string FleetData() const {
+    std::string data = "$fleet << EOD\n";
+    for (std::uint32_t n = 0; n < timelines_.bins(); ++n) {
+      const auto at = timelines_.fleet().find(n);
+      const FleetBin bin = at == timelines_.fleet().end() ? FleetBin{} : at->second;
+      data += fmt::format("{:.3f} {:.3f} {:.3f} {:.3f} {:.3f}\n", BinX(n) + bin_seconds_ / 2,
+                          bin.arrived / bin_seconds_, bin.served / bin_seconds_,
+                          (bin.rejected + bin.failed) / bin_seconds_,
+                          static_cast<double>(bin.coalesced) / bin_seconds_);
     }
-  };
-  for (const Anomaly& u : lanes.anomalies()) {
-    if (u.begins) {
-      open[u.number] = u;
-    } else if (const auto it = open.find(u.number); it != open.end()) {
-      draw(it->second, u.now);
-      open.erase(it);
+    return data + "EOD\n";
+  }
+
+  std::string FleetAnnotations() const {
+    std::string marks;
+    const std::size_t count = std::min(timelines_.annotations().size(), kMaxFleetLabels);
+    for (std::size_t i = 0; i < count; ++i) {
+      const Annotation& annotation = timelines_.annotations()[i];
+      const double x = X(annotation.at);
+      marks += fmt::format(
+          "set arrow from {0:.3f}, graph 0 to {0:.3f}, graph 1 nohead lt 0 lc rgb \"#555555\"\n", x);
+      marks += fmt::format("set label \"{}\" at {:.3f}, graph {:.2f} font \",7\" tc rgb \"#333333\"\n",
+                           Escaped(annotation.text), x, 0.82 - 0.1 * static_cast<double>(i % 6));
     }
+    return marks;
   }
-  for (const auto& [n, u] : open) draw(u, lanes.end());
-
-  std::string fleet = "$fleet << EOD\n";
-  for (std::uint32_t n = 0; n < lanes.bins(); ++n) {
-    const auto it = lanes.fleet().find(n);
-    const FleetBin f = it == lanes.fleet().end() ? FleetBin{} : it->second;
-    fleet += fmt::format("{:.3f} {:.3f} {:.3f} {:.3f} {:.3f}\n", bin_x(n) + bin_s / 2, f.arrived / bin_s,
-                         f.served / bin_s, (f.rejected + f.failed) / bin_s,
-                         static_cast<double>(f.coalesced) / bin_s);
+
+  std::string Title() const {
+    const auto begin = static_cast<std::time_t>(timelines_.begin() / 1'000'000);
+    return fmt::format("{}{}, {} replicas{}, from {:%Y-%m-%d %H:%M:%S} UTC, {:.0f} s, bins of {:g} s",
+                       Escaped(options_.title), options_.title.empty() ? Escaped(timelines_.node()) : "",
+                       shown_.size(), hidden_ > 0 ? fmt::format(" of {}", shown_.size() + hidden_) : "",
+                       fmt::gmtime(begin), span_, bin_seconds_);
   }
-  fleet += "EOD\n";
-  std::string marks;
-  std::size_t written = 0;
-  for (const Annotation& m : lanes.annotations()) {
-    if (written >= 12) break;
-    marks += fmt::format(
-        "set arrow from {0:.3f}, graph 0 to {0:.3f}, graph 1 nohead lt 0 lc rgb \"#555555\"\n", x(m.at));
-    marks += fmt::format("set label \"{}\" at {:.3f}, graph {:.2f} font \",7\" tc rgb \"#333333\"\n",
-                         Text(m.text), x(m.at), 0.82 - 0.1 * static_cast<double>(written % 6));
-    ++written;
+
+  std::string FleetPanel() const {
+    std::string s = fmt::format("set tmargin at screen {:.5f}\nset bmargin at screen {:.5f}\n",
+                                1 - 30 / height_pixels_, 1 - (kFleetPanelPixels - 30) / height_pixels_);
+    s += fmt::format(
+        "set title \"{}\" font \",11\" offset 0,-0.4\nset ylabel \"requests/s\"\nset yrange [0:*]\n",
+        Title());
+    s += "set key top right horizontal samplen 2 font \",8\"\nset xtics format \"\"\nset grid xtics lc rgb "
+         "\"#dddddd\"\n";
+    s += fleet_anomalies_ + FleetAnnotations();
+    s += "plot $fleet using 1:2 with lines lw 1.5 lc rgb \"#333333\" title \"arrived\", "
+         "$fleet using 1:3 with lines lw 1.5 lc rgb \"#2f8f46\" title \"served\", "
+         "$fleet using 1:4 with lines lw 1.5 lc rgb \"#c8321f\" title \"refused or failed\"";
+    s += ", $fleet using 1:5 with lines lw 1 dt 2 lc rgb \"#7b5aa6\" title \"counted, not kept\"\n";
+    return s + "unset arrow\nunset label\nunset object\nunset title\n";
   }
 
-  const double lane_px = full ? 54 : 11;
-  const double top_px = 210, foot_px = full ? 84 : 60,
-               height = top_px + foot_px + lane_px * std::max(1.0, count);
-  const std::time_t began = static_cast<std::time_t>(lanes.begin() / 1'000'000);
-  const std::string title = fmt::format(
-      "{}{}, {} replicas{}, from {:%Y-%m-%d %H:%M:%S} UTC, {:.0f} s, bins of {:g} s", Text(options.title),
-      options.title.empty() ? Text(lanes.node()) : "", shown.size(),
-      hidden > 0 ? fmt::format(" of {}", shown.size() + hidden) : "", fmt::gmtime(began), span, bin_s);
-  std::string s = GnuplotHead(options.out, options.width, height, 10);
-  s += fleet + states.Block() + traffic.Block() + faults.Block() + rests.Block() + unusual.Block();
-  s += "$first << EOD\n" + (firsts_block.empty() ? std::string("\n") : firsts_block) + "EOD\n";
-  s += "set multiplot\n";
-  s += fmt::format("set xrange [0:{:.3f}]\nset lmargin at screen 0.13\nset rmargin at screen 0.985\n", span);
-  s += fmt::format("set tmargin at screen {:.5f}\nset bmargin at screen {:.5f}\n", 1 - 30 / height,
-                   1 - (top_px - 30) / height);
-  s += fmt::format(
-      "set title \"{}\" font \",11\" offset 0,-0.4\nset ylabel \"requests/s\"\nset yrange [0:*]\n", title);
-  s += "set key top right horizontal samplen 2 font \",8\"\nset xtics format \"\"\nset grid xtics lc rgb "
-       "\"#dddddd\"\n";
-  s += fleet_events + marks;
-  s += "plot $fleet using 1:2 with lines lw 1.5 lc rgb \"#333333\" title \"arrived\", "
-       "$fleet using 1:3 with lines lw 1.5 lc rgb \"#2f8f46\" title \"served\", "
-       "$fleet using 1:4 with lines lw 1.5 lc rgb \"#c8321f\" title \"refused or failed\"";
-  s += ", $fleet using 1:5 with lines lw 1 dt 2 lc rgb \"#7b5aa6\" title \"counted, not kept\"\n";
-  s += "unset arrow\nunset label\nunset object\nunset title\n";
-  s += fmt::format("set tmargin at screen {:.5f}\nset bmargin at screen {:.5f}\n", 1 - (top_px - 10) / height,
-                   foot_px / height);
-  s += fmt::format("set yrange [0:{}]\nunset ylabel\nset ytics ({}) font \",{}\" scale 0\n",
-                   std::max(1.0, count), tics, full ? 9 : 6);
-  s += "set xtics format \"%g s\"\nset grid xtics front lc rgb "
-       "\"#e4e4e4\"\n";
-  s += fmt::format(
-      "set key at screen 0.985, screen {:.5f} right bottom horizontal maxrows 1 samplen 1.2 font \",8\"\n",
-      6 / height);
-  s += labels;
-  s += "plot -1 notitle" + states.Term() + traffic.Term() + faults.Term() + rests.Term() + unusual.Term();
-  if (full) {
+  std::string ReplicaPanel() const {
+    std::string s =
+        fmt::format("set tmargin at screen {:.5f}\nset bmargin at screen {:.5f}\n",
+                    1 - (kFleetPanelPixels - 10) / height_pixels_, footer_pixels_ / height_pixels_);
+    s += fmt::format("set yrange [0:{}]\nunset ylabel\nset ytics ({}) font \",{}\" scale 0\n",
+                     std::max(1.0, rows_), tics_, detailed_ ? 9 : 6);
+    s += "set xtics format \"%g s\"\nset grid xtics front lc rgb \"#e4e4e4\"\n";
     s += fmt::format(
-        ", $first using 1:2 with lines lw 1.2 lc rgb \"#222222\" title \"first token (lane's top: {:.0f} "
-        "ms)\"",
-        most_first);
-    s += fmt::format(", keyentry with boxes fs solid lc rgb {} title \"sent (most: {:.0f}/s)\"", kSent,
-                     most_sent / bin_s);
+        "set key at screen 0.985, screen {:.5f} right bottom horizontal maxrows 1 samplen 1.2 font \",8\"\n",
+        6 / height_pixels_);
+    s += labels_;
+    s += "plot -1 notitle" + states_.Term() + traffic_.Term() + faults_.Term() + ejections_.Term() +
+         anomalies_.Term();
+    if (detailed_) {
+      s += fmt::format(
+          ", $first using 1:2 with lines lw 1.2 lc rgb \"#222222\" title \"first token (lane's top: {:.0f} "
+          "ms)\"",
+          max_first_token_);
+      s += fmt::format(", keyentry with boxes fs solid lc rgb {} title \"sent (most: {:.0f}/s)\"", kSent,
+                       max_sent_ / bin_seconds_);
+    }
+    return s + ColourKey();
   }
-  for (const auto& [colour, name] : std::vector<std::pair<unsigned, const char*>>{{kReady, "ready"},
-                                                                                  {kDraining, "draining"},
-                                                                                  {kUnknown, "unknown"},
-                                                                                  {kGone, "gone"},
-                                                                                  {kFailed, "failed"},
-                                                                                  {kFull, "turned away"},
-                                                                                  {kRest, "rests"},
-                                                                                  {kUnusual, "unusual"}})
-    s += fmt::format(", keyentry with boxes fs solid lc rgb {} title \"{}\"", colour, name);
-  s += "\nunset multiplot\nunset output\n";
-  return s;
+
+  static std::string ColourKey() {
+    constexpr std::pair<unsigned, const char*> kEntries[] = {
+        {kReady, "ready"},   {kDraining, "draining"},      {kUnknown, "unknown"}, {kGone, "gone"},
+        {kFailed, "failed"}, {kAtCapacity, "turned away"}, {kEjected, "rests"},   {kAnomaly, "unusual"}};
+    std::string key;
+    for (const auto& [colour, name] : kEntries)
+      key += fmt::format(", keyentry with boxes fs solid lc rgb {} title \"{}\"", colour, name);
+    return key;
+  }
+
+  const ReplicaTimelines& timelines_;
+  const PlotOptions& options_;
+  double span_, bin_seconds_;                  // seconds
+  std::vector<const ReplicaTimeline*> shown_;  // from the top
+  std::size_t hidden_ = 0;                     // replicas beyond kMaxPlottedTimelines
+  bool detailed_ = false;                      // bars and lines; else one strip for each replica
+  double rows_ = 0;
+  double footer_pixels_ = 0, height_pixels_ = 0;
+  double max_sent_ = 1, max_first_token_ = 1;  // of a bin: the tops of the scales; requests, ms
+  Boxes states_{"states"}, traffic_{"traffic"}, faults_{"faults"}, ejections_{"rests"}, anomalies_{"unusual"};
+  std::string first_tokens_, labels_, tics_;
+  std::string fleet_anomalies_;
+  std::size_t fleet_anomaly_count_ = 0;
+  std::map<policy::ReplicaId, double> row_of_;  // the bottom of a replica's row
+};
+
+}  // namespace
+
+std::string TimelinePlotScript(const ReplicaTimelines& timelines, const PlotOptions& options) {
+  return TimelinePlot(timelines, options).Build();
 }
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/plot_model.h
+++ b/src/timeline/plot_model.h
@@ -1,6 +1,6 @@
-// A picture of lanes as a gnuplot script: the fleet's traffic above, then a lane for each replica with its
-// state, what it was sent, what failed, how long first tokens took, its rests and what was unusual. Up to 24
-// lanes in full; above that each lane is a strip. No I/O.
+// Replica timelines as a gnuplot script: the fleet's traffic above, then a row for each replica with its
+// state, what it was sent, what failed, the times to first token, its ejections and anomalies. Up to 24
+// replicas in detail; above that each is a strip. No I/O.
 #pragma once
 
 #include <string>
@@ -16,9 +16,9 @@
 };
 
 inline constexpr std::size_t kMaxDetailedTimelines = 24;
-inline constexpr std::size_t kMaxPlottedTimelines = 400;  // lanes; those with most to tell come first
+inline constexpr std::size_t kMaxPlottedTimelines = 400;  // those with most failures, changes and anomalies
 
 // Throws std::runtime_error for an ending that is neither.
-std::string TimelinePlotScript(const ReplicaTimelines& lanes, const PlotOptions& options);
+std::string TimelinePlotScript(const ReplicaTimelines& timelines, const PlotOptions& options);
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/record_loader.cpp
+++ b/src/timeline/record_loader.cpp
@@ -26,55 +26,55 @@
 
 }  // namespace
 
-ReplicaTimelineOptions BoundsOf(const LoadOptions& o, const std::vector<std::string>& files) {
+ReplicaTimelineOptions BoundsOf(const LoadOptions& options, const std::vector<std::string>& files) {
   ReplicaTimelineOptions bounds;
-  bounds.max_bins = o.most_bins;
-  if (o.span.empty()) return bounds;
+  bounds.max_bins = options.max_bins;
+  if (options.span.empty()) return bounds;
   const Time begin = FirstTime(files.front());
-  bounds.from = PointOf(o.span[0], begin);
-  if (o.span.size() > 1) bounds.to = PointOf(o.span[1], begin);
+  bounds.from = PointOf(options.span[0], begin);
+  if (options.span.size() > 1) bounds.to = PointOf(options.span[1], begin);
   if (bounds.to != 0 && bounds.to < bounds.from)
     throw std::runtime_error("--span: the second time is before the first");
   return bounds;
 }
 
-LoadedTimelines LoadTimelines(const std::vector<std::string>& paths, const LoadOptions& o) {
+LoadedTimelines LoadTimelines(const std::vector<std::string>& paths, const LoadOptions& options) {
   const std::vector<std::string> files = FlightFiles(paths);
-  LoadedTimelines loaded{ReplicaTimelines(BoundsOf(o, files)), {}};
+  LoadedTimelines loaded{ReplicaTimelines(BoundsOf(options, files)), {}};
   std::vector<Anomaly> found;
-  AnomalyDetector watch([&](const Anomaly& u) { found.push_back(u); });
+  AnomalyDetector detector([&](const Anomaly& u) { found.push_back(u); });
   bool noticed = false;  // by the node
   loaded.totals = ReadWithReasons(
       files,
       [&](const Record& r) {
         if (std::holds_alternative<Anomaly>(r)) {
           noticed = true;
-          if (o.again) return;
+          if (options.detect_again) return;
         }
-        const bool look = o.again || !noticed;
-        if (look) watch.OnRecord(r);
-        loaded.lanes.AddRecord(r);
+        const bool look = options.detect_again || !noticed;
+        if (look) detector.OnRecord(r);
+        loaded.timelines.AddRecord(r);
         if (look) {
-          for (const Anomaly& u : std::exchange(found, {})) loaded.lanes.AddRecord(u);
+          for (const Anomaly& u : std::exchange(found, {})) loaded.timelines.AddRecord(u);
         }
       },
-      o.progress);
-  if (o.again || !noticed) {
-    watch.Close();
-    for (const Anomaly& u : found) loaded.lanes.AddRecord(u);
+      options.progress);
+  if (options.detect_again || !noticed) {
+    detector.Close();
+    for (const Anomaly& u : found) loaded.timelines.AddRecord(u);
   }
-  loaded.lanes.Close();
+  loaded.timelines.Close();
   return loaded;
 }
 
-std::vector<ReplicaTimelines> LoadNodes(const std::vector<std::string>& paths, const LoadOptions& o,
+std::vector<ReplicaTimelines> LoadNodes(const std::vector<std::string>& paths, const LoadOptions& options,
                                         std::string* losses) {
   std::vector<ReplicaTimelines> nodes;
   for (const std::string& path : paths) {
-    LoadedTimelines one = LoadTimelines({path}, o);
+    LoadedTimelines one = LoadTimelines({path}, options);
     if (const std::string lost = one.totals.Losses(); !lost.empty())
       losses->append(path).append(": ").append(lost);
-    nodes.push_back(std::move(one.lanes));
+    nodes.push_back(std::move(one.timelines));
   }
   return nodes;
 }
--- a/src/timeline/record_loader.h
+++ b/src/timeline/record_loader.h
@@ -1,4 +1,5 @@
-// ReplicaTimelines of whole records, with what was unusual: as the node noticed it, or else found anew.
+// Replica timelines of whole flight records, with the anomalies: as the node recorded them, or else detected
+// here.
 #pragma once
 
 #include <functional>
@@ -14,13 +15,13 @@
 
 struct LoadOptions {
   std::vector<std::string> span;  // from and to: Unix time in milliseconds, or "+SECONDS" since the begin
-  std::uint32_t most_bins = 1800;
-  bool again = false;  // look for the unusual anew
+  std::uint32_t max_bins = 1800;
+  bool detect_again = false;  // anomalies, instead of those that the node recorded
   ReadProgress progress;
 };
 
 struct LoadedTimelines {
-  ReplicaTimelines lanes;  // closed
+  ReplicaTimelines timelines;  // closed
   ReadTotals totals;
 };
 
--- a/src/timeline/replica_timeline_model.cpp
+++ b/src/timeline/replica_timeline_model.cpp
@@ -15,12 +15,11 @@
 using policy::EndpointState;
 using policy::Outcome;
 
-constexpr std::size_t kMostGenerations = 65536;
+constexpr std::size_t kMaxGenerations = 65536;
 
-ReplicaState StateOf(EndpointState phase) {
-  return phase == EndpointState::kReady      ? ReplicaState::kReady
-         : phase == EndpointState::kDraining ? ReplicaState::kDraining
-                                             : ReplicaState::kGone;
+ReplicaState StateOf(EndpointState state) {
+  if (state == EndpointState::kReady) return ReplicaState::kReady;
+  return state == EndpointState::kDraining ? ReplicaState::kDraining : ReplicaState::kGone;
 }
 
 }  // namespace
@@ -103,10 +102,10 @@
   return static_cast<std::uint32_t>((at - begin_) / width_);
 }
 
-void ReplicaTimelines::Annotate(std::vector<Annotation>& marks, Time at, std::string text,
+void ReplicaTimelines::Annotate(std::vector<Annotation>& annotations, Time at, std::string text,
                                 ReplicaTimeline* replica) {
-  if (marks.size() < options_.max_items) {
-    marks.push_back({at, std::move(text)});
+  if (annotations.size() < options_.max_items) {
+    annotations.push_back({at, std::move(text)});
   } else if (replica != nullptr) {
     ++replica->dropped_items;
   }
@@ -145,51 +144,11 @@
 }
 
 void ReplicaTimelines::AddRecord(const Record& record) {
-  if (const auto* start = std::get_if<Start>(&record)) {
-    // A process that starts earlier than the last one ended has another clock: times go on from there.
-    shift_ = 0;
-    if (begun_ && start->now < end_) {
-      shift_ = end_ - start->now;
-      Annotate(annotations_, end_,
-               fmt::format("the clock stepped back by {:.1f} s; times are shifted",
-                           static_cast<double>(shift_) / 1e6),
-               nullptr);
-    }
-    const Time now = start->now + shift_;
-    if (!begun_) begin_ = std::max(now, options_.from);
-    begun_ = true;
-    end_ = std::max({end_, now, begin_});
-    node_ = start->node;
-    load_field_ = LoadFieldOf(start->settings);
-    Annotate(annotations_, now, "the node starts", nullptr);
-    SetAllUnknown(now, "the node starts");
-    for (auto& [id, replica] : replicas_) {
-      replica.outstanding = 0;
-      replica.load = -1;
-    }
-    list_received_ = list_unavailable_ = after_gap_ = false;
-    generation_ = 0;
-    return;
-  }
-  if (const auto* gap = std::get_if<Gap>(&record)) {
-    if (!begun_) return;
-    after_gap_ = true;
-    Annotate(annotations_, end_,
-             gap->records > 0 ? fmt::format("{} records were not kept", gap->records) : "records are missing",
-             nullptr);
-    return;
-  }
-  const Time said = RecordTime(record);
-  const Time now = std::max(end_, said + shift_);  // within a run time never steps back
-  if ((options_.from != 0 && said < options_.from) || (options_.to != 0 && said > options_.to)) {
-    // Outside of what is asked for only the roster's word is followed, so that states are right when it
-    // begins.
-    const auto* d = std::get_if<Decision>(&record);
-    const bool roster = std::holds_alternative<EndpointRecord>(record) ||
-                        std::holds_alternative<EndpointListRecord>(record) ||
-                        (d != nullptr && std::holds_alternative<policy::EndpointList>(d->event));
-    if (!roster || (options_.to != 0 && said > options_.to)) return;
-  }
+  if (const auto* start = std::get_if<Start>(&record)) return OnStart(*start);
+  if (const auto* gap = std::get_if<Gap>(&record)) return OnGap(*gap);
+  const Time recorded_at = RecordTime(record);
+  if (IsOutsideBounds(record, recorded_at)) return;
+  const Time now = std::max(end_, recorded_at + shift_);  // within a run time never steps back
   if (!begun_) {
     begun_ = true;
     begin_ = now;
@@ -199,71 +158,127 @@
     SetAllUnknown(now, "a hole in the record");
     for (auto& [id, replica] : replicas_) replica.outstanding = 0;
   }
-  if (const auto* d = std::get_if<Decision>(&record)) return OnDecision(*d, now);
-  if (const auto* b = std::get_if<CoalescedDecisions>(&record)) return OnCoalesced(*b, now);
-  if (const auto* m = std::get_if<EndpointRecord>(&record)) {
-    ReplicaTimeline* replica = FindOrAdd(m->id);
-    if (replica == nullptr) return;
-    if (!replica->address.empty() && replica->address != m->address)
-      Annotate(replica->annotations, now, fmt::format("moved from {} to {}", replica->address, m->address),
-               replica);
-    replica->name = m->name;
-    replica->address = m->address;
-    if (m->repeated && !list_unavailable_) SetState(*replica, now, StateOf(m->state), "as before");
-    return;
+  if (const auto* decision = std::get_if<Decision>(&record)) return OnDecision(*decision, now);
+  if (const auto* coalesced = std::get_if<CoalescedDecisions>(&record)) return OnCoalesced(*coalesced, now);
+  if (const auto* endpoint = std::get_if<EndpointRecord>(&record)) return OnEndpoint(*endpoint, now);
+  if (const auto* list = std::get_if<EndpointListRecord>(&record)) return OnListSource(*list, now);
+  if (const auto* event = std::get_if<ClusterEventRecord>(&record)) return OnClusterEvent(*event, now);
+  if (const auto* reason = std::get_if<ReasonRecord>(&record)) return OnReason(*reason, now);
+  if (const auto* anomaly = std::get_if<Anomaly>(&record)) return OnAnomaly(*anomaly, now);
+}
+
+void ReplicaTimelines::OnStart(const Start& start) {
+  // A process that starts earlier than the last one ended has another clock: times go on from there.
+  shift_ = 0;
+  if (begun_ && start.now < end_) {
+    shift_ = end_ - start.now;
+    Annotate(annotations_, end_,
+             fmt::format("the clock stepped back by {:.1f} s; times are shifted",
+                         static_cast<double>(shift_) / 1e6),
+             nullptr);
   }
-  if (const auto* r = std::get_if<EndpointListRecord>(&record)) {
-    if (!r->unavailable_reason.empty()) {
-      if (!list_unavailable_ && !r->repeated)
-        Annotate(annotations_, now, fmt::format("roster dark: {} {}", r->source, r->unavailable_reason),
-                 nullptr);
-      list_unavailable_ = true;
-      return SetAllUnknown(now, fmt::format("roster dark: {} {}", r->source, r->unavailable_reason));
-    }
-    source_ = r->source;
-    // The first list after a start only catches up; later ones are told to all nodes at about the same time.
-    if (!r->repeated && list_received_ && r->generation > generation_ && r->source == "watch" &&
-        generations_.size() < kMostGenerations)
-      generations_.emplace(r->generation, now);
-    generation_ = std::max(generation_, r->generation);
-    return;
+  const Time now = start.now + shift_;
+  if (!begun_) begin_ = std::max(now, options_.from);
+  begun_ = true;
+  end_ = std::max({end_, now, begin_});
+  node_ = start.node;
+  load_field_ = LoadFieldOf(start.settings);
+  Annotate(annotations_, now, "the node starts", nullptr);
+  SetAllUnknown(now, "the node starts");
+  for (auto& [id, replica] : replicas_) {
+    replica.outstanding = 0;
+    replica.load = -1;
   }
-  if (const auto* t = std::get_if<ClusterEventRecord>(&record)) {
-    return Annotate(annotations_, now,
-                    fmt::format("{}{}{}; {} nodes", t->what, t->member.empty() ? "" : " " + t->member,
-                                t->by.empty() ? "" : " by " + t->by, t->live),
-                    nullptr);
+  list_received_ = false;
+  list_unavailable_ = false;
+  after_gap_ = false;
+  generation_ = 0;
+}
+
+void ReplicaTimelines::OnGap(const Gap& gap) {
+  if (!begun_) return;
+  after_gap_ = true;
+  Annotate(annotations_, end_,
+           gap.records > 0 ? fmt::format("{} records were not kept", gap.records) : "records are missing",
+           nullptr);
+}
+
+// Before the bounds endpoint lists are still followed, so that states are right when they begin.
+bool ReplicaTimelines::IsOutsideBounds(const Record& record, Time recorded_at) const {
+  if (options_.to != 0 && recorded_at > options_.to) return true;
+  if (options_.from == 0 || recorded_at >= options_.from) return false;
+  const auto* decision = std::get_if<Decision>(&record);
+  const bool of_endpoints =
+      std::holds_alternative<EndpointRecord>(record) || std::holds_alternative<EndpointListRecord>(record) ||
+      (decision != nullptr && std::holds_alternative<policy::EndpointList>(decision->event));
+  return !of_endpoints;
+}
+
+void ReplicaTimelines::OnEndpoint(const EndpointRecord& endpoint, Time now) {
+  ReplicaTimeline* replica = FindOrAdd(endpoint.id);
+  if (replica == nullptr) return;
+  if (!replica->address.empty() && replica->address != endpoint.address)
+    Annotate(replica->annotations, now,
+             fmt::format("moved from {} to {}", replica->address, endpoint.address), replica);
+  replica->name = endpoint.name;
+  replica->address = endpoint.address;
+  if (endpoint.repeated && !list_unavailable_) SetState(*replica, now, StateOf(endpoint.state), "as before");
+}
+
+void ReplicaTimelines::OnListSource(const EndpointListRecord& list, Time now) {
+  if (!list.unavailable_reason.empty()) {
+    const std::string text = fmt::format("roster dark: {} {}", list.source, list.unavailable_reason);
+    if (!list_unavailable_ && !list.repeated) Annotate(annotations_, now, text, nullptr);
+    list_unavailable_ = true;
+    return SetAllUnknown(now, text);
   }
-  if (const auto* n = std::get_if<ReasonRecord>(&record)) {
-    if (const auto* end = std::get_if<policy::ConclusionRecord>(&n->reason)) {
-      const auto why = static_cast<std::size_t>(end->reason);
-      if (why < conclusions_.size()) ++conclusions_[why];
-    }
-    if (const auto* rest = std::get_if<policy::EjectionRecord>(&n->reason)) {
-      ReplicaTimeline* replica = FindOrAdd(rest->replica);
-      if (replica == nullptr) return;
-      const EjectionSpan r{now, rest->ejected_until + shift_, rest->outcome, rest->consecutive_failures};
-      if (!replica->ejections.empty() && replica->ejections.back().until >= r.from &&
-          replica->ejections.back().outcome == r.outcome) {
-        replica->ejections.back().until = std::max(replica->ejections.back().until, r.until);
-        replica->ejections.back().consecutive_failures =
-            std::max(replica->ejections.back().consecutive_failures, r.consecutive_failures);
-      } else if (replica->ejections.size() < options_.max_items) {
-        replica->ejections.push_back(r);
-      } else {
-        ++replica->dropped_items;
-      }
-    }
-    return;
+  source_ = list.source;
+  // The first list after a start only catches up; later ones reach all nodes at about the same time.
+  const bool reaches_all =
+      !list.repeated && list_received_ && list.generation > generation_ && list.source == "watch";
+  if (reaches_all && generations_.size() < kMaxGenerations) generations_.emplace(list.generation, now);
+  generation_ = std::max(generation_, list.generation);
+}
+
+void ReplicaTimelines::OnClusterEvent(const ClusterEventRecord& event, Time now) {
+  Annotate(annotations_, now,
+           fmt::format("{}{}{}; {} nodes", event.what, event.member.empty() ? "" : " " + event.member,
+                       event.by.empty() ? "" : " by " + event.by, event.live),
+           nullptr);
+}
+
+void ReplicaTimelines::OnReason(const ReasonRecord& record, Time now) {
+  if (const auto* conclusion = std::get_if<policy::ConclusionRecord>(&record.reason)) {
+    const auto reason = static_cast<std::size_t>(conclusion->reason);
+    if (reason < conclusions_.size()) ++conclusions_[reason];
+  }
+  if (const auto* ejection = std::get_if<policy::EjectionRecord>(&record.reason)) {
+    if (ReplicaTimeline* replica = FindOrAdd(ejection->replica))
+      AddEjection(*replica,
+                  {now, ejection->ejected_until + shift_, ejection->outcome, ejection->consecutive_failures});
   }
-  if (const auto* u = std::get_if<Anomaly>(&record)) {
-    Anomaly shifted = *u;
-    shifted.now = now;
-    shifted.since += shift_;
-    if (anomalies_.size() < 4 * options_.max_items) anomalies_.push_back(shifted);
+}
+
+// One that begins while the last one lasts, for the same outcome, extends it.
+void ReplicaTimelines::AddEjection(ReplicaTimeline& replica, const EjectionSpan& ejection) {
+  EjectionSpan* last = replica.ejections.empty() ? nullptr : &replica.ejections.back();
+  if (last != nullptr && last->until >= ejection.from && last->outcome == ejection.outcome) {
+    last->until = std::max(last->until, ejection.until);
+    last->consecutive_failures = std::max(last->consecutive_failures, ejection.consecutive_failures);
+  } else if (replica.ejections.size() < options_.max_items) {
+    replica.ejections.push_back(ejection);
+  } else {
+    ++replica.dropped_items;
   }
 }
 
+void ReplicaTimelines::OnAnomaly(const Anomaly& anomaly, Time now) {
+  if (anomalies_.size() >= 4 * options_.max_items) return;
+  anomalies_.push_back(anomaly);
+  anomalies_.back().now = now;
+  anomalies_.back().since += shift_;
+}
+
 void ReplicaTimelines::OnEndpointList(Time now, const policy::EndpointList& list) {
   if (list.scope == EndpointListScope::kFailed) {
     list_unavailable_ = true;
@@ -301,69 +316,79 @@
   }
 }
 
-void ReplicaTimelines::OnDecision(const Decision& d, Time now) {
+void ReplicaTimelines::OnDecision(const Decision& decision, Time now) {
   const std::uint32_t n = BinIndex(now);
-  if (const auto* list = std::get_if<policy::EndpointList>(&d.event)) {
+  if (const auto* list = std::get_if<policy::EndpointList>(&decision.event)) {
     OnEndpointList(now, *list);
-  } else if (std::holds_alternative<policy::RequestArrived>(d.event)) {
+  } else if (std::holds_alternative<policy::RequestArrived>(decision.event)) {
     ++fleet_[n].arrived;
-  } else if (std::holds_alternative<policy::ClientDisconnected>(d.event)) {
+  } else if (std::holds_alternative<policy::ClientDisconnected>(decision.event)) {
     ++fleet_[n].disconnected;
-  } else if (const auto* started = std::get_if<policy::ResponseStarted>(&d.event)) {
-    if (ReplicaTimeline* replica = FindOrAdd(started->replica)) {
-      ReplicaBin& bin = replica->bins[n];
-      const double ms = static_cast<double>(started->elapsed) / 1000;
-      ++bin.first_tokens;
-      bin.first_token_sum += ms;
-      bin.first_token_max = std::max(bin.first_token_max, ms);
-    }
-  } else if (const auto* ended = std::get_if<policy::AttemptEnded>(&d.event)) {
-    if (ReplicaTimeline* replica = FindOrAdd(ended->replica)) {
-      ReplicaBin& bin = replica->bins[n];
-      replica->outstanding = std::max(0, replica->outstanding - 1);
-      switch (ended->outcome) {
-        case Outcome::kServed:
-          ++bin.served;
-          ++fleet_[n].served;
-          break;
-        case Outcome::kAtCapacity:
-          ++bin.at_capacity;
-          break;
-        case Outcome::kCancelled:
-        case Outcome::kNotSent:
-          ++bin.cancelled;
-          break;
-        default:
-          ++bin.failed;
-      }
-      if (ended->load_report.size() > load_field_) {
-        replica->load = bin.load = ended->load_report[load_field_];
-        replica->load_at = now;
-        bin.load_age = -1;
-      }
-    }
-  } else if (const auto* probe = std::get_if<policy::HealthCheckCompleted>(&d.event)) {
-    if (ReplicaTimeline* replica = FindOrAdd(probe->replica);
-        replica != nullptr && probe->load_report.size() > load_field_) {
-      replica->load = replica->bins[n].load = probe->load_report[load_field_];
+  } else if (const auto* started = std::get_if<policy::ResponseStarted>(&decision.event)) {
+    OnResponseStarted(*started, n);
+  } else if (const auto* ended = std::get_if<policy::AttemptEnded>(&decision.event)) {
+    OnAttemptEnded(*ended, n, now);
+  } else if (const auto* check = std::get_if<policy::HealthCheckCompleted>(&decision.event)) {
+    ReplicaTimeline* replica = FindOrAdd(check->replica);
+    if (replica != nullptr && check->load_report.size() > load_field_) {
+      replica->load = replica->bins[n].load = check->load_report[load_field_];
       replica->load_at = now;
     }
   }
-  for (const policy::Action& a : d.actions) {
-    if (std::holds_alternative<policy::RejectRequest>(a)) ++fleet_[n].rejected;
-    if (std::holds_alternative<policy::FailRequest>(a)) ++fleet_[n].failed;
-    if (const auto* send = std::get_if<policy::SendAttempt>(&a)) {
-      ++fleet_[n].sent;
-      if (ReplicaTimeline* replica = FindOrAdd(send->replica)) {
-        ReplicaBin& bin = replica->bins[n];
-        ++bin.sent;
-        bin.in_flight = std::max(bin.in_flight, ++replica->outstanding);
-        if (bin.load < 0 && replica->load >= 0) {
-          bin.load = replica->load;
-          bin.load_age = static_cast<double>(now - replica->load_at) / 1e6;
-        }
-      }
-    }
+  for (const policy::Action& action : decision.actions) {
+    if (std::holds_alternative<policy::RejectRequest>(action)) ++fleet_[n].rejected;
+    if (std::holds_alternative<policy::FailRequest>(action)) ++fleet_[n].failed;
+    if (const auto* send = std::get_if<policy::SendAttempt>(&action)) OnSendAttempt(*send, n, now);
+  }
+}
+
+void ReplicaTimelines::OnResponseStarted(const policy::ResponseStarted& started, std::uint32_t n) {
+  ReplicaTimeline* replica = FindOrAdd(started.replica);
+  if (replica == nullptr) return;
+  ReplicaBin& bin = replica->bins[n];
+  const double ms = static_cast<double>(started.elapsed) / 1000;
+  ++bin.first_tokens;
+  bin.first_token_sum += ms;
+  bin.first_token_max = std::max(bin.first_token_max, ms);
+}
+
+void ReplicaTimelines::OnAttemptEnded(const policy::AttemptEnded& ended, std::uint32_t n, Time now) {
+  ReplicaTimeline* replica = FindOrAdd(ended.replica);
+  if (replica == nullptr) return;
+  ReplicaBin& bin = replica->bins[n];
+  replica->outstanding = std::max(0, replica->outstanding - 1);
+  switch (ended.outcome) {
+    case Outcome::kServed:
+      ++bin.served;
+      ++fleet_[n].served;
+      break;
+    case Outcome::kAtCapacity:
+      ++bin.at_capacity;
+      break;
+    case Outcome::kCancelled:
+    case Outcome::kNotSent:
+      ++bin.cancelled;
+      break;
+    default:
+      ++bin.failed;
+  }
+  if (ended.load_report.size() > load_field_) {
+    replica->load = bin.load = ended.load_report[load_field_];
+    replica->load_at = now;
+    bin.load_age = -1;
+  }
+}
+
+void ReplicaTimelines::OnSendAttempt(const policy::SendAttempt& send, std::uint32_t n, Time now) {
+  ++fleet_[n].sent;
+  ReplicaTimeline* replica = FindOrAdd(send.replica);
+  if (replica == nullptr) return;
+  ReplicaBin& bin = replica->bins[n];
+  ++bin.sent;
+  bin.in_flight = std::max(bin.in_flight, ++replica->outstanding);
+  if (bin.load < 0 && replica->load >= 0) {
+    bin.load = replica->load;
+    bin.load_age = static_cast<double>(now - replica->load_at) / 1e6;
   }
 }
 
--- a/src/timeline/replica_timeline_model.h
+++ b/src/timeline/replica_timeline_model.h
@@ -1,10 +1,10 @@
-// One lane for each replica, and one for the fleet: what the roster said of it, what was sent to it and what
-// came of that, in bins of time. Built from a record in bounded memory, whatever its length: when it outgrows
-// its bins, they become twice as wide. No I/O, no clock.
+// A timeline of each replica and of the fleet: what the endpoint list said of it, what was sent to it and
+// what came of that, in bins of time. Built from a flight record in bounded memory, whatever its length: when
+// it outgrows its bins, they become twice as wide. No I/O, no clock.
 //
-// States do not lie. What a lane says of a time is what the node had been told by then: while the roster is
-// dark, before a first list has come, and behind a hole in the record a replica is `unknown`, with what was
-// last known of it; it is never taken to be well.
+// A state at a time is what the node knew by then: while there is no endpoint list, before a first one has
+// come, and behind a gap in the record a replica is `unknown`, with the state that was last known; it is
+// never assumed to be ready.
 #pragma once
 
 #include <array>
@@ -116,7 +116,20 @@
   void SetState(ReplicaTimeline& replica, Time at, ReplicaState state, std::string why);
   void SetAllUnknown(Time at, const std::string& why);
   void Annotate(std::vector<Annotation>& annotations, Time at, std::string text, ReplicaTimeline* replica);
+  bool IsOutsideBounds(const Record& record, Time recorded_at) const;
+  void OnStart(const Start& start);
+  void OnGap(const Gap& gap);
+  void OnEndpoint(const EndpointRecord& endpoint, Time now);
+  void OnListSource(const EndpointListRecord& list, Time now);
+  void OnClusterEvent(const ClusterEventRecord& event, Time now);
+  void OnReason(const ReasonRecord& record, Time now);
+  void OnAnomaly(const Anomaly& anomaly, Time now);
+  void AddEjection(ReplicaTimeline& replica, const EjectionSpan& ejection);
   void OnEndpointList(Time now, const policy::EndpointList& list);
+  // `n`: the bin of that time.
+  void OnResponseStarted(const policy::ResponseStarted& started, std::uint32_t n);
+  void OnAttemptEnded(const policy::AttemptEnded& ended, std::uint32_t n, Time now);
+  void OnSendAttempt(const policy::SendAttempt& send, std::uint32_t n, Time now);
   void OnDecision(const Decision& decision, Time now);
   void OnCoalesced(const CoalescedDecisions& coalesced, Time now);
 
--- a/tests/export_test.cpp
+++ b/tests/export_test.cpp
@@ -29,7 +29,7 @@
   ASSERT_EQ(std::system(command.c_str()), 0);
   const H5::H5File file(base + ".h5", H5F_ACC_RDONLY);
   LoadOptions options;
-  options.most_bins = 100'000;
+  options.max_bins = 100'000;
   std::string losses;
   std::size_t compared = 0, not_told = 0;
   for (const TextTable& sheet : TimelineTables(LoadNodes({base + ".flight"}, options, &losses).front())) {
--- a/tools/export/main.cpp
+++ b/tools/export/main.cpp
@@ -17,7 +17,7 @@
   CLI::App app("Writes a flight record's tables as one HDF5 file.");
   std::string out;
   ryeglade::timeline::LoadOptions options;
-  options.most_bins = 100'000;
+  options.max_bins = 100'000;
   std::vector<std::string> paths;
   app.add_option("--out", out, "the file")->required();
   app.add_option("--span", options.span, "from, and to: Unix milliseconds, or +SECONDS since the begin")
