--- a/src/timeline/flight_recorder.cpp
+++ b/src/timeline/flight_recorder.cpp
@@ -20,9 +20,9 @@
 
 namespace fs = std::filesystem;
 constexpr Time kRetryAfter = 5'000'000;  // a disk that failed is left alone for a while
-constexpr Time kAgainEvery = 60'000'000;
-constexpr std::size_t kMostMembers = 4096;
-constexpr std::size_t kMostNotes = std::size_t{16} * 1024;  // bytes, of one decision
+constexpr Time kRepeatInterval = 60'000'000;
+constexpr std::size_t kMaxEndpoints = 4096;
+constexpr std::size_t kMaxReasonBytes = std::size_t{16} * 1024;  // bytes, of one decision
 
 bool Same(const EndpointRecord& a, const EndpointRecord& b) {
   return a.name == b.name && a.address == b.address && a.started_at == b.started_at && a.state == b.state;
@@ -103,9 +103,9 @@
       options_(std::move(options)),
       disk_(std::make_unique<Disk>()),
       budget_(options_.bytes_per_second),
-      watch_([this](const Anomaly& u) {
-        unusual_ += u.begins ? 1 : 0;
-        Keep(u);
+      detector_([this](const Anomaly& u) {
+        anomalies_ += u.begins ? 1 : 0;
+        Append(u);
         const std::string id = Hex8(u.replica);
         Log(u.begins ? Level::kWarn : Level::kInfo, u.begins ? "unusual-began" : "unusual-ended",
             {{"number", u.number},
@@ -130,8 +130,8 @@
 std::uint64_t FlightRecorder::failures() const { return disk_->failures; }
 
 void FlightRecorder::OnStart(const std::string& settings, std::uint64_t seed, Time now) {
-  watch_.OnStart(settings);
-  Keep(Start{kFormat, options_.node, settings, seed, now});
+  detector_.OnStart(settings);
+  Append(Start{kFormat, options_.node, settings, seed, now});
 }
 
 void FlightRecorder::OnDecision(Time now, const policy::Event& event,
@@ -141,67 +141,67 @@
   // Who has left is told no more; what comes back says anew where it is.
   if (const auto* list = std::get_if<policy::EndpointList>(&event)) {
     for (const policy::Endpoint& e : list->endpoints) {
-      if (e.state == policy::EndpointState::kRemoved) members_.erase(e.id);
+      if (e.state == policy::EndpointState::kRemoved) endpoints_.erase(e.id);
     }
     if (list->scope == policy::EndpointListScope::kFull) {
       const std::vector<policy::ReplicaId> listed = ListedIds(*list);
-      std::erase_if(members_, [&](const auto& m) {
+      std::erase_if(endpoints_, [&](const auto& m) {
         return !std::binary_search(listed.begin(), listed.end(), m.first);
       });
     }
   }
-  if (options_.watch) watch_.OnDecision(now, event, actions);
+  if (options_.watch) detector_.OnDecision(now, event, actions);
   if (!budget_.MayKeep(now)) {
     coalescer_.Count(now, event, actions);
     ++coalesced_;
-    notes_.clear();
-    in_notes_ = 0;
-    if (coalescer_.Due(now)) FlushBurst();
+    reasons_.clear();
+    reason_count_ = 0;
+    if (coalescer_.Due(now)) FlushCoalesced();
     return;
   }
-  FlushBurst();
+  FlushCoalesced();
   const std::size_t before = block_.size();
   Encode(now, event, actions, block_);
-  block_ += notes_;
-  notes_.clear();
+  block_ += reasons_;
+  reasons_.clear();
   budget_.Spend(block_.size() - before);
-  Kept(1 + std::exchange(in_notes_, 0));
+  OnAppended(1 + std::exchange(reason_count_, 0));
 }
 
-void FlightRecorder::Kept(std::uint64_t records) {
-  in_block_ += records;
+void FlightRecorder::OnAppended(std::uint64_t records) {
+  block_records_ += records;
   if (closed_) return;  // what is left is cut once, at the end
-  if (due_.order == 0) Arm();
-  if (block_.size() >= options_.block_bytes) Cut();
+  if (due_.order == 0) ScheduleFlush();
+  if (block_.size() >= options_.block_bytes) QueueBlock();
 }
 
-void FlightRecorder::Because(const decltype(ReasonRecord::reason)& what) {
-  if (closed_ || notes_.size() > kMostNotes) return;
-  Encode(ReasonRecord{Now(), what}, notes_);
-  ++in_notes_;
+void FlightRecorder::AddReason(const decltype(ReasonRecord::reason)& what) {
+  if (closed_ || reasons_.size() > kMaxReasonBytes) return;
+  Encode(ReasonRecord{Now(), what}, reasons_);
+  ++reason_count_;
 }
 
-void FlightRecorder::FlushBurst() {
-  if (const std::optional<CoalescedDecisions> burst = coalescer_.TakeCounted()) Keep(*burst);
+void FlightRecorder::FlushCoalesced() {
+  if (const std::optional<CoalescedDecisions> coalesced = coalescer_.TakeCounted()) Append(*coalesced);
 }
 
 void FlightRecorder::OnEndpoint(Time now, const policy::Endpoint& entry, const std::string& name,
                                 const std::string& address) {
   if (closed_) return;
   const EndpointRecord m{now, entry.id, name, address, entry.started_at, entry.state, false};
-  const auto it = members_.find(entry.id);
-  if (it != members_.end() && Same(it->second, m)) return;
-  if (it == members_.end() && members_.size() >= kMostMembers) return;
-  members_[entry.id] = m;
-  Keep(m);
+  const auto it = endpoints_.find(entry.id);
+  if (it != endpoints_.end() && Same(it->second, m)) return;
+  if (it == endpoints_.end() && endpoints_.size() >= kMaxEndpoints) return;
+  endpoints_[entry.id] = m;
+  Append(m);
 }
 
 void FlightRecorder::OnEndpointList(Time now, std::string_view source, std::uint64_t generation,
                                     std::string_view why) {
   if (closed_) return;
-  roster_ = {now, std::string(source), generation, std::string(why), false};
-  Keep(roster_);
-  if (options_.watch) watch_.OnEndpointList(now, source, why);
+  endpoint_list_ = {now, std::string(source), generation, std::string(why), false};
+  Append(endpoint_list_);
+  if (options_.watch) detector_.OnEndpointList(now, source, why);
 }
 
 // Names are left out first where the budget is short.
@@ -210,7 +210,7 @@
   const std::size_t before = block_.size();
   Encode(CallIdRecord{now, id, std::string(call_id.substr(0, 128))}, block_);
   budget_.Spend(block_.size() - before);
-  Kept();
+  OnAppended();
 }
 
 // What flaps is left out where the budget is short.
@@ -221,38 +221,38 @@
   Encode(ClusterEventRecord{now, std::string(what), std::string(member), std::string(by), value, live},
          block_);
   budget_.Spend(block_.size() - before);
-  Kept();
+  OnAppended();
 }
 
-void FlightRecorder::Again(Time now) {
-  again_at_ = now + kAgainEvery;
-  for (const auto& [id, member] : members_) {
+void FlightRecorder::RepeatEndpoints(Time now) {
+  repeat_at_ = now + kRepeatInterval;
+  for (const auto& [id, member] : endpoints_) {
     EndpointRecord m = member;
     m.now = now;
     m.repeated = true;
-    Keep(m);
+    Append(m);
   }
-  if (roster_.now == 0) return;
-  EndpointListRecord r = roster_;
+  if (endpoint_list_.now == 0) return;
+  EndpointListRecord r = endpoint_list_;
   r.repeated = true;  // its time stays: that is how old the list is
-  Keep(r);
+  Append(r);
 }
 
-void FlightRecorder::Arm() {
+void FlightRecorder::ScheduleFlush() {
   due_ = run_->deadlines->Set(Now() + options_.block_within, [this] {
     due_ = {};
-    Cut();
+    QueueBlock();
   });
 }
 
-void FlightRecorder::Cut() {
+void FlightRecorder::QueueBlock() {
   run_->deadlines->Cancel(due_);
-  if (in_block_ == 0) return;
+  if (block_records_ == 0) return;
   if (queue_.size() >= options_.waiting_blocks) {
-    dropped_ += in_block_;
-    lost_ += in_block_;
+    dropped_ += block_records_;
+    lost_ += block_records_;
     block_.clear();
-    in_block_ = 0;
+    block_records_ = 0;
     return;
   }
   // A gap stands before the first record that follows it.
@@ -260,7 +260,7 @@
   if (lost_ > 0) Encode(Gap{std::exchange(lost_, 0)}, raw);
   raw += block_;
   block_.clear();
-  in_block_ = 0;
+  block_records_ = 0;
   if (options_.ring_bytes > 0) {
     ring_size_ += raw.size();
     ring_.push_back(raw);
@@ -272,16 +272,16 @@
   }
   if (!options_.directory.empty()) {
     queue_.push_back(std::move(raw));
-    if (!closed_) Next();
+    if (!closed_) WriteNextBlock();
   }
-  if (const Time now = Now(); !closed_ && now >= again_at_) Again(now);
+  if (const Time now = Now(); !closed_ && now >= repeat_at_) RepeatEndpoints(now);
 }
 
 bool FlightRecorder::Dump() {
   if (options_.ring_bytes == 0 || dumping_ || closed_) return false;
-  FlushBurst();
-  Again(Now());
-  Cut();
+  FlushCoalesced();
+  RepeatEndpoints(Now());
+  QueueBlock();
   DumpJob* job = new DumpJob;
   job->work.data = job;
   job->recorder = this;
@@ -313,7 +313,7 @@
   return queued == 0;
 }
 
-void FlightRecorder::Next() {
+void FlightRecorder::WriteNextBlock() {
   if (writing_ || queue_.empty()) return;
   writing_ = true;
   Job* job = new Job;
@@ -336,7 +336,7 @@
           Log(Level::kWarn, "flight-not-written",
               {{"why", std::strerror(error)}, {"blocks", r->disk_->failures}});
         }
-        r->Next();
+        r->WriteNextBlock();
       });
   if (queued != 0) {
     writing_ = false;
@@ -347,9 +347,9 @@
 void FlightRecorder::Close() {
   if (closed_) return;
   closed_ = true;  // the loop has ended: no deadline can be set, and no job runs
-  if (options_.watch) watch_.Close();
-  FlushBurst();
-  Cut();
+  if (options_.watch) detector_.Close();
+  FlushCoalesced();
+  QueueBlock();
   while (!queue_.empty()) {
     disk_->Write(queue_.front());
     queue_.pop_front();
--- a/src/timeline/flight_recorder.h
+++ b/src/timeline/flight_recorder.h
@@ -32,7 +32,7 @@
   std::size_t ring_bytes = 0;  // raw, of the newest blocks, kept in memory; 0: none
   std::string dump_directory;  // where Dump writes the ring
   bool reasons = false;        // kept with the decisions; else a replay tells them
-  bool watch = true;           // for the unusual
+  bool watch = true;           // for anomalies
 };
 
 class FlightRecorder : public DecisionRecorder,
@@ -53,9 +53,9 @@
   void OnCallId(Time now, policy::RequestId id, std::string_view call_id) override;
   void OnClusterEvent(Time now, std::string_view what, std::string_view member, std::string_view by,
                       std::uint64_t value, std::size_t live) override;
-  void OnDispatch(const policy::DispatchRecord& note) override { Because(note); }
-  void OnConclusion(const policy::ConclusionRecord& note) override { Because(note); }
-  void OnEjection(const policy::EjectionRecord& note) override { Because(note); }
+  void OnDispatch(const policy::DispatchRecord& note) override { AddReason(note); }
+  void OnConclusion(const policy::ConclusionRecord& note) override { AddReason(note); }
+  void OnEjection(const policy::EjectionRecord& note) override { AddReason(note); }
 
   bool wants_reasons() const { return options_.reasons; }
   // Writes the ring to a file of its own, off the loop. False: there is none, or the last is still written.
@@ -65,7 +65,7 @@
   std::uint64_t records() const { return records_; }
   std::uint64_t dropped() const { return dropped_; }      // records
   std::uint64_t coalesced() const { return coalesced_; }  // decisions counted instead of kept
-  std::uint64_t unusual() const { return unusual_; }      // events begun
+  std::uint64_t unusual() const { return anomalies_; }    // events begun
   std::uint64_t failures() const;                         // blocks that the disk did not take
 
  private:
@@ -84,37 +84,37 @@
     int error = 0;
   };
   template <class T>
-  void Keep(const T& record) {
+  void Append(const T& record) {
     Encode(record, block_);
-    Kept();
+    OnAppended();
   }
-  void Kept(std::uint64_t records = 1);  // behind what was put into the block
-  void Because(const decltype(ReasonRecord::reason)& what);
-  void FlushBurst();
-  void Again(Time now);  // who is who, for readers of a record whose beginning is gone
-  void Cut();            // the block at hand goes to the queue
-  void Next();           // the next of the queue to the disk
-  void Arm();
+  void OnAppended(std::uint64_t records = 1);  // counts what was put into the block
+  void AddReason(const decltype(ReasonRecord::reason)& what);
+  void FlushCoalesced();
+  void RepeatEndpoints(Time now);  // identities, for readers of a record whose beginning is gone
+  void QueueBlock();               // the block at hand goes to the queue
+  void WriteNextBlock();           // the next of the queue to the disk
+  void ScheduleFlush();
 
   const Runtime* run_;
   RecorderOptions options_;
   std::unique_ptr<Disk> disk_;
   std::string block_;
-  std::uint64_t in_block_ = 0;  // records
-  std::uint64_t lost_ = 0;      // dropped since the last block that was kept
+  std::uint64_t block_records_ = 0;  // records
+  std::uint64_t lost_ = 0;           // dropped since the last block that was kept
   std::deque<std::string> queue_;
   bool writing_ = false;
   bool closed_ = false;
   DeadlineId due_{};
-  std::uint64_t records_ = 0, dropped_ = 0, coalesced_ = 0, unusual_ = 0;
+  std::uint64_t records_ = 0, dropped_ = 0, coalesced_ = 0, anomalies_ = 0;
   RecordBudget budget_;
   Coalescer coalescer_;
-  std::string notes_;  // of the decision that is being taken
-  std::uint64_t in_notes_ = 0;
-  AnomalyDetector watch_;
-  std::map<policy::ReplicaId, EndpointRecord> members_;
-  EndpointListRecord roster_;
-  Time again_at_ = 0;
+  std::string reasons_;  // of the decision that is being taken
+  std::uint64_t reason_count_ = 0;
+  AnomalyDetector detector_;
+  std::map<policy::ReplicaId, EndpointRecord> endpoints_;
+  EndpointListRecord endpoint_list_;
+  Time repeat_at_ = 0;
   std::deque<std::string> ring_;  // raw blocks
   std::size_t ring_size_ = 0;
   std::uint64_t ring_number_ = 0;  // of the next block
