--- a/src/app/node_report.cpp
+++ b/src/app/node_report.cpp
@@ -9,18 +9,18 @@
 namespace ryeglade {
 namespace {
 
-rollout::ClassFigures ClassMetrics(const NodeCounters::RequestClass& counters, double priority_weight) {
-  rollout::ClassFigures metrics;
-  metrics.worth = priority_weight;
+rollout::ClassMetrics ClassMetrics(const NodeCounters::RequestClass& counters, double priority_weight) {
+  rollout::ClassMetrics metrics;
+  metrics.priority_weight = priority_weight;
   metrics.served = counters.served;
   metrics.in_time = counters.within_objective;
-  metrics.refused = counters.rejected;
+  metrics.rejected = counters.rejected;
   metrics.failed = counters.failed;
-  metrics.attempts = static_cast<double>(counters.attempts);
-  metrics.attempts_squared = static_cast<double>(counters.attempts_squared);
+  metrics.attempts_sum = static_cast<double>(counters.attempts);
+  metrics.attempts_sum_of_squares = static_cast<double>(counters.attempts_squared);
   metrics.started = counters.started;
-  metrics.first_ln = counters.first_token_ln;
-  metrics.first_ln_squared = counters.first_token_ln_squared;
+  metrics.first_token_ln_sum = counters.first_token_ln;
+  metrics.first_token_ln_sum_of_squares = counters.first_token_ln_squared;
   return metrics;
 }
 
@@ -44,24 +44,24 @@
 
 std::string RolloutMetricsReport(const ReportSources& sources, std::size_t used_sockets) {
   const Config& config = sources.config;
-  rollout::Figures metrics;
+  rollout::NodeMetrics metrics;
   metrics.pid = getpid();
-  metrics.at = Now();
+  metrics.measured_at = Now();
   std::size_t resident = 0;
   uv_resident_set_memory(&resident);
-  metrics.memory = resident;
-  metrics.most_memory = config.memory_mb * 1024 * 1024;
+  metrics.memory_bytes = resident;
+  metrics.memory_limit_bytes = config.memory_mb * 1024 * 1024;
   metrics.descriptors = used_sockets;
-  metrics.most_descriptors = config.sockets;
+  metrics.descriptor_limit = config.sockets;
   for (const std::size_t i : config.active_classes) {
     const policy::ClassSettings& settings = config.settings.classes[i];
-    metrics.classes[settings.name].worth = settings.priority_weight;
+    metrics.classes[settings.name].priority_weight = settings.priority_weight;
   }
   for (const auto& [name, counters] : sources.counters.by_class) {
-    rollout::ClassFigures& metrics_of_class = metrics.classes[name];
-    metrics_of_class = ClassMetrics(counters, metrics_of_class.worth);
+    rollout::ClassMetrics& metrics_of_class = metrics.classes[name];
+    metrics_of_class = ClassMetrics(counters, metrics_of_class.priority_weight);
   }
-  return EncodeFigures(metrics);
+  return EncodeNodeMetrics(metrics);
 }
 
 }  // namespace ryeglade
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -51,7 +51,7 @@
       node_count_(nodes, settings.shrink_after),
       node_(node),
       address_(settings.advertise),
-      exchanges_(runtime, &networks_, std::max<Time>(kMinExchangeTimeout, 3 * settings.period), this),
+      exchanges_(runtime, &networks_, std::max<Time>(kMinExchangeTimeout, 3 * settings.probe_interval), this),
       handover_(runtime->loop, std::move(handover_path),
                 [this](const std::string& text) { OnSiblingMessage(text); }) {
   for (const std::string& network : settings.networks) networks_.Add(network);
--- a/src/timeline/merge_model.cpp
+++ b/src/timeline/merge_model.cpp
@@ -11,7 +11,7 @@
 namespace ryeglade::timeline {
 namespace {
 
-constexpr std::size_t kMostDisagreements = 4096;
+constexpr std::size_t kMaxDisagreements = 4096;
 
 Time MedianOf(std::vector<Time> v) {
   const auto middle = v.begin() + static_cast<std::ptrdiff_t>(v.size() / 2);
@@ -20,17 +20,17 @@
 }
 
 // What is known counts more than what is not; of what two nodes know, the one that keeps work away.
-int Rank(LaneState s) {
+int Rank(ReplicaState s) {
   switch (s) {
-    case LaneState::kDraining:
+    case ReplicaState::kDraining:
       return 4;
-    case LaneState::kReady:
+    case ReplicaState::kReady:
       return 3;
-    case LaneState::kGone:
+    case ReplicaState::kGone:
       return 2;
-    case LaneState::kUnknown:
+    case ReplicaState::kUnknown:
       return 1;
-    case LaneState::kUnlisted:
+    case ReplicaState::kUnlisted:
       return 0;
   }
   return 0;
@@ -38,109 +38,142 @@
 
 }  // namespace
 
-Merge::Merge(const std::vector<Lanes>& nodes) {
+TimelineMerge::TimelineMerge(const std::vector<ReplicaTimelines>& nodes) {
+  for (const ReplicaTimelines& node : nodes) nodes_.push_back(ClockOf(node, nodes.front()));
+  if (!SetBounds(nodes)) return;
+  for (std::size_t i = 0; i < nodes.size(); ++i) AddFleet(nodes[i], i);
+  std::stable_sort(merged_.annotations_.begin(), merged_.annotations_.end(),
+                   [](const Annotation& a, const Annotation& b) { return a.at < b.at; });
+
+  // By name: the number of a replica may differ where two names clash.
+  std::map<std::string, Parts> parts_by_name;
+  for (std::size_t i = 0; i < nodes.size(); ++i) {
+    for (const auto& [id, replica] : nodes[i].replicas())
+      parts_by_name[replica.Title()].emplace_back(i, &replica);
+  }
+  std::vector<ReplicaIds> ids(nodes.size());
+  for (const auto& [name, parts] : parts_by_name) AddReplica(nodes, parts, ids);
+  for (std::size_t i = 0; i < nodes.size(); ++i) AddAnomalies(nodes[i], i, nodes.size(), ids[i]);
+  std::stable_sort(merged_.anomalies_.begin(), merged_.anomalies_.end(),
+                   [](const Anomaly& a, const Anomaly& b) { return a.now < b.now; });
+  std::sort(disagreements_.begin(), disagreements_.end(),
+            [](const Disagreement& a, const Disagreement& b) { return a.from < b.from; });
+}
+
+// The median difference of the times at which both received a generation of the endpoint list.
+MergedNode TimelineMerge::ClockOf(const ReplicaTimelines& node, const ReplicaTimelines& reference) {
+  MergedNode merged{node.node()};
+  if (&node == &reference) return merged;
+  std::vector<Time> differences;
+  for (const auto& [generation, at] : node.generations()) {
+    const auto there = reference.generations().find(generation);
+    if (there != reference.generations().end()) differences.push_back(there->second - at);
+  }
+  if (differences.empty()) return merged;
+  merged.offset = MedianOf(differences);
+  merged.common = differences.size();
+  for (Time& difference : differences) difference = std::abs(difference - merged.offset);
+  merged.spread = MedianOf(differences);
+  return merged;
+}
+
+// Of all nodes together, in bins as wide as the widest or wider. False: no node has a record.
+bool TimelineMerge::SetBounds(const std::vector<ReplicaTimelines>& nodes) {
   Time begin = std::numeric_limits<Time>::max(), end = 0, width = 1;
-  std::uint32_t most_bins = 1;
-  for (const Lanes& n : nodes) {
-    MergedNode m{n.node()};
-    std::vector<Time> differences;
-    if (!nodes_.empty()) {
-      for (const auto& [generation, at] : n.generations()) {
-        const auto first = nodes.front().generations().find(generation);
-        if (first != nodes.front().generations().end()) differences.push_back(first->second - at);
-      }
-    }
-    if (!differences.empty()) {
-      m.offset = MedianOf(differences);
-      m.common = differences.size();
-      for (Time& d : differences) d = std::abs(d - m.offset);
-      m.spread = MedianOf(differences);
-    }
-    nodes_.push_back(m);
-    if (n.bins() == 0) continue;
-    begin = std::min(begin, n.begin() + m.offset);
-    end = std::max(end, n.end() + m.offset);
-    width = std::max(width, n.width());
-    most_bins = std::max(most_bins, n.options_.most_bins);
+  std::uint32_t max_bins = 1;
+  for (std::size_t i = 0; i < nodes.size(); ++i) {
+    const ReplicaTimelines& node = nodes[i];
+    if (node.bins() == 0) continue;
+    begin = std::min(begin, node.begin() + nodes_[i].offset);
+    end = std::max(end, node.end() + nodes_[i].offset);
+    width = std::max(width, node.width());
+    max_bins = std::max(max_bins, node.options_.max_bins);
   }
   merged_.width_ = width;
-  if (end == 0) return;
+  if (end == 0) return false;
   merged_.begun_ = true;
   merged_.begin_ = begin;
   merged_.end_ = end;
-  while ((end - begin) / merged_.width_ >= static_cast<Time>(most_bins)) merged_.width_ *= 2;
-  const auto bin_of = [&](const Lanes& n, std::size_t i, std::uint32_t bin) {
-    return static_cast<std::uint32_t>((n.BinStart(bin) + nodes_[i].offset - begin) / merged_.width_);
-  };
+  while ((end - begin) / merged_.width_ >= static_cast<Time>(max_bins)) merged_.width_ *= 2;
+  return true;
+}
 
-  // By name: the number of a replica may differ where two names clash.
-  std::map<std::string, std::vector<std::pair<std::size_t, const Lane*>>> by_name;
-  for (std::size_t i = 0; i < nodes.size(); ++i) {
-    const Lanes& n = nodes[i];
-    for (const auto& [id, lane] : n.lanes()) by_name[lane.Title()].emplace_back(i, &lane);
-    for (const auto& [bin, f] : n.fleet()) merged_.fleet_[bin_of(n, i, bin)].Add(f);
-    for (std::size_t w = 0; w < merged_.whys_.size(); ++w) merged_.whys_[w] += n.whys()[w];
-    merged_.lanes_left_out_ += n.lanes_left_out();
-    for (const LaneMark& m : n.marks())
-      merged_.marks_.push_back({m.at + nodes_[i].offset, nodes_[i].name + ": " + m.text});
-    merged_.node_ += (i > 0 ? "+" : "") + nodes_[i].name;
-  }
-  std::stable_sort(merged_.marks_.begin(), merged_.marks_.end(),
-                   [](const LaneMark& a, const LaneMark& b) { return a.at < b.at; });
-
-  std::vector<std::map<policy::ReplicaId, policy::ReplicaId>> ids(nodes.size());  // by node: theirs to ours
-  for (const auto& [name, parts] : by_name) {
-    policy::ReplicaId id = parts.front().second->id;
-    while (merged_.lanes_.contains(id)) ++id;
-    Lane& lane = merged_.lanes_[id];
-    lane.id = id;
-    for (const auto& [i, part] : parts) {
-      ids[i][part->id] = id;
-      if (!part->name.empty()) lane.name = part->name;
-      lane.address = part->address;
-      lane.left_out += part->left_out;
-      // Nodes count in flight and load side by side: this node's add up, what the replica reports does not.
-      std::map<std::uint32_t, LaneBin> folded;
-      for (const auto& [bin, b] : part->bins) folded[bin_of(nodes[i], i, bin)].Add(b);
-      for (const auto& [bin, b] : folded) {
-        const std::int32_t before = lane.bins[bin].in_flight;
-        lane.bins[bin].Add(b);
-        lane.bins[bin].in_flight = before + b.in_flight;
-      }
-      for (LaneRest r : part->rests) {
-        r.from += nodes_[i].offset;
-        r.until += nodes_[i].offset;
-        lane.rests.push_back(r);
-      }
-      for (const LaneMark& m : part->marks)
-        lane.marks.push_back({m.at + nodes_[i].offset, nodes_[i].name + ": " + m.text});
+// Where a bin of node `i` lies in the merged timelines.
+std::uint32_t TimelineMerge::MergedBin(const ReplicaTimelines& node, std::size_t i, std::uint32_t bin) const {
+  return static_cast<std::uint32_t>((node.BinStart(bin) + nodes_[i].offset - merged_.begin_) /
+                                    merged_.width_);
+}
+
+void TimelineMerge::AddFleet(const ReplicaTimelines& node, std::size_t i) {
+  for (const auto& [n, bin] : node.fleet()) merged_.fleet_[MergedBin(node, i, n)].Add(bin);
+  for (std::size_t reason = 0; reason < merged_.conclusions_.size(); ++reason)
+    merged_.conclusions_[reason] += node.conclusions()[reason];
+  merged_.dropped_replicas_ += node.dropped_replicas();
+  for (const Annotation& annotation : node.annotations())
+    merged_.annotations_.push_back(Shifted(annotation, i));
+  merged_.node_ += (i > 0 ? "+" : "") + nodes_[i].name;
+}
+
+Annotation TimelineMerge::Shifted(const Annotation& annotation, std::size_t i) const {
+  return {annotation.at + nodes_[i].offset, nodes_[i].name + ": " + annotation.text};
+}
+
+void TimelineMerge::AddReplica(const std::vector<ReplicaTimelines>& nodes, const Parts& parts,
+                               std::vector<ReplicaIds>& ids) {
+  policy::ReplicaId id = parts.front().second->id;
+  while (merged_.replicas_.contains(id)) ++id;
+  ReplicaTimeline& replica = merged_.replicas_[id];
+  replica.id = id;
+  for (const auto& [i, part] : parts) {
+    ids[i][part->id] = id;
+    if (!part->name.empty()) replica.name = part->name;
+    replica.address = part->address;
+    replica.dropped_items += part->dropped_items;
+    AddBins(nodes[i], i, *part, replica);
+    for (EjectionSpan ejection : part->ejections) {
+      ejection.from += nodes_[i].offset;
+      ejection.until += nodes_[i].offset;
+      replica.ejections.push_back(ejection);
     }
-    std::sort(lane.rests.begin(), lane.rests.end(),
-              [](const LaneRest& a, const LaneRest& b) { return a.from < b.from; });
-    Join(lane, lane.Title(), parts);
+    for (const Annotation& annotation : part->annotations)
+      replica.annotations.push_back(Shifted(annotation, i));
   }
-  for (std::size_t i = 0; i < nodes.size(); ++i) {
-    for (Unusual u : nodes[i].unusual()) {
-      u.now += nodes_[i].offset;
-      u.since += nodes_[i].offset;
-      u.number = u.number * nodes.size() + i;  // each node counts for itself
-      if (const auto ours = ids[i].find(u.replica); !u.fleet && ours != ids[i].end())
-        u.replica = ours->second;
-      merged_.unusual_.push_back(u);
-    }
+  std::sort(replica.ejections.begin(), replica.ejections.end(),
+            [](const EjectionSpan& a, const EjectionSpan& b) { return a.from < b.from; });
+  MergeStates(replica, replica.Title(), parts);
+}
+
+// Of what is in flight each node counts its own, and the sum counts; the load that the replica reports is the
+// same for all.
+void TimelineMerge::AddBins(const ReplicaTimelines& node, std::size_t i, const ReplicaTimeline& part,
+                            ReplicaTimeline& into) const {
+  std::map<std::uint32_t, ReplicaBin> bins;
+  for (const auto& [n, bin] : part.bins) bins[MergedBin(node, i, n)].Add(bin);
+  for (const auto& [n, bin] : bins) {
+    ReplicaBin& merged = into.bins[n];
+    const std::int32_t in_flight_before = merged.in_flight;
+    merged.Add(bin);
+    merged.in_flight = in_flight_before + bin.in_flight;
+  }
+}
+
+void TimelineMerge::AddAnomalies(const ReplicaTimelines& node, std::size_t i, std::size_t node_count,
+                                 const ReplicaIds& ids) {
+  for (Anomaly anomaly : node.anomalies()) {
+    anomaly.now += nodes_[i].offset;
+    anomaly.since += nodes_[i].offset;
+    anomaly.number = anomaly.number * node_count + i;  // each node counts for itself
+    if (const auto merged = ids.find(anomaly.replica); !anomaly.fleet && merged != ids.end())
+      anomaly.replica = merged->second;
+    merged_.anomalies_.push_back(anomaly);
   }
-  std::stable_sort(merged_.unusual_.begin(), merged_.unusual_.end(),
-                   [](const Unusual& a, const Unusual& b) { return a.now < b.now; });
-  std::sort(disagreements_.begin(), disagreements_.end(),
-            [](const Disagreement& a, const Disagreement& b) { return a.from < b.from; });
 }
 
 // The states of one replica as all nodes together know them.
-void Merge::Join(Lane& into, const std::string& replica,
-                 const std::vector<std::pair<std::size_t, const Lane*>>& parts) {
+void TimelineMerge::MergeStates(ReplicaTimeline& into, const std::string& replica, const Parts& parts) {
   std::set<Time> cuts;
   for (const auto& [i, part] : parts) {
-    for (const LaneSpan& s : part->spans) {
+    for (const StateSpan& s : part->spans) {
       cuts.insert(s.from + nodes_[i].offset);
       cuts.insert(s.to + nodes_[i].offset);
     }
@@ -149,15 +182,15 @@
   const Time last = *cuts.rbegin();
   for (const Time at : cuts) {
     if (at == last && !into.spans.empty()) break;
-    LaneSpan best{at, 0, LaneState::kUnlisted, LaneState::kUnlisted, ""};
+    StateSpan best{at, 0, ReplicaState::kUnlisted, ReplicaState::kUnlisted, ""};
     std::string said;
     bool differ = false;
     for (const auto& [i, part] : parts) {
-      const LaneSpan* s = Lanes::At(*part, at - nodes_[i].offset);
+      const StateSpan* s = ReplicaTimelines::SpanAt(*part, at - nodes_[i].offset);
       if (s == nullptr || (s->to != 0 && at - nodes_[i].offset >= s->to))
         continue;  // before it, or behind its end
-      const bool told = s->state != LaneState::kUnknown && s->state != LaneState::kUnlisted;
-      const bool best_told = best.state != LaneState::kUnknown && best.state != LaneState::kUnlisted;
+      const bool told = s->state != ReplicaState::kUnknown && s->state != ReplicaState::kUnlisted;
+      const bool best_told = best.state != ReplicaState::kUnknown && best.state != ReplicaState::kUnlisted;
       if (told && best_told && s->state != best.state) differ = true;
       if (told) said += fmt::format("{}{} says {}", said.empty() ? "" : ", ", nodes_[i].name, Name(s->state));
       if (Rank(s->state) > Rank(best.state)) {
@@ -170,13 +203,13 @@
       if (!disagreements_.empty() && disagreements_.back().replica == replica &&
           disagreements_.back().to == 0) {
         disagreements_.back().what = said;
-      } else if (disagreements_.size() < kMostDisagreements) {
+      } else if (disagreements_.size() < kMaxDisagreements) {
         disagreements_.push_back({replica, at, 0, said});
       }
     } else if (!disagreements_.empty() && disagreements_.back().replica == replica &&
                disagreements_.back().to == 0) {
       disagreements_.back().to = at;
-      if (at - disagreements_.back().from <= kTellWithin)
+      if (at - disagreements_.back().from <= kMaxListDelay)
         disagreements_.pop_back();  // lists take a while to arrive
     }
     if (!into.spans.empty() && into.spans.back().state == best.state && into.spans.back().known == best.known)
