--- a/lab/cluster/real.cpp
+++ b/lab/cluster/real.cpp
@@ -412,14 +412,14 @@
       const std::string_view line = rest.substr(0, end);
       rest.remove_prefix(end + 1);
       const std::string_view what = Field(line, "event");
-      if (what == "tier-left-alone") ++left_alone_[i][std::string(Field(line, "host"))];
+      if (what == "replica-ejected-by-peers") ++left_alone_[i][std::string(Field(line, "host"))];
       if (what == "listening-nodes") n.status = Field(line, "addr");
       if (!what.starts_with("member-") && !what.starts_with("view-") && !what.starts_with("self-") &&
-          !what.starts_with("name-") && what != "tier-joined" && what != "tier-size")
+          !what.starts_with("name-") && what != "tier-joined" && what != "node-count")
         continue;
       witness_.Said({Periods(Number<Time>(Field(line, "ts")) * 1000), i, std::string(what),
                      std::string(Field(line, "member")), std::string(Field(line, "by")),
-                     Number<std::uint64_t>(Field(line, what == "tier-size" ? "nodes" : "n"))});
+                     Number<std::uint64_t>(Field(line, what == "node-count" ? "nodes" : "n"))});
     }
   }
 
--- a/lab/soak/evidence.cpp
+++ b/lab/soak/evidence.cpp
@@ -116,7 +116,7 @@
         log.remove_prefix(std::min(line.size() + 1, log.size()));
         const bool about = !b_.id.empty() && line.find("id=" + b_.id) != std::string_view::npos;
         const bool event = line.find("event=draining") != std::string_view::npos ||
-                           line.find("event=retuned") != std::string_view::npos ||
+                           line.find("event=classes-updated") != std::string_view::npos ||
                            line.find("event=reload") != std::string_view::npos ||
                            line.find("event=listener-closed") != std::string_view::npos ||
                            line.find("event=stopped") != std::string_view::npos;
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -237,7 +237,7 @@
       listener_.Resume();
       if (openai_ != nullptr) openai_->listener().Resume();
     } catch (const std::runtime_error& e) {
-      Log(Level::kError, "cannot-take-up", {{"why", e.what()}});
+      Log(Level::kError, "resume-failed", {{"why", e.what()}});
     }
   }
 
@@ -390,7 +390,7 @@
     ApplySettings(update, &config_);
     decisions_.UpdateClasses(config_.settings.classes, config_.settings.max_attempts);
     shutdown_.UpdateClasses(ClassesInForce(config_));
-    Log(Level::kInfo, "retuned",
+    Log(Level::kInfo, "classes-updated",
         {{"classes", config_.active_classes.size()},
          {"versions", config_.settings.classes.size()},
          {"attempts", config_.settings.max_attempts}});
@@ -440,10 +440,11 @@
     std::string why;
     const std::optional<DisabledReplicas> replicas = DecodeDisabledReplicas(text, config_.name, &why);
     if (!replicas) {
-      Log(Level::kWarn, "holds-passed-over", {{"path", disabled_replicas_file_.path()}, {"why", why}});
+      Log(Level::kWarn, "disabled-replicas-ignored",
+          {{"path", disabled_replicas_file_.path()}, {"why", why}});
       return;
     }
-    Log(Level::kInfo, "holds-taken", {{"out", replicas->disabled.size()}, {"start", at_start}});
+    Log(Level::kInfo, "disabled-replicas-applied", {{"out", replicas->disabled.size()}, {"start", at_start}});
     discovery_.endpoints().ReplaceDisabled(*replicas);
   }
 
--- a/src/core/streams.cpp
+++ b/src/core/streams.cpp
@@ -140,7 +140,7 @@
 void Streams::OnClientDisconnected(Handle handle) {
   const Stream* s = streams_.Get(handle);
   if (s == nullptr) return;
-  Log(Level::kInfo, "client-gone", {{"id", s->request.call_id}, {"started", s->started ? 1 : 0}});
+  Log(Level::kInfo, "client-disconnected", {{"id", s->request.call_id}, {"started", s->started ? 1 : 0}});
   core_->events->Post(policy::ClientDisconnected{handle});
   Handle client = 0;
   Conclude(handle, Conclusion::kDisconnected, &client);
--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -91,7 +91,7 @@
   const char* state = model_.traffic_shares().state();
   if (logged_state_ == state) return;
   logged_state_ = state;
-  Log(Level::kInfo, "tier-part", {{"state", state}, {"part", fmt::format("{:.4f}", model_.share())}});
+  Log(Level::kInfo, "traffic-share", {{"state", state}, {"part", fmt::format("{:.4f}", model_.share())}});
 }
 
 void Gossip::LogEjections(Time now) {
@@ -100,11 +100,11 @@
     if (finding.ejected_until <= now) continue;
     ejected[finding.replica] = finding.ejected_until;
     if (ejected_.contains(finding.replica)) continue;
-    Log(Level::kWarn, "tier-left-alone",
+    Log(Level::kWarn, "replica-ejected-by-peers",
         {{"host", fleet_->NameOf(finding.replica)}, {"by", Joined(finding.reporters)}});
   }
   for (const auto& [id, until] : ejected_) {
-    if (!ejected.contains(id)) Log(Level::kInfo, "tier-released", {{"host", fleet_->NameOf(id)}});
+    if (!ejected.contains(id)) Log(Level::kInfo, "replica-ejection-ended", {{"host", fleet_->NameOf(id)}});
   }
   ejected_ = std::move(ejected);
 }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -248,7 +248,7 @@
                              model_->stable(), model_->stable_since()};
   const std::optional<std::size_t> nodes = node_count_.Update(Now(), facts);
   if (!nodes) return;
-  Log(Level::kInfo, "tier-size", {{"nodes", *nodes}});
+  Log(Level::kInfo, "node-count", {{"nodes", *nodes}});
   events_->Post(policy::NodeCountChanged{static_cast<int>(*nodes)});
 }
 
--- a/tests/fault_injection.cpp
+++ b/tests/fault_injection.cpp
@@ -114,7 +114,7 @@
   settings["classes"][0]["deadline"] = 1'000'000;
   settings["classes"][0]["promise"] = 500'000;
   node.Reload("settings", settings);
-  node.WaitLog("retuned");
+  node.WaitLog("classes-updated");
   Conn client = node.Client(), late = node.Client();
   client.Send(Ask("1"));
   Conn up = host.Accept();
@@ -157,7 +157,7 @@
   const Peer host;
   Node node(program, ListOf(host), kNobody);
   node.Reload("settings", WithDeadline(node, 1'000'000));
-  node.WaitLog("retuned");
+  node.WaitLog("classes-updated");
   std::atomic<bool> over{false};
   std::atomic<int> answered{0}, unanswered{0};
   std::vector<std::thread> clients;
@@ -194,7 +194,7 @@
   const Peer host;
   Node node(program, ListOf(host), kNobody);
   node.Reload("settings", WithDeadline(node, 1'000'000));
-  node.WaitLog("retuned");
+  node.WaitLog("classes-updated");
   Conn half = node.Client(), silent = node.Client();
   half.Send(Ask("1").substr(0, 60));
   node.Term();
--- a/tests/late_attempts_test.cpp
+++ b/tests/late_attempts_test.cpp
@@ -106,7 +106,7 @@
   usleep(200'000);
   node.Continue();
   ASSERT_FALSE(late.Requested(1'000));
-  ASSERT_TRUE(Has(node.Log(), "client-gone"));
+  ASSERT_TRUE(Has(node.Log(), "client-disconnected"));
 }
 
 }  // namespace
--- a/tests/operations.cpp
+++ b/tests/operations.cpp
@@ -117,13 +117,13 @@
              {{"management", "127.0.0.1:0"},
               {"listen", "127.0.0.1:" + std::to_string(old.port())},
               {"_tmpdir", old.tmpdir()}});
-  assert(Has(young.Log(), "holds-taken out=1 start=true"));
+  assert(Has(young.Log(), "disabled-replicas-applied out=1 start=true"));
   assert(Has(young.Call("GET", "/control/counters"), "node_hosts_down 1\n"));
   assert(young.Call("POST", "/control/model-replicas/s-b/offline").rfind("HTTP/1.1 200", 0) == 0);
-  old.WaitLog("holds-taken out=2 start=false");
+  old.WaitLog("disabled-replicas-applied out=2 start=false");
   assert(Has(old.Call("GET", "/control/counters"), "node_hosts_down 2\n"));
   assert(young.Call("POST", "/control/model-replicas/s-a/online").rfind("HTTP/1.1 200", 0) == 0);
-  old.WaitLog("holds-taken out=1 start=false");
+  old.WaitLog("disabled-replicas-applied out=1 start=false");
   Serves(old, a, "1");  // back at both
   Serves(young, a, "2");
   old.Term();
@@ -142,7 +142,7 @@
     Peer host;
     Node node(program, List(1, true, {Instance("s-a", host.at())}), kNobody, "push", 1024, 192, "", false,
               {{"management", "127.0.0.1:0"}, {"_tmpdir", std::string(dir)}});
-    assert(Has(node.Log(), "holds-passed-over"));
+    assert(Has(node.Log(), "disabled-replicas-ignored"));
     Serves(node, host, "1");
   }
   std::remove(path.c_str());
@@ -163,7 +163,7 @@
   settings["classes"].push_back(agent);
   settings["limits"]["max-attempts"] = 2;
   w.node.Reload("settings", settings);
-  w.node.WaitLog("event=retuned classes=2 versions=2 attempts=2");
+  w.node.WaitLog("event=classes-updated classes=2 versions=2 attempts=2");
   Serves(w.node, w.host, "1");
   {
     Conn client = w.node.Client();
@@ -178,7 +178,7 @@
     only["classes"] = nlohmann::json::array({agent});
     only["classes"][0]["effect"] = "free";
     w.node.Reload("settings", only);
-    w.node.WaitLog("event=retuned classes=1 versions=3 attempts=2");
+    w.node.WaitLog("event=classes-updated classes=1 versions=3 attempts=2");
     up.Chunk("");
     client.Until("0\r\n\r\n");  // whole, and counted under the class it came with
   }
