--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -149,7 +149,8 @@
       "The configuration is the platform's JSON, in the file that --config or EDGE_CONFIG names; EDGE_NAME,\n"
       "EDGE_LISTEN and EDGE_DISCOVERY, where set, come before what it says. --settings names our own TOML "
       "file.");
-  std::string config, settings;
+  std::string config;
+  std::string settings;
   const auto files = [&](CLI::App* command) {
     command->add_option("-c,--config", config, "the platform's configuration, JSON");
     command->add_option("-s,--settings", settings, "our own settings, TOML; without it nothing new is on");
--- a/src/app/nodes_command.cpp
+++ b/src/app/nodes_command.cpp
@@ -64,7 +64,7 @@
                      "for", "reached", "accused by / vouched for by");
   for (const Json& m : j["members"]) {
     out += fmt::format("{:<20} {:<22} {:<10} {:<9} {:>9} {:>10}  {} / {}\n", m.value("name", ""),
-                       m.value("address", ""), m.value("zone", "") == "" ? "-" : m.value("zone", ""),
+                       m.value("address", ""), m.value("zone", "").empty() ? "-" : m.value("zone", ""),
                        m.value("standing", ""), Ago(m["since_ms_ago"]), Ago(m["reached_ms_ago"]),
                        List(m["accusers"]), List(m["vouchers"]));
   }
@@ -210,7 +210,8 @@
               Ago(m["reached_ms_ago"]).c_str(), m["reached_ms_ago"].is_number() ? " ago" : "");
   std::printf("accused by %s; vouched for by %s\n", List(m["accusers"]).c_str(), List(m["vouchers"]).c_str());
   for (const Json& line : m["history"]) {
-    const std::string what = line.value("what", ""), by = line.value("by", "");
+    const std::string what = line.value("what", "");
+    const std::string by = line.value("by", "");
     std::printf("  %10s ago  %-17s %s%s%s\n", Ago(line["ms_ago"]).c_str(), what.c_str(), Meaning(what),
                 by.empty() ? "" : " ", by.c_str());
   }
@@ -231,8 +232,9 @@
 
 int NodesCommand::Check() {
   const Json j = Nodes(o_->at);
-  const bool joined = j.value("joined", false), doubt = j.value("in_doubt", true),
-             refused = j.value("refused", false);
+  const bool joined = j.value("joined", false);
+  const bool doubt = j.value("in_doubt", true);
+  const bool refused = j.value("refused", false);
   const bool settled = j.value("settled", false);
   std::printf("%s: %s, %d nodes\n", j.value("name", "").c_str(),
               refused   ? "refused: another node has this name"
--- a/src/app/rollout_run.cpp
+++ b/src/app/rollout_run.cpp
@@ -246,7 +246,8 @@
   PrintEvent(fmt::format("event=rollout plan={} release={} epoch={} driver={}", plan.name, plan.release.id,
                          epoch, name));
   RecordFile record(options.record);
-  ChangedEvents state_events, view_events;
+  ChangedEvents state_events;
+  ChangedEvents view_events;
   while (!driver.ended() && interrupted == 0) {
     const auto began = std::chrono::steady_clock::now();
     // Beside the claims: a round has to be over well within the lease.
--- a/src/app/shared_paths.cpp
+++ b/src/app/shared_paths.cpp
@@ -10,7 +10,8 @@
 // `text` with everything replaced that is neither a letter nor a digit nor in `allowed`.
 std::string FileNamePart(std::string text, std::string_view allowed) {
   for (char& c : text) {
-    const bool keep = std::isalnum(static_cast<unsigned char>(c)) != 0 || allowed.find(c) != allowed.npos;
+    const bool keep =
+        std::isalnum(static_cast<unsigned char>(c)) != 0 || allowed.find(c) != std::string_view::npos;
     if (!keep) c = '_';
   }
   return text;
--- a/src/base/listener.cpp
+++ b/src/base/listener.cpp
@@ -105,8 +105,9 @@
 // sent a request already. Where the system has no such filters, that short time remains.
 void Listener::StopNew() {
   if (poll_ == nullptr) return;
-  constexpr std::uint32_t kFlagsAt = 13, kSyn = 0x02,
-                          kWhole = 0xffffffff;  // byte of the TCP header; bytes to keep
+  constexpr std::uint32_t kFlagsAt = 13;  // byte of the TCP header
+  constexpr std::uint32_t kSyn = 0x02;
+  constexpr std::uint32_t kWhole = 0xffffffff;  // bytes to keep
   std::array<sock_filter, 4> drop_syn = {{BPF_STMT(BPF_LD | BPF_B | BPF_ABS, kFlagsAt),
                                           BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, kSyn, 1, 0),
                                           BPF_STMT(BPF_RET | BPF_K, kWhole), BPF_STMT(BPF_RET | BPF_K, 0)}};
--- a/src/fronts/openai/response_translation.cpp
+++ b/src/fronts/openai/response_translation.cpp
@@ -35,7 +35,8 @@
   std::size_t bytes = 0;
   for (std::size_t at = data.find('"'); at != std::string_view::npos;) {
     // A string: a key, or a value whose key we know.
-    std::size_t end = at + 1, escapes = 0;
+    std::size_t end = at + 1;
+    std::size_t escapes = 0;
     while (end < data.size() && data[end] != '"') {
       if (data[end] == '\\') {
         ++escapes;
--- a/src/hot_restart/handover_state_codec.cpp
+++ b/src/hot_restart/handover_state_codec.cpp
@@ -48,7 +48,7 @@
 // The body; throws std::runtime_error where the header is not as expected.
 std::string CheckAndRemoveHeader(std::string_view magic, const std::string& text, std::int64_t pid) {
   const std::size_t end = text.find('\n');
-  if (end == std::string::npos || end > kMaxHeader) throw std::runtime_error("torn: no head");
+  if (end > kMaxHeader) throw std::runtime_error("torn: no head");
   const std::vector<std::string_view> fields = SplitAtSpaces(std::string_view(text.data(), end));
   if (fields.size() < 4 || fields[0] != magic) throw std::runtime_error("not ours");
   if (fields[1] != std::to_string(kHandoverFormatMajor)) throw std::runtime_error("of another major version");
--- a/src/ledger/ledger_model.cpp
+++ b/src/ledger/ledger_model.cpp
@@ -78,7 +78,8 @@
 std::string ToJson(const Ledger& ledger, const std::string& node, std::int64_t unix_ms) {
   json rows = json::array();
   for (const auto& [id, row] : ledger.rows()) {
-    json ended, faults = json::object();
+    json ended;
+    json faults = json::object();
     for (std::size_t i = 0; i < kOutcomes; ++i) ended[Name(static_cast<Outcome>(i))] = row.ended.at(i);
     for (std::size_t i = 0; i < kUsageFaults; ++i) {
       if (row.usage_faults.at(i) > 0) faults[Name(static_cast<UsageFault>(i))] = row.usage_faults.at(i);
--- a/src/limits/networks.cpp
+++ b/src/limits/networks.cpp
@@ -29,7 +29,8 @@
 bool Networks::Add(const std::string& network) {
   boost::system::error_code error;
   const std::size_t slash = network.find('/');
-  ip::address_v6 first, last;
+  ip::address_v6 first;
+  ip::address_v6 last;
   if (slash == std::string::npos) {
     first = ToIPv6(ip::make_address(network, error));
     last = first;
--- a/src/membership/member_table_model.cpp
+++ b/src/membership/member_table_model.cpp
@@ -82,18 +82,18 @@
 }
 
 void MemberTable::UpdateLive(Member& member) {
-  if (member.live() == (member.live_index != Member::kNotListed)) return;
+  if (member.live() == (member.live_index_ != Member::kNotListed)) return;
   if (member.live()) {
-    member.live_index = live_.size();
+    member.live_index_ = live_.size();
     live_.push_back(&member);
     stable_live_ += member.in_stable_view ? 1 : 0;
     return;
   }
   stable_live_ -= member.in_stable_view ? 1 : 0;
-  live_.back()->live_index = member.live_index;
-  live_[member.live_index] = live_.back();
+  live_.back()->live_index_ = member.live_index_;
+  live_[member.live_index_] = live_.back();
   live_.pop_back();
-  member.live_index = Member::kNotListed;
+  member.live_index_ = Member::kNotListed;
 }
 
 void MemberTable::MarkStable(const std::string& self) {
--- a/src/membership/member_table_model.h
+++ b/src/membership/member_table_model.h
@@ -60,7 +60,7 @@
  private:
   friend class MemberTable;
   static constexpr std::size_t kNotListed = static_cast<std::size_t>(-1);
-  std::size_t live_index = kNotListed;  // in MemberTable::live_
+  std::size_t live_index_ = kNotListed;  // in MemberTable::live_
 };
 
 // Owns the members; copies have indices of their own.
--- a/src/openai/body.cpp
+++ b/src/openai/body.cpp
@@ -98,7 +98,8 @@
   }
 
   bool TopLevel(const JsonValue& v) {
-    const bool null = v.kind == JsonKind::kNull, text = v.kind == JsonKind::kString;
+    const bool null = v.kind == JsonKind::kNull;
+    const bool text = v.kind == JsonKind::kString;
     const bool whole = v.kind == JsonKind::kInteger;
     if (v.key == "model") {
       result_.model = {v.from, v.to};
--- a/src/rollout/canary_analysis_model.cpp
+++ b/src/rollout/canary_analysis_model.cpp
@@ -155,7 +155,8 @@
                                                             const Sums& all_old, const Sums& all_new) const {
   std::vector<Stratum> strata;
   // Strata are small: their variance is borrowed from the cohort's, which they share but for their means.
-  const double old_variance = all_old.Variance(), new_variance = all_new.Variance();
+  const double old_variance = all_old.Variance();
+  const double new_variance = all_new.Variance();
   const auto add = [&](const Sums& of_old, const Sums& of_new) {
     strata.push_back({of_old.count * of_new.count / (of_old.count + of_new.count),
                       of_new.Mean() - of_old.Mean(),
@@ -204,7 +205,8 @@
                                          double alpha) const {
   const auto index = static_cast<std::size_t>(metric);
   CohortComparison comparison{class_name, Name(metric)};
-  Sums all_old, all_new;
+  Sums all_old;
+  Sums all_new;
   for (const auto& [key, sums] : strata_) {
     if (key.class_name != class_name) continue;
     all_old.Add(sums.by_cohort[kOld][index]);
@@ -217,7 +219,9 @@
   comparison.half_width = kUnknownHalfWidth;
 
   const std::vector<Stratum> strata = Strata(class_name, index, all_old, all_new);
-  double weights = 0, weighted_difference = 0, variance = 0;
+  double weights = 0;
+  double weighted_difference = 0;
+  double variance = 0;
   for (const Stratum& s : strata) {
     weights += s.weight;
     weighted_difference += s.weight * s.difference;
@@ -254,7 +258,9 @@
 CanaryAnalysis::Between CanaryAnalysis::BetweenNodes(const std::string& class_name,
                                                      std::size_t metric) const {
   Between between;
-  double sum = 0, sum_of_squares = 0, within = 0;  // over the old cohort's nodes
+  double sum = 0;
+  double sum_of_squares = 0;
+  double within = 0;  // over the old cohort's nodes
   for (const auto& [name, node] : nodes_) {
     const auto at = node.by_class.find(class_name);
     if (at == node.by_class.end()) continue;
@@ -284,7 +290,11 @@
     // The first half is left out as the process's start: buffers fill once.
     const Time middle = (node.memory.front().first + node.memory.back().first) / 2;
     if (node.memory.back().first - middle < kMinGrowthSpan) continue;
-    double n = 0, sum_t = 0, sum_m = 0, sum_tt = 0, sum_tm = 0;  // t: hours; m: bytes
+    double n = 0;
+    double sum_t = 0;
+    double sum_m = 0;
+    double sum_tt = 0;
+    double sum_tm = 0;  // t: hours; m: bytes
     for (const auto& [at, bytes] : node.memory) {
       if (at < middle) continue;
       const double t = static_cast<double>(at - middle) / kMicrosPerHour;
@@ -321,7 +331,8 @@
 }
 
 std::optional<std::string> CanaryAnalysis::MemoryLeak() const {
-  const MemoryGrowth new_growth = GrowthOf(true), old_growth = GrowthOf(false);
+  const MemoryGrowth new_growth = GrowthOf(true);
+  const MemoryGrowth old_growth = GrowthOf(false);
   const double limit = old_growth.limit.value_or(new_growth.limit.value_or(0));
   double largest = 0;  // process of the new cohort, bytes
   for (const auto& [name, node] : nodes_) {
@@ -388,7 +399,8 @@
   if (const auto reason = MemoryLeak()) return {CanaryVerdict::kFail, *reason, {}, 0};
   CanaryResult result;
   result.comparisons = CompareAll();
-  bool failures_known = true, possibly_worse = false;
+  bool failures_known = true;
+  bool possibly_worse = false;
   if (!result.comparisons.empty()) {
     const auto all_classes = result.comparisons.end() - static_cast<std::ptrdiff_t>(kMetrics);
     result.new_requests = static_cast<std::uint64_t>(all_classes->new_requests);
--- a/src/rollout/driver_model.cpp
+++ b/src/rollout/driver_model.cpp
@@ -502,7 +502,8 @@
 // Nodes that have confirmed the new release already keep it: what becomes of them is the operator's to
 // decide.
 void Driver::FinishRollBack() {
-  bool any_left = false, only_confirmed_left = true;
+  bool any_left = false;
+  bool only_confirmed_left = true;
   for (const auto& [name, node] : nodes_) {
     if (node.skipped || !node.status || IsOutdated(node)) continue;
     any_left = true;
--- a/src/rollout/plan.cpp
+++ b/src/rollout/plan.cpp
@@ -37,7 +37,8 @@
 
 std::vector<PlanNode> ParseNodes(TomlSection& root) {
   std::vector<PlanNode> nodes;
-  std::set<std::string> names, addresses;
+  std::set<std::string> names;
+  std::set<std::string> addresses;
   for (TomlSection& section : root.Tables("node")) {
     PlanNode node;
     node.name = section.Needed("name", "the node's name");
@@ -75,7 +76,8 @@
                                          const std::set<std::string>& assigned) {
   const std::vector<std::string> names = section.Texts("nodes");
   const std::string zone = section.Text("zone", "");
-  const bool by_count = section.Has("count"), by_share = section.Has("share");
+  const bool by_count = section.Has("count");
+  const bool by_share = section.Has("share");
   if ((names.empty() ? 0 : 1) + (by_count ? 1 : 0) + (by_share ? 1 : 0) > 1)
     section.Fail("nodes", "comes with `count` or `share`; give one of the three");
   if (!names.empty()) return CheckNamedNodes(section, names, nodes, assigned);
@@ -120,7 +122,7 @@
 
 std::vector<std::string> ParseStatusAddresses(TomlSection& root) {
   TomlSection section = root.Table("membership");
-  const std::vector<std::string> addresses = section.Texts("status");
+  std::vector<std::string> addresses = section.Texts("status");
   std::set<std::string> seen;
   for (const std::string& address : addresses) {
     if (!IsAddress(address)) section.Fail("status", "is not an ip:port: \"" + address + "\"");
--- a/src/rollout/report_chart_model.cpp
+++ b/src/rollout/report_chart_model.cpp
@@ -165,7 +165,8 @@
   void AddComparisonPanel(const ComparisonPanel& panel, double top) {
     PlacePanel(top, kComparisonPanelHeight);
     std::string data;  // seconds, difference, its lower and its upper bound
-    double allowed = 0, largest = 0;
+    double allowed = 0;
+    double largest = 0;
     for (const RecordedRound* round : rounds_) {
       for (const CohortComparison& c : round->comparisons) {
         if (c.class_name != kAllClasses || c.metric != panel.metric || !c.known()) continue;
--- a/src/settings/edge_settings.cpp
+++ b/src/settings/edge_settings.cpp
@@ -146,9 +146,9 @@
   settings.suspicion_multiplier = section.Number("suspicion", 2, 100, settings.suspicion_multiplier);
   settings.push_pull_interval = section.Span("exchange", settings.probe_interval, 3600 * kSecond,
                                              std::max(settings.probe_interval, settings.push_pull_interval));
-  settings.forget_dead_after =
-      section.Span("forget", 10 * settings.probe_interval, 24 * 3600 * kSecond, settings.forget_dead_after);
-  settings.shrink_after = section.Span("shrink_after", 0, 24 * 3600 * kSecond, settings.shrink_after);
+  settings.forget_dead_after = section.Span("forget", 10 * settings.probe_interval, Time{24} * 3600 * kSecond,
+                                            settings.forget_dead_after);
+  settings.shrink_after = section.Span("shrink_after", 0, Time{24} * 3600 * kSecond, settings.shrink_after);
   settings.max_members = section.Whole("most_members", 2, 4096, settings.max_members);
   settings.protocol_version =
       static_cast<std::uint32_t>(section.Whole("wire", 1, 2, settings.protocol_version));
@@ -182,7 +182,8 @@
   settings.block_bytes = section.Bytes("block", 4 * kKiB, kMiB, settings.block_bytes);
   settings.block_interval = section.Span("block_within", 50'000, 60 * kSecond, settings.block_interval);
   settings.segment_bytes = section.Bytes("segment", 64 * kKiB, 1024 * kMiB, settings.segment_bytes);
-  settings.total_bytes = section.Bytes("total", 128 * kKiB, 1024 * 1024 * kMiB, settings.total_bytes);
+  settings.total_bytes =
+      section.Bytes("total", 128 * kKiB, std::size_t{1024} * 1024 * kMiB, settings.total_bytes);
   settings.ring_bytes = section.Bytes("ring", 64 * kKiB, 1024 * kMiB, settings.ring_bytes);
   settings.dump_directory = section.Text("dump_directory", settings.directory);
   if (settings.ring_bytes > 0 && settings.dump_directory.empty())
--- a/src/settings/toml_reader.cpp
+++ b/src/settings/toml_reader.cpp
@@ -223,7 +223,8 @@
   for (const auto& [name, node] : *table_) {
     const std::string key(name.str());
     if (std::find(known_.begin(), known_.end(), key) != known_.end()) continue;
-    std::string nearest, all;
+    std::string nearest;
+    std::string all;
     std::size_t best = 4;  // further off than this is no likely slip
     for (const std::string& known : known_) {
       all += (all.empty() ? "" : ", ") + known;
--- a/src/timeline/anomaly_model.cpp
+++ b/src/timeline/anomaly_model.cpp
@@ -269,7 +269,10 @@
 }
 
 void AnomalyDetector::Tick(Time at) {
-  double sent = 0, ready = 0, loads = 0, loaded = 0;
+  double sent = 0;
+  double ready = 0;
+  double loads = 0;
+  double loaded = 0;
   for (const auto& [id, r] : replicas_) {
     sent += r.tick.sent;
     if (r.phase == EndpointState::kReady) ++ready;
@@ -297,7 +300,8 @@
       continue;
     }
     const double n = static_cast<double>(others.size());
-    const double median = MedianOf(others), scale = ScaleOf(others, median);
+    const double median = MedianOf(others);
+    const double scale = ScaleOf(others, median);
     const bool compare = others.size() >= kFewestPeers;
     for (auto& [id, r] : replicas_) {
       Series& s = r.series[k];
@@ -366,7 +370,8 @@
     sum(s.down, s.down_since, -distance);
     // Fewer errors, refusals or less load than usual is no news; a share may depart both ways.
     const bool both = kind == AnomalyKind::kTrafficShare;
-    const bool up = s.up > options_.alarm_sum, down = both && s.down > options_.alarm_sum;
+    const bool up = s.up > options_.alarm_sum;
+    const bool down = both && s.down > options_.alarm_sum;
     if (!up && !down) return;
     s.rising = up;
     s.began = up ? s.up_since : s.down_since;
--- a/src/timeline/block.cpp
+++ b/src/timeline/block.cpp
@@ -40,7 +40,8 @@
 
 std::optional<Block> TakeBlock(std::string_view file) {
   if (file.size() < kHead || Take<std::uint32_t>(file, 0) != kBlockMark) return std::nullopt;
-  const std::size_t raw = Take<std::uint32_t>(file, 4), packed = Take<std::uint32_t>(file, 8);
+  const std::size_t raw = Take<std::uint32_t>(file, 4);
+  const std::size_t packed = Take<std::uint32_t>(file, 8);
   if (XXH3_64bits(file.data(), 20) != Take<std::uint64_t>(file, 20)) return std::nullopt;
   if (raw > kMaxRawBlockBytes || packed > file.size() - kHead) return std::nullopt;
   const std::string_view payload = file.substr(kHead, packed);
--- a/src/timeline/merge_model.cpp
+++ b/src/timeline/merge_model.cpp
@@ -79,7 +79,9 @@
 
 // Of all nodes together, in bins as wide as the widest or wider. False: no node has a record.
 bool TimelineMerge::SetBounds(const std::vector<ReplicaTimelines>& nodes) {
-  Time begin = std::numeric_limits<Time>::max(), end = 0, width = 1;
+  Time begin = std::numeric_limits<Time>::max();
+  Time end = 0;
+  Time width = 1;
   std::uint32_t max_bins = 1;
   for (std::size_t i = 0; i < nodes.size(); ++i) {
     const ReplicaTimelines& node = nodes[i];
--- a/src/timeline/plot_model.cpp
+++ b/src/timeline/plot_model.cpp
@@ -42,7 +42,8 @@
 unsigned Blend(unsigned a, unsigned b, double share) {
   unsigned out = 0;
   for (const int shift : {16, 8, 0}) {
-    const double x = (a >> shift) & 0xffU, y = (b >> shift) & 0xffU;
+    const double x = (a >> shift) & 0xffU;
+    const double y = (b >> shift) & 0xffU;
     out |= static_cast<unsigned>(std::lround(x + (y - x) * std::clamp(share, 0.0, 1.0))) << shift;
   }
   return out;
@@ -217,8 +218,10 @@
 
   // What was sent, and of what ended in that bin the parts that failed or met a full replica.
   void AddDetailedBin(std::uint32_t n, const ReplicaBin& bin, double y) {
-    const double x0 = BinX(n), x1 = std::min(span_, x0 + bin_seconds_);
-    const double failed = bin.failed, at_capacity = bin.at_capacity;
+    const double x0 = BinX(n);
+    const double x1 = std::min(span_, x0 + bin_seconds_);
+    const double failed = bin.failed;
+    const double at_capacity = bin.at_capacity;
     const double top = kBarHeight * (bin.sent + 0.0) / max_sent_;
     traffic_.Add(x0, x1, y + 0.05, y + 0.05 + top, kSent);
     faults_.Add(x0, x1, y + 0.05,
@@ -234,8 +237,10 @@
 
   // The share of attempts that failed or met a full replica, as a colour.
   void AddPlainBin(std::uint32_t n, const ReplicaBin& bin, double y) {
-    const double x0 = BinX(n), x1 = std::min(span_, x0 + bin_seconds_);
-    const double failed = bin.failed, at_capacity = bin.at_capacity;
+    const double x0 = BinX(n);
+    const double x1 = std::min(span_, x0 + bin_seconds_);
+    const double failed = bin.failed;
+    const double at_capacity = bin.at_capacity;
     if (failed + at_capacity <= 0) return;
     const double ended =
         std::max(1.0, static_cast<double>(bin.served + bin.cancelled) + failed + at_capacity);
@@ -258,7 +263,8 @@
   }
 
   void AddAnomaly(const Anomaly& begin, Time end) {
-    const double x0 = X(begin.since), x1 = std::max(X(end), x0 + span_ / 400);
+    const double x0 = X(begin.since);
+    const double x1 = std::max(X(end), x0 + span_ / 400);
     if (begin.fleet) {
       fleet_anomalies_ += fmt::format(
           "set object rect from {:.3f}, graph 0 to {:.3f}, graph 1 fc rgb \"#f7d5ea\" fs solid noborder "
