--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -58,6 +58,21 @@
   return records;
 }
 
+// The simulator's page fixes these numbers.
+TEST(Decode, EachEventHasTheCodeOfTheWire) {
+  EXPECT_EQ(event_code::kPeerMessage, 1);
+  EXPECT_EQ(event_code::kClientDisconnected, 2);
+  EXPECT_EQ(event_code::kTimerFired, 3);
+  EXPECT_EQ(event_code::kResponseStarted, 4);
+  EXPECT_EQ(event_code::kStartNode, 5);
+  EXPECT_EQ(event_code::kHealthCheckCompleted, 6);
+  EXPECT_EQ(event_code::kEndpointList, 7);
+  EXPECT_EQ(event_code::kRequestArrived, 8);
+  EXPECT_EQ(event_code::kAttemptEnded, 9);
+  EXPECT_EQ(event_code::kStopNode, 10);
+  EXPECT_EQ(event_code::kSelectNode, 11);
+}
+
 TEST(Decode, ARequestFieldByField) {
   const auto event = DecodeEvent(event_code::kRequestArrived,
                                  Bytes("c4913a5d922a0800 640ad2557c3bf091 0000e144 e02e0000 107cf3d901648e2b "
