--- a/src/gossip/outlier_consensus_model.h
+++ b/src/gossip/outlier_consensus_model.h
@@ -9,7 +9,7 @@
 // replica, by rendezvous hashing, go on trying it when their own ejections end, and what they find releases
 // the others. Slowness is a median over all who used the replica, once somebody has reported it as slow, so
 // that a node that lies moves it no further than the others go. And never more than a share of the fleet is
-// ejected by consensus (docs/tier.md has the bounds).
+// ejected by consensus (docs/notes/gossip.md has the bounds).
 #pragma once
 
 #include <cstddef>
@@ -83,7 +83,7 @@
     std::vector<std::string> reporters;  // whose reports count
     std::string answered_by;             // who got the newest answer there; empty: nobody lately
     Time ejected_until = 0;              // by consensus; 0: not ejected
-    const char* reason = "";             // a reason word (docs/operators-tier.md)
+    const char* reason = "";             // a reason word (docs/operators/gossip.md)
   };
   const std::vector<Finding>& findings() const { return findings_; }
 
--- a/src/gossip/traffic_share_model.h
+++ b/src/gossip/traffic_share_model.h
@@ -3,9 +3,9 @@
 // share from what was reported, by the same rule, its own rate as it reported it. No I/O, no clock.
 //
 // A share falls at once and rises only once the others have had time to learn why, so that while reports are
-// on their way the sum over all nodes stays near 1; docs/tier.md derives the bounds. What is not known is not
-// guessed: while the view is uncertain the share is frozen, then led back, by steps, to the equal share that
-// a node without gossip goes by.
+// on their way the sum over all nodes stays near 1; docs/notes/gossip.md derives the bounds. What is not
+// known is not guessed: while the view is uncertain the share is frozen, then led back, by steps, to the
+// equal share that a node without gossip goes by.
 #pragma once
 
 #include <cstddef>
--- a/src/membership/membership_model.h
+++ b/src/membership/membership_model.h
@@ -7,7 +7,8 @@
 // a node in trouble suspects itself first (local_health_model.h; Lifeguard: Dadgar, Phillips, Currey, 2018).
 // As in memberlist, nodes also exchange all records now and then (push_pull_model.h). Beyond these, a death
 // takes several members that could not reach the suspect there and back, none that could, and a majority on
-// the decider's side (majority_census_model.h; docs/membership.md). This class brings the parts together.
+// the decider's side (majority_census_model.h; docs/notes/membership.md). This class brings the parts
+// together.
 #pragma once
 
 #include <algorithm>
@@ -44,7 +45,7 @@
 
 // One thing that happened, for logs and for people.
 struct MembershipEvent {
-  const char* reason = "";  // a reason word (docs/operators-membership.md)
+  const char* reason = "";  // a reason word (docs/operators/membership.md)
   std::string member;
   std::string reporter;
   std::uint64_t value = 0;  // an incarnation, or a number of members
--- a/src/timeline/block.cpp
+++ b/src/timeline/block.cpp
@@ -16,7 +16,7 @@
 constexpr std::string_view kMark = "RGFLIGHT";
 constexpr std::uint32_t kBlockMark = 0x4b424752;  // "RGBK"
 constexpr std::size_t kHead = 4 + 4 + 4 + 8 + 8 + 8;
-constexpr int kLevel = 1;  // the fastest that compresses well enough; measured in docs/timeline.md
+constexpr int kLevel = 1;  // the fastest that compresses well enough; measured in docs/notes/timeline.md
 
 template <class T>
 void Put(std::string& out, T value) {
--- a/src/timeline/coalescing_model.h
+++ b/src/timeline/coalescing_model.h
@@ -1,4 +1,4 @@
-// DisabledReplicas the record to its budget of bytes: while decisions come faster, they are counted instead
+// Holds the record to its budget of bytes: while decisions come faster, they are counted instead
 // of kept, and the counts stand in the record. No I/O, no clock.
 #pragma once
 
--- a/src/timeline/flight_record_codec.h
+++ b/src/timeline/flight_record_codec.h
@@ -114,7 +114,7 @@
 // Something changed among the nodes of the cluster, as this node's membership has it.
 struct ClusterEventRecord {
   Time now = 0;
-  std::string what;        // a reason word of docs/operators-membership.md
+  std::string what;        // a reason word of docs/operators/membership.md
   std::string member, by;  // about whom, and who reported it; may be empty
   std::uint64_t value = 0;
   std::uint64_t live = 0;  // nodes in the view, this one included
