--- a/tests/policy/candidate_finder_test.cpp
+++ b/tests/policy/candidate_finder_test.cpp
@@ -5,21 +5,15 @@
 #include <algorithm>
 #include <set>
 
+#include "replica_limits_fixture.h"
+
 namespace ryeglade::policy {
 namespace {
 
-class CandidateFinderTest : public testing::Test {
+class CandidateFinderTest : public ReplicaLimitsFixture {
  protected:
   void List(ReplicaId count, int zones = 1) {
-    settings_.zone_count = zones;
-    EndpointList list;
-    for (ReplicaId id = 0; id < count; ++id) {
-      list.endpoints.emplace_back();
-      list.endpoints.back().id = id;
-      list.endpoints.back().zone = static_cast<int>(id) % zones;
-    }
-    fleet_.Apply(list, 0, random_);
-    limits_.Invalidate();
+    ListReplicas(0, count, zones, 0);
     limits_.Update(1);
     finder_.InvalidateRing();
   }
@@ -39,17 +33,6 @@
     }
     return ids;
   }
-  Settings settings_;
-  RandomSource random_{1};
-  Fleet fleet_;
-  TrafficShare traffic_share_{1};
-  AdaptiveConcurrency concurrency_{settings_, traffic_share_};
-  ReplicaSpeed speed_{settings_};
-  SlowStart slow_start_{settings_};
-  OutlierEjection ejection_;
-  LoadReports load_reports_{settings_, speed_};
-  ReplicaLimits limits_{
-      {fleet_, traffic_share_, concurrency_, speed_, slow_start_, ejection_, load_reports_}};
   CandidateFinder finder_{{settings_, fleet_, limits_, speed_, load_reports_, random_}};
 };
 
--- a/tests/policy/replica_limits_test.cpp
+++ b/tests/policy/replica_limits_test.cpp
@@ -2,31 +2,14 @@
 
 #include <gtest/gtest.h>
 
+#include "replica_limits_fixture.h"
+
 namespace ryeglade::policy {
 namespace {
 
-class ReplicaLimitsTest : public testing::Test {
+class ReplicaLimitsTest : public ReplicaLimitsFixture {
  protected:
-  void List(ReplicaId count) {
-    EndpointList list;
-    for (ReplicaId id = 1; id <= count; ++id) {
-      list.endpoints.emplace_back();
-      list.endpoints.back().id = id;
-    }
-    fleet_.Apply(list, 0, random_);
-    limits_.Invalidate();
-  }
-  Settings settings_;
-  RandomSource random_{1};
-  Fleet fleet_;
-  TrafficShare traffic_share_{1};
-  AdaptiveConcurrency concurrency_{settings_, traffic_share_};
-  ReplicaSpeed speed_{settings_};
-  SlowStart slow_start_{settings_};
-  OutlierEjection ejection_;
-  LoadReports load_reports_{settings_, speed_};
-  ReplicaLimits limits_{
-      {fleet_, traffic_share_, concurrency_, speed_, slow_start_, ejection_, load_reports_}};
+  void List(ReplicaId count) { ListReplicas(1, count, 1, 0); }
 };
 
 TEST_F(ReplicaLimitsTest, AReplicaOfOrdinarySpeedHasTheBaseLimit) {
--- a/tests/policy/replica_selector_test.cpp
+++ b/tests/policy/replica_selector_test.cpp
@@ -5,10 +5,12 @@
 #include <algorithm>
 #include <set>
 
+#include "replica_limits_fixture.h"
+
 namespace ryeglade::policy {
 namespace {
 
-class ReplicaSelectorTest : public testing::Test {
+class ReplicaSelectorTest : public ReplicaLimitsFixture {
  protected:
   ReplicaSelectorTest() {
     settings_.classes.resize(1);
@@ -16,15 +18,7 @@
     request_.arrival.prompt_tokens = 1'000;
   }
   void List(ReplicaId count, int zones = 1) {
-    settings_.zone_count = zones;
-    EndpointList list;
-    for (ReplicaId id = 0; id < count; ++id) {
-      list.endpoints.emplace_back();
-      list.endpoints.back().id = id;
-      list.endpoints.back().zone = static_cast<int>(id) % zones;
-    }
-    fleet_.Apply(list, now_, random_);
-    limits_.Invalidate();
+    ListReplicas(0, count, zones, now_);
     selector_.OnFleetChanged();
     limits_.Update(now_);
   }
@@ -36,17 +30,6 @@
     }
     return chosen;
   }
-  Settings settings_;
-  RandomSource random_{1};
-  Fleet fleet_;
-  TrafficShare traffic_share_{1};
-  AdaptiveConcurrency concurrency_{settings_, traffic_share_};
-  ReplicaSpeed speed_{settings_};
-  SlowStart slow_start_{settings_};
-  OutlierEjection ejection_;
-  LoadReports load_reports_{settings_, speed_};
-  ReplicaLimits limits_{
-      {fleet_, traffic_share_, concurrency_, speed_, slow_start_, ejection_, load_reports_}};
   PrefixAffinity affinity_{settings_};
   RetryPolicy retry_policy_{settings_};
   ReplicaSelector selector_{
