--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -12,10 +12,10 @@
 namespace ryeglade::gossip {
 namespace {
 
-constexpr Time kInterval = 250'000;
-constexpr Time kReportIntervalPerNode = 40'000;  // reports come no closer than this, over all nodes
+// Spans in microseconds.
+constexpr Time kTimerInterval = 250'000;
+constexpr Time kReportIntervalPerNode = 40'000;  // average distance between the reports of all nodes together
 
-// The settings keep the keys of the table [tier].
 GossipFeatures FeaturesOf(const GossipSettings& settings) {
   return {settings.traffic_shares, settings.outlier_reports, settings.prefix_shares};
 }
@@ -57,7 +57,7 @@
 }
 
 void Gossip::OnTimer() {
-  timer_ = runtime_->deadlines->Set(Now() + kInterval, [this] { OnTimer(); });
+  timer_ = runtime_->deadlines->Set(Now() + kTimerInterval, [this] { OnTimer(); });
   const Time now = Now();
   const ClusterView view = view_->View();
   UpdateMembers(now, view);
@@ -83,8 +83,8 @@
       members.push_back({member.name, member.zone});
     }
   }
-  const bool certain = view.joined && !view.partition_suspected && !members.empty();
-  model_.SetMembers(now, members, zone, certain, view.stable);
+  const bool is_certain = view.joined && !view.partition_suspected && !members.empty();
+  model_.SetMembers(now, members, zone, is_certain, view.stable);
 }
 
 void Gossip::LogShareState() {
@@ -125,15 +125,16 @@
       ++traffic_.dropped[why];
       continue;
     }
-    if (message->node == node_ || !model_.OnMessage(now, *message)) continue;  // known, old, or of no member
+    if (message->node == node_ || !model_.OnMessage(now, *message))
+      continue;  // already known, outdated, or not from a member
     ++traffic_.accepted;
     queue_.Enqueue(now, std::move(*message), false);
   }
 }
 
-// The status address's keys are older than the names in the code, and stay: part = share, told = announced or
-// reported, uses = features, beginnings = prefixes, words = messages (news: accepted), accusers = reporters,
-// rests = ejected.
+// The JSON keys are part of the interface and differ from the names in the code: part = share, told =
+// announced or reported, uses = features, evidence = outlier reports, beginnings = prefixes, doubts_itself =
+// suspects_itself, words = messages (news: accepted), accusers = reporters, rests = ejected.
 std::string Gossip::StatusJson() const {
   const Time now = Now();
   using nlohmann::json;
--- a/src/gossip/gossip.h
+++ b/src/gossip/gossip.h
@@ -1,6 +1,7 @@
-// Gossip among the nodes, on this node's loop: counts this node's requests, observes the decision module's
-// view of the fleet, puts messages on the membership's datagrams, and passes to the module what the nodes
-// know together. What is decided lies in shared_state_model.h. Off unless the settings have a table [tier].
+// The I/O side of the gossip among the nodes, on this node's loop: counts this node's requests, observes the
+// decision module's view of the fleet, sends and receives messages on the membership's datagrams, and passes
+// the combined knowledge of the nodes to the decision module. The decisions are made in shared_state_model.h.
+// Off unless the settings have a table [tier].
 #pragma once
 
 #include <cstdint>
@@ -16,18 +17,20 @@
 
 namespace ryeglade::gossip {
 
-struct GossipTraffic {  // messages
+// Counts of gossip messages since the start of the process.
+struct GossipTraffic {
   std::uint64_t sent = 0;
   std::uint64_t received = 0;
-  std::uint64_t accepted = 0;                    // of those received: newer than what was known
-  std::map<std::string, std::uint64_t> dropped;  // by reason; a fixed set of words
+  std::uint64_t accepted = 0;  // received with a report that was newer than the known one
+  std::map<std::string, std::uint64_t>
+      dropped;  // received but not readable, by reason; a fixed set of reasons
 };
 
-// Runs on one loop; everything is called from it.
+// Not thread-safe: all calls must come from the loop's thread.
 class Gossip : public GossipPort, public DecisionRecorder {
  public:
-  // `node`: this one's name; `incarnation` rises with each of its processes. The ports are not owned and
-  // outlive this.
+  // `node` is this node's name; `incarnation` must be higher with each process of this node. The pointers are
+  // not owned and must outlive this object.
   Gossip(const Runtime* runtime, const GossipSettings& settings, const std::string& node,
          std::uint64_t incarnation, const ClusterViewPort* view, const ReplicaViewPort* fleet,
          EventPort* events);
@@ -44,7 +47,7 @@
 
   const SharedStateModel& model() const { return model_; }
   const GossipTraffic& traffic() const { return traffic_; }
-  std::string StatusJson() const;  // for people
+  std::string StatusJson() const;  // for operators
 
  private:
   void OnTimer();
@@ -61,9 +64,9 @@
   GossipQueue queue_;
   GossipTraffic traffic_;
   DeadlineId timer_{};
-  std::string logged_state_;
-  std::map<policy::ReplicaId, Time> ejected_;        // by consensus, as logged; until when
-  std::vector<policy::ReplicaView> observed_fleet_;  // scratch
+  std::string logged_state_;                   // of the traffic share, as logged last
+  std::map<policy::ReplicaId, Time> ejected_;  // ejections by consensus that were logged, and their ends
+  std::vector<policy::ReplicaView> observed_fleet_;  // a buffer that OnTimer reuses
 };
 
 }  // namespace ryeglade::gossip
--- a/src/gossip/gossip_message_codec.cpp
+++ b/src/gossip/gossip_message_codec.cpp
@@ -9,13 +9,14 @@
 namespace ryeglade::gossip {
 namespace {
 
-constexpr std::uint64_t kForm = 1;
+constexpr std::uint64_t kFormatVersion = 1;
 constexpr std::size_t kMaxNameBytes = 64;
 constexpr std::uint64_t kAnyNumber = ~std::uint64_t{0};
-constexpr double kHundred = 100;
+constexpr double kHundredthsPerUnit = 100;
 constexpr std::uint64_t kMaxStartMs = 1'000'000'000'000'000;
-constexpr std::uint64_t kMaxRateHundredths = static_cast<std::uint64_t>(kMaxRate * kHundred);
-// What a peer may make the reader allocate: arrays, maps, texts, binaries, extensions, depth.
+constexpr std::uint64_t kMaxRateHundredths = static_cast<std::uint64_t>(kMaxRate * kHundredthsPerUnit);
+// Limits on what a peer's message can make the reader allocate: elements of arrays and maps, bytes of
+// strings, binaries and extensions, and nesting depth.
 const msgpack::unpack_limit kLimits(64, 0, kMaxNameBytes, 0, 0, 4);
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
@@ -25,7 +26,7 @@
 }
 
 std::int64_t Hundredths(double value, double min, double max) {
-  return std::isfinite(value) ? std::llround(std::clamp(value, min, max) * kHundred) : 0;
+  return std::isfinite(value) ? std::llround(std::clamp(value, min, max) * kHundredthsPerUnit) : 0;
 }
 
 void Pack(Packer& packer, const OutlierReport& report) {
@@ -48,7 +49,7 @@
   packer.pack(static_cast<std::uint64_t>(Hundredths(rate.rate, 0, kMaxRate)));
 }
 
-// The first `max` items of a list.
+// Packs the first `max` items of a list.
 template <typename Item>
 void PackList(Packer& packer, const std::vector<Item>& items, std::size_t max) {
   const std::size_t count = std::min(items.size(), max);
@@ -57,7 +58,7 @@
 }
 
 double ReadRate(UntrustedFields& fields) {
-  return static_cast<double>(fields.Number(kMaxRateHundredths)) / kHundred;
+  return static_cast<double>(fields.Number(kMaxRateHundredths)) / kHundredthsPerUnit;
 }
 
 OutlierReport ReadOutlierReport(const msgpack::object& object) {
@@ -67,10 +68,10 @@
   report.started_at = static_cast<Time>(fields.Number(kMaxStartMs)) * 1000;
   report.consecutive_failures = static_cast<int>(fields.Number(255));
   report.ejected_for = static_cast<Time>(fields.Number(kMaxSpan / 1000)) * 1000;
-  const std::uint64_t age = fields.Number(1 + kMaxSpan / 1000);  // 0: none
+  const std::uint64_t age = fields.Number(1 + kMaxSpan / 1000);  // 1 + milliseconds, or 0 if there is none
   report.last_outcome_age = age == 0 ? -1 : static_cast<Time>(age - 1) * 1000;
-  report.slowness = static_cast<double>(fields.Signed(400)) / kHundred;
-  report.slowness_samples = static_cast<double>(fields.Number(25'500)) / kHundred;
+  report.slowness = static_cast<double>(fields.Signed(400)) / kHundredthsPerUnit;
+  report.slowness_samples = static_cast<double>(fields.Number(25'500)) / kHundredthsPerUnit;
   report.in_flight = static_cast<int>(fields.Number(255));
   report.stalled_for = static_cast<Time>(fields.Number(kMaxSpan / 1000)) * 1000;
   return report;
@@ -84,6 +85,7 @@
   return rate;
 }
 
+// Returns the length of a list, and rejects the message if it exceeds `max`.
 std::size_t CountUpTo(const UntrustedFields& list, std::size_t max) {
   if (list.remaining() > max) throw BadField("range");
   return list.remaining();
@@ -91,7 +93,7 @@
 
 GossipMessage ReadMessage(const msgpack::object& object) {
   UntrustedFields fields(object);
-  if (fields.Number(kAnyNumber) != kForm) throw BadField("form");
+  if (fields.Number(kAnyNumber) != kFormatVersion) throw BadField("form");
   GossipMessage message;
   NodeReport& report = message.report;
   message.node = fields.Text(1, kMaxNameBytes);
@@ -123,7 +125,7 @@
   if (rates.size() < 3) return kMaxRate;
   const auto median = rates.begin() + static_cast<std::ptrdiff_t>((rates.size() - 1) / 2);
   std::nth_element(rates.begin(), median, rates.end());
-  // Where most nodes get next to nothing the others may get many times that.
+  // At least 1: if most nodes get almost no requests, the others may well get many times the median.
   return std::max(1.0, kMaxTimesMedian * *median);
 }
 
@@ -132,7 +134,7 @@
   msgpack::sbuffer buffer;
   Packer packer(buffer);
   packer.pack_array(10);
-  packer.pack(kForm);
+  packer.pack(kFormatVersion);
   packer.pack(message.node);
   packer.pack(Milliseconds(message.age, kMaxAge));
   packer.pack(report.incarnation);
@@ -154,7 +156,7 @@
     return ReadMessage(handle.get());
   } catch (const BadField& error) {
     *why = ReasonOf(error);
-  } catch (const std::exception&) {  // the library's own
+  } catch (const std::exception&) {  // thrown by msgpack itself
     *why = "malformed";
   }
   return std::nullopt;
--- a/src/gossip/gossip_queue_model.cpp
+++ b/src/gossip/gossip_queue_model.cpp
@@ -6,7 +6,7 @@
 namespace ryeglade::gossip {
 namespace {
 
-constexpr std::size_t kMinUsefulBytes = 64;  // no message fits into less
+constexpr std::size_t kMinUsefulBytes = 64;  // no further message is tried with less capacity left
 
 }  // namespace
 
@@ -40,7 +40,7 @@
       continue;
     }
     std::string bytes = Encode(message);
-    // What does not fit this time goes with a datagram that has more capacity left.
+    // A message that does not fit is sent in a later datagram with more capacity.
     if (bytes.size() + overhead > capacity) continue;
     capacity -= bytes.size() + overhead;
     taken.push_back(std::move(bytes));
--- a/src/gossip/outlier_consensus_model.cpp
+++ b/src/gossip/outlier_consensus_model.cpp
@@ -14,18 +14,20 @@
 using policy::PeerReplicaReport;
 using policy::ReplicaId;
 
-constexpr Time kSlownessMemory = 10'000'000;      // as in the decision module
-constexpr double kFailureSlowness = 1.1;          // the same
-constexpr double kMinUsefulSlowness = 1.0;        // ln: a slowness that the module can do something with
+// Spans in microseconds, slowness as ln(observed / expected).
+constexpr Time kSlownessDecayTime = 10'000'000;   // same value as in the decision module
+constexpr double kFailureSlowness = 1.1;          // same value as in the decision module
+constexpr double kMinUsefulSlowness = 1.0;        // the decision module gets no lower slowness
 constexpr double kSlownessChange = 0.1;           // a slowness that has changed by this is announced again
-constexpr Time kReannounceAfter = 4'000'000;      // all are announced so often, as the module lets them fade
-constexpr Time kRenewEjectionBefore = 1'000'000;  // an ejection is renewed before it ends
-constexpr int kMinFailingToSuspect = 2;           // failing replicas that are no reason to suspect oneself
+constexpr Time kReannounceAfter = 4'000'000;      // slowness is announced again, as the module decays it
+constexpr Time kRenewEjectionBefore = 1'000'000;  // an ejection is renewed this long before it ends
+constexpr int kMaxFailingUnsuspicious = 2;        // up to this many failing replicas raise no self-suspicion
 constexpr std::size_t kMaxFindings = 256;
 
 }  // namespace
 
-// Half of the weight lies on either side, each speaker's weight bounded; of two, the one nearer to nothing.
+// Returns the value with half of the weight on either side; AddReport bounds the weight of each node. Of two
+// samples it is the one nearer to 0.
 OutlierConsensusModel::SlownessSample OutlierConsensusModel::WeightedMedian(
     std::vector<SlownessSample>& all) {
   std::sort(all.begin(), all.end(),
@@ -61,8 +63,8 @@
     if (ejected || answered_lately) ++used;
   }
   std::erase_if(fleet_, [](const auto& entry) { return !entry.second.listed; });
-  suspects_itself_ =
-      suspects_itself || (failing_ > kMinFailingToSuspect && failing_ > limits_.self_suspicion_share * used);
+  suspects_itself_ = suspects_itself ||
+                     (failing_ > kMaxFailingUnsuspicious && failing_ > limits_.self_suspicion_share * used);
 }
 
 OutlierReport OutlierConsensusModel::OwnReport(Time now, const policy::ReplicaView& view) const {
@@ -73,7 +75,7 @@
   report.consecutive_failures = view.consecutive_failures;
   report.ejected_for = std::max<Time>(0, view.ejected_until - now);
   report.slowness = view.slowness;
-  report.slowness_samples = view.slowness_samples * DecayingCounter::DecayFactor(age, kSlownessMemory);
+  report.slowness_samples = view.slowness_samples * DecayingCounter::DecayFactor(age, kSlownessDecayTime);
   report.in_flight = view.in_flight;
   if (view.slowness_updated_at > 0 && age <= kMaxSpan) report.last_outcome_age = age;
   if (view.prefill_backlog_tokens >= 1 && view.in_flight > 0)
@@ -98,22 +100,23 @@
   report->suspects_itself = suspects_itself_;
   report->failing_replicas = failing_;
   report->outlier_reports.clear();
-  // Gravest first: what fails here, then what others report though it answered here, then what is slow.
-  std::vector<std::pair<double, OutlierReport>> all;
+  // The most severe first: replicas that fail here, then those that others report although they answered
+  // here, then slow ones.
+  std::vector<std::pair<double, OutlierReport>> all;  // with their severity
   std::set<ReplicaId> reported_by_others;
   for (const Finding& finding : findings_) reported_by_others.insert(finding.replica);
   for (const auto& [id, replica] : fleet_) {
     const OutlierReport own = OwnReport(now, replica.view);
-    double gravity = 0;
+    double severity = 0;
     if (ReportsOutlier(own, 0)) {
-      gravity = 1000 + own.consecutive_failures;
+      severity = 1000 + own.consecutive_failures;
     } else if (reported_by_others.contains(id) && ReportsAnswer(own) &&
                own.last_outcome_age < limits_.max_report_age) {
-      gravity = 500;
+      severity = 500;
     } else if (ReportsSlowness(own) || (reported_slow_.contains(id) && own.slowness_samples >= 1)) {
-      gravity = 1 + std::min(own.slowness_samples, 100.0);
+      severity = 1 + std::min(own.slowness_samples, 100.0);
     }
-    if (gravity > 0) all.emplace_back(gravity, own);
+    if (severity > 0) all.emplace_back(severity, own);
   }
   const std::size_t count = std::min(all.size(), kMaxOutlierReports);
   std::partial_sort(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(count), all.end(),
@@ -167,9 +170,10 @@
 bool OutlierConsensusModel::IsTrusted(const PeerState& peer, Time now) const {
   if (!peer.member || peer.report.suspects_itself || now - peer.made_at > limits_.max_report_age)
     return false;
-  // A node for which a fifth of the fleet fails while others go on observes its own network.
-  const double max_failing =
-      std::max<double>(kMinFailingToSuspect, limits_.max_ejected_share * static_cast<double>(fleet_.size()));
+  // If more than this many replicas fail for one node but not for the others, its own network is the likely
+  // cause.
+  const double max_failing = std::max<double>(kMaxFailingUnsuspicious,
+                                              limits_.max_ejected_share * static_cast<double>(fleet_.size()));
   const auto& reports = peer.report.outlier_reports;
   const auto ejected = std::count_if(reports.begin(), reports.end(),
                                      [](const OutlierReport& report) { return report.ejected_for > 0; });
@@ -186,52 +190,55 @@
 }
 
 void OutlierConsensusModel::AddReport(const std::string& name, const std::string& zone,
-                                      const OutlierReport& report, Time now, Time age, Cases* cases) const {
-  Case& one = (*cases)[report.replica];
-  // A stall is contradicted by any answer that somebody got since it began.
-  if (ReportsOutlier(report, age)) one.reporters.push_back(MakeReporter(name, zone, report, now, age));
+                                      const OutlierReport& report, Time now, Time age,
+                                      ReportsByReplica* by_replica) const {
+  CombinedReports& combined = (*by_replica)[report.replica];
+  // A reporter's failure or stall counts only if no node has got an answer since; Conclude checks that.
+  if (ReportsOutlier(report, age)) combined.reporters.push_back(MakeReporter(name, zone, report, now, age));
   const Time outcome_at = now - age - report.last_outcome_age;
-  if (ReportsAnswer(report) && outcome_at > one.answered_at) {
-    one.answered_at = outcome_at;
-    one.answered_by = name;
+  if (ReportsAnswer(report) && outcome_at > combined.answered_at) {
+    combined.answered_at = outcome_at;
+    combined.answered_by = name;
   }
-  one.reported_slow = one.reported_slow || ReportsSlowness(report);
-  const double samples = std::min(
-      limits_.max_peer_samples, report.slowness_samples * DecayingCounter::DecayFactor(age, kSlownessMemory));
+  combined.reported_slow = combined.reported_slow || ReportsSlowness(report);
+  const double samples =
+      std::min(limits_.max_peer_samples,
+               report.slowness_samples * DecayingCounter::DecayFactor(age, kSlownessDecayTime));
   if (name != self_ && samples >= 0.5)
-    one.slowness.push_back({std::clamp(report.slowness, -2.0, 2.0), samples});
+    combined.slowness.push_back({std::clamp(report.slowness, -2.0, 2.0), samples});
 }
 
-OutlierConsensusModel::Cases OutlierConsensusModel::CollectCases(Time now) const {
-  Cases cases;
+OutlierConsensusModel::ReportsByReplica OutlierConsensusModel::CombineReports(Time now) const {
+  ReportsByReplica by_replica;
   for (const auto& [name, peer] : peers_) {
     if (!IsTrusted(peer, now)) continue;
     for (const OutlierReport& report : peer.report.outlier_reports) {
       const auto it = fleet_.find(report.replica);
       if (it != fleet_.end() && it->second.view.endpoint.started_at == report.started_at)
-        AddReport(name, peer.zone, report, now, std::max<Time>(0, now - peer.made_at), &cases);
+        AddReport(name, peer.zone, report, now, std::max<Time>(0, now - peer.made_at), &by_replica);
     }
   }
-  return cases;
+  return by_replica;
 }
 
-// Whether this node ejects the replica. Its own failures count like a peer's, its own answers before all
-// peers' reports.
-OutlierConsensusModel::Finding OutlierConsensusModel::Conclude(Time now, ReplicaId id, Case* one) {
+// Decides whether this node ejects the replica. Its own failures count like a peer's; its own recent answers
+// take precedence over the peers' reports.
+OutlierConsensusModel::Finding OutlierConsensusModel::Conclude(Time now, ReplicaId id,
+                                                               CombinedReports* reports) {
   const OutlierReport own = OwnReport(now, fleet_[id].view);
   if (!suspects_itself_ && ReportsOutlier(own, 0))
-    one->reporters.push_back(MakeReporter(self_, zone_, own, now, 0));
-  if (ReportsAnswer(own) && now - own.last_outcome_age > one->answered_at) {
-    one->answered_at = now - own.last_outcome_age;
-    one->answered_by = self_;
+    reports->reporters.push_back(MakeReporter(self_, zone_, own, now, 0));
+  if (ReportsAnswer(own) && now - own.last_outcome_age > reports->answered_at) {
+    reports->answered_at = now - own.last_outcome_age;
+    reports->answered_by = self_;
   }
   Finding finding;
   finding.replica = id;
-  finding.answered_by = one->answered_by;
+  finding.answered_by = reports->answered_by;
   std::set<std::string> zones;
   std::size_t failed = 0;
-  for (const Reporter& reporter : one->reporters) {
-    if (reporter.since <= one->answered_at) continue;
+  for (const Reporter& reporter : reports->reporters) {
+    if (reporter.since <= reports->answered_at) continue;
     finding.reporters.push_back(reporter.name);
     zones.insert(reporter.zone);
     failed += reporter.failed ? 1 : 0;
@@ -259,7 +266,7 @@
   return finding;
 }
 
-// Where more are to be ejected than the share allows, those with the most reporters are.
+// If more replicas would be ejected than the share allows, only those with the most reporters are.
 void OutlierConsensusModel::LimitEjections() {
   std::vector<Finding*> ejected;
   for (Finding& finding : findings_) {
@@ -280,18 +287,20 @@
 }
 
 PeerReplicaReport OutlierConsensusModel::ReportFor(Time now, ReplicaId id, Replica* replica,
-                                                   Time ejected_until, Case* one, double share) const {
+                                                   Time ejected_until, CombinedReports* reports,
+                                                   double share) const {
   PeerReplicaReport report{id, replica->view.endpoint.started_at, 0, 0, 0, 0};
   report.ejected_until = ejected_until;
-  if (one != nullptr && one->reported_slow && one->slowness.size() >= 2) {
-    const SlownessSample median = WeightedMedian(one->slowness);
+  if (reports != nullptr && reports->reported_slow && reports->slowness.size() >= 2) {
+    const SlownessSample median = WeightedMedian(reports->slowness);
     if (median.slowness >= kMinUsefulSlowness) {
       report.slowness = median.slowness;
       report.slowness_samples =
           std::min(limits_.max_peer_samples, limits_.peer_answer_weight * median.samples);
     }
   }
-  // As after failures of one's own: what is ejected looks slow, and its concurrency limits go to the others.
+  // As after failures of this node's own, an ejected replica is reported as slow, so that its concurrency
+  // limits go to the other replicas.
   if (report.ejected_until > now && report.slowness < kFailureSlowness) {
     report.slowness = kFailureSlowness;
     report.slowness_samples = limits_.max_peer_samples;
@@ -306,22 +315,22 @@
   const PeerReplicaReport& before = replica.announced;
   const bool ejection_changed = report.ejected_until > now ? before.ejected_until < now + kRenewEjectionBefore
                                                            : before.ejected_until > now;
-  const bool fades = report.slowness_samples > 0 && now - replica.announced_at > kReannounceAfter;
+  const bool renewal_due = report.slowness_samples > 0 && now - replica.announced_at > kReannounceAfter;
   return ejection_changed || std::abs(report.slowness - before.slowness) > kSlownessChange ||
          std::abs(report.slowness_samples - before.slowness_samples) >
              0.5 * std::max(1.0, before.slowness_samples) ||
-         std::abs(report.orphaned_in_flight - before.orphaned_in_flight) > 0.1 || fades;
+         std::abs(report.orphaned_in_flight - before.orphaned_in_flight) > 0.1 || renewal_due;
 }
 
 std::vector<PeerReplicaReport> OutlierConsensusModel::Evaluate(Time now, double share) {
-  Cases cases = CollectCases(now);
+  ReportsByReplica by_replica = CombineReports(now);
   findings_.clear();
   reported_slow_.clear();
   contradicted_ = 0;
-  for (auto& [id, one] : cases) {
-    if (one.reported_slow) reported_slow_.insert(id);
-    if (one.reporters.empty() || findings_.size() >= kMaxFindings) continue;
-    findings_.push_back(Conclude(now, id, &one));
+  for (auto& [id, reports] : by_replica) {
+    if (reports.reported_slow) reported_slow_.insert(id);
+    if (reports.reporters.empty() || findings_.size() >= kMaxFindings) continue;
+    findings_.push_back(Conclude(now, id, &reports));
   }
   LimitEjections();
 
@@ -330,10 +339,10 @@
   std::vector<PeerReplicaReport> changed;
   for (auto& [id, replica] : fleet_) {
     const auto ejection = ejected_until.find(id);
-    const auto found = cases.find(id);
+    const auto found = by_replica.find(id);
     const PeerReplicaReport report =
         ReportFor(now, id, &replica, ejection == ejected_until.end() ? 0 : ejection->second,
-                  found == cases.end() ? nullptr : &found->second, share);
+                  found == by_replica.end() ? nullptr : &found->second, share);
     if (!HasChanged(now, replica, report)) continue;
     replica.announced = report;
     replica.announced_at = now;
--- a/src/gossip/outlier_consensus_model.h
+++ b/src/gossip/outlier_consensus_model.h
@@ -1,14 +1,15 @@
-// What the nodes have observed of each replica, put together: which replicas this node ejects because peers
-// report them as failing, how slow peers find each one, and how many attempts nodes that have died still have
-// in flight there. No I/O, no clock.
+// Combines what the nodes have observed of each replica: which replicas this node ejects because peers report
+// them as failing, how slow peers find each one, and how many attempts of dead nodes are still in flight
+// there. No I/O, no clock.
 //
-// One node's report never ejects a replica elsewhere. It takes reports of two nodes, in two zones or in this
-// node's own where the cluster has more than one (what a single other zone reports may be the fault of its
-// own network), none of which suspects itself, and whose failures are newer than any answer that somebody got
-// there; a node's own answers count before anything that is reported. The reporters that come first for a
-// replica, by rendezvous hashing, go on trying it when their own ejections end, and what they find releases
-// the others. Slowness is a median over all who used the replica, once somebody has reported it as slow, so
-// that a node that lies moves it no further than the others go. And never more than a share of the fleet is
+// A single node's report never ejects a replica at other nodes. An ejection requires reports of two nodes
+// that do not suspect themselves, and whose failures are newer than any answer that a node got from the
+// replica. In a cluster of several zones the reporters must be in two zones or in this node's own, because
+// the reports of another single zone may be the fault of its network. A node's own recent answers take
+// precedence over all reports. For each replica a few reporters, chosen by rendezvous hashing, keep trying it
+// when their own ejections end; an answer that they get ends the ejection at the other nodes. Once a node has
+// reported a replica as slow, its slowness is the median over all nodes that used it, so that one node with
+// false reports can't move it beyond the values of the others. Never more than a share of the fleet is
 // ejected by consensus (docs/notes/gossip.md has the bounds).
 #pragma once
 
@@ -25,65 +26,67 @@
 
 // Spans in microseconds.
 struct OutlierConsensusLimits {
-  std::size_t required_reporters = 2;           // that an ejection takes where each of them saw failures,
-  std::size_t required_if_stalled = 3;          // or so many where some only waited for an answer in vain
-  std::size_t probing_reporters = 3;            // of them go on trying the replica,
-  std::size_t nodes_per_probing_reporter = 32;  // or one for each so many nodes where that is more
-  double max_ejected_share = 0.2;               // of the replicas, by consensus, and at least one of four
-  Time max_report_age = 10'000'000;             // an older report, or an older failure, ejects nothing
-  Time own_answer_valid = 2'000'000;            // a node whose own answer is no older needs no reports
-  Time ejection_time = 2'500'000;               // by consensus, renewed while the reports stand
-  Time stall_threshold = 3'000'000;   // a node that has waited so long for an answer to begin reports a stall
-  double self_suspicion_share = 0.5;  // a node for which more than this share of what it used fails suspects
-                                      // itself
-  double slow_threshold = 1.5;        // ln: reported by somebody before slowness is put together,
-  double slow_min_samples = 3;        // from so many answers
-  double peer_answer_weight = 0.5;    // of an answer seen by a peer to one seen here
-  double max_peer_samples = 8;        // answers that all peers together count as, at most
-  Time orphan_lifetime = 15'000'000;  // attempts of a node that died have ended after so long; 0: don't count
+  std::size_t required_reporters = 2;   // reporters that saw failures, required for an ejection
+  std::size_t required_if_stalled = 3;  // reporters required if only some of them saw failures and the others
+                                        // waited in vain for an answer
+  std::size_t probing_reporters = 3;    // number of reporters that keep trying the replica
+  std::size_t nodes_per_probing_reporter = 32;  // or one for each this many nodes, if that is more
+  double max_ejected_share = 0.2;     // of the replicas, by consensus; at least one if there are four or more
+  Time max_report_age = 10'000'000;   // older reports and older failures do not eject
+  Time own_answer_valid = 2'000'000;  // a node with an own answer this recent does not eject the replica
+  Time ejection_time = 2'500'000;     // of an ejection by consensus; renewed while the reports stand
+  Time stall_threshold = 3'000'000;   // a node that has waited this long for an answer reports a stall
+  double self_suspicion_share = 0.5;  // a node suspects itself if more than this share of the replicas that
+                                      // it used fail for it
+  double slow_threshold = 1.5;        // slowness (ln) that a node must report before slowness is combined
+  double slow_min_samples = 3;        // answers that such a report must be based on
+  double peer_answer_weight = 0.5;    // weight of an answer seen by a peer, relative to one seen here
+  double max_peer_samples = 8;        // upper bound of the answers that all peers together count as
+  Time orphan_lifetime = 15'000'000;  // attempts of a dead node are assumed to have ended after this time; 0:
+                                      // they are not counted at all
 };
 
-// Hosted by SharedStateModel, which calls ObserveReplicas and SetMembers before Evaluate.
+// SharedStateModel calls ObserveReplicas and SetMembers before Evaluate.
 class OutlierConsensusModel {
  public:
   OutlierConsensusModel(std::string self, OutlierConsensusLimits limits)
       : self_(std::move(self)), limits_(limits) {}
 
-  // Another node of the view.
+  // Another node of the membership view.
   struct Peer {
     std::string name;
     std::string zone;
   };
 
-  // What this node itself observes of all replicas that are listed now. `suspects_itself`: it has reason to
-  // doubt its own observations.
+  // Sets what this node itself observes of all replicas that are listed now. `suspects_itself` says that its
+  // own observations may be wrong.
   void ObserveReplicas(Time now, const std::vector<policy::ReplicaView>& fleet, bool suspects_itself);
-  // This node's own outlier reports, the gravest first, and its flags.
+  // Fills in this node's own outlier reports, the most severe first, and its flags.
   void FillReport(Time now, NodeReport* report) const;
-  // The newest report of a node, made at `made_at`.
+  // Stores the newest report of a node, made at `made_at`.
   void OnReport(Time made_at, const std::string& node, const NodeReport& report);
-  // Who is in the view, with this node or without. `certain`: members that are missing have gone; else they
-  // may live.
+  // Sets the members of the view; this node may be among them or not. If `certain`, missing members have
+  // gone; else they may still be running.
   void SetMembers(Time now, const std::vector<Peer>& members, const std::string& zone, bool certain);
 
-  // The reports for the decision module that have changed or would fade. `share`: this node's share of the
-  // cluster's traffic, 0 to 1.
+  // Returns the reports for the decision module that have changed or have to be renewed. `share` is this
+  // node's share of the cluster's traffic, 0 to 1.
   std::vector<policy::PeerReplicaReport> Evaluate(Time now, double share);
-  // Takes back all that was announced to the decision module.
+  // Returns reports that withdraw everything that was announced to the decision module.
   std::vector<policy::PeerReplicaReport> WithdrawAll(Time now);
 
   bool suspects_itself() const { return suspects_itself_; }
-  // Replicas on which other nodes wait for this node's report: those that fail here, and those that others
-  // report though they answered here.
+  // The number of replicas for which other nodes need this node's report soon: those that fail here, and
+  // those that others report as outliers although they answered here.
   int urgent_reports() const { return failing_ + contradicted_; }
 
-  // What was concluded of a replica that is reported as an outlier.
+  // The conclusion about a replica that is reported as an outlier.
   struct Finding {
     policy::ReplicaId replica = 0;
-    std::vector<std::string> reporters;  // whose reports count
-    std::string answered_by;             // who got the newest answer there; empty: nobody lately
-    Time ejected_until = 0;              // by consensus; 0: not ejected
-    const char* reason = "";             // a reason word (docs/operators/gossip.md)
+    std::vector<std::string> reporters;  // nodes whose reports count
+    std::string answered_by;             // the node with the newest answer from it; empty if there is none
+    Time ejected_until = 0;              // by consensus; 0 if it is not ejected
+    const char* reason = "";             // name of the reason (docs/operators/gossip.md)
   };
   const std::vector<Finding>& findings() const { return findings_; }
 
@@ -95,15 +98,15 @@
     std::string zone;
     bool member = false;
   };
-  // What a node that has died had in flight at a replica.
+  // The attempts that a dead node had in flight at a replica.
   struct OrphanedAttempts {
     int in_flight = 0;
-    Time until = 0;
+    Time until = 0;  // they count until this time
   };
-  // What this node observes of a replica, and what it announced of it.
+  // What this node observes of a replica, and what it last announced about it to the decision module.
   struct Replica {
     policy::ReplicaView view;
-    bool listed = false;
+    bool listed = false;  // in the last observation
     policy::PeerReplicaReport announced;
     Time announced_at = 0;
     std::map<std::string, OrphanedAttempts> orphans;  // by dead node
@@ -112,27 +115,27 @@
   struct Reporter {
     std::string name;
     std::string zone;
-    Time since;   // when it failed there last, or began to wait
-    bool failed;  // else stalled
+    Time since;   // time of its last failure there, or when it began to wait
+    bool failed;  // if false, it reports a stall
   };
-  // One node's mean, weighted by its samples.
+  // One node's mean slowness, weighted by its number of samples.
   struct SlownessSample {
     double slowness;
     double samples;
   };
-  // What is reported of one replica.
-  struct Case {
-    std::vector<Reporter> reporters;
-    std::string answered_by;
-    Time answered_at = -1;
-    std::vector<SlownessSample> slowness;
+  // All nodes' reports on one replica.
+  struct CombinedReports {
+    std::vector<Reporter> reporters;       // of failures and stalls
+    std::string answered_by;               // the node with the newest answer from it
+    Time answered_at = -1;                 // of that answer; -1 if there is none
+    std::vector<SlownessSample> slowness;  // of peers
     bool reported_slow = false;
   };
-  using Cases = std::map<policy::ReplicaId, Case>;
+  using ReportsByReplica = std::map<policy::ReplicaId, CombinedReports>;
   static constexpr std::size_t kMaxPeers = 4096;
 
   bool IsTrusted(const PeerState& peer, Time now) const;
-  // It has failed there, more than once or so that it is ejected.
+  // Whether the node saw failures of the replica: more than one in a row, or one that led to its ejection.
   bool ReportsFailure(const OutlierReport& report, Time age) const {
     return report.consecutive_failures > 0 && (report.ejected_for > 0 || report.consecutive_failures > 1) &&
            report.last_outcome_age >= 0 && report.last_outcome_age + age < limits_.max_report_age;
@@ -151,20 +154,20 @@
   }
   Reporter MakeReporter(const std::string& name, const std::string& zone, const OutlierReport& report,
                         Time now, Time age) const;
-  // Whether `node` is among the reporters that go on trying the replica, so that all nodes agree on who does.
+  // Whether `node` is one of the reporters that keep trying the replica. All nodes agree on which these are.
   bool KeepsProbing(const std::string& node, policy::ReplicaId replica,
                     const std::vector<std::string>& reporters) const;
   OutlierReport OwnReport(Time now, const policy::ReplicaView& view) const;
-  // Attempts of a member that has gone count until they must have ended.
+  // Records the attempts in flight of a member that has gone; they count for the orphan lifetime.
   void RecordOrphans(Time now, const std::string& node, const PeerState& peer);
 
   void AddReport(const std::string& name, const std::string& zone, const OutlierReport& report, Time now,
-                 Time age, Cases* cases) const;
-  Cases CollectCases(Time now) const;
-  Finding Conclude(Time now, policy::ReplicaId id, Case* one);
+                 Time age, ReportsByReplica* by_replica) const;
+  ReportsByReplica CombineReports(Time now) const;
+  Finding Conclude(Time now, policy::ReplicaId id, CombinedReports* reports);
   void LimitEjections();
   policy::PeerReplicaReport ReportFor(Time now, policy::ReplicaId id, Replica* replica, Time ejected_until,
-                                      Case* one, double share) const;
+                                      CombinedReports* reports, double share) const;
   bool HasChanged(Time now, const Replica& replica, const policy::PeerReplicaReport& report) const;
   static SlownessSample WeightedMedian(std::vector<SlownessSample>& all);
 
@@ -175,9 +178,10 @@
   std::string zone_;
   bool several_zones_ = false;
   bool suspects_itself_ = false;
-  int failing_ = 0;                            // replicas that are ejected here by own failures
-  int contradicted_ = 0;                       // reported replicas that answered here lately
-  std::set<policy::ReplicaId> reported_slow_;  // by somebody: this node is to report what it found
+  int failing_ = 0;       // replicas that this node has ejected after failures of its own
+  int contradicted_ = 0;  // replicas that others report although they answered here lately
+  std::set<policy::ReplicaId>
+      reported_slow_;  // by any node; this node has to report its own slowness of them
   std::vector<Finding> findings_;
 };
 
--- a/src/gossip/prefix_traffic_model.cpp
+++ b/src/gossip/prefix_traffic_model.cpp
@@ -6,9 +6,9 @@
 namespace ryeglade::gossip {
 namespace {
 
-constexpr std::size_t kMaxCounts = 4096;
-constexpr double kRelativeChange = 0.2;  // a share that has changed by this part of itself is announced
-constexpr Time kMinAnnounceGap = 1'000'000;
+constexpr std::size_t kMaxCounts = 4096;     // prefixes that are counted
+constexpr double kMinRelativeChange = 0.2;   // a share is announced again after a change by this fraction
+constexpr Time kMinAnnounceGap = 1'000'000;  // microseconds
 
 // Adds up the rates of several nodes.
 class RateSum {
@@ -20,18 +20,18 @@
     rate = std::min(rate, max_counted_rate_);
     total_rate_ += rate;
     ++nodes_;
-    // What a node reports of its prefixes is bounded by what it reports of all its requests.
+    // The sum of a node's prefix rates is bounded by the rate of all its requests.
     double reported = 0;
     for (const PrefixRate& prefix : prefix_rates) reported += prefix.rate;
     const double scale = reported > rate ? rate / reported : 1;
     for (const PrefixRate& prefix : prefix_rates) {
-      OnePrefix& sum = prefixes_[prefix.prefix];
+      PrefixSum& sum = prefixes_[prefix.prefix];
       sum.rate += scale * prefix.rate;
       ++sum.nodes;
     }
   }
 
-  // The shares of all prefixes that at least `min_node_share` of the nodes report.
+  // Returns the shares of all prefixes that at least `min_node_share` of the nodes report.
   std::vector<std::pair<std::uint64_t, double>> Shares(double min_node_share) const {
     std::vector<std::pair<std::uint64_t, double>> shares;
     if (nodes_ < 2) return shares;
@@ -43,14 +43,14 @@
   }
 
  private:
-  struct OnePrefix {
+  struct PrefixSum {
     double rate = 0;
-    std::size_t nodes = 0;
+    std::size_t nodes = 0;  // that report the prefix
   };
   double max_counted_rate_;
   double total_rate_ = 0;
   std::size_t nodes_ = 0;
-  std::unordered_map<std::uint64_t, OnePrefix> prefixes_;
+  std::unordered_map<std::uint64_t, PrefixSum> prefixes_;
 };
 
 }  // namespace
@@ -66,7 +66,7 @@
 
 std::vector<PrefixRate> PrefixTrafficModel::OwnRates(Time now, double* rate) const {
   const double window = static_cast<double>(limits_.window) / 1e6;
-  // A decaying count stands for less than the window until the node has run for a few of these.
+  // A decaying count covers less than the window until the node has run for several windows.
   const double covered =
       window * (1 - std::exp(-static_cast<double>(now - started_at_) / static_cast<double>(limits_.window)));
   std::vector<PrefixRate> own;
@@ -124,7 +124,7 @@
   return std::any_of(shares.begin(), shares.end(), [&](const auto& share) {
     const auto before = announced_.find(share.first);
     return before == announced_.end() ||
-           std::abs(share.second - before->second) > kRelativeChange * before->second;
+           std::abs(share.second - before->second) > kMinRelativeChange * before->second;
   });
 }
 
--- a/src/gossip/prefix_traffic_model.h
+++ b/src/gossip/prefix_traffic_model.h
@@ -1,8 +1,9 @@
-// Which shared prompt prefixes the cluster's traffic has, from what each node counts: so that all nodes give
-// a prefix the same number of preferred replicas, though each sees few requests of it. No I/O, no clock.
+// Computes which share of the cluster's traffic each shared prompt prefix has, from the counts of all nodes,
+// so that all nodes give a prefix the same number of preferred replicas although each of them sees only a few
+// requests with it. No I/O, no clock.
 //
-// The preferred replicas themselves are chosen by the decision module: by rendezvous hashing over the
-// replicas, so that of two nodes whose counts differ one has a superset of the other's.
+// The decision module chooses the preferred replicas themselves, by rendezvous hashing over the replicas: of
+// two nodes that give a prefix different numbers of replicas, one has a superset of the other's.
 #pragma once
 
 #include <cstddef>
@@ -21,27 +22,28 @@
 struct PrefixTrafficLimits {
   Time window = 20'000'000;          // time constant of the decaying counts
   Time max_report_age = 15'000'000;  // an older report no longer counts
-  double min_node_share = 0.5;       // of the nodes that have to report a prefix
-  std::size_t max_prefixes = 256;    // that are put together
+  double min_node_share = 0.5;       // a prefix counts if at least this share of the nodes reports it
+  std::size_t max_prefixes = 256;    // only this many prefixes, the busiest ones, are announced
 };
 
-// Counts this node's requests and adds up what all nodes report.
+// Counts this node's requests and adds up the reports of all nodes.
 class PrefixTrafficModel {
  public:
   explicit PrefixTrafficModel(std::string self, Time now, PrefixTrafficLimits limits = {})
       : self_(std::move(self)), limits_(limits), started_at_(now) {}
 
-  // A request arrived at this node; `prefix` 0: it has none that is shared.
+  // Counts a request that arrived at this node. `prefix` is 0 if it has no shared prefix.
   void OnArrival(Time now, std::uint64_t prefix);
-  // This node's busiest prefixes.
+  // Fills in this node's busiest prefixes.
   void FillReport(Time now, NodeReport* report) const;
   void OnReport(Time made_at, const std::string& node, const NodeReport& report);
   void RemoveNode(const std::string& node) { peers_.erase(node); }
-  // The shares for the decision module; false: nothing has changed by enough.
+  // Sets the shares for the decision module. Returns false if they have not changed enough, or if it is too
+  // soon after the last announcement.
   bool UpdateShares(Time now, policy::PrefixTrafficReceived* shares);
-  // Takes back what was announced; false: nothing was.
+  // Withdraws all announced shares. Returns false if none were announced.
   bool WithdrawAll(policy::PrefixTrafficReceived* shares);
-  std::size_t announced() const { return announced_.size(); }  // prefixes
+  std::size_t announced() const { return announced_.size(); }  // number of prefixes
 
  private:
   // The newest report of another node.
@@ -50,12 +52,12 @@
     Time made_at = 0;
     std::vector<PrefixRate> prefix_rates;
   };
-  using PrefixShares = std::vector<std::pair<std::uint64_t, double>>;  // by prefix, 0 to 1
+  using PrefixShares = std::vector<std::pair<std::uint64_t, double>>;  // prefix and share, 0 to 1
 
-  // This node's busiest prefixes; `rate`: of all its requests a second, 0 until it has counted for long
-  // enough.
+  // Returns this node's busiest prefixes, and in `rate` the rate of all its requests per second. Both are
+  // empty until the node has counted for long enough.
   std::vector<PrefixRate> OwnRates(Time now, double* rate) const;
-  PrefixShares CollectShares(Time now) const;  // the largest first
+  PrefixShares CollectShares(Time now) const;  // largest share first
   bool HasChanged(const PrefixShares& shares) const;
 
   std::string self_;
--- a/src/gossip/shared_state_model.cpp
+++ b/src/gossip/shared_state_model.cpp
@@ -6,7 +6,7 @@
 namespace ryeglade::gossip {
 namespace {
 
-constexpr double kRelativeChange = 0.02;  // a share that has changed by this part of itself is announced
+constexpr double kMinRelativeChange = 0.02;  // a share is announced again after a change by this fraction
 
 }  // namespace
 
@@ -72,7 +72,7 @@
   std::vector<policy::Event> events;
   share_ = traffic_shares_.UpdateShare(now, nodes);
   const bool near_announced =
-      announced_share_ > 0 && std::abs(share_ / announced_share_ - 1) < kRelativeChange;
+      announced_share_ > 0 && std::abs(share_ / announced_share_ - 1) < kMinRelativeChange;
   if (features_.traffic_shares && !near_announced) {
     announced_share_ = share_;
     events.emplace_back(policy::TrafficShareChanged{share_});
@@ -81,8 +81,8 @@
   evaluated_at_ = now;
   const bool uncertain_for_long = uncertain_since_ >= 0 && now - uncertain_since_ > limits_.freeze_time;
   if (features_.outlier_reports && (certain_ || uncertain_for_long)) {
-    // While uncertain nothing more is announced: ejections end and slowness fades, step by step, as the
-    // module has it.
+    // While the view is uncertain nothing new is announced. After the freeze time all reports are withdrawn;
+    // until then ejections end and slowness decays in the decision module.
     policy::PeerReportsReceived reports{certain_ ? outliers_.Evaluate(now, share_)
                                                  : outliers_.WithdrawAll(now)};
     if (!reports.replicas.empty()) events.emplace_back(std::move(reports));
--- a/src/gossip/traffic_share_model.cpp
+++ b/src/gossip/traffic_share_model.cpp
@@ -18,7 +18,7 @@
   if (reported_at_ >= 0 && now - reported_at_ < interval) return std::nullopt;
   reported_at_ = now;
   ++own_.sequence;
-  // A decaying count stands for less than the window until the process has run for a few of these.
+  // A decaying count covers less than the window until the process has run for several windows.
   const double window = static_cast<double>(limits_.window) / 1e6;
   const double uptime = static_cast<double>(now - started_at_) / 1e6;
   const double covered = window * (1 - std::exp(-uptime / window));
@@ -35,7 +35,7 @@
 bool TrafficShareModel::OnReport(Time now, const std::string& node, const NodeReport& report) {
   if (node == self_ || !std::isfinite(report.rate) || report.rate < 0 || report.rate > kMaxRate) return false;
   const auto it = peers_.find(node);
-  if (it == peers_.end()) return false;  // no member: the view brings it first
+  if (it == peers_.end()) return false;  // not a member: SetMembers must add it first
   Peer& peer = it->second;
   const bool newer = report.incarnation != peer.report.incarnation
                          ? report.incarnation > peer.report.incarnation
@@ -52,7 +52,7 @@
   stable_ = certain && stable;
   if (certain) {
     uncertain_since_ = -1;
-    // Else nobody who is absent counts as gone.
+    // If the view is uncertain, absent nodes stay members.
     for (auto& [name, peer] : peers_) peer.member = false;
   } else if (uncertain_since_ < 0) {
     uncertain_since_ = now;
@@ -64,8 +64,9 @@
   if (stable_) std::erase_if(peers_, [](const auto& entry) { return !entry.second.member; });
 }
 
-// Each node's rate with a part of the mean on top, over the sum: traffic may move at any moment, and a node
-// without any must be able to serve the first request that it gets.
+// A node's share is its rate plus a fraction of the mean rate, divided by the sum of these over all nodes.
+// The added fraction is needed because traffic may move at any time, and a node without any must be able to
+// serve the first request that it gets.
 std::vector<TrafficShareModel::NodeShare> TrafficShareModel::ComputeShares(Time now, bool with_absent) const {
   std::vector<NodeShare> all{{self_, own_.rate, reported_at_ >= 0, false, false, 0}};
   for (const auto& [name, peer] : peers_) {
@@ -104,7 +105,7 @@
   return ComputeShares(now, with_absent).front().share;
 }
 
-// The share of a node without gossip, reached by steps.
+// Keeps the share for the freeze time, then moves it in steps to the share of a node without gossip.
 double TrafficShareModel::ShareWhileUncertain(Time now, double equal, double seconds_passed) {
   targets_.clear();
   window_since_ = now;
@@ -129,7 +130,7 @@
   if (stable_) {
     last_stable_share_ = target;
   } else {
-    // Those that are absent may live, and still go by their own share.
+    // Absent members may still be running and using their own share.
     const double with_absent = std::max(ComputeShare(now, true), last_stable_share_);
     target = std::min(target, with_absent * (1 + limits_.max_unsettled_rise));
   }
--- a/src/membership/dissemination_queue_model.cpp
+++ b/src/membership/dissemination_queue_model.cpp
@@ -20,7 +20,7 @@
 bool DisseminationQueue::Enqueue(Update update, Time made_at) {
   const std::uint64_t member = Hash(update.record.name, 0);
   const std::uint64_t subject = SubjectOf(update, member);
-  if (update.kind == Update::Kind::kRecord) RemoveVoidReports(update.record, member);
+  if (update.kind == Update::Kind::kRecord) RemoveObsoleteReports(update.record, member);
   for (std::size_t i = 0; i < keys_.size(); ++i) {
     if (keys_[i].subject != subject || !SameSubject(entries_[i].update, update)) continue;
     keys_[i] = {subject, member, ++last_order_, 0};
@@ -39,9 +39,9 @@
   return !full;
 }
 
-// A node that knows the record ignores reports on an earlier incarnation, or on a member that is gone: to
-// send them would only take the place of other updates.
-void DisseminationQueue::RemoveVoidReports(const MemberRecord& record, std::uint64_t member) {
+// A node that has received the record ignores reports on an earlier incarnation and reports on a member that
+// is gone. Sending such reports would only take space from other updates.
+void DisseminationQueue::RemoveObsoleteReports(const MemberRecord& record, std::uint64_t member) {
   const std::uint64_t first_valid = record.incarnation + (IsGone(record) ? 1 : 0);
   for (std::size_t i = keys_.size(); i-- > 0;) {
     if (keys_[i].member != member) continue;
@@ -55,8 +55,8 @@
 std::size_t DisseminationQueue::SortCandidates() {
   candidates_.clear();
   for (std::size_t i = 0; i < keys_.size(); ++i) {
-    const bool record = keys_[i].subject == keys_[i].member;
-    candidates_.push_back({keys_[i].sends * (record ? 1 : kRecordPriority), keys_[i].order, i});
+    const bool is_record = keys_[i].subject == keys_[i].member;
+    candidates_.push_back({keys_[i].sends * (is_record ? 1 : kRecordPriority), keys_[i].order, i});
   }
   const std::size_t sorted = std::min(candidates_.size(), kMaxConsidered);
   std::partial_sort(candidates_.begin(), candidates_.begin() + static_cast<std::ptrdiff_t>(sorted),
--- a/src/membership/dissemination_queue_model.h
+++ b/src/membership/dissemination_queue_model.h
@@ -1,6 +1,6 @@
-// The updates that a node has to send, and how often each was sent (the dissemination component of SWIM): one
-// entry for each subject, newer updates in place of older ones on the same subject, bounded. No I/O, no
-// clock.
+// The queue of updates that a node still has to send, with the number of times each was sent (the
+// dissemination component of SWIM). The queue is bounded and has one entry for each subject: a newer update
+// replaces an older one on the same subject. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -14,20 +14,23 @@
 
 namespace ryeglade::membership {
 
-// Bounded by kMaxUpdates; a look-up is a scan.
+// Holds at most kMaxUpdates updates. Look-ups scan the whole queue.
 class DisseminationQueue {
  public:
   static constexpr std::size_t kMaxUpdates = 512;
-  static constexpr std::size_t kMaxConsidered = 48;  // for one message
-  // A record ends any number of reports: where not all can be sent, it goes out so many times as often.
+  static constexpr std::size_t kMaxConsidered = 48;  // candidates for one message
+  // One record can make any number of reports obsolete, so while not all updates fit into the messages a
+  // record is sent this many times as often as a report.
   static constexpr int kRecordPriority = 2;
 
-  // `made_at` (microseconds): when a report was made. A record removes the reports that it makes void. False:
-  // the queue was full, and the update that was sent most has been dropped.
+  // Adds an update. `made_at` is the time at which a report was made, in microseconds. A record removes the
+  // reports that it makes obsolete. Returns false if the queue was full, in which case the update that was
+  // sent most often has been dropped.
   bool Enqueue(Update update, Time made_at);
 
-  // Offers the updates that were sent least, of these the newest first, and counts those that `take` (const
-  // Update& -> bool) accepts as sent. An update that was sent `max_sends` times is removed.
+  // Offers up to kMaxConsidered updates to `take` (const Update& -> bool), those sent least often first and
+  // the newest first among equals. An update that `take` accepts counts as sent; after `max_sends` sends it
+  // is removed.
   template <typename Take>
   void Send(Time now, int max_sends, const Take& take) {
     const std::size_t sorted = SortCandidates();
@@ -39,24 +42,25 @@
         update.age = std::clamp<Time>(now - entries_[index].made_at, 0, kMaxReportAge);
       if (take(std::as_const(update)) && ++keys_[index].sends >= max_sends) finished.push_back(index);
     }
-    // The last first, so that the others keep their indices.
+    // Removes the highest indices first, so that the remaining indices stay valid.
     std::sort(finished.begin(), finished.end(), std::greater<>());
     for (const std::size_t index : finished) Remove(index);
   }
 
-  // This node was not running for `span`: reports have not aged meanwhile.
+  // Moves the times of all updates forward by `span` after this node was not running for that long, so that
+  // reports do not age during the pause.
   void ShiftTimes(Time span);
   void Clear();
   std::size_t size() const { return keys_.size(); }
   bool empty() const { return keys_.empty(); }
 
  private:
-  // What is scanned for each message lies apart from the updates themselves.
+  // The fields that are scanned for each message, stored apart from the updates themselves.
   struct Key {
-    std::uint64_t subject = 0;  // updates with the same one replace each other
-    std::uint64_t member = 0;   // the same for all updates on one member
+    std::uint64_t subject = 0;  // hash; updates with the same subject replace each other
+    std::uint64_t member = 0;   // hash of the name of the member that the update is about
     std::uint64_t order = 0;    // rises with each Enqueue
-    int sends = 0;
+    int sends = 0;              // how often the update was sent
   };
   struct Entry {
     Update update;
@@ -67,10 +71,11 @@
     std::uint64_t order = 0;
     std::size_t index = 0;
   };
-  // Fills candidates_; returns how many from its beginning are sorted.
+  // Fills candidates_ and sorts its first elements, the next ones to send. Returns the number of sorted
+  // elements.
   std::size_t SortCandidates();
   void Remove(std::size_t index);
-  void RemoveVoidReports(const MemberRecord& record, std::uint64_t member);
+  void RemoveObsoleteReports(const MemberRecord& record, std::uint64_t member);
 
   std::vector<Key> keys_;
   std::vector<Entry> entries_;  // parallel to keys_
--- a/src/membership/local_health_model.h
+++ b/src/membership/local_health_model.h
@@ -1,5 +1,5 @@
-// How well this node itself seems to be (Lifeguard's local health multiplier): the worse, the longer it waits
-// before it suspects others. No I/O, no clock.
+// An estimate of this node's own health (Lifeguard's local health multiplier). The worse the health, the
+// longer the node waits before it suspects others. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -8,21 +8,22 @@
 
 namespace ryeglade::membership {
 
-// A score, and the spans that it stretches.
+// Keeps the health score and scales time spans by it.
 class LocalHealth {
  public:
   static constexpr int kMaxScore = 8;
 
-  // Not enabled: always healthy.
+  // If `enabled` is false, the score stays 0 (healthy).
   explicit LocalHealth(bool enabled) : enabled_(enabled) {}
 
-  // 0: healthy, to kMaxScore: in trouble.
+  // From 0 (healthy) to kMaxScore (this node itself is probably at fault).
   int score() const { return score_; }
   void Worsen(int by) { Change(by); }
   void Improve() { Change(-1); }
 
   policy::Time Scaled(policy::Time span) const { return span * (1 + score_); }
-  // For what is waited for before this node suspects itself: grows with its trouble too, but not without end.
+  // For spans that must stay bounded, like the time without any answer after which this node takes itself to
+  // be cut off: twice the span if the score is above 0.
   policy::Time ScaledAtMostTwice(policy::Time span) const { return score_ > 0 ? 2 * span : span; }
 
  private:
--- a/src/membership/majority_census_model.cpp
+++ b/src/membership/majority_census_model.cpp
@@ -3,8 +3,8 @@
 namespace ryeglade::membership {
 namespace {
 
-constexpr std::size_t kMaxSample = 24;  // members, or all of a small view
-constexpr double kSampleMargin = 1.1;   // a majority by sample must be larger by this factor
+constexpr std::size_t kMaxSample = 24;  // members; a smaller view is probed whole
+constexpr double kSampleMargin = 1.1;   // factor by which a majority estimated from a sample must be exceeded
 
 }  // namespace
 
--- a/src/membership/majority_census_model.h
+++ b/src/membership/majority_census_model.h
@@ -1,6 +1,7 @@
-// Whether this node reaches a majority of the last stable view. Where each member is probed once in many
-// intervals that is known late, so members are probed on purpose before one is declared dead. Small views are
-// probed whole; of large ones a sample stands for those that nobody suspects. No I/O, no clock.
+// Determines whether this node reaches a majority of the last stable view. In a large cluster regular probing
+// visits each member only once in many intervals and would answer this too late, so members are probed for
+// this purpose before one is declared dead. In a small view all members that are not suspect are probed; in a
+// large one a random sample of them. No I/O, no clock.
 #pragma once
 
 #include <functional>
@@ -13,19 +14,19 @@
 
 namespace ryeglade::membership {
 
-// The census that is under way, or the last one.
+// Holds the census that is in progress, or else the last one.
 class MajorityCensus {
  public:
-  // All in microseconds.
+  // Spans in microseconds.
   struct Timing {
-    Time duration;        // from the probes until answers are counted
-    Time valid_for;       // after that the census is repeated
-    Time probe_interval;  // members that were reached this lately need no probe
+    Time duration;        // from the start of the probes until the answers are counted
+    Time valid_for;       // how long the result stands after `duration`; then a new census is begun
+    Time probe_interval;  // a member that was reached within this span before the census needs no probe
   };
   using StartProbe = std::function<void(Member&)>;
 
-  // Begins a census if none began after `since` or the last one is too old; false until it is over, or if it
-  // found no majority.
+  // Begins a census if the last one began before `since` or is too old. Returns false while the census is in
+  // progress, and afterwards if it found no majority. A stable view of fewer than two always has a majority.
   bool HasMajority(Time now, Time since, const Timing& timing, MemberTable& table, const Suspects& suspects,
                    const RandomBits& random, const StartProbe& start_probe);
 
@@ -34,8 +35,8 @@
              const RandomBits& random, const StartProbe& start_probe);
   bool CountMajority(const Timing& timing, const MemberTable& table, const Suspects& suspects) const;
 
-  std::vector<std::string> sample_;  // names
-  bool complete_ = false;            // the sample is the whole stable view but for suspects
+  std::vector<std::string> sample_;  // names of the members that are counted
+  bool complete_ = false;            // the sample has all live members of the stable view except suspects
   Time began_at_ = 0;
 };
 
--- a/src/membership/member_record_model.h
+++ b/src/membership/member_record_model.h
@@ -1,5 +1,5 @@
-// What nodes tell each other about members: records, reachability reports, and the messages that carry them.
-// Plain values, with the one rule by which two records of a member are ordered. No I/O, no clock.
+// What nodes send each other about members: records, reachability reports, and the messages that carry them.
+// Plain values, and the rule that orders two records of the same member. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -14,96 +14,101 @@
 
 using policy::Time;
 
-// A member's state as records spread it. *Suspect* and *joining* are each node's own view (MemberState).
-// The numbers are those on the wire.
+// A member's state as its record carries it to all nodes. The states *suspect* and *joining* are not sent:
+// they exist only in each node's own view (MemberState). The numeric values are used on the wire.
 enum class RecordState : std::uint8_t { kAlive, kLeaving, kDead, kLeft, kCount };
 const char* Name(RecordState state);
 
-// One member as some node knows it. `uid` is drawn by each process at its start, its upper bits the time of
-// the start, so that of two processes the older has the lower one. `incarnation` is raised by its owner only.
+// One member as a node knows it. Each process draws its `uid` when it starts; the upper bits are the time of
+// the start, so that of two processes the older one has the lower uid. Only the member itself raises its
+// `incarnation`.
 struct MemberRecord {
-  std::string name;     // 1 to kMaxNameBytes
-  std::string address;  // ip:port where its datagrams and push-pull exchanges arrive
+  std::string name;     // 1 to kMaxNameBytes bytes
+  std::string address;  // ip:port at which it receives datagrams and push-pull exchanges
   std::string zone;     // may be empty
   std::uint64_t incarnation = 0;
   std::uint64_t uid = 0;
   RecordState state = RecordState::kAlive;
-  std::vector<std::string> reporters;  // of a dead one: who reported it as unreachable
+  std::vector<std::string> reporters;  // of a dead member: the nodes that reported it as unreachable
 };
 
 inline constexpr std::size_t kMaxNameBytes = 64;
 inline constexpr std::size_t kMaxZoneBytes = 32;
 inline constexpr std::size_t kMaxAddressBytes = 64;
-inline constexpr std::size_t kMaxRecordReporters = 8;
+inline constexpr std::size_t kMaxRecordReporters = 8;  // in one record
 
-// Whether `a` overrides `b` of the same process: a higher incarnation, or at the same one a later state.
-// Merging by this rule ends the same in any order and with any repetition.
+// Returns whether record `a` of a member overrides record `b`: it has a higher incarnation, or the same
+// incarnation and a later state. Merging records by this rule gives the same result in any order and with any
+// number of repetitions.
 bool Supersedes(const MemberRecord& a, const MemberRecord& b);
 inline bool IsGone(const MemberRecord& record) {
   return record.state == RecordState::kDead || record.state == RecordState::kLeft;
 }
 
-// What one node reports of a member that it tried to reach there and back: it could not (a suspicion), or it
-// could, which speaks against the suspicions of others. The newest `seq` of each reporter counts.
+// The result of one node's attempt to reach a member by a round trip: unreachable (a suspicion), or
+// reachable, which contradicts the suspicions of others. Of the reports of one reporter the one with the
+// highest `seq` counts.
 struct ReachabilityReport {
   std::string reporter;
   bool reachable = false;
-  std::uint64_t seq = 0;  // the reporter's, rising
-  Time made_at = 0;       // on the clock of the node that has it
+  std::uint64_t seq = 0;  // the reporter's sequence number; rises with each of its reports
+  Time made_at = 0;       // on the clock of the node that holds the report, microseconds
 };
 
-// One piece of information that spreads by gossip.
+// One record or report, the unit that spreads through the cluster by gossip.
 struct Update {
   // message_codec.cpp maps these to numbers on the wire.
   enum class Kind : std::uint8_t { kRecord, kReport, kCount };
   Kind kind = Kind::kRecord;
-  MemberRecord record;        // of a report: name and incarnation of the member that it is about
-  ReachabilityReport report;  // `made_at` is not sent; `age` is
-  Time age = 0;  // microseconds since the report was made, as far as is known; 0 to kMaxReportAge
+  MemberRecord record;        // in a report only the name and incarnation of the member that it is about
+  ReachabilityReport report;  // on the wire `age` stands for its `made_at`
+  Time age = 0;               // time since the report was made, 0 to kMaxReportAge microseconds; without the
+                              // time it spent in transit, which is not known
 };
-inline constexpr Time kMaxReportAge = 600'000'000;
+inline constexpr Time kMaxReportAge = 600'000'000;  // microseconds
 
-// The numbers are those on the wire.
+// The numeric values are used on the wire.
 enum class MessageKind : std::uint8_t {
-  kPing,         // direct probe: to be answered
-  kPingRequest,  // indirect probe: ping `target` for the sender
-  kAck,          // to a ping, or to a ping request whose target answered
-  kNack,         // to a ping request whose target has not answered yet
-  kUpdates,      // nothing but updates
-  kNameRefused,  // the sender of a message can't have its name: the record that has it is among the updates
-  kPushPull,     // all records that the sender has
+  kPing,         // direct probe; the receiver answers with an ack
+  kPingRequest,  // indirect probe; the receiver pings `target` on behalf of the sender
+  kAck,          // answer to a ping, or to a ping request whose target answered
+  kNack,         // answer to a ping request whose target has not answered yet
+  kUpdates,      // carries updates only; not answered
+  kNameRefused,  // the receiver's name belongs to another node, whose record is among the updates
+  kPushPull,     // carries all records that the sender has
   kCount
 };
 
-// The schema of what is written, and the lowest schema of a reader that understands it. Fields and kinds are
-// only ever added, and a reader passes over what it does not know; when that does not do, the minimum rises.
+// The schema version of what this program writes, and the lowest schema version of a reader that understands
+// it. Fields and kinds are only ever added, and a reader skips those that it does not know. A change that
+// such a reader would misunderstand raises the minimum.
 //   1  records, reports of unreachable members
-//   2  reports of reachable members
+//   2  adds reports of reachable members
 inline constexpr std::uint32_t kSchema = 2;
 inline constexpr std::uint32_t kMinReaderSchema = 1;
 
-// What a datagram or one side of a push-pull exchange carries.
+// The content of a datagram, or of one direction of a push-pull exchange.
 struct Message {
   std::uint32_t schema = kSchema;
   std::uint32_t min_reader_schema = kMinReaderSchema;
   std::string cluster;
   MemberRecord sender;
   MessageKind kind = MessageKind::kPing;
-  std::uint64_t seq = 0;
-  std::string target;  // of a ping or a ping request
-  std::string target_address;
+  std::uint64_t seq = 0;       // chosen by the sender of a ping or ping request; its answer repeats it
+  std::string target;          // name of the member that a ping or ping request is for
+  std::string target_address;  // ip:port of the target of a ping request
   std::vector<Update> updates;
-  std::vector<std::string> gossip;  // payloads of src/gossip behind the updates; not read here
+  std::vector<std::string> gossip;  // payloads of src/gossip, encoded after the updates; not decoded here
 };
 inline constexpr std::size_t kMaxGossipPayloads = 32;             // in one message
-inline constexpr std::size_t kGossipPayloadOverhead = 1 + 1 + 3;  // bytes beside each payload
-inline constexpr std::size_t kMessageHeaderBytes = 96;            // beside the sender's record and the texts
+inline constexpr std::size_t kGossipPayloadOverhead = 1 + 1 + 3;  // bytes in addition to each payload
+inline constexpr std::size_t kMessageHeaderBytes = 96;  // without the sender's record and the text fields
 
-// Upper bounds of the bytes that each takes in a message.
+// Upper bounds of the number of bytes that a record or an update takes in a message.
 std::size_t EncodedSize(const MemberRecord& record);
 std::size_t EncodedSize(const Update& update);
 
-// The same at every node.
+// A hash that is the same at every node.
 std::uint64_t Hash(std::string_view text, std::uint64_t seed = 0);
 
 }  // namespace ryeglade::membership
--- a/src/membership/member_table_model.cpp
+++ b/src/membership/member_table_model.cpp
@@ -30,7 +30,7 @@
 
 MemberTable::MemberTable(const MemberTable& other)
     : members_(other.members_), stable_view_(other.stable_view_), stable_live_(other.stable_live_) {
-  // The indices point to the copies.
+  // The copy's indices must point to its own members.
   for (auto& [name, member] : members_) by_name_.emplace(name, &member);
   live_.reserve(other.live_.size());
   for (const Member* member : other.live_) live_.push_back(Find(member->record.name));
@@ -67,9 +67,9 @@
 void MemberTable::Forget(Time now, Time forget_after, std::size_t max_members) {
   std::erase_if(members_, [&](const auto& entry) {
     const Member& member = entry.second;
-    const bool old = member.gone() && !member.returning && now - member.gone_at >= forget_after;
-    if (old) by_name_.erase(entry.first);
-    return old;
+    const bool expired = member.gone() && !member.returning && now - member.gone_at >= forget_after;
+    if (expired) by_name_.erase(entry.first);
+    return expired;
   });
   if (members_.size() < max_members) return;
   auto oldest = members_.end();
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -14,14 +14,16 @@
 namespace ryeglade::membership {
 namespace {
 
+// Spans in microseconds.
 constexpr Time kMinExchangeTimeout = 2'000'000;
-constexpr std::size_t kMaxDatagramsASecond = 5000;  // more are dropped unread
-constexpr int kMaxGossipMessages = 2;               // a tick, where gossip is pending
 constexpr Time kLogDroppedInterval = 10'000'000;
-constexpr Time kAddressRetry = 100'000;
-constexpr Time kAddressRetryAfterYield = 2'000'000;
+constexpr Time kAddressRetryInterval = 100'000;
+constexpr Time kAddressRetryIntervalAfterYield = 2'000'000;
 constexpr unsigned kHandoverPollMs = 100;
 
+constexpr std::size_t kMaxDatagramsPerSecond = 5000;  // further datagrams are dropped unread
+constexpr int kMaxGossipMessagesPerTick = 2;          // additional messages while gossip is pending
+
 std::string FormatAddress(const sockaddr* address) {
   char host[64] = {};
   if (address->sa_family == AF_INET6) {
@@ -35,7 +37,7 @@
 }
 
 void AllocateDatagram(uv_handle_t*, std::size_t, uv_buf_t* buffer) {
-  static std::array<char, 2048> datagram;  // read and used within one call
+  static std::array<char, 2048> datagram;  // its content is used up before the next read
   *buffer = uv_buf_init(datagram.data(), static_cast<unsigned>(datagram.size()));
 }
 
@@ -92,7 +94,7 @@
     int length = sizeof bound;
     error = uv_udp_getsockname(udp_, reinterpret_cast<sockaddr*>(&bound), &length);
   }
-  // The same port for connections, also where the kernel chose it.
+  // Connections use the same port as datagrams, also if the kernel chose it.
   if (error == 0) error = uv_tcp_bind(listener_, reinterpret_cast<const sockaddr*>(&bound), 0);
   if (error == 0) {
     error = uv_listen(reinterpret_cast<uv_stream_t*>(listener_), 16, [](uv_stream_t* stream, int status) {
@@ -127,14 +129,14 @@
 void Membership::Start() {
   handover_.Watch(kHandoverPollMs);
   if (OpenSockets()) return Activate();
-  // Another process of this node has it: that one is asked to yield.
+  // The address is in use, presumably by another process of this node, which is asked to yield it.
   Log(Level::kInfo, "membership-waits", {{"addr", settings_.listen}});
   WriteToSibling("wants");
   WaitForAddress();
 }
 
 void Membership::WaitForAddress() {
-  const Time interval = phase_ == Phase::kYielded ? kAddressRetryAfterYield : kAddressRetry;
+  const Time interval = phase_ == Phase::kYielded ? kAddressRetryIntervalAfterYield : kAddressRetryInterval;
   address_retry_ = runtime_->deadlines->Set(Now() + interval, [this] {
     address_retry_ = {};
     if (phase_ == Phase::kClosed || leaving_) return;
@@ -181,7 +183,7 @@
   OnTick();
 }
 
-// The text is from a file, so it may be anything.
+// The text comes from a file and is untrusted.
 void Membership::OnSiblingMessage(const std::string& text) {
   const nlohmann::json json = nlohmann::json::parse(text, nullptr, false);
   if (!json.is_object() || !json.contains("kind") || !json["kind"].is_string() || !json.contains("uid") ||
@@ -198,7 +200,7 @@
   runtime_->deadlines->Cancel(tick_);
   CloseSockets();
   WriteToSibling("yields");
-  WaitForAddress();  // in case the other process does not live to take it
+  WaitForAddress();  // takes the address back if the other process ends before it opens it
 }
 
 void Membership::WriteToSibling(const char* kind) {
@@ -228,13 +230,13 @@
   handover_.Close();
 }
 
-// ---- Time and what it brings ----
+// ---- Timer ----
 
 void Membership::OnTick() {
   tick_ = runtime_->deadlines->Set(Now() + model_->tick_interval(), [this] { OnTick(); });
   actions_.Clear();
   model_->Tick(Now(), actions_);
-  for (int i = 0; i < kMaxGossipMessages && gossip_ != nullptr && gossip_->has_pending(); ++i) {
+  for (int i = 0; i < kMaxGossipMessagesPerTick && gossip_ != nullptr && gossip_->has_pending(); ++i) {
     model_->SendToRandomMember(Now(), actions_);
     Execute();
   }
@@ -270,12 +272,12 @@
 
 void Membership::LogEvent(const MembershipEvent& event) {
   const std::string_view reason = event.reason;
-  const bool grave = reason == "member-dead" || reason == "view-in-doubt" || reason == "name-taken" ||
-                     reason == "name-conflict" || reason == "self-paused";
+  const bool is_warning = reason == "member-dead" || reason == "view-in-doubt" || reason == "name-taken" ||
+                          reason == "name-conflict" || reason == "self-paused";
   if (event.span > 0) {
     Log(Level::kWarn, reason, {{"member", event.member}, {"ms", event.span / 1000}});
   } else {
-    Log(grave ? Level::kWarn : Level::kInfo, reason,
+    Log(is_warning ? Level::kWarn : Level::kInfo, reason,
         {{"member", event.member}, {"by", event.reporter}, {"n", event.value}});
   }
   if (observer_ != nullptr)
@@ -306,7 +308,7 @@
     current_second_ = second;
     datagrams_this_second_ = 0;
   }
-  if (++datagrams_this_second_ > kMaxDatagramsASecond) return CountDropped("too-many");
+  if (++datagrams_this_second_ > kMaxDatagramsPerSecond) return CountDropped("too-many");
   sockaddr_storage peer{};
   std::copy_n(reinterpret_cast<const char*>(from), LengthOf(from), reinterpret_cast<char*>(&peer));
   if (!networks_.Contains(peer)) return CountDropped("networks");
@@ -320,7 +322,7 @@
   actions_.Clear();
   model_->OnMessage(Now(), address, *message, actions_);
   Execute();
-  // Gossip counts only of members that this node has reached there and back.
+  // Gossip is accepted only from live members, that is after a round trip with the sender.
   if (gossip_ == nullptr || message->gossip.empty()) return;
   if (IsLive(model_->StateOf(message->sender.name))) gossip_->OnMessages(message->gossip);
 }
@@ -330,7 +332,8 @@
   if (udp_ == nullptr || !ParseAddress(to, &address) || !networks_.Contains(address))
     return CountDropped("no-address");
   std::string bytes = Encode(message);
-  constexpr std::size_t kLongerListBytes = 4;  // of the updates' array header
+  // The header of the array of updates may grow by this much when gossip payloads are appended to the array.
+  constexpr std::size_t kLongerListBytes = 4;
   if (gossip_ != nullptr && gossip_->has_pending() && bytes.size() + kLongerListBytes < kMaxDatagramBytes) {
     message.gossip =
         gossip_->TakeMessages(kMaxDatagramBytes - kLongerListBytes - bytes.size(), kGossipPayloadOverhead);
@@ -338,7 +341,7 @@
   }
   const uv_buf_t buffer = uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
   if (uv_udp_try_send(udp_, &buffer, 1, reinterpret_cast<const sockaddr*>(&address)) < 0) {
-    ++traffic_.unsent;  // as good as lost, which the protocol tolerates
+    ++traffic_.unsent;  // the protocol tolerates lost datagrams
     return;
   }
   ++traffic_.datagrams_out;
@@ -350,7 +353,7 @@
 void Membership::StartExchange(const std::string& to) {
   sockaddr_storage address{};
   if (udp_ == nullptr || !ParseAddress(to, &address) || !networks_.Contains(address)) return;
-  // From the address that peers know this node by; the port is the kernel's.
+  // Connects from the address that peers know this node by, with a port chosen by the kernel.
   sockaddr_storage from = local_;
   if (from.ss_family == AF_INET6) {
     reinterpret_cast<sockaddr_in6*>(&from)->sin6_port = 0;
--- a/src/membership/membership_model.cpp
+++ b/src/membership/membership_model.cpp
@@ -9,22 +9,22 @@
 namespace {
 
 // In probe intervals.
-constexpr double kProbeTimeout = 0.4;    // until helpers are asked
-constexpr double kProbeDuration = 0.95;  // until a probe has failed
-constexpr double kUnreachedBefore = 4;   // without reaching anybody, a partition is suspected
-constexpr double kGossipInterval = 0.2;
-constexpr double kRetryUnverified = 2;  // between probes of a newcomer
-constexpr double kRetryReported = 4;    // between further ones, while others report on it
-constexpr double kForgetInterval = 5;
-constexpr double kRetryName = 30;
-
-constexpr int kMaxVerificationProbes = 4;   // of a newcomer until it is dropped
-constexpr std::size_t kFewUnverified = 16;  // more are taken for a flood of names
-constexpr int kMaxNewProbesATick = 8;       // of newcomers
-constexpr int kGossipTargets = 3;
-constexpr std::size_t kLastMessageTargets = 8;
-constexpr int kSendsFactor = 3;      // times log2 of the members: how often an update is sent
-constexpr Time kMinPause = 300'000;  // a tick that is later than this is a pause of this process
+constexpr double kProbeTimeout = 0.4;     // from the start of a probe until helpers are asked
+constexpr double kProbeDuration = 0.95;   // from the start of a probe until it has failed
+constexpr double kIsolatedAfter = 4;      // time without any round trip until a partition is suspected
+constexpr double kGossipInterval = 0.2;   // between messages that only spread updates
+constexpr double kRetryUnverified = 2;    // between probes of an unverified member
+constexpr double kRetryReported = 4;      // between further probes of it while others report on it
+constexpr double kForgetInterval = 5;     // between searches for gone members to forget
+constexpr double kRetryRefusedName = 30;  // until this node tries a name again that was refused
+
+constexpr int kMaxVerificationProbes = 4;       // failed probes until an unverified member is dropped
+constexpr std::size_t kFewUnverified = 16;      // a larger number of unverified names is taken for a flood
+constexpr int kMaxNewProbesPerTick = 8;         // of unverified members
+constexpr int kGossipTargets = 3;               // members that receive updates in each gossip interval
+constexpr std::size_t kLastMessageTargets = 8;  // members that are told that this node has left
+constexpr int kSendsFactor = 3;                 // times log2 of the members: how often an update is sent
+constexpr Time kMinPause = 300'000;             // microseconds; a tick that is less late is not a pause
 
 }  // namespace
 
@@ -38,9 +38,9 @@
       last_tick_at_(now),
       last_reached_at_(now),
       next_view_update_at_(now) {
-  // Nodes that start together must not probe and exchange in step.
-  next_probe_at_ = TimeIntoInterval(now);
-  next_gossip_at_ = TimeIntoInterval(now);
+  // Random first times keep nodes that start together from probing and gossiping in step.
+  next_probe_at_ = RandomTimeWithinInterval(now);
+  next_gossip_at_ = RandomTimeWithinInterval(now);
   std::erase(options_.seeds, self_.address);
   if (options_.seeds.empty()) push_pull_.MarkJoined();
 }
@@ -51,7 +51,7 @@
   return copy;
 }
 
-Time MembershipModel::TimeIntoInterval(Time now) {
+Time MembershipModel::RandomTimeWithinInterval(Time now) {
   return now + static_cast<Time>(random_() % static_cast<std::uint64_t>(options_.probe_interval));
 }
 
@@ -90,7 +90,7 @@
     message.updates.push_back(update);
     return true;
   };
-  // First what the reader must know of itself, so that it can refute it.
+  // Updates about `about` come first, so that a receiver can refute what is said about itself.
   if (const Member* member = table_.Find(about); member != nullptr) {
     if (member->gone()) {
       add({Update::Kind::kRecord, member->record, {}, 0});
@@ -106,7 +106,7 @@
       }
     }
   }
-  // Then what was sent least.
+  // The rest of the space is for the updates that were sent least often.
   const bool reads_reachable_reports = schema >= 2 && options_.schema >= 2 && options_.reachable_reports;
   const double cluster_size = static_cast<double>(table_.live().size() + 2);
   const int max_sends = kSendsFactor * (1 + static_cast<int>(std::ceil(std::log2(cluster_size))));
@@ -148,11 +148,11 @@
   return message;
 }
 
-// ---- What time brings ----
+// ---- Timers ----
 
 void MembershipModel::OnPause(Time now, Time span, Actions& out) {
   Emit(out, "self-paused", self_.name, "", self_.incarnation, span);
-  probing_.Clear();  // what was not heard meanwhile says nothing of others
+  probing_.Clear();  // answers that were missed during the pause say nothing about other members
   for (const std::string& name : suspects_.names()) {
     Member& member = *table_.Find(name);
     member.suspect_since += span;
@@ -163,13 +163,14 @@
   view_.OnPause(span, now + options_.probe_interval);
   next_probe_at_ = std::max(next_probe_at_, now + options_.probe_interval / 4);
   health_.Worsen(2);
-  // Before anything else is sent. Of a node that leaves the others are only a little early to take it for
-  // gone: if it came back, it would go twice.
+  // Refutes suspicions of this node before anything else is sent. A leaving node does not refute: others that
+  // take it for gone are only a little early, and after a refutation it would have to leave a second time.
   if (span >= options_.probe_interval && self_.state == RecordState::kAlive)
     Refute(now, self_.incarnation, out);
 }
 
-// Sees by its own clock that it was not running, before it makes anything of what waits to be read.
+// Detects by a late tick that this process was not running. Called before messages that arrived during the
+// pause are handled.
 void MembershipModel::DetectPause(Time now, Actions& out) {
   const Time late = now - last_tick_at_ - tick_interval();
   if (!options_.local_health || late <= std::max(options_.probe_interval / 2, kMinPause)) return;
@@ -177,7 +178,7 @@
   OnPause(now, late, out);
 }
 
-// The other node that has the name may be gone by now.
+// Discards all that is known and joins again: the other node that had the name may be gone by now.
 void MembershipModel::TryNameAgain(Time now) {
   name_refused_ = false;
   table_.RemoveAll();
@@ -193,7 +194,7 @@
   DetectPause(now, out);
   last_tick_at_ = now;
   if (name_refused_) {
-    if (now - name_refused_at_ < options_.Intervals(kRetryName)) return;
+    if (now - name_refused_at_ < options_.Intervals(kRetryRefusedName)) return;
     TryNameAgain(now);
   }
   SendDueNacks(now, out);
@@ -257,13 +258,13 @@
   Member* member = table_.Find(probe.target);
   if (member == nullptr) return;
   if (!member->live()) return HandleFailedVerification(now, probe, *member);
-  if (probe.nacks == 0) health_.Worsen(1);  // no helper is heard either
+  if (probe.nacks == 0) health_.Worsen(1);  // no helper answered either
   ReportUnreachable(now, *member, out);
 }
 
 void MembershipModel::HandleFailedVerification(Time now, const Probe& probe, Member& member) {
   const bool few_unverified = unverified_.size() <= kFewUnverified;
-  // Others may count it as a live member, and wait for this node's report.
+  // Others may have it as a live member and may need this node's report to declare it dead.
   if (member.failed_probes > 0 && few_unverified && MaySuspect(now, member)) {
     Update update{Update::Kind::kReport, {}, {self_.name, false, NextReportSeq(now), now}, 0};
     update.record.name = probe.target;
@@ -291,7 +292,7 @@
 void MembershipModel::ProbeUnverified(Time now, Actions& out) {
   int started = 0;
   for (const std::string& name : unverified_) {
-    if (started >= kMaxNewProbesATick || probing_.size() >= Probing::kMaxProbes / 2) return;
+    if (started >= kMaxNewProbesPerTick || probing_.size() >= Probing::kMaxProbes / 2) return;
     Member& member = *table_.Find(name);
     if (now < member.next_probe_at) continue;
     member.next_probe_at =
@@ -338,14 +339,14 @@
     next_forget_at_ = now + options_.Intervals(kForgetInterval);
     table_.Forget(now, options_.forget_after, options_.max_members);
   }
-  // How much of the last stable view can be reached from this side.
+  // Counts the members of the last stable view that are on this node's side of a possible partition.
   const std::size_t unreachable = suspects_.CountInStableView(
       table_, [&](const Member& member) { return !Rules().IsReportedReachable(member, now); });
   const std::size_t reachable = 1 + table_.stable_live() - unreachable;
   const std::size_t view_size = table_.stable_view().size();
   const bool reaches_nobody =
       view_size >= 2 &&
-      now - last_reached_at_ > health_.ScaledAtMostTwice(options_.Intervals(kUnreachedBefore));
+      now - last_reached_at_ > health_.ScaledAtMostTwice(options_.Intervals(kIsolatedAfter));
   const bool alone = joined() && table_.live().empty() && !options_.seeds.empty();
   const bool no_majority = view_size >= 2 && 2 * reachable <= view_size;
   const bool suspected = alone || reaches_nobody || no_majority;
--- a/src/membership/membership_model.h
+++ b/src/membership/membership_model.h
@@ -1,14 +1,15 @@
-// Which nodes are members of the cluster, decided from messages and times alone: no I/O, no clock, and random
-// numbers are passed in. The node hosts it on its loop, the lab hosts thousands in virtual time.
+// Decides which nodes are members of the cluster, from messages and times alone: no I/O, no clock, and random
+// numbers are passed in. The node hosts one model on its loop; the lab hosts thousands in virtual time.
 //
-// SWIM (Das, Gupta, Motivala, DSN 2002): each interval one member is *probed* (probing_model.h), directly and
-// then through helpers; one that can't be reached is *suspect* (suspicion_model.h), and updates spread with
-// the messages (dissemination_queue_model.h). A suspicion waits and can be refuted by a higher *incarnation*;
-// a node in trouble suspects itself first (local_health_model.h; Lifeguard: Dadgar, Phillips, Currey, 2018).
-// As in memberlist, nodes also exchange all records now and then (push_pull_model.h). Beyond these, a death
-// takes several members that could not reach the suspect there and back, none that could, and a majority on
-// the decider's side (majority_census_model.h; docs/notes/membership.md). This class brings the parts
-// together.
+// The protocol is SWIM (Das, Gupta, Motivala, DSN 2002). In each interval one member is *probed*
+// (probing_model.h), first directly and then through helpers. A member that can't be reached is *suspect*
+// (suspicion_model.h). Updates spread with the messages (dissemination_queue_model.h). A suspect has some
+// time in which it can refute the suspicion by a higher *incarnation*, and a node with poor local health
+// suspects itself before others (local_health_model.h; Lifeguard: Dadgar, Phillips, Currey, 2018). As in
+// memberlist, nodes also exchange all their records periodically (push_pull_model.h). In addition to these
+// protocols, a member is declared dead only if several members had no round trip with it, none had one
+// lately, and the deciding node reaches a majority (majority_census_model.h; docs/notes/membership.md). This
+// class combines the parts.
 #pragma once
 
 #include <algorithm>
@@ -32,24 +33,24 @@
 
 namespace ryeglade::membership {
 
-// A member as the node's view has it.
+// A member as this node sees it. Times in microseconds.
 struct MemberView {
   MemberRecord record;
   MemberState state = MemberState::kJoining;
   Time state_since = 0;
-  Time reached_at = 0;                           // last by this node, there and back; 0: never
-  std::vector<std::string> reporters;            // that report it as unreachable and count now
-  std::vector<std::string> reachable_reporters;  // that report it as reachable and count now
-  std::vector<HistoryEntry> history;             // the newest, at most kMaxHistory
+  Time reached_at = 0;                           // this node's last round trip with it; 0 if there was none
+  std::vector<std::string> reporters;            // nodes whose reports that it is unreachable count now
+  std::vector<std::string> reachable_reporters;  // nodes whose reports that it is reachable count now
+  std::vector<HistoryEntry> history;             // the newest events, at most kMaxHistory
 };
 
-// One thing that happened, for logs and for people.
+// An event for the log and for the observer.
 struct MembershipEvent {
-  const char* reason = "";  // a reason word (docs/operators/membership.md)
-  std::string member;
-  std::string reporter;
+  const char* reason = "";  // the event's name (docs/operators/membership.md)
+  std::string member;       // the member that it is about; may be this node
+  std::string reporter;     // the node or address that it was learned from; may be empty
   std::uint64_t value = 0;  // an incarnation, or a number of members
-  Time span = 0;            // of a pause
+  Time span = 0;            // length of this node's pause, microseconds; 0 for all other events
 };
 
 struct OutgoingMessage {
@@ -57,10 +58,10 @@
   Message message;
 };
 
-// What the host is to do, in order.
+// What the host has to do, each list in order.
 struct Actions {
-  std::vector<OutgoingMessage> sends;   // as datagrams
-  std::vector<std::string> push_pulls;  // addresses with which to exchange all records, over a connection
+  std::vector<OutgoingMessage> sends;   // messages to send as datagrams
+  std::vector<std::string> push_pulls;  // ip:port of nodes with which to exchange all records by connection
   std::vector<MembershipEvent> events;
   void Clear() {
     sends.clear();
@@ -69,63 +70,66 @@
   }
 };
 
-// One node. Not thread-safe; each call appends what the host is to do.
+// The membership of one node. Not thread-safe. Calls append to `out` what the host has to do.
 class MembershipModel {
  public:
-  // `self` with its first incarnation and its uid; `now` on the host's own steady clock.
+  // `self` has the first incarnation and the uid of this process. `now` is a time of the host's steady clock,
+  // in microseconds.
   MembershipModel(MembershipOptions options, MemberRecord self, Time now, RandomBits random);
 
-  // A copy that draws from elsewhere: for explorers.
+  // Returns a copy that draws its random numbers from `random`. The lab's state-space explorer uses it.
   MembershipModel Clone(RandomBits random) const;
   MembershipModel(MembershipModel&&) = default;
   MembershipModel& operator=(MembershipModel&&) = default;
   ~MembershipModel() = default;
 
-  // The host calls Tick so often.
+  // The interval at which the host must call Tick.
   Time tick_interval() const { return std::max<Time>(1000, options_.probe_interval / 10); }
   void Tick(Time now, Actions& out);
-  // A datagram from `address`; only where RejectReason is empty.
+  // Handles a datagram from `address`. Must be called only if RejectReason is empty.
   void OnMessage(Time now, const std::string& address, const Message& message, Actions& out);
-  // A push-pull exchange: what this node sends, and what the other side sent. `initiated`: by this node.
+  // In a push-pull exchange: PushPullMessage returns the message that this node sends, and OnPushPull handles
+  // the message that it received. `initiated` says whether this node began the exchange.
   Message PushPullMessage() const;
   void OnPushPull(Time now, const Message& message, bool initiated, Actions& out);
-  // A message with nothing but updates to a random member: it carries what has to be sent along.
+  // Sends a message with updates only to a random live member, so that the host can attach pending gossip.
   void SendToRandomMember(Time now, Actions& out);
 
-  // Empty: the message is for this node; else a reason word.
+  // Returns an empty string if this node can handle the message, else the reason for rejecting it.
   const char* RejectReason(const Message& message) const;
 
-  // In order: first Leave (still serving), then AnnounceLeft with the last messages.
+  // To leave the cluster, the host first calls Leave, after which the node is still serving, and at the end
+  // AnnounceLeft, which sends the last messages.
   void Leave(Time now, Actions& out);
   void AnnounceLeft(Time now, Actions& out);
 
   const MemberRecord& self() const { return self_; }
   const MembershipOptions& options() const { return options_; }
   bool joined() const { return push_pull_.joined(); }
-  bool name_refused() const { return name_refused_; }  // another node has this name
+  bool name_refused() const { return name_refused_; }  // another node has this node's name
   bool partition_suspected() const { return view_.partition_suspected(); }
   bool stable() const { return view_.stable(); }
   Time stable_since() const { return view_.stable_since(); }
   std::uint64_t view_version() const { return view_.version(); }
-  // Members that are alive, suspect or leaving, this node among them.
+  // The number of members that are alive, suspect or leaving, including this node.
   std::size_t live() const { return table_.live().size() + 1; }
   std::size_t stable_view_size() const { return table_.stable_view().size(); }
-  int health() const { return health_.score(); }  // 0: healthy, to 8: in trouble
-  std::vector<MemberView> View(Time now) const;   // without this node, by name
+  int health() const { return health_.score(); }  // from 0 (healthy) to LocalHealth::kMaxScore
+  std::vector<MemberView> View(Time now) const;   // all other members that are known, sorted by name
   std::optional<MemberView> Find(Time now, const std::string& name) const;
-  MemberState StateOf(const std::string& name) const;  // kLeft: unknown
+  MemberState StateOf(const std::string& name) const;  // kLeft if the name is not known
   std::size_t known() const { return table_.size(); }
   std::size_t queued_updates() const { return updates_.size(); }
-  std::uint64_t dropped() const { return dropped_; }  // records and updates for which there was no space
+  std::uint64_t dropped() const { return dropped_; }  // records and updates dropped for lack of space
 
  private:
   MembershipModel(const MembershipModel&) = default;
 
-  // ---- membership_model.cpp: what time brings ----
+  // ---- membership_model.cpp: timers and outgoing messages ----
   SuspicionRules Rules() const { return {options_, table_, self_.name}; }
   MemberState StateOf(const Member& member) const;
   MemberView ViewOf(Time now, const Member& member) const;
-  Time TimeIntoInterval(Time now);
+  Time RandomTimeWithinInterval(Time now);
 
   void DetectPause(Time now, Actions& out);
   void OnPause(Time now, Time span, Actions& out);
@@ -145,8 +149,8 @@
   void AskHelpers(Time now, Probe& probe, Actions& out);
 
   Message MakeMessage(MessageKind kind, std::uint64_t seq) const;
-  // Sends a message, filled up with updates. `about`: the member that it goes to or asks for, empty where
-  // none; `schema`: of the reader.
+  // Sends a message and fills it up with updates. `about` is the name of the member that the message goes to
+  // or asks for, or empty; `schema` is the reader's schema version.
   void Send(Time now, const std::string& to, Message message, const std::string& about, std::uint32_t schema,
             Actions& out);
   void SendUpdatesTo(Time now, const Member& member, Actions& out);
@@ -159,7 +163,7 @@
   static void EmitMemberEvent(Member& member, Time now, const char* reason, const std::string& reporter,
                               Actions& out);
 
-  // ---- membership_suspects_model.cpp: what this node finds of others ----
+  // ---- membership_suspects_model.cpp: reachability of others, suspects and deaths ----
   void CheckSuspects(Time now, Actions& out);
   bool CheckSuspect(Time now, Member& member, std::vector<std::string> reporters, Time suspicion_time,
                     bool many_at_once, Actions& out);
@@ -167,7 +171,8 @@
   bool HasMajority(Time now, Time since, Actions& out);
   void RecordOwnReport(Time now, Member& member, bool reachable);
   std::uint64_t NextReportSeq(Time now);
-  // False: this node reaches nobody else either, so the fault is likely here.
+  // Returns false if this node has not reached any other member lately either: then the fault is probably its
+  // own.
   bool MaySuspect(Time now, const Member& member) const;
   void ReportUnreachable(Time now, Member& member, Actions& out);
   void OnReached(Time now, Member& member, Actions& out);
@@ -175,7 +180,7 @@
   void MarkGone(Time now, Member& member, const MemberRecord& record, const std::string& reporter,
                 Actions& out);
 
-  // ---- membership_updates_model.cpp: what messages bring ----
+  // ---- membership_updates_model.cpp: incoming messages and updates ----
   void OnPing(Time now, const std::string& address, const Message& message, Actions& out);
   void OnPingRequest(Time now, const std::string& address, const Message& message, Actions& out);
   void OnAck(Time now, const Message& message, Actions& out);
@@ -204,7 +209,7 @@
   MemberRecord self_;
   RandomBits random_;
   MemberTable table_;
-  std::set<std::string> unverified_;  // members that are to be reached before they count
+  std::set<std::string> unverified_;  // names of members that are probed until a round trip verifies them
   Suspects suspects_;
   Probing probing_;
   DisseminationQueue updates_;
@@ -215,7 +220,7 @@
   std::uint64_t last_report_seq_ = 0;
   std::uint64_t dropped_ = 0;
   Time last_tick_at_;
-  Time last_reached_at_;  // anybody, there and back
+  Time last_reached_at_;  // the last round trip with any member
   Time next_probe_at_ = 0;
   Time next_gossip_at_ = 0;
   Time next_view_update_at_;
--- a/src/membership/membership_suspects_model.cpp
+++ b/src/membership/membership_suspects_model.cpp
@@ -1,4 +1,5 @@
-// What a node finds of others: whom it reaches and whom it does not, and when a suspect is declared dead.
+// The part of the model that tracks which members this node reaches, and decides when a suspect is declared
+// dead.
 #include <algorithm>
 #include <utility>
 
@@ -8,16 +9,17 @@
 namespace {
 
 // In probe intervals.
-constexpr double kOthersReached = 2;  // somebody else must have been reached so lately to suspect anybody
-constexpr double kCensusDuration = 1.5;
-constexpr double kCensusValidFor = 4;
+constexpr double kOthersReachedWithin = 2;  // a node suspects a member only after a round trip this recent
+constexpr double kCensusDuration = 1.5;     // from the start of a census until its answers are counted
+constexpr double kCensusValidFor = 4;       // after that
 
-constexpr double kManySuspectsShare = 0.25;  // of the stable view at once: a cut is as likely as deaths
+// With this many suspects at once a partition is as likely as deaths, so they get twice the time.
+constexpr double kManySuspectsShare = 0.25;  // of the stable view
 constexpr std::size_t kMinManySuspects = 3;
 
 }  // namespace
 
-// Rises with time over restarts too, as far as clocks allow.
+// Based on the time, so that the numbers also rise across restarts as far as the clock does.
 std::uint64_t MembershipModel::NextReportSeq(Time now) {
   last_report_seq_ = std::max(last_report_seq_ + 1, static_cast<std::uint64_t>(std::max<Time>(0, now)));
   return last_report_seq_;
@@ -38,7 +40,7 @@
 bool MembershipModel::MaySuspect(Time now, const Member& member) const {
   if (!options_.local_health) return true;
   return table_.live().size() > (member.live() ? 1U : 0U) &&
-         now - last_reached_at_ <= health_.ScaledAtMostTwice(options_.Intervals(kOthersReached));
+         now - last_reached_at_ <= health_.ScaledAtMostTwice(options_.Intervals(kOthersReachedWithin));
 }
 
 void MembershipModel::ReportUnreachable(Time now, Member& member, Actions& out) {
@@ -48,8 +50,8 @@
 }
 
 void MembershipModel::MarkVerified(Time now, Member& member, Actions& out) {
-  const bool returns = member.returning.has_value();
-  if (returns) {
+  const bool has_returned = member.returning.has_value();
+  if (has_returned) {
     member.record = *member.returning;
     member.returning.reset();
   }
@@ -57,15 +59,15 @@
   member.verified = true;
   member.state_since = now;
   member.failed_probes = 0;
-  // What a majority is counted of grows with members that come while all is well, and with those that were
-  // removed and return. Others count once the view is stable with them: a side that is cut off must not grow
-  // into a majority.
-  const bool all_well = !view_.partition_suspected() && suspects_.empty();
-  if (!table_.stable_view().empty() && (returns || all_well)) table_.AddToStableView(member);
+  // A majority is counted of the stable view. Members are added to it at once if they were removed and
+  // return, or if they join while no partition is suspected and nobody is suspect. Others are added when the
+  // view has become stable with them, because a side that is cut off must not grow into a majority.
+  const bool undisturbed = !view_.partition_suspected() && suspects_.empty();
+  if (!table_.stable_view().empty() && (has_returned || undisturbed)) table_.AddToStableView(member);
   unverified_.erase(member.record.name);
   table_.UpdateLive(member);
   view_.OnChange(now);
-  EmitMemberEvent(member, now, returns ? "member-returned" : "member-alive", self_.name, out);
+  EmitMemberEvent(member, now, has_returned ? "member-returned" : "member-alive", self_.name, out);
   EnqueueRecord(now, member.record);
 }
 
@@ -114,7 +116,7 @@
   const bool many_at_once = options_.require_majority && enough_reporters >= kMinManySuspects &&
                             static_cast<double>(enough_reporters) >=
                                 kManySuspectsShare * static_cast<double>(table_.stable_view().size());
-  bool removed = false;  // a member went just now, which may have reported others
+  bool removed = false;  // a suspect was removed in this loop; its reports on the others no longer count
   for (Suspect& suspect : all) {
     Member& member = *suspect.member;
     std::vector<std::string> reporters =
@@ -123,10 +125,10 @@
   }
 }
 
-// True: the suspect has been declared dead, or to have left.
+// Returns true if the suspect was removed: declared dead, or recorded as having left.
 bool MembershipModel::CheckSuspect(Time now, Member& member, std::vector<std::string> reporters,
                                    Time suspicion_time, bool many_at_once, Actions& out) {
-  if (reporters.empty()) {  // all took it back, or it was long ago
+  if (reporters.empty()) {  // all reports were withdrawn or have expired
     suspects_.Remove(member.record.name);
     member.suspect_since = 0;
     member.state_since = now;
@@ -142,8 +144,8 @@
   const bool waited = suspect_for >= (many_at_once || leaves ? 2 * suspicion_time : suspicion_time);
   const bool enough_reporters = reporters.size() >= Rules().RequiredReporters(member);
   const bool agreed = enough_reporters && !Rules().IsReportedReachable(member, now);
-  // It announced so itself, so that no majority is needed; but it may only be slow, and nothing depends on
-  // haste.
+  // The member itself announced that it is leaving, so no majority is needed. It may only be slow and nothing
+  // depends on its early removal, so it still gets the full time.
   if (leaves && waited && agreed) {
     MemberRecord left = member.record;
     left.state = RecordState::kLeft;
@@ -168,7 +170,7 @@
   return false;
 }
 
-// A suspect is probed again where this node has reported on it or is one of its observers.
+// Probes a suspect again if this node has reported on it or is one of its observers.
 void MembershipModel::ProbeSuspectAgain(Time now, Member& member, Time suspicion_time, Actions& out) {
   const Time interval = std::max(options_.Intervals(2), suspicion_time / 3);
   const ReachabilityReport* own = member.FindReport(self_.name);
--- a/src/membership/membership_updates_model.cpp
+++ b/src/membership/membership_updates_model.cpp
@@ -1,4 +1,5 @@
-// What messages bring: acks, requests, and updates about members.
+// The part of the model that handles incoming messages: pings and ping requests, their answers, and updates
+// about members.
 #include <algorithm>
 #include <utility>
 
@@ -9,11 +10,11 @@
 
 constexpr std::size_t kMaxUnverified = 256;
 // In probe intervals.
-constexpr double kNewMember = 10;             // in which the older of two processes with a name still wins
+constexpr double kNewMemberFor = 10;  // while a member is new, an older process can take over its name
 constexpr double kNameConflictInterval = 10;  // between reports of name conflicts
-constexpr double kNackAfter = 0.35;           // that a helper waits for the target's answer
-constexpr double kRelayDuration = 3;
-constexpr double kRecentlyReached = 2;  // reached so lately, a member is not taken for gone on reports
+constexpr double kNackAfter = 0.35;     // time that a helper waits for the target before it sends a nack
+constexpr double kRelayDuration = 3;    // time until a helper discards a ping request
+constexpr double kRecentlyReached = 2;  // a member reached within this time is not removed on hearsay
 
 }  // namespace
 
@@ -38,7 +39,7 @@
   DetectPause(now, out);
   if (sender.name == self_.name) {
     if (sender.address == self_.address || sender.uid == self_.uid)
-      return;  // its own, or of the process before
+      return;  // a message of this process or of an earlier one of this node
     ApplyOwnRecord(now, sender, address, out);
     if (!name_refused_) RefuseName(address, message, self_, out);
     return;
@@ -49,7 +50,7 @@
     return RefuseName(address, message, member->record, out);
   if (member != nullptr) {
     member->schema = message.schema;
-    // It speaks for itself: it is probed again where earlier probes were given up.
+    // A message from the member itself: it is probed again even if earlier probes were given up.
     if (!member->verified && !member->gone() && unverified_.size() < kMaxUnverified)
       unverified_.insert(sender.name);
   }
@@ -76,7 +77,8 @@
 }
 
 void MembershipModel::OnPing(Time now, const std::string& address, const Message& message, Actions& out) {
-  // Meant for another that was here before, or never was: an answer would verify that one.
+  // A ping for another name, perhaps of an earlier node at this address, is not answered: the answer would
+  // verify that other member.
   if (!message.target.empty() && message.target != self_.name) return;
   Send(now, address, MakeMessage(MessageKind::kAck, message.seq), message.sender.name, message.schema, out);
 }
@@ -116,7 +118,7 @@
 }
 
 void MembershipModel::OnNack(Time now, const Message& message) {
-  if (probing_.OnNack(message.seq)) last_reached_at_ = now;  // the helper, there and back
+  if (probing_.OnNack(message.seq)) last_reached_at_ = now;  // a round trip with the helper
 }
 
 void MembershipModel::OnPushPull(Time now, const Message& message, bool initiated, Actions& out) {
@@ -165,14 +167,16 @@
                                      Actions& out) {
   const bool this_process = record.uid == self_.uid;
   if (this_process || record.address == self_.address) {
-    // Of this process or of an earlier one of this node: a record that overrides this node's must not stand.
-    const bool said_gone = IsGone(record) && self_.state == RecordState::kAlive;
+    // A record of this process or of an earlier one of this node. If it overrides this node's own record, it
+    // is refuted.
+    const bool claims_gone = IsGone(record) && self_.state == RecordState::kAlive;
     if (record.incarnation > self_.incarnation ||
-        (record.incarnation == self_.incarnation && (said_gone || !this_process)))
+        (record.incarnation == self_.incarnation && (claims_gone || !this_process)))
       Refute(now, record.incarnation, out);
     return;
   }
-  // Another node has the name. One whose view has been stable has it rightly; of two that start, the older.
+  // Another node has this name too. A node whose view has been stable keeps the name; of two nodes that are
+  // starting, the older process keeps it.
   if (IsGone(record)) return;
   ReportNameConflict(now, self_.name, record.address.empty() ? reporter : record.address, record.incarnation,
                      out);
@@ -219,18 +223,18 @@
     member.next_probe_at = now;
     return;
   }
-  // All members hear of a newcomer at about the same time: they probe it over a span, not at once.
+  // All members hear of a new one at about the same time, so each probes it after a random part of a span.
   const auto span = static_cast<std::uint64_t>(std::max<Time>(
       options_.probe_interval, options_.probe_interval * static_cast<Time>(table_.live().size()) / 50));
   member.next_probe_at = now + static_cast<Time>(random_() % span);
 }
 
-// Two nodes claim the name, or the node has moved.
+// Handles a record whose address differs from the known one: two nodes claim the name, or the node has moved.
 void MembershipModel::ApplyRecordFromOtherAddress(Time now, Member& member, const MemberRecord& record,
                                                   Actions& out) {
   const bool gone = IsGone(record);
   const bool older_claim =
-      now - member.first_seen_at < options_.Intervals(kNewMember) && record.uid < member.record.uid;
+      now - member.first_seen_at < options_.Intervals(kNewMemberFor) && record.uid < member.record.uid;
   if (member.verified && !(older_claim && !gone)) {
     if (!gone) ReportNameConflict(now, record.name, record.address, record.incarnation, out);
     return;
@@ -251,14 +255,14 @@
 void MembershipModel::ApplyGoneRecord(Time now, Member& member, const MemberRecord& record,
                                       const std::string& reporter, Actions& out) {
   if (member.live() && reporter != record.name) {
-    // No node can declare a member dead alone.
+    // A single node can't declare a member dead.
     if (record.state == RecordState::kDead && record.reporters.size() < Rules().RequiredReporters(member))
       return;
     const bool reached_lately =
         member.reached_at > 0 && now - member.reached_at <= options_.Intervals(kRecentlyReached);
     if (reached_lately && options_.reachable_reports) {
-      // It is alive for this node. Those who believe the record tell it so, and it refutes; others learn of
-      // this node's report.
+      // The member is alive as far as this node can tell. Nodes that accept the record send it to the member,
+      // which then refutes it; the others learn of this node's report that the member is reachable.
       RecordOwnReport(now, member, true);
       StartProbe(now, member, out);
       return;
@@ -267,7 +271,8 @@
   MarkGone(now, member, record, reporter, out);
 }
 
-// A member that is gone is said to be back, which is to be verified.
+// Handles a record which says that a member that is gone is back. The member counts again once it is
+// verified.
 void MembershipModel::ApplyReturn(Time now, Member& member, const MemberRecord& record) {
   if (member.returning && !Supersedes(record, *member.returning)) return;
   if (!member.returning) {
@@ -299,7 +304,7 @@
 
 void MembershipModel::ApplyOwnReport(Time now, const Update& update, Actions& out) {
   if (update.report.reachable || update.record.incarnation != self_.incarnation) return;
-  health_.Worsen(1);  // others have cause to think so
+  health_.Worsen(1);  // others can't reach this node, so its own health may be poor
   if (self_.state == RecordState::kAlive) Refute(now, update.record.incarnation, out);
 }
 
@@ -309,14 +314,14 @@
   if (update.report.reporter == self_.name) return;
   Member* member = table_.Find(name);
   if (member == nullptr || (update.report.reachable && !options_.reachable_reports)) return;
-  // Most reports are known already: that is seen without a look-up of the reporter.
+  // Most reports are known already. They are rejected first, without a look-up of the reporter.
   ReachabilityReport* earlier = member->FindReport(update.report.reporter);
   const bool current = member->live() && update.record.incarnation == member->record.incarnation;
   if (current && earlier != nullptr && earlier->seq >= update.report.seq) return;
   const Member* reporter = table_.Find(update.report.reporter);
   if (reporter == nullptr || !reporter->live()) return;
-  // Others can't reach it, and it was never reached from here either: they may lack this node's report for as
-  // long as they report on it.
+  // Others can't reach the member, and this node has not reached it since it appeared. While they report on
+  // it they may need this node's report to declare it dead, so it is probed for longer.
   if (!member->live() && !member->verified && !member->gone() && !update.report.reachable)
     member->reported_unverified_at = now;
   if (!current) return;
--- a/src/membership/message_codec.cpp
+++ b/src/membership/message_codec.cpp
@@ -16,11 +16,12 @@
 constexpr std::uint64_t kMaxIncarnation = std::uint64_t{1} << 62;
 constexpr std::uint64_t kMaxSchema = 1'000'000;
 constexpr std::uint64_t kMaxKind = 1000;
-// Kinds of updates on the wire.
+// The kinds of updates as they are encoded.
 constexpr std::uint32_t kRecordUpdate = 0;
 constexpr std::uint32_t kReportUpdate = 1;
 constexpr std::uint32_t kGossipPayload = 2;
-// What a peer may make the reader allocate: arrays, maps, texts, binaries, extensions, depth.
+// Limits on what a peer's message can make the reader allocate: elements of arrays and maps, bytes of
+// strings, binaries and extensions, and nesting depth.
 const msgpack::unpack_limit kLimits(kMaxReceivedUpdates, 0, 1024, kMaxDatagramBytes, 0, 6);
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
@@ -66,7 +67,7 @@
   UntrustedFields names(object);
   std::vector<std::string> reporters;
   for (std::uint32_t i = 0; i < object.via.array.size; ++i) reporters.push_back(names.Text(1, kMaxNameBytes));
-  // Each counts once.
+  // A name that is repeated counts once.
   std::sort(reporters.begin(), reporters.end());
   reporters.erase(std::unique(reporters.begin(), reporters.end()), reporters.end());
   return reporters;
@@ -97,7 +98,7 @@
   return update;
 }
 
-// Appends an update or a gossip payload to the message; one of an unknown kind is passed over.
+// Appends an update or a gossip payload to the message. Skips an entry of an unknown kind.
 void ReadUpdate(const msgpack::object& object, Message* message) {
   UntrustedFields fields(object);
   switch (fields.Number(kAnyNumber)) {
@@ -126,7 +127,7 @@
   message.min_reader_schema = static_cast<std::uint32_t>(fields.Number(kMaxSchema));
   message.cluster = fields.Text(1, kMaxNameBytes);
   message.sender = ReadRecord(fields.Next());
-  // Of a message of an unknown kind only the updates are read.
+  // An unknown kind becomes kCount: the model then uses the updates of the message only.
   const std::uint64_t kind = fields.Number(kMaxKind);
   message.kind = static_cast<MessageKind>(std::min(kind, static_cast<std::uint64_t>(MessageKind::kCount)));
   message.seq = fields.Number(kAnyNumber);
@@ -184,7 +185,7 @@
     return ReadMessage(handle.get());
   } catch (const BadField& error) {
     *why = std::string_view(error.what()) == "range" ? "range" : "malformed";
-  } catch (const std::exception&) {  // the library's own
+  } catch (const std::exception&) {  // thrown by msgpack itself
     *why = "malformed";
   }
   return std::nullopt;
--- a/src/membership/node_count_policy.h
+++ b/src/membership/node_count_policy.h
@@ -1,6 +1,7 @@
-// How many nodes the decision module is told there are. A higher number is announced at once: each node then
-// takes less, which is safe. A lower one only once the view has been stable for long enough, and never while
-// a partition is suspected: members that can't be reached may live and still send. No I/O, no clock.
+// Decides which node count is announced to the decision module. A higher count is announced at once: each
+// node then takes a smaller part, which is safe. A lower count is announced only after the view has been
+// stable for long enough, and never while a partition is suspected, because members that can't be reached may
+// still be running and sending. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -12,23 +13,24 @@
 
 using policy::Time;
 
-// The view, as far as it matters here.
+// The state of the membership view that the policy depends on.
 struct NodeCountFacts {
-  std::size_t live = 1;  // this node among them
+  std::size_t live = 1;  // live members, including this node
   bool joined = false;
   bool partition_suspected = false;
   bool stable = false;
-  Time stable_since = 0;
+  Time stable_since = 0;  // microseconds; meaningful only if `stable`
 };
 
-// Remembers what was announced last.
+// Keeps the count that was announced last.
 class NodeCountPolicy {
  public:
-  // `announced`: what the module was built with. `shrink_after`: microseconds.
+  // `announced` is the count with which the decision module was built. `shrink_after` is the time in
+  // microseconds for which the view must have been stable before a lower count is announced.
   NodeCountPolicy(std::size_t announced, Time shrink_after)
       : announced_(announced), shrink_after_(shrink_after) {}
-  // The number to announce now; null: no change. The first stable view counts like any other: what the
-  // settings said holds until then.
+  // Returns the count to announce now, or nullopt if it does not change. The first stable view is treated
+  // like any other: until then the count from the settings holds.
   std::optional<std::size_t> Update(Time now, const NodeCountFacts& facts);
   std::size_t announced() const { return announced_; }
 
--- a/src/membership/probing_model.cpp
+++ b/src/membership/probing_model.cpp
@@ -7,9 +7,9 @@
 namespace ryeglade::membership {
 namespace {
 
-constexpr int kPings = 3;                   // direct ones of a probe before its timeout
-constexpr std::size_t kHelperDraws = 24;    // random members that are looked at
-constexpr std::size_t kMaxCandidates = 12;  // for helpers
+constexpr int kPings = 3;                   // direct pings of one probe before its timeout
+constexpr std::size_t kHelperDraws = 24;    // random draws of candidates for helpers
+constexpr std::size_t kMaxCandidates = 12;  // candidates for helpers
 
 }  // namespace
 
@@ -57,7 +57,7 @@
 }
 
 std::optional<std::string> Probing::OnAck(std::uint64_t seq, const std::string& sender, bool sender_live) {
-  // From the target itself, or from a helper that reached it.
+  // The ack comes from the target itself or from a helper that reached it.
   const auto it = std::find_if(probes_.begin(), probes_.end(), [&](const Probe& probe) {
     if (probe.target == sender) return probe.seq == seq;
     return probe.indirect && probe.indirect_seq == seq && sender_live;
--- a/src/membership/push_pull_connections.cpp
+++ b/src/membership/push_pull_connections.cpp
@@ -36,12 +36,12 @@
 }
 
 void PushPullConnections::Start(const sockaddr_storage& from, const sockaddr_storage& to) {
-  if (out_ >= kMaxOut) return;
+  if (outgoing_ >= kMaxOutgoing) return;
   const Handle handle = exchanges_.Add({});
   Exchange* exchange = exchanges_.Get(handle);
   exchange->initiated = true;
   exchange->tcp = Tcp::New(runtime_->loop, runtime_->buffers, this, handle);
-  ++out_;
+  ++outgoing_;
   SetDeadline(handle, exchange);
   if (exchange->tcp->Bind(from) != 0 || exchange->tcp->Connect(to) != 0) End(handle, false);
 }
@@ -58,8 +58,8 @@
   const Handle handle = exchanges_.Add({});
   Exchange* exchange = exchanges_.Get(handle);
   exchange->tcp = Tcp::New(runtime_->loop, runtime_->buffers, this, handle);
-  ++in_;
-  if (!exchange->tcp->Accept(listener) || in_ > kMaxIn) return End(handle, false);
+  ++incoming_;
+  if (!exchange->tcp->Accept(listener) || incoming_ > kMaxIncoming) return End(handle, false);
   if (!networks_->Contains(exchange->tcp->Peer())) return Reject(handle, "networks");
   SetDeadline(handle, exchange);
   exchange->tcp->Read();
@@ -76,7 +76,7 @@
   if (length > kMaxPushPullBytes) return Reject(handle, "too-long");
   if (exchange->received.size() < kLengthBytes + length) return;
   const bool initiated = exchange->initiated;
-  // Copied: the owner may begin further exchanges, which moves this one's buffer.
+  // Copied, because the owner may begin further exchanges, which moves this exchange's buffer.
   const std::string message = exchange->received.substr(kLengthBytes, length);
   if (!owner_->OnPushPullBytes(message, initiated)) return End(handle, false);
   exchange = exchanges_.Get(handle);
@@ -90,7 +90,8 @@
 
 void PushPullConnections::OnDrained(Handle handle) {
   Exchange* exchange = exchanges_.Get(handle);
-  // The other side closes once it has read all; the deadline guards against one that does not.
+  // The other side closes the connection after it has read everything; if it does not, the deadline ends the
+  // exchange.
   if (exchange != nullptr && exchange->answered) exchange->tcp->EndWriting();
 }
 
@@ -103,7 +104,7 @@
   Exchange* exchange = exchanges_.Get(handle);
   if (exchange == nullptr) return;
   if (!completed) ++failed_;
-  --(exchange->initiated ? out_ : in_);
+  --(exchange->initiated ? outgoing_ : incoming_);
   runtime_->deadlines->Cancel(exchange->deadline);
   exchange->tcp->Close();
   exchanges_.Remove(handle);
--- a/src/membership/push_pull_connections.h
+++ b/src/membership/push_pull_connections.h
@@ -1,5 +1,5 @@
-// The connections over which nodes exchange all their records: one message each way, each with its length
-// ahead in four bytes, little-endian. The initiator sends first; the other side answers and closes.
+// The connections over which nodes exchange all their records: one message in each direction, prefixed with
+// its length in four bytes, little-endian. The initiator sends first; the other side answers and closes.
 #pragma once
 
 #include <sys/socket.h>
@@ -16,18 +16,20 @@
 
 namespace ryeglade::membership {
 
-// Bounded by kMaxIn and kMaxOut; an exchange that does not end in time is closed.
+// Runs at most kMaxIncoming and kMaxOutgoing exchanges at once. An exchange that exceeds its timeout is
+// closed.
 class PushPullConnections : public TcpOwner {
  public:
-  static constexpr std::size_t kMaxIn = 8;
-  static constexpr std::size_t kMaxOut = 4;
-  static constexpr std::size_t kSockets = kMaxIn + kMaxOut;
+  static constexpr std::size_t kMaxIncoming = 8;
+  static constexpr std::size_t kMaxOutgoing = 4;
+  static constexpr std::size_t kSockets = kMaxIncoming + kMaxOutgoing;
 
-  // What makes the messages and reads them. Must not destroy the connections in a call.
+  // Builds and reads the messages. Must not destroy the PushPullConnections object during a call.
   class Owner {
    public:
     virtual std::string PushPullBytes() = 0;  // this node's message
-    // `initiated`: the exchange was, by this node. False: the message was rejected, and counted as dropped.
+    // Handles the other side's message; `initiated` says whether this node began the exchange. Returns false
+    // if the message was rejected and counted as dropped.
     virtual bool OnPushPullBytes(std::string_view bytes, bool initiated) = 0;
     virtual void CountDropped(const char* why) = 0;
 
@@ -35,13 +37,14 @@
     ~Owner() = default;
   };
 
-  // Nothing is owned. `networks`: where others may come from. `timeout`: microseconds for a whole exchange.
+  // The pointers are not owned. Connections from outside `networks` are rejected. `timeout` is the limit for
+  // a whole exchange, in microseconds.
   PushPullConnections(const Runtime* runtime, const limits::Networks* networks, Time timeout, Owner* owner)
       : runtime_(runtime), networks_(networks), timeout_(timeout), owner_(owner) {}
 
-  // Begins an exchange, unless kMaxOut are under way.
+  // Begins an exchange, unless kMaxOutgoing are in progress.
   void Start(const sockaddr_storage& from, const sockaddr_storage& to);
-  // Accepts a connection that waits at `listener`.
+  // Accepts a pending connection of `listener`.
   void Accept(uv_stream_t* listener);
   void CloseAll();
 
@@ -57,8 +60,8 @@
   struct Exchange {
     Tcp* tcp = nullptr;
     bool initiated = false;  // by this node
-    bool answered = false;
-    std::string received;
+    bool answered = false;   // this node has received a message and written its answer
+    std::string received;    // length and message, as far as they have arrived
     DeadlineId deadline{};
   };
   void SetDeadline(Handle handle, Exchange* exchange);
@@ -71,8 +74,8 @@
   Time timeout_;
   Owner* owner_;
   SlotTable<Exchange> exchanges_;
-  std::size_t in_ = 0;
-  std::size_t out_ = 0;
+  std::size_t incoming_ = 0;
+  std::size_t outgoing_ = 0;
   std::uint64_t completed_ = 0;
   std::uint64_t failed_ = 0;
 };
--- a/src/membership/push_pull_model.cpp
+++ b/src/membership/push_pull_model.cpp
@@ -5,9 +5,11 @@
 namespace ryeglade::membership {
 namespace {
 
-constexpr std::size_t kFastAttempts = 10;  // to join, an interval apart; then three
+// The first attempts to join are one probe interval apart, the further ones three.
+constexpr std::size_t kFastAttempts = 10;
 
-// Seeds that are not in the view: there may be members behind them that never met those that are here.
+// Returns the seeds that are not in the view. They may be in a part of the cluster that has had no contact
+// with this one.
 std::vector<std::string> MissingSeeds(const std::vector<std::string>& seeds,
                                       const std::vector<Member*>& live) {
   std::vector<std::string> missing;
@@ -47,8 +49,8 @@
     return due;
   }
   const std::vector<Member*>& live = table.live();
-  // What an exchange takes grows with the members, so beyond a hundred they come more seldom, once the view
-  // is stable.
+  // The cost of an exchange grows with the number of members, so beyond 100 members exchanges are less
+  // frequent while the view is stable.
   const double factor = stable ? std::max(1.0, static_cast<double>(live.size()) / 100) : 1;
   next_at_ = now + options.Intervals(options.push_pull_intervals * factor) + jitter;
   if (!live.empty()) due.addresses.push_back(live[random() % live.size()]->record.address);
--- a/src/membership/push_pull_model.h
+++ b/src/membership/push_pull_model.h
@@ -1,5 +1,5 @@
-// When a node exchanges all records with whom over a connection (memberlist's push-pull): first with seeds
-// until it has joined, then now and then with a random member. No I/O, no clock.
+// The schedule of the exchanges of all records over connections (memberlist's push-pull): with seeds until
+// the node has joined, then periodically with a random member. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -11,10 +11,10 @@
 
 namespace ryeglade::membership {
 
-// Also knows whether the node has joined, as that is done by the first exchange.
+// Also knows whether the node has joined, because the first exchange that succeeds joins it.
 class PushPullSchedule {
  public:
-  // `joined`: there is nobody to join.
+  // `joined` is true if there is no node to join.
   PushPullSchedule(bool joined, Time now) : joined_(joined), next_at_(now) {}
 
   bool joined() const { return joined_; }
@@ -22,16 +22,16 @@
   void JoinAgain(Time now);
 
   struct Due {
-    std::vector<std::string> addresses;   // to exchange all records with
-    const Member* dead_member = nullptr;  // to be pinged: it is told that it is dead, in case it is not
+    std::vector<std::string> addresses;   // ip:port of the nodes to exchange all records with
+    const Member* dead_member = nullptr;  // pinged, so that it learns that it is taken for dead; null: none
   };
-  // `stable`: the view is.
+  // Returns the exchanges that are due. `stable` says whether the view is stable.
   Due TakeDue(Time now, const MembershipOptions& options, const MemberTable& table, bool stable,
               const RandomBits& random);
 
  private:
   bool joined_;
-  Time next_at_;
+  Time next_at_;  // microseconds
   std::size_t seed_attempts_ = 0;
 };
 
--- a/src/membership/status_front.cpp
+++ b/src/membership/status_front.cpp
@@ -12,9 +12,9 @@
 namespace ryeglade::membership {
 namespace {
 
-// The JSON keys, the path /tier and the names of the series are older than the names in the code, and stay:
-// standing = state, reached = reached_at, accusers = reporters, vouchers = reachable_reporters, told =
-// announced, refused = name_refused, in_doubt = partition_suspected, settled = stable.
+// The JSON keys, the path /tier and the metric names are part of the interface and differ from the names in
+// the code: standing = state, reached = reached_at, accusers = reporters, vouchers = reachable_reporters,
+// told = announced, refused = name_refused, in_doubt = partition_suspected, settled = stable.
 
 constexpr std::string_view kNodePath = "/nodes/";
 
@@ -145,7 +145,7 @@
 
 void StatusFront::OnRequest(Handle connection, HttpRequest request) {
   const std::string path(request.Path());
-  downstream_->CloseAfter(connection);  // one request a connection
+  downstream_->CloseAfter(connection);  // one request per connection
   const auto reply = [&](int status, const std::string& body, const char* type) {
     downstream_->Reply(connection, status, std::string("Content-Type: ") + type + "\r\n", body);
   };
--- a/src/membership/status_front.h
+++ b/src/membership/status_front.h
@@ -1,5 +1,5 @@
-// The status address of the membership: this node's view of the others as JSON and as Prometheus series, for
-// `ryeglade nodes` and for monitoring. Read-only.
+// Serves the status address of the membership: this node's view of the others as JSON and as Prometheus
+// series, for `ryeglade nodes` and for monitoring. Read-only.
 #pragma once
 
 #include <functional>
@@ -15,13 +15,14 @@
 class StatusFront : public Front {
  public:
   static constexpr std::size_t kSockets = 8;
-  static constexpr Time kReadWithin = 5'000'000;  // microseconds, for a request's head
+  static constexpr Time kReadWithin = 5'000'000;  // microseconds for reading a request's head
 
-  // `gossip_status`: the gossip's state as JSON, for the path /tier; null: there is none. Not owned:
-  // `membership`.
+  // `membership` is not owned. `gossip_status` returns the gossip's state as JSON for the path /tier; it is
+  // null if the node has no gossip.
   StatusFront(const Membership* membership, std::string node, std::function<std::string()> gossip_status)
       : membership_(membership), node_(std::move(node)), gossip_status_(std::move(gossip_status)) {}
-  void Use(Downstream* downstream) { downstream_ = downstream; }  // before the first request; not owned
+  // Must be called before the first request. Not owned.
+  void Use(Downstream* downstream) { downstream_ = downstream; }
 
   void OnRequest(Handle connection, HttpRequest request) override;
   void OnClientDisconnected(Handle) override {}
@@ -29,7 +30,7 @@
 
  private:
   std::string NodesJson() const;
-  std::string NodeJson(const std::string& name) const;  // empty: no such node is known
+  std::string NodeJson(const std::string& name) const;  // empty if the name is not known
   std::string Metrics() const;
 
   const Membership* membership_;
--- a/src/membership/suspicion_model.cpp
+++ b/src/membership/suspicion_model.cpp
@@ -5,7 +5,8 @@
 namespace ryeglade::membership {
 namespace {
 
-constexpr double kReportSuspicionTimes = 3;  // a report of an unreachable member counts for so many of these
+// A report that a member is unreachable counts for this many suspicion times.
+constexpr double kReportSuspicionTimes = 3;
 
 }  // namespace
 
--- a/src/membership/suspicion_model.h
+++ b/src/membership/suspicion_model.h
@@ -1,5 +1,5 @@
-// Suspicion of members that can't be reached (SWIM): who is suspect, whose reports count, and how many of
-// them and how long a wait a death takes. No I/O, no clock.
+// Suspicion of members that can't be reached (SWIM): which members are suspect, whose reports count, and how
+// many reports and how much time a death requires. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -14,29 +14,31 @@
 
 namespace ryeglade::membership {
 
-// The rules by which reports on a member are counted. A view of what it is given, which outlives it.
+// The rules by which reports on a member are counted. Keeps references to the constructor's arguments, which
+// must outlive it.
 class SuspicionRules {
  public:
-  static constexpr std::size_t kMaxReports = 16;  // kept of a member
+  static constexpr std::size_t kMaxReports = 16;  // kept for one member
 
   SuspicionRules(const MembershipOptions& options, const MemberTable& table, const std::string& self)
       : options_(options), table_(table), self_(self) {}
 
-  // How long a suspect has to refute; longer in a larger cluster.
+  // The time that a suspect has to refute; longer in a larger cluster.
   Time SuspicionTime() const;
-  // Reports that a member is unreachable count for so long,
+  // The time for which a report that a member is unreachable counts.
   Time UnreachableReportLifetime() const;
-  // and those that it was reached for so long.
+  // The time for which a report that a member was reached counts.
   Time ReachableReportLifetime() const { return options_.Intervals(3); }
-  // How many reporters the death of a member takes; fewer where fewer are left that could report.
+  // The number of reporters that the death of a member requires; fewer if fewer are left that could report.
   std::size_t RequiredReporters(const Member& member) const;
-  // Who reports the member as unreachable; only live members and this node count.
+  // The nodes that report the member as unreachable. Only live members and this node count.
   std::vector<std::string> UnreachableReporters(const Member& member, Time now) const;
-  // Who reports that the member was reached.
+  // The nodes that report that the member was reached.
   std::vector<std::string> ReachableReporters(const Member& member, Time now) const;
   bool IsReportedReachable(const Member& member, Time now) const;
-  // Whether this node is among the members that probe a suspect themselves as soon as they hear of it: the
-  // first by rendezvous hashing, so that all agree on who they are.
+  // Whether this node is one of the member's observers, which probe it as soon as they hear that it is
+  // suspect. Observers are the first MembershipOptions::observers members by rendezvous hashing, so that all
+  // nodes with the same view agree on them.
   bool IsObserver(const Member& member) const;
 
  private:
@@ -45,18 +47,18 @@
   const std::string& self_;
 };
 
-// The members that are suspect now, by name.
+// The set of members that are suspect now, by name.
 class Suspects {
  public:
   bool Contains(const std::string& name) const { return names_.contains(name); }
   bool empty() const { return names_.empty(); }
   const std::set<std::string>& names() const { return names_; }
-  // False: it is suspect already.
+  // Returns false if the member is suspect already.
   bool Add(Member& member, Time now);
-  // False: it was not suspect.
+  // Returns false if the member was not suspect.
   bool Remove(const std::string& name) { return names_.erase(name) > 0; }
   void Clear() { names_.clear(); }
-  // How many suspects that are live and in the stable view `predicate` (const Member& -> bool) holds for.
+  // Counts the suspects that are live, are in the stable view and fulfil `predicate` (const Member& -> bool).
   template <typename Predicate>
   std::size_t CountInStableView(const MemberTable& table, const Predicate& predicate) const {
     return static_cast<std::size_t>(std::count_if(names_.begin(), names_.end(), [&](const std::string& name) {
--- a/src/membership/view_status_model.h
+++ b/src/membership/view_status_model.h
@@ -1,5 +1,5 @@
-// How far a node's view of the members can be relied on: whether it is stable, and whether a partition is
-// suspected, in which case those that can't be reached may live. No I/O, no clock.
+// How reliable a node's view of the members is: whether it is stable, and whether a partition is suspected,
+// in which case members that can't be reached may still be running. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 using policy::Time;
 
-// Changed by the events that it is told of; it computes nothing itself.
+// Keeps the status; the caller reports the events that change it. Times in microseconds.
 class ViewStatus {
  public:
   explicit ViewStatus(Time now) : changed_at_(now) {}
@@ -20,17 +20,18 @@
   bool stable() const { return stable_; }
   bool ever_stable() const { return ever_stable_; }
   Time stable_since() const { return stable_since_; }
-  std::uint64_t version() const { return version_; }  // rises with every change of who is in the view
-  // Nobody is declared dead before then.
+  std::uint64_t version() const { return version_; }  // rises with every change of the view's members
+  // Whether deaths may be declared. For a while after a pause or a suspected partition they may not.
   bool MayDeclareDeaths(Time now) const { return now >= no_deaths_until_; }
 
-  // Somebody has come or gone.
+  // A member has joined or gone.
   void OnChange(Time now) {
     changed_at_ = now;
     stable_ = false;
     ++version_;
   }
-  // False: it is as before. A suspicion that ends gives those that were cut off `grace` to speak.
+  // Returns false if nothing changed. When a suspicion ends, members that were cut off get the span `grace`
+  // to make contact before deaths may be declared.
   bool SetPartitionSuspected(bool suspected, Time now, Time grace) {
     if (suspected == partition_suspected_) return false;
     partition_suspected_ = suspected;
@@ -41,7 +42,7 @@
     }
     return true;
   }
-  // True: the view becomes stable now, having been unchanged for `after`.
+  // Returns true if the view becomes stable now, because it has been unchanged for the span `after`.
   bool BecomesStable(Time now, bool joined, Time after) {
     if (stable_ || !joined || partition_suspected_ || now - changed_at_ < after) return false;
     stable_ = true;
@@ -49,7 +50,8 @@
     stable_since_ = now;
     return true;
   }
-  // This node was not running for `span`.
+  // This node was not running for `span`: the pause does not count as time without a change, and no deaths
+  // may be declared until `no_deaths_until`.
   void OnPause(Time span, Time no_deaths_until) {
     changed_at_ += span;
     no_deaths_until_ = no_deaths_until;
