--- a/tests/duplicate_execution_test.cpp
+++ b/tests/duplicate_execution_test.cpp
@@ -37,9 +37,9 @@
   return {{"settings", {{"classes", {ClassOf(e, deadline_us)}}}}};
 }
 
-Node NodeWith(const Peer& host, const EffectCase& e, long deadline_us) {
-  return Node(Program(), List(1, true, {Instance("s-a", host.at())}), kNobody, "push", 1024, 192, "", false,
-              SettingsOf(e, deadline_us));
+Node NodeWith(const ScriptedServer& host, const EffectCase& e, long deadline_us) {
+  return Node(Program(), EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNobody, "push",
+              1024, 192, "", false, SettingsOf(e, deadline_us));
 }
 
 bool PromisesSafeRepeat(int status) { return status == 429 || status == 503; }
@@ -47,33 +47,33 @@
 // A replica takes a request and says nothing, until the node that was told to end has to answer.
 TEST_F(DuplicateExecution, AReplicaThatHangsThroughShutdown) {
   for (const EffectCase& e : kEffects) {
-    const Peer host;
+    const ScriptedServer host;
     Node node = NodeWith(host, e, 1'000'000);
-    Conn client = node.Client();
-    client.Send(Ask("1"));
-    Conn up = host.Accept();
-    up.Message();
-    node.Term();
-    const int status = StatusOf(client.Message());
+    Connection client = node.Connect();
+    client.Send(RequestText("1"));
+    Connection up = host.Accept();
+    up.ReadMessage();
+    node.SendSigterm();
+    const int status = StatusOf(client.ReadMessage());
     std::printf("%s %s: %d\n", e.effect, e.scope, status);
     ASSERT_EQ(PromisesSafeRepeat(status), e.may_reject) << e.effect << ' ' << e.scope << ' ' << status;
-    ASSERT_EQ(node.Exit(), 0);
+    ASSERT_EQ(node.WaitForExit(), 0);
   }
 }
 
 // The client's time is nearly up as it asks: the attempt is still out when the node has to answer.
 TEST_F(DuplicateExecution, AnAttemptInFlightWhenLittleTimeIsLeft) {
   for (const EffectCase& e : kEffects) {
-    const Peer host;
+    const ScriptedServer host;
     const Node node = NodeWith(host, e, 60'000'000);
     for (const char* budget : {"0.022", "0.024", "0.026", "0.028", "0.030", "0.032", "0.036"}) {
-      Conn client = node.Client();
-      client.Send(Ask("1", "{}", budget));
-      const int status = StatusOf(client.Message());
-      const bool sent = host.Called(0);
+      Connection client = node.Connect();
+      client.Send(RequestText("1", "{}", budget));
+      const int status = StatusOf(client.ReadMessage());
+      const bool sent = host.HasConnectionWithin(0);
       std::printf("%s %s %s: %d%s\n", e.effect, e.scope, budget, status, sent ? ", sent" : "");
       ASSERT_TRUE(!sent || PromisesSafeRepeat(status) == e.may_reject);
-      if (sent) host.Accept().Message();
+      if (sent) host.Accept().ReadMessage();
     }
   }
 }
--- a/tests/event_delay.cpp
+++ b/tests/event_delay.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kLarge = 60'000;
 
 struct Running {
-  Conn client, host;
+  Connection client, host;
   Clock::time_point sent;
 };
 
@@ -37,24 +37,24 @@
 }
 
 void OneByOne(const std::string& program) {
-  const Peer host(static_cast<int>(kStreams));
+  const ScriptedServer host(static_cast<int>(kStreams));
   std::vector<nlohmann::json> replicas;  // enough of them that none is held back by its cap
   for (std::size_t n = 0; n < kStreams / 8; ++n)
-    replicas.push_back(Instance("s-" + std::to_string(n), host.at()));
-  Node node(program, List(1, true, replicas), "127.0.0.1:9");
+    replicas.push_back(InstanceJson("s-" + std::to_string(n), host.address()));
+  Node node(program, EndpointListJson(1, true, replicas), "127.0.0.1:9");
   std::vector<Running> streams(kStreams);
   for (std::size_t n = 0; n < kStreams; ++n) {
-    streams[n].client = node.Client();
-    streams[n].client.Send(Ask(std::to_string(n + 1)));
+    streams[n].client = node.Connect();
+    streams[n].client.Send(RequestText(std::to_string(n + 1)));
     streams[n].host = host.Accept();
-    streams[n].host.Message();
-    streams[n].host.Send(kStream);
+    streams[n].host.ReadMessage();
+    streams[n].host.Send(kStreamHead);
   }
   std::vector<double> delays_ms;
   for (int event = 0; event < kEvents; ++event) {
     if (event == kDrainsAt) {
-      node.Term();
-      node.WaitLog("draining");
+      node.SendSigterm();
+      node.WaitForLog("draining");
     }
     std::vector<std::string> rest(kStreams);
     for (std::size_t n = 0; n < kStreams; ++n) SendFirstPart(streams[n], n % 4, event, &rest[n]);
@@ -63,15 +63,15 @@
       streams[n].sent = Clock::now();
     }
     for (Running& r : streams) {
-      r.client.Until(End(event));
+      r.client.ReadUntil(End(event));
       delays_ms.push_back(std::chrono::duration<double, std::milli>(Clock::now() - r.sent).count());
     }
   }
   for (Running& r : streams) {
-    r.host.Chunk("");
-    r.client.Until("0\r\n\r\n");
+    r.host.SendChunk("");
+    r.client.ReadUntil("0\r\n\r\n");
   }
-  assert(node.Exit() == 0);
+  assert(node.WaitForExit() == 0);
   std::sort(delays_ms.begin(), delays_ms.end());
   const auto late = std::count_if(delays_ms.begin(), delays_ms.end(), [](double ms) { return ms > kLateMs; });
   std::printf("events %zu, half within %.1f ms, all within %.1f ms, late %td\n", delays_ms.size(),
--- a/tests/fault_injection.cpp
+++ b/tests/fault_injection.cpp
@@ -17,8 +17,8 @@
 std::string program;
 const std::string kNobody = "127.0.0.1:9";  // discovery that the node never needs
 
-nlohmann::json ListOf(const Peer& host, int generation = 1) {
-  return List(generation, true, {Instance("s-a", host.at())});
+nlohmann::json ListOf(const ScriptedServer& host, int generation = 1) {
+  return EndpointListJson(generation, true, {InstanceJson("s-a", host.address())});
 }
 
 // Accept fails for half a second: the listener is not lost, the loop does not spin on it, the client is
@@ -26,9 +26,9 @@
 void AcceptFails() {
   for (const int error : {ENOMEM, ENOBUFS, ENFILE, EMFILE}) {
     const Preloaded fault("accept4:" + std::to_string(error) + ":500");
-    const Peer host;
+    const ScriptedServer host;
     const Node node(program, ListOf(host), kNobody);
-    Conn client = node.Client();
+    Connection client = node.Connect();
     ServeOne(host, client);
     assert(fault.failures() > 0 && fault.failures() < 200);
   }
@@ -38,11 +38,11 @@
 void AcceptAborts() {
   for (const int error : {ECONNABORTED, EPROTO, ENETUNREACH}) {
     const Preloaded fault("accept4:" + std::to_string(error) + ":2");
-    const Peer host;
+    const ScriptedServer host;
     const Node node(program, ListOf(host), kNobody);
-    Conn client = node.Client();
+    Connection client = node.Connect();
     ServeOne(host, client);
-    assert(fault.failures() > 0 && !Has(node.Log(), "accept-deferred"));
+    assert(fault.failures() > 0 && !Contains(node.Log(), "accept-deferred"));
   }
 }
 
@@ -50,84 +50,85 @@
 // host.
 void ConnectFailsHere() {
   for (const int error : {EADDRNOTAVAIL, ENOBUFS, ENOMEM}) {
-    const Peer host;
+    const ScriptedServer host;
     const Preloaded fault("connect:" + std::to_string(error) + ":200:" + std::to_string(host.port()));
     const Node node(program, ListOf(host), kNobody);
-    Conn client = node.Client();
+    Connection client = node.Connect();
     ServeOne(host, client);
-    assert(fault.failures() > 0 && !Has(node.Log(), "attempt-ended"));
+    assert(fault.failures() > 0 && !Contains(node.Log(), "attempt-ended"));
   }
 }
 
 // The host can't be reached: that is evidence on the host.
 void ConnectFailsThere() {
-  const Peer host;
+  const ScriptedServer host;
   const Preloaded fault("connect:" + std::to_string(EHOSTUNREACH) + ":100:" + std::to_string(host.port()));
   const Node node(program, ListOf(host), kNobody);
-  Conn client = node.Client();
-  client.Send(Ask("1"));
-  node.WaitLog("outcome=connect-failed");
+  Connection client = node.Connect();
+  client.Send(RequestText("1"));
+  node.WaitForLog("outcome=connect-failed");
 }
 
 // A client that sends much ahead is not read on; that it has gone is noticed all the same, and its attempt
 // ends.
 void GoneBehindPipelined() {
-  const Peer host;
+  const ScriptedServer host;
   const Node node(program, ListOf(host), kNobody);
-  Conn client = node.Client();
-  std::string many = Ask("1");
-  while (many.size() < 100'000) many += Ask(std::to_string(many.size()));
+  Connection client = node.Connect();
+  std::string many = RequestText("1");
+  while (many.size() < 100'000) many += RequestText(std::to_string(many.size()));
   client.Send(many);
-  Conn up = host.Accept();
-  up.Message();
+  Connection up = host.Accept();
+  up.ReadMessage();
   usleep(100'000);
   client.Close();
-  assert(up.Readable(10'000) && up.ToEnd().empty());  // its budget is 30 s
+  assert(up.ReadableWithin(10'000) && up.ReadToEnd().empty());  // its budget is 30 s
 }
 
 // While a node ends it answers what it has read behind a request too, before the connection goes.
 void AnswersPipelinedAtTheEnd() {
-  const Peer host;
+  const ScriptedServer host;
   Node node(program, ListOf(host), kNobody);
-  Conn client = node.Client();
-  client.Send(Ask("1") + "GET /_health HTTP/1.1\r\n\r\nGET /_health HTTP/1.1\r\n\r\n");
-  Conn up = host.Accept();
-  up.Message();
-  node.Term();
-  node.WaitLog("draining");
-  up.Send(kStream);
-  up.Chunk("data: x\n\n");
-  up.Chunk("");
-  const std::string all = client.ToEnd();
-  assert(Has(all, "data: x") && Has(all, "0\r\n\r\nHTTP/1.1 503"));
-  assert(all.find(" 503 ") != all.rfind(" 503 ") && Has(all, "Connection: close"));
-  assert(node.Exit() == 0);
+  Connection client = node.Connect();
+  client.Send(RequestText("1") + "GET /_health HTTP/1.1\r\n\r\nGET /_health HTTP/1.1\r\n\r\n");
+  Connection up = host.Accept();
+  up.ReadMessage();
+  node.SendSigterm();
+  node.WaitForLog("draining");
+  up.Send(kStreamHead);
+  up.SendChunk("data: x\n\n");
+  up.SendChunk("");
+  const std::string all = client.ReadToEnd();
+  assert(Contains(all, "data: x") && Contains(all, "0\r\n\r\nHTTP/1.1 503"));
+  assert(all.find(" 503 ") != all.rfind(" 503 ") && Contains(all, "Connection: close"));
+  assert(node.WaitForExit() == 0);
 }
 
 // SIGKILL may come 0.7 s after the longest deadline that the settings tell: with one of 1 s, what has not
 // begun is answered before that, although its client would wait for 30 s, and what comes late is refused
 // unsent.
 void EndsByTheSettings() {
-  const Peer host;
+  const ScriptedServer host;
   Node node(program, ListOf(host), kNobody);
   nlohmann::json settings = node.config()["settings"];
   settings["classes"][0]["deadline"] = 1'000'000;
   settings["classes"][0]["promise"] = 500'000;
   node.Reload("settings", settings);
-  node.WaitLog("classes-updated");
-  Conn client = node.Client(), late = node.Client();
-  client.Send(Ask("1"));
-  Conn up = host.Accept();
-  up.Message();
-  const std::string ask = Ask("2");
+  node.WaitForLog("classes-updated");
+  Connection client = node.Connect(), late = node.Connect();
+  client.Send(RequestText("1"));
+  Connection up = host.Accept();
+  up.ReadMessage();
+  const std::string ask = RequestText("2");
   late.Send(ask.substr(0, 60));
-  node.Term();
-  node.WaitLog("draining");
+  node.SendSigterm();
+  node.WaitForLog("draining");
   usleep(800'000);
   late.Send(ask.substr(60));
-  assert(Has(late.Message(), " 503 ") && !host.Called(0));
-  assert(client.Readable(2'200) && Has(client.Message(), " 503 "));  // 3.3 s after SIGTERM without that
-  assert(node.Exit() == 0);
+  assert(Contains(late.ReadMessage(), " 503 ") && !host.HasConnectionWithin(0));
+  assert(client.ReadableWithin(2'200) &&
+         Contains(client.ReadMessage(), " 503 "));  // 3.3 s after SIGTERM without that
+  assert(node.WaitForExit() == 0);
 }
 
 // Milliseconds until the node has ended by itself after SIGTERM; fails if it has not after `most`.
@@ -137,7 +138,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - began)
         .count();
   };
-  while (!node.Ended()) {
+  while (!node.HasExited()) {
     assert(gone() < most);
     usleep(1'000);
   }
@@ -154,10 +155,10 @@
 // Clients that keep coming, each request on a connection of its own: every connection that came up is
 // answered, and the node has ended by itself before SIGKILL may come (1.7 s with a deadline of 1 s).
 void EndsWhileClientsKeepComing() {
-  const Peer host;
+  const ScriptedServer host;
   Node node(program, ListOf(host), kNobody);
   node.Reload("settings", WithDeadline(node, 1'000'000));
-  node.WaitLog("classes-updated");
+  node.WaitForLog("classes-updated");
   std::atomic<bool> over{false};
   std::atomic<int> answered{0}, unanswered{0};
   std::vector<std::thread> clients;
@@ -167,7 +168,7 @@
         const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         const sockaddr_in to = Loopback(node.port());
         const bool up = connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0;
-        const std::string ask = Ask(std::to_string(1 + n * 1'000'000 + k), "{}", "0.300");
+        const std::string ask = RequestText(std::to_string(1 + n * 1'000'000 + k), "{}", "0.300");
         char byte = 0;
         if (up) {
           const bool sent =
@@ -180,7 +181,7 @@
     });
   }
   usleep(300'000);
-  node.Term();
+  node.SendSigterm();
   EndsWithin(node, 1'700);
   over = true;
   for (std::thread& client : clients) client.join();
@@ -191,56 +192,56 @@
 // What is left as the end comes: a request that is not whole gets an answer, a client that reads none of its
 // last answer's end keeps nothing alive.
 void EndsWithUnfinishedRequests() {
-  const Peer host;
+  const ScriptedServer host;
   Node node(program, ListOf(host), kNobody);
   node.Reload("settings", WithDeadline(node, 1'000'000));
-  node.WaitLog("classes-updated");
-  Conn half = node.Client(), silent = node.Client();
-  half.Send(Ask("1").substr(0, 60));
-  node.Term();
-  node.WaitLog("draining");
+  node.WaitForLog("classes-updated");
+  Connection half = node.Connect(), silent = node.Connect();
+  half.Send(RequestText("1").substr(0, 60));
+  node.SendSigterm();
+  node.WaitForLog("draining");
   usleep(700'000);
-  Conn late = node.Client();
-  late.Send(Ask("2"));
+  Connection late = node.Connect();
+  late.Send(RequestText("2"));
   EndsWithin(node, 1'700);
-  assert(Has(half.Message(), " 503 ") && Has(late.Message(), " 503 "));
+  assert(Contains(half.ReadMessage(), " 503 ") && Contains(late.ReadMessage(), " 503 "));
 }
 
 // Settings with shorter deadlines come after SIGTERM: SIGKILL may come by them.
 void EndsSoonerBySettings() {
-  const Peer host;
+  const ScriptedServer host;
   Node node(program, ListOf(host), kNobody);
-  Conn client = node.Client();
-  client.Send(Ask("1"));
-  Conn up = host.Accept();
-  up.Message();
-  node.Term();
-  node.WaitLog("draining");
+  Connection client = node.Connect();
+  client.Send(RequestText("1"));
+  Connection up = host.Accept();
+  up.ReadMessage();
+  node.SendSigterm();
+  node.WaitForLog("draining");
   node.Reload("settings", WithDeadline(node, 1'000'000));
-  node.Hup();
-  node.Term();
+  node.SendSighup();
+  node.SendSigterm();
   EndsWithin(node, 1'700);
-  assert(Has(client.Message(), " 503 "));
-  assert(Has(node.Log(), "draining-already"));
+  assert(Contains(client.ReadMessage(), " 503 "));
+  assert(Contains(node.Log(), "draining-already"));
 }
 
 // A process that was held up reads what has come meanwhile before it acts on times that have passed: an
 // answer that waits to be read is no time-out.
 void HeldUpReadsFirst() {
-  const Peer host;
+  const ScriptedServer host;
   const Node node(program, ListOf(host), kNobody);
-  Conn client = node.Client();
-  client.Send(Ask("1", "{}", "0.800"));
-  Conn up = host.Accept();
-  up.Message();
-  node.Stop();
+  Connection client = node.Connect();
+  client.Send(RequestText("1", "{}", "0.800"));
+  Connection up = host.Accept();
+  up.ReadMessage();
+  node.Suspend();
   usleep(50'000);  // a process that has left its wait for sockets, and not one that is about to
-  up.Send(kStream);
-  up.Chunk("data: x\n\n");
-  up.Chunk("");
+  up.Send(kStreamHead);
+  up.SendChunk("data: x\n\n");
+  up.SendChunk("");
   usleep(1'000'000);
-  node.Continue();
-  assert(Has(client.Until("0\r\n\r\n"), "data: x"));
+  node.Resume();
+  assert(Contains(client.ReadUntil("0\r\n\r\n"), "data: x"));
 }
 
 // Whether a process holds back a signal now, as /proc tells.
@@ -257,13 +258,13 @@
 // out of order.
 void SignalsAtStart() {
   std::vector<nlohmann::json> many;
-  for (int n = 0; n < 20'000; ++n) many.push_back(Instance("s-" + std::to_string(n), "127.0.0.1:9"));
+  for (int n = 0; n < 20'000; ++n) many.push_back(InstanceJson("s-" + std::to_string(n), "127.0.0.1:9"));
   char path[] = "/tmp/ryeglade-story-XXXXXX";
   const int fd = mkstemp(path);
   const std::string text =
       nlohmann::json{{"listen", "127.0.0.1:0"},
                      {"discovery", kNobody},
-                     {"known", List(1, true, many)},
+                     {"known", EndpointListJson(1, true, many)},
                      {"settings", {{"classes", {{{"name", "docs"}, {"deadline", 500'000}}}}}}}
           .dump();
   assert(write(fd, text.data(), text.size()) == static_cast<ssize_t>(text.size()));
@@ -286,20 +287,20 @@
 // The list that a node is given at its start may be old: it takes no client before discovery has told the
 // rest.
 void FirstListComesFirst(const char* mode) {
-  const Peer discovery, gone, host;
-  Conn watch;
+  const ScriptedServer discovery, gone, host;
+  Connection watch;
   std::thread tells([&] {
-    assert(discovery.Called(kTimeoutMs));
+    assert(discovery.HasConnectionWithin(kTimeoutMs));
     usleep(300'000);
-    watch = AnswerWatch(discovery, List(2, true, {Instance("s-b", host.at())}));
+    watch = AnswerWatch(discovery, EndpointListJson(2, true, {InstanceJson("s-b", host.address())}));
   });
-  const Node node(program, ListOf(gone), discovery.at(), mode);
+  const Node node(program, ListOf(gone), discovery.address(), mode);
   tells.join();
   const std::string log = node.Log();
   assert(log.find("scope=full") < log.find("event=listening "));
-  Conn client = node.Client();
+  Connection client = node.Connect();
   ServeOne(host, client);
-  assert(!gone.Called(0));
+  assert(!gone.HasConnectionWithin(0));
 }
 void FirstListFirst() { FirstListComesFirst("ask"); }
 // Where lists are pushed, what has changed counts as told from the new process's first moment on.
@@ -307,16 +308,18 @@
 
 // Where lists are pushed the node opens a watch by itself, and opens it again when it ends.
 void PushedLists() {
-  const Peer discovery, before, after;
-  std::future<Conn> first_watch = AnswerWatchAtStart(discovery, List(2, false, {}));
-  const Node node(program, ListOf(before), discovery.at(), "push");
+  const ScriptedServer discovery, before, after;
+  std::future<Connection> first_watch = AnswerWatchAtStart(discovery, EndpointListJson(2, false, {}));
+  const Node node(program, ListOf(before), discovery.address(), "push");
   first_watch.get().Close();
-  Conn watch = AnswerWatch(
-      discovery, List(3, false, {Instance("s-a", before.at(), "leaving"), Instance("s-b", after.at())}));
-  node.WaitLog("generation=3");
-  Conn client = node.Client();
+  Connection watch =
+      AnswerWatch(discovery, EndpointListJson(3, false,
+                                              {InstanceJson("s-a", before.address(), "leaving"),
+                                               InstanceJson("s-b", after.address())}));
+  node.WaitForLog("generation=3");
+  Connection client = node.Connect();
   ServeOne(after, client);
-  assert(!before.Called(0));
+  assert(!before.HasConnectionWithin(0));
 }
 
 }  // namespace
--- a/tests/late_attempts_test.cpp
+++ b/tests/late_attempts_test.cpp
@@ -18,20 +18,20 @@
 // kernel calls again a second later.
 class LateHost {
  public:
-  LateHost() : peer_(0), filler_(Dial(peer_.port())) { usleep(20'000); }
-  std::string at() const { return peer_.at(); }
+  LateHost() : peer_(0), filler_(ConnectTo(peer_.port())) { usleep(20'000); }
+  std::string address() const { return peer_.address(); }
   void Open() { peer_.Accept().Close(); }
   // Whether a request comes within so many milliseconds.
-  bool Requested(int ms) const {
-    if (!peer_.Called(ms)) return false;
-    const Conn up = peer_.Accept();
+  bool RequestedWithin(int ms) const {
+    if (!peer_.HasConnectionWithin(ms)) return false;
+    const Connection up = peer_.Accept();
     char byte = 0;
-    return up.Readable(ms) && recv(up.fd(), &byte, 1, MSG_PEEK) > 0;
+    return up.ReadableWithin(ms) && recv(up.fd(), &byte, 1, MSG_PEEK) > 0;
   }
 
  private:
-  Peer peer_;
-  Conn filler_;
+  ScriptedServer peer_;
+  Connection filler_;
 };
 
 // Settings with one class whose requests must not run twice; the replicas of `scope` drop repeats for half a
@@ -49,64 +49,70 @@
 }
 
 TEST_F(LateAttempts, AReplicaThatBeganToDrainMeanwhileGetsNothing) {
-  const Peer discovery, other;
+  const ScriptedServer discovery, other;
   LateHost late;
-  std::future<Conn> first_watch = AnswerWatchAtStart(discovery, List(1, false, {}));
-  const Node node(Program(), List(1, true, {Instance("s-late", late.at())}), discovery.at(), "push");
-  Conn watch = first_watch.get();
-  Conn client = node.Client();
-  client.Send(Ask("1"));
+  std::future<Connection> first_watch = AnswerWatchAtStart(discovery, EndpointListJson(1, false, {}));
+  const Node node(Program(), EndpointListJson(1, true, {InstanceJson("s-late", late.address())}),
+                  discovery.address(), "push");
+  Connection watch = first_watch.get();
+  Connection client = node.Connect();
+  client.Send(RequestText("1"));
   usleep(100'000);
-  watch.Chunk(
-      List(2, false, {Instance("s-late", late.at(), "leaving"), Instance("s-other", other.at())}).dump() +
-      "\n");
+  watch.SendChunk(EndpointListJson(2, false,
+                                   {InstanceJson("s-late", late.address(), "leaving"),
+                                    InstanceJson("s-other", other.address())})
+                      .dump() +
+                  "\n");
   usleep(100'000);
   late.Open();
-  ASSERT_FALSE(late.Requested(2'000));
-  Conn up = other.Accept();  // it goes elsewhere at once
-  ASSERT_TRUE(Has(up.Message(), "X-Call-Id: 1"));
+  ASSERT_FALSE(late.RequestedWithin(2'000));
+  Connection up = other.Accept();  // it goes elsewhere at once
+  ASSERT_TRUE(Contains(up.ReadMessage(), "X-Call-Id: 1"));
 }
 
 // One that would come after the window in which replicas drop repeats.
 TEST_F(LateAttempts, ARepeatAfterTheWindowIsNotSent) {
   for (const char* scope : {"all", "zone"}) {
-    const Peer discovery, first;
+    const ScriptedServer discovery, first;
     LateHost late;
-    std::future<Conn> first_watch = AnswerWatchAtStart(discovery, List(1, false, {}));
-    const Node node(Program(), List(1, true, {Instance("s-first", first.at())}), discovery.at(), "push", 1024,
-                    192, "", false, NotIdempotent(scope));
-    Conn watch = first_watch.get();
-    Conn client = node.Client();
-    client.Send(Ask("1"));
-    Conn up = first.Accept();
-    up.Message();
-    watch.Chunk(
-        List(2, false, {Instance("s-first", first.at(), "leaving"), Instance("s-late", late.at())}).dump() +
-        "\n");
-    node.WaitLog("generation=2");
+    std::future<Connection> first_watch = AnswerWatchAtStart(discovery, EndpointListJson(1, false, {}));
+    const Node node(Program(), EndpointListJson(1, true, {InstanceJson("s-first", first.address())}),
+                    discovery.address(), "push", 1024, 192, "", false, NotIdempotent(scope));
+    Connection watch = first_watch.get();
+    Connection client = node.Connect();
+    client.Send(RequestText("1"));
+    Connection up = first.Accept();
+    up.ReadMessage();
+    watch.SendChunk(EndpointListJson(2, false,
+                                     {InstanceJson("s-first", first.address(), "leaving"),
+                                      InstanceJson("s-late", late.address())})
+                        .dump() +
+                    "\n");
+    node.WaitForLog("generation=2");
     up.Close();  // it may have run
     usleep(100'000);
     late.Open();
-    ASSERT_FALSE(late.Requested(2'000)) << scope;
-    ASSERT_EQ(StatusOf(client.Message()), std::string(scope) == "all" ? 503 : 502) << scope;
+    ASSERT_FALSE(late.RequestedWithin(2'000)) << scope;
+    ASSERT_EQ(StatusOf(client.ReadMessage()), std::string(scope) == "all" ? 503 : 502) << scope;
   }
 }
 
 // The process is stopped while the connection comes up and, after that, the client leaves.
 TEST_F(LateAttempts, AClientThatLeftMeanwhileGetsNothingSent) {
   LateHost late;
-  const Node node(Program(), List(1, true, {Instance("s-late", late.at())}), "127.0.0.1:9");
-  Conn client = node.Client();
-  client.Send(Ask("1"));
+  const Node node(Program(), EndpointListJson(1, true, {InstanceJson("s-late", late.address())}),
+                  "127.0.0.1:9");
+  Connection client = node.Connect();
+  client.Send(RequestText("1"));
   usleep(200'000);
-  node.Stop();
+  node.Suspend();
   late.Open();
   usleep(1'300'000);
   client.Close();
   usleep(200'000);
-  node.Continue();
-  ASSERT_FALSE(late.Requested(1'000));
-  ASSERT_TRUE(Has(node.Log(), "client-disconnected"));
+  node.Resume();
+  ASSERT_FALSE(late.RequestedWithin(1'000));
+  ASSERT_TRUE(Contains(node.Log(), "client-disconnected"));
 }
 
 }  // namespace
--- a/tests/operations.cpp
+++ b/tests/operations.cpp
@@ -13,20 +13,24 @@
 const nlohmann::json kAdmin = {{"management", "127.0.0.1:0"}};
 
 struct One {  // a node with one upstream host and an admin listener
-  Peer host;
-  Node node{program, List(1, true, {Instance("s-a", host.at())}), kNobody, "push", 1024, 192, "", false,
+  ScriptedServer host;
+  Node node{program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}),
+            kNobody, "push",
+            1024,    192,
+            "",      false,
             kAdmin};
 };
 
 std::string AskAs(const std::string& id, const std::string& cls) {
-  std::string ask = Ask(id);
+  std::string ask = RequestText(id);
   ask.replace(ask.find("X-Call-Class: docs"), 18, "X-Call-Class: " + cls);
   return ask;
 }
 
 // Serves one request through `host`, which is called for it on a connection of its own.
-void Serves(const Node& node, const Peer& host, const std::string& id, const std::string& cls = "docs") {
-  Conn client = node.Client();
+void Serves(const Node& node, const ScriptedServer& host, const std::string& id,
+            const std::string& cls = "docs") {
+  Connection client = node.Connect();
   ServeOne(host, client, id, AskAs(id, cls));
 }
 
@@ -34,100 +38,103 @@
 void Calls() {
   One w;
   assert(w.node.admin_port() > 0);
-  assert(w.node.Call("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
+  assert(w.node.AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
   Serves(w.node, w.host, "1");
-  const std::string counters = w.node.Call("GET", "/control/counters");
-  assert(Has(counters, "node_success{tier=\"docs\"} 1\n"));
-  assert(Has(counters, "node_busy{tier=\"docs\"} 0\n") && Has(counters, "node_failure{tier=\"docs\"} 0\n"));
-  assert(Has(counters, "node_backend_calls 1\n") && Has(counters, "node_inflight 0\n"));
-  assert(Has(counters, "node_hosts_listed 1\n") && Has(counters, "node_hosts_down 0\n"));
-  assert(Has(counters, "node_reconfig_ok 0\n") && Has(counters, "node_reconfig_failed 0\n"));
-  assert(w.node.Call("POST", "/control/model-replicas/s-z/offline").rfind("HTTP/1.1 404", 0) == 0);
-  assert(w.node.Call("GET", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 405", 0) == 0);
-  assert(w.node.Call("POST", "/control/ready").rfind("HTTP/1.1 405", 0) == 0);
-  assert(w.node.Call("GET", "/control/other").rfind("HTTP/1.1 404", 0) == 0);
-  assert(w.node.Call("POST", "/control/model-replicas/s-a/reboot").rfind("HTTP/1.1 404", 0) == 0);
-  Conn garbled = Dial(w.node.admin_port());
+  const std::string counters = w.node.AdminRequest("GET", "/control/counters");
+  assert(Contains(counters, "node_success{tier=\"docs\"} 1\n"));
+  assert(Contains(counters, "node_busy{tier=\"docs\"} 0\n") &&
+         Contains(counters, "node_failure{tier=\"docs\"} 0\n"));
+  assert(Contains(counters, "node_backend_calls 1\n") && Contains(counters, "node_inflight 0\n"));
+  assert(Contains(counters, "node_hosts_listed 1\n") && Contains(counters, "node_hosts_down 0\n"));
+  assert(Contains(counters, "node_reconfig_ok 0\n") && Contains(counters, "node_reconfig_failed 0\n"));
+  assert(w.node.AdminRequest("POST", "/control/model-replicas/s-z/offline").rfind("HTTP/1.1 404", 0) == 0);
+  assert(w.node.AdminRequest("GET", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 405", 0) == 0);
+  assert(w.node.AdminRequest("POST", "/control/ready").rfind("HTTP/1.1 405", 0) == 0);
+  assert(w.node.AdminRequest("GET", "/control/other").rfind("HTTP/1.1 404", 0) == 0);
+  assert(w.node.AdminRequest("POST", "/control/model-replicas/s-a/reboot").rfind("HTTP/1.1 404", 0) == 0);
+  Connection garbled = ConnectTo(w.node.admin_port());
   garbled.Send("\x01\x02 nonsense\r\n\r\n");
-  assert(garbled.ToEnd().rfind("HTTP/1.1 400", 0) == 0);
+  assert(garbled.ReadToEnd().rfind("HTTP/1.1 400", 0) == 0);
 }
 
 // Out by hand, a host gets nothing new however the list reads; twice out needs once back; back, it serves.
 void ByHand() {
   One w;
   Serves(w.node, w.host, "1");
-  assert(w.node.Call("POST", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 200", 0) == 0);
-  assert(w.node.Call("POST", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 200", 0) == 0);
-  assert(Has(w.node.Call("GET", "/control/counters"), "node_hosts_down 1\n"));
-  Conn client = w.node.Client();
-  client.Send(Ask("2", "{\"stream\":true}", "0.800"));
-  assert(!w.host.Called(600));  // nothing is sent there
-  assert(client.Message().rfind("HTTP/1.1 503", 0) == 0);
-  assert(w.node.Call("POST", "/control/model-replicas/s-a/online").rfind("HTTP/1.1 200", 0) == 0);
-  assert(Has(w.node.Call("GET", "/control/counters"), "node_hosts_down 0\n"));
+  assert(w.node.AdminRequest("POST", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 200", 0) == 0);
+  assert(w.node.AdminRequest("POST", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 200", 0) == 0);
+  assert(Contains(w.node.AdminRequest("GET", "/control/counters"), "node_hosts_down 1\n"));
+  Connection client = w.node.Connect();
+  client.Send(RequestText("2", "{\"stream\":true}", "0.800"));
+  assert(!w.host.HasConnectionWithin(600));  // nothing is sent there
+  assert(client.ReadMessage().rfind("HTTP/1.1 503", 0) == 0);
+  assert(w.node.AdminRequest("POST", "/control/model-replicas/s-a/online").rfind("HTTP/1.1 200", 0) == 0);
+  assert(Contains(w.node.AdminRequest("GET", "/control/counters"), "node_hosts_down 0\n"));
   Serves(w.node, w.host, "3");
-  const std::string counters = w.node.Call("GET", "/control/counters");
-  assert(Has(counters, "node_success{tier=\"docs\"} 2\n") && Has(counters, "node_busy{tier=\"docs\"} 1\n"));
+  const std::string counters = w.node.AdminRequest("GET", "/control/counters");
+  assert(Contains(counters, "node_success{tier=\"docs\"} 2\n") &&
+         Contains(counters, "node_busy{tier=\"docs\"} 1\n"));
 }
 
 // Callers that hold connections and say nothing, more of them than the listener keeps, leave the next call
 // answered; and so does a client that keeps the node's front busy.
 void SlowCallers() {
   One w;
-  std::vector<Conn> idle;
+  std::vector<Connection> idle;
   for (int i = 0; i < 40; ++i) {
-    idle.push_back(Dial(w.node.admin_port()));
+    idle.push_back(ConnectTo(w.node.admin_port()));
     if (i % 2 == 0) idle.back().Send("GET /control/rea");
   }
-  Conn client = w.node.Client();
-  client.Send(Ask("1"));
-  Conn up = w.host.Accept();  // a stream in flight
-  Conn call = Dial(w.node.admin_port());
+  Connection client = w.node.Connect();
+  client.Send(RequestText("1"));
+  Connection up = w.host.Accept();  // a stream in flight
+  Connection call = ConnectTo(w.node.admin_port());
   call.Send("GET /control/ready HTTP/1.1\r\nHost: node\r\n\r\n");
-  assert(call.Readable(3000));
-  assert(call.ToEnd().rfind("HTTP/1.1 200", 0) == 0);
+  assert(call.ReadableWithin(3000));
+  assert(call.ReadToEnd().rfind("HTTP/1.1 200", 0) == 0);
 }
 
 // A second process listens on the same address as the first; the first drains on SIGTERM, and the second
 // serves on.
 void Beside() {
-  Peer host;
-  Node old(program, List(1, true, {Instance("s-a", host.at())}), kNobody, "push", 1024, 192, "", false,
-           kAdmin);
+  ScriptedServer host;
+  Node old(program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNobody, "push", 1024,
+           192, "", false, kAdmin);
   const std::string at = "127.0.0.1:" + std::to_string(old.port());
-  Node young(program, List(1, true, {Instance("s-a", host.at())}), kNobody, "push", 1024, 192, "", false,
-             {{"management", "127.0.0.1:0"}, {"listen", at}});
+  Node young(program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNobody, "push", 1024,
+             192, "", false, {{"management", "127.0.0.1:0"}, {"listen", at}});
   assert(young.port() == old.port() && young.admin_port() != old.admin_port());
-  assert(young.Call("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
-  old.Term();
-  assert(old.Exit() == 0);
+  assert(young.AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
+  old.SendSigterm();
+  assert(old.WaitForExit() == 0);
   Serves(young, host, "1");
 }
 
 // What operators said passes to the next process of the node: a host out by hand at the old one stays out at
 // the new one, and one put out at the new one is left out by the old one while it drains.
 void HoldsPass() {
-  Peer a, b;
-  const nlohmann::json list = List(1, true, {Instance("s-a", a.at()), Instance("s-b", b.at())});
+  ScriptedServer a, b;
+  const nlohmann::json list =
+      EndpointListJson(1, true, {InstanceJson("s-a", a.address()), InstanceJson("s-b", b.address())});
   Node old(program, list, kNobody, "push", 1024, 192, "", false, kAdmin);
-  assert(old.Call("POST", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 200", 0) == 0);
-  old.WaitLog("replica-offline");
+  assert(old.AdminRequest("POST", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 200", 0) == 0);
+  old.WaitForLog("replica-offline");
   usleep(300'000);  // written in the background
   Node young(program, list, kNobody, "push", 1024, 192, "", false,
              {{"management", "127.0.0.1:0"},
               {"listen", "127.0.0.1:" + std::to_string(old.port())},
               {"_tmpdir", old.tmpdir()}});
-  assert(Has(young.Log(), "disabled-replicas-applied out=1 start=true"));
-  assert(Has(young.Call("GET", "/control/counters"), "node_hosts_down 1\n"));
-  assert(young.Call("POST", "/control/model-replicas/s-b/offline").rfind("HTTP/1.1 200", 0) == 0);
-  old.WaitLog("disabled-replicas-applied out=2 start=false");
-  assert(Has(old.Call("GET", "/control/counters"), "node_hosts_down 2\n"));
-  assert(young.Call("POST", "/control/model-replicas/s-a/online").rfind("HTTP/1.1 200", 0) == 0);
-  old.WaitLog("disabled-replicas-applied out=1 start=false");
+  assert(Contains(young.Log(), "disabled-replicas-applied out=1 start=true"));
+  assert(Contains(young.AdminRequest("GET", "/control/counters"), "node_hosts_down 1\n"));
+  assert(young.AdminRequest("POST", "/control/model-replicas/s-b/offline").rfind("HTTP/1.1 200", 0) == 0);
+  old.WaitForLog("disabled-replicas-applied out=2 start=false");
+  assert(Contains(old.AdminRequest("GET", "/control/counters"), "node_hosts_down 2\n"));
+  assert(young.AdminRequest("POST", "/control/model-replicas/s-a/online").rfind("HTTP/1.1 200", 0) == 0);
+  old.WaitForLog("disabled-replicas-applied out=1 start=false");
   Serves(old, a, "1");  // back at both
   Serves(young, a, "2");
-  old.Term();
-  assert(old.Exit() == 0);
+  old.SendSigterm();
+  assert(old.WaitForExit() == 0);
 }
 
 // A holds file that is torn, or of another node, is passed over whole: the node starts as if there were none.
@@ -139,17 +146,17 @@
        {std::string("ryeglade-holds 1 n0\nout s-a 5\n"), std::string("ryeglade-holds 1 n7\nout s-a 5\nend\n"),
         std::string("\0\1", 2)}) {
     std::ofstream(path) << text;
-    Peer host;
-    Node node(program, List(1, true, {Instance("s-a", host.at())}), kNobody, "push", 1024, 192, "", false,
-              {{"management", "127.0.0.1:0"}, {"_tmpdir", std::string(dir)}});
-    assert(Has(node.Log(), "disabled-replicas-ignored"));
+    ScriptedServer host;
+    Node node(program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNobody, "push",
+              1024, 192, "", false, {{"management", "127.0.0.1:0"}, {"_tmpdir", std::string(dir)}});
+    assert(Contains(node.Log(), "disabled-replicas-ignored"));
     Serves(node, host, "1");
   }
   std::remove(path.c_str());
   rmdir(dir);
 }
 
-std::string Status(Conn& client) { return client.Message().substr(0, 12); }
+std::string Status(Connection& client) { return client.ReadMessage().substr(0, 12); }
 
 // SIGHUP with other settings: a class added is served at once, a class dropped is refused, and a request
 // that was open keeps the class it came with; a broken file is taken in no part and counted.
@@ -163,33 +170,33 @@
   settings["classes"].push_back(agent);
   settings["limits"]["max-attempts"] = 2;
   w.node.Reload("settings", settings);
-  w.node.WaitLog("event=classes-updated classes=2 versions=2 attempts=2");
+  w.node.WaitForLog("event=classes-updated classes=2 versions=2 attempts=2");
   Serves(w.node, w.host, "1");
   {
-    Conn client = w.node.Client();
+    Connection client = w.node.Connect();
     client.Send(AskAs("2", "agent"));
-    Conn up = w.host.Accept();
-    assert(Has(up.Message(), "X-Call-Id: 2"));
-    up.Send(kStream);
-    up.Chunk("data: x\n\n");
-    client.Until("data: x\n\n");
+    Connection up = w.host.Accept();
+    assert(Contains(up.ReadMessage(), "X-Call-Id: 2"));
+    up.Send(kStreamHead);
+    up.SendChunk("data: x\n\n");
+    client.ReadUntil("data: x\n\n");
     // docs dropped while an agent stream is open; the agent changed too, so it gets a new version
     nlohmann::json only = settings;
     only["classes"] = nlohmann::json::array({agent});
     only["classes"][0]["effect"] = "free";
     w.node.Reload("settings", only);
-    w.node.WaitLog("event=classes-updated classes=1 versions=3 attempts=2");
-    up.Chunk("");
-    client.Until("0\r\n\r\n");  // whole, and counted under the class it came with
+    w.node.WaitForLog("event=classes-updated classes=1 versions=3 attempts=2");
+    up.SendChunk("");
+    client.ReadUntil("0\r\n\r\n");  // whole, and counted under the class it came with
   }
-  Conn refused = w.node.Client();
-  refused.Send(Ask("3"));
+  Connection refused = w.node.Connect();
+  refused.Send(RequestText("3"));
   assert(Status(refused) == "HTTP/1.1 400");
   Serves(w.node, w.host, "4", "agent");
-  std::string counters = w.node.Call("GET", "/control/counters");
-  assert(Has(counters, "node_success{tier=\"agent\"} 2\n") &&
-         Has(counters, "node_success{tier=\"docs\"} 1\n"));
-  assert(Has(counters, "node_reconfig_ok 2\n") && Has(counters, "node_reconfig_failed 0\n"));
+  std::string counters = w.node.AdminRequest("GET", "/control/counters");
+  assert(Contains(counters, "node_success{tier=\"agent\"} 2\n") &&
+         Contains(counters, "node_success{tier=\"docs\"} 1\n"));
+  assert(Contains(counters, "node_reconfig_ok 2\n") && Contains(counters, "node_reconfig_failed 0\n"));
 
   // Broken files: each is turned down whole, and what was in force stays.
   const nlohmann::json good = w.node.config();
@@ -214,32 +221,32 @@
   no_deadline["settings"]["classes"][0].erase("deadline");
   broken.push_back(no_deadline.dump());
   for (std::size_t i = 0; i < broken.size(); ++i) {
-    w.node.Write(broken[i]);
-    w.node.Hup();
+    w.node.WriteConfig(broken[i]);
+    w.node.SendSighup();
     const std::string want = "node_reconfig_failed " + std::to_string(i + 1) + "\n";
-    for (int n = 0; !Has(w.node.Call("GET", "/control/counters"), want); ++n) {
+    for (int n = 0; !Contains(w.node.AdminRequest("GET", "/control/counters"), want); ++n) {
       assert(n < 1000);
       usleep(10'000);
     }
   }
-  assert(Has(w.node.Log(), "remedy="));
-  counters = w.node.Call("GET", "/control/counters");
-  assert(Has(counters, "node_reconfig_ok 2\n"));
+  assert(Contains(w.node.Log(), "remedy="));
+  counters = w.node.AdminRequest("GET", "/control/counters");
+  assert(Contains(counters, "node_reconfig_ok 2\n"));
   Serves(w.node, w.host, "5", "agent");
-  w.node.Write(good.dump());  // so that it ends as it began
+  w.node.WriteConfig(good.dump());  // so that it ends as it began
 }
 
 // A port that is free now, as both processes of a node must be told the same one.
 std::string FreeAt() {
-  const Peer peer;
-  return peer.at();
+  const ScriptedServer peer;
+  return peer.address();
 }
 
 struct Beside2 {  // two processes of one node, which share $TMPDIR and the clients' address
   char dir[40] = "/tmp/ryeglade-story-tmp-XXXXXX";
-  Peer host;
+  ScriptedServer host;
   std::string at = FreeAt();
-  nlohmann::json list = List(1, true, {Instance("s-a", host.at())});
+  nlohmann::json list = EndpointListJson(1, true, {InstanceJson("s-a", host.address())});
   Beside2() { assert(mkdtemp(dir) != nullptr); }
   ~Beside2() {
     for (const char* what : {"holds-n0", "lease-n0", "state-n0", "out-n0"}) {
@@ -266,36 +273,36 @@
   Beside2 w;
   auto old = w.Start();
   Serves(*old, w.host, "1");
-  Conn running = old->Client();
-  running.Send(Ask("2"));
-  Conn up = w.host.Accept();
-  up.Message();
-  up.Send(kStream);
-  up.Chunk("data: x\n\n");
-  running.Until("data: x\n\n");
+  Connection running = old->Connect();
+  running.Send(RequestText("2"));
+  Connection up = w.host.Accept();
+  up.ReadMessage();
+  up.Send(kStreamHead);
+  up.SendChunk("data: x\n\n");
+  running.ReadUntil("data: x\n\n");
   auto young = w.Start();
-  assert(Has(young->Log(), "event=hand-over-taken") && Has(young->Log(), "out=1"));
-  old->WaitLog("event=hand-over-yields");
-  assert(old->Call("GET", "/control/ready").rfind("HTTP/1.1 503", 0) == 0);
-  assert(young->Call("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
+  assert(Contains(young->Log(), "event=hand-over-taken") && Contains(young->Log(), "out=1"));
+  old->WaitForLog("event=hand-over-yields");
+  assert(old->AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 503", 0) == 0);
+  assert(young->AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
   for (int i = 0; i < 20; ++i) {  // all go to the new one, each on a connection of its own
     const std::string id = std::to_string(100 + i);
-    Conn client = young->Client();
-    client.Send(Ask(id));
-    Conn served = w.host.Accept();
-    assert(Has(served.Message(), "X-Call-Id: " + id));
+    Connection client = young->Connect();
+    client.Send(RequestText(id));
+    Connection served = w.host.Accept();
+    assert(Contains(served.ReadMessage(), "X-Call-Id: " + id));
     served.Send("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n" +
-                kStream.substr(kStream.find("Transfer-Encoding")));
-    served.Chunk("data: x\n\n");
-    served.Chunk("");
-    client.Until("0\r\n\r\n");
+                kStreamHead.substr(kStreamHead.find("Transfer-Encoding")));
+    served.SendChunk("data: x\n\n");
+    served.SendChunk("");
+    client.ReadUntil("0\r\n\r\n");
   }
-  assert(Has(young->Call("GET", "/control/counters"), "node_success{tier=\"docs\"} 20\n"));
-  up.Chunk("data: y\n\n");
-  up.Chunk("");
-  running.Until("0\r\n\r\n");  // what the old one had taken goes on to its end
-  old->Term();
-  assert(old->Exit() == 0);
+  assert(Contains(young->AdminRequest("GET", "/control/counters"), "node_success{tier=\"docs\"} 20\n"));
+  up.SendChunk("data: y\n\n");
+  up.SendChunk("");
+  running.ReadUntil("0\r\n\r\n");  // what the old one had taken goes on to its end
+  old->SendSigterm();
+  assert(old->WaitForExit() == 0);
   Serves(*young, w.host, "99");
 }
 
@@ -303,19 +310,20 @@
 // is handed, and counts.
 void HandsOverNewerList() {
   Beside2 w;
-  const Peer other;
+  const ScriptedServer other;
   auto old = w.Start();
   Serves(*old, w.host, "1");
-  w.list = List(5, true, {Instance("s-a", w.host.at(), "leaving"), Instance("s-b", other.at())});
+  w.list = EndpointListJson(
+      5, true, {InstanceJson("s-a", w.host.address(), "leaving"), InstanceJson("s-b", other.address())});
   auto young = w.Start();
-  assert(Has(young->Log(), "event=hand-over-taken"));
-  old->WaitLog("event=hand-over-yields");
+  assert(Contains(young->Log(), "event=hand-over-taken"));
+  old->WaitForLog("event=hand-over-yields");
   Serves(*young, other, "2");
-  old->Term();
-  assert(old->Exit() == 0);
-  w.list = List(3, true, {Instance("s-a", w.host.at())});  // and an older one does not
+  old->SendSigterm();
+  assert(old->WaitForExit() == 0);
+  w.list = EndpointListJson(3, true, {InstanceJson("s-a", w.host.address())});  // and an older one does not
   auto third = w.Start();
-  young->WaitLog("event=hand-over-yields");
+  young->WaitForLog("event=hand-over-yields");
   Serves(*third, other, "3");
 }
 
@@ -325,42 +333,42 @@
   auto old = w.Start();
   {
     auto young = w.Start();
-    old->WaitLog("event=hand-over-yields");
-    young->Stop();
-    old->WaitLog("why=successor-silent");
-    young->Continue();
-    for (int n = 0; old->Call("GET", "/control/ready").rfind("HTTP/1.1 503", 0) != 0; ++n) {
+    old->WaitForLog("event=hand-over-yields");
+    young->Suspend();
+    old->WaitForLog("why=successor-silent");
+    young->Resume();
+    for (int n = 0; old->AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 503", 0) != 0; ++n) {
       assert(n < 1000);  // it yields again once the other turns
       usleep(10'000);
     }
     young->Kill();
-    old->WaitLog("why=successor-gone");
+    old->WaitForLog("why=successor-gone");
   }
   Serves(*old, w.host, "1");
   {
     auto young = w.Start();
-    for (int n = 0; old->Call("GET", "/control/ready").rfind("HTTP/1.1 503", 0) != 0; ++n) {
+    for (int n = 0; old->AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 503", 0) != 0; ++n) {
       assert(n < 1000);
       usleep(10'000);
     }
-    young->Term();
-    old->WaitLog("why=successor-ends");
-    assert(young->Exit() == 0);
+    young->SendSigterm();
+    old->WaitForLog("why=successor-ends");
+    assert(young->WaitForExit() == 0);
   }
   Serves(*old, w.host, "2");
-  assert(old->Call("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
+  assert(old->AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
 }
 
 // A state file that is torn, or of a newer major, is set aside: the new process serves all the same, cold.
 void StateAside() {
   Beside2 w;
   auto old = w.Start();
-  old->Stop();  // it gives nothing
+  old->Suspend();  // it gives nothing
   auto young = w.Start();
-  assert(Has(young->Log(), "event=hand-over-serves why=no-state"));
+  assert(Contains(young->Log(), "event=hand-over-serves why=no-state"));
   // Until it turns again, the kernel still deals it a share of the connections.
-  old->Continue();
-  old->WaitLog("event=hand-over-yields");
+  old->Resume();
+  old->WaitForLog("event=hand-over-yields");
   Serves(*young, w.host, "1");
 }
 
--- a/tests/scripted_peers.h
+++ b/tests/scripted_peers.h
@@ -27,17 +27,17 @@
 
 inline constexpr int kTimeoutMs = 30'000;
 
-class Conn {
+class Connection {
  public:
-  explicit Conn(int fd = -1) : fd_(fd) {}
-  Conn(Conn&& o) noexcept : fd_(std::exchange(o.fd_, -1)), text_(std::move(o.text_)) {}
-  Conn& operator=(Conn&& o) noexcept {
+  explicit Connection(int fd = -1) : fd_(fd) {}
+  Connection(Connection&& o) noexcept : fd_(std::exchange(o.fd_, -1)), text_(std::move(o.text_)) {}
+  Connection& operator=(Connection&& o) noexcept {
     Close();
     fd_ = std::exchange(o.fd_, -1);
     text_ = std::move(o.text_);
     return *this;
   }
-  ~Conn() { Close(); }
+  ~Connection() { Close(); }
   void Close() {
     if (fd_ >= 0) close(fd_);
     fd_ = -1;
@@ -52,46 +52,46 @@
     }
   }
   // One chunk of a chunked body; "" is the last one.
-  void Chunk(const std::string& bytes) {
+  void SendChunk(const std::string& bytes) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", bytes.size());
     Send(size + bytes + "\r\n");
   }
-  bool Readable(int ms) const {
+  bool ReadableWithin(int ms) const {
     pollfd p{fd_, POLLIN, 0};
     return poll(&p, 1, ms) == 1;
   }
   // Everything up to and with `mark`; fails the test if it does not come.
-  std::string Until(const std::string& mark) {
+  std::string ReadUntil(const std::string& mark) {
     std::size_t at = 0;
-    while ((at = text_.find(mark)) == std::string::npos) assert(More());
+    while ((at = text_.find(mark)) == std::string::npos) assert(ReadMore());
     std::string out = text_.substr(0, at + mark.size());
     text_.erase(0, at + mark.size());
     return out;
   }
-  std::string Take(std::size_t n) {
-    while (text_.size() < n) assert(More());
+  std::string ReadBytes(std::size_t n) {
+    while (text_.size() < n) assert(ReadMore());
     std::string out = text_.substr(0, n);
     text_.erase(0, n);
     return out;
   }
   // A head, and the body that its Content-Length tells.
-  std::string Message(std::string* body = nullptr) {
-    std::string head = Until("\r\n\r\n");
+  std::string ReadMessage(std::string* body = nullptr) {
+    std::string head = ReadUntil("\r\n\r\n");
     const std::size_t at = head.find("Content-Length: ");
-    const std::string text = at == std::string::npos ? "" : Take(std::stoul(head.substr(at + 16)));
+    const std::string text = at == std::string::npos ? "" : ReadBytes(std::stoul(head.substr(at + 16)));
     if (body != nullptr) *body = text;
     return head;
   }
-  std::string ToEnd() {
-    while (More()) {
+  std::string ReadToEnd() {
+    while (ReadMore()) {
     }
     return std::exchange(text_, {});
   }
 
  private:
-  bool More() {
-    assert(Readable(kTimeoutMs));
+  bool ReadMore() {
+    assert(ReadableWithin(kTimeoutMs));
     char buffer[65536];
     const ssize_t n = recv(fd_, buffer, sizeof buffer, 0);
     if (n > 0) text_.append(buffer, static_cast<std::size_t>(n));
@@ -109,50 +109,50 @@
   return a;
 }
 
-inline Conn Dial(int port) {
+inline Connection ConnectTo(int port) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const sockaddr_in a = Loopback(port);
   assert(connect(fd, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0);
-  return Conn(fd);
+  return Connection(fd);
 }
 
 // A server that the test plays: an upstream host or discovery.
-class Peer {
+class ScriptedServer {
  public:
-  explicit Peer(int backlog = 64) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+  explicit ScriptedServer(int backlog = 64) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     sockaddr_in a = Loopback(0);
     socklen_t n = sizeof a;
     assert(bind(fd_, reinterpret_cast<sockaddr*>(&a), n) == 0 && listen(fd_, backlog) == 0);
     assert(getsockname(fd_, reinterpret_cast<sockaddr*>(&a), &n) == 0);
     port_ = ntohs(a.sin_port);
   }
-  ~Peer() { Down(); }
-  void Down() {
+  ~ScriptedServer() { StopListening(); }
+  void StopListening() {
     if (fd_ >= 0) close(fd_);
     fd_ = -1;
   }
   int port() const { return port_; }
-  std::string at() const { return "127.0.0.1:" + std::to_string(port_); }
-  bool Called(int ms) const {
+  std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
+  bool HasConnectionWithin(int ms) const {
     pollfd p{fd_, POLLIN, 0};
     return poll(&p, 1, ms) == 1;
   }
-  Conn Accept() const {
-    assert(Called(kTimeoutMs));
-    return Conn(accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
+  Connection Accept() const {
+    assert(HasConnectionWithin(kTimeoutMs));
+    return Connection(accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
   }
 
  private:
   int fd_, port_ = 0;
 };
 
-inline nlohmann::json Instance(const std::string& name, const std::string& at,
-                               const std::string& lifecycle = "active") {
+inline nlohmann::json InstanceJson(const std::string& name, const std::string& at,
+                                   const std::string& lifecycle = "active") {
   return {{"instanceId", name}, {"hostPort", at}, {"zone", "z"},      {"machineType", "m"},
           {"cell", 0},          {"weight", 1.0},  {"startedAtMs", 0}, {"lifecycle", lifecycle}};
 }
 
-inline nlohmann::json List(int generation, bool reset, std::vector<nlohmann::json> instances) {
+inline nlohmann::json EndpointListJson(int generation, bool reset, std::vector<nlohmann::json> instances) {
   return {{"generation", generation}, {"reset", reset}, {"instances", std::move(instances)}};
 }
 
@@ -197,7 +197,7 @@
     assert(fd >= 0);
     close(fd);
     path_ = name;
-    Write(config_.dump());
+    WriteConfig(config_.dump());
     log_ = path_ + ".log";
     pid_ = fork();
     assert(pid_ >= 0);
@@ -212,24 +212,24 @@
       _exit(9);
     }
     const std::string event = "listening addr=127.0.0.1:";
-    WaitLog(event);
+    WaitForLog(event);
     const std::string log = Log();
     port_ = std::atoi(log.c_str() + log.find(event) + event.size());
     const std::string admin = "listening-admin addr=127.0.0.1:";
     if (log.find(admin) != std::string::npos)
-      admin_ = std::atoi(log.c_str() + log.find(admin) + admin.size());
+      admin_port_ = std::atoi(log.c_str() + log.find(admin) + admin.size());
   }
-  int admin_port() const { return admin_; }
+  int admin_port() const { return admin_port_; }
   // One call on the admin listener: its status line and body.
-  std::string Call(const std::string& method, const std::string& path) const {
-    Conn c = Dial(admin_);
+  std::string AdminRequest(const std::string& method, const std::string& path) const {
+    Connection c = ConnectTo(admin_port_);
     c.Send(method + " " + path + " HTTP/1.1\r\nHost: node\r\nContent-Length: 0\r\n\r\n");
-    return c.ToEnd();
+    return c.ReadToEnd();
   }
   ~Node() {
     if (pid_ > 0) {
       kill(pid_, SIGTERM);
-      assert(Exit() == 0);  // whatever a test did to it, it ends in order
+      assert(WaitForExit() == 0);  // whatever a test did to it, it ends in order
     }
     std::remove(path_.c_str());
     std::remove(log_.c_str());
@@ -241,19 +241,19 @@
   const std::string& tmpdir() const { return tmpdir_; }
   const nlohmann::json& config() const { return config_; }
   int port() const { return port_; }
-  Conn Client() const { return Dial(port_); }
+  Connection Connect() const { return ConnectTo(port_); }
   std::string Log() const {
     std::ifstream in(log_);
     return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
   }
-  void WaitLog(const std::string& text) const {
+  void WaitForLog(const std::string& text) const {
     for (int i = 0; Log().find(text) == std::string::npos; ++i) {
       assert(i < kTimeoutMs / 10);
       usleep(10'000);
     }
   }
-  void Term() const { kill(pid_, SIGTERM); }
-  bool Ended() const {
+  void SendSigterm() const { kill(pid_, SIGTERM); }
+  bool HasExited() const {
     siginfo_t info{};
     return waitid(P_PID, static_cast<id_t>(pid_), &info, WEXITED | WNOHANG | WNOWAIT) == 0 &&
            info.si_pid == pid_;
@@ -262,17 +262,17 @@
     kill(pid_, SIGKILL);
     waitpid(std::exchange(pid_, -1), nullptr, 0);
   }
-  void Write(const std::string& text) const { std::ofstream(path_) << text; }
+  void WriteConfig(const std::string& text) const { std::ofstream(path_) << text; }
   void Reload(const std::string& key,
               const nlohmann::json& value) {  // the file with that changed, and SIGHUP
     config_[key] = value;
-    Write(config_.dump());
+    WriteConfig(config_.dump());
     kill(pid_, SIGHUP);
   }
-  void Stop() const { kill(pid_, SIGSTOP); }
-  void Continue() const { kill(pid_, SIGCONT); }
-  void Hup() const { kill(pid_, SIGHUP); }
-  int Exit() {
+  void Suspend() const { kill(pid_, SIGSTOP); }
+  void Resume() const { kill(pid_, SIGCONT); }
+  void SendSighup() const { kill(pid_, SIGHUP); }
+  int WaitForExit() {
     int status = 0;
     assert(waitpid(std::exchange(pid_, -1), &status, 0) > 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : 128;
@@ -290,53 +290,54 @@
   bool own_tmpdir_ = false;
   nlohmann::json config_;
   pid_t pid_ = -1;
-  int port_ = 0, admin_ = 0;
+  int port_ = 0, admin_port_ = 0;
 };
 
-inline std::string Ask(const std::string& id, const std::string& body = "{\"stream\":true}",
-                       const std::string& budget = "30.000") {
+inline std::string RequestText(const std::string& id, const std::string& body = "{\"stream\":true}",
+                               const std::string& budget = "30.000") {
   return "POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: service\r\nX-Call-Id: " + id +
          "\r\nX-Call-Class: docs\r\nX-Route-Hash: 7f3a9c21e0b4d655\r\nX-Budget: " + budget +
          "\r\nX-Call-Info: prefix=5c0f,prompt_len=512,prefix_len=20,max_out=80\r\nContent-Length: " +
          std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-inline const std::string kStream =
+inline const std::string kStreamHead =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-inline bool Has(const std::string& text, const std::string& part) {
+inline bool Contains(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
 }
 
 inline int StatusOf(const std::string& head) { return std::atoi(head.c_str() + head.find(' ') + 1); }
 
 // Reads a call for a watch and tells `list` on it.
-inline Conn AnswerWatch(const Peer& discovery, const nlohmann::json& list) {
-  Conn watch = discovery.Accept();
-  assert(Has(watch.Message(), "follow=1"));
+inline Connection AnswerWatch(const ScriptedServer& discovery, const nlohmann::json& list) {
+  Connection watch = discovery.Accept();
+  assert(Contains(watch.ReadMessage(), "follow=1"));
   watch.Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-  watch.Chunk(list.dump() + "\n");
+  watch.SendChunk(list.dump() + "\n");
   return watch;
 }
 
 // The same for the watch that a node opens while it starts, as it takes no client before it has been told.
-inline std::future<Conn> AnswerWatchAtStart(const Peer& discovery, const nlohmann::json& list) {
+inline std::future<Connection> AnswerWatchAtStart(const ScriptedServer& discovery,
+                                                  const nlohmann::json& list) {
   return std::async(std::launch::async, [&discovery, list] {
-    assert(discovery.Called(kTimeoutMs));
+    assert(discovery.HasConnectionWithin(kTimeoutMs));
     return AnswerWatch(discovery, list);
   });
 }
 
 // Sends a request on `client` (by default one of the id) and answers it at `host`, to its end.
-inline void ServeOne(const Peer& host, Conn& client, const std::string& id = "1",
+inline void ServeOne(const ScriptedServer& host, Connection& client, const std::string& id = "1",
                      const std::string& request = "") {
-  client.Send(request.empty() ? Ask(id) : request);
-  Conn up = host.Accept();
-  assert(Has(up.Message(), "X-Call-Id: " + id));
-  up.Send(kStream);
-  up.Chunk("data: x\n\n");
-  up.Chunk("");
-  assert(Has(client.Until("0\r\n\r\n"), "data: x"));
+  client.Send(request.empty() ? RequestText(id) : request);
+  Connection up = host.Accept();
+  assert(Contains(up.ReadMessage(), "X-Call-Id: " + id));
+  up.Send(kStreamHead);
+  up.SendChunk("data: x\n\n");
+  up.SendChunk("");
+  assert(Contains(client.ReadUntil("0\r\n\r\n"), "data: x"));
 }
 
 }  // namespace scripted
