--- a/lab/client.cpp
+++ b/lab/client.cpp
@@ -40,7 +40,7 @@
   Call* c = calls_.Get(handle);
   if (c == nullptr) return;
   if (status != 0) return End(handle);
-  c->tcp->Read();
+  c->tcp->StartReading();
   if (!c->tcp->Write(c->request)) End(handle);
 }
 
@@ -92,7 +92,7 @@
   if (HTTP_PARSER_ERRNO(&c->parser) != HPE_OK) End(handle);
 }
 
-void Client::OnEnded(Handle handle) { End(handle); }
+void Client::OnDisconnected(Handle handle) { End(handle); }
 
 void Client::End(Handle handle) {
   Call* c = calls_.Get(handle);
--- a/lab/client.h
+++ b/lab/client.h
@@ -33,7 +33,7 @@
 
   void OnConnected(Handle call, int status) override;
   void OnRead(Handle call, std::string_view bytes) override;
-  void OnEnded(Handle call) override;
+  void OnDisconnected(Handle call) override;
 
  private:
   struct Call {
--- a/lab/cluster/invariant_checker.cpp
+++ b/lab/cluster/invariant_checker.cpp
@@ -222,12 +222,12 @@
 }
 
 TextTable Witness::Table() const {
-  Rows rows("said", {{"at_periods", Numbers{}},
-                     {"observer", Texts{}},
-                     {"what", Texts{}},
-                     {"member", Texts{}},
-                     {"by", Texts{}},
-                     {"value", Wholes{}}});
+  TableBuilder rows("said", {{"at_periods", Numbers{}},
+                             {"observer", Strings{}},
+                             {"what", Strings{}},
+                             {"member", Strings{}},
+                             {"by", Strings{}},
+                             {"value", Integers{}}});
   for (const Seen& s : seen_) rows.Add(s.at, scenario_.NodeName(s.observer), s.what, s.member, s.by, s.value);
   return rows.Take();
 }
--- a/lab/cluster/relay.cpp
+++ b/lab/cluster/relay.cpp
@@ -176,7 +176,7 @@
   Side* a = sides_.Get(in);
   a->tcp = Tcp::New(run_->loop, run_->buffers, this, in);
   if (!a->tcp->Accept(reinterpret_cast<uv_stream_t*>(face.listener))) return Drop(in);
-  const sockaddr_storage peer = a->tcp->Peer();
+  const sockaddr_storage peer = a->tcp->PeerAddress();
   const std::size_t from = NodeAt(reinterpret_cast<const sockaddr*>(&peer)), to = face.node;
   if (from == SIZE_MAX) return Drop(in);
   ++sent_[from].connections;
@@ -192,7 +192,7 @@
   a->other = out;
   b->other = in;
   if (b->tcp->Bind(faces_[from]->ip) != 0 || b->tcp->Connect(addresses_[to]) != 0) return Drop(in);
-  a->tcp->Read();
+  a->tcp->StartReading();
 }
 
 void Network::OnConnected(Handle side, int status) {
@@ -200,7 +200,7 @@
   if (b == nullptr) return;
   if (status != 0) return Drop(side);
   b->connected = true;
-  b->tcp->Read();
+  b->tcp->StartReading();
   Move(b->other);
 }
 
@@ -238,7 +238,7 @@
   });
 }
 
-void Network::OnEnded(Handle side) {
+void Network::OnDisconnected(Handle side) {
   Side* a = sides_.Get(side);
   if (a == nullptr) return;
   a->ended = true;
--- a/lab/experiment/results.cpp
+++ b/lab/experiment/results.cpp
@@ -113,19 +113,21 @@
                 {"settings", e.text},
                 {"mark", fmt::format("{:016x}", e.mark)},
                 {"build", r.build}};
-  TextTable days{"days", {{"day", Wholes{}}, {"policy", Texts{}}, {"seed", Wholes{}}}};
-  for (std::size_t a = 0; a < e.axes.size(); ++a) days.columns.push_back({"axis_" + e.axes[a].key, Texts{}});
+  TextTable days{"days", {{"day", Integers{}}, {"policy", Strings{}}, {"seed", Integers{}}}};
+  for (std::size_t a = 0; a < e.axes.size(); ++a)
+    days.columns.push_back({"axis_" + e.axes[a].key, Strings{}});
   const std::size_t measures_at = days.columns.size();
   for (const Measure& m : Measures()) days.columns.push_back({m.name, Numbers{}});
   const std::size_t counts_at = days.columns.size();
-  for (const auto& [name, n] : CountsOf({})) days.columns.push_back({name, Wholes{}});
+  for (const auto& [name, n] : CountsOf({})) days.columns.push_back({name, Integers{}});
   const auto numbers = [](Column& c) -> Numbers& { return std::get<Numbers>(c.values); };
-  const auto wholes = [](Column& c) -> Wholes& { return std::get<Wholes>(c.values); };
-  const auto words = [](Column& c) -> Texts& { return std::get<Texts>(c.values); };
-  Rows first("first_token", {{"day", Wholes{}}, {"from_ms", Numbers{}}, {"count", Numbers{}}});
-  Rows replicas("replicas",
-                {{"day", Wholes{}}, {"span", Wholes{}}, {"replica", Wholes{}}, {"served", Wholes{}}});
-  TextTable seconds{"seconds", {{"day", Wholes{}}}};
+  const auto wholes = [](Column& c) -> Integers& { return std::get<Integers>(c.values); };
+  const auto words = [](Column& c) -> Strings& { return std::get<Strings>(c.values); };
+  TableBuilder first("first_token", {{"day", Integers{}}, {"from_ms", Numbers{}}, {"count", Numbers{}}});
+  TableBuilder replicas(
+      "replicas",
+      {{"day", Integers{}}, {"span", Integers{}}, {"replica", Integers{}}, {"served", Integers{}}});
+  TextTable seconds{"seconds", {{"day", Integers{}}}};
   for (const auto& [name, field] : PointFields()) seconds.columns.push_back({name, Numbers{}});
   for (const ScenarioRow& row : r.rows) {
     const auto day = static_cast<std::int64_t>(row.day);
@@ -166,7 +168,7 @@
   r.experiment = ParseExperiment("settings in the results", note("settings"));
   r.build = note("build");
   const TextTable& days = file.Of("days");
-  const Wholes& numbers = days.WholesOf("day");
+  const Integers& numbers = days.IntegersOf("day");
   std::map<std::int64_t, std::size_t> at;
   for (std::size_t n = 0; n < numbers.size(); ++n) {
     if (numbers[n] < 0 || static_cast<std::size_t>(numbers[n]) >= r.experiment.days() ||
@@ -181,7 +183,7 @@
     for (std::size_t n = 0; n < numbers.size(); ++n) r.rows[n].measures[m.name] = values[n];
   }
   for (const auto& [name, zero] : CountsOf({})) {
-    const Wholes& values = days.WholesOf(name);
+    const Integers& values = days.IntegersOf(name);
     for (std::size_t n = 0; n < numbers.size(); ++n) r.rows[n].counts[name] = values[n];
   }
   const auto row_of = [&](std::int64_t day) -> ScenarioRow& {
@@ -191,7 +193,7 @@
   };
   const TextTable& first = file.Of("first_token");
   for (std::size_t n = 0; n < first.rows(); ++n)
-    row_of(first.WholesOf("day")[n])
+    row_of(first.IntegersOf("day")[n])
         .first_token.emplace_back(first.NumbersOf("from_ms")[n], first.NumbersOf("count")[n]);
   const TextTable& seconds = file.Of("seconds");
   std::vector<const Numbers*> fields;
@@ -199,11 +201,11 @@
   for (std::size_t n = 0; n < seconds.rows(); ++n) {
     Point p;
     for (std::size_t f = 0; f < fields.size(); ++f) p.*PointFields()[f].second = (*fields[f])[n];
-    row_of(seconds.WholesOf("day")[n]).course.push_back(p);
+    row_of(seconds.IntegersOf("day")[n]).course.push_back(p);
   }
   const TextTable& replicas = file.Of("replicas");
-  const Wholes &of = replicas.WholesOf("day"), &span = replicas.WholesOf("span"),
-               &replica = replicas.WholesOf("replica"), &served = replicas.WholesOf("served");
+  const Integers &of = replicas.IntegersOf("day"), &span = replicas.IntegersOf("span"),
+                 &replica = replicas.IntegersOf("replica"), &served = replicas.IntegersOf("served");
   for (std::size_t n = 0; n < of.size(); ++n) {
     auto& spans = row_of(of[n]).served_in;
     if (span[n] < 0 || replica[n] < 0 || static_cast<std::size_t>(span[n]) > spans.size() ||
--- a/lab/load/load_client.cpp
+++ b/lab/load/load_client.cpp
@@ -103,7 +103,7 @@
   if (l == nullptr) return;
   if (status != 0) return Finish(handle);
   l->connected = true;
-  l->tcp->Read();
+  l->tcp->StartReading();
   if (!l->tcp->Write(l->request)) Finish(handle);
 }
 
@@ -159,7 +159,7 @@
   if (l->whole || HTTP_PARSER_ERRNO(&l->parser) != HPE_OK) Finish(handle);
 }
 
-void LoadClient::OnEnded(Handle handle) { Finish(handle); }
+void LoadClient::OnDisconnected(Handle handle) { Finish(handle); }
 
 void LoadClient::Finish(Handle handle) {
   Link* l = links_.Get(handle);
--- a/lab/load/load_client.h
+++ b/lab/load/load_client.h
@@ -39,7 +39,7 @@
 
   void OnConnected(Handle link, int status) override;
   void OnRead(Handle link, std::string_view bytes) override;
-  void OnEnded(Handle link) override;
+  void OnDisconnected(Handle link) override;
 
  private:
   static constexpr std::size_t kNobody = SIZE_MAX;
--- a/lab/load/load_model.cpp
+++ b/lab/load/load_model.cpp
@@ -160,19 +160,20 @@
 ColumnarFile Tally::ToFile(const std::string& how) const {
   ColumnarFile file;
   file.notes = {{"schema", "1"}, {"what", "results of ryeglade-lab load"}, {"settings", how}};
-  TextTable classes{"classes", {{"class", Texts{}}, {"asked", Wholes{}}, {"in_time", Wholes{}}}};
+  TextTable classes{"classes", {{"class", Strings{}}, {"asked", Integers{}}, {"in_time", Integers{}}}};
   for (std::size_t o = 0; o < static_cast<std::size_t>(Outcome::kCount); ++o)
-    classes.columns.push_back({Name(static_cast<Outcome>(o)), Wholes{}});
+    classes.columns.push_back({Name(static_cast<Outcome>(o)), Integers{}});
   classes.columns.push_back({"worth", Numbers{}});
   classes.columns.push_back({"worth_asked", Numbers{}});
-  Rows bins("latency", {{"class", Texts{}}, {"what", Texts{}}, {"from_ms", Numbers{}}, {"count", Numbers{}}});
+  TableBuilder bins(
+      "latency", {{"class", Strings{}}, {"what", Strings{}}, {"from_ms", Numbers{}}, {"count", Numbers{}}});
   for (std::size_t n = 0; n < classes_.size(); ++n) {
     const ByClass& c = classes_[n];
     std::size_t at = 0;
     const auto whole = [&](std::uint64_t v) {
-      std::get<Wholes>(classes.columns[at++].values).push_back(static_cast<std::int64_t>(v));
+      std::get<Integers>(classes.columns[at++].values).push_back(static_cast<std::int64_t>(v));
     };
-    std::get<Texts>(classes.columns[at++].values).push_back(plan_.classes[n].name);
+    std::get<Strings>(classes.columns[at++].values).push_back(plan_.classes[n].name);
     whole(c.asked);
     whole(c.in_time);
     for (const std::uint64_t v : c.outcomes) whole(v);
@@ -184,13 +185,13 @@
       }
     }
   }
-  Rows seconds("seconds", {{"second", Wholes{}},
-                           {"asked", Wholes{}},
-                           {"served", Wholes{}},
-                           {"refused", Wholes{}},
-                           {"other", Wholes{}},
-                           {"first_p50_ms", Numbers{}},
-                           {"first_p99_ms", Numbers{}}});
+  TableBuilder seconds("seconds", {{"second", Integers{}},
+                                   {"asked", Integers{}},
+                                   {"served", Integers{}},
+                                   {"refused", Integers{}},
+                                   {"other", Integers{}},
+                                   {"first_p50_ms", Numbers{}},
+                                   {"first_p99_ms", Numbers{}}});
   for (const auto& [second, s] : seconds_)
     seconds.Add(second, s.asked, s.served, s.refused, s.other, lab::QuantileOf(s.first, 0.5),
                 lab::QuantileOf(s.first, 0.99));
--- a/lab/soak/clients.cpp
+++ b/lab/soak/clients.cpp
@@ -86,7 +86,7 @@
   }
   l->connected = true;
   l->up = Now();
-  l->tcp->Read();
+  l->tcp->StartReading();
   if (!l->crowd) Ask(handle);
 }
 
@@ -182,7 +182,7 @@
     r.slow_reader = true;
     l.tcp->StopReading();
     run_->deadlines->Set(Now() + kSecond, [this, handle] {
-      if (const Link* slow = links_.Get(handle)) slow->tcp->Read();
+      if (const Link* slow = links_.Get(handle)) slow->tcp->StartReading();
     });
   }
 }
@@ -209,7 +209,7 @@
     requests_[n].left = Now();
     requests_[n].half_closed = half;
   }
-  if (half) return l->tcp->EndWriting();
+  if (half) return l->tcp->ShutdownWrite();
   End(handle, ClientEnd::kLeft);
 }
 
@@ -301,7 +301,7 @@
   if (!keep) End(handle, ClientEnd::kNoAnswer);
 }
 
-void SoakClients::OnEnded(Handle handle) {
+void SoakClients::OnDisconnected(Handle handle) {
   const Link* l = links_.Get(handle);
   if (l == nullptr) return;
   const bool began = !l->waiting.empty() && !requests_[l->waiting.front()].events.empty();
--- a/lab/soak/clients.h
+++ b/lab/soak/clients.h
@@ -38,7 +38,7 @@
 
   void OnConnected(Handle link, int status) override;
   void OnRead(Handle link, std::string_view bytes) override;
-  void OnEnded(Handle link) override;
+  void OnDisconnected(Handle link) override;
 
  private:
   static constexpr std::size_t kNone = SIZE_MAX;
--- a/lab/soak/link_relay.cpp
+++ b/lab/soak/link_relay.cpp
@@ -36,13 +36,13 @@
 void LinkRelay::SetLate(std::size_t link, bool late) {
   Link& l = *links_[link];
   l.late = late;
-  late || l.silent ? l.listener->StopNew() : l.listener->TakeNew();
+  late || l.silent ? l.listener->DropNewConnections() : l.listener->AllowNewConnections();
 }
 
 void LinkRelay::SetSilent(std::size_t link, bool silent) {
   Link& l = *links_[link];
   l.silent = silent;
-  silent || l.late ? l.listener->StopNew() : l.listener->TakeNew();
+  silent || l.late ? l.listener->DropNewConnections() : l.listener->AllowNewConnections();
   if (!silent) ResetAll(link);
 }
 
@@ -50,7 +50,7 @@
   for (const Handle handle : sides_.All()) {
     Side* s = sides_.Get(handle);
     if (s == nullptr || s->link != link || !s->from_node) continue;
-    s->tcp->Reset();
+    s->tcp->ResetOnClose();
     Drop(handle);
   }
 }
@@ -85,7 +85,7 @@
       Drop(in);
       continue;
     }
-    a->tcp->Read();
+    a->tcp->StartReading();
   }
 }
 
@@ -94,7 +94,7 @@
   if (b == nullptr) return;
   if (status != 0) return Drop(side);
   b->connected = true;
-  b->port = PortOf(b->tcp->Local());
+  b->port = PortOf(b->tcp->LocalAddress());
   LinkView view;
   view.up = Now();
   if (Side* a = sides_.Get(b->other)) {
@@ -102,7 +102,7 @@
     if (!a->held.empty()) view.began = Now();
   }
   views_[{b->link, b->port}] = view;
-  b->tcp->Read();
+  b->tcp->StartReading();
   Move(b->other);
 }
 
@@ -112,7 +112,7 @@
   Link& l = *links_[a->link];
   if (a->from_node && l.reset_under > 0 && bytes.starts_with("POST ")) {
     --l.reset_under;
-    a->tcp->Reset();
+    a->tcp->ResetOnClose();
     return Drop(side);
   }
   if (a->port != 0) {
@@ -165,7 +165,7 @@
   });
 }
 
-void LinkRelay::OnEnded(Handle side) {
+void LinkRelay::OnDisconnected(Handle side) {
   Side* a = sides_.Get(side);
   if (a == nullptr) return;
   if (a->from_node) {
--- a/lab/soak/link_relay.h
+++ b/lab/soak/link_relay.h
@@ -60,7 +60,7 @@
 
   void OnConnected(Handle side, int status) override;
   void OnRead(Handle side, std::string_view bytes) override;
-  void OnEnded(Handle side) override;
+  void OnDisconnected(Handle side) override;
 
  private:
   struct Link {
--- a/src/base/listener.cpp
+++ b/src/base/listener.cpp
@@ -56,7 +56,7 @@
   const bool good =
       bound.get() >= 0 && setsockopt(bound.get(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled) == 0 &&
       (!share_port || setsockopt(bound.get(), SOL_SOCKET, SO_REUSEPORT, &enabled, sizeof enabled) == 0) &&
-      bind(bound.get(), to, LengthOf(to)) == 0;
+      bind(bound.get(), to, SockaddrLength(to)) == 0;
   if (!good) Fail(address, uv_strerror(uv_translate_sys_error(errno)));
   return bound.Release();
 }
@@ -103,7 +103,7 @@
 // A socket filter (socket(7), SO_ATTACH_FILTER) that drops TCP segments with the SYN flag: without it a
 // connection that comes up between the last accept and the close would be reset, although its client may have
 // sent a request already. Where the system has no such filters, that short time remains.
-void Listener::StopNew() {
+void Listener::DropNewConnections() {
   if (poll_ == nullptr) return;
   constexpr std::uint32_t kFlagsAt = 13;  // byte of the TCP header
   constexpr std::uint32_t kSyn = 0x02;
@@ -115,7 +115,7 @@
   setsockopt(fd_, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program);
 }
 
-void Listener::TakeNew() {
+void Listener::AllowNewConnections() {
   if (poll_ == nullptr) return;
   const int none = 0;
   setsockopt(fd_, SOL_SOCKET, SO_DETACH_FILTER, &none, sizeof none);
--- a/src/base/listener.h
+++ b/src/base/listener.h
@@ -30,9 +30,9 @@
   void Resume();  // and are told of again
   // Calls for new connections are dropped; those whose calls have come still come up and can be taken. Close
   // loses nothing once those are up.
-  void StopNew();
-  void TakeNew();  // connections come up again
-  void Close();    // those that still wait are reset
+  void DropNewConnections();
+  void AllowNewConnections();  // connections come up again
+  void Close();                // those that still wait are reset
 
  private:
   uv_loop_t* loop_;
--- a/src/base/state_file.cpp
+++ b/src/base/state_file.cpp
@@ -41,12 +41,12 @@
     : loop_(loop), path_(std::move(path)), changed_(std::move(changed)) {}
 
 std::optional<std::string> StateFile::ReadNow() const {
-  if (!on()) return std::nullopt;
+  if (!enabled()) return std::nullopt;
   return ReadAll(path_);
 }
 
 void StateFile::Write(std::string text) {
-  if (!on()) return;
+  if (!enabled()) return;
   last_ = text;
   pending_ = std::move(text);
   if (!job_running_) StartJob();
@@ -94,7 +94,7 @@
 }
 
 void StateFile::Watch(unsigned interval_ms) {
-  if (!on() || polling_) return;
+  if (!enabled() || polling_) return;
   uv_fs_poll_init(loop_, &poll_);
   poll_.data = this;
   polling_ = true;
--- a/src/base/state_file.h
+++ b/src/base/state_file.h
@@ -16,7 +16,7 @@
   // `path` empty: off. `changed` is called on the loop with all of the file's text when another writer has
   // replaced it.
   StateFile(uv_loop_t* loop, std::string path, std::function<void(const std::string&)> changed);
-  bool on() const { return !path_.empty(); }
+  bool enabled() const { return !path_.empty(); }
   const std::string& path() const { return path_; }
 
   // At the start, before the loop runs: what is there now; null: nothing, or it can't be read.
--- a/src/base/tcp.cpp
+++ b/src/base/tcp.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-socklen_t LengthOf(const sockaddr* address) {
+socklen_t SockaddrLength(const sockaddr* address) {
   return address->sa_family == AF_INET6 ? sizeof(sockaddr_in6) : sizeof(sockaddr_in);
 }
 
@@ -77,7 +77,7 @@
                         });
 }
 
-void Tcp::Read() {
+void Tcp::StartReading() {
   uv_read_start(
       stream(),
       [](uv_handle_t*, std::size_t, uv_buf_t* buf) {
@@ -87,7 +87,7 @@
         Tcp* tcp = static_cast<Tcp*>(s->data);
         if (tcp->closing_ || n == 0) return;
         if (n < 0) {
-          tcp->owner_->OnEnded(tcp->handle_);
+          tcp->owner_->OnDisconnected(tcp->handle_);
         } else {
           tcp->owner_->OnRead(tcp->handle_, {buf->base, static_cast<std::size_t>(n)});
         }
@@ -127,31 +127,31 @@
                   [](uv_write_t* w, int status) {
                     Tcp* tcp = static_cast<Tcp*>(w->data);
                     if (tcp->closing_) return;
-                    if (status != 0) return tcp->owner_->OnEnded(tcp->handle_);
+                    if (status != 0) return tcp->owner_->OnDisconnected(tcp->handle_);
                     tcp->sending_.Clear();
                     if (tcp->queued_.size() > 0) {
-                      if (!tcp->Send()) tcp->owner_->OnEnded(tcp->handle_);
+                      if (!tcp->Send()) tcp->owner_->OnDisconnected(tcp->handle_);
                       return;
                     }
                     tcp->owner_->OnDrained(tcp->handle_);
                   }) == 0;
 }
 
-sockaddr_storage Tcp::Peer() const {
+sockaddr_storage Tcp::PeerAddress() const {
   sockaddr_storage peer{};
   int length = sizeof peer;
   uv_tcp_getpeername(&tcp_, reinterpret_cast<sockaddr*>(&peer), &length);
   return peer;
 }
 
-sockaddr_storage Tcp::Local() const {
+sockaddr_storage Tcp::LocalAddress() const {
   sockaddr_storage local{};
   int length = sizeof local;
   uv_tcp_getsockname(&tcp_, reinterpret_cast<sockaddr*>(&local), &length);
   return local;
 }
 
-void Tcp::Reset() {
+void Tcp::ResetOnClose() {
   uv_os_fd_t fd = -1;
   const linger now{1, 0};
   if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&tcp_), &fd) != 0) return;
@@ -172,7 +172,7 @@
   return poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-void Tcp::EndWriting() {
+void Tcp::ShutdownWrite() {
   if (!closing_) uv_shutdown(&shutdown_, stream(), nullptr);
 }
 
--- a/src/base/tcp.h
+++ b/src/base/tcp.h
@@ -19,11 +19,11 @@
   virtual ~TcpOwner() = default;
   virtual void OnConnected(Handle, int /*status*/) {}
   virtual void OnRead(Handle handle, std::string_view bytes) = 0;
-  virtual void OnEnded(Handle handle) = 0;  // the peer closed, or the connection broke
-  virtual void OnDrained(Handle) {}         // all that was written is with the kernel
+  virtual void OnDisconnected(Handle handle) = 0;  // the peer closed, or the connection broke
+  virtual void OnDrained(Handle) {}                // all that was written is with the kernel
 };
 
-socklen_t LengthOf(const sockaddr* address);  // bytes, of its family: IPv6, else IPv4
+socklen_t SockaddrLength(const sockaddr* address);  // bytes, of its family: IPv6, else IPv4
 bool ParseAddress(const std::string& text, sockaddr_storage* address);  // "ip:port", "[ip]:port"
 
 // Made by New, and deletes itself some time after Close; not to be used after Close.
@@ -34,7 +34,7 @@
   bool Open(int fd);                       // an accepted connection, from here on this one's, or closed
   int Bind(const sockaddr_storage& from);  // before Connect: the address to come from; a libuv error code
   int Connect(const sockaddr_storage& address);  // a libuv error code; 0: OnConnected tells how it went
-  void Read();
+  void StartReading();
   void StopReading() { uv_read_stop(stream()); }
   // Writes at once what the kernel takes and keeps the rest; false: the connection is broken or the pool is
   // exhausted, and the owner should close.
@@ -43,13 +43,13 @@
   // Bytes that the kernel has not taken yet. libuv reports a write as done only on a later turn of its loop;
   // until then `sending_` still holds bytes that may have reached the peer.
   std::size_t unsent() const { return uv_stream_get_write_queue_size(stream()) + queued_.size(); }
-  sockaddr_storage Peer() const;   // all zero: not known
-  sockaddr_storage Local() const;  // the same of this end
-  void Reset();                    // Close sends a reset, and drops what is unsent
-  bool NothingToRead() const;      // nothing waits to be read, neither bytes nor the end
-  bool PeerClosed() const;         // the peer has closed or reset, whether or not bytes wait to be read
-  void EndWriting();               // a FIN after all that was written
-  void Close();                    // the object is gone once the loop has closed the socket
+  sockaddr_storage PeerAddress() const;   // all zero: not known
+  sockaddr_storage LocalAddress() const;  // the same of this end
+  void ResetOnClose();                    // Close sends a reset, and drops what is unsent
+  bool NothingToRead() const;             // nothing waits to be read, neither bytes nor the end
+  bool PeerClosed() const;  // the peer has closed or reset, whether or not bytes wait to be read
+  void ShutdownWrite();     // a FIN after all that was written
+  void Close();             // the object is gone once the loop has closed the socket
 
  private:
   Tcp(BufferPool* pool, TcpOwner* owner, Handle handle)
--- a/src/base/text_table.cpp
+++ b/src/base/text_table.cpp
@@ -34,11 +34,11 @@
 const Numbers& TextTable::NumbersOf(const std::string& column) const {
   return FindColumn<Numbers>(*this, column, "numbers");
 }
-const Wholes& TextTable::WholesOf(const std::string& column) const {
-  return FindColumn<Wholes>(*this, column, "whole numbers");
+const Integers& TextTable::IntegersOf(const std::string& column) const {
+  return FindColumn<Integers>(*this, column, "whole numbers");
 }
-const Texts& TextTable::TextsOf(const std::string& column) const {
-  return FindColumn<Texts>(*this, column, "words");
+const Strings& TextTable::StringsOf(const std::string& column) const {
+  return FindColumn<Strings>(*this, column, "words");
 }
 
 std::string Csv(const TextTable& table) {
@@ -51,10 +51,10 @@
       const auto& values = table.columns[c].values;
       if (const auto* n = std::get_if<Numbers>(&values)) {
         if (!std::isnan((*n)[row])) out += fmt::format("{:.6g}", (*n)[row]);
-      } else if (const auto* w = std::get_if<Wholes>(&values)) {
+      } else if (const auto* w = std::get_if<Integers>(&values)) {
         out += std::to_string((*w)[row]);
       } else {
-        out += Quoted(std::get<Texts>(values)[row]);
+        out += Quoted(std::get<Strings>(values)[row]);
       }
     }
     out += '\n';
--- a/src/base/text_table.h
+++ b/src/base/text_table.h
@@ -11,13 +11,13 @@
 namespace ryeglade {
 
 using Numbers = std::vector<double>;
-using Wholes = std::vector<std::int64_t>;
-using Texts = std::vector<std::string>;
+using Integers = std::vector<std::int64_t>;
+using Strings = std::vector<std::string>;
 
 // One column: its name, and a value for each row.
 struct Column {
   std::string name;  // with its unit
-  std::variant<Numbers, Wholes, Texts> values;
+  std::variant<Numbers, Integers, Strings> values;
 };
 // A named table, stored by columns.
 struct TextTable {
@@ -26,17 +26,17 @@
   std::size_t rows() const;
   // Each throws std::runtime_error for a column that is not there or holds something else, naming it.
   const Numbers& NumbersOf(const std::string& column) const;
-  const Wholes& WholesOf(const std::string& column) const;
-  const Texts& TextsOf(const std::string& column) const;
+  const Integers& IntegersOf(const std::string& column) const;
+  const Strings& StringsOf(const std::string& column) const;
 };
 
 // A NaN is an empty field; words that need it are quoted.
 std::string Csv(const TextTable& table);
 
 // Adds rows field by field, in the order of the columns.
-class Rows {
+class TableBuilder {
  public:
-  Rows(std::string name, std::vector<Column> columns) : table_{std::move(name), std::move(columns)} {}
+  TableBuilder(std::string name, std::vector<Column> columns) : table_{std::move(name), std::move(columns)} {}
   template <class... T>
   void Add(T... fields) {
     std::size_t at = 0;
@@ -47,12 +47,12 @@
  private:
   void Append(std::size_t at, double v) { std::get<Numbers>(table_.columns[at].values).push_back(v); }
   void Append(std::size_t at, const std::string& v) {
-    std::get<Texts>(table_.columns[at].values).push_back(v);
+    std::get<Strings>(table_.columns[at].values).push_back(v);
   }
-  void Append(std::size_t at, const char* v) { std::get<Texts>(table_.columns[at].values).emplace_back(v); }
+  void Append(std::size_t at, const char* v) { std::get<Strings>(table_.columns[at].values).emplace_back(v); }
   template <std::integral T>
   void Append(std::size_t at, T v) {
-    std::get<Wholes>(table_.columns[at].values).push_back(static_cast<std::int64_t>(v));
+    std::get<Integers>(table_.columns[at].values).push_back(static_cast<std::int64_t>(v));
   }
   TextTable table_;
 };
--- a/src/columnar/columnar_file.cpp
+++ b/src/columnar/columnar_file.cpp
@@ -36,11 +36,11 @@
   if (const auto* numbers = std::get_if<Numbers>(&column.values)) {
     H5::DataSet set = group.createDataSet(column.name, H5::PredType::IEEE_F64LE, space, how);
     if (rows > 0) set.write(numbers->data(), H5::PredType::NATIVE_DOUBLE);
-  } else if (const auto* wholes = std::get_if<Wholes>(&column.values)) {
+  } else if (const auto* wholes = std::get_if<Integers>(&column.values)) {
     H5::DataSet set = group.createDataSet(column.name, H5::PredType::STD_I64LE, space, how);
     if (rows > 0) set.write(wholes->data(), H5::PredType::NATIVE_INT64);
   } else {
-    const auto& words = std::get<Texts>(column.values);
+    const auto& words = std::get<Strings>(column.values);
     const H5::StrType type = TextType();
     std::vector<const char*> pointers;
     pointers.reserve(words.size());
@@ -89,7 +89,7 @@
       return {name, std::move(v)};
     }
     case H5T_INTEGER: {
-      Wholes v(n);
+      Integers v(n);
       if (n > 0) set.read(v.data(), H5::PredType::NATIVE_INT64);
       return {name, std::move(v)};
     }
@@ -99,7 +99,7 @@
       std::vector<char*> pointers(n);
       const H5::StrType type = TextType();
       if (n > 0) set.read(pointers.data(), type);
-      Texts v;
+      Strings v;
       v.reserve(n);
       for (const char* p : pointers) v.emplace_back(p == nullptr ? "" : p);
       if (n > 0) H5::DataSet::vlenReclaim(pointers.data(), type, space);
--- a/src/core/connection_pool.cpp
+++ b/src/core/connection_pool.cpp
@@ -80,7 +80,7 @@
   c.response = {};
   c.opening.clear();
   c.first_byte_at = 0;
-  c.tcp->Read();  // it may have been paused for its last client
+  c.tcp->StartReading();  // it may have been paused for its last client
   c.idle_since = Now();
   const Time host_closes_after = core_->config->idle_timeout;
   const Time margin = std::min(kIdleCloseMargin, host_closes_after / 4);
--- a/src/core/dialect.h
+++ b/src/core/dialect.h
@@ -60,7 +60,7 @@
   virtual ~Dialect() = default;
   virtual const char* name() const = 0;
   // Whether the head of a response arrives with its first event, so that one which does not go on is broken.
-  virtual bool HeadComesWithEvent() const = 0;
+  virtual bool SendsHeadWithFirstEvent() const = 0;
   // Once for a request, before its first attempt.
   virtual void Prepare(StreamRequest& request) const = 0;
   // The heads, the empty line included. `time_left` is how long the client still waits.
--- a/src/core/discovery.cpp
+++ b/src/core/discovery.cpp
@@ -186,11 +186,11 @@
     target += "?follow=1&since=" + std::to_string(endpoints_.generation());
   }
   SetTimeout(handle, kResponseTimeout);
-  r->tcp->Read();
+  r->tcp->StartReading();
   if (!r->tcp->Write("GET " + target + " HTTP/1.1\r\nHost: " + address_ + "\r\n\r\n")) Fail(handle, "write");
 }
 
-void Discovery::OnEnded(Handle handle) { Fail(handle, "ended"); }
+void Discovery::OnDisconnected(Handle handle) { Fail(handle, "ended"); }
 
 void Discovery::OnRead(Handle handle, std::string_view bytes) {
   Request* r = requests_.Get(handle);
--- a/src/core/discovery.h
+++ b/src/core/discovery.h
@@ -47,7 +47,7 @@
   // From the sockets.
   void OnConnected(Handle request, int status) override;
   void OnRead(Handle request, std::string_view bytes) override;
-  void OnEnded(Handle request) override;
+  void OnDisconnected(Handle request) override;
 
  private:
   // What a request asks for.
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -74,7 +74,7 @@
   virtual void OnComplete(Handle stream) = 0;
   virtual void OnTruncated(Handle stream) = 0;  // broke after data, before the end
   // A host said that the request itself is wrong: the status and body pass on once.
-  virtual void OnRequestRefused(Handle stream, int status, const std::string& body) = 0;
+  virtual void OnInvalidRequest(Handle stream, int status, const std::string& body) = 0;
   // Asked right before an attempt is written: false if the client has closed its connection, although its end
   // may not have been read yet. The stream is over then.
   virtual bool CheckClientConnected(Handle stream) = 0;
--- a/src/core/streams.cpp
+++ b/src/core/streams.cpp
@@ -191,12 +191,12 @@
   if (StreamSink* sink = Conclude(handle, Conclusion::kFailed, &client)) sink->OnFailed(client, last);
 }
 
-void Streams::OnRequestRefused(Handle handle, int status, const std::string& body) {
+void Streams::OnInvalidRequest(Handle handle, int status, const std::string& body) {
   const Stream* s = streams_.Get(handle);
   if (s == nullptr || s->started) return;
   Handle client = 0;
   if (StreamSink* sink = Conclude(handle, Conclusion::kFailed, &client)) {
-    sink->OnRequestRefused(client, status, body);
+    sink->OnInvalidRequest(client, status, body);
   }
 }
 
--- a/src/core/streams.h
+++ b/src/core/streams.h
@@ -36,7 +36,7 @@
   // `last` is how the last attempt ended.
   virtual void OnFailed(Handle client, policy::Outcome last) = 0;
   // A host said that the request itself is wrong; its own status and body.
-  virtual void OnRequestRefused(Handle client, int status, const std::string& body) = 0;
+  virtual void OnInvalidRequest(Handle client, int status, const std::string& body) = 0;
 };
 
 // One request that has no final response yet.
@@ -71,7 +71,7 @@
   void OnData(Handle stream, std::string_view events) override;
   void OnComplete(Handle stream) override;
   void OnTruncated(Handle stream) override;
-  void OnRequestRefused(Handle stream, int status, const std::string& body) override;
+  void OnInvalidRequest(Handle stream, int status, const std::string& body) override;
   bool CheckClientConnected(Handle stream) override;
 
   // From the decisions.
--- a/src/core/upstream.cpp
+++ b/src/core/upstream.cpp
@@ -136,7 +136,7 @@
   }
   if (status != 0) return Finish(request, Outcome::kConnectFailed);
   c->connected = true;
-  c->tcp->Read();
+  c->tcp->StartReading();
   WriteRequest(handle);
 }
 
@@ -268,7 +268,7 @@
   if (status >= 100 && status < 200) {  // no response yet
     c.first_byte_at = 0;
     SetDeadline(handle, r.response_deadline);
-  } else if (c.first_byte_at == 0 && core_->dialect->HeadComesWithEvent()) {
+  } else if (c.first_byte_at == 0 && core_->dialect->SendsHeadWithFirstEvent()) {
     c.first_byte_at = Now();
     SetDeadline(handle, std::min(r.response_deadline, c.first_byte_at + kFirstEventTimeout));
   }
@@ -320,13 +320,13 @@
   if (paused) {
     c->tcp->StopReading();
   } else {
-    c->tcp->Read();
+    c->tcp->StartReading();
   }
 }
 
 // ---- How a request ends ----
 
-void Upstream::OnEnded(Handle handle) {
+void Upstream::OnDisconnected(Handle handle) {
   const UpstreamConnection* c = connections_.Find(handle);
   if (c == nullptr) return;
   if (c->request == 0) return connections_.Close(handle);
@@ -364,7 +364,7 @@
   rejecting_request_ = true;
   Finish(handle, Outcome::kCancelled);
   rejecting_request_ = false;
-  core_->responses->OnRequestRefused(stream, status, body);
+  core_->responses->OnInvalidRequest(stream, status, body);
 }
 
 // The one outcome of an upstream request. Unless it ended well its connection is closed, and so given up on,
--- a/src/core/upstream.h
+++ b/src/core/upstream.h
@@ -47,7 +47,7 @@
   // From the sockets.
   void OnConnected(Handle connection, int status) override;
   void OnRead(Handle connection, std::string_view bytes) override;
-  void OnEnded(Handle connection) override;
+  void OnDisconnected(Handle connection) override;
 
  private:
   // One attempt or health check, from the decision to send to its outcome.
--- a/src/dialects/openai/openai_dialect.h
+++ b/src/dialects/openai/openai_dialect.h
@@ -16,7 +16,7 @@
   // `api_key`: sent to replicas as a bearer token; empty: none.
   explicit OpenAiDialect(std::string api_key = "") : api_key_(std::move(api_key)) {}
   const char* name() const override { return "openai"; }
-  bool HeadComesWithEvent() const override { return false; }
+  bool SendsHeadWithFirstEvent() const override { return false; }
   // Sees to it that the body asks for a stream and for usage, where a front did not.
   void Prepare(StreamRequest& request) const override;
   std::string RequestHead(const StreamRequest& request, const std::string& host,
--- a/src/dialects/platform/platform_dialect.h
+++ b/src/dialects/platform/platform_dialect.h
@@ -10,7 +10,7 @@
  public:
   explicit PlatformDialect(bool load_reports) : load_reports_(load_reports) {}
   const char* name() const override { return "platform"; }
-  bool HeadComesWithEvent() const override { return true; }
+  bool SendsHeadWithFirstEvent() const override { return true; }
   void Prepare(StreamRequest&) const override {}
   std::string RequestHead(const StreamRequest& request, const std::string& host,
                           policy::Time time_left) const override;
--- a/src/fronts/openai/openai_front.cpp
+++ b/src/fronts/openai/openai_front.cpp
@@ -468,7 +468,7 @@
 }
 
 // The replica's own body is forwarded once, in the API's form whatever the replica spoke.
-void OpenAiFront::OnRequestRefused(Handle connection, int status, const std::string& body) {
+void OpenAiFront::OnInvalidRequest(Handle connection, int status, const std::string& body) {
   if (!open_requests_.contains(connection)) return;
   const OpenRequest open = Settle(connection, Outcome::kRejectedByReplica);
   Log(Level::kWarn, "local-reply", {{"status", status}, {"why", "rejected"}, {"id", open.request_id}});
--- a/src/fronts/openai/openai_front.h
+++ b/src/fronts/openai/openai_front.h
@@ -45,7 +45,7 @@
   void OnTruncated(Handle connection) override;
   void OnRejected(Handle connection, Time retry_after) override;
   void OnFailed(Handle connection, policy::Outcome last) override;
-  void OnRequestRefused(Handle connection, int status, const std::string& body) override;
+  void OnInvalidRequest(Handle connection, int status, const std::string& body) override;
 
  private:
   // An admitted request until its end.
--- a/src/fronts/platform/platform_front.cpp
+++ b/src/fronts/platform/platform_front.cpp
@@ -206,7 +206,7 @@
   downstream_->Reply(connection, 502, "", "");
 }
 
-void PlatformFront::OnRequestRefused(Handle connection, int status, const std::string& body) {
+void PlatformFront::OnInvalidRequest(Handle connection, int status, const std::string& body) {
   Log(Level::kWarn, "local-reply", {{"status", status}, {"why", "rejected"}});
   Forget(connection);
   downstream_->Reply(connection, status, "Content-Type: application/json\r\n", body);
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -35,7 +35,7 @@
 }
 
 void HotRestart::Start() {
-  if (!lease_file_.is_holder() && state_file_.on())
+  if (!lease_file_.is_holder() && state_file_.enabled())
     Log(Level::kWarn, "hand-over-off", {{"why", "two processes of this node run, or no TMPDIR"}});
   UpdateLease();
   if (!sibling_.alive) {
--- a/src/http/acceptor.cpp
+++ b/src/http/acceptor.cpp
@@ -63,13 +63,13 @@
 
 void Acceptor::Stop() {
   if (!listener_.listening() || stopping_) return;
-  listener_.StopNew();
+  listener_.DropNewConnections();
   stopping_ = true;
   runtime_->deadlines->Set(Now() + kHandshakeTime, [this] { AcceptWaitingAndClose(); });
 }
 
 void Acceptor::StopNow() {
-  listener_.StopNew();
+  listener_.DropNewConnections();
   AcceptWaitingAndClose();
 }
 
--- a/src/http/blocking_client.cpp
+++ b/src/http/blocking_client.cpp
@@ -49,10 +49,10 @@
   if (!from.empty()) {
     if (!ParseAddress(from + ":0", &source)) throw std::runtime_error(from + " is not an address");
     const auto* own = reinterpret_cast<const sockaddr*>(&source);
-    if (bind(s.fd, own, LengthOf(own)) != 0) throw error_at("bind", errno);
+    if (bind(s.fd, own, SockaddrLength(own)) != 0) throw error_at("bind", errno);
   }
   const auto* peer = reinterpret_cast<const sockaddr*>(&to);
-  if (connect(s.fd, peer, LengthOf(peer)) != 0) throw error_at("connect", errno);
+  if (connect(s.fd, peer, SockaddrLength(peer)) != 0) throw error_at("connect", errno);
   const std::string request =
       method + " " + path + " HTTP/1.1\r\nHost: " + address + "\r\nConnection: close\r\n" +
       (method == "GET" ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n") + "\r\n" + body;
--- a/src/http/downstream.cpp
+++ b/src/http/downstream.cpp
@@ -53,12 +53,12 @@
   c.excess = excess;
   c.idle_since = Now();
   if (!c.tcp->Open(fd)) return CloseConnection(handle, CloseReason::kWriteFailed);
-  if (options_.admits && !options_.admits(c.tcp->Peer())) {
+  if (options_.admits && !options_.admits(c.tcp->PeerAddress())) {
     Log(Level::kWarn, "client-not-admitted");
     return CloseConnection(handle, CloseReason::kNotAdmitted);
   }
   SetRequestDeadline(handle, Now() + options_.request_timeout);
-  c.tcp->Read();
+  c.tcp->StartReading();
 }
 
 void Downstream::SetMaxConnections(std::size_t max_connections) {
@@ -135,7 +135,7 @@
   if (response_owed) front_->OnClientDisconnected(handle);
 }
 
-void Downstream::OnEnded(Handle handle) { LoseClient(handle, CloseReason::kClientEnded); }
+void Downstream::OnDisconnected(Handle handle) { LoseClient(handle, CloseReason::kClientEnded); }
 
 // Ends an idle connection in order: the client gets the end behind every byte of its last response, and
 // closes. A request that crosses the end stays unread, so that its client may send it again on another
@@ -147,7 +147,7 @@
   c.idle_since = Now();
   c.keep_alive = false;
   c.tcp->StopReading();
-  c.tcp->EndWriting();
+  c.tcp->ShutdownWrite();
   SetLingerDeadline(handle);
   WatchForEndWhileClosing(handle);
 }
@@ -423,7 +423,7 @@
 
 sockaddr_storage Downstream::PeerOf(Handle handle) const {
   const Client* c = clients_.Get(handle);
-  return c == nullptr ? sockaddr_storage{} : c->tcp->Peer();
+  return c == nullptr ? sockaddr_storage{} : c->tcp->PeerAddress();
 }
 
 bool Downstream::Connected(Handle handle) const {
@@ -441,14 +441,14 @@
     c.congested = false;
     c.unparsed.clear();
     c.arrivals = {};
-    c.tcp->Read();
-    c.tcp->EndWriting();
+    c.tcp->StartReading();
+    c.tcp->ShutdownWrite();
     return SetLingerDeadline(handle);
   }
   c.state = State::kIdle;
   c.parser.Reset();
   SetRequestDeadline(handle, c.idle_since + kIdleTimeout);
-  c.tcp->Read();
+  c.tcp->StartReading();
   if (!c.unparsed.empty()) ParseInput(handle);
 }
 
--- a/src/http/downstream.h
+++ b/src/http/downstream.h
@@ -86,7 +86,7 @@
 
   // From the sockets.
   void OnRead(Handle connection, std::string_view bytes) override;
-  void OnEnded(Handle connection) override;
+  void OnDisconnected(Handle connection) override;
   void OnDrained(Handle connection) override;
 
  private:
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -308,7 +308,7 @@
   }
   if (++datagrams_this_second_ > kMaxDatagramsASecond) return CountDropped("too-many");
   sockaddr_storage peer{};
-  std::copy_n(reinterpret_cast<const char*>(from), LengthOf(from), reinterpret_cast<char*>(&peer));
+  std::copy_n(reinterpret_cast<const char*>(from), SockaddrLength(from), reinterpret_cast<char*>(&peer));
   if (!networks_.Contains(peer)) return CountDropped("networks");
   const char* why = "";
   const std::optional<Message> message = Decode(bytes, &why);
--- a/src/membership/push_pull_connections.cpp
+++ b/src/membership/push_pull_connections.cpp
@@ -50,7 +50,7 @@
   Exchange* exchange = exchanges_.Get(handle);
   if (exchange == nullptr) return;
   if (status != 0) return End(handle, false);
-  exchange->tcp->Read();
+  exchange->tcp->StartReading();
   if (!WriteMessage(exchange)) End(handle, false);
 }
 
@@ -60,9 +60,9 @@
   exchange->tcp = Tcp::New(runtime_->loop, runtime_->buffers, this, handle);
   ++in_;
   if (!exchange->tcp->Accept(listener) || in_ > kMaxIn) return End(handle, false);
-  if (!networks_->Contains(exchange->tcp->Peer())) return Reject(handle, "networks");
+  if (!networks_->Contains(exchange->tcp->PeerAddress())) return Reject(handle, "networks");
   SetDeadline(handle, exchange);
-  exchange->tcp->Read();
+  exchange->tcp->StartReading();
 }
 
 void PushPullConnections::OnRead(Handle handle, std::string_view bytes) {
@@ -91,10 +91,10 @@
 void PushPullConnections::OnDrained(Handle handle) {
   Exchange* exchange = exchanges_.Get(handle);
   // The other side closes once it has read all; the deadline guards against one that does not.
-  if (exchange != nullptr && exchange->answered) exchange->tcp->EndWriting();
+  if (exchange != nullptr && exchange->answered) exchange->tcp->ShutdownWrite();
 }
 
-void PushPullConnections::OnEnded(Handle handle) {
+void PushPullConnections::OnDisconnected(Handle handle) {
   const Exchange* exchange = exchanges_.Get(handle);
   if (exchange != nullptr) End(handle, exchange->answered);
 }
--- a/src/membership/push_pull_connections.h
+++ b/src/membership/push_pull_connections.h
@@ -50,7 +50,7 @@
 
   void OnConnected(Handle handle, int status) override;
   void OnRead(Handle handle, std::string_view bytes) override;
-  void OnEnded(Handle handle) override;
+  void OnDisconnected(Handle handle) override;
   void OnDrained(Handle handle) override;
 
  private:
--- a/src/rollout/report_model.cpp
+++ b/src/rollout/report_model.cpp
@@ -177,19 +177,19 @@
 }
 
 TextTable ComparisonColumns(const std::vector<RecordedRound>& rounds) {
-  Rows rows("comparisons", {{"at_seconds", Numbers{}},
-                            {"course", Texts{}},
-                            {"stage", Wholes{}},
-                            {"class", Texts{}},
-                            {"what", Texts{}},
-                            {"n_new", Numbers{}},
-                            {"n_old", Numbers{}},
-                            {"new", Numbers{}},
-                            {"old", Numbers{}},
-                            {"difference", Numbers{}},
-                            {"half", Numbers{}},
-                            {"allowed", Numbers{}},
-                            {"worse", Wholes{}}});
+  TableBuilder rows("comparisons", {{"at_seconds", Numbers{}},
+                                    {"course", Strings{}},
+                                    {"stage", Integers{}},
+                                    {"class", Strings{}},
+                                    {"what", Strings{}},
+                                    {"n_new", Numbers{}},
+                                    {"n_old", Numbers{}},
+                                    {"new", Numbers{}},
+                                    {"old", Numbers{}},
+                                    {"difference", Numbers{}},
+                                    {"half", Numbers{}},
+                                    {"allowed", Numbers{}},
+                                    {"worse", Integers{}}});
   for (const RecordedRound& round : rounds) {
     for (const CohortComparison& c : round.comparisons)
       rows.Add(round.at - rounds.front().at, round.state, round.stage, c.class_name, c.metric, c.new_requests,
--- a/src/timeline/export_model.cpp
+++ b/src/timeline/export_model.cpp
@@ -13,31 +13,31 @@
 
 std::vector<TextTable> TimelineTables(const ReplicaTimelines& timelines) {
   const auto ms = [](Time t) { return t / 1000; };
-  Rows bins("bins", {{"start_ms", Wholes{}},
-                     {"replica", Texts{}},
-                     {"sent", Wholes{}},
-                     {"served", Wholes{}},
-                     {"failed", Wholes{}},
-                     {"full", Wholes{}},
-                     {"cancelled", Wholes{}},
-                     {"first_token_mean_ms", Numbers{}},
-                     {"first_token_most_ms", Numbers{}},
-                     {"in_flight_most", Wholes{}},
-                     {"load", Numbers{}},
-                     {"load_age_s", Numbers{}},
-                     {"state", Texts{}}});
-  Rows states("states", {{"replica", Texts{}},
-                         {"from_ms", Wholes{}},
-                         {"to_ms", Wholes{}},
-                         {"state", Texts{}},
-                         {"last_known", Texts{}},
-                         {"why", Texts{}}});
-  Rows rests("rests", {{"replica", Texts{}},
-                       {"from_ms", Wholes{}},
-                       {"until_ms", Wholes{}},
-                       {"outcome", Texts{}},
-                       {"failures", Wholes{}}});
-  Rows marks("marks", {{"at_ms", Wholes{}}, {"replica", Texts{}}, {"what", Texts{}}});
+  TableBuilder bins("bins", {{"start_ms", Integers{}},
+                             {"replica", Strings{}},
+                             {"sent", Integers{}},
+                             {"served", Integers{}},
+                             {"failed", Integers{}},
+                             {"full", Integers{}},
+                             {"cancelled", Integers{}},
+                             {"first_token_mean_ms", Numbers{}},
+                             {"first_token_most_ms", Numbers{}},
+                             {"in_flight_most", Integers{}},
+                             {"load", Numbers{}},
+                             {"load_age_s", Numbers{}},
+                             {"state", Strings{}}});
+  TableBuilder states("states", {{"replica", Strings{}},
+                                 {"from_ms", Integers{}},
+                                 {"to_ms", Integers{}},
+                                 {"state", Strings{}},
+                                 {"last_known", Strings{}},
+                                 {"why", Strings{}}});
+  TableBuilder rests("rests", {{"replica", Strings{}},
+                               {"from_ms", Integers{}},
+                               {"until_ms", Integers{}},
+                               {"outcome", Strings{}},
+                               {"failures", Integers{}}});
+  TableBuilder marks("marks", {{"at_ms", Integers{}}, {"replica", Strings{}}, {"what", Strings{}}});
   for (const Annotation& m : timelines.annotations()) marks.Add(ms(m.at), "", m.text);
   for (const auto& [id, replica] : timelines.replicas()) {
     const std::string title = replica.Title();
@@ -55,33 +55,33 @@
       rests.Add(title, ms(r.from), ms(r.until), ryeglade::Name(r.outcome), r.consecutive_failures);
     for (const Annotation& m : replica.annotations) marks.Add(ms(m.at), title, m.text);
   }
-  Rows fleet("fleet", {{"start_ms", Wholes{}},
-                       {"arrived", Wholes{}},
-                       {"sent", Wholes{}},
-                       {"served", Wholes{}},
-                       {"refused", Wholes{}},
-                       {"failed", Wholes{}},
-                       {"client_gone", Wholes{}},
-                       {"counted_not_kept", Wholes{}}});
+  TableBuilder fleet("fleet", {{"start_ms", Integers{}},
+                               {"arrived", Integers{}},
+                               {"sent", Integers{}},
+                               {"served", Integers{}},
+                               {"refused", Integers{}},
+                               {"failed", Integers{}},
+                               {"client_gone", Integers{}},
+                               {"counted_not_kept", Integers{}}});
   for (const auto& [n, f] : timelines.fleet())
     fleet.Add(ms(timelines.BinStart(n)), f.arrived, f.sent, f.served, f.rejected, f.failed, f.disconnected,
               f.coalesced);
-  Rows events("events", {{"at_ms", Wholes{}},
-                         {"number", Wholes{}},
-                         {"what", Texts{}},
-                         {"kind", Texts{}},
-                         {"replica", Texts{}},
-                         {"since_ms", Wholes{}},
-                         {"before", Numbers{}},
-                         {"during", Numbers{}},
-                         {"peers", Numbers{}}});
+  TableBuilder events("events", {{"at_ms", Integers{}},
+                                 {"number", Integers{}},
+                                 {"what", Strings{}},
+                                 {"kind", Strings{}},
+                                 {"replica", Strings{}},
+                                 {"since_ms", Integers{}},
+                                 {"before", Numbers{}},
+                                 {"during", Numbers{}},
+                                 {"peers", Numbers{}}});
   for (const Anomaly& u : timelines.anomalies()) {
     events.Add(ms(u.now), u.number, u.begins ? "begins" : "ends", Name(u.kind),
                u.fleet ? std::string("fleet") : timelines.ReplicaTitle(u.replica), ms(u.since), u.baseline,
                u.during, u.peers);
   }
   std::vector<TextTable> sheets;
-  for (Rows* r : {&bins, &fleet, &states, &rests, &events, &marks}) sheets.push_back(r->Take());
+  for (TableBuilder* r : {&bins, &fleet, &states, &rests, &events, &marks}) sheets.push_back(r->Take());
   return sheets;
 }
 
--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -81,7 +81,7 @@
     return yes;
   };
   EXPECT_TRUE(connects());
-  listener.StopNew();
+  listener.DropNewConnections();
   EXPECT_FALSE(connects());
   int error = 0;
   const int waiting = listener.Accept(&error);
@@ -183,7 +183,7 @@
 struct NoOwner : TcpOwner {
   void OnConnected(Handle, int) override {}
   void OnRead(Handle, std::string_view) override {}
-  void OnEnded(Handle) override {}
+  void OnDisconnected(Handle) override {}
 };
 
 // What the kernel has taken may reach the peer: it is not unsent, whether or not libuv has reported it yet.
