--- a/src/core/connection_pool.cpp
+++ b/src/core/connection_pool.cpp
@@ -7,9 +7,9 @@
 namespace ryeglade {
 namespace {
 
-constexpr Time kIdleCloseMargin = 500'000;  // idle connections go this long before the host closes them
-constexpr Time kMinIdleTime =
-    10'000;  // a returned connection is not used again before it was quiet this long
+// Microseconds.
+constexpr Time kIdleCloseMargin = 500'000;  // idle connections are closed this long before the host does it
+constexpr Time kMinIdleTime = 10'000;       // a connection must be idle for this long before it is reused
 
 }  // namespace
 
@@ -32,8 +32,8 @@
   return {0, -error};  // libuv's codes are errno's values, negated
 }
 
-// Guards against running out of descriptors: the connection that has been idle longest goes first. False:
-// none is idle.
+// Closes the connection that has been idle longest, so that the process does not run out of descriptors.
+// Returns false if no connection is idle.
 bool ConnectionPool::EvictIdleConnection() {
   Handle oldest = 0;
   Time oldest_since = 0;
@@ -50,8 +50,9 @@
   return true;
 }
 
-// Guards against taking for this request's response a second response that came right behind the last one:
-// the connection must have been quiet for a moment, and nothing, not even its end, may wait to be read.
+// A host may send a second response right after the previous one, and it must not be taken for the response
+// to this request. So a connection is used only if it has been idle for a moment and nothing, not even the
+// end of the stream, is waiting to be read.
 Handle ConnectionPool::TakeIdle(ReplicaId host) {
   const auto found = idle_.find(host);
   if (found == idle_.end()) return 0;
@@ -60,27 +61,29 @@
     const Handle handle = idle[n];
     const UpstreamConnection* c = connections_.Get(handle);
     if (c == nullptr || Now() - c->idle_since < kMinIdleTime) continue;
-    // A process that was stopped for a while may look here before the deadline that ends the connection has
-    // been swept; a host that has forgotten the connection sends nothing that would show it.
+    // After the process was stopped for a while, the deadline that closes the connection may have passed
+    // without having been run yet. A host that has dropped the connection need not send anything that shows
+    // it.
     if (Now() < c->deadline.at && c->tcp->NothingToRead()) {
       idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(n));
       return handle;
     }
-    Close(handle);  // it takes itself out of the list
+    Close(handle);  // also removes the handle from `idle`
   }
   return 0;
 }
 
-// Guards against a request that crosses the host's own close: it would end as a reset.
+// Closes the connection before the host's own idle timeout: a request sent just as the host closes the
+// connection would fail with a reset.
 void ConnectionPool::Return(Handle handle) {
   UpstreamConnection& c = *connections_.Get(handle);
   if (!hosts_->Contains(c.host)) return Close(handle);
   c.request = 0;
   c.request_written = false;
   c.response = {};
-  c.opening.clear();
+  c.buffered_body.clear();
   c.first_byte_at = 0;
-  c.tcp->StartReading();  // it may have been paused for its last client
+  c.tcp->StartReading();  // reading may have been paused for the previous client
   c.idle_since = Now();
   const Time host_closes_after = core_->config->idle_timeout;
   const Time margin = std::min(kIdleCloseMargin, host_closes_after / 4);
--- a/src/core/connection_pool.h
+++ b/src/core/connection_pool.h
@@ -1,5 +1,6 @@
-// Connections to upstream hosts: opened for a request, returned once its response is complete, and used
-// again. The pool owns the sockets; their events go to `owner`, by the connection's handle.
+// Pool of connections to upstream hosts. A connection is opened for a request, returned to the pool once the
+// response is complete, and reused. The pool owns the sockets; their events go to `owner`, which is given the
+// connection's handle.
 #pragma once
 
 #include <cstddef>
@@ -19,44 +20,45 @@
 struct UpstreamConnection {
   ReplicaId host = 0;
   Tcp* tcp = nullptr;
-  ResponseParser response;  // to the current request
-  std::string opening;      // body bytes kept back until there is a complete event
-  bool connected = false;
-  bool request_written = false;  // the complete request was handed to the socket
-  Time idle_since = 0;
-  Time first_byte_at = 0;  // of the current response; 0: none yet
-  DeadlineId deadline;     // to be connected; in the pool: to be closed
-  Handle request = 0;      // 0: idle, in the pool
+  ResponseParser response;       // parses the response to the current request
+  std::string buffered_body;     // body bytes that are not passed on yet, because no event is complete
+  bool connected = false;        // the TCP connection is established
+  bool request_written = false;  // the complete request has been passed to the socket
+  Time idle_since = 0;           // when it was returned to the pool
+  Time first_byte_at = 0;        // when the first byte of the current response arrived; 0 before that
+  DeadlineId deadline;  // while connecting: the connect timeout; in the pool: when the connection is closed
+  Handle request = 0;   // the request that uses the connection; 0 if it is idle in the pool
 };
 
-// Not thread-safe; all callbacks come on the loop.
+// Not thread-safe; all callbacks run on the event loop.
 class ConnectionPool {
  public:
-  // None is owned. `max_connections` counts those in use and those that are idle.
+  // The pointers are not owned. `max_connections` limits the connections in use and idle together.
   ConnectionPool(Core* core, const UpstreamHostTable* hosts, TcpOwner* owner, std::size_t max_connections)
       : core_(core), hosts_(hosts), owner_(owner), max_connections_(max_connections) {}
 
-  // Null: closed meanwhile.
+  // Returns nullptr if the connection has been closed.
   UpstreamConnection* Find(Handle connection) { return connections_.Get(connection); }
   const UpstreamConnection* Find(Handle connection) const { return connections_.Get(connection); }
 
-  // A connection that is being opened, or why it can't be, as an errno value.
+  // Result of Open: the handle of the connection that is being opened, or an errno value.
   struct OpenResult {
     Handle connection = 0;
     int error = 0;
   };
-  // To a host that the table lists. `on_timeout` is called if the connection is still there but not up after
-  // the connect timeout.
+  // Opens a connection to a host, which must be in the host table. `on_timeout` is called if the connection
+  // still exists but is not established after the connect timeout.
   OpenResult Open(ReplicaId host, Handle request, std::function<void(Handle)> on_timeout);
-  // The idle connection of this host that was used last, no longer in the pool; 0: none that may be used.
+  // Takes the most recently used idle connection to this host out of the pool. Returns 0 if none can be used.
   Handle TakeIdle(ReplicaId host);
-  // Its response is complete: the connection goes to the pool, and is closed some time before the host would.
+  // Puts a connection whose response is complete back into the pool, where it is closed shortly before the
+  // host would close it.
   void Return(Handle connection);
-  void Close(Handle connection);  // in whatever state; a closed one is passed over
+  void Close(Handle connection);  // in any state; does nothing if it is closed already
   void CloseIdle(ReplicaId host);
   void CloseAll();
 
-  // Idle connections over the limit are closed as others are opened.
+  // If the limit is lowered, surplus idle connections are closed only as others are opened.
   void SetMaxConnections(std::size_t max_connections) { max_connections_ = max_connections; }
   std::size_t size() const { return connections_.size(); }
 
@@ -68,7 +70,7 @@
   TcpOwner* owner_;
   std::size_t max_connections_;
   SlotTable<UpstreamConnection> connections_;
-  std::map<ReplicaId, std::vector<Handle>> idle_;  // by host, the one used last at the end
+  std::map<ReplicaId, std::vector<Handle>> idle_;  // by host; the most recently used connection is last
 };
 
 }  // namespace ryeglade
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,5 +1,5 @@
-// What the parts of the core share: the runtime, the configuration, and each other by port. The node puts it
-// together.
+// What the components of the core share: the runtime, the configuration, and the interfaces (ports) by which
+// they call each other. The node fills it in.
 #pragma once
 
 #include "base/runtime.h"
@@ -10,10 +10,10 @@
 
 namespace ryeglade {
 
-// Nothing is owned here; all of it outlives its parts' use of it.
+// Nothing is owned here; everything outlives the components that use it.
 struct Core : Runtime {
   const Config* config = nullptr;
-  Dialect* dialect = nullptr;  // that the upstream hosts speak
+  Dialect* dialect = nullptr;  // protocol of the upstream hosts
   EventPort* events = nullptr;
   ConclusionPort* conclusions = nullptr;
   ResponsePort* responses = nullptr;
@@ -21,9 +21,9 @@
   UpstreamRequestPort* upstream_requests = nullptr;
   UpstreamHostPort* hosts = nullptr;
   EndpointDiscoveryPort* discovery = nullptr;
-  StreamObserver* stream_observer = nullptr;      // null: nobody observes, at no cost
-  EndpointObserver* endpoint_observer = nullptr;  // the same
-  NodeCounters* counters = nullptr;  // what was done, for the counters; never null once put together
+  StreamObserver* stream_observer = nullptr;      // nullptr if there is no observer
+  EndpointObserver* endpoint_observer = nullptr;  // nullptr if there is no observer
+  NodeCounters* counters = nullptr;               // never nullptr once the node has filled this in
   const RetrySafetyPort* retry_safety = nullptr;
 };
 
--- a/src/core/decisions.h
+++ b/src/core/decisions.h
@@ -1,5 +1,6 @@
-// The only caller of the decision module. Events are passed to it one at a time in the order posted, and the
-// module's actions are carried out in the order given; what they cause is posted behind them.
+// The only caller of the decision module. Events are passed to it one at a time in the order posted, and its
+// actions are executed in the order returned. Events that an action causes are queued behind those already
+// posted.
 #pragma once
 
 #include <deque>
@@ -10,14 +11,13 @@
 
 namespace ryeglade {
 
-// Posting from within an action is allowed: the event waits for its turn.
+// Post may be called while an action is executed: the event is queued.
 class Decisions : public EventPort, public RetrySafetyPort, private policy::DecisionObserver {
  public:
   explicit Decisions(Core* core);
   void Post(policy::Event event) override;
   bool IsSafeToRetry(Handle stream) const override { return router_.may_reject(stream); }
-  // Recorders and the observer of reasons are not owned, and come before the first event. Without any there
-  // is no cost.
+  // Recorders and the observer are not owned and must be set before the first event.
   void AddRecorder(DecisionRecorder* recorder);
   void SetObserver(policy::DecisionObserver* observer) { observer_ = observer; }
   const policy::Router& router() const { return router_; }
@@ -28,7 +28,8 @@
  private:
   void Execute(const policy::Action& action);
 
-  // Reasons: each rejection and failure is logged, and all are passed on to the observer, if there is one.
+  // The module's reasons: each rejection and failure is logged, and all records are passed on to the
+  // observer, if there is one.
   bool wants_dispatches() const override { return observer_ != nullptr && observer_->wants_dispatches(); }
   void OnDispatch(const policy::DispatchRecord& record) override;
   void OnConclusion(const policy::ConclusionRecord& record) override;
@@ -39,9 +40,9 @@
   std::vector<DecisionRecorder*> recorders_;
   policy::DecisionObserver* observer_ = nullptr;
   policy::Router router_;
-  std::deque<policy::Event> events_;     // posted and not yet passed to the module
-  std::vector<policy::Action> actions_;  // of the event being handled
-  bool handling_ = false;                // an event is being handled: others wait
+  std::deque<policy::Event> events_;     // posted but not yet passed to the module
+  std::vector<policy::Action> actions_;  // returned for the event being handled
+  bool handling_ = false;                // an event is being handled; further ones are queued
 };
 
 }  // namespace ryeglade
--- a/src/core/dialect.h
+++ b/src/core/dialect.h
@@ -1,5 +1,5 @@
-// What a protocol that upstream hosts speak has to tell: how a request is written, and what a response means.
-// HTTP's own framing, connections and timeouts are the upstream's; a dialect does no I/O.
+// Interface of a dialect, a protocol that upstream hosts speak: how a request is written, and what a response
+// means. HTTP framing, connections and timeouts are handled by Upstream; a dialect does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,56 +14,61 @@
 
 struct StreamRequest;
 
-// What a complete response comes to.
+// How a complete response is classified.
 struct ResponseResult {
   policy::Outcome outcome = policy::Outcome::kError;
-  bool client_fault = false;     // the request itself is wrong: status and body pass on, nobody else is asked
-  policy::Time retry_after = 0;  // how long the host asks to be left alone, microseconds; 0: it doesn't
+  // The request itself is invalid: status and body go to the client, and it is not retried at another host.
+  bool client_fault = false;
+  policy::Time retry_after = 0;  // how long the host asks to wait, microseconds; 0 if it does not ask
 };
 
-// What a response tells beside its events.
+// What a response contains besides its events.
 struct ResponseMetadata {
-  double cached_tokens = 0;  // of the prompt, found in the host's cache
-  std::string load_report;   // "name=value,..."; empty: none
+  double cached_tokens = 0;  // prompt tokens that were found in the host's cache
+  std::string load_report;   // "name=value,..."; empty if the response has no report
 };
 
-// Reads one response, from its head on.
+// Reads one response: its headers, then its body.
 class ResponseReader {
  public:
-  // What some bytes of a stream say of it.
+  // State of a stream after some of its bytes were read.
   enum class StreamStatus : std::uint8_t {
-    kKeepAlive,  // nothing of the stream's own: padding that keeps a connection alive
-    kProgress,   // the stream goes on
-    kInvalid,    // this can't be, or has ceased to be, a stream that may be passed on
+    kKeepAlive,  // only padding that keeps the connection alive, no content
+    kProgress,   // content was received
+    kInvalid,    // not a valid stream, or no longer one: nothing more of it may be passed on
   };
 
   virtual ~ResponseReader() = default;
   virtual void OnHeader(const std::string& name, const std::string& value) = 0;
-  // Bytes of the body, as they come: of any response to OnBody, then of a stream to OnStream too.
+  // Take the body bytes as they arrive. OnBody gets those of every response; for a stream, OnStream is then
+  // called with the same bytes.
   virtual void OnBody(std::string_view bytes) = 0;
   virtual StreamStatus OnStream(std::string_view bytes) = 0;
-  virtual bool has_event() const = 0;  // a complete event has come
-  // The response is complete. A response to a health check has no events.
+  virtual bool has_event() const = 0;  // whether a complete event has been received
+  // Called once the response is complete. A response to a health check has no events.
   virtual ResponseResult Result(int status, bool health_check) const = 0;
-  // May be asked at any time: what has been read so far.
+  // What has been read so far; may be called at any time.
   virtual ResponseMetadata Metadata(bool health_check) const = 0;
   virtual std::string error_body() const { return ""; }
 };
 
-// The number that follows `name` last in the text. Names that a response's own text contains are quoted there
-// with backslashes, so they do not match. Absent: no such name; 0: no number behind it.
+// Returns the number after the last occurrence of `name`, 0 if no number follows it, and nullopt if the text
+// does not contain `name`. Give `name` with its quotes: in generated text within the response quotes are
+// escaped with backslashes, so such text does not match.
 std::optional<double> FindLastNumber(std::string_view text, std::string_view name);
 
-// One protocol; the same object for all requests.
+// One protocol. One object serves all requests.
 class Dialect {
  public:
   virtual ~Dialect() = default;
   virtual const char* name() const = 0;
-  // Whether the head of a response arrives with its first event, so that one which does not go on is broken.
+  // Whether hosts send the head of a response together with its first event, so that a response whose head is
+  // not followed by an event has failed.
   virtual bool SendsHeadWithFirstEvent() const = 0;
-  // Once for a request, before its first attempt.
+  // Called once for each request, before its first attempt.
   virtual void Prepare(StreamRequest& request) const = 0;
-  // The heads, the empty line included. `time_left` is how long the client still waits.
+  // Return the request head including the empty line at its end. `time_left` is the rest of the client's time
+  // budget.
   virtual std::string RequestHead(const StreamRequest& request, const std::string& host,
                                   policy::Time time_left) const = 0;
   virtual std::string HealthCheckHead(const std::string& host) const = 0;
--- a/src/core/disabled_replicas_model.cpp
+++ b/src/core/disabled_replicas_model.cpp
@@ -47,12 +47,12 @@
   };
   const auto header = next_line();
   if (!header || header->substr(0, kHeader.size()) != kHeader)
-    return fail("not a holds file of this version");
-  if (header->substr(kHeader.size()) != node) return fail("of another node");
+    return fail("not a ryeglade-holds file of version 1");
+  if (header->substr(kHeader.size()) != node) return fail("belongs to another node");
   DisabledReplicas replicas;
   for (std::size_t n = 0;; ++n) {
     const auto line = next_line();
-    if (!line) return fail("torn: no end");
+    if (!line) return fail("truncated: no 'end' line");
     if (*line == "end") break;
     if (n == kMaxNames) return fail("too many names");
     const std::size_t first_space = line->find(' ');
@@ -65,7 +65,7 @@
     std::int64_t at = 0;
     const auto [end, parse_error] = std::from_chars(number.data(), number.data() + number.size(), at);
     if (parse_error != std::errc() || end != number.data() + number.size() || at < 0 || !IsPlainName(name)) {
-      return fail("a name or time is not plain");
+      return fail("invalid name or time");
     }
     if (keyword == "out") {
       replicas.disabled[name] = at;
@@ -75,7 +75,7 @@
       return fail("a line is not 'out|back NAME TIME'");
     }
   }
-  if (!rest.empty()) return fail("more behind the end");
+  if (!rest.empty()) return fail("data after the 'end' line");
   return replicas;
 }
 
--- a/src/core/disabled_replicas_model.h
+++ b/src/core/disabled_replicas_model.h
@@ -1,5 +1,5 @@
-// DisabledReplicas: the replicas that operators have disabled by hand, and those they enabled again, as one
-// text that passes from one process of a node to the next over a hot restart. Pure: no I/O, no clock.
+// DisabledReplicas: the replicas that operators have disabled or enabled again, and its text form, in which
+// one process of a node hands it to the next on a hot restart. Pure: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -9,21 +9,20 @@
 
 namespace ryeglade {
 
-// What operators have said, by the names of instances.
+// Replicas that operators disabled or enabled again. The keys are instance names, the values times in
+// microseconds (Unix time).
 struct DisabledReplicas {
-  // By instance name: since when, microseconds, Unix time.
-  std::map<std::string, std::int64_t> disabled;
-  // Enabled again, and when: they count as started then.
-  std::map<std::string, std::int64_t> enabled;
+  std::map<std::string, std::int64_t> disabled;  // disabled since
+  std::map<std::string, std::int64_t> enabled;   // enabled again at; this counts as the replica's start
 
   bool operator==(const DisabledReplicas&) const = default;
 };
 
-// The stored form: "ryeglade-holds 1 NODE", a line "out NAME TIME" (disabled) or "back NAME TIME" (enabled
-// again) each, and "end". Names contain no white space; one that does is left out.
+// Returns the stored form: "ryeglade-holds 1 NODE", one line "out NAME TIME" (disabled) or "back NAME TIME"
+// (enabled again) for each replica, and "end". A name that contains white space is left out.
 std::string EncodeDisabledReplicas(const DisabledReplicas& replicas, const std::string& node);
-// Null where the text is not complete, is of another node or version, or says anything else: it is then not
-// used at all. `error` says what was wrong.
+// Returns nullopt, with the reason in `error`, if the text is incomplete, belongs to another node, has
+// another version or contains anything unexpected. Nothing of such a text is used.
 std::optional<DisabledReplicas> DecodeDisabledReplicas(const std::string& text, const std::string& node,
                                                        std::string* error);
 
--- a/src/core/discovery.cpp
+++ b/src/core/discovery.cpp
@@ -10,18 +10,19 @@
 using policy::EndpointList;
 using policy::EndpointListScope;
 
-// Changes count as told 6 s after a watch fell silent, whether they arrived or not. Within that must fit: the
-// silence itself, a wait of the module (0.3 s at most after a first failure), a request that fails at its
-// limit, a second wait (0.6 s), and a request that is answered at its limit. Discovery gives up on requests
-// after 1 s.
+// All microseconds. Once a watch has been silent for 6 s, discovery counts changes as delivered whether they
+// arrived or not. The following must fit into that time: the silence itself, a delay by the decision module
+// (at most 0.3 s after a first failure), a request that fails at its timeout, a second delay (0.6 s), and a
+// request that is answered just within its timeout. Discovery gives up on requests after 1 s.
 constexpr Time kConnectTimeout = 700'000;
 constexpr Time kResponseTimeout = 1'200'000;
-constexpr Time kWatchIdleTimeout = 2'500'000;  // an idle watch says something every 2 s
-constexpr Time kSwitchRetryDelay = 250'000;    // and up to twice that
-constexpr Time kWatchRetryDelay = 200'000;     // and up to twice that
+constexpr Time kWatchIdleTimeout = 2'500'000;  // discovery sends a heartbeat on an idle watch every 2 s
+constexpr Time kSwitchRetryDelay = 250'000;    // minimum; the delay is less than twice this
+constexpr Time kWatchRetryDelay = 200'000;     // minimum; the delay is less than twice this
 constexpr std::size_t kMaxListBytes = std::size_t{8} * 1024 * 1024;
 
-// Spread over all nodes' clocks: they are told alike, and should not come back all at once.
+// Jitter taken from the clock: all nodes lose their watch at the same time and should not retry at the same
+// time.
 Time RetryAt(Time delay) { return Now() + delay + Now() % delay; }
 
 }  // namespace
@@ -35,7 +36,7 @@
 }
 
 void Discovery::Watch(bool enabled) {
-  // A change of address that the module knows nothing of may have come first.
+  // The address may already have been switched, which the decision module does not know.
   if (enabled && (switch_poll_ != 0 || (watch_ != 0 && !address_is_new_))) return;
   Close(watch_);
   watch_ = 0;
@@ -68,8 +69,9 @@
   if (address == address_) return;
   address_ = address;
   address_is_new_ = true;
-  // At once: what the module waits for, if it does, is the old address, and it may wait for seconds. But a
-  // process that waits for its predecessor's list has nothing yet that a newer list could be compared with.
+  // Start at once: if the decision module is delaying a retry, it is for the old address and may take
+  // seconds. But before the cached list is loaded (a process may be waiting for its predecessor's) there is
+  // nothing yet that a newer list could be compared with.
   if (cached_list_loaded_) StartSwitch();
 }
 
@@ -130,7 +132,7 @@
   if (handle == switch_poll_) switch_poll_ = 0;
   Close(handle);
   if (was_previous_watch) return;
-  // While the watch at the old address goes on, the module need not hear of it.
+  // While the watch at the old address is open, the decision module is not told of the failure.
   if (kind == RequestKind::kSwitchPoll && watch_ != 0) return RetrySwitch();
   ReportFailure(source, reason);
   core_->events->Post(EndpointList{EndpointListScope::kFailed, 0, {}});
@@ -218,7 +220,7 @@
     const bool is_list = found == Found::kObject;
     if (is_list && !ApplyWatchEvent(handle, object)) return Fail(handle, "malformed");
     if (handle == watch_) Close(std::exchange(previous_watch_, 0));
-    r = requests_.Get(handle);  // what the module was told may have led to another request
+    r = requests_.Get(handle);  // applying the list may have led to this request being closed
     if (r == nullptr) return;
     if (is_list && !std::exchange(r->list_received, true)) {
       const auto generation = static_cast<unsigned long long>(endpoints_.generation());
@@ -229,8 +231,8 @@
   if (r->complete) Fail(handle, "ended");
 }
 
-// False: it is no list. From an address that is being left only withdrawals are taken: the complete list of
-// the new address may be newer, and its watch tells everything else.
+// Returns false if the object is not an endpoint list. During a switch only withdrawals are taken from the
+// old address: the complete list of the new address may be newer, and its watch reports all other changes.
 bool Discovery::ApplyWatchEvent(Handle handle, std::string_view object) {
   const auto list = ParseEndpointList(object, *core_->config);
   if (!list) return false;
@@ -255,7 +257,7 @@
   address_is_new_ = false;
   switch_poll_ = 0;
   Close(previous_watch_);
-  previous_watch_ = watch_;  // goes once the new watch has told something
+  previous_watch_ = watch_;  // closed once the new watch has sent something
   StartRequest(RequestKind::kWatch);
 }
 
--- a/src/core/discovery.h
+++ b/src/core/discovery.h
@@ -1,6 +1,6 @@
-// The client of service discovery: the watch, single polls, and the change to another address. The decision
-// module says when to ask, and asks again later each time after a failure; a request here only ever succeeds
-// or fails. What comes is applied by the EndpointTable.
+// Client of service discovery: the watch, single polls, and the switch to another address. The decision
+// module decides when to make a request and retries with growing delays after failures; here a request only
+// succeeds or fails. The EndpointTable applies the lists.
 #pragma once
 
 #include <http_parser.h>
@@ -18,7 +18,7 @@
 
 namespace ryeglade {
 
-// At most kMaxSockets connections, each for one request.
+// Has at most kMaxSockets connections, each for one request.
 class Discovery : public TcpOwner, public EndpointDiscoveryPort {
  public:
   static constexpr std::size_t kMaxSockets = 4;
@@ -28,18 +28,20 @@
   const EndpointTable& endpoints() const { return endpoints_; }
   bool ready() const override { return !endpoints_.listed().empty(); }
 
-  // The list as the node last had it; it may be old, or no list at all. Comes before any other.
+  // Applies the list that the node knew last, which may be outdated or invalid. Must be called before any
+  // other list is applied.
   void LoadCachedList(const std::string& list);
   void Watch(bool enabled) override;
   void Poll() override;
-  // Where lists are pushed the decision module asks for none: the watch is opened here, and opened again soon
-  // whenever it ends, for as long as the node runs.
+  // Opens the watch, and opens it again shortly after it ends, for as long as the node runs. For fleets whose
+  // discovery pushes lists: the decision module makes no requests then.
   void KeepWatching();
-  // Called once, when a first list has come from discovery or the first request for one has failed.
+  // `callback` is called once, when the first list has arrived from discovery or the first request for one
+  // has failed.
   void OnFirstResult(std::function<void()> callback) { on_first_result_ = std::move(callback); }
 
-  // Another address from here on. The watch at the old one is kept until the new one has given a complete
-  // list: versions of the one say nothing about versions of the other.
+  // Switches to another address. The watch at the old address is kept until the new one has sent a complete
+  // list, because generations of the two cannot be compared.
   void SwitchAddress(const std::string& address);
   const std::string& address() const { return address_; }
   void Close();
@@ -50,23 +52,23 @@
   void OnDisconnected(Handle request) override;
 
  private:
-  // What a request asks for.
+  // What a request is for.
   enum class RequestKind : std::uint8_t {
     kWatch,
     kPoll,
-    kSwitchPoll,  // for the complete list that a watch at a new address starts from
+    kSwitchPoll,  // fetches the complete list with which a watch at a new address starts
   };
-  // A request to discovery, from its connection on to the end of its response.
+  // A request to discovery, from opening its connection to the end of its response.
   struct Request {
     RequestKind kind = RequestKind::kPoll;
     Tcp* tcp = nullptr;
     http_parser parser{};
-    bool list_received = false;  // of a watch
-    bool complete = false;       // the end of the response has come
-    int status = 0;              // 0: no complete head yet
-    std::string body;            // what has not been used yet
-    JsonObjectReader objects;    // of a watch
-    DeadlineId deadline;
+    bool list_received = false;  // for a watch: it has sent a list
+    bool complete = false;       // the response has ended
+    int status = 0;              // 0 until the response head is complete
+    std::string body;            // received and not processed yet
+    JsonObjectReader objects;    // for a watch: splits the body into objects
+    DeadlineId deadline;         // when the request fails unless more arrives
   };
 
   void StartRequest(RequestKind kind);
@@ -88,10 +90,10 @@
   EndpointTable endpoints_;
   SlotTable<Request> requests_;
   bool cached_list_loaded_ = false;
-  bool address_is_new_ = false;  // no complete list from it has come yet
+  bool address_is_new_ = false;  // the current address has not sent a complete list yet
   Handle watch_ = 0;
   Handle switch_poll_ = 0;
-  Handle previous_watch_ = 0;  // at the address that is being left
+  Handle previous_watch_ = 0;  // the watch at the old address during a switch
   DeadlineId switch_retry_;
   bool keep_watching_ = false;
   DeadlineId watch_retry_;
--- a/src/core/endpoint_list_parser.cpp
+++ b/src/core/endpoint_list_parser.cpp
@@ -29,7 +29,8 @@
   return field != entry.end() && field->is_number() ? field->get<double>() : fallback;
 }
 
-// -1: not a name that the settings know.
+// Returns the index of the field's value in `names`, or -1 if the field is absent or its value is not in
+// `names`.
 int IndexOf(const std::vector<std::string>& names, const json& entry, const char* key) {
   const auto field = entry.find(key);
   if (field == entry.end() || !field->is_string()) return -1;
@@ -37,7 +38,7 @@
   return at == names.end() ? -1 : static_cast<int>(at - names.begin());
 }
 
-// A state that is not known here gets nothing new.
+// An unknown state counts as draining: the replica gets no new requests.
 EndpointState StateOf(std::string_view lifecycle) {
   if (lifecycle == "active") return EndpointState::kReady;
   if (lifecycle == "left") return EndpointState::kRemoved;
--- a/src/core/endpoint_list_parser.h
+++ b/src/core/endpoint_list_parser.h
@@ -1,5 +1,5 @@
-// Reads a list of endpoints in service discovery's JSON form, as a watch, a poll or the node's own copy of
-// the last list has it. Nothing is applied here.
+// Parses an endpoint list in service discovery's JSON form, from a watch, a poll or the node's cached copy of
+// the last list. Nothing is applied here.
 #pragma once
 
 #include <cstdint>
@@ -13,30 +13,32 @@
 
 namespace ryeglade {
 
-// Why an entry of a list can't be used.
+// Why an entry of a list cannot be used.
 enum class InvalidEntry : std::uint8_t { kNone, kNoName, kAddress };
 
 // One entry of a list.
 struct ListedEndpoint {
-  InvalidEntry invalid = InvalidEntry::kNone;  // otherwise only `name` is set, and not with kNoName
+  // Unless kNone, only `name` may be used, and with kNoName not even that.
+  InvalidEntry invalid = InvalidEntry::kNone;
   std::string name;
   std::string host_port;
-  std::string lifecycle;      // as the list says it; empty: it doesn't
-  double started_at_ms = 0;   // as the list says it, Unix time; 0: it doesn't
-  policy::Endpoint endpoint;  // all but its id; `started_at` as the list says it, microseconds
+  std::string lifecycle;      // as in the list; empty if absent
+  double started_at_ms = 0;   // as in the list, Unix time; 0 if absent
+  policy::Endpoint endpoint;  // everything except the id; `started_at` is the list's value in microseconds
 };
 
-// A list, its entries in their order.
+// A parsed list; the entries are in the order of the list.
 struct ParsedEndpointList {
   std::uint64_t generation = 0;
-  bool reset = false;  // it replaces all that is known; otherwise it tells changes
+  bool reset = false;  // a complete list that replaces the previous one; otherwise a list of changes
   std::vector<ListedEndpoint> entries;
 };
 
-// Null: the text is no list. Zones and kinds of machines that `config` does not name get no number.
+// Returns nullopt if the text is not a list. Zones and machine types that `config` does not name get the
+// index -1.
 std::optional<ParsedEndpointList> ParseEndpointList(std::string_view text, const Config& config);
 
-// The generation that a list says; 0: it is none.
+// Returns the generation of a list, or 0 if the text is not a list.
 std::uint64_t GenerationOf(const std::string& list);
 
 }  // namespace ryeglade
--- a/src/core/endpoint_table.cpp
+++ b/src/core/endpoint_table.cpp
@@ -121,7 +121,7 @@
     last_listed_.erase(e.id);
   } else {
     last_listed_[e.id] = e;
-    Overlay(disabled_, entry.name, e);
+    ApplyDisabled(disabled_, entry.name, e);
     core_->hosts->SetHost(e.id, entry.host_port);
     if (core_->endpoint_observer != nullptr) {
       core_->endpoint_observer->OnEndpoint(Now(), e, entry.name, entry.host_port);
@@ -134,7 +134,8 @@
 void EndpointTable::Forget(ReplicaId id) {
   incarnations_.Forget(id);
   core_->hosts->RemoveHost(id);
-  // Guards against growth: ids are always new, and one that comes back gets the same number.
+  // Frees the memory: replicas get new names all the time, so the maps would grow without bound. A name that
+  // comes back gets the same id.
   const auto known = names_.find(id);
   if (known == names_.end()) return;
   ids_.erase(known->second);
@@ -148,7 +149,8 @@
   generation_ = generation;
 }
 
-// Whether an entry says that a listed replica wants nothing new, and is no older than what is known of it.
+// Returns whether an entry says that a listed replica takes no new requests, and is not about an earlier
+// start of the replica than the known one.
 bool EndpointTable::Withdraws(const ListedEndpoint& entry) const {
   const auto id = ids_.find(entry.name);
   if (id == ids_.end() || entry.lifecycle.empty() || entry.lifecycle == "active") return false;
@@ -158,8 +160,8 @@
          entry.started_at_ms * 1000 >= static_cast<double>(last->second.started_at);
 }
 
-// The module first, so that nothing is decided by the old list; then what was decided by it and is not
-// written.
+// The decision module is notified first, so that it decides nothing more by the old list. Then the attempts
+// that it decided on by the old list and that have not been written are dropped.
 void EndpointTable::Post(EndpointList update) {
   std::vector<ReplicaId> not_ready;
   for (const Endpoint& e : update.endpoints) {
@@ -169,10 +171,10 @@
   for (const ReplicaId id : not_ready) core_->hosts->DropUnsent(id);
 }
 
-// ---- What operators said ----
+// ---- Replicas that operators disabled ----
 
-// It comes before what the lists say.
-void EndpointTable::Overlay(const DisabledReplicas& disabled, const std::string& name, Endpoint& e) {
+// Overrides the state and the start in `e` for a replica that was disabled or enabled again.
+void EndpointTable::ApplyDisabled(const DisabledReplicas& disabled, const std::string& name, Endpoint& e) {
   if (disabled.disabled.contains(name) && e.state == EndpointState::kReady) {
     e.state = EndpointState::kDraining;
   }
@@ -199,8 +201,8 @@
     if (name == names_.end()) continue;
     Endpoint before = listed;
     Endpoint after = listed;
-    Overlay(disabled_, name->second, before);
-    Overlay(disabled, name->second, after);
+    ApplyDisabled(disabled_, name->second, before);
+    ApplyDisabled(disabled, name->second, after);
     if (before.state != after.state || before.started_at != after.started_at) {
       update.endpoints.push_back(after);
     }
@@ -220,7 +222,7 @@
   }
   if (!listed) return true;
   Endpoint e = last_listed_.at(id->second);
-  Overlay(disabled_, instance, e);
+  ApplyDisabled(disabled_, instance, e);
   Post(EndpointList{EndpointListScope::kDelta, static_cast<std::uint32_t>(generation_), {e}});
   return true;
 }
--- a/src/core/endpoint_table.h
+++ b/src/core/endpoint_table.h
@@ -1,5 +1,6 @@
-// The replicas as service discovery lists them, by name and number, with what operators said over them. Lists
-// are applied here: the decision module is told, and the upstream hosts are set and removed.
+// Table of the replicas that service discovery lists, by name and id, overlaid with the replicas that
+// operators disabled. Endpoint lists are applied here: the decision module is notified, and upstream hosts
+// are added and removed.
 #pragma once
 
 #include <cstdint>
@@ -14,36 +15,40 @@
 
 namespace ryeglade {
 
-// The one place that gives replicas their numbers.
+// The only place that assigns ids to replicas.
 class EndpointTable {
  public:
   explicit EndpointTable(Core* core) : core_(core) {}  // not owned
 
-  // `source`: as for EndpointObserver::OnEndpointList. Any scope but kDelta replaces all that is listed.
+  // Applies a list. `source` is that of EndpointObserver::OnEndpointList. Any scope except kDelta replaces
+  // all listed replicas.
   void Apply(const ParsedEndpointList& list, policy::EndpointListScope scope, const char* source);
-  // Of a list whose generation means nothing here: only what takes listed replicas out of use.
+  // Applies only those entries of a list that take listed replicas out of use, and keeps the generation. For
+  // lists from the previous address, whose generations cannot be compared with the current ones.
   void ApplyWithdrawals(ParsedEndpointList list, const char* source);
-  // The list as it is known now, in discovery's form.
+  // Returns the current list in discovery's JSON form.
   std::string Encode() const;
 
-  std::uint64_t generation() const { return generation_; }  // of the list applied last
+  std::uint64_t generation() const { return generation_; }  // of the most recently applied list
   const std::set<ReplicaId>& listed() const { return listed_; }
 
-  // Alike at every node, whatever order the names come in (but for a clash of hashes, which gets the next
-  // free number).
+  // Returns the id of an instance, and assigns one if it has none. The id is a hash of the name and so the
+  // same at every node, unless two names have the same hash: the second one then gets the next free id.
   ReplicaId IdOf(const std::string& instance);
-  std::string NameOf(ReplicaId id) const;  // empty: not known
+  std::string NameOf(ReplicaId id) const;  // empty if the id is unknown
 
-  // An operator disables `instance` or enables it again. While it is disabled, the module is told it drains,
-  // whatever the lists say; once enabled, it is told it has just started, so that it warms up again. Disabled
-  // twice needs enabling once. False: no replica of that name is known, and nothing changes.
+  // Disables `instance` or enables it again, on behalf of an operator. While it is disabled, the decision
+  // module sees it as draining, whatever the lists say; once it is enabled again, the module sees it as just
+  // started, so that it warms up. Disabling twice is undone by enabling once. Returns false and changes
+  // nothing if no replica of that name is known.
   bool SetDisabled(const std::string& instance, bool disabled);
-  // What operators said, to pass to another process of this node, and taken from one: it replaces what was
-  // said here, and the module is told what changes for the replicas that are listed.
+  // The disabled replicas are handed to another process of this node. ReplaceDisabled takes over those of
+  // another process: they replace the ones here, and the decision module is notified of what changes for
+  // listed replicas.
   const DisabledReplicas& disabled() const { return disabled_; }
   void ReplaceDisabled(const DisabledReplicas& disabled);
   bool IsDisabled(ReplicaId id) const;
-  bool IsUnavailable(ReplicaId id) const;  // disabled, or not ready as the lists tell
+  bool IsUnavailable(ReplicaId id) const;  // disabled, or not ready according to the lists
 
  private:
   bool Withdraws(const ListedEndpoint& entry) const;
@@ -51,16 +56,16 @@
                   std::vector<ReplicaId>* removed);
   void Forget(ReplicaId id);
   void Post(policy::EndpointList update);
-  static void Overlay(const DisabledReplicas& disabled, const std::string& name, policy::Endpoint& e);
+  static void ApplyDisabled(const DisabledReplicas& disabled, const std::string& name, policy::Endpoint& e);
 
   Core* core_;
   std::uint64_t generation_ = 0;
   std::map<std::string, ReplicaId> ids_;
   std::map<ReplicaId, std::string> names_;
   std::set<ReplicaId> listed_;
-  std::map<ReplicaId, policy::Endpoint> last_listed_;  // each listed replica as the lists last had it
+  std::map<ReplicaId, policy::Endpoint> last_listed_;  // the latest entry of each listed replica
   ReplicaIncarnations incarnations_;
-  DisabledReplicas disabled_;  // by name, since ids are reused
+  DisabledReplicas disabled_;  // by name, because an id can be given to another name later
 };
 
 }  // namespace ryeglade
--- a/src/core/enum_names.h
+++ b/src/core/enum_names.h
@@ -1,6 +1,6 @@
-// The names by which log lines, counters and flight records call outcomes and reasons. They are part of the
-// log's interface (docs/on-call.md): a name never changes its meaning. A value that is not known here, as a
-// record of a later version may hold, is "?".
+// The names of outcomes and reasons in log lines, counters and flight records. They are part of the log's
+// interface (docs/on-call.md): a name never changes its meaning. An unknown value, which a record of a later
+// version may contain, is "?".
 #pragma once
 
 #include "ryeglade/router.h"
--- a/src/core/json_object_reader_model.cpp
+++ b/src/core/json_object_reader_model.cpp
@@ -44,8 +44,8 @@
   return Found::kIncomplete;
 }
 
-// False: no JSON goes on like this. A line's end within a string, or a blank line within an object, shows
-// that the object was cut short: what follows belongs to another.
+// Returns false if the text cannot be JSON. A line end within a string, or a blank line within an object,
+// shows that the object was truncated: what follows belongs to another object.
 bool JsonObjectReader::ConsumeInObject(char c) {
   if (c == '\n') {
     if (in_string_ || line_blank_) return false;
--- a/src/core/json_object_reader_model.h
+++ b/src/core/json_object_reader_model.h
@@ -1,5 +1,5 @@
-// Cuts the text of a watch on discovery into its JSON objects. An object may stand on one line or be indented
-// over several; a blank line between two objects is a heartbeat. No I/O, no clock.
+// Splits the text of a discovery watch into its JSON objects. An object may be on one line or indented over
+// several; a blank line between two objects is a heartbeat. Pure: no I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -8,22 +8,23 @@
 
 namespace ryeglade {
 
-// Bytes are appended as they come; what is complete is taken out.
+// Append adds bytes as they arrive; Next removes the next complete object.
 class JsonObjectReader {
  public:
-  // What Next has found.
+  // What Next found.
   enum class Found : unsigned char {
-    kIncomplete,  // nothing more before further bytes come
+    kIncomplete,  // nothing complete; more bytes are needed
     kObject,
     kHeartbeat,
     kMalformed,
   };
 
   void Append(std::string_view bytes) { text_.append(bytes); }
-  // The next thing in the text. With kObject its text, which is balanced but need not be valid JSON, is put
-  // into `object`. After kMalformed the reader is of no more use.
+  // Returns what comes next in the text. For kObject, `object` is set to the object's text, in which braces
+  // and brackets are balanced but which need not be valid JSON. After kMalformed the reader must not be used
+  // any more.
   Found Next(std::string* object);
-  std::size_t pending() const { return text_.size(); }  // bytes that wait for the end of their object
+  std::size_t pending() const { return text_.size(); }  // bytes of an object that is not complete
 
  private:
   Found NextBetweenObjects(char c);
@@ -31,10 +32,10 @@
 
   std::string text_;
   std::size_t scanned_ = 0;  // bytes of `text_` that have been read
-  std::size_t depth_ = 0;    // of open braces and brackets; 0: between objects
+  std::size_t depth_ = 0;    // number of open braces and brackets; 0 between objects
   bool in_string_ = false;
   bool escaped_ = false;
-  bool line_blank_ = true;  // nothing but blanks stands on this line so far
+  bool line_blank_ = true;  // the current line has only blanks so far
 };
 
 }  // namespace ryeglade
--- a/src/core/learned_state_codec.cpp
+++ b/src/core/learned_state_codec.cpp
@@ -15,11 +15,11 @@
 using nlohmann::json;
 using namespace policy;
 
-constexpr double kMaxNumber = 1e16;  // beyond any time in microseconds, any count and any average
-constexpr std::size_t kMaxEntries = 100'000;
+constexpr double kMaxNumber = 1e16;           // larger than any time in microseconds, count or average
+constexpr std::size_t kMaxEntries = 100'000;  // of one list or table
 
-// The fields of each type by name, for the encoder as for the decoder: `field` is one of the two. The names
-// are the stored form and stay.
+// The fields of each type by name. `field` is the Encoder or the Decoder. The names are part of the stored
+// format and must not change.
 template <class F>
 void Fields(F& field, RunningAverage& v) {
   field("mean", v.mean);
@@ -103,7 +103,7 @@
 template <class K, class V>
 struct IsMap<std::unordered_map<K, V>> : std::true_type {};
 
-// Builds the JSON form of a value.
+// Converts a value to JSON.
 struct Encoder {
   json out = json::object();
   template <class T>
@@ -130,7 +130,7 @@
   }
 };
 
-// Fills a value from its JSON form; throws std::runtime_error where that is wrong.
+// Reads a value from JSON; throws std::runtime_error if a field has the wrong type or is out of range.
 struct Decoder {
   const json& in;
   template <class T>
@@ -141,10 +141,11 @@
   template <class T>
   static void Decode(const json& j, T& v, const char* name) {
     if constexpr (std::is_arithmetic_v<T>) {
-      if (!j.is_number()) throw std::runtime_error(std::string(name) + " is no number");
+      if (!j.is_number()) throw std::runtime_error(std::string(name) + " is not a number");
       const double d = j.get<double>();
       if constexpr (std::is_same_v<T, std::uint64_t> || std::is_same_v<T, std::uint32_t>) {
-        if (!j.is_number_unsigned()) throw std::runtime_error(std::string(name) + " is no whole number");
+        if (!j.is_number_unsigned())
+          throw std::runtime_error(std::string(name) + " is not an unsigned integer");
       } else if (!std::isfinite(d) || std::abs(d) > kMaxNumber) {
         throw std::runtime_error(std::string(name) + " is out of range");
       }
@@ -161,7 +162,8 @@
       CheckList(j, name);
       v.clear();
       for (const json& e : j) {
-        if (!e.is_array() || e.size() != 2) throw std::runtime_error(std::string(name) + " holds no pair");
+        if (!e.is_array() || e.size() != 2)
+          throw std::runtime_error(std::string(name) + " has an entry that is not a pair");
         typename T::key_type key{};
         typename T::mapped_type element{};
         Decode(e[0], key, name);
@@ -169,18 +171,18 @@
         v.emplace(key, std::move(element));
       }
     } else {
-      if (!j.is_object()) throw std::runtime_error(std::string(name) + " is no object");
+      if (!j.is_object()) throw std::runtime_error(std::string(name) + " is not an object");
       Decoder inner{j};
       Fields(inner, v);
     }
   }
   static void CheckList(const json& j, const char* name) {
-    if (!j.is_array()) throw std::runtime_error(std::string(name) + " is no list");
+    if (!j.is_array()) throw std::runtime_error(std::string(name) + " is not an array");
     if (j.size() > kMaxEntries) throw std::runtime_error(std::string(name) + " is too long");
   }
 };
 
-// Leaves the newest entries of a table only.
+// Removes all but the newest kMaxLearnedKeys entries of a table.
 template <class Table, class At>
 void KeepNewest(Table& table, At time_of) {
   if (table.size() <= kMaxLearnedKeys) return;
@@ -198,7 +200,7 @@
   return std::all_of(all.begin(), all.end(), [](const RunningAverage& a) { return IsValid(a); });
 }
 
-// The name of what is out of all bounds; null: nothing is.
+// Returns the name of a field that is out of range, or nullptr if all are valid.
 const char* FindInvalid(const LearnedState& learned) {
   if (learned.node_count < 1 || learned.node_count > 1'000'000) return "nodes";
   if (learned.base_limit < 0 || learned.limit_before_decrease < 0) return "level";
@@ -237,7 +239,7 @@
 std::optional<LearnedState> DecodeLearnedState(const std::string& bytes, std::string* error) {
   try {
     const json j = json::from_msgpack(bytes, true, false);
-    if (!j.is_object()) throw std::runtime_error("not what a process of ours writes");
+    if (!j.is_object()) throw std::runtime_error("not an encoded learned state");
     LearnedState learned;
     Decoder decoder{j};
     Fields(decoder, learned);
--- a/src/core/load_report_model.cpp
+++ b/src/core/load_report_model.cpp
@@ -11,7 +11,7 @@
 std::optional<double> FieldValue(const std::string& report, const std::string& field) {
   const std::string name = field + "=";
   std::size_t at = report.find(name);
-  // "xqueue=" is not "queue=".
+  // The name must be a whole field name: "xqueue=" does not match "queue=".
   while (at != std::string::npos && at > 0 && report[at - 1] != ',' && report[at - 1] != ' ') {
     at = report.find(name, at + 1);
   }
@@ -20,7 +20,7 @@
   const char* report_end = report.data() + report.size();
   const auto [end, error] = std::from_chars(report.data() + at + name.size(), report_end, value);
   if (error != std::errc() || !std::isfinite(value) || value < 0) return std::nullopt;
-  // "5x" is no number either.
+  // The whole value must be a number: "5x" is not valid.
   const bool ended = end == report_end || *end == ',' || std::isspace(static_cast<unsigned char>(*end)) != 0;
   if (!ended) return std::nullopt;
   return value;
--- a/src/core/load_report_model.h
+++ b/src/core/load_report_model.h
@@ -1,4 +1,5 @@
-// Reads the load that a replica reports beside a response or to a health check. Pure: no I/O, no clock.
+// Parses the load report that a replica sends with a response or in reply to a health check. Pure: no I/O, no
+// clock.
 #pragma once
 
 #include <string>
@@ -6,8 +7,8 @@
 
 namespace ryeglade {
 
-// `report`: "inflight=7,queue=2,util=0.61". The values of `fields` in their order; empty unless all are there
-// and are finite numbers that are not negative.
+// Returns the values of `fields`, in that order, from a report such as "inflight=7,queue=2,util=0.61".
+// Returns an empty vector unless every field is present and is a finite number that is not negative.
 std::vector<double> ParseLoadReport(const std::string& report, const std::vector<std::string>& fields);
 
 }  // namespace ryeglade
--- a/src/core/node_counters.h
+++ b/src/core/node_counters.h
@@ -1,5 +1,6 @@
-// NodeCounters: what the node has done, counted from 0 in each process, for the admin listener's counters
-// (whose names are admin/counters.cpp's). The streams and the upstream add to it; nothing decides on it.
+// NodeCounters: the events that this process has counted since its start, for the counters of the admin
+// listener (admin/counters.cpp has their names). Streams and Upstream update them; no decision depends on
+// them.
 #pragma once
 
 #include <cstdint>
@@ -8,30 +9,31 @@
 
 namespace ryeglade {
 
-// All counts; sums and squares let readers work out means and deviations.
+// The sums and sums of squares let readers compute means and standard deviations.
 struct NodeCounters {
-  // Of the requests of one class.
+  // Counters of the requests of one class.
   struct RequestClass {
-    // How its requests ended: with a complete response, rejected before any attempt may have run, or failed.
-    std::uint64_t served = 0;
-    std::uint64_t rejected = 0;
-    std::uint64_t failed = 0;
-    std::uint64_t within_objective = 0;  // of those served: first token within the latency objective
-    // Attempts of all that ended, and the sum of their squares.
+    std::uint64_t served = 0;            // requests that ended with a complete response
+    std::uint64_t rejected = 0;          // requests that were rejected, which it is safe to repeat
+    std::uint64_t failed = 0;            // requests that failed
+    std::uint64_t within_objective = 0;  // served requests whose first token met the latency objective
+    // Sum of the number of attempts over all requests that ended, and the sum of its squares.
     std::uint64_t attempts = 0;
     std::uint64_t attempts_squared = 0;
-    // Responses that began; of their first token's time, the sum of ln(milliseconds) and of its squares.
+    // Responses that started, and the sum of ln(time to first token in milliseconds) over them and of its
+    // squares.
     std::uint64_t started = 0;
     double first_token_ln = 0;
     double first_token_ln_squared = 0;
   };
-  std::map<std::string, RequestClass> by_class;  // by the name that the request came with
-  std::uint64_t attempts_written = 0;            // complete, to upstream hosts
-  std::uint64_t reloads_applied = 0;             // of the settings
+  std::map<std::string, RequestClass> by_class;  // by the class name at the request's arrival
+  std::uint64_t attempts_written = 0;            // requests written completely to upstream hosts
+  std::uint64_t reloads_applied = 0;             // settings reloads
   std::uint64_t reloads_failed = 0;
-  std::map<std::string, std::uint64_t> attempts_ended;      // by outcome, as core/enum_names.h names it
-  std::map<std::string, std::uint64_t> requests_concluded;  // rejected or failed, by the module's reason
-  std::uint64_t watchdog_replies = 0;  // requests that the module had not answered in time
+  std::map<std::string, std::uint64_t> attempts_ended;  // by outcome (names in core/enum_names.h)
+  std::map<std::string, std::uint64_t>
+      requests_concluded;              // rejected or failed, by the decision module's reason
+  std::uint64_t watchdog_replies = 0;  // requests that the decision module had not answered in time
 };
 
 }  // namespace ryeglade
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -1,5 +1,5 @@
-// The narrow interfaces by which the parts of the core know each other, so that none includes another.
-// Times are microseconds on the monotonic clock.
+// The interfaces by which the components of the core call each other, so that none of them includes another.
+// Times are in microseconds on the monotonic clock (Now()).
 #pragma once
 
 #include <cstdint>
@@ -19,26 +19,26 @@
 
 // ---- To and from the decision module ----
 
-// Takes events for the decision module. Its actions are carried out before Post returns, unless it is busy
-// with an earlier event.
+// Passes events to the decision module. The resulting actions are executed before Post returns, unless the
+// module is handling an earlier event; then the event is queued.
 class EventPort {
  public:
   virtual ~EventPort() = default;
   virtual void Post(policy::Event event) = 0;
 };
 
-// Sees what the decision module was told and what it decided, in order. Must not call back, and must not
-// wait.
+// Is notified of each event and of the actions that the decision module returned for it, in order. Must
+// neither call back nor block.
 class DecisionRecorder {
  public:
   virtual ~DecisionRecorder() = default;
-  // Before the first event: what the Router was built from.
+  // Called before the first event, with the arguments that the Router was constructed from.
   virtual void OnStart(const std::string& settings, std::uint64_t seed, Time now) = 0;
   virtual void OnDecision(Time now, const policy::Event& event,
                           const std::vector<policy::Action>& actions) = 0;
 };
 
-// How the decision module concludes a stream, or moves it.
+// Executes the decision module's actions that end a stream or migrate it.
 class ConclusionPort {
  public:
   virtual ~ConclusionPort() = default;
@@ -47,15 +47,15 @@
   virtual void Migrate(Handle stream) = 0;
 };
 
-// What may be told to a client of its request's attempts. The decision module is the one place that knows.
+// Tells whether a client may repeat its request. Only the decision module knows this.
 class RetrySafetyPort {
  public:
   virtual ~RetrySafetyPort() = default;
-  // Whether it is harmless if the client repeats the request; false where that is not known.
+  // Returns whether it is harmless if the client repeats the request; false if that is not known.
   virtual bool IsSafeToRetry(Handle stream) const = 0;
 };
 
-// What the decision module has seen of the replicas that are listed now.
+// The decision module's view of the currently listed replicas.
 class ReplicaViewPort {
  public:
   virtual ~ReplicaViewPort() = default;
@@ -65,22 +65,22 @@
 
 // ---- Streams and upstream requests ----
 
-// The upstream's side of the streams.
+// What Upstream calls on Streams.
 class ResponsePort {
  public:
   virtual ~ResponsePort() = default;
-  virtual Stream* Find(Handle stream) = 0;  // null: it is over
+  virtual Stream* Find(Handle stream) = 0;  // nullptr if the stream has ended
   virtual void OnData(Handle stream, std::string_view events) = 0;
   virtual void OnComplete(Handle stream) = 0;
-  virtual void OnTruncated(Handle stream) = 0;  // broke after data, before the end
-  // A host said that the request itself is wrong: the status and body pass on once.
+  virtual void OnTruncated(Handle stream) = 0;  // the response broke off after data and before its end
+  // A host answered that the request itself is invalid; its status and body are passed on to the client.
   virtual void OnInvalidRequest(Handle stream, int status, const std::string& body) = 0;
-  // Asked right before an attempt is written: false if the client has closed its connection, although its end
-  // may not have been read yet. The stream is over then.
+  // Called right before an attempt is written. Returns false if the client has closed its connection, even if
+  // the end has not been read yet; the stream has then been ended.
   virtual bool CheckClientConnected(Handle stream) = 0;
 };
 
-// The decisions' side of the upstream.
+// What Decisions calls on Upstream.
 class AttemptPort {
  public:
   virtual ~AttemptPort() = default;
@@ -90,30 +90,32 @@
   virtual void CheckHealth(ReplicaId of) = 0;
 };
 
-// The streams' side of the upstream.
+// What Streams calls on Upstream.
 class UpstreamRequestPort {
  public:
   virtual ~UpstreamRequestPort() = default;
   virtual void Cancel(Handle upstream_request) = 0;
   virtual void SetPaused(Handle upstream_request, bool paused) = 0;
-  // Its response is not waited for beyond `at`; one that has begun is left alone.
+  // Moves the time by which a response must have started forward to `at`. Has no effect once a response has
+  // started.
   virtual void ShortenDeadline(Handle upstream_request, Time at) = 0;
-  // It ends now: as a timeout if it may have run, else as one that never did.
+  // Ends the request now: with kConnectFailed if it has not been written completely, with kReset if its
+  // response has begun, and otherwise with kTimeout.
   virtual void Abort(Handle upstream_request) = 0;
 };
 
-// Discovery's side of the upstream.
+// What EndpointTable calls on Upstream.
 class UpstreamHostPort {
  public:
   virtual ~UpstreamHostPort() = default;
   virtual void SetHost(ReplicaId id, const std::string& host_port) = 0;
   virtual void RemoveHost(ReplicaId id) = 0;
-  // It drains: what has not been written to it yet ends as not sent.
+  // For a host that drains: requests that have not been written to it yet end as not sent.
   virtual void DropUnsent(ReplicaId id) = 0;
-  virtual std::string AddressOf(ReplicaId id) const = 0;  // as last set; empty: not known
+  virtual std::string AddressOf(ReplicaId id) const = 0;  // as last set; empty if unknown
 };
 
-// Sees by what name clients know a request. Must not call back, and must not wait.
+// Is notified of the id by which a client knows its request. Must neither call back nor block.
 class StreamObserver {
  public:
   virtual ~StreamObserver() = default;
@@ -122,71 +124,74 @@
 
 // ---- Service discovery ----
 
-// The decisions' and the fronts' side of discovery.
+// What Decisions and the fronts call on Discovery.
 class EndpointDiscoveryPort {
  public:
   virtual ~EndpointDiscoveryPort() = default;
   virtual void Watch(bool enabled) = 0;
   virtual void Poll() = 0;
-  virtual bool ready() const = 0;  // a list with at least one host is known
+  virtual bool ready() const = 0;  // whether a list with at least one host is known
 };
 
-// Sees what discovery learns beyond what the decision module is told: names, addresses, and the source. Must
-// not call back, and must not wait.
+// Is notified of what the decision module does not see of the endpoint lists: names, addresses and the
+// source. Must neither call back nor block.
 class EndpointObserver {
  public:
   virtual ~EndpointObserver() = default;
-  // An entry of a list that is about to be posted.
+  // Called for an entry of a list before the list is posted to the decision module.
   virtual void OnEndpoint(Time now, const policy::Endpoint& endpoint, const std::string& name,
                           const std::string& address) = 0;
-  // `source`: "known", "watch" or "fetch". `error` empty: a list of that generation came from there; else it
-  // could not be had, for that reason, and what is known is getting old.
+  // `source` is "known" (the cached list), "watch" or "fetch" (a poll). If `error` is empty, a list of that
+  // generation was received. Otherwise the request failed for the reason in `error`, and the known list may
+  // become outdated.
   virtual void OnEndpointList(Time now, std::string_view source, std::uint64_t generation,
                               std::string_view error) = 0;
 };
 
 // ---- The nodes of the routing tier ----
 
-// A node as the membership has it.
+// A node, as the membership protocol sees it.
 struct ClusterMember {
   std::string name;
   std::string zone;
   bool suspect = false;
 };
 
-// The nodes of the routing tier, this one first, as the membership among them has it.
+// The nodes of the routing tier, this one first, as the membership protocol sees them.
 struct ClusterView {
-  std::uint64_t version = 0;         // counts up with every change of who is in it
-  std::size_t announced_nodes = 1;   // how many nodes the decision module goes by
-  bool joined = false;               // some other node has been met, or there is none to meet
-  bool stable = false;               // unchanged for a while, and not in doubt
-  bool partition_suspected = false;  // absent members may live, and members that are here may be gone
+  std::uint64_t version = 0;         // incremented with every change of the members
+  std::size_t announced_nodes = 1;   // the node count that the decision module uses
+  bool joined = false;               // another node has been reached, or there is none to reach
+  bool stable = false;               // unchanged for a while, and no partition suspected
+  bool partition_suspected = false;  // missing members may be alive, and listed members may be gone
   std::vector<ClusterMember> members;
 };
 
-// Where the parts of the node read the view.
+// Gives the components of the node the current view.
 class ClusterViewPort {
  public:
   virtual ~ClusterViewPort() = default;
   virtual ClusterView View() const = 0;
 };
 
-// What rides on the membership's messages: gossip messages, each of them bytes that only whoever made them
-// reads.
+// Gossip messages that are carried on the membership protocol's messages. Their bytes are opaque to the
+// membership.
 class GossipPort {
  public:
   virtual ~GossipPort() = default;
-  // Messages that fit into `capacity` bytes with `overhead` bytes for each; they count as sent.
+  // Returns messages that together fit into `capacity` bytes, counting `overhead` extra bytes for each. They
+  // count as sent.
   virtual std::vector<std::string> TakeMessages(std::size_t capacity, std::size_t overhead) = 0;
-  virtual bool has_pending() const = 0;  // there are some that should go before long
-  virtual void OnMessages(const std::vector<std::string>& messages) = 0;  // from a member
+  virtual bool has_pending() const = 0;  // whether messages are waiting that should be sent soon
+  virtual void OnMessages(const std::vector<std::string>& messages) = 0;  // received from a member
 };
 
-// Sees what changes among the nodes. Must not call back, and must not wait.
+// Is notified of changes among the nodes. Must neither call back nor block.
 class ClusterObserver {
  public:
   virtual ~ClusterObserver() = default;
-  // `reason`: a reason code; `member`: about whom; `reporter`: who said so; `live_nodes`: in the view.
+  // `reason` is a reason code, `member` the member concerned, `reporter` the member that reported it, and
+  // `live_nodes` the number of live nodes in the view.
   virtual void OnClusterEvent(Time now, std::string_view reason, std::string_view member,
                               std::string_view reporter, std::uint64_t value, std::size_t live_nodes) = 0;
 };
--- a/src/core/replica_incarnations_model.h
+++ b/src/core/replica_incarnations_model.h
@@ -1,6 +1,7 @@
-// When replicas started, by this node's clock. Discovery tells starts in wall-clock time. Where this node's
-// clock was set back before the node started, a start may lie in its future, and the replica would count as
-// warming up until then: such a start counts from the moment it was first reported. Pure: no I/O, no clock.
+// The start times of replicas by this node's clock. Discovery reports them in wall-clock time. If the clock
+// was set back before this node started, a start may be in the node's future, and the replica would count as
+// warming up until then. Such a start is replaced by the time at which it was first reported. Pure: no I/O,
+// no clock.
 #pragma once
 
 #include <cstddef>
@@ -10,22 +11,23 @@
 
 namespace ryeglade {
 
-// Remembers only starts that were in the future.
+// Stores only the starts that were in the future.
 class ReplicaIncarnations {
  public:
-  // `reported`: the start as discovery tells it; 0: long ago. The result is never later than `now` and stays
-  // the same for as long as the same start is reported. Microseconds.
+  // Returns the start to use, in microseconds. `reported` is the start according to discovery; 0 means long
+  // ago. The result is never later than `now` and does not change while the same start is reported.
   policy::Time StartOf(policy::ReplicaId id, policy::Time reported, policy::Time now);
-  void Forget(policy::ReplicaId id);  // a replica that is listed no longer
+  void Forget(policy::ReplicaId id);  // for a replica that is no longer listed
   std::size_t size() const { return future_starts_.size(); }
 
  private:
-  // A start that was in the future when first reported.
+  // A start that was in the future when it was first reported.
   struct FutureStart {
-    policy::Time reported = 0;
+    policy::Time reported = 0;  // as discovery reports it
     policy::Time first_reported_at = 0;
   };
-  std::map<policy::ReplicaId, FutureStart> future_starts_;  // only starts in the future when first reported
+  std::map<policy::ReplicaId, FutureStart>
+      future_starts_;  // starts that were in the future when first reported
 };
 
 }  // namespace ryeglade
--- a/src/core/response_parser.cpp
+++ b/src/core/response_parser.cpp
@@ -6,8 +6,9 @@
 namespace ryeglade {
 namespace {
 
-// The parser as Debian builds it passes over whatever stands where a chunk's line end should be, so that a
-// chunk that is longer than it says would go on as another. False: something else stands there.
+// The parser as Debian builds it does not check the line end of a chunk, so that the rest of a chunk that is
+// longer than its stated size would be parsed as another chunk. `expected` is the part of the line end that
+// is still missing; the start of `bytes` is removed from it. Returns false if they differ.
 bool ConsumeLineEnd(std::string_view& expected, std::string_view bytes) {
   const std::size_t length = std::min(expected.size(), bytes.size());
   if (expected.substr(0, length) != bytes.substr(0, length)) return false;
@@ -55,7 +56,7 @@
   return settings;
 }
 
-// Guards against what a 1xx response ahead said: each response has headers of its own.
+// Starts with an empty state, so that headers of a preceding 1xx response do not count for this one.
 int ResponseParser::OnMessageBegin() {
   message_ = {};
   body_->clear();
@@ -83,10 +84,10 @@
   message_.status = parser_.status_code;
   message_.framed = (parser_.flags & F_CHUNKED) != 0 || (parser_.flags & F_CONTENTLENGTH) != 0;
   message_.keep_alive = http_should_keep_alive(&parser_) != 0;
-  return message_.status == 101 ? -1 : 0;  // nobody asked for another protocol
+  return message_.status == 101 ? -1 : 0;  // requests never ask for a protocol switch
 }
 
-// Guards against a chunk that is said to have gigabytes: it would pass as events for ever.
+// Rejects a chunk with a huge stated size, whose bytes would be passed on as events without end.
 int ResponseParser::OnChunkHeader() {
   message_.chunk_remaining = parser_.content_length;
   return message_.chunk_remaining > kMaxChunkBytes ? 1 : 0;
@@ -105,7 +106,7 @@
 
 int ResponseParser::OnMessageComplete() {
   message_.complete = message_.status >= 200;
-  if (message_.complete) http_parser_pause(&parser_, 1);  // what comes after it belongs to nothing
+  if (message_.complete) http_parser_pause(&parser_, 1);  // bytes after it belong to no response
   return 0;
 }
 
--- a/src/core/response_parser.h
+++ b/src/core/response_parser.h
@@ -1,6 +1,6 @@
-// Parses one HTTP/1.1 response of an upstream host: head, framing and chunks, stricter than the parser
-// library where a malformed response could pass for a good one. What the response means is the dialect's to
-// say; its ResponseReader is fed the headers here, and the body by the caller.
+// Parses one HTTP/1.1 response of an upstream host: head, framing and chunks. It is stricter than the parser
+// library where that would accept a malformed response as valid. The dialect interprets the response: its
+// ResponseReader gets the headers from this class and the body from the caller.
 #pragma once
 
 #include <http_parser.h>
@@ -15,41 +15,42 @@
 
 namespace ryeglade {
 
-// One a connection, started anew for each response.
+// One per connection; Start is called for each response.
 class ResponseParser {
  public:
-  // No chunk, and nothing that comes before a first complete event, may be longer: bytes.
+  // Maximum size in bytes of a chunk, and of what may arrive before the first complete event.
   static constexpr std::uint64_t kMaxChunkBytes = std::uint64_t{256} * 1024;
 
-  // Before the response to a request. `dialect` makes the reader once the response begins; not owned.
+  // Prepares for the response to a request. `dialect` creates the reader when the response begins; it is not
+  // owned.
   void Start(const Dialect* dialect);
 
-  // Parses what one read gave. False: malformed, and nothing of this read may be used. `body` gets the parts
-  // of it that belong to the response's body, as views into `bytes`.
+  // Parses the bytes of one read. Returns false if they are malformed; nothing of this read may be used then.
+  // The parts of the response's body are appended to `body` as views into `bytes`.
   bool Parse(std::string_view bytes, std::vector<std::string_view>* body);
 
-  int status() const { return message_.status; }              // 0: no complete head yet
-  bool complete() const { return message_.complete; }         // its end has come
-  ResponseReader* reader() { return message_.reader.get(); }  // null: no byte of a response yet
-  // The connection can take another request: the end of the response was told by its framing, nothing came
-  // behind it, and the host keeps the connection open.
+  int status() const { return message_.status; }              // 0 until the head is complete
+  bool complete() const { return message_.complete; }         // the response has ended
+  ResponseReader* reader() { return message_.reader.get(); }  // nullptr until the response begins
+  // Whether the connection can be used for another request: the framing marked the end of the response,
+  // nothing followed it, and the host keeps the connection open.
   bool reusable() const { return message_.complete && message_.framed && message_.keep_alive; }
-  // All chunks that have begun are complete, with their line ends.
+  // Whether every chunk that has begun is complete, including its line end.
   bool at_chunk_boundary() const {
     return message_.chunk_remaining == 0 && message_.expected_line_end.empty();
   }
 
  private:
-  // One response; a 1xx response ahead of the final one is another.
+  // State of one response. A 1xx response before the final one has a state of its own.
   struct Message {
     int status = 0;
-    bool framed = false;    // its end can be told from a broken connection
-    bool complete = false;  // the end of a final response, not of a 1xx
+    bool framed = false;    // has a length or chunks, so that its end differs from a broken connection
+    bool complete = false;  // the final response, not only a 1xx response, has ended
     bool keep_alive = false;
-    bool value_begun = false;  // the next piece of a header's name begins another header
+    bool value_begun = false;  // the current header has part of its value; a name now starts another header
     std::string field, value;
-    std::uint64_t chunk_remaining = 0;   // bytes of the current chunk still to come
-    std::string_view expected_line_end;  // what must come before the next chunk
+    std::uint64_t chunk_remaining = 0;   // bytes of the current chunk that have not arrived yet
+    std::string_view expected_line_end;  // the part of the chunk's line end that has not arrived yet
     std::unique_ptr<ResponseReader> reader;
   };
 
@@ -66,8 +67,8 @@
   http_parser parser_{};
   const Dialect* dialect_ = nullptr;
   Message message_;
-  std::vector<std::string_view>* body_ = nullptr;  // of the read being parsed
-  const char* read_end_ = nullptr;                 // of the read being parsed
+  std::vector<std::string_view>* body_ = nullptr;  // where Parse collects body parts; nullptr outside Parse
+  const char* read_end_ = nullptr;                 // end of the bytes being parsed
 };
 
 }  // namespace ryeglade
--- a/src/core/streams.cpp
+++ b/src/core/streams.cpp
@@ -11,12 +11,13 @@
 namespace ryeglade {
 namespace {
 
-constexpr Time kWatchdogMargin = 8'000;
-constexpr Time kMigrateBefore = 600'000;  // this long before the end, clients are sent elsewhere for the rest
-constexpr Time kMigrationInterval = 50'000;
-constexpr int kMigrationsAtOnce = 8;
-constexpr Time kMigrationReserve = 50'000;  // and the last are gone by this long before the end
-constexpr Time kShutdownRetryAfter = 1'000'000;
+// Microseconds, except for kMigrationsAtOnce.
+constexpr Time kWatchdogMargin = 8'000;      // the watchdog acts this long before the client's deadline
+constexpr Time kMigrateBefore = 600'000;     // migration starts at most this long before the shutdown ends
+constexpr Time kMigrationInterval = 50'000;  // between two groups of migrated streams
+constexpr int kMigrationsAtOnce = 8;         // streams in a group
+constexpr Time kMigrationReserve = 50'000;   // the last group is migrated this long before the shutdown ends
+constexpr Time kShutdownRetryAfter = 1'000'000;  // sent with the rejection of a request that arrives too late
 
 }  // namespace
 
@@ -53,8 +54,8 @@
   return index < classes.size() ? classes[index].name : "";
 }
 
-// Guards against a stream that nothing answers: the module answers sooner, or the upstream request's own
-// timeout makes it do so, unless a client comes with very little time left.
+// Sets the watchdog, so that every stream is concluded. Usually the decision module concludes it earlier, if
+// only because the upstream request times out; but not if a request arrives with very little time left.
 void Streams::SetDeadline(Stream& s, Handle handle, Time deadline) {
   const Time time_left = std::max<Time>(0, deadline - Now());
   s.deadline = deadline;
@@ -63,9 +64,10 @@
                                      [this, handle] { OnWatchdog(handle); });
 }
 
-// The time is up. What may be told to the client hangs on what its attempts may have done, so the module
-// answers: it learns that there is no time left, then how the attempt in flight ends. Should it not answer
-// even so, the answer given here promises nothing.
+// The time budget is used up. Which response is correct depends on whether an attempt may have run, so the
+// decision module gives it: it is notified that no time is left, and then of the outcome of the attempt in
+// flight. If it still does not conclude the stream, the stream fails here, which does not promise that the
+// request can be repeated safely.
 void Streams::OnWatchdog(Handle handle) {
   const Stream* s = streams_.Get(handle);
   if (s == nullptr || s->started) return;
@@ -78,14 +80,15 @@
   Log(Level::kError, "watchdog-reply",
       {{"id", s->request.call_id}, {"out", s->upstream_request != 0}, {"written", s->attempts_written}});
   if (core_->counters != nullptr) ++core_->counters->watchdog_replies;
-  core_->events->Post(policy::ClientDisconnected{handle});  // to the module it is over
+  core_->events->Post(policy::ClientDisconnected{handle});  // so that the decision module ends the request
   Fail(handle);
 }
 
 // ---- Graceful shutdown ----
 
-// Guards against a time budget that is longer than this process has to live: SIGKILL would find it
-// unanswered. The module is told, so that it concludes in time on what it knows of the attempts.
+// Shortens time budgets that go beyond `conclude_by`: SIGKILL could come before those requests are answered.
+// The decision module is notified, so that it concludes them in time according to what their attempts may
+// have done.
 void Streams::BeginShutdown(Time conclude_by, Time accept_until) {
   conclude_by_ = conclude_by;
   accept_until_ = accept_until;
@@ -107,14 +110,14 @@
   migration_timer_ = core_->deadlines->Set(at, [this] { MigrateSome(); });
 }
 
-// Guards against streams that are cut by SIGKILL: their clients ask for the rest at a node that is thought to
-// be up still, and are rejected. While it drains they are sent to another. A few at a time, oldest slot
-// first.
+// Migrates running streams before SIGKILL would cut them off. Clients of a stream that is cut off would try
+// to resume it at this node, which they still believe to be up, and be rejected; while the node drains they
+// go to another one. Streams are migrated a few at a time, in the order of their slots.
 void Streams::MigrateSome() {
   const std::vector<Handle> all = streams_.All();
   const auto running = static_cast<Time>(
       std::count_if(all.begin(), all.end(), [this](Handle h) { return streams_.Get(h)->started; }));
-  // Whatever ends by itself meanwhile need not be migrated, so they start as late as they can.
+  // Migrate as late as possible: streams that end by themselves need no migration.
   const Time needed = (running / kMigrationsAtOnce + 1) * kMigrationInterval + kMigrationReserve;
   if (Now() + needed < conclude_by_) return ScheduleMigration(Now() + kMigrationInterval);
   int migrated = 0;
@@ -160,7 +163,7 @@
     s->started = true;
     CountStart(*s);
     core_->deadlines->Cancel(s->watchdog);
-    s->request.body.Clear();  // it is not sent again from here on
+    s->request.body.Clear();  // no retry after the response has started
   }
   s->sink->OnData(s->client, events);
 }
@@ -200,7 +203,7 @@
   }
 }
 
-// The client asks for the rest as a new stream once its connection ends without the last chunk.
+// The connection ends without the last chunk, and the client resumes the response with a new request.
 void Streams::Migrate(Handle handle) {
   const Stream* s = streams_.Get(handle);
   if (s == nullptr || !s->started) return;
@@ -209,7 +212,7 @@
 
 // ---- How a stream ends ----
 
-// Guards against an upstream request that outlives its stream: nobody would ever read its response.
+// Also cancels the upstream request, whose response nobody would read.
 StreamSink* Streams::Conclude(Handle handle, Conclusion how, Handle* client) {
   Stream* s = streams_.Get(handle);
   if (s == nullptr) return nullptr;
@@ -224,8 +227,8 @@
   return sink;
 }
 
-// What the node knew of a request's attempts when it answered by itself: enough to tell whether a rejection
-// was true.
+// Logs what the node knew of the request's attempts when it concluded the request by itself, so that it can
+// be checked whether a rejection was justified.
 void Streams::LogConclusion(const Stream& s, Conclusion how) const {
   const Time now = Now();
   Log(Level::kInfo, "request-ended",
--- a/src/core/streams.h
+++ b/src/core/streams.h
@@ -1,6 +1,6 @@
-// Streams: the requests that the node has taken. Each has a slot here until its one final response is given,
-// whoever gives it: an upstream host, the decision module, or the watchdog that watches the client's
-// deadline.
+// Streams: the client requests that the node has accepted and not yet concluded. Each ends with exactly one
+// final response, which comes from an upstream host, from the decision module, or from the watchdog on the
+// client's deadline.
 #pragma once
 
 #include <algorithm>
@@ -13,90 +13,93 @@
 
 namespace ryeglade {
 
-// A request as any front passes it in.
+// A request as a front passes it to Streams::Open.
 struct StreamRequest {
   std::string method, target, call_id, content_type;
   BufferChain body;
-  policy::RequestArrived arrival;   // its `time_budget` counts from `received_at`
-  Time received_at = 0;             // its first byte
-  bool prepared = false;            // the body already asks for a stream and for usage, as a front saw to it
-  std::string forwarded_headers{};  // header lines of the client's that a replica gets unchanged
+  policy::RequestArrived arrival;   // its `time_budget` starts at `received_at`
+  Time received_at = 0;             // when the first byte was received
+  bool prepared = false;            // the front has already made the body ask for a stream and for usage
+  std::string forwarded_headers{};  // the client's header lines that are sent to the replica unchanged
 };
 
-// The front's side of a stream. `client` is the front's own name for it. Of the last five, exactly one comes.
+// What Streams calls on a front. `client` is the front's own handle for the stream. For each stream, exactly
+// one of the last five functions is called, unless the client disconnects.
 class StreamSink {
  public:
   virtual ~StreamSink() = default;
-  virtual bool Connected(Handle client) const = 0;  // false: the client has closed its connection
+  virtual bool Connected(Handle client) const = 0;  // false if the client has closed its connection
   virtual void OnData(Handle client, std::string_view events) = 0;  // the first call starts the response
   virtual void OnComplete(Handle client) = 0;
-  virtual void OnTruncated(Handle client) = 0;  // after data, before the end
-  // No attempt may have run. `retry_after`: microseconds; 0: nothing is said.
+  virtual void OnTruncated(Handle client) = 0;  // the response broke off after data and before its end
+  // It is safe to repeat the request. `retry_after` is in microseconds; 0 if no time is given.
   virtual void OnRejected(Handle client, Time retry_after) = 0;
-  // `last` is how the last attempt ended.
+  // `last` is the outcome of the last attempt.
   virtual void OnFailed(Handle client, policy::Outcome last) = 0;
-  // A host said that the request itself is wrong; its own status and body.
+  // A host answered that the request itself is invalid; `status` and `body` are that host's.
   virtual void OnInvalidRequest(Handle client, int status, const std::string& body) = 0;
 };
 
-// One request that has no final response yet.
+// One request without a final response yet.
 struct Stream {
   StreamRequest request;
   StreamSink* sink = nullptr;
   Handle client = 0;
-  Time deadline = 0;
-  int attempts = 0;
-  Handle upstream_request = 0;    // the one that is in flight; 0: none
-  bool started = false;           // the response has begun
-  bool within_objective = false;  // its first event came within the class's latency objective
-  policy::Outcome last_outcome = policy::Outcome::kError;  // of its attempts
-  ReplicaId last_replica = 0;                              // that an attempt ended at; 0: none has
-  int attempts_written = 0;  // completely handed to a socket, so that they may have run
-  Time retry_after = 0;      // the longest that a host asked for
+  Time deadline = 0;              // when the client's time budget ends
+  int attempts = 0;               // that were started
+  Handle upstream_request = 0;    // the attempt in flight; 0 if there is none
+  bool started = false;           // the response has started
+  bool within_objective = false;  // the first event met the class's latency objective
+  policy::Outcome last_outcome = policy::Outcome::kError;  // of the attempt that ended last
+  ReplicaId last_replica = 0;                              // of that attempt; 0 if none has ended
+  int attempts_written = 0;  // attempts passed completely to a socket, so that they may have run
+  Time retry_after = 0;      // the longest wait that a host asked for
   DeadlineId watchdog{};
-  std::string class_name{};  // as it came: the class may be gone from the settings before it ends
+  // Stored because the class may be removed from the settings before the stream ends.
+  std::string class_name{};
 };
 
-// All streams of the node. Gives each exactly one conclusion.
+// All streams of the node. Concludes each exactly once.
 class Streams : public ConclusionPort, public ResponsePort {
  public:
   explicit Streams(Core* core) : core_(core) {}
 
-  // From the front. Open may conclude the stream before it returns; the handle then finds nothing.
+  // Called by the fronts. Open may conclude the stream before it returns; the handle is then no longer valid.
   Handle Open(StreamRequest request, StreamSink* sink, Handle client);
   void OnClientDisconnected(Handle stream);
-  void SetPaused(Handle stream, bool paused);  // whether the client leaves unread what it is sent
+  void SetPaused(Handle stream, bool paused);  // pauses reading upstream while the client does not read
 
-  // From the upstream side.
+  // Called by Upstream.
   void OnData(Handle stream, std::string_view events) override;
   void OnComplete(Handle stream) override;
   void OnTruncated(Handle stream) override;
   void OnInvalidRequest(Handle stream, int status, const std::string& body) override;
   bool CheckClientConnected(Handle stream) override;
 
-  // From the decisions.
+  // Called by Decisions.
   void Reject(Handle stream, Time retry_after) override;
   void Fail(Handle stream) override;
   void Migrate(Handle stream) override;
 
-  // Graceful shutdown: whatever has not started by `conclude_by` gets its answer then. What comes after
-  // `accept_until` is rejected at once. What has started ends a little earlier if its client may ask for the
-  // rest elsewhere. May be called again with earlier times.
+  // Begins the graceful shutdown. Streams whose response has not started by `conclude_by` are concluded then.
+  // Requests that arrive after `accept_until` are rejected at once. Streams that have started are ended a
+  // little before `conclude_by` if clients can resume them at another node. May be called again with earlier
+  // times.
   void BeginShutdown(Time conclude_by, Time accept_until);
 
   Stream* Find(Handle stream) override { return streams_.Get(stream); }
   std::size_t size() const { return streams_.size(); }
 
-  // An attempt ends this long before the client's deadline. Guards against a last, hopeless attempt: it is
-  // after the module's own latest useful dispatch (20 ms before), so that a timeout makes the module conclude
-  // and not send again.
+  // An attempt ends this long before the client's deadline, microseconds. This is later than the decision
+  // module's last useful dispatch (20 ms before the deadline), so that after a timeout the module concludes
+  // the request instead of sending another attempt that cannot succeed.
   static constexpr Time kAttemptMargin = 15'000;
-  // How long before a deadline the node acts, so that the answer is with the client in time: `usual`, or less
-  // where little time is left.
+  // How long before a deadline the node acts, so that the response reaches the client in time: `usual`, but
+  // at most a quarter of the time that is left.
   static Time Margin(Time time_left, Time usual) { return std::min(usual, std::max<Time>(0, time_left / 4)); }
 
  private:
-  // How a stream ended, for its counters and the log.
+  // How a stream ended, for the counters and the log.
   enum class Conclusion : std::uint8_t { kServed, kRejected, kFailed, kDisconnected };
 
   void SetDeadline(Stream& stream, Handle handle, Time deadline);
@@ -107,12 +110,13 @@
   void CountStart(Stream& stream);
   void CountConclusion(const Stream& stream, Conclusion how);
   void LogConclusion(const Stream& stream, Conclusion how) const;
-  // Frees the slot and counts how it ended; null: it was free already.
+  // Removes the stream and counts how it ended. Returns its sink and sets `client`, or returns nullptr if the
+  // stream has already ended.
   StreamSink* Conclude(Handle stream, Conclusion how, Handle* client);
 
   Core* core_;
   SlotTable<Stream> streams_;
-  Time conclude_by_ = 0;  // 0: no shutdown has begun
+  Time conclude_by_ = 0;  // 0 until a shutdown begins
   Time accept_until_ = 0;
   DeadlineId migration_timer_{};
 };
--- a/src/core/upstream.cpp
+++ b/src/core/upstream.cpp
@@ -13,10 +13,11 @@
 namespace ryeglade {
 namespace {
 
-constexpr Time kIdleTimeout = 4'000'000;  // a stream silent for longer is broken; clients wait 5 s
+// Microseconds.
+constexpr Time kIdleTimeout = 4'000'000;  // a stream without progress for longer is broken; clients wait 5 s
 constexpr Time kHealthCheckTimeout = 1'000'000;
 constexpr Time kFirstEventTimeout = 1'000'000;  // from a response's first byte to its first complete event
-constexpr Time kConnectRetryDelay = 20'000;     // after a connection that this machine could not open
+constexpr Time kConnectRetryDelay = 20'000;     // after this machine could not open a connection
 
 }  // namespace
 
@@ -38,8 +39,8 @@
   DropUnsent(id);
 }
 
-// Guards against a connection that comes up late: by then the host may have been asked to be left alone for
-// longer than what is on its way may take.
+// A connection may be established late. By then the host may have been draining for longer than requests that
+// are on their way are allowed to take.
 void Upstream::DropUnsent(ReplicaId id) {
   for (const Handle handle : requests_.All()) {
     const Request* r = requests_.Get(handle);
@@ -52,8 +53,8 @@
 void Upstream::Send(Handle stream, ReplicaId to, Time timeout, Time write_within) {
   Stream* s = core_->responses->Find(stream);
   if (s == nullptr) {
-    // Which attempt it would have been is gone with the stream; the module passes over those that are not
-    // out.
+    // The attempt's number is not known any more, because the stream has ended. The module ignores the
+    // numbers of attempts that are not in flight.
     for (int n = 0; n < core_->config->settings.max_attempts; ++n) {
       core_->events->Post(policy::AttemptEnded{stream, n, to, Outcome::kNotSent, 0, true, 0, {}});
     }
@@ -97,8 +98,8 @@
   Connect(handle);
 }
 
-// A connection that this machine cannot open for now says nothing of the host: it is tried again until a
-// connection would have had to be up, and then the attempt counts as not sent.
+// If this machine is unable to open a connection (out of descriptors, for example), that is no evidence
+// against the host: opening is retried until the connect timeout, and then the attempt ends as not sent.
 void Upstream::Connect(Handle handle) {
   Request* r = requests_.Get(handle);
   if (r == nullptr || r->connection != 0) return;
@@ -140,9 +141,9 @@
   WriteRequest(handle);
 }
 
-// Between the decision to send and the first byte a connection may have had to come up, and the process may
-// have been stopped for a while: whatever forbids the attempt by now keeps it from being written. False: the
-// request is over.
+// Checks again whether an attempt may be sent, right before it is written: establishing the connection may
+// have taken a while, or the process may have been stopped. Returns false if the attempt may not be sent any
+// more; the request has then been ended.
 bool Upstream::CheckMayWrite(Handle handle) {
   const Request& r = *requests_.Get(handle);
   if (r.is_health_check()) return true;
@@ -205,12 +206,13 @@
   if (r->deadline.at > at) SetDeadline(handle, at);
 }
 
-// Guards against a host that vanished: its connection stays open and says nothing.
+// Detects a host that vanished: its connection stays open, but nothing more arrives.
 void Upstream::CheckIdle(Handle handle) {
   Request* r = requests_.Get(handle);
   if (r == nullptr) return;
   const Time now = Now();
-  if (r->paused) r->last_byte_at = now;  // it is the client that keeps it silent
+  if (r->paused)
+    r->last_byte_at = now;  // reading is paused because of the client, so the host is not at fault
   const Time idle = now - r->last_byte_at;
   if (idle >= kIdleTimeout) {
     Log(Level::kWarn, "silent", {{"replica", Hex8(r->replica)}, {"after_ms", idle / 1000}});
@@ -224,12 +226,12 @@
 void Upstream::OnRead(Handle handle, std::string_view bytes) {
   UpstreamConnection* c = connections_.Find(handle);
   if (c == nullptr) return;
-  if (c->request == 0) return connections_.Close(handle);  // a response to nothing
+  if (c->request == 0) return connections_.Close(handle);  // a response without a request
   const Handle request = c->request;
   std::vector<std::string_view> body;
-  // What came with something malformed is not passed on: it may belong to it.
+  // Nothing of a read that contains malformed bytes is passed on: the rest may belong to them.
   if (!c->response.Parse(bytes, &body)) return Finish(request, Outcome::kReset);
-  // Only now, outside the parser, may anything happen that could close this connection.
+  // Code that may close this connection runs only here, after the parser has returned.
   const Request& r = *requests_.Get(request);
   bool progress = false;
   if (!ReadBody(r, c->response, body, &progress)) return Finish(request, Outcome::kReset);
@@ -238,12 +240,12 @@
   } else {
     ForwardBody(request, body, progress);
   }
-  // While the request lives, so does its connection.
+  // The connection exists for at least as long as the request.
   if (requests_.Get(request) != nullptr && c->response.complete()) OnResponseComplete(request, c->response);
 }
 
-// False: this can't be, or has ceased to be, a stream that may be passed on. `progress`: it goes on, rather
-// than being kept alive only.
+// Passes the body parts to the response's reader. Returns false if they are not part of a valid stream. Sets
+// `progress` unless the stream was only kept alive.
 bool Upstream::ReadBody(const Request& request, ResponseParser& response,
                         const std::vector<std::string_view>& body, bool* progress) const {
   const bool stream = response.status() == 200 && !request.is_health_check();
@@ -258,14 +260,15 @@
   return true;
 }
 
-// Guards against a response that begins and does not go on: a head comes with its first event. Nothing is
-// passed on before that event is complete, so that another host can still be asked.
+// Waits for the first complete event. Nothing is passed on before it, so that the request can still be
+// retried at another host. Where hosts send the head together with the first event, that event must follow
+// within kFirstEventTimeout.
 void Upstream::AwaitFirstEvent(Handle handle, UpstreamConnection& c,
                                const std::vector<std::string_view>& body) {
   Request& r = *requests_.Get(handle);
   r.last_byte_at = Now();
   const int status = c.response.status();
-  if (status >= 100 && status < 200) {  // no response yet
+  if (status >= 100 && status < 200) {  // not the final response
     c.first_byte_at = 0;
     SetDeadline(handle, r.response_deadline);
   } else if (c.first_byte_at == 0 && core_->dialect->SendsHeadWithFirstEvent()) {
@@ -273,8 +276,8 @@
     SetDeadline(handle, std::min(r.response_deadline, c.first_byte_at + kFirstEventTimeout));
   }
   if (status != 200) return;
-  for (const std::string_view piece : body) c.opening.append(piece);
-  if (c.opening.size() > ResponseParser::kMaxChunkBytes) return Finish(handle, Outcome::kReset);
+  for (const std::string_view piece : body) c.buffered_body.append(piece);
+  if (c.buffered_body.size() > ResponseParser::kMaxChunkBytes) return Finish(handle, Outcome::kReset);
   if (c.response.reader()->has_event() && c.response.at_chunk_boundary()) StartStream(handle, c);
 }
 
@@ -284,14 +287,14 @@
   core_->deadlines->Cancel(r.deadline);
   r.deadline = core_->deadlines->Set(r.last_byte_at + kIdleTimeout, [this, handle] { CheckIdle(handle); });
   core_->events->Post(policy::ResponseStarted{r.stream, r.attempt, r.replica, r.last_byte_at - r.sent_at});
-  const std::string opening = std::exchange(c.opening, {});
-  core_->responses->OnData(r.stream, opening);
+  const std::string buffered = std::exchange(c.buffered_body, {});
+  core_->responses->OnData(r.stream, buffered);
 }
 
 void Upstream::ForwardBody(Handle handle, const std::vector<std::string_view>& body, bool progress) {
   for (const std::string_view piece : body) {
     Request* r = requests_.Get(handle);
-    if (r == nullptr) return;  // its client may have gone meanwhile
+    if (r == nullptr) return;  // passing on the previous piece may have ended the stream
     if (progress) r->last_byte_at = Now();
     if (!r->is_health_check()) core_->responses->OnData(r->stream, piece);
   }
@@ -301,7 +304,7 @@
   const Request& r = *requests_.Get(handle);
   const ResponseResult result = response.reader()->Result(response.status(), r.is_health_check());
   const bool never_started = !r.is_health_check() && !r.started;
-  if (never_started && result.client_fault) return RejectRequest(handle);
+  if (never_started && result.client_fault) return EndInvalidRequest(handle);
   if (never_started) {
     if (Stream* s = core_->responses->Find(r.stream)) {
       s->retry_after = std::max(s->retry_after, result.retry_after);
@@ -333,7 +336,7 @@
   OnConnectionLost(handle);
 }
 
-// The outcome hangs on whether the request's last byte had been written: only then may it have run.
+// The request may have run only if its last byte had been written.
 void Upstream::OnConnectionLost(Handle handle) {
   const UpstreamConnection& c = *connections_.Find(handle);
   const bool may_have_run = c.request_written && c.tcp->unsent() == 0;
@@ -351,24 +354,24 @@
   if (r != nullptr && r->attempt == attempt) Cancel(s->upstream_request);
 }
 
-// The host says that the request itself is wrong: no other host is asked, and to the module the request is
-// over. The outcome says nothing of the host, as for a cancelled attempt.
-void Upstream::RejectRequest(Handle handle) {
+// The host answered that the request itself is invalid. It is not retried, and for the decision module the
+// request has ended. The outcome is kCancelled, because it is no evidence about the host.
+void Upstream::EndInvalidRequest(Handle handle) {
   const Request& r = *requests_.Get(handle);
   const Handle stream = r.stream;
   ResponseParser& response = connections_.Find(r.connection)->response;
   const int status = response.status();
   const std::string body = response.reader()->error_body();
   Log(Level::kWarn, "attempt-rejected", {{"replica", Hex8(r.replica)}, {"status", status}});
-  // The attempt first: closing it comes before anything else can be sent for its stream.
-  rejecting_request_ = true;
+  // End the attempt first: its connection must be closed before anything else can be sent for the stream.
+  request_is_invalid_ = true;
   Finish(handle, Outcome::kCancelled);
-  rejecting_request_ = false;
+  request_is_invalid_ = false;
   core_->responses->OnInvalidRequest(stream, status, body);
 }
 
-// The one outcome of an upstream request. Unless it ended well its connection is closed, and so given up on,
-// before anything else can be sent for the stream.
+// Ends an upstream request with its only outcome. Unless the response was complete, the connection is closed
+// before anything else can be sent for the stream, so that the host can stop working on the request.
 void Upstream::Finish(Handle handle, Outcome outcome) {
   Request* found = requests_.Get(handle);
   if (found == nullptr) return;
@@ -394,7 +397,7 @@
   }
   if (core_->counters != nullptr) ++core_->counters->attempts_ended[Name(outcome)];
   Stream* s = core_->responses->Find(r.stream);
-  ended.request_concluded = s == nullptr || r.started || rejecting_request_ || outcome == Outcome::kServed;
+  ended.request_concluded = s == nullptr || r.started || request_is_invalid_ || outcome == Outcome::kServed;
   if (outcome != Outcome::kServed && outcome != Outcome::kCancelled) {
     LogFailedAttempt(r, outcome, ended.elapsed);
   }
--- a/src/core/upstream.h
+++ b/src/core/upstream.h
@@ -1,5 +1,5 @@
-// Upstream requests: each is one attempt of a stream at one upstream host, or one health check. Nothing is
-// ever sent again here; what becomes of a stream after an outcome is the decision module's to decide.
+// Upstream requests. Each is one attempt of a stream at one upstream host, or one health check. There are no
+// retries here: the decision module decides what happens after an outcome.
 #pragma once
 
 #include <string>
@@ -16,25 +16,25 @@
 
 using policy::Outcome;
 
-// All requests to upstream hosts that are in flight. Posts one outcome for each.
+// All requests to upstream hosts that are in flight. Posts exactly one outcome for each.
 class Upstream : public TcpOwner, public AttemptPort, public UpstreamRequestPort, public UpstreamHostPort {
  public:
-  // `core` is not owned; its other parts need not be there yet.
+  // `core` is not owned; its other members may be set later.
   Upstream(Core* core, std::size_t max_connections)
       : core_(core), connections_(core, &hosts_, this, max_connections) {}
 
-  // From discovery. A changed address leaves connections in use alone and closes the idle ones.
+  // Called by EndpointTable. When an address changes, idle connections are closed and those in use are kept.
   void SetHost(ReplicaId id, const std::string& host_port) override;
   void RemoveHost(ReplicaId id) override;
   void DropUnsent(ReplicaId id) override;
   std::string AddressOf(ReplicaId id) const override { return hosts_.AddressOf(id); }
 
-  // From the decisions.
+  // Called by Decisions.
   void Send(Handle stream, ReplicaId to, Time timeout, Time write_within) override;
   void CancelAttempt(Handle stream, int attempt) override;
   void CheckHealth(ReplicaId to) override;
 
-  // From the streams.
+  // Called by Streams.
   void Cancel(Handle request) override;
   void SetPaused(Handle request, bool paused) override;
   void ShortenDeadline(Handle request, Time at) override;
@@ -42,9 +42,9 @@
 
   void Close() { connections_.CloseAll(); }
   void SetMaxConnections(std::size_t max_connections) { connections_.SetMaxConnections(max_connections); }
-  std::size_t size() const { return connections_.size(); }  // connections, in use and idle
+  std::size_t size() const { return connections_.size(); }  // number of connections, in use and idle
 
-  // From the sockets.
+  // Called by the sockets.
   void OnConnected(Handle connection, int status) override;
   void OnRead(Handle connection, std::string_view bytes) override;
   void OnDisconnected(Handle connection) override;
@@ -52,16 +52,16 @@
  private:
   // One attempt or health check, from the decision to send to its outcome.
   struct Request {
-    Handle stream = 0;  // 0: a health check
+    Handle stream = 0;  // 0 for a health check
     int attempt = 0;
     ReplicaId replica = 0;
     Time sent_at = 0;
-    Time last_byte_at = 0;       // of what counts as progress
-    Time response_deadline = 0;  // when the wait for a response to begin ends
-    Time write_deadline = 0;     // not written later than this; 0: any time
-    Handle connection = 0;
-    bool started = false;  // a complete event has come, and was passed on
-    bool paused = false;   // the client takes no more for now
+    Time last_byte_at = 0;       // when bytes that count as progress last arrived
+    Time response_deadline = 0;  // by when the response must have started
+    Time write_deadline = 0;     // the request is not written after this time; 0 if there is no such limit
+    Handle connection = 0;       // 0 while there is none
+    bool started = false;        // a complete event has arrived and was passed on
+    bool paused = false;         // reading is paused because the client does not read
     DeadlineId deadline;
 
     bool is_health_check() const { return stream == 0; }
@@ -85,7 +85,7 @@
   void CheckIdle(Handle request);
 
   void OnConnectionLost(Handle connection);
-  void RejectRequest(Handle request);
+  void EndInvalidRequest(Handle request);
   void Finish(Handle request, Outcome outcome);
   void LogFailedAttempt(const Request& request, Outcome outcome, Time elapsed) const;
 
@@ -93,7 +93,8 @@
   UpstreamHostTable hosts_;
   ConnectionPool connections_;
   SlotTable<Request> requests_;
-  bool rejecting_request_ = false;  // the attempt that ends now concludes its request too
+  // True while an attempt is ended because its request is invalid; this concludes the request too.
+  bool request_is_invalid_ = false;
 };
 
 }  // namespace ryeglade
--- a/src/core/upstream_host_table.h
+++ b/src/core/upstream_host_table.h
@@ -1,4 +1,4 @@
-// The upstream hosts that discovery lists now, and where each of them is reached.
+// The upstream hosts that discovery currently lists, with their addresses.
 #pragma once
 
 #include <netinet/in.h>
@@ -10,22 +10,22 @@
 
 namespace ryeglade {
 
-// Where a host is reached.
+// One upstream host's address.
 struct UpstreamHost {
-  std::string host_port;  // "ip:port" or "[ip]:port", as discovery wrote it
-  sockaddr_storage address{};
+  std::string host_port;       // "ip:port" or "[ip]:port", as in discovery's list
+  sockaddr_storage address{};  // parsed from `host_port`
 };
 
-// Only the hosts that are listed now.
+// Contains only the hosts that are currently listed.
 class UpstreamHostTable {
  public:
-  // Adds a host, or gives a known one another address.
+  // Adds a host, or changes the address of a known one.
   void Set(ReplicaId id, const std::string& host_port);
   void Remove(ReplicaId id) { hosts_.erase(id); }
   bool Contains(ReplicaId id) const { return hosts_.contains(id); }
-  // Null: not listed. Valid until the host is removed.
+  // Returns nullptr if the host is not listed. The pointer is valid until the host is removed.
   const UpstreamHost* Find(ReplicaId id) const;
-  std::string AddressOf(ReplicaId id) const;  // empty: not listed
+  std::string AddressOf(ReplicaId id) const;  // empty if the host is not listed
 
  private:
   std::map<ReplicaId, UpstreamHost> hosts_;
--- a/src/dialects/openai/openai_dialect.cpp
+++ b/src/dialects/openai/openai_dialect.cpp
@@ -16,19 +16,19 @@
 using policy::Outcome;
 using policy::Time;
 
-constexpr std::size_t kMaxEvent = std::size_t{256} * 1024;
-constexpr std::size_t kMaxErrorBody = std::size_t{16} * 1024;
+constexpr std::size_t kMaxEventBytes = std::size_t{256} * 1024;
+constexpr std::size_t kMaxErrorBodyBytes = std::size_t{16} * 1024;
 constexpr double kMaxRetryAfterSeconds = 3600;
 
-// Whether the event's JSON reports an error: a member `error` of its outermost object that is not null, or
-// the object kind "error". Text of an answer can't fool it: quotes are escaped there.
+// Returns whether the event's JSON reports an error: its outermost object has a member `error` that is not
+// null, or its `object` is "error". Generated text cannot match, because quotes in it are escaped.
 bool ReportsError(std::string_view data) {
   static constexpr std::string_view kName = "\"error\"";
   std::size_t at = data.find(kName);
   if (at == std::string_view::npos) return false;
   int depth = 0;
   bool in_string = false;
-  std::string_view key;  // of the outermost object, the last one read
+  std::string_view key;  // the last key of the outermost object that was read, with its quotes
   std::size_t string_start = 0;
   for (std::size_t i = 0; i < data.size(); ++i) {
     const char c = data[i];
@@ -68,7 +68,8 @@
 
   void OnBody(std::string_view bytes) override {
     if (has_event_) return;
-    error_body_.append(bytes.substr(0, kMaxErrorBody - std::min(kMaxErrorBody, error_body_.size())));
+    error_body_.append(
+        bytes.substr(0, kMaxErrorBodyBytes - std::min(kMaxErrorBodyBytes, error_body_.size())));
   }
 
   StreamStatus OnStream(std::string_view bytes) override {
@@ -76,7 +77,7 @@
     const bool good = events_.Feed(bytes, [&](const EventStream::Event& e) {
       if (!e.has_data) return true;
       if (e.type == "error" || ReportsError(e.data)) return false;
-      if (done_) return false;  // nothing comes behind [DONE]
+      if (done_) return false;  // nothing may follow [DONE]
       done_ = e.data == "[DONE]";
       progress = true;
       has_event_ = true;
@@ -86,7 +87,7 @@
       return true;
     });
     if (!good) return StreamStatus::kInvalid;
-    // A part of a long event is progress too; a part of a comment is not.
+    // A part of a long event counts as progress; a part of a comment does not.
     if (!events_.unfinished().empty() && events_.unfinished().front() != ':') progress = true;
     if (has_event_) error_body_ = {};
     return progress ? StreamStatus::kProgress : StreamStatus::kKeepAlive;
@@ -100,8 +101,8 @@
       if (!has_event_) return {Outcome::kError};
       return {done_ ? Outcome::kServed : Outcome::kReset};
     }
-    // A 503 may also come from something between that lost the engine in the middle of its work: it proves
-    // nothing unless it says when to come back.
+    // A 503 may also come from an intermediary that lost its connection to the engine while the request was
+    // running. It counts as a rejection only if it says when to retry.
     if (status == 429 || (status == 503 && retry_after_ > 0))
       return {Outcome::kAtCapacity, false, retry_after_};
     if (status == 400 || status == 404 || status == 413 || status == 422) return {Outcome::kError, true};
@@ -117,9 +118,9 @@
   std::string error_body() const override { return error_body_; }
 
  private:
-  EventStream events_{kMaxEvent};
+  EventStream events_{kMaxEventBytes};
   bool has_event_ = false;
-  bool done_ = false;  // [DONE] has come
+  bool done_ = false;  // [DONE] has been received
   double cached_tokens_ = 0;
   Time retry_after_ = 0;
   std::string load_report_;
@@ -142,7 +143,7 @@
                                         ? openai::Endpoint::kCompletions
                                         : openai::Endpoint::kChat;
   const openai::BodyResult read = openai::ReadBody(text, endpoint, false);
-  if (!read.body) return;  // the replica will say what it thinks of it
+  if (!read.body) return;  // an invalid body is left to the replica to reject
   const std::string changed = openai::ForReplica(text, read);
   request.body.Clear();
   request.body.Append(changed);
--- a/src/dialects/openai/openai_dialect.h
+++ b/src/dialects/openai/openai_dialect.h
@@ -1,7 +1,8 @@
-// The OpenAI-style API as replicas (vLLM and its like) speak it. 429 and 503 reject a request before it runs;
-// 400, 404 and 422 are the client's fault; other statuses failed and may have run. A stream is complete only
-// with both `[DONE]` and its last chunk; an event that holds an error breaks it; comments keep it alive and
-// are no progress.
+// The OpenAI-style API of model servers such as vLLM. 429, and 503 with a Retry-After, mean that the request
+// was rejected before it ran; 400, 404, 413 and 422 that the request is invalid; with any other error status
+// the attempt failed and may have run. A stream is complete only if both `[DONE]` and the last chunk have
+// arrived. An event that contains an error makes the stream invalid. Comments keep it alive but are not
+// progress.
 #pragma once
 
 #include <string>
@@ -10,14 +11,14 @@
 
 namespace ryeglade {
 
-// Stateless but for its key.
+// Has no state except its API key.
 class OpenAiDialect : public Dialect {
  public:
-  // `api_key`: sent to replicas as a bearer token; empty: none.
+  // `api_key` is sent to replicas as a bearer token; if it is empty, none is sent.
   explicit OpenAiDialect(std::string api_key = "") : api_key_(std::move(api_key)) {}
   const char* name() const override { return "openai"; }
   bool SendsHeadWithFirstEvent() const override { return false; }
-  // Sees to it that the body asks for a stream and for usage, where a front did not.
+  // Changes the body so that it asks for a stream and for usage, unless the front has already done so.
   void Prepare(StreamRequest& request) const override;
   std::string RequestHead(const StreamRequest& request, const std::string& host,
                           policy::Time time_left) const override;
@@ -28,7 +29,8 @@
   std::string api_key_;
 };
 
-// Seconds, whole or decimal, as in Retry-After; 0: not a number, or none. At most an hour. In microseconds.
+// Converts a Retry-After value, in whole or decimal seconds, to microseconds; at most an hour. Returns 0 if
+// it is not a positive number.
 policy::Time ReadRetryAfter(const std::string& seconds);
 
 }  // namespace ryeglade
--- a/src/dialects/platform/platform_dialect.cpp
+++ b/src/dialects/platform/platform_dialect.cpp
@@ -12,8 +12,8 @@
 
 using policy::Outcome;
 
-constexpr std::size_t kMaxOpening = std::size_t{256} * 1024;  // bytes before there is a complete event
-constexpr std::size_t kTail = 512;  // bytes; contains the usage line and the report at a stream's end
+constexpr std::size_t kMaxFirstEventBytes = std::size_t{256} * 1024;  // before the first event is complete
+constexpr std::size_t kTailBytes = 512;  // enough for the usage line and the load report at a stream's end
 
 class Reader : public ResponseReader {
  public:
@@ -24,17 +24,18 @@
 
   void OnBody(std::string_view bytes) override {
     tail_.append(bytes);
-    if (tail_.size() > 2 * kTail) tail_.erase(0, tail_.size() - kTail);
+    if (tail_.size() > 2 * kTailBytes) tail_.erase(0, tail_.size() - kTailBytes);
   }
 
-  // Guards against taking noise for a stream: it has begun once a complete event is there. Until then nothing
-  // is passed on, so that another host can still be asked.
+  // A stream has started once it has a complete event, so that garbage is not taken for a stream. Nothing is
+  // passed on before that, so the request can still be retried at another host.
   StreamStatus OnStream(std::string_view bytes) override {
     if (has_event_) return StreamStatus::kProgress;
-    opening_.append(bytes);
-    if (opening_.size() > kMaxOpening || !BeginsLikeAnEvent()) return StreamStatus::kInvalid;
-    has_event_ = opening_.find("\n\n") != std::string::npos || opening_.find("\r\n\r\n") != std::string::npos;
-    if (has_event_) opening_ = {};
+    first_event_.append(bytes);
+    if (first_event_.size() > kMaxFirstEventBytes || !BeginsLikeAnEvent()) return StreamStatus::kInvalid;
+    has_event_ =
+        first_event_.find("\n\n") != std::string::npos || first_event_.find("\r\n\r\n") != std::string::npos;
+    if (has_event_) first_event_ = {};
     return StreamStatus::kProgress;
   }
 
@@ -42,14 +43,14 @@
 
   ResponseResult Result(int status, bool health_check) const override {
     if (status == 200) return {health_check || has_event_ ? Outcome::kServed : Outcome::kError};
-    const bool rejected_unseen = (status == 503 || status == 504) && rejected_;
-    const bool at_capacity = rejected_unseen || (health_check && status == 503);
+    const bool rejected_before_running = (status == 503 || status == 504) && rejected_;
+    const bool at_capacity = rejected_before_running || (health_check && status == 503);
     return {at_capacity ? Outcome::kAtCapacity : Outcome::kError};
   }
 
   ResponseMetadata Metadata(bool health_check) const override {
     ResponseMetadata metadata{FindLastNumber(tail_, "\"cached_tokens\"").value_or(0), load_report_};
-    // A comment line of the stream's own: the text of an answer contains no bare line break.
+    // A comment line of the stream. Generated text cannot match, because it contains no unescaped line break.
     static constexpr std::string_view kComment = "\n: X-Load-Report:";
     const std::size_t at = tail_.rfind(kComment);
     if (at != std::string::npos) {
@@ -64,16 +65,16 @@
   bool BeginsLikeAnEvent() const {
     static constexpr std::string_view kLineStarts[] = {":", "data:", "event:", "id:", "retry:"};
     return std::any_of(std::begin(kLineStarts), std::end(kLineStarts), [&](std::string_view start) {
-      const std::size_t n = std::min(start.size(), opening_.size());
-      return std::string_view(opening_).substr(0, n) == start.substr(0, n);
+      const std::size_t n = std::min(start.size(), first_event_.size());
+      return std::string_view(first_event_).substr(0, n) == start.substr(0, n);
     });
   }
 
   bool rejected_ = false;  // X-Rejected: 1
   bool has_event_ = false;
-  std::string load_report_;  // of the head
-  std::string opening_;      // what came before there was a complete event
-  std::string tail_;         // the end of what has come
+  std::string load_report_;  // from the response head
+  std::string first_event_;  // bytes received before the first event was complete
+  std::string tail_;         // the last bytes of the body so far
 };
 
 }  // namespace
--- a/src/dialects/platform/platform_dialect.h
+++ b/src/dialects/platform/platform_dialect.h
@@ -1,11 +1,11 @@
-// The platform's protocol as its model replicas speak it.
+// The protocol of the platform's model replicas.
 #pragma once
 
 #include "core/dialect.h"
 
 namespace ryeglade {
 
-// Stateless but for what a health check asks for.
+// Has no state except the kind of health check.
 class PlatformDialect : public Dialect {
  public:
   explicit PlatformDialect(bool load_reports) : load_reports_(load_reports) {}
@@ -18,7 +18,7 @@
   std::unique_ptr<ResponseReader> NewReader() const override;
 
  private:
-  bool load_reports_;  // a health check asks for the load, else only for a sign of life
+  bool load_reports_;  // whether a health check asks for a load report or only whether the replica is alive
 };
 
 }  // namespace ryeglade
--- a/tests/disabled_replicas_test.cpp
+++ b/tests/disabled_replicas_test.cpp
@@ -27,7 +27,7 @@
 TEST(DisabledReplicas, AnotherNodesFileIsPassedOver) {
   std::string why;
   EXPECT_FALSE(DecodeDisabledReplicas(EncodeDisabledReplicas(Some(), "n3"), "n4", &why).has_value());
-  EXPECT_EQ(why, "of another node");
+  EXPECT_EQ(why, "belongs to another node");
 }
 
 TEST(DisabledReplicas, WhatIsNotAPlainLineIsPassedOver) {
