--- a/src/base/blocked_signals.h
+++ b/src/base/blocked_signals.h
@@ -1,11 +1,11 @@
-// SIGHUP and SIGTERM while a process starts: they wait until it can act on them. By default the first would
-// end a process that is about to read its settings anyway, and the second one that has nothing to end in
-// order.
+// Blocks SIGHUP and SIGTERM while a process starts, so that they are delivered once it can handle them. Their
+// default action is to end the process: SIGHUP would end one that is about to read its settings anyway, and
+// SIGTERM one that has not set up its graceful shutdown yet.
 #pragma once
 
 namespace ryeglade {
 
-void BlockSignals();    // as early as possible, before there are threads
-void UnblockSignals();  // whatever came meanwhile is delivered now
+void BlockSignals();    // to be called as early as possible, before threads are started
+void UnblockSignals();  // delivers pending signals
 
 }  // namespace ryeglade
--- a/src/base/buffer_pool.cpp
+++ b/src/base/buffer_pool.cpp
@@ -17,7 +17,7 @@
 
 void BufferPool::Release(char* buffer) {
   --in_use_;
-  // Guards against keeping for good what one burst took.
+  // Keep at most kMaxFree buffers, so that the memory of a burst is given back.
   std::unique_ptr<char[]> owned(buffer);
   if (free_.size() < kMaxFree) free_.push_back(std::move(owned));
 }
--- a/src/base/buffer_pool.h
+++ b/src/base/buffer_pool.h
@@ -1,5 +1,5 @@
-// A pool of buffers of one size, reused, and chains of them. The pool is bounded: when it is exhausted, an
-// append fails and the caller refuses the work, so that the node stays inside its memory limit.
+// A pool of reusable buffers of one size, and chains of them. The pool is bounded: when it is exhausted, an
+// append fails and the caller rejects the work, so that the node stays within its memory limit.
 #pragma once
 
 #include <cstddef>
@@ -10,17 +10,18 @@
 
 namespace ryeglade {
 
-// Buffers of kSize bytes; at most a given number are in use at a time. Not thread-safe.
+// Provides buffers of kSize bytes and limits how many are in use. Not thread-safe.
 class BufferPool {
  public:
   static constexpr std::size_t kSize = std::size_t{16} * 1024;
-  static constexpr std::size_t kMaxFree = 128;  // buffers kept for the next use
+  static constexpr std::size_t kMaxFree = 128;  // number of released buffers kept for reuse
   explicit BufferPool(std::size_t max_bytes) : max_buffers_(max_bytes / kSize) {}
 
-  void SetMaxBytes(std::size_t max_bytes) { max_buffers_ = max_bytes / kSize; }  // what is in use stays
-  char* Acquire();  // nullptr: the pool is exhausted
+  // If the limit is lowered, buffers in use remain valid.
+  void SetMaxBytes(std::size_t max_bytes) { max_buffers_ = max_bytes / kSize; }
+  char* Acquire();  // returns nullptr if the pool is exhausted
   void Release(char* buffer);
-  std::size_t in_use() const { return in_use_; }
+  std::size_t in_use() const { return in_use_; }  // number of buffers
   bool NearlyExhausted() const { return in_use_ * 10 >= max_buffers_ * 9; }
 
  private:
@@ -29,7 +30,7 @@
   std::vector<std::unique_ptr<char[]>> free_;
 };
 
-// A string of bytes in buffers of a pool, which get returned with it. Can be moved, not copied.
+// A byte string stored in buffers of a pool, which are released with it. Can be moved but not copied.
 class BufferChain {
  public:
   explicit BufferChain(BufferPool* pool) : pool_(pool) {}
@@ -39,11 +40,11 @@
   BufferChain& operator=(const BufferChain&) = delete;
   ~BufferChain() { Clear(); }
 
-  bool Append(std::string_view bytes);  // false: the pool is exhausted; what fitted is kept
+  bool Append(std::string_view bytes);  // returns false if the pool is exhausted; what fitted is kept
   void Clear();
   std::size_t size() const { return size_; }
   std::vector<std::string_view> Pieces() const;
-  std::string Text() const;  // a copy, in one piece
+  std::string Text() const;  // a contiguous copy
 
  private:
   BufferPool* pool_;
--- a/src/base/deadlines.cpp
+++ b/src/base/deadlines.cpp
@@ -7,8 +7,8 @@
 namespace ryeglade {
 namespace {
 
-// A deadline that is acted on later than this was missed: the process was stopped for a while.
-constexpr Time kMissedAfter = 20'000;
+// A deadline that is overdue by more than this shows that the process was stopped for a while. Microseconds.
+constexpr Time kStallThreshold = 20'000;
 
 }  // namespace
 
@@ -48,17 +48,17 @@
     return;
   }
   const Time wait = std::max<Time>(0, pending_.begin()->first.at - Now());
-  // The sweep does the work; the timer only ends the wait for sockets.
+  // Sweep calls the callbacks; the timer only ends the wait for sockets.
   uv_update_time(timer_.loop);
   uv_timer_start(
       &timer_, [](uv_timer_t*) {}, static_cast<std::uint64_t>((wait + 999) / 1000), 0);
 }
 
-// Guards against acting on a time that has passed before what came in time is read: a process that
-// was stopped for a while leaves the wait for sockets without having looked at them, and so reads its sockets
-// once more first.
+// After the process was stopped for a while, the loop can return from its wait without having read the
+// sockets. Deadlines must not be acted on before data that arrived in time is read, so the first sweep after
+// such a stop is skipped and the sockets are read once more.
 bool Deadlines::ShouldReadSocketsFirst(Time now) {
-  const bool late = !pending_.empty() && now - pending_.begin()->first.at > kMissedAfter;
+  const bool late = !pending_.empty() && now - pending_.begin()->first.at > kStallThreshold;
   reading_first_ = late && !reading_first_;
   return reading_first_;
 }
@@ -66,7 +66,8 @@
 void Deadlines::Sweep() {
   const Time now = Now();
   if (ShouldReadSocketsFirst(now)) return;
-  // What a callback sets for this very moment waits for the next turn: the sockets get theirs in between.
+  // Deadlines that callbacks set during this sweep are run in the next iteration at the earliest, so that
+  // sockets are served in between.
   const std::uint64_t last = last_order_;
   while (!pending_.empty()) {
     auto it = pending_.begin();
--- a/src/base/deadlines.h
+++ b/src/base/deadlines.h
@@ -1,5 +1,5 @@
-// Every deadline of the node, the decision module's timers among them, in one ordered structure. It is swept
-// once each turn of the loop; one uv timer is armed for the earliest.
+// All deadlines of the node, including the decision module's timers, in one ordered map. It is swept once in
+// each iteration of the loop; one uv timer is armed for the earliest deadline.
 #pragma once
 
 #include <uv.h>
@@ -15,23 +15,24 @@
 
 using policy::Time;
 
-// Unix time in microseconds when the program started, and steady from there: the origin is the one that
-// startedAtMs has, but a step of the system clock moves nothing.
+// Returns the time in microseconds: the Unix time at the start of the program plus the monotonic time since
+// then. It is therefore comparable with discovery's startedAtMs but not affected by steps of the system
+// clock.
 Time Now();
 
-// Names a deadline that is set; in the order in which they come due.
+// Identifies a deadline that is set. Ordered by due time.
 struct DeadlineId {
   Time at = 0;
-  std::uint64_t order = 0;  // 0: none
+  std::uint64_t order = 0;  // order in which deadlines were set; 0 if there is no deadline
   auto operator<=>(const DeadlineId&) const = default;
 };
 
-// Calls back on the loop once a time has come, in the order of times. One a loop.
+// Runs callbacks on the loop when their times have come, in the order of the times. One object per loop.
 class Deadlines {
  public:
   explicit Deadlines(uv_loop_t* loop);
   DeadlineId Set(Time at, std::function<void()> callback);
-  void Cancel(DeadlineId& id);  // and clears it
+  void Cancel(DeadlineId& id);  // also clears `id`
   void Close();
 
  private:
@@ -40,7 +41,7 @@
   void Arm();
   std::map<DeadlineId, std::function<void()>> pending_;
   std::uint64_t last_order_ = 0;
-  bool reading_first_ = false;  // the sockets are read once more before what is overdue is acted on
+  bool reading_first_ = false;  // the last sweep was skipped so that the sockets are read first
   uv_timer_t timer_{};
   uv_prepare_t prepare_{};
   uv_check_t check_{};
--- a/src/base/file_io.cpp
+++ b/src/base/file_io.cpp
@@ -11,7 +11,7 @@
 namespace ryeglade {
 
 std::string ReadFileIfPresent(const std::string& path) {
-  // Not by stream iterators: they throw when a read fails.
+  // Stream iterators would throw if a read fails.
   std::ifstream in(path, std::ios::binary);
   std::string text;
   char piece[4096];
@@ -35,7 +35,7 @@
   if (fault.error == 0 && fsync(fd) != 0) fault.error = errno;
   close(fd);
   if (fault.error == 0 && std::rename(fresh.c_str(), path.c_str()) != 0)
-    fault = {errno, "cannot be put in place"};
+    fault = {errno, "cannot be renamed into place"};
   if (fault.error != 0) unlink(fresh.c_str());
   return fault;
 }
--- a/src/base/file_io.h
+++ b/src/base/file_io.h
@@ -1,4 +1,4 @@
-// A file that is replaced whole: whoever reads it sees the old one or the new one, never a part.
+// Reads files, and replaces them atomically: a reader sees either the old or the new contents.
 #pragma once
 
 #include <sys/types.h>
@@ -7,17 +7,17 @@
 
 namespace ryeglade {
 
-// Which step of writing a file failed, and how.
+// The step of writing a file that failed, and the error.
 struct FileError {
-  int error = 0;          // errno; 0: none
-  const char* what = "";  // which step failed, in words
+  int error = 0;          // errno value; 0 if the file was written
+  const char* what = "";  // the failed step as text for a message
 };
 
-// What can be read of a file; empty where it can't be read, also when it goes away while it is read, as a
-// process's files under /proc do. Waits for the disk.
+// Returns what can be read of a file, or an empty string if it cannot be read. The file may disappear while
+// it is read, as a process's files under /proc do. Blocks on the disk.
 std::string ReadFileIfPresent(const std::string& path);
 
-// Waits for the disk.
+// Replaces the file atomically by way of a temporary file beside it. Blocks on the disk.
 FileError ReplaceFile(const std::string& path, const std::string& text, mode_t mode);
 
 }  // namespace ryeglade
--- a/src/base/gnuplot.cpp
+++ b/src/base/gnuplot.cpp
@@ -25,7 +25,7 @@
   const bool written = std::fwrite(script.data(), 1, script.size(), pipe) == script.size();
   const int status = pclose(pipe);
   if (!written || status != 0)
-    throw std::runtime_error("gnuplot did not draw it; if it is missing, install the package gnuplot-nox");
+    throw std::runtime_error("gnuplot failed; if it is missing, install the package gnuplot-nox");
 }
 
 }  // namespace ryeglade
--- a/src/base/gnuplot.h
+++ b/src/base/gnuplot.h
@@ -1,15 +1,15 @@
-// Pictures by gnuplot, which is a program that the machine must have.
+// Draws charts with gnuplot, which must be installed.
 #pragma once
 
 #include <string>
 
 namespace ryeglade {
 
-// The lines of a script that say where the picture goes and in what form, by the ending of `out`: .svg or
-// .png. Sizes in pixels, `font` in points. Throws std::runtime_error for another ending.
+// Returns the script lines that set the output file and its format, which is given by the extension of `out`:
+// .svg or .png. Sizes are in pixels, `font` is in points. Throws std::runtime_error for any other extension.
 std::string GnuplotHead(const std::string& out, double width, double height, int font);
 
-// Throws std::runtime_error if gnuplot is missing or does not like the script.
+// Runs a script. Throws std::runtime_error if gnuplot is missing or fails.
 void RunGnuplot(const std::string& script);
 
 }  // namespace ryeglade
--- a/src/base/listener.cpp
+++ b/src/base/listener.cpp
@@ -19,7 +19,7 @@
 
 constexpr int kBacklog = 1024;
 
-// Closes the descriptor unless it was released.
+// Owns a descriptor and closes it unless it was released.
 class Descriptor {
  public:
   explicit Descriptor(int fd) : fd_(fd) {}
@@ -39,14 +39,14 @@
   sockaddr_storage bound{};
   socklen_t length = sizeof bound;
   getsockname(fd, reinterpret_cast<sockaddr*>(&bound), &length);
-  return ntohs(reinterpret_cast<const sockaddr_in*>(&bound)->sin_port);  // stands there in both families
+  return ntohs(reinterpret_cast<const sockaddr_in*>(&bound)->sin_port);  // at the same offset in sockaddr_in6
 }
 
 [[noreturn]] void Fail(const std::string& address, const char* reason) {
   throw std::runtime_error("cannot listen on " + address + ": " + reason);
 }
 
-// A socket that is bound to `address` and does not listen yet; throws std::runtime_error.
+// Returns a socket that is bound to `address` but does not listen yet; throws std::runtime_error.
 int BindSocket(const std::string& address, bool share_port) {
   sockaddr_storage at{};
   if (!ParseAddress(address, &at)) Fail(address, "not an ip:port");
@@ -100,14 +100,14 @@
                 [](uv_poll_t* p, int, int) { static_cast<Listener*>(p->data)->ready_(); });
 }
 
-// A socket filter (socket(7), SO_ATTACH_FILTER) that drops TCP segments with the SYN flag: without it a
-// connection that comes up between the last accept and the close would be reset, although its client may have
-// sent a request already. Where the system has no such filters, that short time remains.
+// Attaches a socket filter (socket(7), SO_ATTACH_FILTER) that drops TCP segments with the SYN flag. Without
+// it, a connection that is established between the last accept and the close would be reset, although its
+// client may have sent a request already. On a system without such filters, that short window remains.
 void Listener::DropNewConnections() {
   if (poll_ == nullptr) return;
-  constexpr std::uint32_t kFlagsAt = 13;  // byte of the TCP header
+  constexpr std::uint32_t kFlagsAt = 13;  // offset of the flags in the TCP header, bytes
   constexpr std::uint32_t kSyn = 0x02;
-  constexpr std::uint32_t kWhole = 0xffffffff;  // bytes to keep
+  constexpr std::uint32_t kWhole = 0xffffffff;  // number of bytes to keep: the whole segment
   std::array<sock_filter, 4> drop_syn = {{BPF_STMT(BPF_LD | BPF_B | BPF_ABS, kFlagsAt),
                                           BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, kSyn, 1, 0),
                                           BPF_STMT(BPF_RET | BPF_K, kWhole), BPF_STMT(BPF_RET | BPF_K, 0)}};
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -17,10 +17,10 @@
 namespace ryeglade {
 namespace {
 
-constexpr std::size_t kMaxLine = 1024;  // a pipe that is writable takes a whole line of this size
+constexpr std::size_t kMaxLine = 1024;  // bytes; a writable pipe accepts a whole line of this size
 constexpr std::string_view kLevels[] = {"debug", "info", "warn", "error"};
 
-// Guards against a reader of the log that stalls: the node must not wait for it.
+// Drops lines while standard error is not writable, so that the node does not wait for a stalled reader.
 class NonBlockingStderr : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
   std::uint64_t dropped = 0;
@@ -39,7 +39,7 @@
   void flush_() override {}
 };
 
-// The line is built where the fields are known; here it only gets its line end.
+// Log builds the complete line; this only truncates it and adds the line end.
 class VerbatimFormatter : public spdlog::formatter {
  public:
   void format(const spdlog::details::log_msg& msg, spdlog::memory_buf_t& to) override {
@@ -54,8 +54,8 @@
   LogOptions options;
   std::shared_ptr<NonBlockingStderr> sink = std::make_shared<NonBlockingStderr>();
   spdlog::logger logger{"ryeglade", sink};
-  Time second = 0;
-  int lines = 0;
+  Time second = 0;  // the current second of Now()
+  int lines = 0;    // events logged in that second
   State() {
     sink->set_formatter(std::make_unique<VerbatimFormatter>());
     logger.set_level(spdlog::level::trace);
@@ -86,7 +86,7 @@
   std::visit(
       [&](const auto& v) {
         if constexpr (std::is_same_v<std::decay_t<decltype(v)>, std::string_view>) {
-          // Guards against clients who write lines of their own into the log.
+          // Text from clients is quoted unless it is harmless, so that clients cannot forge lines or fields.
           const bool plain = !json && !v.empty() && std::all_of(v.begin(), v.end(), [](unsigned char c) {
             return c > 0x20 && c != '"' && c != '=' && c != '\\' && c != 0x7f;
           });
@@ -112,7 +112,7 @@
 void Log(Level level, std::string_view event, std::initializer_list<LogField> fields) {
   State& state = LogState();
   if (level < state.options.level) return;
-  // Guards against clients who make the node write more than it serves.
+  // Limits the lines per second, so that clients cannot make the node spend its time on logging.
   const Time now = Now();
   if (now / 1'000'000 != state.second) {
     state.second = now / 1'000'000;
@@ -141,7 +141,7 @@
   append("event", event);
   for (const LogField& f : fields) append(f.name, f.value);
   const std::string_view text(line.data(), line.size());
-  // A line over the bound is cut, but a JSON line stays one object.
+  // A line that is too long is truncated; a JSON line is replaced, so that it remains a valid object.
   if (json) {
     const bool fits = text.size() + 3 <= kMaxLine;
     state.logger.info("{{{}}}", fits ? text : "\"event\":\"log-line-too-long\"");
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,6 +1,6 @@
-// One structured event a line on standard error, on spdlog: time, level, a stable event name, and fields. The
-// names are listed in docs/on-call.md. Never waits for its reader, and writes a bounded number of lines a
-// second.
+// Writes structured events to standard error through spdlog, one per line: time, level, a stable event name,
+// and fields. The names are listed in docs/on-call.md. Never blocks on the reader of the log, and limits the
+// number of lines per second.
 #pragma once
 
 #include <concepts>
@@ -12,10 +12,10 @@
 
 namespace ryeglade {
 
-// How severe an event is; the least first.
+// Severity of an event, in increasing order.
 enum class Level : std::uint8_t { kDebug, kInfo, kWarn, kError };
 
-// A name and a value; neither is owned.
+// A field of an event. Neither the name nor a text value is owned.
 struct LogField {
   using Value = std::variant<std::int64_t, std::uint64_t, double, bool, std::string_view>;
 
@@ -29,19 +29,19 @@
   LogField(std::string_view n, std::string_view v) : name(n), value(v) {}
 
   std::string_view name;
-  Value value;  // a view holds until the call returns
+  Value value;  // a view must be valid until Log returns
 };
 
-// A number as eight hexadecimal digits, as replicas are named.
+// Formats a number as eight hexadecimal digits, the form of replica ids in the log.
 std::string Hex8(std::uint32_t value);
 
 void Log(Level level, std::string_view event, std::initializer_list<LogField> fields = {});
 
-// How the log is written; the same for the whole process.
+// Options of the process's log.
 struct LogOptions {
   bool json = false;           // JSON lines instead of logfmt
-  Level level = Level::kInfo;  // less than this is not written
-  int lines_per_second = 300;  // what comes above is dropped and counted
+  Level level = Level::kInfo;  // the lowest level that is written
+  int lines_per_second = 300;  // further lines are dropped and counted
 };
 void SetUpLog(const LogOptions& options);
 
--- a/src/base/metric_family.h
+++ b/src/base/metric_family.h
@@ -1,5 +1,5 @@
-// Prometheus families and samples as the admin listener and the OpenAI front both write them out in the text
-// format. Values are as counted; a family's type says whether a sample is a counter or a gauge.
+// Helpers to build Prometheus metric families and samples, which the admin listener and the OpenAI front
+// write in the text format. The type of a family says whether its samples are counters or gauges.
 #pragma once
 
 #include <prometheus/metric_family.h>
--- a/src/base/runtime.h
+++ b/src/base/runtime.h
@@ -1,4 +1,4 @@
-// What everything above src/base runs on. The node owns it; nothing here is reached from outside its loop.
+// The event loop and the services on it that all code above src/base uses. The node owns them.
 #pragma once
 
 #include <uv.h>
@@ -8,7 +8,7 @@
 
 namespace ryeglade {
 
-// Nothing is owned here. All of it is used from the thread of the loop only.
+// Nothing is owned here. Everything is used from the loop's thread only.
 struct Runtime {
   uv_loop_t* loop = nullptr;
   Deadlines* deadlines = nullptr;
--- a/src/base/slot_table.h
+++ b/src/base/slot_table.h
@@ -1,5 +1,5 @@
-// Tables of numbered slots. A Handle names a slot and the generation that lives in it, so that a callback
-// that comes late, for something that has ended, finds nothing and does nothing.
+// A table of numbered slots. A Handle identifies a slot and the generation of the value in it, so that a late
+// callback for a value that has been removed finds nothing and does nothing.
 #pragma once
 
 #include <cstddef>
@@ -11,9 +11,9 @@
 
 namespace ryeglade {
 
-using Handle = std::uint64_t;  // generation in the upper half, slot in the lower; 0: none
+using Handle = std::uint64_t;  // generation in the upper 32 bits, slot in the lower 32; 0 for no value
 
-// Owns its values; a pointer from Get holds until the value is removed.
+// Owns its values. A pointer from Get is valid until the value is removed.
 template <class T>
 class SlotTable {
  public:
@@ -59,12 +59,12 @@
   }
 
  private:
-  // One slot and the generation of what is, or will next be, in it.
+  // One slot, with the generation of the value that is in it or will be put into it next.
   struct Slot {
     std::uint32_t generation = 1;
     std::optional<T> value;
   };
-  std::deque<Slot> slots_;  // a deque: pointers stay good while the table grows
+  std::deque<Slot> slots_;  // a deque, so that pointers remain valid while the table grows
   std::vector<std::uint32_t> free_;
   std::size_t size_ = 0;
 };
--- a/src/base/socket_error_model.cpp
+++ b/src/base/socket_error_model.cpp
@@ -8,10 +8,10 @@
   switch (error) {
     case EAGAIN:
       return AcceptStep::kNoneWaiting;
-    case ECONNABORTED:  // the peer left before it was accepted
+    case ECONNABORTED:  // the peer closed the connection before it was accepted
     case EINTR:
     case EPERM:  // a firewall forbids this peer
-    // Linux passes pending network errors of the new connection on as errors of accept.
+    // Linux returns pending network errors of the new connection as errors of accept.
     case ENETDOWN:
     case EPROTO:
     case ENOPROTOOPT:
@@ -21,7 +21,7 @@
     case EOPNOTSUPP:
     case ENETUNREACH:
       return AcceptStep::kTryNext;
-    default:  // EMFILE, ENFILE, ENOBUFS, ENOMEM, and what is not known
+    default:  // EMFILE, ENFILE, ENOBUFS, ENOMEM and unknown errors
       return AcceptStep::kTryLater;
   }
 }
@@ -34,7 +34,7 @@
     case ENOMEM:
     case EADDRNOTAVAIL:
     case EADDRINUSE:
-    case EAGAIN:  // no free local port, as Linux tells it for some sockets
+    case EAGAIN:  // Linux returns this for some sockets if no local port is free
     case EACCES:
     case EPERM:
       return true;
--- a/src/base/state_file.h
+++ b/src/base/state_file.h
@@ -1,5 +1,5 @@
-// A small file in $TMPDIR that one process hands to the next over a hot restart: replaced as a whole off the
-// loop's thread, watched for what another process wrote into it. The loop never waits for it.
+// A small file in $TMPDIR that one process hands to the next on a hot restart. It is replaced atomically in a
+// background thread and watched for changes by another process. The loop never blocks on it.
 #pragma once
 
 #include <uv.h>
@@ -10,19 +10,21 @@
 
 namespace ryeglade {
 
-// Reads and writes the file in the background, one job at a time.
+// Reads and writes the file in the background, one operation at a time.
 class StateFile {
  public:
-  // `path` empty: off. `changed` is called on the loop with all of the file's text when another writer has
-  // replaced it.
+  // If `path` is empty, the file is disabled. `changed` is called on the loop with the complete text of the
+  // file when another process has replaced it.
   StateFile(uv_loop_t* loop, std::string path, std::function<void(const std::string&)> changed);
   bool enabled() const { return !path_.empty(); }
   const std::string& path() const { return path_; }
 
-  // At the start, before the loop runs: what is there now; null: nothing, or it can't be read.
+  // Returns the current text, or nullopt if there is no file or it cannot be read. Blocks on the disk; to be
+  // called before the loop runs.
   std::optional<std::string> ReadNow() const;
-  void Write(std::string text);  // in the background; the latest text wins
-  void Watch(unsigned interval_ms);
+  // Writes in the background. Only the latest of the texts that are waiting is written.
+  void Write(std::string text);
+  void Watch(unsigned interval_ms);  // checks the file for changes at this interval
   void Close();
 
  private:
@@ -35,8 +37,8 @@
   std::string path_;
   std::function<void(const std::string&)> changed_;
   bool job_running_ = false;
-  std::optional<std::string> pending_;
-  std::string last_;  // what this process last wrote or read: a change to anything else is another's
+  std::optional<std::string> pending_;  // the text to write next, if any
+  std::string last_;  // what this process wrote or read last: any other text was written by another process
   uv_fs_poll_t poll_{};
   bool polling_ = false;
 };
--- a/src/base/tcp.cpp
+++ b/src/base/tcp.cpp
@@ -12,7 +12,7 @@
 namespace ryeglade {
 namespace {
 
-// libuv asks for a buffer and returns it filled within one call, so all sockets share one.
+// libuv asks for a read buffer and hands it back filled within one call, so all sockets share one.
 constexpr std::size_t kReadBufferSize = std::size_t{64} * 1024;
 std::array<char, kReadBufferSize>& ReadBuffer() {
   static std::array<char, kReadBufferSize> buffer;
--- a/src/base/tcp.h
+++ b/src/base/tcp.h
@@ -1,5 +1,5 @@
-// One TCP socket on the loop, client side or server side. It belongs to a slot of its owner's table and
-// reports by handle; after Close nothing more is reported.
+// One TCP socket on the loop, on the client or the server side. It notifies its owner of events and passes
+// the handle that the owner gave it; there are no notifications after Close.
 #pragma once
 
 #include <uv.h>
@@ -13,43 +13,50 @@
 
 namespace ryeglade {
 
-// What a socket reports, by the handle that its owner gave it. All are called on the loop.
+// Events of a socket. `handle` is the one that the owner gave to the socket. All functions are called on the
+// loop.
 class TcpOwner {
  public:
   virtual ~TcpOwner() = default;
-  virtual void OnConnected(Handle, int /*status*/) {}
+  virtual void OnConnected(Handle, int /*status*/) {}  // status: 0, or a libuv error code
   virtual void OnRead(Handle handle, std::string_view bytes) = 0;
-  virtual void OnDisconnected(Handle handle) = 0;  // the peer closed, or the connection broke
-  virtual void OnDrained(Handle) {}                // all that was written is with the kernel
+  virtual void OnDisconnected(Handle handle) = 0;  // the peer closed the connection, or it broke
+  virtual void OnDrained(Handle) {}                // the kernel has taken everything that was queued
 };
 
-socklen_t SockaddrLength(const sockaddr* address);  // bytes, of its family: IPv6, else IPv4
-bool ParseAddress(const std::string& text, sockaddr_storage* address);  // "ip:port", "[ip]:port"
+// Returns the size of an address in bytes, according to its family: IPv6 if AF_INET6, otherwise IPv4.
+socklen_t SockaddrLength(const sockaddr* address);
+// Parses "ip:port" (IPv4) or "[ip]:port" (IPv6). Returns false if the text is neither.
+bool ParseAddress(const std::string& text, sockaddr_storage* address);
 
-// Made by New, and deletes itself some time after Close; not to be used after Close.
+// Created by New; must not be used after Close, which leads to its deletion.
 class Tcp {
  public:
   static Tcp* New(uv_loop_t* loop, BufferPool* pool, TcpOwner* owner, Handle handle);
   bool Accept(uv_stream_t* listener);
-  bool Open(int fd);                       // an accepted connection, from here on this one's, or closed
-  int Bind(const sockaddr_storage& from);  // before Connect: the address to come from; a libuv error code
-  int Connect(const sockaddr_storage& address);  // a libuv error code; 0: OnConnected tells how it went
+  // Takes over the descriptor of an accepted connection. Returns false, and closes it, on failure.
+  bool Open(int fd);
+  // Sets the local address; to be called before Connect. Returns 0 or a libuv error code.
+  int Bind(const sockaddr_storage& from);
+  // Returns a libuv error code, or 0 if OnConnected will be called with the result.
+  int Connect(const sockaddr_storage& address);
   void StartReading();
   void StopReading() { uv_read_stop(stream()); }
-  // Writes at once what the kernel takes and keeps the rest; false: the connection is broken or the pool is
-  // exhausted, and the owner should close.
+  // Writes at once what the kernel takes and queues the rest. Returns false if the connection is broken or
+  // the buffer pool is exhausted; the owner should then close the connection.
   bool Write(std::string_view bytes) { return Write({bytes}); }
   bool Write(std::initializer_list<std::string_view> parts);
-  // Bytes that the kernel has not taken yet. libuv reports a write as done only on a later turn of its loop;
-  // until then `sending_` still holds bytes that may have reached the peer.
+  // Number of bytes that the kernel has not taken yet. libuv's queue size is used because `sending_` can
+  // still contain bytes that have reached the peer: libuv reports a write as done only in a later loop
+  // iteration.
   std::size_t unsent() const { return uv_stream_get_write_queue_size(stream()) + queued_.size(); }
-  sockaddr_storage PeerAddress() const;   // all zero: not known
-  sockaddr_storage LocalAddress() const;  // the same of this end
-  void ResetOnClose();                    // Close sends a reset, and drops what is unsent
-  bool NothingToRead() const;             // nothing waits to be read, neither bytes nor the end
-  bool PeerClosed() const;  // the peer has closed or reset, whether or not bytes wait to be read
-  void ShutdownWrite();     // a FIN after all that was written
-  void Close();             // the object is gone once the loop has closed the socket
+  sockaddr_storage PeerAddress() const;   // all zero if unknown
+  sockaddr_storage LocalAddress() const;  // all zero if unknown
+  void ResetOnClose();                    // makes Close send a reset and drop unsent bytes
+  bool NothingToRead() const;             // neither bytes nor the end of the stream are waiting to be read
+  bool PeerClosed() const;                // the peer has closed or reset, even if bytes are still to be read
+  void ShutdownWrite();                   // sends a FIN after everything that was written
+  void Close();                           // the object is deleted once the loop has closed the socket
 
  private:
   Tcp(BufferPool* pool, TcpOwner* owner, Handle handle)
@@ -65,7 +72,8 @@
   BufferPool* pool_;
   TcpOwner* owner_;
   Handle handle_;
-  BufferChain sending_, queued_;
+  BufferChain sending_;  // passed to libuv
+  BufferChain queued_;   // written while `sending_` is in progress
   bool closing_ = false;
 };
 
--- a/src/base/text_table.cpp
+++ b/src/base/text_table.cpp
@@ -20,7 +20,7 @@
   for (const Column& c : table.columns) {
     if (c.name != name) continue;
     if (const auto* values = std::get_if<T>(&c.values)) return *values;
-    throw std::runtime_error("table " + table.name + ": column " + name + " does not hold " + kind);
+    throw std::runtime_error("table " + table.name + ": column " + name + " does not contain " + kind);
   }
   throw std::runtime_error("table " + table.name + ": there is no column " + name);
 }
@@ -35,10 +35,10 @@
   return FindColumn<Numbers>(*this, column, "numbers");
 }
 const Integers& TextTable::IntegersOf(const std::string& column) const {
-  return FindColumn<Integers>(*this, column, "whole numbers");
+  return FindColumn<Integers>(*this, column, "integers");
 }
 const Strings& TextTable::StringsOf(const std::string& column) const {
-  return FindColumn<Strings>(*this, column, "words");
+  return FindColumn<Strings>(*this, column, "strings");
 }
 
 std::string Csv(const TextTable& table) {
--- a/src/base/text_table.h
+++ b/src/base/text_table.h
@@ -1,4 +1,4 @@
-// Tables as columns of numbers and words, which CSV and the columnar file are written from. No I/O.
+// Tables with columns of numbers or strings, from which CSV and columnar files are written. No I/O.
 #pragma once
 
 #include <concepts>
@@ -14,26 +14,27 @@
 using Integers = std::vector<std::int64_t>;
 using Strings = std::vector<std::string>;
 
-// One column: its name, and a value for each row.
+// One column, with a value for each row.
 struct Column {
-  std::string name;  // with its unit
+  std::string name;  // includes the unit
   std::variant<Numbers, Integers, Strings> values;
 };
 // A named table, stored by columns.
 struct TextTable {
   std::string name;
-  std::vector<Column> columns;  // of one length
+  std::vector<Column> columns;  // all of the same length
   std::size_t rows() const;
-  // Each throws std::runtime_error for a column that is not there or holds something else, naming it.
+  // Return the values of a column. Throw std::runtime_error if there is no such column or it has another
+  // type.
   const Numbers& NumbersOf(const std::string& column) const;
   const Integers& IntegersOf(const std::string& column) const;
   const Strings& StringsOf(const std::string& column) const;
 };
 
-// A NaN is an empty field; words that need it are quoted.
+// Formats a table as CSV. NaN becomes an empty field; strings are quoted where necessary.
 std::string Csv(const TextTable& table);
 
-// Adds rows field by field, in the order of the columns.
+// Builds a table row by row; fields are given in the order of the columns.
 class TableBuilder {
  public:
   TableBuilder(std::string name, std::vector<Column> columns) : table_{std::move(name), std::move(columns)} {}
--- a/src/base/untrusted_fields.h
+++ b/src/base/untrusted_fields.h
@@ -1,5 +1,5 @@
-// Reads a MessagePack array from a peer field by field. Every type, range and length is checked; what does
-// not hold is thrown as BadField with a reason: malformed or range.
+// Reads a MessagePack array from a peer field by field. Every type, range and length is checked; a violation
+// throws BadField with the reason "malformed" or "range".
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
   using std::runtime_error::runtime_error;
 };
 
-// Reads the array's elements in order; the array must outlive it.
+// Reads the elements of an array in order. The array must outlive this object.
 class UntrustedFields {
  public:
   explicit UntrustedFields(const msgpack::object& o) {
@@ -29,13 +29,14 @@
     --remaining_;
     return *next_++;
   }
+  // An integer from 0 to max.
   std::uint64_t Number(std::uint64_t max) {
     const msgpack::object& o = Next();
     if (o.type != msgpack::type::POSITIVE_INTEGER) throw BadField("malformed");
     if (o.via.u64 > max) throw BadField("range");
     return o.via.u64;
   }
-  // From -max to max.
+  // An integer from -max to max.
   std::int64_t Signed(std::int64_t max) {
     const msgpack::object& o = Next();
     if (o.type == msgpack::type::POSITIVE_INTEGER && o.via.u64 <= static_cast<std::uint64_t>(max))
@@ -55,7 +56,8 @@
     if (o.type != msgpack::type::BIN) throw BadField("malformed");
     return {o.via.bin.ptr, o.via.bin.size};
   }
-  // Letters that can be shown: what a peer is called goes into logs and terminals.
+  // A string without white space or control characters, because names of peers appear in logs and on
+  // terminals.
   std::string Text(std::size_t min, std::size_t max) {
     const msgpack::object& o = Next();
     if (o.type != msgpack::type::STR) throw BadField("malformed");
