--- a/fuzz/flight_fuzz.cpp
+++ b/fuzz/flight_fuzz.cpp
@@ -17,7 +17,7 @@
   }
   for (const auto& r : records) ryeglade::timeline::ToText(r);
   try {
-    ryeglade::timeline::ReadBlocks(ryeglade::timeline::FileHead() + std::string(bytes),
+    ryeglade::timeline::ReadBlocks(ryeglade::timeline::FileHeader() + std::string(bytes),
                                    [](auto, auto) { return true; });
   } catch (const std::runtime_error&) {
   }
--- a/lab/cluster/command.cpp
+++ b/lab/cluster/command.cpp
@@ -128,8 +128,8 @@
   Witness w(scenario);
   for (Seen& s : said) w.Said(std::move(s));
   ColumnarFile file;
-  file.notes = {{"scenario", scenario.text}, {"how", how}};
-  file.sheets.push_back(w.Table());
+  file.attributes = {{"scenario", scenario.text}, {"how", how}};
+  file.tables.push_back(w.Table());
   WriteColumns(out_, file);
 }
 
--- a/lab/experiment/results.cpp
+++ b/lab/experiment/results.cpp
@@ -108,11 +108,11 @@
 ColumnarFile ToFile(const Results& r) {
   const Experiment& e = r.experiment;
   ColumnarFile file;
-  file.notes = {{"schema", kSchema},
-                {"what", "results of ryeglade-lab run"},
-                {"settings", e.text},
-                {"mark", fmt::format("{:016x}", e.mark)},
-                {"build", r.build}};
+  file.attributes = {{"schema", kSchema},
+                     {"what", "results of ryeglade-lab run"},
+                     {"settings", e.text},
+                     {"mark", fmt::format("{:016x}", e.mark)},
+                     {"build", r.build}};
   TextTable days{"days", {{"day", Integers{}}, {"policy", Strings{}}, {"seed", Integers{}}}};
   for (std::size_t a = 0; a < e.axes.size(); ++a)
     days.columns.push_back({"axis_" + e.axes[a].key, Strings{}});
@@ -151,14 +151,14 @@
         replicas.Add(day, span, replica, row.served_in[span][replica]);
     }
   }
-  file.sheets = {std::move(days), first.Take(), std::move(seconds), replicas.Take()};
+  file.tables = {std::move(days), first.Take(), std::move(seconds), replicas.Take()};
   return file;
 }
 
 Results FromFile(const ColumnarFile& file) {
   const auto note = [&](const std::string& name) {
-    const auto it = file.notes.find(name);
-    return it == file.notes.end() ? std::string() : it->second;
+    const auto it = file.attributes.find(name);
+    return it == file.attributes.end() ? std::string() : it->second;
   };
   if (note("what") != "results of ryeglade-lab run")
     throw std::runtime_error("holds no results of an experiment");
@@ -167,7 +167,7 @@
   Results r;
   r.experiment = ParseExperiment("settings in the results", note("settings"));
   r.build = note("build");
-  const TextTable& days = file.Of("days");
+  const TextTable& days = file.TableNamed("days");
   const Integers& numbers = days.IntegersOf("day");
   std::map<std::int64_t, std::size_t> at;
   for (std::size_t n = 0; n < numbers.size(); ++n) {
@@ -191,11 +191,11 @@
     if (it == at.end()) throw std::runtime_error(fmt::format("tells of day {}, which it has not", day));
     return r.rows[it->second];
   };
-  const TextTable& first = file.Of("first_token");
+  const TextTable& first = file.TableNamed("first_token");
   for (std::size_t n = 0; n < first.rows(); ++n)
     row_of(first.IntegersOf("day")[n])
         .first_token.emplace_back(first.NumbersOf("from_ms")[n], first.NumbersOf("count")[n]);
-  const TextTable& seconds = file.Of("seconds");
+  const TextTable& seconds = file.TableNamed("seconds");
   std::vector<const Numbers*> fields;
   for (const auto& [name, field] : PointFields()) fields.push_back(&seconds.NumbersOf(name));
   for (std::size_t n = 0; n < seconds.rows(); ++n) {
@@ -203,7 +203,7 @@
     for (std::size_t f = 0; f < fields.size(); ++f) p.*PointFields()[f].second = (*fields[f])[n];
     row_of(seconds.IntegersOf("day")[n]).course.push_back(p);
   }
-  const TextTable& replicas = file.Of("replicas");
+  const TextTable& replicas = file.TableNamed("replicas");
   const Integers &of = replicas.IntegersOf("day"), &span = replicas.IntegersOf("span"),
                  &replica = replicas.IntegersOf("replica"), &served = replicas.IntegersOf("served");
   for (std::size_t n = 0; n < of.size(); ++n) {
--- a/lab/fault_scenarios.cpp
+++ b/lab/fault_scenarios.cpp
@@ -397,7 +397,7 @@
 FaultScenarioResult WriteFaultScenario(const FaultScenarioOptions& options, const std::string& path,
                                        const std::function<void(double)>& progress) {
   std::ofstream file(path, std::ios::binary);
-  file << timeline::FileHead();
+  file << timeline::FileHeader();
   std::string block;
   std::uint64_t number = 0;
   const FaultScenarioResult result = PlayFaultScenario(options, [&](const Record& record) {
--- a/lab/load/load_model.cpp
+++ b/lab/load/load_model.cpp
@@ -159,7 +159,7 @@
 
 ColumnarFile Tally::ToFile(const std::string& how) const {
   ColumnarFile file;
-  file.notes = {{"schema", "1"}, {"what", "results of ryeglade-lab load"}, {"settings", how}};
+  file.attributes = {{"schema", "1"}, {"what", "results of ryeglade-lab load"}, {"settings", how}};
   TextTable classes{"classes", {{"class", Strings{}}, {"asked", Integers{}}, {"in_time", Integers{}}}};
   for (std::size_t o = 0; o < static_cast<std::size_t>(Outcome::kCount); ++o)
     classes.columns.push_back({Name(static_cast<Outcome>(o)), Integers{}});
@@ -195,7 +195,7 @@
   for (const auto& [second, s] : seconds_)
     seconds.Add(second, s.asked, s.served, s.refused, s.other, lab::QuantileOf(s.first, 0.5),
                 lab::QuantileOf(s.first, 0.99));
-  file.sheets = {std::move(classes), bins.Take(), seconds.Take()};
+  file.tables = {std::move(classes), bins.Take(), seconds.Take()};
   return file;
 }
 
--- a/src/admin/admin_front.h
+++ b/src/admin/admin_front.h
@@ -24,7 +24,7 @@
  public:
   static constexpr std::size_t kSockets = 16;
   // For a whole request. Callers may keep a connection for 4 s before they send one.
-  static constexpr Time kReadWithin = 5'000'000;
+  static constexpr Time kRequestTimeout = 5'000'000;
 
   explicit AdminFront(AdminPort* node) : node_(node) {}
   void Use(Downstream* downstream) { downstream_ = downstream; }
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -105,7 +105,7 @@
   const auto number = [](double v) {
     return v > 0 ? std::to_string(static_cast<long long>(v)) : std::string("-");
   };
-  for (const std::string& id : ring.order()) {
+  for (const std::string& id : ring.ids()) {
     const ryeglade::keys::Key& k = *ring.Find(id);
     std::printf("%-10s %-20.20s %-12s %-10s %14s %14s %8s\n", id.c_str(),
                 k.name.empty() ? "-" : k.name.c_str(), k.created.empty() ? "-" : k.created.c_str(),
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -70,7 +70,7 @@
   options.listen = config.management;
   options.max_connections = AdminFront::kSockets;
   options.max_body = kMaxAdminRequest;
-  options.request_timeout = AdminFront::kReadWithin;
+  options.request_timeout = AdminFront::kRequestTimeout;
   return options;
 }
 
@@ -90,14 +90,14 @@
   options.directory = settings.directory;
   options.node = node;
   options.block_bytes = settings.block_bytes;
-  options.block_within = settings.block_interval;
+  options.block_interval = settings.block_interval;
   options.segment_bytes = settings.segment_bytes;
   options.total_bytes = settings.total_bytes;
   options.ring_bytes = settings.ring_bytes;
   options.dump_directory = settings.dump_directory;
   options.bytes_per_second = settings.bytes_per_second;
-  options.reasons = settings.record_reasons;
-  options.watch = settings.detect_anomalies;
+  options.record_reasons = settings.record_reasons;
+  options.detect_anomalies = settings.detect_anomalies;
   return options;
 }
 
--- a/src/app/openai_service.cpp
+++ b/src/app/openai_service.cpp
@@ -39,7 +39,7 @@
 }
 
 void OpenAiService::WriteLedgerAtIntervals() {
-  if (!ledger_file_.on()) return;
+  if (!ledger_file_.enabled()) return;
   core_->deadlines->Set(Now() + settings_->ledger_interval, [this] {
     ledger_file_.Write(LedgerText());
     WriteLedgerAtIntervals();
--- a/src/app/timeline_command.cpp
+++ b/src/app/timeline_command.cpp
@@ -140,7 +140,7 @@
 int TimelineCommand::Verify() {
   Verifier verifier;
   const ReadTotals totals = ReadFlight(
-      FlightFiles(options_->paths), [&](const Record& r) { verifier.Take(r); }, Progress());
+      FlightFiles(options_->paths), [&](const Record& r) { verifier.AddRecord(r); }, Progress());
   Print(fmt::format("{} blocks, {} starts; {} of {} decisions reproduced, {} could not be compared\n",
                     totals.report.blocks, verifier.starts(), verifier.matched(), verifier.decisions(),
                     verifier.skipped()));
@@ -206,10 +206,10 @@
       LoadNodes(options_->paths, LoadOptionsFor(*options_, 1800), &losses);
   const TimelineMerge merge(nodes);
   for (const MergedNode& n : merge.nodes()) {
-    Print(n.common > 0
+    Print(n.common_generations > 0
               ? fmt::format("{}: clock {:+.3f} s, from {} generations told to both, within {:.3f} s\n",
-                            n.name, static_cast<double>(n.offset) / 1e6, n.common,
-                            static_cast<double>(n.spread) / 1e6)
+                            n.name, static_cast<double>(n.offset) / 1e6, n.common_generations,
+                            static_cast<double>(n.offset_spread) / 1e6)
           : &n == &merge.nodes().front()
               ? fmt::format("{}: its clock counts\n", n.name)
               : fmt::format("{}: no generation in common; its clock is taken as it is\n", n.name));
--- a/src/app/timeline_output.cpp
+++ b/src/app/timeline_output.cpp
@@ -23,8 +23,9 @@
 std::string SpanText(const StateSpan& span) {
   const double seconds = Seconds(span.to - span.from);
   if (span.state == ReplicaState::kUnknown)
-    return fmt::format("unknown for {:.1f} s, last known {}: {}", seconds, Name(span.known), span.why);
-  return fmt::format("{} for {:.1f} s, says {}", Name(span.state), seconds, span.why);
+    return fmt::format("unknown for {:.1f} s, last known {}: {}", seconds, Name(span.last_known),
+                       span.reason);
+  return fmt::format("{} for {:.1f} s, says {}", Name(span.state), seconds, span.reason);
 }
 
 std::string EjectionText(const EjectionSpan& ejection) {
@@ -85,7 +86,7 @@
 std::string StateAtEnd(const ReplicaTimeline& replica) {
   if (replica.spans.empty()) return "never listed";
   const StateSpan& last = replica.spans.back();
-  if (last.state == ReplicaState::kUnknown) return fmt::format("unknown, was {}", Name(last.known));
+  if (last.state == ReplicaState::kUnknown) return fmt::format("unknown, was {}", Name(last.last_known));
   return Name(last.state);
 }
 
--- a/src/columnar/columnar_file.cpp
+++ b/src/columnar/columnar_file.cpp
@@ -55,12 +55,12 @@
   H5::FileAccPropList memory;
   memory.setCore(std::size_t{1} << 20, false);
   H5::H5File out("in memory", H5F_ACC_TRUNC, H5::FileCreatPropList::DEFAULT, memory);
-  for (const auto& [name, text] : file.notes) {
+  for (const auto& [name, text] : file.attributes) {
     // A variable string as an attribute is kept in a heap, so that it may be long.
     const char* pointer = text.c_str();
     out.createAttribute(name, TextType(), H5::DataSpace()).write(TextType(), &pointer);
   }
-  for (const TextTable& sheet : file.sheets) {
+  for (const TextTable& sheet : file.tables) {
     H5::Group group = out.createGroup(sheet.name);
     for (const Column& column : sheet.columns) Write(group, column);
     const auto rows = static_cast<std::int64_t>(sheet.rows());
@@ -112,8 +112,8 @@
 
 }  // namespace
 
-const TextTable& ColumnarFile::Of(const std::string& name) const {
-  for (const TextTable& s : sheets) {
+const TextTable& ColumnarFile::TableNamed(const std::string& name) const {
+  for (const TextTable& s : tables) {
     if (s.name == name) return s;
   }
   throw std::runtime_error("there is no table " + name);
@@ -143,7 +143,7 @@
       if (a.getTypeClass() != H5T_STRING || !a.getStrType().isVariableStr()) continue;
       char* pointer = nullptr;
       a.read(TextType(), &pointer);
-      file.notes[a.getName()] = pointer == nullptr ? "" : pointer;
+      file.attributes[a.getName()] = pointer == nullptr ? "" : pointer;
       if (pointer != nullptr) H5free_memory(pointer);
     }
     for (hsize_t g = 0; g < in.getNumObjs(); ++g) {
@@ -160,7 +160,7 @@
         if (rows(c) != sheet.rows())
           throw std::runtime_error("table " + sheet.name + " has columns of different length");
       }
-      file.sheets.push_back(std::move(sheet));
+      file.tables.push_back(std::move(sheet));
     }
     return file;
   } catch (const H5::Exception& e) {
--- a/src/columnar/columnar_file.h
+++ b/src/columnar/columnar_file.h
@@ -13,9 +13,10 @@
 namespace ryeglade {
 
 struct ColumnarFile {
-  std::map<std::string, std::string> notes;
-  std::vector<TextTable> sheets;
-  const TextTable& Of(const std::string& name) const;  // throws std::runtime_error where it is not there
+  std::map<std::string, std::string> attributes;
+  std::vector<TextTable> tables;
+  const TextTable& TableNamed(
+      const std::string& name) const;  // throws std::runtime_error where it is not there
 };
 
 // The file is there whole or as it was before. Waits for the disk; throws std::runtime_error saying which
--- a/src/fronts/openai/openai_front.cpp
+++ b/src/fronts/openai/openai_front.cpp
@@ -81,7 +81,7 @@
   for (const auto& [connection, open] : open_requests_) {
     if (loaded.Find(open.key) == nullptr) revoked.push_back(connection);
   }
-  for (const std::string& id : keyring_.order()) {
+  for (const std::string& id : keyring_.ids()) {
     if (loaded.Find(id) == nullptr) limiter_.Forget(id);
   }
   keyring_ = std::move(loaded);
@@ -139,9 +139,9 @@
     used = reported ? *result.usage : token_sizes_.Estimate(open.model, seen);
     // A response that was cut off owes no usage; one that came all the same is checked like any other.
     if (!reported && (outcome == Outcome::kServed || usage_times > 0)) fault = &result.fault;
-    if (reported) token_sizes_.Learn(open.model, seen.prompt_chars, used.prompt);
+    if (reported) token_sizes_.Learn(open.model, seen.prompt_bytes, used.prompt);
   }
-  ledger_.Ended(open.key, open.model, outcome, used, reported, fault);
+  ledger_.RecordOutcome(open.key, open.model, outcome, used, reported, fault);
   const bool forwarded = outcome != Outcome::kRejectedByNode;
   limiter_.Settle(Now(), open.key, open.limits, open.reserved_tokens, used.prompt + used.output, forwarded);
   return open;
@@ -342,9 +342,9 @@
   open.has_max_tokens = body.max_tokens.has_value();
   open.streamed = body.stream;
   open.response_headers = RequestIdHeader(open.request_id) + RateLimitHeaders(admission.remaining);
-  open.observer.seen().prompt_chars = body.prompt_chars;
+  open.observer.seen().prompt_bytes = body.prompt_chars;
   open.observer.seen().max_tokens = body.max_tokens;
-  ledger_.Admitted(open.key, open.model);
+  ledger_.RecordAdmission(open.key, open.model);
   open_requests_.insert_or_assign(connection, std::move(open));
   const Handle handle = streams_->Open(std::move(stream), this, connection);
   // The response may have been sent already, and the connection be on to its next request.
--- a/src/fronts/openai/response_translation.cpp
+++ b/src/fronts/openai/response_translation.cpp
@@ -83,7 +83,7 @@
     return false;
   }
   if (const std::size_t bytes = TextBytes(e.data); bytes > 0) {
-    seen_.output_chars += bytes;
+    seen_.output_bytes += bytes;
     ++seen_.text_events;
   }
   static constexpr std::string_view kUsage = "\"usage\"";
--- a/src/keys/keyring.h
+++ b/src/keys/keyring.h
@@ -37,7 +37,7 @@
   const Key* Verify(std::string_view presented) const;
   const Key* Find(const std::string& id) const;
   std::size_t size() const { return keys_.size(); }
-  const std::vector<std::string>& order() const { return order_; }  // ids in the order of the file
+  const std::vector<std::string>& ids() const { return order_; }  // ids in the order of the file
 
   void Add(Key key);
   bool Remove(const std::string& id);
--- a/src/ledger/ledger_file.cpp
+++ b/src/ledger/ledger_file.cpp
@@ -24,7 +24,7 @@
 }
 
 void LedgerFile::Write(std::string text) {
-  if (!on() || busy_) return;
+  if (!enabled() || busy_) return;
   busy_ = true;
   Job* job = new Job;
   job->work.data = job;
@@ -53,7 +53,7 @@
 }
 
 bool LedgerFile::WriteNow(const std::string& text) {
-  if (!on()) return true;
+  if (!enabled()) return true;
   const int error = ReplaceFile(path_, text, kMode).error;
   if (error != 0) {
     ++failures_;
--- a/src/ledger/ledger_file.h
+++ b/src/ledger/ledger_file.h
@@ -14,7 +14,7 @@
  public:
   // An empty directory turns it off.
   LedgerFile(uv_loop_t* loop, std::string directory, const std::string& node);
-  bool on() const { return !path_.empty(); }
+  bool enabled() const { return !path_.empty(); }
   const std::string& path() const { return path_; }
   void Write(std::string text);  // in the background; passed over while the last one is still being written
   bool WriteNow(const std::string& text);  // waits; for the program's end
--- a/src/ledger/ledger_model.cpp
+++ b/src/ledger/ledger_model.cpp
@@ -56,10 +56,10 @@
   return rows_[{key, model}];
 }
 
-void Ledger::Admitted(const std::string& key, const std::string& model) { ++At(key, model).admitted; }
+void Ledger::RecordAdmission(const std::string& key, const std::string& model) { ++At(key, model).admitted; }
 
-void Ledger::Ended(const std::string& key, const std::string& model, Outcome outcome, const Usage& usage,
-                   bool reported, const UsageFault* fault) {
+void Ledger::RecordOutcome(const std::string& key, const std::string& model, Outcome outcome,
+                           const Usage& usage, bool reported, const UsageFault* fault) {
   Row& row = At(key, model);
   ++row.ended.at(static_cast<std::size_t>(outcome));
   Tokens& tokens = reported ? row.reported : row.estimated;
--- a/src/ledger/ledger_model.h
+++ b/src/ledger/ledger_model.h
@@ -46,11 +46,11 @@
   using Id = std::pair<std::string, std::string>;  // key, model
   static constexpr std::size_t kMaxRows = 4096;
 
-  void Admitted(const std::string& key, const std::string& model);
+  void RecordAdmission(const std::string& key, const std::string& model);
   // The one end of an admitted request. `usage` is what it used; `reported`: by the replica's own figures,
   // not by an estimate; a fault is counted when usage was owed and was not valid.
-  void Ended(const std::string& key, const std::string& model, Outcome outcome, const Usage& usage,
-             bool reported, const UsageFault* fault);
+  void RecordOutcome(const std::string& key, const std::string& model, Outcome outcome, const Usage& usage,
+                     bool reported, const UsageFault* fault);
   // Requests rejected before they were admitted, by reason (a fixed set of names).
   void CountRejection(const std::string& reason) { ++rejections_[reason]; }
 
--- a/src/ledger/usage_model.cpp
+++ b/src/ledger/usage_model.cpp
@@ -104,8 +104,8 @@
 Usage TokenSizeEstimator::Estimate(const std::string& model, const ObservedResponse& seen) const {
   const double size = BytesPerToken(model);
   Usage usage;
-  usage.prompt = std::ceil(static_cast<double>(seen.prompt_chars) / size);
-  usage.output = std::max(std::ceil(static_cast<double>(seen.output_chars) / size),
+  usage.prompt = std::ceil(static_cast<double>(seen.prompt_bytes) / size);
+  usage.output = std::max(std::ceil(static_cast<double>(seen.output_bytes) / size),
                           static_cast<double>(seen.text_events));
   if (seen.max_tokens) usage.output = std::min(usage.output, *seen.max_tokens);
   return usage;
--- a/src/ledger/usage_model.h
+++ b/src/ledger/usage_model.h
@@ -37,7 +37,7 @@
 
 // What the node observed itself of the request and its response.
 struct ObservedResponse {
-  std::size_t prompt_chars = 0, output_chars = 0;  // bytes of UTF-8
+  std::size_t prompt_bytes = 0, output_bytes = 0;  // bytes of UTF-8
   std::size_t text_events = 0;                     // that carried a piece of the answer
   std::optional<double> max_tokens;
 };
--- a/src/timeline/block.cpp
+++ b/src/timeline/block.cpp
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-std::string FileHead() {
+std::string FileHeader() {
   std::string out(kMark);
   Put(out, kFormat);
   return out;
@@ -77,7 +77,7 @@
 
 ReadReport ReadBlocks(std::string_view file, const std::function<bool(std::uint64_t, std::string_view)>& sink,
                       const std::function<void(std::size_t)>& passed) {
-  const std::string head = FileHead();
+  const std::string head = FileHeader();
   if (file.substr(0, kMark.size()) != kMark) throw std::runtime_error("is no flight record");
   if (file.size() < head.size() || Take<std::uint32_t>(file, kMark.size()) == 0 ||
       Take<std::uint32_t>(file, kMark.size()) > kFormat)
@@ -97,13 +97,13 @@
       // On to the next place that could be a block's start.
       const std::size_t next = std::min(file.find(mark, at + 1), file.size());
       report.lost_bytes += next - at;
-      report.lost_places += losing ? 0 : 1;
+      report.lost_ranges += losing ? 0 : 1;
       losing = true;
       at = next;
       continue;
     }
     losing = false;
-    if (last && block->number > *last + 1) report.missing += block->number - *last - 1;
+    if (last && block->number > *last + 1) report.missing_blocks += block->number - *last - 1;
     last = block->number;
     ++report.blocks;
     at += block->size;
--- a/src/timeline/block.h
+++ b/src/timeline/block.h
@@ -15,15 +15,15 @@
 
 inline constexpr std::size_t kMaxRawBlockBytes = std::size_t{4} * 1024 * 1024;  // of one block
 
-std::string FileHead();
+std::string FileHeader();
 // The block's bytes for a file. `number` counts up through a process's life, over all its files.
 std::string MakeBlock(std::string_view raw, std::uint64_t number);
 
 struct ReadReport {
   std::uint64_t blocks = 0;
-  std::uint64_t lost_bytes = 0;   // that belong to no whole block
-  std::uint64_t lost_places = 0;  // runs of such bytes
-  std::uint64_t missing = 0;      // blocks whose numbers were skipped
+  std::uint64_t lost_bytes = 0;      // that belong to no whole block
+  std::uint64_t lost_ranges = 0;     // runs of such bytes
+  std::uint64_t missing_blocks = 0;  // blocks whose numbers were skipped
 };
 
 // Calls `sink` with each whole block's raw bytes, in order; a sink that returns false stops it. Throws
--- a/src/timeline/export_model.cpp
+++ b/src/timeline/export_model.cpp
@@ -50,7 +50,7 @@
                OrNothing(b.load_age), Name(span == nullptr ? ReplicaState::kUnlisted : span->state));
     }
     for (const StateSpan& s : replica.spans)
-      states.Add(title, ms(s.from), ms(s.to), Name(s.state), Name(s.known), s.why);
+      states.Add(title, ms(s.from), ms(s.to), Name(s.state), Name(s.last_known), s.reason);
     for (const EjectionSpan& r : replica.ejections)
       rests.Add(title, ms(r.from), ms(r.until), ryeglade::Name(r.outcome), r.consecutive_failures);
     for (const Annotation& m : replica.annotations) marks.Add(ms(m.at), title, m.text);
--- a/src/timeline/flight_recorder.cpp
+++ b/src/timeline/flight_recorder.cpp
@@ -45,7 +45,7 @@
     fd = open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0640);
     size = 0;
     if (fd >= 0) ++segment;
-    return fd >= 0 && Put(FileHead());
+    return fd >= 0 && Put(FileHeader());
   }
   bool Put(const std::string& bytes) {
     for (std::size_t at = 0; at < bytes.size();) {
@@ -150,7 +150,7 @@
       });
     }
   }
-  if (options_.watch) detector_.OnDecision(now, event, actions);
+  if (options_.detect_anomalies) detector_.OnDecision(now, event, actions);
   if (!budget_.MayKeep(now)) {
     coalescer_.Count(now, event, actions);
     ++coalesced_;
@@ -201,7 +201,7 @@
   if (closed_) return;
   endpoint_list_ = {now, std::string(source), generation, std::string(why), false};
   Append(endpoint_list_);
-  if (options_.watch) detector_.OnEndpointList(now, source, why);
+  if (options_.detect_anomalies) detector_.OnEndpointList(now, source, why);
 }
 
 // Names are left out first where the budget is short.
@@ -239,7 +239,7 @@
 }
 
 void FlightRecorder::ScheduleFlush() {
-  due_ = run_->deadlines->Set(Now() + options_.block_within, [this] {
+  due_ = run_->deadlines->Set(Now() + options_.block_interval, [this] {
     due_ = {};
     QueueBlock();
   });
@@ -248,7 +248,7 @@
 void FlightRecorder::QueueBlock() {
   run_->deadlines->Cancel(due_);
   if (block_records_ == 0) return;
-  if (queue_.size() >= options_.waiting_blocks) {
+  if (queue_.size() >= options_.max_queued_blocks) {
     dropped_ += block_records_;
     lost_ += block_records_;
     block_.clear();
@@ -293,7 +293,7 @@
       run_->loop, &job->work,
       [](uv_work_t* w) {
         DumpJob* j = static_cast<DumpJob*>(w->data);
-        std::string file = FileHead();
+        std::string file = FileHeader();
         for (std::size_t i = 0; i < j->raws.size(); ++i) file += MakeBlock(j->raws[i], j->first + i);
         j->error = ReplaceFile(j->path, file, 0640).error;
       },
@@ -347,7 +347,7 @@
 void FlightRecorder::Close() {
   if (closed_) return;
   closed_ = true;  // the loop has ended: no deadline can be set, and no job runs
-  if (options_.watch) detector_.Close();
+  if (options_.detect_anomalies) detector_.Close();
   FlushCoalesced();
   QueueBlock();
   while (!queue_.empty()) {
--- a/src/timeline/flight_recorder.h
+++ b/src/timeline/flight_recorder.h
@@ -24,15 +24,15 @@
   std::string directory;  // empty: nothing on disk but what Dump writes
   std::string node;
   std::size_t block_bytes = std::size_t{64} * 1024;             // raw; then it is written
-  Time block_within = 1'000'000;                                // or when its first record is this old
+  Time block_interval = 1'000'000;                              // or when its first record is this old
   std::size_t segment_bytes = std::size_t{16} * 1024 * 1024;    // of a file, then the next begins
   std::size_t total_bytes = std::size_t{256} * 1024 * 1024;     // of all files of this node; the oldest go
-  std::size_t waiting_blocks = 16;                              // for the disk; more are dropped
+  std::size_t max_queued_blocks = 16;                           // for the disk; more are dropped
   std::size_t bytes_per_second = std::size_t{2} * 1024 * 1024;  // raw; decisions beyond that are counted
-  std::size_t ring_bytes = 0;  // raw, of the newest blocks, kept in memory; 0: none
-  std::string dump_directory;  // where Dump writes the ring
-  bool reasons = false;        // kept with the decisions; else a replay tells them
-  bool watch = true;           // for anomalies
+  std::size_t ring_bytes = 0;    // raw, of the newest blocks, kept in memory; 0: none
+  std::string dump_directory;    // where Dump writes the ring
+  bool record_reasons = false;   // kept with the decisions; else a replay tells them
+  bool detect_anomalies = true;  // for anomalies
 };
 
 class FlightRecorder : public DecisionRecorder,
@@ -57,7 +57,7 @@
   void OnConclusion(const policy::ConclusionRecord& note) override { AddReason(note); }
   void OnEjection(const policy::EjectionRecord& note) override { AddReason(note); }
 
-  bool wants_reasons() const { return options_.reasons; }
+  bool wants_reasons() const { return options_.record_reasons; }
   // Writes the ring to a file of its own, off the loop. False: there is none, or the last is still written.
   bool Dump();
   void Close();  // writes what is left, waiting for the disk; for the program's end
@@ -65,7 +65,7 @@
   std::uint64_t records() const { return records_; }
   std::uint64_t dropped() const { return dropped_; }      // records
   std::uint64_t coalesced() const { return coalesced_; }  // decisions counted instead of kept
-  std::uint64_t unusual() const { return anomalies_; }    // events begun
+  std::uint64_t anomalies() const { return anomalies_; }  // events begun
   std::uint64_t failures() const;                         // blocks that the disk did not take
 
  private:
--- a/src/timeline/merge_model.cpp
+++ b/src/timeline/merge_model.cpp
@@ -71,9 +71,9 @@
   }
   if (differences.empty()) return merged;
   merged.offset = MedianOf(differences);
-  merged.common = differences.size();
+  merged.common_generations = differences.size();
   for (Time& difference : differences) difference = std::abs(difference - merged.offset);
-  merged.spread = MedianOf(differences);
+  merged.offset_spread = MedianOf(differences);
   return merged;
 }
 
@@ -197,8 +197,8 @@
       if (told) said += fmt::format("{}{} says {}", said.empty() ? "" : ", ", nodes_[i].name, Name(s->state));
       if (Rank(s->state) > Rank(best.state)) {
         best.state = s->state;
-        best.known = s->known;
-        best.why = fmt::format("{}: {}", nodes_[i].name, s->why);
+        best.last_known = s->last_known;
+        best.reason = fmt::format("{}: {}", nodes_[i].name, s->reason);
       }
     }
     if (differ) {
@@ -214,7 +214,8 @@
       if (at - disagreements_.back().from <= kMaxListDelay)
         disagreements_.pop_back();  // lists take a while to arrive
     }
-    if (!into.spans.empty() && into.spans.back().state == best.state && into.spans.back().known == best.known)
+    if (!into.spans.empty() && into.spans.back().state == best.state &&
+        into.spans.back().last_known == best.last_known)
       continue;
     if (!into.spans.empty()) into.spans.back().to = at;
     into.spans.push_back(best);
--- a/src/timeline/merge_model.h
+++ b/src/timeline/merge_model.h
@@ -16,9 +16,9 @@
 
 struct MergedNode {
   std::string name;
-  Time offset = 0;         // added to its times
-  std::size_t common = 0;  // generations that it rests on; 0: its clock is taken as it is
-  Time spread = 0;         // median absolute deviation of the differences
+  Time offset = 0;                     // added to its times
+  std::size_t common_generations = 0;  // generations that it rests on; 0: its clock is taken as it is
+  Time offset_spread = 0;              // median absolute deviation of the differences
 };
 
 struct Disagreement {  // two nodes said different things of a replica for longer than a list takes to arrive
--- a/src/timeline/reader.cpp
+++ b/src/timeline/reader.cpp
@@ -75,7 +75,7 @@
     sink_(record);
     const auto* d = std::get_if<Decision>(&record);
     now_ = d != nullptr ? d->now : now_;
-    if (!keeps_) verifier_.Take(record);
+    if (!keeps_) verifier_.AddRecord(record);
   }
   void Flush() {
     for (const ReasonRecord& n : std::exchange(found_, {})) sink_(n);
@@ -98,10 +98,10 @@
   std::string out;
   if (report.lost_bytes > 0) {
     out += fmt::format("lost: {} bytes in {} places that are no whole blocks\n", report.lost_bytes,
-                       report.lost_places);
+                       report.lost_ranges);
   }
-  if (report.missing > 0) out += fmt::format("missing: {} blocks\n", report.missing);
-  if (unreadable > 0) out += fmt::format("unreadable: {} blocks\n", unreadable);
+  if (report.missing_blocks > 0) out += fmt::format("missing: {} blocks\n", report.missing_blocks);
+  if (unreadable_blocks > 0) out += fmt::format("unreadable: {} blocks\n", unreadable_blocks);
   return out;
 }
 
@@ -154,7 +154,7 @@
               Decode(raw, records);
             } catch (const std::runtime_error&) {
               good = false;
-              ++totals.unreadable;
+              ++totals.unreadable_blocks;
             }
             const bool starts = !records.empty() && std::holds_alternative<Start>(records.front());
             if (last && number != *last + 1 && !starts) sink(Gap{0});
@@ -172,8 +172,8 @@
     totals.bytes += file.text().size();
     totals.report.blocks += report.blocks;
     totals.report.lost_bytes += report.lost_bytes;
-    totals.report.lost_places += report.lost_places;
-    totals.report.missing += report.missing;
+    totals.report.lost_ranges += report.lost_ranges;
+    totals.report.missing_blocks += report.missing_blocks;
   }
   return totals;
 }
--- a/src/timeline/reader.h
+++ b/src/timeline/reader.h
@@ -14,7 +14,7 @@
 
 struct ReadTotals {
   ReadReport report;
-  std::uint64_t files = 0, records = 0, unreadable = 0;  // blocks whose records could not be read
+  std::uint64_t files = 0, records = 0, unreadable_blocks = 0;  // blocks whose records could not be read
   std::uint64_t bytes = 0;
   std::string Losses() const;  // lines in words; empty: none
 };
--- a/src/timeline/replica_timeline_model.cpp
+++ b/src/timeline/replica_timeline_model.cpp
@@ -116,8 +116,8 @@
   ReplicaState known = state;
   if (!replica.spans.empty()) {
     StateSpan& last = replica.spans.back();
-    if (unknown) known = last.state == ReplicaState::kUnknown ? last.known : last.state;
-    if (last.state == state && last.known == known) return;
+    if (unknown) known = last.state == ReplicaState::kUnknown ? last.last_known : last.state;
+    if (last.state == state && last.last_known == known) return;
     // Who is gone or was never listed does not become unknown: nobody says that it is there.
     if (unknown && (known == ReplicaState::kGone || known == ReplicaState::kUnlisted)) return;
     if (last.from == at) {  // told twice at one moment: what came last holds
@@ -128,8 +128,8 @@
       ++replica.dropped_items;
       // The newest is the one that is asked for; what was before it runs together.
       last.state = state;
-      last.known = known;
-      last.why = std::move(why);
+      last.last_known = known;
+      last.reason = std::move(why);
       return;
     }
     last.to = at;
@@ -310,7 +310,7 @@
     if (list.scope == EndpointListScope::kFull) {
       SetState(replica, now, ReplicaState::kGone, source + ", by leaving it out");
     } else if (replica.spans.back().state == ReplicaState::kUnknown) {
-      SetState(replica, now, replica.spans.back().known,
+      SetState(replica, now, replica.spans.back().last_known,
                source);  // a change of others says that this one has not changed
     }
   }
--- a/src/timeline/replica_timeline_model.h
+++ b/src/timeline/replica_timeline_model.h
@@ -23,8 +23,8 @@
 struct StateSpan {
   Time from = 0, to = 0;  // to: up to and without; 0: to the end
   ReplicaState state = ReplicaState::kUnlisted;
-  ReplicaState known = ReplicaState::kUnlisted;  // unknown: what it was last known to be
-  std::string why;                               // who said so, or why it is not known
+  ReplicaState last_known = ReplicaState::kUnlisted;  // unknown: what it was last known to be
+  std::string reason;                                 // who said so, or why it is not known
 };
 
 struct ReplicaBin {
--- a/src/timeline/request_trace_model.cpp
+++ b/src/timeline/request_trace_model.cpp
@@ -38,9 +38,9 @@
     out = "the record does not say what the roster said of it";
   } else if (span->state == ReplicaState::kUnknown) {
     out = fmt::format("its state was unknown for {:.0f} ms ({}), last known {}", Ms(at - span->from),
-                      span->why, Name(span->known));
+                      span->reason, Name(span->last_known));
   } else {
-    out = fmt::format("{} for {:.0f} ms, says {}", Name(span->state), Ms(at - span->from), span->why);
+    out = fmt::format("{} for {:.0f} ms, says {}", Name(span->state), Ms(at - span->from), span->reason);
   }
   for (const auto& [n, u] : open_anomalies_) {
     if (u.fleet || u.replica == id)
--- a/src/timeline/verify.cpp
+++ b/src/timeline/verify.cpp
@@ -22,7 +22,7 @@
   return 0;
 }
 
-void Verifier::Take(const Record& record) {
+void Verifier::AddRecord(const Record& record) {
   if (const auto* start = std::get_if<Start>(&record)) {
     ++starts_;
     router_ = std::make_unique<policy::Router>(policy::wire::ReadSettings(start->settings), start->seed,
--- a/src/timeline/verify.h
+++ b/src/timeline/verify.h
@@ -21,7 +21,7 @@
   explicit Verifier(policy::DecisionObserver* observer = nullptr) : observer_(observer) {}
 
   // In the record's order. Throws std::runtime_error if the recorded settings can't be read.
-  void Take(const Record& record);
+  void AddRecord(const Record& record);
 
   std::uint64_t starts() const { return starts_; }
   std::uint64_t decisions() const { return decisions_; }  // compared
--- a/tests/accounts_test.cpp
+++ b/tests/accounts_test.cpp
@@ -119,7 +119,7 @@
     const Out o = open[at];
     open.erase(open.begin() + static_cast<std::ptrdiff_t>(at));
     limits.Settle(now, o.key, rule, o.reserved, tokens, column != 1);
-    ledger.Ended(o.key, "m", static_cast<ledger::Outcome>(column), {tokens, 0, 0}, reported, nullptr);
+    ledger.RecordOutcome(o.key, "m", static_cast<ledger::Outcome>(column), {tokens, 0, 0}, reported, nullptr);
     used += tokens;
     ++ended;
   };
@@ -137,7 +137,7 @@
       if (!running) limits.Settle(now, key, rule, step, 0, true);
     } else if (step % 2 == 0 || open.empty()) {
       if (limits.Admit(now, key, rule, step).admission != limits::Admission::kAdmitted) continue;
-      ledger.Admitted(key, "m");
+      ledger.RecordAdmission(key, "m");
       open.push_back({key, static_cast<double>(step)});
       ++admitted;
     } else {
--- a/tests/load_test.cpp
+++ b/tests/load_test.cpp
@@ -90,9 +90,9 @@
   a.retry_after = true;
   t.Take(due, a);
   const ColumnarFile file = t.ToFile("how");
-  EXPECT_EQ(file.Of("classes").IntegersOf("refused"), Integers{1});
-  EXPECT_EQ(file.Of("classes").IntegersOf("asked"), Integers{2});
-  EXPECT_EQ(file.Of("seconds").IntegersOf("asked"), Integers{2});
+  EXPECT_EQ(file.TableNamed("classes").IntegersOf("refused"), Integers{1});
+  EXPECT_EQ(file.TableNamed("classes").IntegersOf("asked"), Integers{2});
+  EXPECT_EQ(file.TableNamed("seconds").IntegersOf("asked"), Integers{2});
 }
 
 class Driven {
--- a/tests/replica_timeline_test.cpp
+++ b/tests/replica_timeline_test.cpp
@@ -93,7 +93,7 @@
     std::vector<Record> records;
     Decode(lab::EncodeFaultScenario(o), records);
     Verifier v;
-    for (const Record& r : records) v.Take(r);
+    for (const Record& r : records) v.AddRecord(r);
     EXPECT_TRUE(v.good()) << Name(o.thing) << v.first_difference();
     EXPECT_GT(v.decisions(), 5000U);
   }
@@ -157,9 +157,9 @@
     const StateSpan* s = ReplicaTimelines::SpanAt(lane, middle);
     ASSERT_NE(s, nullptr);
     EXPECT_EQ(s->state, ReplicaState::kUnknown);
-    EXPECT_EQ(s->known, ReplicaState::kReady);
+    EXPECT_EQ(s->last_known, ReplicaState::kReady);
     EXPECT_EQ(s->from, p.result.from);  // since when
-    EXPECT_NE(s->why.find("dark"), std::string::npos);
+    EXPECT_NE(s->reason.find("dark"), std::string::npos);
     (StateAt(p.lanes, id, after) == ReplicaState::kGone ? gone : ready) += 1;
   }
   EXPECT_EQ(gone, 6U);
@@ -174,7 +174,7 @@
   e.id = 4;
   lanes.AddRecord(Decision{101 * kSec, EndpointList{EndpointListScope::kCached, 1, {e}}, {}});
   EXPECT_EQ(StateAt(lanes, 4, 102 * kSec), ReplicaState::kUnknown);
-  EXPECT_EQ(ReplicaTimelines::SpanAt(Of(lanes, 4), 102 * kSec)->known, ReplicaState::kReady);
+  EXPECT_EQ(ReplicaTimelines::SpanAt(Of(lanes, 4), 102 * kSec)->last_known, ReplicaState::kReady);
   lanes.AddRecord(Decision{103 * kSec, EndpointList{EndpointListScope::kFull, 2, {e}}, {}});
   EXPECT_EQ(StateAt(lanes, 4, 104 * kSec), ReplicaState::kReady);
 }
@@ -513,7 +513,7 @@
   const TimelineMerge merge(nodes);
   ASSERT_EQ(merge.nodes().size(), 2U);
   EXPECT_EQ(merge.nodes()[1].offset, -3 * kSec);
-  EXPECT_GE(merge.nodes()[1].common, 4U);
+  EXPECT_GE(merge.nodes()[1].common_generations, 4U);
   EXPECT_EQ(merge.timelines().replicas().size(), 12U);
   EXPECT_TRUE(merge.disagreements().empty());
   std::uint64_t parts = 0, joined = 0;
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -87,7 +87,7 @@
   std::vector<Record> records;
   Decode(bytes, records);
   Verifier v;
-  for (const Record& r : records) v.Take(r);
+  for (const Record& r : records) v.AddRecord(r);
   return v;
 }
 
@@ -108,7 +108,7 @@
   Decode(Day(1), records);
   std::get<Start>(records.front()).settings = changed;
   Verifier v;
-  for (const Record& r : records) v.Take(r);
+  for (const Record& r : records) v.AddRecord(r);
   EXPECT_FALSE(v.good());
   EXPECT_LT(v.matched(), v.decisions());
   EXPECT_NE(v.first_difference().find("recorded:"), std::string::npos);
@@ -119,7 +119,7 @@
   Decode(Day(1), records);
   records.insert(records.begin() + 100, Gap{5});
   Verifier v;
-  for (const Record& r : records) v.Take(r);
+  for (const Record& r : records) v.AddRecord(r);
   EXPECT_EQ(v.decisions(), 99U);
   EXPECT_EQ(v.matched(), 99U);
   EXPECT_GT(v.skipped(), 500U);
@@ -135,7 +135,7 @@
 }
 
 std::string File(std::vector<std::string>* raws) {
-  std::string file = FileHead();
+  std::string file = FileHeader();
   for (std::uint64_t n = 0; n < 4; ++n) {
     raws->push_back(Day(n).substr(0, 400 + 300 * n));
     file += MakeBlock(raws->back(), n);
@@ -146,14 +146,14 @@
 TEST(Blocks, WhereverItIsTornAllWholeBlocksAreRead) {
   std::vector<std::string> raws;
   const std::string file = File(&raws);
-  for (std::size_t cut = FileHead().size(); cut <= file.size(); ++cut) {
+  for (std::size_t cut = FileHeader().size(); cut <= file.size(); ++cut) {
     std::size_t read = 0;
     const ReadReport report =
         ReadBlocks(std::string_view(file).substr(0, cut), [&](std::uint64_t n, std::string_view raw) {
           EXPECT_EQ(raw, raws[n]);
           return ++read > 0;
         });
-    std::size_t whole = 0, end = FileHead().size();
+    std::size_t whole = 0, end = FileHeader().size();
     while (whole < raws.size() && end + MakeBlock(raws[whole], whole).size() <= cut) {
       end += MakeBlock(raws[whole], whole).size();
       ++whole;
@@ -166,7 +166,7 @@
 TEST(Blocks, AnyFlippedBitCostsAtMostItsOwnBlockAndIsTold) {
   std::vector<std::string> raws;
   const std::string file = File(&raws);
-  for (std::size_t at = FileHead().size(); at < file.size(); at += 3) {
+  for (std::size_t at = FileHeader().size(); at < file.size(); at += 3) {
     std::string bad = file;
     bad[at] = static_cast<char>(bad[at] ^ (1 << (at % 8)));
     std::size_t read = 0;
@@ -175,7 +175,7 @@
       return ++read > 0;
     });
     ASSERT_EQ(read, raws.size() - 1) << at;
-    ASSERT_TRUE(report.lost_bytes > 0 && report.lost_places == 1);
+    ASSERT_TRUE(report.lost_bytes > 0 && report.lost_ranges == 1);
   }
   EXPECT_THROW(ReadBlocks("", nullptr), std::runtime_error);
   EXPECT_THROW(ReadBlocks("a foreign file", nullptr), std::runtime_error);
