--- a/include/ryeglade/learned_state.h
+++ b/include/ryeglade/learned_state.h
@@ -102,7 +102,7 @@
   double pace_slowdown = 0;   // mean ln of how much slower streams run than at their best
   double objective_used = 0;  // mean part of its latency objective that a first token takes
   double retry_budget = 0;
-  RunningAverage round_trip;
+  RunningAverage mean_runtime;
   std::vector<ClassPace> pace_by_class;
   std::unordered_map<std::uint32_t, RunningAverage> runtime_by_bucket;
   std::unordered_map<std::uint32_t, RunningAverage> first_token_by_bucket;
--- a/include/ryeglade/router.h
+++ b/include/ryeglade/router.h
@@ -29,7 +29,7 @@
   int in_flight = 0;                  // this node's attempts there
   double concurrency_limit = 0;       // this node's present limit there; 0: nothing new is sent
   double prefill_backlog_tokens = 0;  // tokens of this node's prompts still to be read, as far as is known
-  Time waiting_since = 0;             // while there are any: how long no answer has begun there
+  Time no_response_since = 0;         // while there are any: how long no answer has begun there
 };
 
 class Router {
--- a/simhost/codec.h
+++ b/simhost/codec.h
@@ -19,8 +19,8 @@
   using std::runtime_error::runtime_error;
 };
 
-inline constexpr std::size_t kBatchHeader = 12;
-inline constexpr std::size_t kMaxFrame = std::size_t{1} << 28;
+inline constexpr std::size_t kBatchHeaderBytes = 12;
+inline constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 28;
 
 // Reads the fields of one record, or of a header, in order.
 class Reader {
--- a/simhost/main.cpp
+++ b/simhost/main.cpp
@@ -37,7 +37,7 @@
     frame.clear();
     if (!ReadBytes(4, true, frame)) return 0;
     const std::uint32_t size = ryeglade::policy::wire::Reader(frame, "batch").U32("length");
-    if (size < ryeglade::policy::wire::kBatchHeader || size > ryeglade::policy::wire::kMaxFrame) {
+    if (size < ryeglade::policy::wire::kBatchHeaderBytes || size > ryeglade::policy::wire::kMaxFrameBytes) {
       throw WireError("batch: length " + std::to_string(size) + " out of range at byte 0");
     }
     ReadBytes(size - 4, false, frame);
--- a/src/core/learned_state_codec.cpp
+++ b/src/core/learned_state_codec.cpp
@@ -77,7 +77,7 @@
   field("pace", v.pace_slowdown);
   field("wait", v.objective_used);
   field("retry_budget", v.retry_budget);
-  field("round_trip", v.round_trip);
+  field("round_trip", v.mean_runtime);
   field("pace_by_class", v.pace_by_class);
   field("runtime", v.runtime_by_bucket);
   field("first_token", v.first_token_by_bucket);
@@ -212,7 +212,7 @@
     }
   }
   if (!IsValid(learned.runtime_per_hint) || !IsValid(learned.bucket_error) || !IsValid(learned.hint_error) ||
-      !IsValid(learned.slowness_by_kind) || !IsValid(learned.round_trip))
+      !IsValid(learned.slowness_by_kind) || !IsValid(learned.mean_runtime))
     return "an average";
   for (const LearnedState::Replica& r : learned.replicas) {
     if (r.in_flight < 0 || r.in_flight > 1'000'000 || r.learned.consecutive_failures < 0 ||
--- a/src/gossip/outlier_consensus_model.cpp
+++ b/src/gossip/outlier_consensus_model.cpp
@@ -77,7 +77,7 @@
   report.in_flight = view.in_flight;
   if (view.slowness_updated_at > 0 && age <= kMaxSpan) report.last_outcome_age = age;
   if (view.prefill_backlog_tokens >= 1 && view.in_flight > 0)
-    report.stalled_for = std::min(kMaxSpan, now - view.waiting_since);
+    report.stalled_for = std::min(kMaxSpan, now - view.no_response_since);
   return report;
 }
 
--- a/src/policy/adaptive_concurrency.cpp
+++ b/src/policy/adaptive_concurrency.cpp
@@ -59,7 +59,9 @@
                        time_to_first_token < 0.5 * kLateThreshold * objective, usage);
 }
 
-bool AdaptiveConcurrency::LearnLate(const LimitUsage& usage) { return LearnLateness(true, false, usage); }
+bool AdaptiveConcurrency::LearnLateResponse(const LimitUsage& usage) {
+  return LearnLateness(true, false, usage);
+}
 
 bool AdaptiveConcurrency::LearnLateness(bool late, bool in_good_time, const LimitUsage& usage) {
   late_share_ += kLatenessWeight * ((late ? 1.0 : 0.0) - late_share_);
--- a/src/policy/adaptive_concurrency.h
+++ b/src/policy/adaptive_concurrency.h
@@ -31,7 +31,7 @@
   // Each returns whether the base limit has changed.
   bool LearnTimeToFirstToken(double time_to_first_token, double objective, const LimitUsage& usage);
   // A request that timed out or was turned down at capacity counts as one whose first token was late.
-  bool LearnLate(const LimitUsage& usage);
+  bool LearnLateResponse(const LimitUsage& usage);
   // A served request; `runtime` is of the whole attempt.
   bool LearnPace(const Request& request, Time runtime, const LimitUsage& usage);
 
--- a/src/policy/candidate_finder.cpp
+++ b/src/policy/candidate_finder.cpp
@@ -100,7 +100,7 @@
 
 // ---- A sample ----
 
-bool CandidateFinder::TakeOnce(Replica& replica) const {
+bool CandidateFinder::ClaimForSearch(Replica& replica) const {
   if (replica.concurrency_limit <= 0 || replica.last_search == search_) return false;
   replica.last_search = search_;
   return true;
@@ -122,7 +122,7 @@
   for (std::size_t n = 0; n < points && left > 0; ++n, ++index) {
     Replica& replica = ring_.ReplicaAt(index);
     if (own_zone_only && replica.endpoint.zone != in_.settings.zone) continue;
-    if (!TakeOnce(replica)) continue;
+    if (!ClaimForSearch(replica)) continue;
     Candidate& candidate = candidates.emplace_back();
     candidate.replica = &replica;
     candidate.prefix_preferred = !search.is_session;
@@ -152,7 +152,7 @@
   for (int draw = 0; draw < kRandomDraws; ++draw) {
     const auto index = static_cast<std::size_t>(in_.random.Next() * static_cast<double>(available.size()));
     Replica& replica = *available[std::min(available.size() - 1, index)];
-    if (TakeOnce(replica)) candidates.emplace_back().replica = &replica;
+    if (ClaimForSearch(replica)) candidates.emplace_back().replica = &replica;
   }
 }
 
--- a/src/policy/candidate_finder.h
+++ b/src/policy/candidate_finder.h
@@ -68,7 +68,7 @@
   void MarkSessionAmongPrefix(const RequestArrived& request, double session_share,
                               std::vector<Candidate>& candidates) const;
   void AddRandom(std::vector<Candidate>& candidates);
-  bool TakeOnce(Replica& replica) const;
+  bool ClaimForSearch(Replica& replica) const;
 
   Inputs in_;
   HashRing ring_;
--- a/src/policy/endpoint_polling.cpp
+++ b/src/policy/endpoint_polling.cpp
@@ -26,15 +26,15 @@
 
 std::optional<Time> EndpointPolling::OnFailure(RandomSource& random) {
   watching_ = false;
-  ++failures_in_a_row_;
+  ++consecutive_failures_;
   if (!settings_.poll_endpoints) return std::nullopt;
   const double backoff =
-      std::min(kBaseBackoff * std::exp2(std::min(failures_in_a_row_, kMaxDoublings)), kMaxBackoff);
+      std::min(kBaseBackoff * std::exp2(std::min(consecutive_failures_, kMaxDoublings)), kMaxBackoff);
   return static_cast<Time>(backoff * (0.5 + random.Next()));
 }
 
 void EndpointPolling::OnList(EndpointListScope scope) {
-  if (scope != EndpointListScope::kCached) failures_in_a_row_ = 0;
+  if (scope != EndpointListScope::kCached) consecutive_failures_ = 0;
 }
 
 bool EndpointPolling::OpenWatch() { return !std::exchange(watching_, true); }
--- a/src/policy/endpoint_polling.h
+++ b/src/policy/endpoint_polling.h
@@ -27,7 +27,7 @@
  private:
   const Settings& settings_;
   bool watching_ = false;
-  int failures_in_a_row_ = 0;
+  int consecutive_failures_ = 0;
 };
 
 }  // namespace ryeglade::policy
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -67,7 +67,7 @@
   if (replica != nullptr) --replica->in_flight;
 }
 
-void Fleet::RemoveIfGone(const Replica& replica) {
+void Fleet::RemoveIfUnlisted(const Replica& replica) {
   if (replica.listed || replica.in_flight != 0) return;
   sibling_in_flight_ -= replica.sibling_in_flight;
   std::erase_if(replicas_, [&](const auto& known) { return known.get() == &replica; });
--- a/src/policy/fleet.h
+++ b/src/policy/fleet.h
@@ -1,6 +1,6 @@
 // The replicas that this node knows of, and how many attempts are in flight at them. Takes endpoint lists;
 // a replica that is listed no more stays until the last attempt there has ended. Owns the replicas: pointers
-// stay valid until Apply or RemoveIfGone takes the replica out.
+// stay valid until Apply or RemoveIfUnlisted takes the replica out.
 #pragma once
 
 #include <cstddef>
@@ -33,7 +33,7 @@
   void AttemptSent(Replica& replica);
   // Null: a replica that is known no more.
   void AttemptEnded(Replica* replica);
-  void RemoveIfGone(const Replica& replica);
+  void RemoveIfUnlisted(const Replica& replica);
 
   // Replaces what is known of another process of this node.
   void SetSiblingInFlight(const std::vector<std::pair<ReplicaId, int>>& in_flight);
--- a/src/policy/load_reports.cpp
+++ b/src/policy/load_reports.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void LoadReports::Take(Replica& replica, const std::vector<double>& report, Time now) {
+void LoadReports::Record(Replica& replica, const std::vector<double>& report, Time now) {
   bool found_in_flight = false;
   for (std::size_t i = 0; i < std::min(report.size(), settings_.load_fields.size()); ++i) {
     const bool is_in_flight = settings_.load_fields[i] == LoadField::kInFlight;
--- a/src/policy/load_reports.h
+++ b/src/policy/load_reports.h
@@ -16,7 +16,7 @@
   LoadReports(const Settings& settings, const ReplicaSpeed& speed) : settings_(settings), speed_(speed) {}
 
   // A report in the order of Settings::load_fields; may hold fewer fields, or none.
-  void Take(Replica& replica, const std::vector<double>& report, Time now);
+  void Record(Replica& replica, const std::vector<double>& report, Time now);
 
   // The mean load is over the replicas counted since the last ResetMean.
   void ResetMean();
--- a/src/policy/queue_order.h
+++ b/src/policy/queue_order.h
@@ -34,7 +34,7 @@
 }
 
 // Requests of a later tier wait for all of the earlier ones.
-enum class PriorityTier : std::uint8_t { kOrdinary, kOverQuota, kObjectiveLost };
+enum class PriorityTier : std::uint8_t { kOrdinary, kOverQuota, kObjectiveMissed };
 
 // Where a request stands in the queue.
 struct QueuePosition {
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -54,7 +54,7 @@
 constexpr Time kMinResponseMargin = 20'000;
 constexpr Time kResponseMarginParts = 50;
 
-Settings Checked(Settings settings) {
+Settings Normalized(Settings settings) {
   if (settings.classes.empty()) settings.classes.emplace_back();
   settings.node_count = std::max(1, settings.node_count);
   return settings;
@@ -113,10 +113,9 @@
   ConclusionReason WhyNoRetry(const Request& request) const;
   void Conclude(Request& request, ConclusionReason reason);
   void MarkConcluded(Request& request);
-  void ForgetIfDone(RequestId id);
 
   // What is learned.
-  void PrefillEnded(Attempt& attempt);
+  void FinishPrefill(Attempt& attempt);
   void LearnServed(const Request& request, Replica& replica, Time runtime);
   void LearnFailure(Replica& replica, Outcome outcome);
   void LearnAtCapacity(Replica& replica);
@@ -169,7 +168,7 @@
 };
 
 Router::Impl::Impl(const Settings& settings, std::uint64_t seed, Time now)
-    : settings_(Checked(settings)), random_(seed), now_(now) {
+    : settings_(Normalized(settings)), random_(seed), now_(now) {
   ResizeTables();
   PollEndpointsAfter(polling_.FirstDelay(random_));
 }
@@ -335,7 +334,7 @@
 // Departure: what can no longer meet its objective waits behind what can. In the order of runtime and age
 // alone, a queue that has once grown past the objective serves everything late.
 PriorityTier Router::Impl::TierOf(const Request& request) const {
-  if (now_ >= LatestDispatchForObjective(request)) return PriorityTier::kObjectiveLost;
+  if (now_ >= LatestDispatchForObjective(request)) return PriorityTier::kObjectiveMissed;
   return request.over_quota ? PriorityTier::kOverQuota : PriorityTier::kOrdinary;
 }
 
@@ -345,9 +344,9 @@
                  QueueKey({request.arrived_at, request.objective_at - request.arrived_at,
                            request.estimated_runtime, estimator_.TypicalRuntime(request)}));
   request.latest_dispatch_at = LatestDispatch(request);
-  const Time objective_lost_at = LatestDispatchForObjective(request);
-  if (tier != PriorityTier::kObjectiveLost && objective_lost_at < request.latest_dispatch_at) {
-    timers_.Schedule(objective_lost_at, TimerKind::kObjectiveLost, request.id());
+  const Time objective_missed_at = LatestDispatchForObjective(request);
+  if (tier != PriorityTier::kObjectiveMissed && objective_missed_at < request.latest_dispatch_at) {
+    timers_.Schedule(objective_missed_at, TimerKind::kObjectiveMissed, request.id());
   }
   timers_.Schedule(request.latest_dispatch_at, TimerKind::kQueueTimeout, request.id());
 }
@@ -386,7 +385,7 @@
   attempt.tokens_to_prefill = selector_.TokensToPrefill(request, replica, now_);
   affinity_.RecordDispatch(request.arrival, replica.endpoint.id, now_);
 
-  if (replica.prefill_backlog_tokens < 1) replica.waiting_since = now_;
+  if (replica.prefill_backlog_tokens < 1) replica.no_response_since = now_;
   replica.prefill_backlog_tokens += attempt.tokens_to_prefill;
   slow_start_.RecordDispatch(replica, now_);
   fleet_.AttemptSent(replica);
@@ -407,7 +406,7 @@
       case TimerKind::kPollEndpoints:
         if (polling_.OpenWatch()) Emit(WatchEndpoints{true});
         break;
-      case TimerKind::kObjectiveLost:
+      case TimerKind::kObjectiveMissed:
       case TimerKind::kQueueTimeout:
         OnRequestTimer(*timer);
         break;
@@ -422,7 +421,7 @@
     if (now_ >= request->latest_dispatch_at) Conclude(*request, ConclusionReason::kQueueTimeout);
     return;
   }
-  if (request->queue_position.tier == PriorityTier::kObjectiveLost) return;
+  if (request->queue_position.tier == PriorityTier::kObjectiveMissed) return;
   queue_.Dequeue(*request);
   Enqueue(*request);
 }
@@ -435,7 +434,7 @@
   if (attempt == nullptr || request->response_started) return;
   request->response_started = true;
   request->time_to_first_token = started.elapsed;
-  PrefillEnded(*attempt);
+  FinishPrefill(*attempt);
 
   const double time_to_first_token = static_cast<double>(started.elapsed);
   const double objective = static_cast<double>(request->objective_at - request->arrived_at);
@@ -444,7 +443,7 @@
   }
   if (Replica* replica = fleet_.Find(attempt->replica)) {
     replica->consecutive_failures = 0;
-    replica->waiting_since = now_;
+    replica->no_response_since = now_;
     if (const std::optional<double> typical = estimator_.TypicalTimeToFirstToken(*request)) {
       LearnSpeed(*replica, std::log(std::max(1.0, time_to_first_token) / std::max(1.0, *typical)));
     }
@@ -461,19 +460,19 @@
 
   attempt->in_flight = false;
   attempt->may_have_run = !ProvesNotRun(ended.outcome);
-  PrefillEnded(*attempt);
+  FinishPrefill(*attempt);
   --request.attempts_in_flight;
   Replica* replica = fleet_.Find(attempt->replica);
   fleet_.AttemptEnded(replica);
   const bool served = ended.outcome == Outcome::kServed;
   if (replica != nullptr) {
-    load_reports_.Take(*replica, ended.load_report, now_);
+    load_reports_.Record(*replica, ended.load_report, now_);
     if (served) {
       LearnServed(request, *replica, ended.elapsed);
     } else if (ended.outcome != Outcome::kCancelled && ended.outcome != Outcome::kNotSent) {
       LearnFailure(*replica, ended.outcome);
     }
-    fleet_.RemoveIfGone(*replica);
+    fleet_.RemoveIfUnlisted(*replica);
   }
 
   if (request.concluded || served || ended.request_concluded) {
@@ -548,7 +547,7 @@
 
 // ---- What is learned ----
 
-void Router::Impl::PrefillEnded(Attempt& attempt) {
+void Router::Impl::FinishPrefill(Attempt& attempt) {
   if (Replica* replica = fleet_.Find(attempt.replica)) {
     replica->prefill_backlog_tokens =
         std::max(0.0, replica->prefill_backlog_tokens - attempt.tokens_to_prefill);
@@ -576,7 +575,7 @@
   }
   // An error must never make a replica look fast or idle: it counts as slow.
   LearnSpeed(replica, kFailureSlowness);
-  if (outcome == Outcome::kTimeout) concurrency_.LearnLate(CurrentUsage());
+  if (outcome == Outcome::kTimeout) concurrency_.LearnLateResponse(CurrentUsage());
   const std::optional<Time> ejected_until = ejection_.RecordFailure(replica, outcome, now_, random_);
   if (!ejected_until) return;
   timers_.Schedule(*ejected_until, TimerKind::kUpdateLimits);
@@ -588,7 +587,7 @@
   RecordAtCapacity(replica, now_, estimator_.mean_runtime(), settings_.connect_timeout);
   timers_.Schedule(replica.at_capacity_until, TimerKind::kUpdateLimits);
   ReportEjection(replica, Outcome::kAtCapacity, replica.at_capacity_until);
-  concurrency_.LearnLate(CurrentUsage());
+  concurrency_.LearnLateResponse(CurrentUsage());
 }
 
 void Router::Impl::ReportEjection(const Replica& replica, Outcome outcome, Time until) const {
--- a/src/policy/runtime_estimator.cpp
+++ b/src/policy/runtime_estimator.cpp
@@ -93,7 +93,7 @@
 }
 
 void RuntimeEstimator::ExportTo(LearnedState& state) const {
-  state.round_trip = mean_runtime_;
+  state.mean_runtime = mean_runtime_;
   state.runtime_by_bucket = runtime_by_bucket_;
   state.first_token_by_bucket = first_token_by_bucket_;
   state.runtime_per_hint = runtime_per_hint_;
@@ -102,7 +102,7 @@
 }
 
 void RuntimeEstimator::RestoreFrom(const LearnedState& state) {
-  mean_runtime_ = state.round_trip;
+  mean_runtime_ = state.mean_runtime;
   runtime_by_bucket_ = state.runtime_by_bucket;
   first_token_by_bucket_ = state.first_token_by_bucket;
   runtime_per_hint_ = state.runtime_per_hint;
--- a/src/policy/timer_queue.h
+++ b/src/policy/timer_queue.h
@@ -18,9 +18,9 @@
 namespace ryeglade::policy {
 
 enum class TimerKind : std::uint8_t {
-  kQueueTimeout,   // a queued request's latest useful dispatch
-  kObjectiveLost,  // a queued request can no longer meet its latency objective
-  kUpdateLimits,   // an ejection ends: limits change
+  kQueueTimeout,     // a queued request's latest useful dispatch
+  kObjectiveMissed,  // a queued request can no longer meet its latency objective
+  kUpdateLimits,     // an ejection ends: limits change
   kPollEndpoints,
 };
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -32,7 +32,7 @@
 
 std::string Frame(std::uint64_t clock, const std::string& records) {
   Writer w;
-  w.U32(kBatchHeader + records.size());
+  w.U32(kBatchHeaderBytes + records.size());
   w.U64(clock);
   return w.bytes() + records;
 }
@@ -44,7 +44,7 @@
     "stats.fields=util,inflight,x0,brand-new\nmembership-mode=ask\nobligations.cold-from=0.12\n"
     "tenants.count=1\ntenants.0.name=t\ntenants.0.quota-per-s=6.0\na-key-of-tomorrow=whatever\n";
 
-std::string Provision(std::uint64_t seed, const std::string& settings) {
+std::string StartNodeFields(std::uint64_t seed, const std::string& settings) {
   Writer w;
   w.U64(seed);
   w.U32(settings.size());
@@ -54,7 +54,7 @@
 std::string StartedNode() {
   std::string records;
   Append(records, event_code::kSelectNode, Bytes("0300"));
-  Append(records, event_code::kStartNode, Provision(9, kSettings));
+  Append(records, event_code::kStartNode, StartNodeFields(9, kSettings));
   return records;
 }
 
@@ -89,7 +89,7 @@
   EXPECT_FALSE(r.client_retry);
 }
 
-TEST(Decode, AListWithItsEntries) {
+TEST(Decode, AnEndpointListWithItsEntries) {
   const auto event =
       DecodeEvent(event_code::kEndpointList, Bytes("02 29000000 02000000 "
                                                    "0000803f 0000 00 0000000000000000 01 074a1203 0000 "
@@ -142,7 +142,7 @@
                                "0a 08000000 192b6f0e8eaf0700"));
 }
 
-TEST(ReadSettings, TakesWhatItKnowsAndDefaultsTheRest) {
+TEST(ReadSettings, ReadsKnownKeysAndDefaultsTheRest) {
   const Settings s = ReadSettings(kSettings);
   ASSERT_EQ(s.classes.size(), 1u);
   EXPECT_EQ(s.classes[0].idempotency, Idempotency::kIdempotencyKey);
@@ -160,7 +160,7 @@
   EXPECT_FALSE(s.can_check_health);           // absent
 }
 
-std::string DefectOf(const std::string& settings) {
+std::string ErrorFromSettings(const std::string& settings) {
   try {
     ReadSettings(settings);
   } catch (const WireError& e) {
@@ -169,27 +169,29 @@
   return "";
 }
 
-TEST(ReadSettings, NamesWhatIsMalformed) {
-  EXPECT_NE(DefectOf("classes.count=1\nclasses.0.promise=soon").find("classes.0.promise"), std::string::npos);
-  EXPECT_NE(DefectOf("classes.count=9999999").find("classes.count"), std::string::npos);
-  EXPECT_NE(DefectOf("classes.count=1\nlimits.cancel=maybe").find("limits.cancel"), std::string::npos);
-  EXPECT_NE(DefectOf("balancers=3").find("classes.count"), std::string::npos);
-  EXPECT_NE(DefectOf("classes.count=1\nclasses.0.effect=perhaps").find("classes.0.effect"),
+TEST(ReadSettings, ErrorsNameTheMalformedKey) {
+  EXPECT_NE(ErrorFromSettings("classes.count=1\nclasses.0.promise=soon").find("classes.0.promise"),
+            std::string::npos);
+  EXPECT_NE(ErrorFromSettings("classes.count=9999999").find("classes.count"), std::string::npos);
+  EXPECT_NE(ErrorFromSettings("classes.count=1\nlimits.cancel=maybe").find("limits.cancel"),
+            std::string::npos);
+  EXPECT_NE(ErrorFromSettings("balancers=3").find("classes.count"), std::string::npos);
+  EXPECT_NE(ErrorFromSettings("classes.count=1\nclasses.0.effect=perhaps").find("classes.0.effect"),
             std::string::npos);
 }
 
-TEST(Host, StopAndNewStartInOneBatch) {
+TEST(Host, StopsAndRestartsANodeInOneBatch) {
   Host host;
   host.HandleBatch(Frame(1000, StartedNode()));
   std::string records;
   Append(records, event_code::kSelectNode, Bytes("0300"));
   Append(records, event_code::kStopNode, "");
-  Append(records, event_code::kStartNode, Provision(10, kSettings));
+  Append(records, event_code::kStartNode, StartNodeFields(10, kSettings));
   Append(records, event_code::kEndpointList, Bytes("02 29000000 00000000"));
   EXPECT_GE(host.HandleBatch(Frame(2000, records)).size(), 8u);
 }
 
-std::string DefectOfFrame(const std::string& frame) {
+std::string ErrorFromFrame(const std::string& frame) {
   Host host;
   try {
     host.HandleBatch(frame);
@@ -199,32 +201,32 @@
   return "";
 }
 
-TEST(Host, NamesDefectsAndWhereTheyAre) {
+TEST(Host, ErrorsNameTheDefectAndItsRecord) {
   std::string unknown = StartedNode();
   Append(unknown, 99, "");
-  EXPECT_NE(DefectOfFrame(Frame(1, unknown)).find("unknown event code 99"), std::string::npos);
+  EXPECT_NE(ErrorFromFrame(Frame(1, unknown)).find("unknown event code 99"), std::string::npos);
 
   std::string cut = StartedNode();
   Append(cut, event_code::kClientDisconnected, Bytes("192b"));
-  EXPECT_NE(DefectOfFrame(Frame(1, cut)).find("abandoned: truncated in corr"), std::string::npos);
+  EXPECT_NE(ErrorFromFrame(Frame(1, cut)).find("abandoned: truncated in corr"), std::string::npos);
 
   std::string many = StartedNode();
   Append(many, event_code::kEndpointList, Bytes("03 29000000 ffffffff"));
-  EXPECT_NE(DefectOfFrame(Frame(1, many)).find("entries count runs past"), std::string::npos);
+  EXPECT_NE(ErrorFromFrame(Frame(1, many)).find("entries count runs past"), std::string::npos);
 
   std::string longer = StartedNode();
   Append(longer, event_code::kClientDisconnected, Bytes("192b6f0e8eaf0700 00"));
-  EXPECT_NE(DefectOfFrame(Frame(1, longer)).find("1 bytes too many"), std::string::npos);
+  EXPECT_NE(ErrorFromFrame(Frame(1, longer)).find("1 bytes too many"), std::string::npos);
 
   std::string stranger;
   Append(stranger, event_code::kSelectNode, Bytes("0500"));
   Append(stranger, event_code::kClientDisconnected, Bytes("192b6f0e8eaf0700"));
-  EXPECT_NE(DefectOfFrame(Frame(1, stranger)).find("node 5"), std::string::npos);
+  EXPECT_NE(ErrorFromFrame(Frame(1, stranger)).find("node 5"), std::string::npos);
 
   std::string bare;
   Append(bare, event_code::kSelectNode, Bytes("0500"));
   Append(bare, event_code::kStartNode, Bytes("0100000000000000"));
-  EXPECT_NE(DefectOfFrame(Frame(1, bare)).find("provision"), std::string::npos);
+  EXPECT_NE(ErrorFromFrame(Frame(1, bare)).find("provision"), std::string::npos);
 }
 
 // Bounded and seeded: damaged frames are answered or named, never anything else.
--- a/tests/fairness_test.cpp
+++ b/tests/fairness_test.cpp
@@ -176,7 +176,7 @@
 
 constexpr double kMinShareBelowCapacity =
     2.0 / 3;  // of its class's share that a class's largest requests get on a quiet day
-constexpr double kMinShareInExcess = 0.5;  // and otherwise
+constexpr double kMinShareAboveCapacity = 0.5;  // and otherwise
 
 void ExpectShares(const Load& load, unsigned seed, double least) {
   const std::vector<Client> clients = Simulation(load, seed).Run();
@@ -189,7 +189,7 @@
   }
 }
 
-TEST(Fairness, BelowCapacityTheLargestRequestsOfAClassAreAnswered) {
+TEST(Fairness, BelowCapacityTheLargestRequestsOfAClassAreServed) {
   for (unsigned seed = 1; seed <= 3; ++seed) {
     for (const double spread : {1.0, 1.6}) {
       for (const double late_weight_share : {0.0, 0.5}) {
@@ -200,12 +200,12 @@
   }
 }
 
-TEST(Fairness, InExcessTheLargestRequestsOfAClassGetHalfOfItsShare) {
+TEST(Fairness, AboveCapacityTheLargestRequestsOfAClassGetHalfOfItsShare) {
   for (unsigned seed = 1; seed <= 3; ++seed) {
     for (const double excess : {1.15, 1.3}) {
       for (const double late_weight_share : {0.0, 0.5}) {
         ExpectShares({.share_of_capacity = excess, .late_weight_share = late_weight_share, .spread = 1.0},
-                     seed, kMinShareInExcess);
+                     seed, kMinShareAboveCapacity);
       }
     }
   }
@@ -213,7 +213,7 @@
 
 // Sessions all of whose turns were rejected, as a share of all, less what chance gives with this share
 // answered.
-double SessionsRefusedBeyondChance(const std::vector<Client>& clients) {
+double SessionsRejectedBeyondChance(const std::vector<Client>& clients) {
   std::map<std::uint64_t, std::pair<int, int>> turns;  // of a session: all, answered
   double answered = 0;
   for (const Client& c : clients) {
@@ -237,17 +237,17 @@
       // Two or three turns a session: more would hide a session that is rejected throughout.
       const std::vector<Client> clients =
           Simulation({.share_of_capacity = load, .late_weight_share = 0.5, .sessions = 2000}, seed).Run();
-      EXPECT_LE(SessionsRefusedBeyondChance(clients), 0.05) << load << " seed " << seed;
+      EXPECT_LE(SessionsRejectedBeyondChance(clients), 0.05) << load << " seed " << seed;
     }
   }
 }
 
-TEST(QueueKey, ShortestFirstAmongThoseThatCameTogether) {
+TEST(QueueKey, ShortestFirstAmongRequestsThatArriveTogether) {
   const QueuedRequest usual{0, 1 * kSecond, 500'000, 500'000}, shorter{0, 1 * kSecond, 400'000, 500'000};
   EXPECT_LT(QueueKey(shorter), QueueKey(usual));
 }
 
-TEST(QueueKey, GivesWayToUsualRequestsForNoMoreThanItsPartOfTheTimeUntilItsObjective) {
+TEST(QueueKey, DelayBehindTypicalRequestsIsBoundedByTheTimeUntilTheObjective) {
   for (const double size : {600'000.0, 2'000'000.0, 60'000'000.0}) {
     for (const Time until_aim : {300 * kMs, 2 * kSecond, 30 * kSecond}) {
       const Time later = static_cast<Time>(kMaxDelayShare * static_cast<double>(until_aim)) + 1;
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -26,7 +26,7 @@
   ASSERT_NE(gone, nullptr);
   EXPECT_FALSE(gone->ready);
   fleet.AttemptEnded(gone);
-  fleet.RemoveIfGone(*gone);
+  fleet.RemoveIfUnlisted(*gone);
   EXPECT_EQ(fleet.Find(1), nullptr);
   EXPECT_EQ(fleet.in_flight(), 0);
 }
--- a/tests/policy/request_queue_test.cpp
+++ b/tests/policy/request_queue_test.cpp
@@ -22,7 +22,7 @@
 TEST(RequestQueue, OrdersByTierThenKeyThenEntry) {
   RequestQueue queue;
   Request a = WithId(9), b = WithId(8), c = WithId(7), d = WithId(6);
-  queue.Enqueue(a, PriorityTier::kObjectiveLost, 1);
+  queue.Enqueue(a, PriorityTier::kObjectiveMissed, 1);
   queue.Enqueue(b, PriorityTier::kOrdinary, 3);
   queue.Enqueue(c, PriorityTier::kOrdinary, 3);
   queue.Enqueue(d, PriorityTier::kOverQuota, 2);
--- a/tests/policy/timer_queue_test.cpp
+++ b/tests/policy/timer_queue_test.cpp
@@ -28,7 +28,7 @@
   TimerQueue timers;
   timers.Schedule(20, TimerKind::kQueueTimeout, 1);
   timers.Schedule(10, TimerKind::kQueueTimeout, 2);
-  timers.Schedule(10, TimerKind::kObjectiveLost, 3);
+  timers.Schedule(10, TimerKind::kObjectiveMissed, 3);
   timers.Schedule(30, TimerKind::kQueueTimeout, 4);
   std::vector<RequestId> due;
   while (const auto timer = timers.PopDue(20)) due.push_back(timer->request);
--- a/tests/router_path_test.cpp
+++ b/tests/router_path_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // Serves `count` requests of one prompt length so that its bucket is known to take `runtime`.
-void Teach(Node& node, double prompt, Time runtime, int count = 30) {
+void ServeMany(Node& node, double prompt, Time runtime, int count = 30) {
   for (int i = 0; i < count; ++i) {
     const RequestId id = node.Arrive(6 * kSecond, prompt);
     ASSERT_FALSE(node.AttemptsOf(id).empty());
@@ -21,7 +21,7 @@
 }
 
 // Fills the one replica until the node holds.
-std::vector<RequestId> FillUp(Node& node, double prompt) {
+std::vector<RequestId> SendUntilQueued(Node& node, double prompt) {
   std::vector<RequestId> out;
   while (node.router.queued_requests() == 0 && out.size() < 1000)
     out.push_back(node.Arrive(7 * kSecond, prompt));
@@ -29,12 +29,12 @@
   return out;
 }
 
-TEST(Queueing, ShortestEstimatedLeavesFirst) {
+TEST(Queueing, ShortestEstimateIsDispatchedFirst) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
-  Teach(node, 4000, 900 * kMs);
-  Teach(node, 200, 100 * kMs);
-  const auto out = FillUp(node, 200);
+  ServeMany(node, 4000, 900 * kMs);
+  ServeMany(node, 200, 100 * kMs);
+  const auto out = SendUntilQueued(node, 200);
   const RequestId filler = node.last_request;
   const RequestId large = node.Arrive(7 * kSecond, 4000);
   const RequestId small = node.Arrive(7 * kSecond, 200);
@@ -51,9 +51,9 @@
 TEST(Queueing, ALongRequestThatHasWaitedOvertakesShortNewcomers) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
-  Teach(node, 4000, 200 * kMs);
-  Teach(node, 200, 100 * kMs);
-  const auto out = FillUp(node, 200);
+  ServeMany(node, 4000, 200 * kMs);
+  ServeMany(node, 200, 100 * kMs);
+  const auto out = SendUntilQueued(node, 200);
   const RequestId large = node.Arrive(7 * kSecond, 4000);
   node.Advance(800 * kMs);
   const RequestId small = node.Arrive(7 * kSecond, 200);
@@ -64,10 +64,10 @@
 
 // Found on mandali-model rough-2: once the queue was older than the objective, the oldest went first and
 // everything left late.
-TEST(Queueing, WhatCanNoLongerMeetItsObjectiveWaitsBehindWhatCan) {
+TEST(Queueing, RequestsThatMissTheirObjectiveWaitBehindThoseThatCanMeetIt) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
-  const auto out = FillUp(node, 1000);
+  const auto out = SendUntilQueued(node, 1000);
   const RequestId stale = node.last_request;
   node.Advance(2 * kSecond);
   const RequestId fresh = node.Arrive(7 * kSecond);
@@ -80,7 +80,7 @@
   EXPECT_EQ(sends[sends.size() - 1].id, stale);
 }
 
-TEST(Queueing, NodesTogetherDoNotAddUpFloorsOfOne) {
+TEST(Queueing, LimitsBelowOneRequestAreBoundedByTheirSum) {
   Settings s = BasicSettings();
   s.node_count = 140;
   Node node(s);
@@ -92,7 +92,7 @@
   EXPECT_GT(sent, 0);
 }
 
-TEST(ConcurrencyLimits, RiseWhileFirstTokensComeInGoodTimeAndFallWhenTheyAreLate) {
+TEST(ConcurrencyLimits, RiseWhileFirstTokensAreEarlyAndFallWhenTheyAreLate) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
   const auto round = [&](Time first_token, Time runtime) {
@@ -191,7 +191,7 @@
   EXPECT_LT(sent[1], sent[2] / 3);
 }
 
-TEST(ReplicaSelection, IfEverythingFailsTheFleetIsNotGivenUp) {
+TEST(ReplicaSelection, RequestsAreStillSentWhenEveryReplicaFails) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1), Ready(2), Ready(3)});
   for (int i = 0; i < 6; ++i) {
@@ -283,9 +283,9 @@
 TEST(ConcurrencyLimits, DoNotShrinkWhenAllReplicasLookSlowAlike) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1), Ready(2), Ready(3)});
-  Teach(node, 1000, 100 * kMs);
+  ServeMany(node, 1000, 100 * kMs);
   const double before = node.router.total_concurrency_limit();
-  Teach(node, 1000, 350 * kMs);
+  ServeMany(node, 1000, 350 * kMs);
   EXPECT_GE(node.router.total_concurrency_limit(), 0.95 * before);
 }
 
@@ -347,18 +347,18 @@
 }
 
 // Copies of overdue requests were tried and lost: where first tokens are late, there is no capacity for them.
-TEST(Hedging, AreNotSent) {
+TEST(HedgedRequests, AreNotSent) {
   Settings s = BasicSettings();
   s.can_hedge = true;
   Node node(s);
   node.SetEndpoints({Ready(1), Ready(2)});
-  Teach(node, 1000, 200 * kMs);
+  ServeMany(node, 1000, 200 * kMs);
   const RequestId id = node.Arrive();
   node.Advance(3900 * kMs);
   EXPECT_EQ(node.AttemptsOf(id).size(), 1u);
 }
 
-TEST(TenantQuotas, BeyondTheirQuotaWaitBehindThoseWithin) {
+TEST(TenantQuotas, RequestsBeyondTheQuotaWaitBehindThoseWithin) {
   Settings s = BasicSettings();
   s.over_quota_weight = 0.1;
   s.tenants = {{"a", 0.5, 2.0}, {"b", 0.5, 2.0}};
@@ -384,7 +384,7 @@
   EXPECT_EQ(node.AttemptsOf(beyond).size(), 0u);
 }
 
-TEST(Memory, IsBoundedByWhatIsOpenAndListed) {
+TEST(Memory, HoldsOnlyOpenRequestsAndListedReplicas) {
   Node node(BasicSettings());
   for (ReplicaId i = 0; i < 500; ++i) {
     node.SetEndpoints({Ready(i), Ready(i + 1)});
@@ -404,7 +404,7 @@
 constexpr ReplicaId kMany = 300;
 
 // Where a beginning goes while nothing else does.
-ReplicaId HomeOf(Node& node, std::uint64_t prefix) {
+ReplicaId PreferredReplicaOf(Node& node, std::uint64_t prefix) {
   const RequestId id = node.Arrive(4 * kSecond, 2000, 0, prefix);
   const ReplicaId at = node.AttemptsOf(id).at(0).replica;
   node.Serve(id);
@@ -421,8 +421,8 @@
   std::vector<ReplicaId> before;
   int alike = 0;
   for (std::uint64_t key = 1; key <= 60; ++key) {
-    before.push_back(HomeOf(a, 1000 + key));
-    alike += HomeOf(b, 1000 + key) == before.back() ? 1 : 0;
+    before.push_back(PreferredReplicaOf(a, 1000 + key));
+    alike += PreferredReplicaOf(b, 1000 + key) == before.back() ? 1 : 0;
   }
   EXPECT_GE(alike, 54);
   Node c(s, 9);
@@ -431,7 +431,7 @@
   c.SetEndpoints(rest);
   int moved = 0;
   for (std::uint64_t key = 1; key <= 60; ++key) {
-    moved += HomeOf(c, 1000 + key) != before[static_cast<std::size_t>(key - 1)] ? 1 : 0;
+    moved += PreferredReplicaOf(c, 1000 + key) != before[static_cast<std::size_t>(key - 1)] ? 1 : 0;
   }
   EXPECT_LE(moved, 15);  // 3 or so were preferred there; ties and draws add some
 }
@@ -457,7 +457,7 @@
   EXPECT_LE(replicas_chosen(3), 2u);  // a few nodes together send its preferred replica few of it
 }
 
-TEST(LargeFleet, WhatDrainsOrFailsGetsNothingNew) {
+TEST(LargeFleet, DrainingAndUnreachableReplicasGetNoNewRequests) {
   Node node(BasicSettings());
   node.SetEndpoints(ReadyReplicas(kMany));
   std::vector<Endpoint> gone;
@@ -492,7 +492,7 @@
 }
 
 // What is queued leaves as soon as there is capacity again, whatever the age of the limits.
-TEST(LargeFleet, QueuedRequestsLeaveWhenCapacityComesBack) {
+TEST(LargeFleet, QueuedRequestsAreDispatchedWhenCapacityReturns) {
   Node node(BasicSettings());
   node.SetEndpoints(ReadyReplicas(80));
   std::vector<RequestId> all;
--- a/tests/router_rules_test.cpp
+++ b/tests/router_rules_test.cpp
@@ -25,7 +25,7 @@
   EXPECT_EQ(node.router.open_requests(), 0u);
 }
 
-TEST(NoRequestLost, AShortTimeBudgetCountsNotTheClassDeadline) {
+TEST(NoRequestLost, TheRequestsTimeBudgetIsUsedNotTheClassDefault) {
   Node node(BasicSettings());
   const RequestId id = node.Arrive(200 * kMs);
   node.Advance(199 * kMs);
@@ -63,7 +63,7 @@
 
 // Found on lagos-permits rough-2: the latest dispatch was worked out anew when its timer fired, lay later by
 // then, and no timer was set again.
-TEST(NoRequestLost, TheLatestDispatchDoesNotMoveAwayFromItsTimer) {
+TEST(NoRequestLost, TheLatestDispatchDoesNotMovePastItsTimer) {
   Settings s = BasicSettings();
   s.classes[0].late_weight_share = 0;
   Node node(s);
@@ -95,7 +95,7 @@
   EXPECT_EQ(node.AttemptsOf(id).size(), 1u);
 }
 
-TEST(NoRequestLost, ClientGoneWhileQueuedOrInFlightIsOwedNothing) {
+TEST(NoRequestLost, ADisconnectedClientGetsNoFinalResponse) {
   Node node(BasicSettings());
   const RequestId queued = node.Arrive();
   node.Handle(ClientDisconnected{queued});
@@ -112,7 +112,7 @@
   EXPECT_EQ(node.router.open_requests(), 0u);
 }
 
-TEST(NoRequestLost, ClientGoneWhileStreamingLeavesNothingBehind) {
+TEST(NoRequestLost, AClientThatDisconnectsWhileStreamingLeavesNoState) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
   const RequestId id = node.Arrive();
@@ -178,15 +178,15 @@
 
 // ---- No effect twice ----
 
-Settings WithEffect(Idempotency effect, DedupScope scope = DedupScope::kAll) {
+Settings WithIdempotency(Idempotency effect, DedupScope scope = DedupScope::kAll) {
   Settings s = BasicSettings();
   s.classes[0].idempotency = effect;
   s.classes[0].dedup_scope = scope;
   return s;
 }
 
-TEST(NoDuplicateExecution, NotIdempotentIsNeverRepeatedNorRejectedOnceItMayHaveRun) {
-  Node node(WithEffect(Idempotency::kNotIdempotent));
+TEST(NoDuplicateExecution, NotIdempotentIsNeitherRetriedNorRejectedOnceItMayHaveRun) {
+  Node node(WithIdempotency(Idempotency::kNotIdempotent));
   node.SetEndpoints({Ready(1), Ready(2)});
   const RequestId id = node.Arrive();
   node.EndAttempt(id, 0, Outcome::kReset, false);
@@ -196,8 +196,8 @@
   EXPECT_EQ(node.ActionsFor<FailRequest>(id).size(), 1u);
 }
 
-TEST(NoDuplicateExecution, NotIdempotentIsRepeatedAfterProofThatItNeverRan) {
-  Node node(WithEffect(Idempotency::kNotIdempotent));
+TEST(NoDuplicateExecution, NotIdempotentIsRetriedAfterProofThatItNeverRan) {
+  Node node(WithIdempotency(Idempotency::kNotIdempotent));
   node.SetEndpoints({Ready(1), Ready(2)});
   const RequestId id = node.Arrive();
   node.EndAttempt(id, 0, Outcome::kConnectFailed, false);
@@ -206,7 +206,7 @@
 }
 
 TEST(NoDuplicateExecution, NotIdempotentQueuedAfterAtCapacityMayBeRejected) {
-  Node node(WithEffect(Idempotency::kNotIdempotent));
+  Node node(WithIdempotency(Idempotency::kNotIdempotent));
   node.SetEndpoints({Ready(1)});
   const RequestId id = node.Arrive();
   node.SetEndpoints({});
@@ -215,8 +215,8 @@
   EXPECT_EQ(node.ActionsFor<RejectRequest>(id).size(), 1u);
 }
 
-TEST(NoDuplicateExecution, WithAKeyStaysInTheZoneThatDropsRepeats) {
-  Node node(WithEffect(Idempotency::kIdempotencyKey, DedupScope::kZone));
+TEST(NoDuplicateExecution, WithAnIdempotencyKeyStaysInTheDedupZone) {
+  Node node(WithIdempotency(Idempotency::kIdempotencyKey, DedupScope::kZone));
   node.SetEndpoints({Ready(1, 0), Ready(2, 0), Ready(3, 1), Ready(4, 1), Ready(5, 1), Ready(6, 2)});
   const RequestId id = node.Arrive();
   const ReplicaId first = node.AttemptsOf(id)[0].replica;
@@ -231,8 +231,8 @@
   EXPECT_EQ(node.ActionsFor<FailRequest>(id).size(), 1u);
 }
 
-TEST(NoDuplicateExecution, WithAKeyStaysInTheCellThatDropsRepeats) {
-  Node node(WithEffect(Idempotency::kIdempotencyKey, DedupScope::kCell));
+TEST(NoDuplicateExecution, WithAnIdempotencyKeyStaysInTheDedupCell) {
+  Node node(WithIdempotency(Idempotency::kIdempotencyKey, DedupScope::kCell));
   node.SetEndpoints({Ready(1, 0, 4), Ready(2, 0, 5), Ready(3, 0, 6)});
   const RequestId id = node.Arrive();
   for (int a = 0; a < 4 && static_cast<std::size_t>(a) < node.AttemptsOf(id).size(); ++a) {
@@ -244,8 +244,8 @@
   EXPECT_EQ(node.ActionsFor<FailRequest>(id).size(), 1u);
 }
 
-TEST(NoDuplicateExecution, WithAKeyIsNotSentAgainAfterItsWindow) {
-  Settings s = WithEffect(Idempotency::kIdempotencyKey);
+TEST(NoDuplicateExecution, WithAnIdempotencyKeyIsNotRetriedAfterTheDedupWindow) {
+  Settings s = WithIdempotency(Idempotency::kIdempotencyKey);
   s.classes[0].dedup_window = 1 * kSecond;
   Node node(s);
   node.SetEndpoints({Ready(1), Ready(2)});
@@ -257,8 +257,8 @@
   EXPECT_EQ(node.FinalResponses(id), 1u);
 }
 
-TEST(NoDuplicateExecution, WithAKeyForAllReplicasMayBeRepeatedAndRejected) {
-  Node node(WithEffect(Idempotency::kIdempotencyKey));
+TEST(NoDuplicateExecution, WithAnIdempotencyKeyForAllReplicasMayBeRetried) {
+  Node node(WithIdempotency(Idempotency::kIdempotencyKey));
   node.SetEndpoints({Ready(1), Ready(2), Ready(3)});
   const RequestId id = node.Arrive();
   node.EndAttempt(id, 0, Outcome::kError, false, 10 * kMs);
@@ -275,7 +275,7 @@
 }
 
 TEST(NoDuplicateExecution, NotIdempotentIsNotHedged) {
-  Settings s = WithEffect(Idempotency::kNotIdempotent);
+  Settings s = WithIdempotency(Idempotency::kNotIdempotent);
   s.can_hedge = true;
   Node node(s);
   node.SetEndpoints({Ready(1), Ready(2)});
@@ -316,7 +316,7 @@
   }
 }
 
-TEST(Draining, AbsentFromACompleteListIsGone) {
+TEST(Draining, AReplicaAbsentFromAFullListIsRemoved) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1), Ready(2)});
   node.SetEndpoints({Ready(2)});
@@ -328,7 +328,7 @@
   }
 }
 
-TEST(Draining, RequestsQueuedOrInFlightAtADrainGoElsewhere) {
+TEST(Draining, RequestsQueuedOrRetriedDuringADrainGoElsewhere) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
   const RequestId out = node.Arrive();
@@ -345,7 +345,7 @@
   EXPECT_EQ(node.AttemptsOf(out)[1].replica, 2u);
 }
 
-TEST(Draining, ARestartIsReadyAgainWithAFreshStart) {
+TEST(Draining, ARestartedReplicaGetsRequestsAgain) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
   Endpoint e = Ready(1);
@@ -361,7 +361,7 @@
 
 // ---- A replica that warms up is not overloaded ----
 
-TEST(SlowStart, ManyNodesTogetherStayWithinWhatAWarmingReplicaCanTake) {
+TEST(SlowStart, ManyNodesTogetherStayWithinTheCapacityOfAWarmingReplica) {
   constexpr int kNodes = 60;
   constexpr int kWarm = 20;
   Settings s = BasicSettings();
@@ -398,7 +398,7 @@
 
 // ---- Discovery ----
 
-TEST(Discovery, WatchesWithinTheSpanAndNotInStep) {
+TEST(Discovery, NodesOpenTheirWatchesAtDifferentTimesWithinTheInterval) {
   Settings s = BasicSettings();
   s.poll_endpoints = true;
   s.max_poll_interval = 10 * kSecond;
@@ -415,7 +415,7 @@
   EXPECT_GE(times.size(), 6u);
 }
 
-TEST(Discovery, ABrokenWatchKeepsTheListAndIsRenewed) {
+TEST(Discovery, ABrokenWatchKeepsTheListAndIsReopened) {
   Settings s = BasicSettings();
   s.poll_endpoints = true;
   s.max_poll_interval = 10 * kSecond;
@@ -430,7 +430,7 @@
 }
 
 // A list known at the start may be old, and what it lacks counts as notified before long.
-TEST(Discovery, TheFirstListIsAskedForWithinASecond) {
+TEST(Discovery, TheFirstListIsRequestedWithinASecond) {
   Settings s = BasicSettings();
   s.poll_endpoints = true;
   s.max_poll_interval = 10 * kSecond;
@@ -444,7 +444,7 @@
 
 // A change counts as notified at the latest 6 s after discovery has it and can be reached, however long it
 // was down.
-TEST(Discovery, AnOutageOfAnyLengthIsFollowedByACallSoon) {
+TEST(Discovery, AfterAnOutageOfAnyLengthTheListIsSoonRequestedAgain) {
   Settings s = BasicSettings();
   s.poll_endpoints = true;
   s.max_poll_interval = 10 * kSecond;
@@ -461,7 +461,7 @@
   }
 }
 
-TEST(Discovery, PushModeAsksNothing) {
+TEST(Discovery, PushModeOpensNoWatch) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)}, EndpointListScope::kCached);
   node.Advance(60 * kSecond);
@@ -510,7 +510,7 @@
   EXPECT_FALSE(Script(5).empty());
 }
 
-TEST(WrongCalls, AreIgnored) {
+TEST(InvalidEvents, AreIgnored) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
   node.Handle(ResponseStarted{99, 0, 1, 5});
@@ -540,7 +540,7 @@
 // Caps keep their sum over all nodes when the tier grows or shrinks.
 // What one process learned serves the next as if it had learned it itself; of a replica that has started
 // again since, nothing holds.
-TEST(StateRestored, ANewProcessDecidesByWhatTheOldOneLearned) {
+TEST(StateRestored, ANewProcessUsesWhatTheOldOneLearned) {
   Node old_process(BasicSettings());
   old_process.SetEndpoints(ReadyReplicas(4));
   for (int i = 0; i < 60; ++i) old_process.Serve(old_process.Arrive(), 0, (i % 4 + 1) * 400 * kMs);
@@ -637,7 +637,7 @@
   EXPECT_EQ(node.FinalResponses(id), 0u);
 }
 
-TEST(WrongCalls, UnknownClassTenantAndKindAreTaken) {
+TEST(InvalidEvents, UnknownClassTenantAndKindAreAccepted) {
   Node node(BasicSettings());
   Endpoint e = Ready(1);
   e.kind = 900;
@@ -657,7 +657,7 @@
 // ---- Time that is cut short ----
 
 TEST(DeadlineShortened, AQueuedRequestIsRejectedWithinIt) {
-  Node node(WithEffect(Idempotency::kNotIdempotent));
+  Node node(WithIdempotency(Idempotency::kNotIdempotent));
   const RequestId id = node.Arrive(8 * kSecond);
   node.Handle(DeadlineShortened{id, 500 * kMs});
   node.Advance(400 * kMs);
@@ -667,7 +667,7 @@
   EXPECT_EQ(node.router.open_requests(), 0u);
 }
 
-TEST(DeadlineShortened, AtZeroAnAttemptInFlightIsTheLastAndDecidesTheResponse) {
+TEST(DeadlineShortened, AtZeroTheAttemptInFlightIsTheLastAndDecidesTheResponse) {
   struct Row {
     Idempotency effect;
     DedupScope scope;
@@ -680,7 +680,7 @@
                          Row{Idempotency::kIdempotencyKey, DedupScope::kCell, false}}) {
     for (const Outcome outcome :
          {Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset, Outcome::kNotSent}) {
-      Node node(WithEffect(row.effect, row.scope));
+      Node node(WithIdempotency(row.effect, row.scope));
       node.SetEndpoints(ReadyReplicas(3));
       const RequestId id = node.Arrive(8 * kSecond);
       ASSERT_EQ(node.AttemptsOf(id).size(), 1u);
@@ -696,7 +696,7 @@
   }
 }
 
-TEST(DeadlineShortened, NeverGivesMoreTimeAndIgnoresUnknownRequests) {
+TEST(DeadlineShortened, NeverExtendsTheDeadlineAndIgnoresUnknownRequests) {
   Node node(BasicSettings());
   const RequestId id = node.Arrive(300 * kMs);
   node.Handle(DeadlineShortened{id, 60 * kSecond});
@@ -706,8 +706,8 @@
   EXPECT_FALSE(node.router.may_reject(id));  // it is over: nothing is known of it
 }
 
-TEST(NoDuplicateExecution, ARepeatCarriesWhatIsLeftOfTheWindow) {
-  Settings s = WithEffect(Idempotency::kIdempotencyKey);
+TEST(NoDuplicateExecution, ARetryCarriesTheRestOfTheDedupWindow) {
+  Settings s = WithIdempotency(Idempotency::kIdempotencyKey);
   s.classes[0].dedup_window = 2 * kSecond;
   Node node(s);
   node.SetEndpoints(ReadyReplicas(3));
@@ -723,9 +723,9 @@
   EXPECT_EQ(node.AttemptsOf(id)[2].write_within, 1140 * kMs);
 }
 
-TEST(NoDuplicateExecution, NoRepeatIsDecidedWithinTheMarginOfTheWindowsEnd) {
+TEST(NoDuplicateExecution, NoRetryWithinTheMarginAtTheEndOfTheDedupWindow) {
   for (const Time left : {100 * kMs, 150 * kMs}) {
-    Settings s = WithEffect(Idempotency::kIdempotencyKey);
+    Settings s = WithIdempotency(Idempotency::kIdempotencyKey);
     s.classes[0].dedup_window = 2 * kSecond;
     Node node(s);
     node.SetEndpoints(ReadyReplicas(3));
@@ -737,9 +737,9 @@
 }
 
 // Lists may name zones that the settings do not, and leave cells out: such replicas may be apart.
-TEST(NoDuplicateExecution, WithAKeyIsNotRepeatedWhereTheScopeIsNotKnown) {
+TEST(NoDuplicateExecution, WithAnIdempotencyKeyIsNotRetriedWhereTheScopeIsUnknown) {
   for (const DedupScope scope : {DedupScope::kZone, DedupScope::kCell}) {
-    Settings s = WithEffect(Idempotency::kIdempotencyKey);
+    Settings s = WithIdempotency(Idempotency::kIdempotencyKey);
     s.classes[0].dedup_scope = scope;
     Node node(s);
     std::vector<Endpoint> fleet = ReadyReplicas(3);
