--- a/src/keys/keyring.cpp
+++ b/src/keys/keyring.cpp
@@ -54,7 +54,7 @@
   const std::string text = FromHex(salt_hex) + std::string(secret);
   unsigned length = 0;
   if (EVP_Digest(text.data(), text.size(), digest.data(), &length, EVP_sha256(), nullptr) != 1) {
-    throw std::runtime_error("SHA-256 is not to be had from OpenSSL");
+    throw std::runtime_error("OpenSSL failed to compute a SHA-256 digest");
   }
   return digest;
 }
@@ -62,12 +62,12 @@
 std::string RandomHex(std::size_t digits) {
   std::array<unsigned char, 32> bytes{};
   if (RAND_bytes(bytes.data(), static_cast<int>(digits / 2)) != 1) {
-    throw std::runtime_error("no randomness is to be had from OpenSSL");
+    throw std::runtime_error("OpenSSL failed to provide random bytes");
   }
   return ToHex(bytes.data(), digits / 2);
 }
 
-constexpr std::size_t kMaxPresented = 256;
+constexpr std::size_t kMaxPresentedSize = 256;  // bytes; longer texts are no key
 
 std::string IdOfText(std::string_view text) {
   const Digest digest = Sha256("", text);
@@ -84,18 +84,18 @@
     Key key;
     key.id = entry.Needed("id", "8 hexadecimal digits, as `ryeglade key new` makes them");
     if (!IsHex(key.id, kIdDigits)) entry.Fail("id", "must be 8 lower-case hexadecimal digits");
-    if (ring.keys_.contains(key.id)) entry.Fail("id", "comes twice in the file; revoke one of the two");
+    if (ring.keys_.contains(key.id)) entry.Fail("id", "occurs twice in the file; revoke one of the two keys");
     key.name = entry.Text("name", "");
     key.salt = entry.Needed("salt", "32 hexadecimal digits");
     if (!IsHex(key.salt, kSaltDigits)) entry.Fail("salt", "must be 32 lower-case hexadecimal digits");
-    key.hash = entry.Needed("hash", "64 hexadecimal digits; the key itself never stands in this file");
+    key.hash = entry.Needed("hash", "64 hexadecimal digits; this file never contains the key itself");
     if (!IsHex(key.hash, kHashDigits)) entry.Fail("hash", "must be 64 lower-case hexadecimal digits");
     key.created = entry.Text("created", "");
     key.class_name = entry.Text("class", "");
     key.limits = ReadKeyLimits(entry);
     entry.Close();
     if (ring.keys_.size() >= kMaxKeys)
-      entry.Fail("id", fmt::format("is one too many; {} keys are the most", kMaxKeys));
+      entry.Fail("id", fmt::format("exceeds the maximum of {} keys in one file", kMaxKeys));
     ring.Add(std::move(key));
   }
   top.Close();
@@ -106,31 +106,32 @@
   struct stat info {};
   if (stat(path.c_str(), &info) != 0) {
     throw SettingsError(path + ": cannot be read: " + std::strerror(errno) +
-                        "; make it with `ryeglade key new`");
+                        "; create it with `ryeglade key new`");
   }
   if ((info.st_mode & 077) != 0) {
-    throw SettingsError(fmt::format("{}: others may read it (mode {:o}); run: chmod 600 {}", path,
+    throw SettingsError(fmt::format("{}: is accessible to other users (mode {:o}); run: chmod 600 {}", path,
                                     static_cast<unsigned>(info.st_mode & 0777), path));
   }
   return Parse(path, ReadWholeFile(path));
 }
 
 const Key* Keyring::Verify(std::string_view presented) const {
-  // An unknown id is checked against a hash that nothing has, so that it takes as long as a known one.
+  // An unknown id is checked against a hash that no secret has, so that the check takes as long as for a
+  // known id.
   static const Key kUnknownKey{"", "", std::string(kSaltDigits, '0'), std::string(kHashDigits, '0'), "",
                                {}, ""};
   const bool well_formed = presented.size() == kPresentedSize && presented.starts_with(kPrefix) &&
                            presented[kPrefix.size() + kIdDigits] == '-';
-  if (presented.empty() || presented.size() > kMaxPresented) return nullptr;
+  if (presented.empty() || presented.size() > kMaxPresentedSize) return nullptr;
   const std::string id =
       well_formed ? std::string(presented.substr(kPrefix.size(), kIdDigits)) : IdOfText(presented);
   const auto it = keys_.find(id);
   const Key& key = it == keys_.end() ? kUnknownKey : it->second;
   const Digest digest =
       Sha256(key.salt, well_formed ? presented.substr(kPresentedSize - kSecretDigits) : presented);
-  const std::string wanted = FromHex(key.hash);
-  const bool same = CRYPTO_memcmp(digest.data(), wanted.data(), digest.size()) == 0;
-  return same && it != keys_.end() ? &it->second : nullptr;
+  const std::string expected = FromHex(key.hash);
+  const bool matches = CRYPTO_memcmp(digest.data(), expected.data(), digest.size()) == 0;
+  return matches && it != keys_.end() ? &it->second : nullptr;
 }
 
 const Key* Keyring::Find(const std::string& id) const {
@@ -173,9 +174,9 @@
 }
 
 void Keyring::Save(const std::string& path) const {
-  const FileError fault = ReplaceFile(path, Text(), 0600);
-  if (fault.error != 0) {
-    throw SettingsError(fmt::format("{}: {}: {}", path, fault.what, std::strerror(fault.error)));
+  const FileError failure = ReplaceFile(path, Text(), 0600);
+  if (failure.error != 0) {
+    throw SettingsError(fmt::format("{}: {}: {}", path, failure.what, std::strerror(failure.error)));
   }
 }
 
@@ -190,19 +191,19 @@
 }
 
 NewKey MakeKey(const std::string& name) {
-  NewKey made;
-  made.key.id = RandomHex(kIdDigits);
-  made.key.name = name;
-  made.key.salt = RandomHex(kSaltDigits);
+  NewKey created;
+  created.key.id = RandomHex(kIdDigits);
+  created.key.name = name;
+  created.key.salt = RandomHex(kSaltDigits);
   const std::string secret = RandomHex(kSecretDigits);
-  const Digest digest = Sha256(made.key.salt, secret);
-  made.key.hash = ToHex(digest.data(), digest.size());
+  const Digest digest = Sha256(created.key.salt, secret);
+  created.key.hash = ToHex(digest.data(), digest.size());
   const std::time_t now = std::time(nullptr);
   std::tm utc{};
   gmtime_r(&now, &utc);
-  made.key.created = fmt::format("{:04}-{:02}-{:02}", utc.tm_year + 1900, utc.tm_mon + 1, utc.tm_mday);
-  made.presented = std::string(kPrefix) + made.key.id + "-" + secret;
-  return made;
+  created.key.created = fmt::format("{:04}-{:02}-{:02}", utc.tm_year + 1900, utc.tm_mon + 1, utc.tm_mday);
+  created.presented = std::string(kPrefix) + created.key.id + "-" + secret;
+  return created;
 }
 
 }  // namespace ryeglade::keys
--- a/src/keys/keyring.h
+++ b/src/keys/keyring.h
@@ -1,6 +1,6 @@
-// API keys of clients. The key file has only salted hashes; a key is `rg-<id>-<secret>` with a secret of 256
-// random bits, so one round of SHA-256 is enough: there is nothing to guess, and thousands of invalid keys a
-// second cost little.
+// API keys of clients. The key file holds only salted hashes. A key is `rg-<id>-<secret>` with a secret of
+// 256 random bits. One round of SHA-256 is therefore enough: such a secret cannot be guessed, and checking
+// thousands of invalid keys per second stays cheap.
 #pragma once
 
 #include <cstddef>
@@ -15,47 +15,48 @@
 namespace ryeglade::keys {
 
 struct Key {
-  std::string id;            // 8 hexadecimal digits; public
-  std::string name;          // whose it is
+  std::string id;            // 8 hexadecimal digits; not secret
+  std::string name;          // of the owner; may be empty
   std::string salt, hash;    // hexadecimal; hash = SHA-256(salt bytes, secret bytes)
-  std::string created;       // a date, for people
-  limits::KeyLimits limits;  // a field that is 0 takes the default of the settings
-  std::string class_name;    // the class of its requests, if the routes name none; empty: none
+  std::string created;       // date as YYYY-MM-DD, for operators to read; may be empty
+  limits::KeyLimits limits;  // a field that is 0 takes the default from the settings
+  std::string class_name;    // request class where the routes name none; empty if the key has no class
 };
 
 class Keyring {
  public:
   static constexpr std::size_t kMaxKeys = 100'000;
 
-  // Throws SettingsError naming file, line, key and remedy.
+  // Throws SettingsError that names the file, the line, the key and a remedy.
   static Keyring Parse(const std::string& file, const std::string& text);
-  // The same, from a file that only its owner may read.
+  // Reads and parses a file. Throws SettingsError also if users other than its owner may access it.
   static Keyring Load(const std::string& path);
 
-  // The key that `presented` is, or null. Takes the same time whether the id is known and however much of the
-  // secret is right.
+  // Returns the key that matches the text sent by a client, or null if none does. Takes the same time whether
+  // or not the id is known, and however many characters of the secret match.
   const Key* Verify(std::string_view presented) const;
   const Key* Find(const std::string& id) const;
   std::size_t size() const { return keys_.size(); }
-  const std::vector<std::string>& ids() const { return order_; }  // ids in the order of the file
+  const std::vector<std::string>& ids() const { return order_; }  // in the order of the file
 
   void Add(Key key);
   bool Remove(const std::string& id);
-  std::string Text() const;                  // the key file's
-  void Save(const std::string& path) const;  // atomically, mode 0600; throws SettingsError
+  std::string Text() const;                  // the content of the key file
+  void Save(const std::string& path) const;  // writes atomically with mode 0600; throws SettingsError
 
  private:
   std::unordered_map<std::string, Key> keys_;  // by id
-  std::vector<std::string> order_;             // ids, as in the file
+  std::vector<std::string> order_;             // ids, in the order of the file
 };
 
 struct NewKey {
   Key key;
-  std::string presented;  // what the client sends; shown once, kept nowhere
+  std::string presented;  // the text that the client sends; shown once and stored nowhere
 };
-NewKey MakeKey(const std::string& name);  // throws std::runtime_error if there is no randomness
-// A key that is any text, for demonstrations and tests: its id comes from the text, so a weak one can be
-// guessed from the file.
+// Throws std::runtime_error if OpenSSL provides no random bytes.
+NewKey MakeKey(const std::string& name);
+// Makes a key whose secret is an arbitrary text, for demonstrations and tests only: the id is derived from
+// the text, so that a weak text can be guessed from the key file.
 Key KeyFromText(const std::string& name, const std::string& text);
 
 }  // namespace ryeglade::keys
--- a/src/limits/limits_policy.cpp
+++ b/src/limits/limits_policy.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr double kMinuteUs = 60e6;
-// Rounding must not reject what comes after the retry_after that was given.
+// In requests or tokens. Without it, rounding could reject a request that is sent exactly after
+// `retry_after`.
 constexpr double kRoundingSlack = 1e-9;
 
 }  // namespace
@@ -17,7 +18,7 @@
     bucket = {per_min, now};
     return;
   }
-  const Time passed = std::max<Time>(0, now - bucket.filled_at);  // time that steps back fills nothing
+  const Time passed = std::max<Time>(0, now - bucket.filled_at);  // a clock that steps back adds nothing
   bucket.level = std::min(per_min, bucket.level + per_min * static_cast<double>(passed) / kMinuteUs);
   bucket.filled_at = std::max(bucket.filled_at, now);
 }
@@ -61,7 +62,7 @@
     ++key.streams;
     key.reserved += tokens;
   } else if (result.admission != Admission::kRequestTooLarge) {
-    // The longer of both, so that a retry then is not rejected for the other.
+    // The longer of the two waits, so that the retry is not rejected by the other limit.
     result.retry_after = std::max(TimeUntil(key.requests, limits.requests_per_min, 1),
                                   TimeUntil(key.tokens, limits.tokens_per_min, tokens));
   }
@@ -91,8 +92,9 @@
   key.reserved = key.streams == 0 ? 0 : std::max(0.0, key.reserved - reserved);
   if (limits.tokens_per_min > 0) {
     Refill(key.tokens, limits.tokens_per_min, now);
-    // Used may be more than reserved: the level then goes below zero, and is paid off before anything is
-    // admitted; by a minute's worth at most, so that one wrong figure can't shut a key out for long.
+    // More tokens may have been used than reserved. The level then becomes negative, and nothing is admitted
+    // until it has refilled. It is bounded by one minute's quota, so that one wrong usage figure cannot lock
+    // out a key for long.
     key.tokens.level =
         std::clamp(key.tokens.level + reserved - used, -limits.tokens_per_min, limits.tokens_per_min);
   }
--- a/src/limits/limits_policy.h
+++ b/src/limits/limits_policy.h
@@ -1,9 +1,9 @@
-// Rate limits of one key: requests a minute, tokens a minute, streams at once. Tokens are reserved when a
-// request is admitted and settled when its response ends. Decides only: no I/O, no clock; time comes with
-// each call.
+// Rate limits for each API key: requests per minute, tokens per minute and concurrent streams. Tokens are
+// reserved when a request is admitted and settled when its response ends. Performs no I/O and reads no clock;
+// the caller passes the time with each call.
 //
-// Each rate is a token bucket: it holds one minute's worth and fills steadily, so that over any span of T
-// minutes at most (T + 1) times the limit is admitted.
+// Each rate is a token bucket that holds one minute's quota and refills continuously, so that over any span
+// of T minutes at most (T + 1) times the limit is admitted.
 #pragma once
 
 #include <cstdint>
@@ -16,65 +16,69 @@
 
 using policy::Time;  // microseconds
 
-// Of one key; 0: no limit.
+// The limits of one key. 0 means that there is no limit.
 struct KeyLimits {
   double requests_per_min = 0;
   double tokens_per_min = 0;
-  int streams = 0;  // at once
+  int streams = 0;  // concurrent streams
 };
 
 enum class Admission : std::uint8_t {
   kAdmitted,
-  kOverRequests,     // over requests a minute
-  kOverTokens,       // over tokens a minute
-  kOverStreams,      // over streams at once
-  kRequestTooLarge,  // asks for more tokens than a whole minute gives: a retry does not help
+  kOverRequests,     // over the limit of requests per minute
+  kOverTokens,       // over the limit of tokens per minute
+  kOverStreams,      // over the limit of concurrent streams
+  kRequestTooLarge,  // requests more tokens than the quota of a whole minute: a retry does not help
 };
 
-// For the x-ratelimit headers. A limit of 0: none.
+// The values of the x-ratelimit headers. A limit of 0 means that there is no limit.
 struct RemainingQuota {
-  double request_limit = 0;  // a minute
-  double requests = 0;       // left now
-  double token_limit = 0;
-  double tokens = 0;
-  Time requests_reset_after = 0;  // until all requests are available again
-  Time tokens_reset_after = 0;
+  double request_limit = 0;       // requests per minute
+  double requests = 0;            // requests available now
+  double token_limit = 0;         // tokens per minute
+  double tokens = 0;              // tokens available now
+  Time requests_reset_after = 0;  // time until the whole request quota is available again
+  Time tokens_reset_after = 0;    // time until the whole token quota is available again
 };
 
 struct AdmissionResult {
   Admission admission = Admission::kAdmitted;
-  // Until the same request would be admitted if no other came; 0: not known.
+  // Time until the same request would be admitted if no other request arrived in between. 0 if not known.
   Time retry_after = 0;
   RemainingQuota remaining;
 };
 
 class RateLimiter {
  public:
-  // Takes one request, one stream and `tokens` from `key`, or nothing at all.
+  // Takes one request, one stream and `tokens` from the quota of `key`, or nothing if one of them is
+  // exceeded.
   AdmissionResult Admit(Time now, const std::string& key, const KeyLimits& limits, double tokens);
-  // For a response that outgrows its reservation. False: the key has no more tokens, and none were taken.
+  // Reserves more tokens for a response that exceeds its reservation. Returns false, and reserves nothing, if
+  // the key does not have that many tokens left.
   bool ReserveMore(Time now, const std::string& key, const KeyLimits& limits, double tokens);
-  // The one end of an admitted request: gives back what was reserved and takes what was used. `forwarded`
-  // false also gives back the request itself: it was never let through.
+  // Called exactly once when an admitted request ends: returns the reserved tokens and charges the used ones.
+  // If `forwarded` is false, the request was never sent upstream and its place in the request quota is
+  // returned as well.
   void Settle(Time now, const std::string& key, const KeyLimits& limits, double reserved, double used,
               bool forwarded);
-  // Of a key that was revoked; its open requests still settle, and leave nothing behind.
+  // Drops the state of a revoked key. Its open requests can still be settled; the state is erased with the
+  // last of them.
   void Forget(const std::string& key);
 
-  int streams(const std::string& key) const;      // open now
-  double reserved(const std::string& key) const;  // tokens
+  int streams(const std::string& key) const;      // open streams
+  double reserved(const std::string& key) const;  // reserved tokens
   std::size_t size() const { return keys_.size(); }
 
  private:
   struct Bucket {
     double level = 0;
-    Time filled_at = -1;  // -1: never used, so full
+    Time filled_at = -1;  // time of the last refill; -1 if never used, which means full
   };
   struct KeyState {
     Bucket requests, tokens;
     int streams = 0;
     double reserved = 0;
-    bool forgotten = false;
+    bool forgotten = false;  // revoked; erased when its last stream ends
   };
   static void Refill(Bucket& bucket, double per_min, Time now);
   static Time TimeUntil(const Bucket& bucket, double per_min, double wanted_level);
--- a/src/limits/rate_limit_policy.h
+++ b/src/limits/rate_limit_policy.h
@@ -1,6 +1,6 @@
-// Delays the answer to requests with an invalid key. A burst is answered at once; beyond it each answer waits
-// for its turn, so that clients that retry as soon as they are answered can't take the node's time from those
-// with valid keys. No I/O, no clock.
+// Delays the replies to requests with an invalid API key. A burst is answered without delay; beyond it the
+// replies are paced, so that clients that retry immediately cannot starve clients with valid keys. Performs
+// no I/O and reads no clock.
 #pragma once
 
 #include "ryeglade/router.h"
@@ -11,18 +11,19 @@
 
 class InvalidKeyThrottle {
  public:
-  // `per_second`: answers once the first `burst` are given. No delay is longer than `max_delay`.
+  // After `burst` replies without delay, `per_second` replies are sent per second. No delay is longer than
+  // `max_delay`.
   explicit InvalidKeyThrottle(double per_second = 200, double burst = 200, Time max_delay = 2'000'000)
       : interval_(static_cast<Time>(1e6 / per_second)),
         burst_span_(static_cast<Time>(burst * 1e6 / per_second)),
         max_delay_(max_delay) {}
 
-  // How long to delay the answer to a request that came now.
+  // Returns the delay of the reply to a request that arrived at `now`.
   Time DelayOfNext(Time now);
 
  private:
   Time interval_, burst_span_, max_delay_;
-  Time next_slot_ = 0;  // when the next answer would be due without the burst
+  Time next_slot_ = 0;  // when the next reply would be due if no burst were allowed
 };
 
 }  // namespace ryeglade::limits
