--- a/src/admin/admin_front.h
+++ b/src/admin/admin_front.h
@@ -1,5 +1,5 @@
-// The HTTP front of the operators' management address: readiness, counters, rollout metrics, and disabling of
-// replicas; one request a connection. It answers from AdminPort and decides nothing itself.
+// The HTTP front of the management address: readiness, counters, rollout metrics, and disabling of replicas.
+// It serves one request per connection, from the data of AdminPort, and holds no state itself.
 #pragma once
 
 #include <string>
@@ -15,15 +15,17 @@
   virtual ~AdminPort() = default;
   virtual bool is_ready() const = 0;             // accepts clients
   virtual std::string CountersText() const = 0;  // in the Prometheus text format
-  virtual std::string MetricsText() const = 0;   // by which a rollout compares nodes; JSON
-  // Takes the upstream host named `instance` out of use, or puts it back. False: there is no such host.
+  virtual std::string MetricsText() const = 0;   // JSON; a rollout compares nodes by it
+  // Takes the replica named `instance` out of use, or puts it back. Returns false if there is no such
+  // replica.
   virtual bool DisableReplica(std::string_view instance, bool disabled) = 0;
 };
 
 class AdminFront : public Front {
  public:
   static constexpr std::size_t kSockets = 16;
-  // For a whole request. Callers may keep a connection for 4 s before they send one.
+  // For receiving a whole request, from the time of the connection. Clients may hold a connection for 4 s
+  // before they send a request.
   static constexpr Time kRequestTimeout = 5'000'000;
 
   explicit AdminFront(AdminPort* node) : node_(node) {}
@@ -35,7 +37,7 @@
 
  private:
   void Reply(Handle connection, int status, std::string_view body, const char* type = "text/plain");
-  // Whether the request has this method; replies with 405 where it has another.
+  // Returns whether the request has this method; otherwise replies with 405.
   bool CheckMethod(Handle connection, const HttpRequest& request, std::string_view method);
   void OnReplicaRequest(Handle connection, const HttpRequest& request);
 
--- a/src/admin/counters.h
+++ b/src/admin/counters.h
@@ -12,10 +12,11 @@
 
 struct CounterView {
   const NodeCounters* counters = nullptr;
-  std::vector<std::string> classes;  // in force now; each has a line even before its first request
-  std::uint64_t inflight = 0;        // requests taken and not yet ended
-  std::uint64_t hosts_listed = 0, hosts_down = 0;
-  CloseCounts closed{};  // clients' connections, by reason
+  std::vector<std::string> classes;  // configured classes; each has a sample even before its first request
+  std::uint64_t inflight = 0;        // requests received and not yet ended
+  std::uint64_t hosts_listed = 0;    // replicas in the endpoint list
+  std::uint64_t hosts_down = 0;      // listed replicas that are not used, as ejected or disabled
+  CloseCounts closed{};              // connections of clients that were closed, by reason
 };
 
 std::string CountersText(const CounterView& view);
--- a/src/ledger/ledger_file.cpp
+++ b/src/ledger/ledger_file.cpp
@@ -10,7 +10,7 @@
 namespace ryeglade::ledger {
 namespace {
 
-constexpr mode_t kMode = 0640;
+constexpr mode_t kFileMode = 0640;
 
 }  // namespace
 
@@ -35,7 +35,7 @@
       loop_, &job->work,
       [](uv_work_t* w) {
         Job* j = static_cast<Job*>(w->data);
-        j->error = ReplaceFile(j->path, j->text, kMode).error;
+        j->error = ReplaceFile(j->path, j->text, kFileMode).error;
       },
       [](uv_work_t* w, int) {
         Job* j = static_cast<Job*>(w->data);
@@ -54,7 +54,7 @@
 
 bool LedgerFile::WriteNow(const std::string& text) {
   if (!enabled()) return true;
-  const int error = ReplaceFile(path_, text, kMode).error;
+  const int error = ReplaceFile(path_, text, kFileMode).error;
   if (error != 0) {
     ++failures_;
     Log(Level::kWarn, "ledger-not-written", {{"path", path_}, {"why", std::strerror(error)}});
--- a/src/ledger/ledger_file.h
+++ b/src/ledger/ledger_file.h
@@ -1,5 +1,6 @@
-// The ledger on disk: one JSON file a node, replaced whole on a period and at the end. Written off the loop's
-// thread; a disk that is full or read-only costs the file, never a request.
+// Writes the ledger to disk: one JSON file per node, replaced atomically at a fixed interval and at shutdown.
+// The file is written on a thread of libuv's pool; if the disk is full or read-only, the file is not written,
+// and no request is affected.
 #pragma once
 
 #include <uv.h>
@@ -12,13 +13,15 @@
 
 class LedgerFile {
  public:
-  // An empty directory turns it off.
+  // An empty directory disables the file.
   LedgerFile(uv_loop_t* loop, std::string directory, const std::string& node);
   bool enabled() const { return !path_.empty(); }
   const std::string& path() const { return path_; }
-  void Write(std::string text);  // in the background; passed over while the last one is still being written
-  bool WriteNow(const std::string& text);  // waits; for the program's end
-  unsigned long failures() const { return failures_; }
+  // Writes in the background. Does nothing while an earlier write is still in progress.
+  void Write(std::string text);
+  // Blocks until the file is written; used at shutdown. Returns false if the write failed.
+  bool WriteNow(const std::string& text);
+  unsigned long failures() const { return failures_; }  // failed writes
 
  private:
   struct Job {
@@ -30,7 +33,7 @@
 
   uv_loop_t* loop_;
   std::string path_;
-  bool busy_ = false;
+  bool busy_ = false;  // a background write is in progress
   unsigned long failures_ = 0;
 };
 
--- a/src/ledger/ledger_model.cpp
+++ b/src/ledger/ledger_model.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-// "kept" and "answer" are the stored form's names of cached and output tokens.
+// "kept" and "answer" are the stored names of cached and output tokens.
 json TokensToJson(const Tokens& tokens) {
   return {{"prompt", tokens.prompt}, {"kept", tokens.cached}, {"answer", tokens.output}};
 }
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-// As the ledger's file, its table and the metrics name them.
+// The names in the ledger file, in its text table and in the metrics.
 const char* Name(Outcome outcome) {
   static constexpr std::array<const char*, kOutcomes> kNames = {
       "served", "refused", "failed", "rejected", "client-left", "broken", "cut"};
@@ -31,9 +31,9 @@
 }
 
 std::uint64_t Row::open() const {
-  std::uint64_t done = 0;
-  for (const std::uint64_t n : ended) done += n;
-  return admitted - done;
+  std::uint64_t all_ended = 0;
+  for (const std::uint64_t n : ended) all_ended += n;
+  return admitted - all_ended;
 }
 
 void Row::Add(const Row& other) {
@@ -104,7 +104,8 @@
   std::map<Ledger::Id, Row> rows;
   try {
     const json all = json::parse(text);
-    if (all.at("format") != "ryeglade-ledger-1") throw std::runtime_error("not a ledger of this format");
+    if (all.at("format") != "ryeglade-ledger-1")
+      throw std::runtime_error("not a ledger in the format ryeglade-ledger-1");
     for (const json& j : all.at("rows")) {
       Row row;
       row.admitted = j.at("admitted").get<std::uint64_t>();
@@ -147,7 +148,7 @@
                                        : Name(static_cast<Outcome>(i)));
   }
   out += fmt::format(" {:>6} {:>11} {:>11} {:>11} {:>11} {:>11}  {}\n", "open", "prompt", "kept", "answer",
-                     "est.prompt", "est.answer", "usage not believed");
+                     "est.prompt", "est.answer", "usage faults");
   Row total;
   for (const auto& [id, row] : rows) {
     out += line(id.first, id.second, row);
--- a/src/ledger/ledger_model.h
+++ b/src/ledger/ledger_model.h
@@ -1,6 +1,7 @@
-// The ledger: what each key requested of each model and how it ended. Every admitted request ends in exactly
-// one outcome; tokens are counted apart by where the figure came from. Bounded in rows: what comes past the
-// bound is counted under "(other)". No I/O, no clock.
+// The ledger counts, for each API key and model, the requests, their outcomes and the tokens used. Every
+// admitted request ends in exactly one outcome. Tokens reported by replicas and estimated tokens are counted
+// separately. The number of rows is bounded: further pairs of key and model are counted under "(other)".
+// Performs no I/O and reads no clock.
 #pragma once
 
 #include <array>
@@ -16,12 +17,12 @@
 // How an admitted request ended.
 enum class Outcome : std::uint8_t {
   kServed,
-  kRejectedByNode,      // before anything was forwarded; a retry is harmless
-  kFailed,              // no answer; it may have run
-  kRejectedByReplica,   // a replica said that the request itself is wrong
-  kClientDisconnected,  // the client closed its connection before the end
-  kTruncated,           // the replica's stream ended early, after the first event
-  kTerminated,          // the node ended it: key revoked, or its tokens spent
+  kRejectedByNode,      // rejected before anything was forwarded; safe to retry
+  kFailed,              // no response; the request may have run on a replica
+  kRejectedByReplica,   // a replica replied that the request itself is invalid
+  kClientDisconnected,  // the client closed its connection before the response was complete
+  kTruncated,           // the replica's stream broke off after its first event
+  kTerminated,          // ended by the node, as the key was revoked or its tokens were used up
   kCount
 };
 inline constexpr std::size_t kOutcomes = static_cast<std::size_t>(Outcome::kCount);
@@ -31,27 +32,29 @@
   double prompt = 0, cached = 0, output = 0;
 };
 
+// The counts of one key and model.
 struct Row {
-  std::uint64_t admitted = 0;
-  std::array<std::uint64_t, kOutcomes> ended{};
-  Tokens reported, estimated;
-  std::array<std::uint64_t, kUsageFaults> usage_faults{};
+  std::uint64_t admitted = 0;                              // requests
+  std::array<std::uint64_t, kOutcomes> ended{};            // requests, by Outcome
+  Tokens reported, estimated;                              // by the source of the figures
+  std::array<std::uint64_t, kUsageFaults> usage_faults{};  // requests, by UsageFault
 
-  std::uint64_t open() const;  // admitted and not ended
+  std::uint64_t open() const;  // requests admitted and not yet ended
   void Add(const Row& other);
 };
 
 class Ledger {
  public:
-  using Id = std::pair<std::string, std::string>;  // key, model
+  using Id = std::pair<std::string, std::string>;  // id of the key, and model
   static constexpr std::size_t kMaxRows = 4096;
 
   void RecordAdmission(const std::string& key, const std::string& model);
-  // The one end of an admitted request. `usage` is what it used; `reported`: by the replica's own figures,
-  // not by an estimate; a fault is counted when usage was owed and was not valid.
+  // Called exactly once when an admitted request ends. `usage` is the tokens it used; `reported` tells
+  // whether they are the replica's own figures rather than an estimate. `fault` is not null if the replica
+  // should have reported its usage and the report was absent or not valid.
   void RecordOutcome(const std::string& key, const std::string& model, Outcome outcome, const Usage& usage,
                      bool reported, const UsageFault* fault);
-  // Requests rejected before they were admitted, by reason (a fixed set of names).
+  // Counts a request that was rejected before it was admitted. `reason` is one of a fixed set of names.
   void CountRejection(const std::string& reason) { ++rejections_[reason]; }
 
   const std::map<Id, Row>& rows() const { return rows_; }
@@ -64,11 +67,12 @@
   std::map<std::string, std::uint64_t> rejections_;
 };
 
-// As JSON, and back. The stored form keeps older names for outcomes and token kinds, as Name and the encoder
-// map them. RowsFromJson throws std::runtime_error saying what is wrong.
+// Encodes the ledger as JSON, and decodes its rows. The stored names of outcomes and token kinds differ from
+// the names in this file and are fixed; see Name and the encoder. RowsFromJson throws std::runtime_error that
+// names the error.
 std::string ToJson(const Ledger& ledger, const std::string& node, std::int64_t unix_ms);
 std::map<Ledger::Id, Row> RowsFromJson(const std::string& text);
-// A table for a person, totals last.
+// Formats the rows as a text table with the totals in the last line.
 std::string FormatTable(const std::map<Ledger::Id, Row>& rows);
 
 }  // namespace ryeglade::ledger
--- a/src/ledger/usage_model.cpp
+++ b/src/ledger/usage_model.cpp
@@ -12,11 +12,11 @@
 using openai::JsonValue;
 
 constexpr double kMaxTokens = 1e8;
-constexpr double kDefaultBytesPerToken = 4;  // before anything is known
+constexpr double kDefaultBytesPerToken = 4;  // for a model without valid figures so far
 constexpr double kMinBytesPerToken = 0.5;
 constexpr double kMaxBytesPerToken = 16;
-constexpr double kNewestWeight = 1.0 / 16;  // of the newest figure
-// Shorter prompts say more of the chat template than of their text.
+constexpr double kNewestWeight = 1.0 / 16;  // of the newest figure in the moving average
+// Tokens of shorter prompts come mostly from the chat template rather than from the text.
 constexpr std::size_t kMinPromptBytes = 64;
 
 class UsageReader : public openai::JsonHandler {
@@ -25,14 +25,14 @@
   std::optional<UsageFault> fault;
 
   bool OnValue(const JsonValue& v) override {
-    if (v.depth == 1) top_ = v.key == "usage";
-    if (!top_) return true;
+    if (v.depth == 1) in_usage_ = v.key == "usage";
+    if (!in_usage_) return true;
     if (v.depth == 1 && v.kind != JsonKind::kObject) return Fault(UsageFault::kNotANumber);
-    if (v.depth == 2) group_ = v.key;
+    if (v.depth == 2) parent_key_ = v.key;
     if (v.depth == 2 && v.key == "prompt_tokens") return Number(v, prompt);
     if (v.depth == 2 && v.key == "completion_tokens") return Number(v, output);
     if (v.depth == 2 && v.key == "total_tokens") return Number(v, total);
-    if (v.depth == 3 && group_ == "prompt_tokens_details" && v.key == "cached_tokens") {
+    if (v.depth == 3 && parent_key_ == "prompt_tokens_details" && v.key == "cached_tokens") {
       return v.kind == JsonKind::kNull || Number(v, cached);
     }
     return true;
@@ -52,8 +52,8 @@
     return true;
   }
 
-  bool top_ = false;
-  std::string group_;
+  bool in_usage_ = false;   // the value is `usage` or lies within it
+  std::string parent_key_;  // the last key at depth 2
 };
 
 }  // namespace
@@ -65,49 +65,50 @@
   return kNames.at(static_cast<std::size_t>(fault));
 }
 
-UsageResult CheckUsage(std::string_view text, int times, const ObservedResponse& seen) {
+UsageResult CheckUsage(std::string_view text, int times, const ObservedResponse& observed) {
   if (times == 0) return {std::nullopt, UsageFault::kAbsent};
   if (times > 1) return {std::nullopt, UsageFault::kTwice};
-  UsageReader r;
-  const std::string wrong = openai::ReadJson(text, r);
-  if (r.fault) return {std::nullopt, *r.fault};
-  if (!wrong.empty()) {
-    const bool twice = wrong.find("twice") != std::string::npos;
-    const bool huge = wrong.find("too big") != std::string::npos;
+  UsageReader reader;
+  const std::string error = openai::ReadJson(text, reader);
+  if (reader.fault) return {std::nullopt, *reader.fault};
+  if (!error.empty()) {
+    const bool twice = error.find("twice") != std::string::npos;
+    const bool huge = error.find("too big") != std::string::npos;
     return {std::nullopt, twice ? UsageFault::kTwice : huge ? UsageFault::kHuge : UsageFault::kNotANumber};
   }
-  const auto no = [](UsageFault f) { return UsageResult{std::nullopt, f}; };
-  if (!r.prompt || !r.output) return no(UsageFault::kIncomplete);
-  if (r.total && *r.total != *r.prompt + *r.output) return no(UsageFault::kTotal);
-  if (r.cached.value_or(0) > *r.prompt) return no(UsageFault::kCached);
-  if (seen.max_tokens && *r.output > *seen.max_tokens) return no(UsageFault::kOverLimit);
-  if (*r.output < static_cast<double>(seen.text_events)) return no(UsageFault::kContradicts);
-  return {Usage{*r.prompt, r.cached.value_or(0), *r.output}, UsageFault::kAbsent};
+  const auto invalid = [](UsageFault fault) { return UsageResult{std::nullopt, fault}; };
+  const double cached = reader.cached.value_or(0);
+  if (!reader.prompt || !reader.output) return invalid(UsageFault::kIncomplete);
+  if (reader.total && *reader.total != *reader.prompt + *reader.output) return invalid(UsageFault::kTotal);
+  if (cached > *reader.prompt) return invalid(UsageFault::kCached);
+  if (observed.max_tokens && *reader.output > *observed.max_tokens) return invalid(UsageFault::kOverLimit);
+  if (*reader.output < static_cast<double>(observed.text_events)) return invalid(UsageFault::kContradicts);
+  return {Usage{*reader.prompt, cached, *reader.output}, UsageFault::kAbsent};
 }
 
 double TokenSizeEstimator::BytesPerToken(const std::string& model) const {
-  const auto it = sizes_.find(model);
-  return it == sizes_.end() ? kDefaultBytesPerToken : it->second;
+  const auto it = bytes_per_token_.find(model);
+  return it == bytes_per_token_.end() ? kDefaultBytesPerToken : it->second;
 }
 
-void TokenSizeEstimator::Learn(const std::string& model, std::size_t chars, double tokens) {
-  if (chars < kMinPromptBytes || tokens < 1) return;
-  const double size = std::clamp(static_cast<double>(chars) / tokens, kMinBytesPerToken, kMaxBytesPerToken);
-  const auto it = sizes_.find(model);
-  if (it != sizes_.end()) {
-    it->second += kNewestWeight * (size - it->second);
-  } else if (sizes_.size() < kMaxModels) {
-    sizes_.emplace(model, size);
+void TokenSizeEstimator::Learn(const std::string& model, std::size_t bytes, double tokens) {
+  if (bytes < kMinPromptBytes || tokens < 1) return;
+  const double ratio = std::clamp(static_cast<double>(bytes) / tokens, kMinBytesPerToken, kMaxBytesPerToken);
+  const auto it = bytes_per_token_.find(model);
+  if (it != bytes_per_token_.end()) {
+    it->second += kNewestWeight * (ratio - it->second);
+  } else if (bytes_per_token_.size() < kMaxModels) {
+    bytes_per_token_.emplace(model, ratio);
   }
 }
 
-Usage TokenSizeEstimator::Estimate(const std::string& model, const ObservedResponse& seen) const {
-  const double size = BytesPerToken(model);
+Usage TokenSizeEstimator::Estimate(const std::string& model, const ObservedResponse& observed) const {
+  const double ratio = BytesPerToken(model);
   Usage usage;
-  usage.prompt = std::ceil(static_cast<double>(seen.prompt_bytes) / size);
-  usage.output = std::max(std::ceil(static_cast<double>(seen.output_bytes) / size),
-                          static_cast<double>(seen.text_events));
-  if (seen.max_tokens) usage.output = std::min(usage.output, *seen.max_tokens);
+  usage.prompt = std::ceil(static_cast<double>(observed.prompt_bytes) / ratio);
+  usage.output = std::max(std::ceil(static_cast<double>(observed.output_bytes) / ratio),
+                          static_cast<double>(observed.text_events));
+  if (observed.max_tokens) usage.output = std::min(usage.output, *observed.max_tokens);
   return usage;
 }
 
