--- a/src/columnar/columnar_file.cpp
+++ b/src/columnar/columnar_file.cpp
@@ -36,11 +36,11 @@
   if (const auto* numbers = std::get_if<Numbers>(&column.values)) {
     H5::DataSet set = group.createDataSet(column.name, H5::PredType::IEEE_F64LE, space, how);
     if (rows > 0) set.write(numbers->data(), H5::PredType::NATIVE_DOUBLE);
-  } else if (const auto* wholes = std::get_if<Wholes>(&column.values)) {
+  } else if (const auto* wholes = std::get_if<Integers>(&column.values)) {
     H5::DataSet set = group.createDataSet(column.name, H5::PredType::STD_I64LE, space, how);
     if (rows > 0) set.write(wholes->data(), H5::PredType::NATIVE_INT64);
   } else {
-    const auto& words = std::get<Texts>(column.values);
+    const auto& words = std::get<Strings>(column.values);
     const H5::StrType type = TextType();
     std::vector<const char*> pointers;
     pointers.reserve(words.size());
@@ -55,12 +55,12 @@
   H5::FileAccPropList memory;
   memory.setCore(std::size_t{1} << 20, false);
   H5::H5File out("in memory", H5F_ACC_TRUNC, H5::FileCreatPropList::DEFAULT, memory);
-  for (const auto& [name, text] : file.notes) {
+  for (const auto& [name, text] : file.attributes) {
     // A variable string as an attribute is kept in a heap, so that it may be long.
     const char* pointer = text.c_str();
     out.createAttribute(name, TextType(), H5::DataSpace()).write(TextType(), &pointer);
   }
-  for (const TextTable& sheet : file.sheets) {
+  for (const TextTable& sheet : file.tables) {
     H5::Group group = out.createGroup(sheet.name);
     for (const Column& column : sheet.columns) Write(group, column);
     const auto rows = static_cast<std::int64_t>(sheet.rows());
@@ -89,7 +89,7 @@
       return {name, std::move(v)};
     }
     case H5T_INTEGER: {
-      Wholes v(n);
+      Integers v(n);
       if (n > 0) set.read(v.data(), H5::PredType::NATIVE_INT64);
       return {name, std::move(v)};
     }
@@ -99,7 +99,7 @@
       std::vector<char*> pointers(n);
       const H5::StrType type = TextType();
       if (n > 0) set.read(pointers.data(), type);
-      Texts v;
+      Strings v;
       v.reserve(n);
       for (const char* p : pointers) v.emplace_back(p == nullptr ? "" : p);
       if (n > 0) H5::DataSet::vlenReclaim(pointers.data(), type, space);
@@ -112,8 +112,8 @@
 
 }  // namespace
 
-const TextTable& ColumnarFile::Of(const std::string& name) const {
-  for (const TextTable& s : sheets) {
+const TextTable& ColumnarFile::TableNamed(const std::string& name) const {
+  for (const TextTable& s : tables) {
     if (s.name == name) return s;
   }
   throw std::runtime_error("there is no table " + name);
@@ -143,7 +143,7 @@
       if (a.getTypeClass() != H5T_STRING || !a.getStrType().isVariableStr()) continue;
       char* pointer = nullptr;
       a.read(TextType(), &pointer);
-      file.notes[a.getName()] = pointer == nullptr ? "" : pointer;
+      file.attributes[a.getName()] = pointer == nullptr ? "" : pointer;
       if (pointer != nullptr) H5free_memory(pointer);
     }
     for (hsize_t g = 0; g < in.getNumObjs(); ++g) {
@@ -160,7 +160,7 @@
         if (rows(c) != sheet.rows())
           throw std::runtime_error("table " + sheet.name + " has columns of different length");
       }
-      file.sheets.push_back(std::move(sheet));
+      file.tables.push_back(std::move(sheet));
     }
     return file;
   } catch (const H5::Exception& e) {
--- a/src/ledger/ledger_file.cpp
+++ b/src/ledger/ledger_file.cpp
@@ -10,7 +10,7 @@
 namespace ryeglade::ledger {
 namespace {
 
-constexpr mode_t kMode = 0640;
+constexpr mode_t kFileMode = 0640;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
 }
 
 void LedgerFile::Write(std::string text) {
-  if (!on() || busy_) return;
+  if (!enabled() || busy_) return;
   busy_ = true;
   Job* job = new Job;
   job->work.data = job;
@@ -35,7 +35,7 @@
       loop_, &job->work,
       [](uv_work_t* w) {
         Job* j = static_cast<Job*>(w->data);
-        j->error = ReplaceFile(j->path, j->text, kMode).error;
+        j->error = ReplaceFile(j->path, j->text, kFileMode).error;
       },
       [](uv_work_t* w, int) {
         Job* j = static_cast<Job*>(w->data);
@@ -53,8 +53,8 @@
 }
 
 bool LedgerFile::WriteNow(const std::string& text) {
-  if (!on()) return true;
-  const int error = ReplaceFile(path_, text, kMode).error;
+  if (!enabled()) return true;
+  const int error = ReplaceFile(path_, text, kFileMode).error;
   if (error != 0) {
     ++failures_;
     Log(Level::kWarn, "ledger-not-written", {{"path", path_}, {"why", std::strerror(error)}});
