--- a/src/gossip/gossip_message_codec.h
+++ b/src/gossip/gossip_message_codec.h
@@ -45,7 +45,7 @@
 
 // The rate of requests with a shared prompt prefix.
 struct PrefixRate {
-  std::uint64_t prefix = 0;  // hash of the prefix
+  std::uint64_t prefix = 0;  // key of the prefix
   double rate = 0;           // requests per second, at most kMaxRate
 };
 
