--- a/tests/disabled_replicas_test.cpp
+++ b/tests/disabled_replicas_test.cpp
@@ -1,5 +1,5 @@
-// The holds file that passes over a hot restart: what is written reads back the same, and anything less than
-// a whole file of this node reads as nothing.
+// The ryeglade-holds file, which passes the disabled replicas on over a hot restart: what is written decodes
+// to the same state, and anything other than a complete file of this node is rejected.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -10,27 +10,28 @@
 namespace ryeglade {
 namespace {
 
-DisabledReplicas Some() {
-  DisabledReplicas h;
-  h.disabled = {{"s-a", 5}, {"s-5be2a07c", 1'796'153'893'361'000}};
-  h.enabled = {{"s-b", 7}};
-  return h;
+DisabledReplicas SampleReplicas() {
+  DisabledReplicas replicas;
+  replicas.disabled = {{"s-a", 5}, {"s-5be2a07c", 1'796'153'893'361'000}};
+  replicas.enabled = {{"s-b", 7}};
+  return replicas;
 }
 
-TEST(DisabledReplicas, ReadsBackWhatWasWritten) {
+TEST(DisabledReplicas, DecodesWhatWasEncoded) {
   std::string why;
-  const auto read = DecodeDisabledReplicas(EncodeDisabledReplicas(Some(), "n3"), "n3", &why);
+  const auto read = DecodeDisabledReplicas(EncodeDisabledReplicas(SampleReplicas(), "n3"), "n3", &why);
   ASSERT_TRUE(read.has_value()) << why;
-  EXPECT_EQ(*read, Some());
+  EXPECT_EQ(*read, SampleReplicas());
 }
 
-TEST(DisabledReplicas, AnotherNodesFileIsPassedOver) {
+TEST(DisabledReplicas, FileOfAnotherNodeIsRejected) {
   std::string why;
-  EXPECT_FALSE(DecodeDisabledReplicas(EncodeDisabledReplicas(Some(), "n3"), "n4", &why).has_value());
+  EXPECT_FALSE(
+      DecodeDisabledReplicas(EncodeDisabledReplicas(SampleReplicas(), "n3"), "n4", &why).has_value());
   EXPECT_EQ(why, "belongs to another node");
 }
 
-TEST(DisabledReplicas, WhatIsNotAPlainLineIsPassedOver) {
+TEST(DisabledReplicas, MalformedFilesAreRejected) {
   std::string why;
   for (const std::string line : {"out s-a", "out s-a -1", "out s-a 5x", "in s-a 5", "out  5", "out s a 5"}) {
     EXPECT_FALSE(DecodeDisabledReplicas("ryeglade-holds 1 n3\n" + line + "\nend\n", "n3", &why).has_value())
@@ -41,24 +42,25 @@
   EXPECT_FALSE(DecodeDisabledReplicas("", "n3", &why).has_value());
 }
 
-RC_GTEST_PROP(DisabledReplicas, AnyWholeFileReadsBack, (const std::map<std::string, std::int64_t>& out)) {
-  DisabledReplicas h;
+RC_GTEST_PROP(DisabledReplicas, EveryStateSurvivesEncoding,
+              (const std::map<std::string, std::int64_t>& out)) {
+  DisabledReplicas replicas;
   for (const auto& [name, at] : out) {
     std::string plain;
     for (const char c : name) plain += c > ' ' && c != 0x7f ? c : 'x';
-    if (!plain.empty() && plain.size() <= 256) h.disabled[plain] = at < 0 ? -(at + 1) : at;
+    if (!plain.empty() && plain.size() <= 256) replicas.disabled[plain] = at < 0 ? -(at + 1) : at;
   }
   std::string why;
-  const auto read = DecodeDisabledReplicas(EncodeDisabledReplicas(h, "n0"), "n0", &why);
+  const auto read = DecodeDisabledReplicas(EncodeDisabledReplicas(replicas, "n0"), "n0", &why);
   RC_ASSERT(read.has_value());
-  RC_ASSERT(*read == h);
+  RC_ASSERT(*read == replicas);
 }
 
-RC_GTEST_PROP(DisabledReplicas, EveryTornFileIsPassedOver, (unsigned cut)) {
-  const std::string text = EncodeDisabledReplicas(Some(), "n0");
-  const std::size_t at = cut % text.size();  // shorter than whole
+RC_GTEST_PROP(DisabledReplicas, EveryTruncatedFileIsRejected, (unsigned cut)) {
+  const std::string text = EncodeDisabledReplicas(SampleReplicas(), "n0");
+  const std::size_t length = cut % text.size();  // always shorter than the file
   std::string why;
-  RC_ASSERT(!DecodeDisabledReplicas(text.substr(0, at), "n0", &why).has_value());
+  RC_ASSERT(!DecodeDisabledReplicas(text.substr(0, length), "n0", &why).has_value());
 }
 
 }  // namespace
--- a/tests/duplicate_execution_test.cpp
+++ b/tests/duplicate_execution_test.cpp
@@ -1,6 +1,6 @@
-// The rule on duplicate execution around a node as a process: what it tells a client whose request may have
-// run, for each effect that a class can have. 429 and 503 promise that a repeat is harmless; every other
-// status promises nothing.
+// The rule on duplicate execution, tested on a node as a process: which status it returns for a request that
+// may have run, for each effect that a class can have. 429 and 503 promise that repeating the request is
+// harmless; other statuses promise nothing.
 #include <gtest/gtest.h>
 
 #include "scripted_peers.h"
@@ -15,12 +15,12 @@
   static void SetUpTestSuite() { signal(SIGPIPE, SIG_IGN); }
 };
 
-const std::string kNobody = "127.0.0.1:9";  // discovery that the node never needs
+const std::string kUnreachable = "127.0.0.1:9";  // address of a discovery service that the node does not need
 
 struct EffectCase {
   const char* effect;
   const char* scope;
-  bool may_reject;  // although an attempt may have run
+  bool may_reject;  // whether the node may reject a request of which an attempt may have run
 };
 const EffectCase kEffects[] = {{"free", "all", true},
                                {"single_shot", "all", false},
@@ -28,41 +28,43 @@
                                {"guarded", "zone", false},
                                {"guarded", "cell", false}};
 
-nlohmann::json ClassOf(const EffectCase& e, long deadline_us) {
+nlohmann::json ClassJson(const EffectCase& e, long deadline_us) {
   return {{"name", "docs"},     {"promise", deadline_us / 2}, {"deadline", deadline_us}, {"stream", true},
           {"effect", e.effect}, {"dedup-scope", e.scope},     {"window", 500000},        {"late-worth", 0.5}};
 }
 
-nlohmann::json SettingsOf(const EffectCase& e, long deadline_us) {
-  return {{"settings", {{"classes", {ClassOf(e, deadline_us)}}}}};
+nlohmann::json SettingsJson(const EffectCase& e, long deadline_us) {
+  return {{"settings", {{"classes", {ClassJson(e, deadline_us)}}}}};
 }
 
 Node NodeWith(const ScriptedServer& host, const EffectCase& e, long deadline_us) {
-  return Node(Program(), EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNobody, "push",
-              1024, 192, "", false, SettingsOf(e, deadline_us));
+  return Node(Program(), EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kUnreachable,
+              "push", 1024, 192, "", false, SettingsOf(e, deadline_us));
 }
 
-bool PromisesSafeRepeat(int status) { return status == 429 || status == 503; }
+bool PromisesSafeRetry(int status) { return status == 429 || status == 503; }
 
-// A replica takes a request and says nothing, until the node that was told to end has to answer.
-TEST_F(DuplicateExecution, AReplicaThatHangsThroughShutdown) {
+// A replica accepts a request and never answers, until the node, which is shutting down, has to answer
+// itself.
+TEST_F(DuplicateExecution, ReplicaHangsDuringShutdown) {
   for (const EffectCase& e : kEffects) {
     const ScriptedServer host;
     Node node = NodeWith(host, e, 1'000'000);
     Connection client = node.Connect();
     client.Send(RequestText("1"));
-    Connection up = host.Accept();
-    up.ReadMessage();
+    Connection upstream = host.Accept();
+    upstream.ReadMessage();
     node.SendSigterm();
     const int status = StatusOf(client.ReadMessage());
     std::printf("%s %s: %d\n", e.effect, e.scope, status);
-    ASSERT_EQ(PromisesSafeRepeat(status), e.may_reject) << e.effect << ' ' << e.scope << ' ' << status;
+    ASSERT_EQ(PromisesSafeRetry(status), e.may_reject) << e.effect << ' ' << e.scope << ' ' << status;
     ASSERT_EQ(node.WaitForExit(), 0);
   }
 }
 
-// The client's time is nearly up as it asks: the attempt is still out when the node has to answer.
-TEST_F(DuplicateExecution, AnAttemptInFlightWhenLittleTimeIsLeft) {
+// The request arrives with very little of its time budget left: the attempt is still in flight when the node
+// has to answer.
+TEST_F(DuplicateExecution, AttemptInFlightWhenLittleTimeIsLeft) {
   for (const EffectCase& e : kEffects) {
     const ScriptedServer host;
     const Node node = NodeWith(host, e, 60'000'000);
@@ -72,7 +74,7 @@
       const int status = StatusOf(client.ReadMessage());
       const bool sent = host.HasConnectionWithin(0);
       std::printf("%s %s %s: %d%s\n", e.effect, e.scope, budget, status, sent ? ", sent" : "");
-      ASSERT_TRUE(!sent || PromisesSafeRepeat(status) == e.may_reject);
+      ASSERT_TRUE(!sent || PromisesSafeRetry(status) == e.may_reject);
       if (sent) host.Accept().ReadMessage();
     }
   }
--- a/tests/event_delay.cpp
+++ b/tests/event_delay.cpp
@@ -1,6 +1,7 @@
-// How long a node keeps an event of a stream. A few hundred streams run at once, and no stream's next event
-// is sent before every client has the last one: an event that waited for the next, or for more bytes, would
-// never come. `event_delay PROGRAM` plays it and prints the delays.
+// Measures how long a node delays the events of a stream. kStreams streams run at once, and the next event is
+// sent only after every client has received the previous one: a node that held an event back until the next
+// one, or until more bytes, arrive would never deliver it. `event_delay PROGRAM` runs the test and prints the
+// delays.
 #include <algorithm>
 #include <chrono>
 
@@ -13,21 +14,22 @@
 
 constexpr std::size_t kStreams = 200;
 constexpr int kEvents = 10;
-constexpr int kDrainsAt = 5;        // the node is told to end before this event
-constexpr int kLateMs = 300;        // an event that takes longer is late
-constexpr int kMostLateShare = 20;  // at most one in so many may be
-constexpr std::size_t kLarge = 60'000;
+constexpr int kDrainBeforeEvent = 5;         // the node gets SIGTERM before this event
+constexpr int kLateMs = 300;                 // an event that takes longer is late
+constexpr int kEventsPerLateEvent = 20;      // at most one in this many events may be late
+constexpr std::size_t kLargeBytes = 60'000;  // of the text of a large event
 
-struct Running {
+struct RunningStream {
   Connection client, host;
-  Clock::time_point sent;
+  Clock::time_point sent;  // when the last part of the current event was sent
 };
 
-std::string End(int event) { return " event=" + std::to_string(event) + "\n\n"; }
+std::string EventEnd(int event) { return " event=" + std::to_string(event) + "\n\n"; }
 
-// Four forms: whole, large, cut within its text, cut within its chunk's end.
-void SendFirstPart(Running& r, std::size_t form, int event, std::string* rest) {
-  const std::string text = "data: " + std::string(form == 1 ? kLarge : 20, 'e') + End(event);
+// Sends an event, or its first part, and sets `rest` to what is left. `form` selects how it is sent: 0
+// complete, 1 complete and large, 2 split within its text, 3 split within the line end of its chunk.
+void SendFirstPart(RunningStream& r, std::size_t form, int event, std::string* rest) {
+  const std::string text = "data: " + std::string(form == 1 ? kLargeBytes : 20, 'e') + EventEnd(event);
   char size[16];
   std::snprintf(size, sizeof size, "%zx\r\n", text.size());
   const std::string chunk = size + text + "\r\n";
@@ -36,13 +38,13 @@
   *rest = chunk.substr(cut);
 }
 
-void OneByOne(const std::string& program) {
+void MeasureDelays(const std::string& program) {
   const ScriptedServer host(static_cast<int>(kStreams));
-  std::vector<nlohmann::json> replicas;  // enough of them that none is held back by its cap
+  std::vector<nlohmann::json> replicas;  // enough that no stream is delayed by a concurrency limit
   for (std::size_t n = 0; n < kStreams / 8; ++n)
     replicas.push_back(InstanceJson("s-" + std::to_string(n), host.address()));
   Node node(program, EndpointListJson(1, true, replicas), "127.0.0.1:9");
-  std::vector<Running> streams(kStreams);
+  std::vector<RunningStream> streams(kStreams);
   for (std::size_t n = 0; n < kStreams; ++n) {
     streams[n].client = node.Connect();
     streams[n].client.Send(RequestText(std::to_string(n + 1)));
@@ -52,7 +54,7 @@
   }
   std::vector<double> delays_ms;
   for (int event = 0; event < kEvents; ++event) {
-    if (event == kDrainsAt) {
+    if (event == kDrainBeforeEvent) {
       node.SendSigterm();
       node.WaitForLog("draining");
     }
@@ -62,12 +64,12 @@
       if (!rest[n].empty()) streams[n].host.Send(rest[n]);
       streams[n].sent = Clock::now();
     }
-    for (Running& r : streams) {
-      r.client.ReadUntil(End(event));
+    for (RunningStream& r : streams) {
+      r.client.ReadUntil(EventEnd(event));
       delays_ms.push_back(std::chrono::duration<double, std::milli>(Clock::now() - r.sent).count());
     }
   }
-  for (Running& r : streams) {
+  for (RunningStream& r : streams) {
     r.host.SendChunk("");
     r.client.ReadUntil("0\r\n\r\n");
   }
@@ -76,7 +78,7 @@
   const auto late = std::count_if(delays_ms.begin(), delays_ms.end(), [](double ms) { return ms > kLateMs; });
   std::printf("events %zu, half within %.1f ms, all within %.1f ms, late %td\n", delays_ms.size(),
               delays_ms[delays_ms.size() / 2], delays_ms.back(), late);
-  assert(late * kMostLateShare <= static_cast<std::ptrdiff_t>(delays_ms.size()));
+  assert(late * kEventsPerLateEvent <= static_cast<std::ptrdiff_t>(delays_ms.size()));
 }
 
 }  // namespace
@@ -85,5 +87,5 @@
 int main(int argc, char** argv) {
   signal(SIGPIPE, SIG_IGN);
   assert(argc == 2);
-  scripted::OneByOne(argv[1]);
+  scripted::MeasureDelays(argv[1]);
 }
--- a/tests/late_attempts_test.cpp
+++ b/tests/late_attempts_test.cpp
@@ -1,5 +1,5 @@
-// Attempts whose connection comes up late: what has happened since the decision to send may forbid them. A
-// node as a process, between scripted peers.
+// Attempts whose connection is established late: something that happened after the decision to send may mean
+// that the request must not be written any more. Runs a node as a process, between scripted peers.
 #include <gtest/gtest.h>
 
 #include "scripted_peers.h"
@@ -14,19 +14,19 @@
   static void SetUpTestSuite() { signal(SIGPIPE, SIG_IGN); }
 };
 
-// A host whose kernel drops the first call for a connection: its queue is full until Open. The caller's
-// kernel calls again a second later.
+// A host whose kernel drops the first SYN of a new connection, because its accept queue is full until Open is
+// called. The client's kernel sends the SYN again a second later.
 class LateHost {
  public:
   LateHost() : peer_(0), filler_(ConnectTo(peer_.port())) { usleep(20'000); }
   std::string address() const { return peer_.address(); }
   void Open() { peer_.Accept().Close(); }
-  // Whether a request comes within so many milliseconds.
-  bool RequestedWithin(int ms) const {
+  // Returns whether a request arrives within `ms` milliseconds.
+  bool HasRequestWithin(int ms) const {
     if (!peer_.HasConnectionWithin(ms)) return false;
-    const Connection up = peer_.Accept();
+    const Connection upstream = peer_.Accept();
     char byte = 0;
-    return up.ReadableWithin(ms) && recv(up.fd(), &byte, 1, MSG_PEEK) > 0;
+    return upstream.ReadableWithin(ms) && recv(upstream.fd(), &byte, 1, MSG_PEEK) > 0;
   }
 
  private:
@@ -34,8 +34,8 @@
   Connection filler_;
 };
 
-// Settings with one class whose requests must not run twice; the replicas of `scope` drop repeats for half a
-// second.
+// Settings with one class whose requests must not run twice. Replicas within `scope` drop duplicates for half
+// a second.
 nlohmann::json NotIdempotent(const char* scope) {
   return {{"settings",
            {{"classes",
@@ -48,7 +48,7 @@
                {"window", 500'000}}}}}}};
 }
 
-TEST_F(LateAttempts, AReplicaThatBeganToDrainMeanwhileGetsNothing) {
+TEST_F(LateAttempts, NothingIsSentToAReplicaThatStartedToDrain) {
   const ScriptedServer discovery, other;
   LateHost late;
   std::future<Connection> first_watch = AnswerWatchAtStart(discovery, EndpointListJson(1, false, {}));
@@ -65,13 +65,13 @@
                   "\n");
   usleep(100'000);
   late.Open();
-  ASSERT_FALSE(late.RequestedWithin(2'000));
-  Connection up = other.Accept();  // it goes elsewhere at once
-  ASSERT_TRUE(Contains(up.ReadMessage(), "X-Call-Id: 1"));
+  ASSERT_FALSE(late.HasRequestWithin(2'000));
+  Connection upstream = other.Accept();  // the request is sent to the other replica at once
+  ASSERT_TRUE(Contains(upstream.ReadMessage(), "X-Call-Id: 1"));
 }
 
-// One that would come after the window in which replicas drop repeats.
-TEST_F(LateAttempts, ARepeatAfterTheWindowIsNotSent) {
+// A retry that would arrive after the window in which replicas drop duplicates.
+TEST_F(LateAttempts, RetryAfterTheDeduplicationWindowIsNotSent) {
   for (const char* scope : {"all", "zone"}) {
     const ScriptedServer discovery, first;
     LateHost late;
@@ -81,24 +81,24 @@
     Connection watch = first_watch.get();
     Connection client = node.Connect();
     client.Send(RequestText("1"));
-    Connection up = first.Accept();
-    up.ReadMessage();
+    Connection upstream = first.Accept();
+    upstream.ReadMessage();
     watch.SendChunk(EndpointListJson(2, false,
                                      {InstanceJson("s-first", first.address(), "leaving"),
                                       InstanceJson("s-late", late.address())})
                         .dump() +
                     "\n");
     node.WaitForLog("generation=2");
-    up.Close();  // it may have run
+    upstream.Close();  // the request may have run
     usleep(100'000);
     late.Open();
-    ASSERT_FALSE(late.RequestedWithin(2'000)) << scope;
+    ASSERT_FALSE(late.HasRequestWithin(2'000)) << scope;
     ASSERT_EQ(StatusOf(client.ReadMessage()), std::string(scope) == "all" ? 503 : 502) << scope;
   }
 }
 
-// The process is stopped while the connection comes up and, after that, the client leaves.
-TEST_F(LateAttempts, AClientThatLeftMeanwhileGetsNothingSent) {
+// The node process is stopped while the connection is established and then the client disconnects.
+TEST_F(LateAttempts, NothingIsSentForADisconnectedClient) {
   LateHost late;
   const Node node(Program(), EndpointListJson(1, true, {InstanceJson("s-late", late.address())}),
                   "127.0.0.1:9");
@@ -111,7 +111,7 @@
   client.Close();
   usleep(200'000);
   node.Resume();
-  ASSERT_FALSE(late.RequestedWithin(1'000));
+  ASSERT_FALSE(late.HasRequestWithin(1'000));
   ASSERT_TRUE(Contains(node.Log(), "client-disconnected"));
 }
 
--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -1,4 +1,5 @@
-// Pure parts of the node: when a node that was told to end stops what, and what socket errors say.
+// Unit tests of small components of the node: the shutdown plan, the listener, socket errors and writes,
+// arrival times, replica starts, the reader of discovery watches, and forwarded header fields.
 #include <gtest/gtest.h>
 #include <netinet/in.h>
 #include <poll.h>
@@ -33,29 +34,29 @@
   return PlanTermination(classes);
 }
 
-TEST(Termination, SigkillComesAfterTheLongestDeadlineCountedAsAtMostThreeSeconds) {
+TEST(Termination, EarliestSigkillFollowsTheLongestDeadlineUpToThreeSeconds) {
   EXPECT_EQ(PlanFor({500'000, 1'200'000}).earliest_kill, 1'900'000);
   EXPECT_EQ(PlanFor({500'000, 60'000'000}).earliest_kill, 3'700'000);
   EXPECT_EQ(PlanFor({}).earliest_kill, 700'000);
 }
 
-TEST(Termination, EverythingIsOverBeforeSigkillWhateverTheDeadlines) {
+TEST(Termination, EverythingEndsBeforeSigkillForAllDeadlines) {
   for (Time deadline = 0; deadline <= 4'000'000; deadline += 10'000) {
     const TerminationPlan plan = PlanFor({deadline});
-    EXPECT_LT(plan.respond_by, plan.earliest_kill - 150'000);  // a node may be held up for 0.15 s
+    EXPECT_LT(plan.respond_by, plan.earliest_kill - 150'000);  // a node may be suspended for 0.15 s
     EXPECT_LE(plan.accept_requests_until, plan.respond_by);
     EXPECT_LT(plan.respond_by, plan.exit_by);
     EXPECT_LE(plan.exit_by, plan.earliest_kill - 80'000);
     EXPECT_LE(plan.listen_until, plan.respond_by);
     EXPECT_LE(plan.close_idle_from, plan.respond_by);
-    // What comes later than 0.7 s after SIGTERM and is still under way at SIGKILL is lost.
+    // A request that arrives later than 0.7 s after SIGTERM and is in progress at SIGKILL is lost.
     EXPECT_LT(plan.accept_requests_until, 700'000);
     EXPECT_GE(plan.close_idle_from, 400'000);
-    EXPECT_GT(plan.listen_until, 400'000);  // new connections come until then
+    EXPECT_GT(plan.listen_until, 400'000);  // new connections arrive until then
   }
 }
 
-TEST(Termination, SettingsThatComeOnceItHasBegunCanOnlyBringItForward) {
+TEST(Termination, NewSettingsDuringShutdownCanOnlyMakeItEarlier) {
   const TerminationPlan longer = PlanFor({3'000'000}), shorter = PlanFor({800'000});
   for (const TerminationPlan& plan : {EarlierOf(longer, shorter), EarlierOf(shorter, longer)}) {
     EXPECT_EQ(plan.earliest_kill, shorter.earliest_kill);
@@ -65,8 +66,9 @@
   }
 }
 
-// Between the last accept and the close no connection may come up: it would be reset with a request on it.
-TEST(Listener, AfterStopNewNothingComesUpAndWhatCameUpCanBeTaken) {
+// No connection may be established between the last accept and the close: it would be reset although its
+// client may have sent a request.
+TEST(Listener, DropNewConnectionsKeepsEstablishedOnes) {
   uv_loop_t loop;
   uv_loop_init(&loop);
   Listener listener(&loop, [] {});
@@ -75,10 +77,10 @@
   const auto connects = [&] {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     connect(fd, reinterpret_cast<const sockaddr*>(&at), sizeof(sockaddr_in));
-    pollfd up{fd, POLLOUT, 0};
-    const bool yes = poll(&up, 1, 200) == 1 && (up.revents & (POLLERR | POLLHUP)) == 0;
+    pollfd writable{fd, POLLOUT, 0};
+    const bool connected = poll(&writable, 1, 200) == 1 && (writable.revents & (POLLERR | POLLHUP)) == 0;
     close(fd);
-    return yes;
+    return connected;
   };
   EXPECT_TRUE(connects());
   listener.DropNewConnections();
@@ -93,7 +95,7 @@
   uv_loop_close(&loop);
 }
 
-TEST(ArrivalLog, WhatWaitedBehindAnotherRequestCountsFromItsOwnArrival) {
+TEST(ArrivalLog, APipelinedRequestCountsFromItsOwnArrival) {
   ArrivalLog log;
   EXPECT_EQ(log.First(99), 99);
   log.Add(100, 10);
@@ -105,14 +107,14 @@
   log.Consume(1'000);
   EXPECT_EQ(log.First(99), 99);
   for (std::size_t n = 0; n < 100'000; ++n)
-    log.Add(1, static_cast<Time>(n));  // bounded, and never later than it came
+    log.Add(1, static_cast<Time>(n));  // entries are bounded, and no time is later than the real arrival
   log.Consume(90'000);
   EXPECT_LE(log.First(0), static_cast<Time>(ArrivalLog::kMaxEntries));
 }
 
-// What an OpenAI-style engine says of an attempt: only its own word that it turned it away proves that it
-// never ran.
-TEST(OpenAiDialect, ABare503ProvesNothing) {
+// An attempt counts as not run only if the engine itself says that it rejected the request. A 503 without
+// Retry-After may come from an intermediary.
+TEST(OpenAiDialect, A503WithoutRetryAfterIsNotARejection) {
   const OpenAiDialect dialect("");
   const auto outcome = [&](int status, const char* retry_after) {
     const auto reader = dialect.NewReader();
@@ -125,7 +127,7 @@
   EXPECT_EQ(outcome(500, "2"), policy::Outcome::kError);
 }
 
-TEST(SocketErrors, ABrokenConnectionIsSkippedAndAShortageIsWaitedOut) {
+TEST(SocketErrors, AcceptSkipsABrokenConnectionAndRetriesLaterOnAShortage) {
   EXPECT_EQ(AfterAcceptError(EAGAIN), AcceptStep::kNoneWaiting);
   for (const int error : {ECONNABORTED, EINTR, EPROTO, ENETUNREACH, EHOSTUNREACH}) {
     EXPECT_EQ(AfterAcceptError(error), AcceptStep::kTryNext) << error;
@@ -135,7 +137,7 @@
   }
 }
 
-TEST(SocketErrors, OnlyShortagesOfThisMachineAreNoEvidenceOnThePeer) {
+TEST(SocketErrors, OnlyShortagesOfThisMachineAreLocalConnectErrors) {
   for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL}) {
     EXPECT_TRUE(IsLocalConnectError(error)) << error;
   }
@@ -144,8 +146,8 @@
   }
 }
 
-TEST(ReadFileIfPresent, AFileThatCannotBeReadIsEmptyAndThrowsNothing) {
-  EXPECT_EQ(ReadFileIfPresent("/proc/self/mem"), "");  // it opens, and reading its beginning fails
+TEST(ReadFileIfPresent, AnUnreadableFileIsEmptyAndDoesNotThrow) {
+  EXPECT_EQ(ReadFileIfPresent("/proc/self/mem"), "");  // can be opened, but reading its beginning fails
   EXPECT_EQ(ReadFileIfPresent("/nowhere/at/all"), "");
   EXPECT_NE(ReadFileIfPresent("/proc/self/stat"), "");
 }
@@ -153,32 +155,32 @@
 constexpr Time kHour = 3'600'000'000;
 constexpr Time kNow = 1'000 * kHour;
 
-TEST(ReplicaIncarnations, AStartInThePastIsTakenAsTold) {
+TEST(ReplicaIncarnations, AStartInThePastIsUsedAsReported) {
   ReplicaIncarnations starts;
   EXPECT_EQ(starts.StartOf(1, 0, kNow), 0);
   EXPECT_EQ(starts.StartOf(1, kNow - 5'000'000, kNow), kNow - 5'000'000);
   EXPECT_EQ(starts.size(), 0u);
 }
 
-// The clock was an hour behind when this node started: without this each replica that started within the last
-// hour would count as cold for up to an hour.
-TEST(ReplicaIncarnations, AStartInTheFutureCountsFromWhenItWasHeardOf) {
+// The node's clock was an hour behind when the node started. Without this rule, each replica that started
+// within the last hour would count as warming up for up to an hour.
+TEST(ReplicaIncarnations, AStartInTheFutureCountsFromItsFirstReport) {
   ReplicaIncarnations starts;
-  const Time told = kNow + kHour - 20'000'000;
-  EXPECT_EQ(starts.StartOf(1, told, kNow), kNow);
-  EXPECT_EQ(starts.StartOf(1, told, kNow + 9'000'000), kNow);  // told again it has not started again
-  EXPECT_EQ(starts.StartOf(1, told, told + 1), kNow);          // nor once the clock has come that far
-  EXPECT_EQ(starts.StartOf(1, told + 30'000'000, kNow + 30'000'000), kNow + 30'000'000);  // now it has
+  const Time reported = kNow + kHour - 20'000'000;
+  EXPECT_EQ(starts.StartOf(1, reported, kNow), kNow);
+  EXPECT_EQ(starts.StartOf(1, reported, kNow + 9'000'000), kNow);  // the same start, reported again
+  EXPECT_EQ(starts.StartOf(1, reported, reported + 1), kNow);      // also once that time has come
+  EXPECT_EQ(starts.StartOf(1, reported + 30'000'000, kNow + 30'000'000), kNow + 30'000'000);  // a new start
 }
 
-TEST(ReplicaIncarnations, KeepsNothingOfReplicasThatAreGone) {
+TEST(ReplicaIncarnations, ForgottenReplicasTakeNoMemory) {
   ReplicaIncarnations starts;
   for (policy::ReplicaId id = 0; id < 100; ++id) starts.StartOf(id, kNow + kHour, kNow);
   for (policy::ReplicaId id = 0; id < 100; ++id) starts.Forget(id);
   EXPECT_EQ(starts.size(), 0u);
 }
 
-// ---- Writes that the kernel takes only in part ----
+// ---- Writes that the kernel takes only partly ----
 
 struct NoOwner : TcpOwner {
   void OnConnected(Handle, int) override {}
@@ -186,8 +188,9 @@
   void OnDisconnected(Handle) override {}
 };
 
-// What the kernel has taken may reach the peer: it is not unsent, whether or not libuv has reported it yet.
-TEST(Tcp, UnsentIsWhatTheKernelHasNotTaken) {
+// Bytes that the kernel has taken may reach the peer, so they do not count as unsent even if libuv has not
+// reported the write as done.
+TEST(Tcp, UnsentCountsOnlyBytesThatTheKernelHasNotTaken) {
   uv_loop_t loop;
   ASSERT_EQ(uv_loop_init(&loop), 0);
   BufferPool pool(std::size_t{64} << 20);
@@ -204,7 +207,7 @@
   std::size_t read_by_peer = 0;
   for (ssize_t n = 0; (n = recv(pair[1], room.data(), room.size(), 0)) > 0;)
     read_by_peer += static_cast<std::size_t>(n);
-  uv_run(&loop, UV_RUN_NOWAIT);  // the kernel takes more, but by far not all
+  uv_run(&loop, UV_RUN_NOWAIT);  // the kernel takes more, but not nearly everything
   EXPECT_LT(tcp->unsent(), at_first);
   EXPECT_GT(tcp->unsent(), 0U);
   EXPECT_LE(read_by_peer, much.size() - tcp->unsent());
@@ -214,13 +217,13 @@
   EXPECT_EQ(uv_loop_close(&loop), 0);
 }
 
-// ---- The text of a watch ----
+// ---- Objects in the text of a discovery watch ----
 
 using Found = JsonObjectReader::Found;
 
-// What a reader finds in `text` that comes in pieces of `size` bytes: each object's text, "" for a heartbeat,
-// "malformed" at the end of what can be read.
-std::vector<std::string> FoundIn(const std::string& text, std::size_t size) {
+// Feeds `text` to a reader in pieces of `size` bytes and returns what it finds: the text of each object, ""
+// for a heartbeat, and "malformed" as the last entry if the text is malformed.
+std::vector<std::string> ReadInPieces(const std::string& text, std::size_t size) {
   JsonObjectReader reader;
   std::vector<std::string> all;
   std::string object;
@@ -234,23 +237,24 @@
   return all;
 }
 
-TEST(JsonObjectReader, FindsObjectsHoweverTheyAreIndentedAndCut) {
+TEST(JsonObjectReader, FindsObjectsWhateverTheirIndentationAndFragmentation) {
   const std::string one = R"({"a":[1,{"b":"}\\\"{"}],"c":"]"})";
   const std::string indented = "{\n  \"a\": [\n    1\n  ]\n}";
   const std::string text = "\n" + one + "\n\r\n  " + indented + "\n\n" + one + one + "\n";
-  const std::vector<std::string> wanted = {"", one, "", indented, "", one, one};
-  for (std::size_t size = 1; size <= text.size(); ++size) EXPECT_EQ(FoundIn(text, size), wanted) << size;
+  const std::vector<std::string> expected = {"", one, "", indented, "", one, one};
+  for (std::size_t size = 1; size <= text.size(); ++size)
+    EXPECT_EQ(ReadInPieces(text, size), expected) << size;
 }
 
-TEST(JsonObjectReader, AnObjectThatIsCutShortIsMalformedAtOnce) {
+TEST(JsonObjectReader, ATruncatedObjectIsMalformedAtOnce) {
   for (const std::string text : {"[1]\n", "null\n", "{\"a\":\"cut\n", "{\"a\":1,\n\n", "{\"a\":[\n \n"}) {
-    const std::vector<std::string> found = FoundIn(text, 3);
+    const std::vector<std::string> found = ReadInPieces(text, 3);
     ASSERT_FALSE(found.empty()) << text;
     EXPECT_EQ(found.back(), "malformed") << text;
   }
 }
 
-TEST(JsonObjectReader, KeepsNothingOfWhatItHasGivenOut) {
+TEST(JsonObjectReader, FreesWhatItHasReturned) {
   JsonObjectReader reader;
   std::string object;
   for (int n = 0; n < 1000; ++n) {
@@ -261,9 +265,9 @@
   }
 }
 
-// ---- Header fields that a proxy passes on ----
+// ---- Header fields that a proxy forwards ----
 
-TEST(EndToEndFields, WhatIsOfOneConnectionOrTheProxysOwnStaysBehind) {
+TEST(EndToEndFields, HopByHopFieldsAndTheProxysOwnFieldsAreNotForwarded) {
   const HeaderFields request = {{"Host", "a"},
                                 {"Idempotency-Key", "k 1"},
                                 {"Connection", "close, X-Hop"},
@@ -273,11 +277,11 @@
                                 {"Content-Length", "3"},
                                 {"X-Own", "1"},
                                 {"Traceparent", "00-1"}};
-  const HeaderFields wanted = {{"Idempotency-Key", "k 1"}, {"Traceparent", "00-1"}};
-  EXPECT_EQ(EndToEndFields(request, {"x-own"}), wanted);
+  const HeaderFields expected = {{"Idempotency-Key", "k 1"}, {"Traceparent", "00-1"}};
+  EXPECT_EQ(EndToEndFields(request, {"x-own"}), expected);
 }
 
-TEST(EndToEndFields, NothingThatCouldBeReadAsAnotherFieldGoesOn) {
+TEST(EndToEndFields, FieldsThatCouldBeParsedAsOtherFieldsAreNotForwarded) {
   const HeaderFields request = {{"Transfer-Encoding ", "chunked"},
                                 {"A", "1\r\nB: 2"},
                                 {"A:B", "1"},
--- a/tests/scripted_peers.h
+++ b/tests/scripted_peers.h
@@ -1,5 +1,5 @@
-// Scripted peers for integration tests: blocking sockets on loopback whose ports the kernel gives, and the
-// node as a process. Nothing here measures time; a wait only ends early or fails the test.
+// Scripted peers for integration tests: blocking sockets on loopback with ports chosen by the kernel, and the
+// node as a process. A wait ends as soon as its condition holds, and fails the test after kTimeoutMs.
 #pragma once
 #undef NDEBUG
 
@@ -27,6 +27,7 @@
 
 inline constexpr int kTimeoutMs = 30'000;
 
+// A blocking TCP connection with a buffer of what was received but not consumed yet.
 class Connection {
  public:
   explicit Connection(int fd = -1) : fd_(fd) {}
@@ -51,7 +52,7 @@
       at += static_cast<std::size_t>(n);
     }
   }
-  // One chunk of a chunked body; "" is the last one.
+  // Sends one chunk of a chunked body; "" sends the last chunk.
   void SendChunk(const std::string& bytes) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", bytes.size());
@@ -61,7 +62,7 @@
     pollfd p{fd_, POLLIN, 0};
     return poll(&p, 1, ms) == 1;
   }
-  // Everything up to and with `mark`; fails the test if it does not come.
+  // Returns everything up to and including `mark`; fails the test if it does not arrive.
   std::string ReadUntil(const std::string& mark) {
     std::size_t at = 0;
     while ((at = text_.find(mark)) == std::string::npos) assert(ReadMore());
@@ -75,7 +76,7 @@
     text_.erase(0, n);
     return out;
   }
-  // A head, and the body that its Content-Length tells.
+  // Returns a message's head, and sets `body` to as many bytes as its Content-Length states.
   std::string ReadMessage(std::string* body = nullptr) {
     std::string head = ReadUntil("\r\n\r\n");
     const std::size_t at = head.find("Content-Length: ");
@@ -116,7 +117,7 @@
   return Connection(fd);
 }
 
-// A server that the test plays: an upstream host or discovery.
+// A server whose responses the test writes itself: an upstream host or discovery.
 class ScriptedServer {
  public:
   explicit ScriptedServer(int backlog = 64) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -156,17 +157,23 @@
   return {{"generation", generation}, {"reset", reset}, {"instances", std::move(instances)}};
 }
 
+// A node as a process of its own, with its config file, $TMPDIR and log file.
 class Node {
  public:
-  Node(const std::string& program, const nlohmann::json& known, const std::string& discovery,
+  // Starts a node and waits until it listens. `cached_list` is the endpoint list that it knows at the start,
+  // `discovery` the address of service discovery, `mode` the setting membership-mode, and
+  // `discovery_variable` the value of EDGE_DISCOVERY, which is not set if empty. `extra_settings` are merged
+  // into the config file.
+  Node(const std::string& program, const nlohmann::json& cached_list, const std::string& discovery,
        const std::string& mode = "push", int sockets = 1024, int memory_mb = 192,
-       const std::string& variable = "", bool resume = false, const nlohmann::json& extra = {}) {
+       const std::string& discovery_variable = "", bool resume = false,
+       const nlohmann::json& extra_settings = {}) {
     config_ = {{"name", "n0"},
                {"listen", "127.0.0.1:0"},
                {"discovery", discovery},
                {"seed", "8c1f30d27a5be964"},
                {"limits", {{"cores", 1.0}, {"memory_mb", memory_mb}, {"sockets", sockets}}},
-               {"known", known},
+               {"known", cached_list},
                {"settings",
                 {{"classes",
                   {{{"name", "docs"},
@@ -181,18 +188,18 @@
                  {"stats", {{"how", "probe"}, {"fields", {"qps", "queue", "x0"}}}},
                  {"limits", {{"max-attempts", 3}, {"idle-close", 5000000}, {"connect-timeout", 2000000}}},
                  {"obligations", {{"ask-within", 500000}}}}}};
-    if (extra.is_object()) config_.merge_patch(extra);  // arrays are replaced whole
-    // Each node its own $TMPDIR, unless a test gives two processes of one node the same.
+    if (extra_settings.is_object()) config_.merge_patch(extra_settings);  // an array replaces the whole array
+    // Each node gets its own $TMPDIR, unless a test gives the same one to two processes of a node.
     if (config_.contains("_tmpdir")) {
       tmpdir_ = config_["_tmpdir"].get<std::string>();
       config_.erase("_tmpdir");
     } else {
-      char dir[] = "/tmp/ryeglade-story-tmp-XXXXXX";
+      char dir[] = "/tmp/ryeglade-test-tmp-XXXXXX";
       assert(mkdtemp(dir) != nullptr);
       tmpdir_ = dir;
       own_tmpdir_ = true;
     }
-    char name[] = "/tmp/ryeglade-story-XXXXXX";
+    char name[] = "/tmp/ryeglade-test-XXXXXX";
     const int fd = mkstemp(name);
     assert(fd >= 0);
     close(fd);
@@ -202,10 +209,10 @@
     pid_ = fork();
     assert(pid_ >= 0);
     if (pid_ == 0) {
-      prctl(PR_SET_PDEATHSIG, SIGKILL);  // a failed test leaves no node behind
+      prctl(PR_SET_PDEATHSIG, SIGKILL);  // so that a failed test leaves no node running
       for (const char* name_of : {"EDGE_CONFIG", "EDGE_NAME", "EDGE_LISTEN", "EDGE_DISCOVERY"})
         unsetenv(name_of);
-      if (!variable.empty()) setenv("EDGE_DISCOVERY", variable.c_str(), 1);
+      if (!discovery_variable.empty()) setenv("EDGE_DISCOVERY", discovery_variable.c_str(), 1);
       setenv("TMPDIR", tmpdir_.c_str(), 1);
       if (std::freopen(log_.c_str(), "w", stderr) == nullptr) _exit(9);
       execl(program.c_str(), program.c_str(), "serve", "--config", path_.c_str(), nullptr);
@@ -220,7 +227,7 @@
       admin_port_ = std::atoi(log.c_str() + log.find(admin) + admin.size());
   }
   int admin_port() const { return admin_port_; }
-  // One call on the admin listener: its status line and body.
+  // Sends a request to the admin listener and returns the complete response.
   std::string AdminRequest(const std::string& method, const std::string& path) const {
     Connection c = ConnectTo(admin_port_);
     c.Send(method + " " + path + " HTTP/1.1\r\nHost: node\r\nContent-Length: 0\r\n\r\n");
@@ -229,7 +236,7 @@
   ~Node() {
     if (pid_ > 0) {
       kill(pid_, SIGTERM);
-      assert(WaitForExit() == 0);  // whatever a test did to it, it ends in order
+      assert(WaitForExit() == 0);  // the node must shut down cleanly whatever the test did to it
     }
     std::remove(path_.c_str());
     std::remove(log_.c_str());
@@ -258,13 +265,13 @@
     return waitid(P_PID, static_cast<id_t>(pid_), &info, WEXITED | WNOHANG | WNOWAIT) == 0 &&
            info.si_pid == pid_;
   }
-  void Kill() {  // SIGKILL; there is nothing left to end
+  void Kill() {  // sends SIGKILL; the destructor then has no process to end
     kill(pid_, SIGKILL);
     waitpid(std::exchange(pid_, -1), nullptr, 0);
   }
   void WriteConfig(const std::string& text) const { std::ofstream(path_) << text; }
-  void Reload(const std::string& key,
-              const nlohmann::json& value) {  // the file with that changed, and SIGHUP
+  // Changes one top-level key of the config file and sends SIGHUP.
+  void Reload(const std::string& key, const nlohmann::json& value) {
     config_[key] = value;
     WriteConfig(config_.dump());
     kill(pid_, SIGHUP);
@@ -310,7 +317,7 @@
 
 inline int StatusOf(const std::string& head) { return std::atoi(head.c_str() + head.find(' ') + 1); }
 
-// Reads a call for a watch and tells `list` on it.
+// Accepts a watch request and sends `list` on it.
 inline Connection AnswerWatch(const ScriptedServer& discovery, const nlohmann::json& list) {
   Connection watch = discovery.Accept();
   assert(Contains(watch.ReadMessage(), "follow=1"));
@@ -319,7 +326,8 @@
   return watch;
 }
 
-// The same for the watch that a node opens while it starts, as it takes no client before it has been told.
+// Answers, in a thread, the watch that a node opens while it starts: the node listens for clients only after
+// it has received a list.
 inline std::future<Connection> AnswerWatchAtStart(const ScriptedServer& discovery,
                                                   const nlohmann::json& list) {
   return std::async(std::launch::async, [&discovery, list] {
@@ -328,7 +336,7 @@
   });
 }
 
-// Sends a request on `client` (by default one of the id) and answers it at `host`, to its end.
+// Sends a request on `client` (by default RequestText(id)) and serves it completely at `host`.
 inline void ServeOne(const ScriptedServer& host, Connection& client, const std::string& id = "1",
                      const std::string& request = "") {
   client.Send(request.empty() ? RequestText(id) : request);
