--- a/src/admin/admin_front.h
+++ b/src/admin/admin_front.h
@@ -24,8 +24,7 @@
 class AdminFront : public Front {
  public:
   static constexpr std::size_t kSockets = 16;
-  // For receiving a whole request, from the time of the connection. Clients may hold a connection for 4 s
-  // before they send a request.
+  // Time limit for receiving a whole request. Clients may hold a connection for 4 s before they send one.
   static constexpr Time kRequestTimeout = 5'000'000;
 
   explicit AdminFront(AdminPort* node) : node_(node) {}
--- a/src/admin/counters.h
+++ b/src/admin/counters.h
@@ -15,7 +15,7 @@
   std::vector<std::string> classes;  // configured classes; each has a sample even before its first request
   std::uint64_t inflight = 0;        // requests received and not yet ended
   std::uint64_t hosts_listed = 0;    // replicas in the endpoint list
-  std::uint64_t hosts_down = 0;      // listed replicas that are not used, as ejected or disabled
+  std::uint64_t hosts_down = 0;      // listed replicas that are ejected, disabled or not ready
   CloseCounts closed{};              // connections of clients that were closed, by reason
 };
 
--- a/src/timeline/block.cpp
+++ b/src/timeline/block.cpp
@@ -13,10 +13,10 @@
 namespace ryeglade::timeline {
 namespace {
 
-constexpr std::string_view kMark = "RGFLIGHT";
-constexpr std::uint32_t kBlockMark = 0x4b424752;  // "RGBK"
-constexpr std::size_t kHead = 4 + 4 + 4 + 8 + 8 + 8;
-constexpr int kLevel = 1;  // the fastest that compresses well enough; measured in docs/notes/timeline.md
+constexpr std::string_view kFileMagic = "RGFLIGHT";
+constexpr std::uint32_t kBlockMagic = 0x4b424752;  // "RGBK"
+constexpr std::size_t kBlockHeaderBytes = 4 + 4 + 4 + 8 + 8 + 8;
+constexpr int kCompressionLevel = 1;  // zstd's fastest standard level; compared in docs/notes/timeline.md
 
 template <class T>
 void Put(std::string& out, T value) {
@@ -35,18 +35,19 @@
 struct Block {
   std::uint64_t number = 0;
   std::string raw;
-  std::size_t size = 0;  // in the file
+  std::size_t size = 0;  // bytes in the file, including the header
 };
 
+// Reads the block at the start of `file`. Returns nullopt if there is no complete and undamaged block.
 std::optional<Block> TakeBlock(std::string_view file) {
-  if (file.size() < kHead || Take<std::uint32_t>(file, 0) != kBlockMark) return std::nullopt;
+  if (file.size() < kBlockHeaderBytes || Take<std::uint32_t>(file, 0) != kBlockMagic) return std::nullopt;
   const std::size_t raw = Take<std::uint32_t>(file, 4);
   const std::size_t packed = Take<std::uint32_t>(file, 8);
   if (XXH3_64bits(file.data(), 20) != Take<std::uint64_t>(file, 20)) return std::nullopt;
-  if (raw > kMaxRawBlockBytes || packed > file.size() - kHead) return std::nullopt;
-  const std::string_view payload = file.substr(kHead, packed);
+  if (raw > kMaxRawBlockBytes || packed > file.size() - kBlockHeaderBytes) return std::nullopt;
+  const std::string_view payload = file.substr(kBlockHeaderBytes, packed);
   if (XXH3_64bits(payload.data(), payload.size()) != Take<std::uint64_t>(file, 28)) return std::nullopt;
-  Block block{Take<std::uint64_t>(file, 12), std::string(raw, '\0'), kHead + packed};
+  Block block{Take<std::uint64_t>(file, 12), std::string(raw, '\0'), kBlockHeaderBytes + packed};
   const std::size_t n = ZSTD_decompress(block.raw.data(), raw, payload.data(), payload.size());
   if (ZSTD_isError(n) != 0 || n != raw) return std::nullopt;
   return block;
@@ -55,18 +56,19 @@
 }  // namespace
 
 std::string FileHeader() {
-  std::string out(kMark);
+  std::string out(kFileMagic);
   Put(out, kFormat);
   return out;
 }
 
 std::string MakeBlock(std::string_view raw, std::uint64_t number) {
   std::string packed(ZSTD_compressBound(raw.size()), '\0');
-  const std::size_t n = ZSTD_compress(packed.data(), packed.size(), raw.data(), raw.size(), kLevel);
+  const std::size_t n =
+      ZSTD_compress(packed.data(), packed.size(), raw.data(), raw.size(), kCompressionLevel);
   if (ZSTD_isError(n) != 0) throw std::runtime_error(ZSTD_getErrorName(n));
   packed.resize(n);
   std::string out;
-  Put(out, kBlockMark);
+  Put(out, kBlockMagic);
   Put(out, static_cast<std::uint32_t>(raw.size()));
   Put(out, static_cast<std::uint32_t>(packed.size()));
   Put(out, number);
@@ -76,39 +78,39 @@
 }
 
 ReadReport ReadBlocks(std::string_view file, const std::function<bool(std::uint64_t, std::string_view)>& sink,
-                      const std::function<void(std::size_t)>& passed) {
-  const std::string head = FileHeader();
-  if (file.substr(0, kMark.size()) != kMark) throw std::runtime_error("is no flight record");
-  if (file.size() < head.size() || Take<std::uint32_t>(file, kMark.size()) == 0 ||
-      Take<std::uint32_t>(file, kMark.size()) > kFormat)
-    throw std::runtime_error("is a flight record of another version, or was cut in its head");
+                      const std::function<void(std::size_t)>& consumed) {
+  const std::string header = FileHeader();
+  if (file.substr(0, kFileMagic.size()) != kFileMagic) throw std::runtime_error("is not a flight record");
+  if (file.size() < header.size() || Take<std::uint32_t>(file, kFileMagic.size()) == 0 ||
+      Take<std::uint32_t>(file, kFileMagic.size()) > kFormat)
+    throw std::runtime_error("is a flight record of an unknown format, or its header is truncated");
   ReadReport report;
   std::optional<std::uint64_t> last;
-  std::size_t at = head.size();
-  bool losing = false;
-  static const std::string mark = [] {
-    std::string m;
-    Put(m, kBlockMark);
-    return m;
+  std::size_t at = header.size();
+  bool in_lost_range = false;
+  static const std::string magic = [] {
+    std::string bytes;
+    Put(bytes, kBlockMagic);
+    return bytes;
   }();
   while (at < file.size()) {
     const std::optional<Block> block = TakeBlock(file.substr(at));
     if (!block) {
-      // On to the next place that could be a block's start.
-      const std::size_t next = std::min(file.find(mark, at + 1), file.size());
+      // Skip to the next position at which a block could begin.
+      const std::size_t next = std::min(file.find(magic, at + 1), file.size());
       report.lost_bytes += next - at;
-      report.lost_ranges += losing ? 0 : 1;
-      losing = true;
+      report.lost_ranges += in_lost_range ? 0 : 1;
+      in_lost_range = true;
       at = next;
       continue;
     }
-    losing = false;
+    in_lost_range = false;
     if (last && block->number > *last + 1) report.missing_blocks += block->number - *last - 1;
     last = block->number;
     ++report.blocks;
     at += block->size;
     if (!sink(block->number, block->raw)) return report;
-    if (passed) passed(at);
+    if (consumed) consumed(at);
   }
   return report;
 }
--- a/src/timeline/coalescing_model.cpp
+++ b/src/timeline/coalescing_model.cpp
@@ -6,7 +6,7 @@
 namespace ryeglade::timeline {
 namespace {
 
-constexpr double kReopen = 0.25;  // of a second's worth
+constexpr double kResumeShare = 0.25;  // of a second's budget
 constexpr std::size_t kOutcomes = static_cast<std::size_t>(policy::Outcome::kNotSent) + 1;
 
 }  // namespace
@@ -17,7 +17,7 @@
         std::min(bytes_per_second_, available_ + bytes_per_second_ * static_cast<double>(now - at_) / 1e6);
   at_ = std::max(at_, now);
   if (available_ <= 0) exhausted_ = true;
-  if (exhausted_ && available_ >= kReopen * bytes_per_second_) exhausted_ = false;
+  if (exhausted_ && available_ >= kResumeShare * bytes_per_second_) exhausted_ = false;
   return !exhausted_;
 }
 
--- a/src/timeline/export_model.cpp
+++ b/src/timeline/export_model.cpp
@@ -7,7 +7,7 @@
 namespace ryeglade::timeline {
 namespace {
 
-double OrNothing(double v) { return v < 0 ? std::numeric_limits<double>::quiet_NaN() : v; }
+double NanIfNegative(double v) { return v < 0 ? std::numeric_limits<double>::quiet_NaN() : v; }
 
 }  // namespace
 
@@ -45,9 +45,10 @@
       const StateSpan* span =
           ReplicaTimelines::SpanAt(replica, timelines.BinStart(n) + timelines.width() - 1);
       bins.Add(ms(timelines.BinStart(n)), title, b.sent, b.served, b.failed, b.at_capacity, b.cancelled,
-               OrNothing(b.first_tokens > 0 ? b.first_token_sum / b.first_tokens : -1.0),
-               OrNothing(b.first_tokens > 0 ? b.first_token_max : -1.0), b.in_flight, OrNothing(b.load),
-               OrNothing(b.load_age), Name(span == nullptr ? ReplicaState::kUnlisted : span->state));
+               NanIfNegative(b.first_tokens > 0 ? b.first_token_sum / b.first_tokens : -1.0),
+               NanIfNegative(b.first_tokens > 0 ? b.first_token_max : -1.0), b.in_flight,
+               NanIfNegative(b.load), NanIfNegative(b.load_age),
+               Name(span == nullptr ? ReplicaState::kUnlisted : span->state));
     }
     for (const StateSpan& s : replica.spans)
       states.Add(title, ms(s.from), ms(s.to), Name(s.state), Name(s.last_known), s.reason);
@@ -80,9 +81,9 @@
                u.fleet ? std::string("fleet") : timelines.ReplicaTitle(u.replica), ms(u.since), u.baseline,
                u.during, u.peers);
   }
-  std::vector<TextTable> sheets;
-  for (TableBuilder* r : {&bins, &fleet, &states, &rests, &events, &marks}) sheets.push_back(r->Take());
-  return sheets;
+  std::vector<TextTable> tables;
+  for (TableBuilder* r : {&bins, &fleet, &states, &rests, &events, &marks}) tables.push_back(r->Take());
+  return tables;
 }
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/export_model.h
+++ b/src/timeline/export_model.h
@@ -1,4 +1,4 @@
-// ReplicaTimelines as tables: columns of numbers and words, for CSV and for the columnar file. No I/O.
+// Replica timelines as tables, for CSV and for the columnar file. Performs no I/O.
 #pragma once
 
 #include <vector>
@@ -8,8 +8,9 @@
 
 namespace ryeglade::timeline {
 
-// `bins` (replica by bin), `fleet`, `states`, `rests`, `events` and `marks`. A load that was not reported is
-// NaN, in CSV an empty field: never zero.
+// Returns the tables `bins` (one row per replica and bin), `fleet` (one row per bin), `states`, `rests` (the
+// ejections), `events` (the anomalies) and `marks` (the annotations). A load that was not reported is NaN, an
+// empty field in CSV, and never zero.
 std::vector<TextTable> TimelineTables(const ReplicaTimelines& timelines);
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/flight_record_codec.cpp
+++ b/src/timeline/flight_record_codec.cpp
@@ -1,5 +1,7 @@
 #include "timeline/flight_record_codec.h"
 
+#include <fmt/format.h>
+
 #include <algorithm>
 #include <array>
 #include <cstring>
@@ -17,13 +19,14 @@
 
 using namespace policy;
 
-// The first field of each record on disk: never changed, never used again for another kind.
+// The kind, which is the first field of each record on disk. A value is never changed or reused.
 constexpr std::uint32_t kStart = 0, kDecision = 1, kGap = 2, kEndpoint = 3, kEndpointList = 4, kCoalesced = 5,
                         kReason = 6, kAnomaly = 7, kCallId = 8, kClusterEvent = 9;
-// What a text that was not written here may make the reader allocate.
+// Bounds what damaged or foreign bytes can make the reader allocate: elements of an array, entries of a map,
+// bytes of a string, bytes of a binary, bytes of an extension, and depth of nesting.
 const msgpack::unpack_limit kUnpackLimits(1 << 20, 64, 1 << 22, 1 << 22, 0, 16);
 
-// Fields are small and many: they gather here before they go to the text.
+// Collects many small writes in a buffer before they are appended to the string.
 class BufferedOutput {
  public:
   explicit BufferedOutput(std::string* out) : out_(out) {}
@@ -50,7 +53,7 @@
 };
 using Packer = msgpack::packer<BufferedOutput>;
 
-// The fields of each type, in the order of the record. One list serves writing and reading.
+// The fields of each type, in the order of the record. The same list is used for writing and for reading.
 template <class F>
 void Fields(F& f, Endpoint& e) {
   f(e.id, e.weight, e.kind, e.zone, e.cell, e.started_at, e.state);
@@ -243,12 +246,12 @@
     p.pack_array(count.n);
     Fields(*this, v);
   }
-  // The kind within the variant, then its fields, in one array.
+  // Writes the index of the alternative and then its fields, in one array.
   template <class V>
   void Variant(const V& v) {
     std::visit(
         [&](const auto& held) {
-          auto& value = const_cast<std::remove_cvref_t<decltype(held)>&>(held);  // the field lists also read
+          auto& value = const_cast<std::remove_cvref_t<decltype(held)>&>(held);  // field lists take non-const
           FieldCounter count;
           Fields(count, value);
           p.pack_array(count.n + 1);
@@ -259,7 +262,7 @@
   }
 };
 
-[[noreturn]] void ThrowMalformed(const char* what) { throw std::runtime_error(what); }
+[[noreturn]] void ThrowMalformed(const std::string& what) { throw std::runtime_error(what); }
 
 struct FieldReader {
   const msgpack::object_array& a;
@@ -268,13 +271,13 @@
   void operator()(T&... fields) {
     (Field(fields), ...);
   }
-  // A last field that records before format 7 lack: it keeps its default there.
+  // A last field, which records before format 7 lack: it keeps its default value there.
   template <class T>
   void Since7(T& v) {
     if (at < a.size) Field(v);
   }
   const msgpack::object& Next() {
-    if (at >= a.size) ThrowMalformed("a record lacks fields");
+    if (at >= a.size) ThrowMalformed("record has too few fields");
     return a.ptr[at++];
   }
   template <class T>
@@ -283,10 +286,11 @@
     if constexpr (std::is_enum_v<T>) {
       v = static_cast<T>(o.as<std::uint32_t>());
     } else if constexpr (kIsEntryList<T>) {
-      if (o.type != msgpack::type::ARRAY) ThrowMalformed("a list is none");
+      if (o.type != msgpack::type::ARRAY) ThrowMalformed("record has a field that should be an array");
       v.resize(o.via.array.size);
       for (std::uint32_t i = 0; i < o.via.array.size; ++i) {
-        if (o.via.array.ptr[i].type != msgpack::type::ARRAY) ThrowMalformed("an entry is none");
+        if (o.via.array.ptr[i].type != msgpack::type::ARRAY)
+          ThrowMalformed("record has a list entry that should be an array");
         FieldReader inner{o.via.array.ptr[i].via.array};
         Fields(inner, v[i]);
       }
@@ -294,7 +298,8 @@
       const std::string text = o.as<std::string>();
       std::string why;
       auto learned = text.empty() ? std::nullopt : DecodeLearnedState(text, &why);
-      if (!text.empty() && !learned) ThrowMalformed("what was inherited can't be read");
+      if (!text.empty() && !learned)
+        ThrowMalformed("record has a restored state that cannot be decoded: " + why);
       if (learned) v = std::make_shared<const LearnedState>(std::move(*learned));
     } else {
       v = o.as<T>();
@@ -310,13 +315,14 @@
     Fields(reader, value);
     return value;
   } else {
-    ThrowMalformed("a record of an unknown kind");
+    ThrowMalformed("record has an event, action or reason of an unknown kind");
   }
 }
 
 template <class V>
 V ReadVariant(const msgpack::object& o) {
-  if (o.type != msgpack::type::ARRAY || o.via.array.size == 0) ThrowMalformed("a choice is none");
+  if (o.type != msgpack::type::ARRAY || o.via.array.size == 0)
+    ThrowMalformed("record has an event, action or reason that is not an array");
   FieldReader reader{o.via.array, 1};
   return ReadAlternative<V>(o.via.array.ptr[0].as<std::uint32_t>(), reader);
 }
@@ -338,7 +344,7 @@
 void PackStruct(std::uint32_t kind, const T& held, std::string& out) {
   BufferedOutput sink(&out);
   Packer p(sink);
-  auto& value = const_cast<T&>(held);  // the field lists also read
+  auto& value = const_cast<T&>(held);  // the field lists take non-const, as they also serve reading
   FieldCounter count;
   Fields(count, value);
   p.pack_array(count.n + 1);
@@ -348,14 +354,16 @@
 }
 
 Record ReadRecord(const msgpack::object& o) {
-  if (o.type != msgpack::type::ARRAY || o.via.array.size == 0) ThrowMalformed("a record is no array");
+  if (o.type != msgpack::type::ARRAY || o.via.array.size == 0) ThrowMalformed("record is not an array");
   const msgpack::object_array& a = o.via.array;
   FieldReader r{a, 1};
   switch (a.ptr[0].as<std::uint32_t>()) {
     case kStart: {
       Start s;
       r(s.format, s.node, s.settings, s.seed, s.now);
-      if (s.format == 0 || s.format > kFormat) ThrowMalformed("the record is of another version's form");
+      if (s.format == 0 || s.format > kFormat)
+        ThrowMalformed(
+            fmt::format("record has format {}; this program reads formats 1 to {}", s.format, kFormat));
       return s;
     }
     case kDecision: {
@@ -363,7 +371,8 @@
       r(d.now);
       d.event = ReadVariant<Event>(r.Next());
       const msgpack::object& list = r.Next();
-      if (list.type != msgpack::type::ARRAY) ThrowMalformed("a list of actions is none");
+      if (list.type != msgpack::type::ARRAY)
+        ThrowMalformed("record has a list of actions that is not an array");
       for (std::uint32_t i = 0; i < list.via.array.size; ++i) {
         d.actions.push_back(ReadVariant<Action>(list.via.array.ptr[i]));
       }
@@ -393,7 +402,7 @@
     case kClusterEvent:
       return ReadStruct<ClusterEventRecord>(r);
     default:
-      ThrowMalformed("a record of an unknown kind");
+      ThrowMalformed("record of an unknown kind");
   }
 }
 
@@ -422,19 +431,19 @@
   p.pack(kGap).pack(gap.records);
 }
 
-void Encode(const EndpointRecord& member, std::string& out) { PackStruct(kEndpoint, member, out); }
-void Encode(const EndpointListRecord& roster, std::string& out) { PackStruct(kEndpointList, roster, out); }
-void Encode(const CoalescedDecisions& burst, std::string& out) { PackStruct(kCoalesced, burst, out); }
-void Encode(const CallIdRecord& named, std::string& out) { PackStruct(kCallId, named, out); }
-void Encode(const ClusterEventRecord& tier, std::string& out) { PackStruct(kClusterEvent, tier, out); }
-void Encode(const Anomaly& unusual, std::string& out) { PackStruct(kAnomaly, unusual, out); }
+void Encode(const EndpointRecord& endpoint, std::string& out) { PackStruct(kEndpoint, endpoint, out); }
+void Encode(const EndpointListRecord& list, std::string& out) { PackStruct(kEndpointList, list, out); }
+void Encode(const CoalescedDecisions& coalesced, std::string& out) { PackStruct(kCoalesced, coalesced, out); }
+void Encode(const CallIdRecord& call, std::string& out) { PackStruct(kCallId, call, out); }
+void Encode(const ClusterEventRecord& event, std::string& out) { PackStruct(kClusterEvent, event, out); }
+void Encode(const Anomaly& anomaly, std::string& out) { PackStruct(kAnomaly, anomaly, out); }
 
-void Encode(const ReasonRecord& note, std::string& out) {
+void Encode(const ReasonRecord& reason, std::string& out) {
   BufferedOutput sink(&out);
   Packer p(sink);
   p.pack_array(3);
-  p.pack(kReason).pack(note.now);
-  FieldWriter{p}.Variant(note.reason);
+  p.pack(kReason).pack(reason.now);
+  FieldWriter{p}.Variant(reason.reason);
 }
 
 void EncodeRecord(const Record& record, std::string& out) {
@@ -483,16 +492,16 @@
       out.push_back(ReadRecord(handle.get()));
     }
   } catch (const msgpack::unpack_error&) {
-    ThrowMalformed("bytes that are no record");
+    ThrowMalformed("bytes that are not a valid record");
   } catch (const msgpack::type_error&) {
-    ThrowMalformed("a field of another kind");
+    ThrowMalformed("record has a field of the wrong type");
   }
 }
 
 std::string ActionBytes(const std::vector<Action>& actions) {
   std::string out;
   {
-    BufferedOutput sink(&out);  // its rest goes to the text as it ends
+    BufferedOutput sink(&out);  // flushes to `out` when it is destroyed
     Packer p(sink);
     PackActions(p, actions);
   }
--- a/src/timeline/flight_record_codec.h
+++ b/src/timeline/flight_record_codec.h
@@ -1,5 +1,6 @@
-// The flight record's own form: what the decision module was told and what it decided, as MessagePack
-// records. One record is one array: its kind, then its fields in a fixed order. No I/O, no clock.
+// Encoding of the flight record: the events given to the decision module and the actions it decided on, as
+// MessagePack records. Each record is one array: its kind, then its fields in a fixed order. Performs no I/O
+// and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +15,16 @@
 
 using policy::Time;
 
-// 6 had no DeadlineShortened and no bound on writing an attempt; 5 had nothing of what other nodes tell; 4 no
-// part of the tier; 3 nothing inherited; 2 no ClusterEventRecord; 1 no more than Start, Decision and Gap.
+// Format version of the record. Format 6 lacks DeadlineShortened and SendAttempt::write_within; 5 also lacks
+// PeerReportsReceived and PrefixTrafficReceived; 4 lacks TrafficShareChanged; 3 lacks StateRestored; 2 lacks
+// ClusterEventRecord; 1 has only Start, Decision and Gap.
 inline constexpr std::uint32_t kFormat = 7;
 
-// The first record of a process: what a Router is built from.
+// The first record of a process: the arguments that its Router was built from.
 struct Start {
   std::uint32_t format = kFormat;
   std::string node;
-  std::string settings;  // flattened, as the settings reader takes it
+  std::string settings;  // flattened `key=value` lines, as the settings reader expects them
   std::uint64_t seed = 0;
   Time now = 0;  // Unix time in microseconds
 };
@@ -34,52 +36,56 @@
   std::vector<policy::Action> actions;
 };
 
-// Records that could not be kept, between the one before and the one after.
+// Records are missing between the record before and the record after.
 struct Gap {
-  std::uint64_t records = 0;
+  std::uint64_t records = 0;  // number of missing records; 0 if not known
 };
 
-// Identity and address of a replica. Written when it is first listed, when something of it changes, and
-// repeated now and then for readers of a record whose beginning is gone.
+// Identity and address of a replica. Written when the replica is first listed and when one of the fields
+// changes, and repeated periodically for readers of a record whose beginning has been deleted.
 struct EndpointRecord {
   Time now = 0;
   policy::ReplicaId id = 0;
   std::string name, address;
   Time started_at = 0;
   policy::EndpointState state = policy::EndpointState::kReady;
-  bool repeated = false;  // nothing has changed
+  bool repeated = false;  // a periodic repetition; nothing has changed
 };
 
-// Where the endpoint list comes from, and whether it could be had.
+// The source of the endpoint list, and whether the list was available.
 struct EndpointListRecord {
   Time now = 0;
-  std::string source;  // "known", "watch" or "fetch"
-  std::uint64_t generation = 0;
-  std::string unavailable_reason;  // empty: a list came
-  bool repeated = false;
+  std::string source;              // "known" (cached), "watch" or "fetch"
+  std::uint64_t generation = 0;    // of the list, or the last known generation if it was not available
+  std::string unavailable_reason;  // why no list was received; empty if one was
+  bool repeated = false;           // a periodic repetition; nothing has changed
 };
 
-// Decisions that came faster than the record's budget allows, counted instead of kept.
+// Decisions that exceeded the record's byte budget: they are counted instead of recorded.
 struct CoalescedReplica {
   policy::ReplicaId id = 0;
-  std::uint64_t sent = 0, served = 0, failed = 0;
+  std::uint64_t sent = 0, served = 0, failed = 0;  // attempts
 };
 struct CoalescedDecisions {
-  Time first = 0, last = 0;
-  std::uint64_t decisions = 0;
-  std::uint64_t arrived = 0, sent = 0, rejected = 0, failed = 0, endpoint_lists = 0;
-  std::vector<std::uint64_t> outcomes;     // of attempts, by policy::Outcome
-  std::vector<CoalescedReplica> replicas;  // the first that were met
-  std::uint64_t other_attempts = 0;        // at replicas beyond those
+  Time first = 0, last = 0;     // of the counted decisions
+  std::uint64_t decisions = 0;  // all that were counted
+  std::uint64_t arrived = 0;    // requests
+  std::uint64_t sent = 0;       // attempts
+  std::uint64_t rejected = 0;   // requests
+  std::uint64_t failed = 0;     // requests
+  std::uint64_t endpoint_lists = 0;
+  std::vector<std::uint64_t> outcomes;     // attempts that ended, by policy::Outcome
+  std::vector<CoalescedReplica> replicas;  // the first Coalescer::kMaxReplicas that occurred, by id
+  std::uint64_t other_attempts = 0;        // attempts sent or ended at other replicas
 };
 
-// The reason of a decision, where the record keeps them; else a replay finds them.
+// The reason of a decision. Present only if the node records reasons; otherwise a replay determines them.
 struct ReasonRecord {
   Time now = 0;
   std::variant<policy::DispatchRecord, policy::ConclusionRecord, policy::EjectionRecord> reason;
 };
 
-// A metric has departed from its baseline, or is back.
+// A metric has deviated from its baseline, or has returned to it.
 enum class AnomalyKind : std::uint8_t {
   kErrors,
   kFirstToken,
@@ -93,43 +99,45 @@
 };
 struct Anomaly {
   Time now = 0;
-  std::uint64_t number = 0;  // the same at its end
-  bool begins = true;
+  std::uint64_t number = 0;  // identifies the anomaly; the same in its begin and end records
+  bool begins = true;        // false in the end record
   AnomalyKind kind = AnomalyKind::kErrors;
-  bool fleet = false;  // of all replicas together
-  policy::ReplicaId replica = 0;
-  Time since = 0;       // when the departure began, as far as can be told
-  double baseline = 0;  // the metric before,
-  double during = 0;    // while it lasts (at the end: over all of it),
-  double peers = 0;     // and at the other replicas at the time
+  bool fleet = false;             // concerns all replicas together
+  policy::ReplicaId replica = 0;  // not used if `fleet` is set
+  Time since = 0;                 // estimated begin of the deviation
+  double baseline = 0;            // median of the metric before the deviation
+  // At the begin the current value, at the end the mean over the anomaly. For an endpoint list: the duration
+  // in seconds when it is available again, or the number of refused connects when it is contradicted.
+  double during = 0;
+  double peers = 0;  // median over all replicas when the anomaly began
 };
 
-// What clients call a request. The module uses its number again once the request has concluded.
+// The client's id of a request. The decision module reuses `id` after the request has concluded.
 struct CallIdRecord {
   Time now = 0;
   policy::RequestId id = 0;
   std::string call_id;
 };
 
-// Something changed among the nodes of the cluster, as this node's membership has it.
+// A change in the cluster membership, as this node sees it.
 struct ClusterEventRecord {
   Time now = 0;
-  std::string what;        // a reason word of docs/operators/membership.md
-  std::string member, by;  // about whom, and who reported it; may be empty
-  std::uint64_t value = 0;
-  std::uint64_t live = 0;  // nodes in the view, this one included
+  std::string what;         // a reason code of docs/operators/membership.md
+  std::string member, by;   // the node concerned and the node that reported it; may be empty
+  std::uint64_t value = 0;  // depends on the reason code
+  std::uint64_t live = 0;   // live nodes in the view, including this one
 };
 
 using Record = std::variant<Start, Decision, Gap, EndpointRecord, EndpointListRecord, CoalescedDecisions,
                             ReasonRecord, Anomaly, CallIdRecord, ClusterEventRecord>;
 
-// The replicas that a list names, in order.
+// Returns the ids of the replicas in the list, sorted.
 std::vector<policy::ReplicaId> ListedIds(const policy::EndpointList& list);
-// When it was; 0: it does not say (a gap).
+// Returns the time of the record, or 0 for a Gap, which has none.
 Time RecordTime(const Record& record);
 const char* Name(AnomalyKind kind);
 
-// Appends the record's bytes.
+// Each appends the encoded record to `out`.
 void EncodeRecord(const Record& record, std::string& out);
 void Encode(const Start& start, std::string& out);
 void Encode(Time now, const policy::Event& event, const std::vector<policy::Action>& actions,
@@ -143,11 +151,11 @@
 void Encode(const CallIdRecord& call, std::string& out);
 void Encode(const ClusterEventRecord& event, std::string& out);
 
-// Reads all records of a block; throws std::runtime_error for bytes that are none. What was read before is in
-// `out`.
+// Appends all records of a block to `out`. Throws std::runtime_error at bytes that are not a valid record;
+// the records before them have been appended.
 void Decode(std::string_view block, std::vector<Record>& out);
 
-// The same bytes mean the same action.
+// Encodes actions for comparison: equal actions have equal bytes.
 std::string ActionBytes(const std::vector<policy::Action>& actions);
 
 }  // namespace ryeglade::timeline
