--- a/src/timeline/anomaly_model.cpp
+++ b/src/timeline/anomaly_model.cpp
@@ -12,15 +12,21 @@
 using policy::EndpointState;
 using policy::Outcome;
 
-constexpr double kMad = 1.4826;           // of the median absolute deviation of a normal distribution
-constexpr Time kLoadFresh = 5'000'000;    // a report older than this says nothing
-constexpr std::size_t kMeasureEvery = 8;  // values between two measures of the past
-constexpr Time kStep = 60'000'000;        // a jump ahead this wide is a hole, not a quiet time
-constexpr Time kWarmUp = 10'000'000;      // a replica that has just come is unlike the others
+// Standard deviation of a normal distribution over its median absolute deviation.
+constexpr double kMadToSigma = 1.4826;
+constexpr Time kMaxLoadAge = 5'000'000;      // an older load report is ignored
+constexpr std::size_t kMeasureInterval = 8;  // values between two computations of median and scale
+// A larger step of time is a gap in the record rather than a period without traffic.
+constexpr Time kMaxTimeStep = 60'000'000;
+// A replica that became ready less than this ago is not compared with the others, as it behaves differently.
+constexpr Time kWarmUp = 10'000'000;
+// Lower bounds of the scale: of shares of attempts, of ln(time to first token), of the load (as a share of
+// the fleet's mean) and of the share of traffic.
 constexpr double kFloorError = 0.02, kFloorFirst = 0.10, kFloorLoad = 0.25, kFloorShare = 0.30;
-constexpr double kSpread = 0.35;         // of the mean of n logs of first-token times, over the root of n
-constexpr double kUsualMemory = 20'000;  // first tokens that the usual looks back on
-constexpr std::size_t kFewestPeers = 3;
+// Standard deviation of ln(time to first token) of one request; that of the mean of n is smaller by sqrt(n).
+constexpr double kFirstTokenSigma = 0.35;
+constexpr double kMaxMeanWeight = 20'000;  // first tokens that the moving average of the expected time spans
+constexpr std::size_t kMinPeers = 3;       // with fewer replicas a replica is not compared
 
 double MedianOf(std::vector<double>& v) {
   const auto middle = v.begin() + static_cast<std::ptrdiff_t>(v.size() / 2);
@@ -30,10 +36,10 @@
 }
 
 double ScaleOf(const std::vector<double>& v, double median) {
-  std::vector<double> off;
-  off.reserve(v.size());
-  for (const double x : v) off.push_back(std::abs(x - median));
-  return kMad * MedianOf(off);
+  std::vector<double> deviations;
+  deviations.reserve(v.size());
+  for (const double x : v) deviations.push_back(std::abs(x - median));
+  return kMadToSigma * MedianOf(deviations);
 }
 
 bool Failed(Outcome o) {
@@ -46,16 +52,16 @@
 void AnomalyDetector::Baseline::Add(double x, std::size_t most) {
   values_.push_back(x);
   if (values_.size() > most) values_.pop_front();
-  if (++unmeasured_ >= kMeasureEvery || values_.size() <= 2 * kMeasureEvery) Measure();
+  if (++unmeasured_values_ >= kMeasureInterval || values_.size() <= 2 * kMeasureInterval) Measure();
 }
 
 void AnomalyDetector::Baseline::Clear() {
   values_.clear();
-  unmeasured_ = 0;
+  unmeasured_values_ = 0;
 }
 
 void AnomalyDetector::Baseline::Measure() {
-  unmeasured_ = 0;
+  unmeasured_values_ = 0;
   std::vector<double> v(values_.begin(), values_.end());
   median_ = MedianOf(v);
   scale_ = ScaleOf(v, median_);
@@ -70,15 +76,16 @@
   return replicas_.size() >= options_.max_replicas ? nullptr : &replicas_[id];
 }
 
-// What people read: shares, loads as they are, first tokens as times of the usual.
+// Converts a value to what operators read: shares and loads unchanged, times to first token as multiples of
+// the expected time.
 double AnomalyDetector::Displayed(AnomalyKind kind, double x) {
   return kind == AnomalyKind::kFirstToken ? std::exp(x) : x;
 }
 
 double AnomalyDetector::ExpectedFirstToken(std::uint8_t bucket, double ln) {
-  Mean& m = usual_[bucket];
+  Mean& m = first_token_means_[bucket];
   const double before = m.n > 0 ? m.mean : ln;
-  m.n = std::min(m.n + 1, kUsualMemory);
+  m.n = std::min(m.n + 1, kMaxMeanWeight);
   m.mean += (ln - m.mean) / m.n;
   return before;
 }
@@ -100,7 +107,7 @@
 void AnomalyDetector::Advance(Time now) {
   now_ = std::max(now_, now);
   if (tick_at_ == 0) tick_at_ = now_ + options_.tick;
-  if (now_ - tick_at_ > kStep) {  // what happened in between is not known
+  if (now_ - tick_at_ > kMaxTimeStep) {  // it is not known what happened in between
     for (auto& [id, r] : replicas_) r.tick = {};
     tick_at_ = now_ + options_.tick;
   }
@@ -116,12 +123,12 @@
   if (const auto* list = std::get_if<policy::EndpointList>(&event)) {
     if (list->scope == policy::EndpointListScope::kFailed) return OnEndpointList(now_, "", "failed");
     if (list->scope == policy::EndpointListScope::kFull) {
-      std::vector<policy::ReplicaId> gone;
+      std::vector<policy::ReplicaId> unlisted;
       const std::vector<policy::ReplicaId> listed = ListedIds(*list);
       for (const auto& known : replicas_) {
-        if (!std::binary_search(listed.begin(), listed.end(), known.first)) gone.push_back(known.first);
+        if (!std::binary_search(listed.begin(), listed.end(), known.first)) unlisted.push_back(known.first);
       }
-      for (const policy::ReplicaId id : gone) {
+      for (const policy::ReplicaId id : unlisted) {
         RemoveReplica(id, replicas_.at(id), now_);
         replicas_.erase(id);
       }
@@ -136,20 +143,20 @@
       }
       Replica* r = FindOrAdd(e.id);
       if (r == nullptr) continue;
-      if (e.started_at > r->started_at && r->ready_since != 0) {  // another life: its past says nothing
+      if (e.started_at > r->started_at && r->ready_since != 0) {  // restarted: its baseline no longer applies
         RemoveReplica(e.id, *r, now_);
         *r = {};
       }
       r->started_at = e.started_at;
-      if (e.state == EndpointState::kReady && r->phase != EndpointState::kReady) r->ready_since = now_;
-      r->phase = e.state;
+      if (e.state == EndpointState::kReady && r->state != EndpointState::kReady) r->ready_since = now_;
+      r->state = e.state;
     }
-    // A module that was only given what the node once knew has been told nothing yet.
+    // A cached list says nothing about the present state of the replicas.
     const bool cached = list->scope == policy::EndpointListScope::kCached;
-    if (!cached) return OnEndpointList(now_, "told", "");
-    if (told_at_ == 0) {
+    if (!cached) return OnEndpointList(now_, "event", "");
+    if (list_received_at_ == 0) {
       cached_only_ = true;
-      behind_since_ = now_;
+      list_stale_since_ = now_;
     }
     return;
   }
@@ -160,7 +167,7 @@
   } else if (const auto* started = std::get_if<policy::ResponseStarted>(&event)) {
     const PromptSize& sized = SizeOf(started->id);
     if (Replica* r = FindOrAdd(started->replica); r != nullptr) {
-      r->refused = 0;
+      r->refused_connects = 0;
       if (sized.id == started->id) {
         const double ln = std::log(static_cast<double>(std::max<Time>(1, started->elapsed)));
         ++r->tick.first_n;
@@ -173,9 +180,9 @@
       if (Failed(ended->outcome)) ++r->tick.failed;
       if (ended->outcome == Outcome::kAtCapacity) ++r->tick.full;
       if (ended->outcome == Outcome::kConnectFailed) {
-        if (r->refused++ == 0) r->refused_since = now_;
+        if (r->refused_connects++ == 0) r->refused_since = now_;
       } else if (ended->outcome != Outcome::kCancelled && ended->outcome != Outcome::kNotSent) {
-        r->refused = 0;
+        r->refused_connects = 0;
       }
       if (ended->load_report.size() > load_field_) {
         r->load = ended->load_report[load_field_];
@@ -201,14 +208,14 @@
   Advance(now);
   if (source == "known") return;
   if (!why.empty()) {
-    if (dark_ != 0) return;
-    dark_since_ = now_;
-    dark_ = BeginAnomaly({.now = now_,
-                          .kind = AnomalyKind::kEndpointListUnavailable,
-                          .fleet = true,
-                          .since = told_at_ != 0 ? told_at_ : now_,
-                          .baseline = 0,
-                          .during = 0});
+    if (list_unavailable_ != 0) return;
+    list_unavailable_since_ = now_;
+    list_unavailable_ = BeginAnomaly({.now = now_,
+                                      .kind = AnomalyKind::kEndpointListUnavailable,
+                                      .fleet = true,
+                                      .since = list_received_at_ != 0 ? list_received_at_ : now_,
+                                      .baseline = 0,
+                                      .during = 0});
     return;
   }
   const auto end = [&](std::uint64_t& number, AnomalyKind kind, Time since) {
@@ -220,13 +227,13 @@
                 .since = since,
                 .during = static_cast<double>(now_ - since) / 1e6});
   };
-  end(dark_, AnomalyKind::kEndpointListUnavailable, dark_since_);
-  end(behind_, AnomalyKind::kEndpointListStale, behind_since_);
+  end(list_unavailable_, AnomalyKind::kEndpointListUnavailable, list_unavailable_since_);
+  end(list_stale_, AnomalyKind::kEndpointListStale, list_stale_since_);
   cached_only_ = false;
-  told_at_ = now_;
+  list_received_at_ = now_;
 }
 
-// What was counted instead of kept still counts here.
+// Decisions that were counted instead of recorded are included in the series.
 void AnomalyDetector::OnCoalesced(const CoalescedDecisions& b) {
   Advance(b.last);
   for (const CoalescedReplica& x : b.replicas) {
@@ -248,24 +255,26 @@
 
 // ---- A tick ----
 
-void AnomalyDetector::ComputeValues(Replica& r, double usual_sent, double load_scale) {
+void AnomalyDetector::ComputeValues(Replica& r, double mean_sent, double load_scale) {
   const Counts& c = r.tick;
   const double ended = c.ended;
   auto& now = r.now;
   now = {};
   if (c.ended > 0) {
-    // Of few attempts, one that fails is a large share: the floor is the error of a share near 2 in 100.
+    // With few attempts a single failure is a large share. The floor is the sampling error of a share near 3
+    // %.
     const double floor = kFloorError + std::sqrt(0.03 / ended);
     now[0] = Value{c.failed / ended, floor};
     now[3] = Value{c.full / ended, floor + kFloorError};
   }
-  // Few first tokens say little: they are gathered until there are some, or they get old.
+  // A mean of few first tokens is imprecise: they are collected until there are min_first_tokens of them, or
+  // for at most max_first_token_ticks.
   if (c.first_n > 0 &&
       (c.first_n >= options_.min_first_tokens || ++r.first_ticks >= options_.max_first_token_ticks))
-    now[1] = Value{c.first_sum / c.first_n, kFloorFirst + kSpread / std::sqrt(c.first_n)};
-  if (r.load >= 0 && now_ - r.load_at < kLoadFresh) now[2] = Value{r.load, kFloorLoad * load_scale + 1};
-  if (usual_sent >= 1 && r.phase == EndpointState::kReady)
-    now[4] = Value{c.sent / usual_sent, kFloorShare + 1.5 / std::sqrt(usual_sent)};
+    now[1] = Value{c.first_sum / c.first_n, kFloorFirst + kFirstTokenSigma / std::sqrt(c.first_n)};
+  if (r.load >= 0 && now_ - r.load_at < kMaxLoadAge) now[2] = Value{r.load, kFloorLoad * load_scale + 1};
+  if (mean_sent >= 1 && r.state == EndpointState::kReady)
+    now[4] = Value{c.sent / mean_sent, kFloorShare + 1.5 / std::sqrt(mean_sent)};
 }
 
 void AnomalyDetector::Tick(Time at) {
@@ -275,8 +284,8 @@
   double loaded = 0;
   for (const auto& [id, r] : replicas_) {
     sent += r.tick.sent;
-    if (r.phase == EndpointState::kReady) ++ready;
-    if (r.load >= 0 && now_ - r.load_at < kLoadFresh) {
+    if (r.state == EndpointState::kReady) ++ready;
+    if (r.load >= 0 && now_ - r.load_at < kMaxLoadAge) {
       loads += r.load;
       ++loaded;
     }
@@ -302,11 +311,12 @@
     const double n = static_cast<double>(others.size());
     const double median = MedianOf(others);
     const double scale = ScaleOf(others, median);
-    const bool compare = others.size() >= kFewestPeers;
+    const bool compare = others.size() >= kMinPeers;
     for (auto& [id, r] : replicas_) {
       Series& s = r.series[k];
       if (!r.now[k]) {
-        // Silence is no departure, and no return either, but an event must not last for ever.
+        // A tick without data is neither a deviation nor a return, but an anomaly must not stay open forever:
+        // it counts as a distance of 0.
         if (s.number != 0) UpdateSeries(s, at, kind, false, id, s.baseline.median(), 0, median);
         continue;
       }
@@ -318,10 +328,11 @@
       const double apart = (v.x - median) / std::max(scale, v.floor);
       double d = 0;
       if (compare && own * apart > 0) d = std::copysign(std::min(std::abs(own), std::abs(apart)), own);
-      // Without peers there is nothing to tell one replica's doing from the fleet's: it stays with the fleet.
+      // With too few peers a change of one replica cannot be told from one of the fleet, and is attributed to
+      // the fleet.
       UpdateSeries(s, at, kind, false, id, v.x, d, median);
     }
-    if (kind == AnomalyKind::kTrafficShare) continue;  // the shares of all are always the same
+    if (kind == AnomalyKind::kTrafficShare) continue;  // the mean share over the fleet is constant
     Series& f = fleet_[k];
     const double floor = floors / n / std::sqrt(std::max(1.0, n / 2));
     const double d = f.baseline.size() < options_.min_baseline_values
@@ -331,15 +342,16 @@
   }
 
   for (auto& [id, r] : replicas_) {
-    const bool refuses = r.phase == EndpointState::kReady && r.refused >= options_.min_refused_connects &&
+    const bool refuses = r.state == EndpointState::kReady &&
+                         r.refused_connects >= options_.min_refused_connects &&
                          at - r.refused_since >= options_.min_refused_time;
     if (refuses && r.contradicted == 0) {
       r.contradicted = BeginAnomaly({.now = at,
                                      .kind = AnomalyKind::kEndpointListContradicted,
                                      .replica = id,
                                      .since = r.refused_since,
-                                     .during = static_cast<double>(r.refused)});
-    } else if (r.contradicted != 0 && (r.refused == 0 || r.phase != EndpointState::kReady)) {
+                                     .during = static_cast<double>(r.refused_connects)});
+    } else if (r.contradicted != 0 && (r.refused_connects == 0 || r.state != EndpointState::kReady)) {
       EndContradicted(id, r, at);
     }
     const Counts gathered = r.tick;
@@ -351,9 +363,9 @@
       r.tick.first_sum = gathered.first_sum;
     }
   }
-  if (cached_only_ && behind_ == 0 && at - behind_since_ >= options_.stale_after) {
-    behind_ = BeginAnomaly(
-        {.now = at, .kind = AnomalyKind::kEndpointListStale, .fleet = true, .since = behind_since_});
+  if (cached_only_ && list_stale_ == 0 && at - list_stale_since_ >= options_.stale_after) {
+    list_stale_ = BeginAnomaly(
+        {.now = at, .kind = AnomalyKind::kEndpointListStale, .fleet = true, .since = list_stale_since_});
   }
 }
 
@@ -368,35 +380,36 @@
     };
     sum(s.up, s.up_since, distance);
     sum(s.down, s.down_since, -distance);
-    // Fewer errors, refusals or less load than usual is no news; a share may depart both ways.
+    // Fewer errors or rejections, lower latency or less load than usual is not an anomaly. A share of traffic
+    // may deviate in both directions.
     const bool both = kind == AnomalyKind::kTrafficShare;
     const bool up = s.up > options_.alarm_sum;
     const bool down = both && s.down > options_.alarm_sum;
     if (!up && !down) return;
     s.rising = up;
-    s.began = up ? s.up_since : s.down_since;
-    s.before = s.baseline.median();
+    s.since = up ? s.up_since : s.down_since;
+    s.baseline_value = s.baseline.median();
     s.sum = x;
-    s.n = 1;
-    s.calm = 0;
+    s.values = 1;
+    s.calm_ticks = 0;
     s.peers = peers;
     s.number = BeginAnomaly({.now = at,
                              .kind = kind,
                              .fleet = fleet,
                              .replica = id,
-                             .since = s.began,
-                             .baseline = Displayed(kind, s.before),
+                             .since = s.since,
+                             .baseline = Displayed(kind, s.baseline_value),
                              .during = Displayed(kind, x),
                              .peers = Displayed(kind, peers)});
     return;
   }
   s.sum += x;
-  ++s.n;
+  ++s.values;
   const double d = s.rising ? distance : -distance;
-  s.calm = d < options_.calm_distance ? s.calm + 1 : 0;
-  if (s.calm >= options_.calm_ticks) return EndSeries(s, at, kind, fleet, id);
-  // What lasts becomes the usual: the past takes it up slowly, so that a change for good ends as an event.
-  if (s.n % 4 == 0) s.baseline.Add(x, options_.baseline_values);
+  s.calm_ticks = d < options_.calm_distance ? s.calm_ticks + 1 : 0;
+  if (s.calm_ticks >= options_.calm_ticks) return EndSeries(s, at, kind, fleet, id);
+  // The baseline takes up every fourth value, so that the anomaly of a permanent change ends eventually.
+  if (s.values % 4 == 0) s.baseline.Add(x, options_.baseline_values);
 }
 
 void AnomalyDetector::EndSeries(Series& s, Time at, AnomalyKind kind, bool fleet, policy::ReplicaId id) {
@@ -405,12 +418,12 @@
               .kind = kind,
               .fleet = fleet,
               .replica = id,
-              .since = s.began,
-              .baseline = Displayed(kind, s.before),
-              .during = Displayed(kind, s.sum / std::max(1, s.n)),
+              .since = s.since,
+              .baseline = Displayed(kind, s.baseline_value),
+              .during = Displayed(kind, s.sum / std::max(1, s.values)),
               .peers = Displayed(kind, s.peers)});
   s.up = s.down = 0;
-  s.calm = 0;
+  s.calm_ticks = 0;
 }
 
 void AnomalyDetector::EndContradicted(policy::ReplicaId id, Replica& r, Time at) {
