--- a/src/timeline/flight_record_text_model.h
+++ b/src/timeline/flight_record_text_model.h
@@ -1,4 +1,4 @@
-// Flight records as text for people. No I/O, no clock.
+// Flight records as human-readable text. Performs no I/O and reads no clock.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace ryeglade::timeline {
 
-// One line without a line end. Times are Unix time in milliseconds.
+// Returns one line without a line break. Times are Unix time in milliseconds.
 std::string ToText(const Record& record);
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/flight_recorder.cpp
+++ b/src/timeline/flight_recorder.cpp
@@ -19,10 +19,10 @@
 namespace {
 
 namespace fs = std::filesystem;
-constexpr Time kRetryAfter = 5'000'000;  // a disk that failed is left alone for a while
-constexpr Time kRepeatInterval = 60'000'000;
+constexpr Time kRetryAfter = 5'000'000;       // after a failed write, nothing is written for this long
+constexpr Time kRepeatInterval = 60'000'000;  // between two repetitions of the endpoint records
 constexpr std::size_t kMaxEndpoints = 4096;
-constexpr std::size_t kMaxReasonBytes = std::size_t{16} * 1024;  // bytes, of one decision
+constexpr std::size_t kMaxReasonBytes = std::size_t{16} * 1024;  // of one decision
 
 bool Same(const EndpointRecord& a, const EndpointRecord& b) {
   return a.name == b.name && a.address == b.address && a.started_at == b.started_at && a.state == b.state;
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-// Files are named NODE-START-NUMBER.flight, so that names in order are time in order.
+// Files are named NODE-START-NUMBER.flight, so that the order of their names is the order of time.
 struct FlightRecorder::Disk {
   std::string prefix, directory;
   std::size_t segment_bytes, total_bytes;
@@ -61,7 +61,7 @@
     if (fd >= 0) close(fd);
     fd = -1;
   }
-  // Guards against filling the disk: the oldest files of this node go first, never the one that is open.
+  // Deletes the oldest files of this node until all fit into total_bytes; never deletes the open file.
   void Trim() {
     std::error_code ignored;
     std::vector<std::pair<std::string, std::size_t>> files;
@@ -78,9 +78,9 @@
       if (fs::remove(files[i].first, ignored)) all -= files[i].second;
     }
   }
-  // On a thread of the pool. False: the block is lost.
+  // Runs on a thread of the pool. Returns false if the block is lost.
   bool Write(const std::string& raw) {
-    const std::uint64_t n = number++;  // a block that is lost leaves its number out
+    const std::uint64_t n = number++;  // a lost block leaves a gap in the numbers
     if (Now() < not_before) return false;
     const std::string bytes = MakeBlock(raw, n);
     errno = 0;
@@ -88,7 +88,7 @@
     const bool fresh = fd < 0;
     if ((fresh && !Open()) || !Put(bytes)) {
       error = errno;
-      Shut();  // what a torn write left is passed over by the reader
+      Shut();  // the reader skips the bytes of an incomplete write
       not_before = Now() + kRetryAfter;
       ++failures;
       return false;
@@ -138,7 +138,7 @@
                                 const std::vector<policy::Action>& actions) {
   if (closed_) return;
   ++records_;
-  // Who has left is told no more; what comes back says anew where it is.
+  // Removed replicas are not repeated. One that returns is recorded again with its address.
   if (const auto* list = std::get_if<policy::EndpointList>(&event)) {
     for (const policy::Endpoint& e : list->endpoints) {
       if (e.state == policy::EndpointState::kRemoved) endpoints_.erase(e.id);
@@ -170,14 +170,14 @@
 
 void FlightRecorder::OnAppended(std::uint64_t records) {
   block_records_ += records;
-  if (closed_) return;  // what is left is cut once, at the end
+  if (closed_) return;  // Close queues the last block itself
   if (due_.order == 0) ScheduleFlush();
   if (block_.size() >= options_.block_bytes) QueueBlock();
 }
 
-void FlightRecorder::AddReason(const decltype(ReasonRecord::reason)& what) {
+void FlightRecorder::AddReason(const decltype(ReasonRecord::reason)& reason) {
   if (closed_ || reasons_.size() > kMaxReasonBytes) return;
-  Encode(ReasonRecord{Now(), what}, reasons_);
+  Encode(ReasonRecord{Now(), reason}, reasons_);
   ++reason_count_;
 }
 
@@ -204,7 +204,7 @@
   if (options_.detect_anomalies) detector_.OnEndpointList(now, source, why);
 }
 
-// Names are left out first where the budget is short.
+// Call ids are not recorded while the budget is exhausted.
 void FlightRecorder::OnCallId(Time now, policy::RequestId id, std::string_view call_id) {
   if (closed_ || call_id.empty() || !budget_.MayKeep(now)) return;
   const std::size_t before = block_.size();
@@ -213,7 +213,7 @@
   OnAppended();
 }
 
-// What flaps is left out where the budget is short.
+// Cluster events are not recorded while the budget is exhausted, as a member may flap.
 void FlightRecorder::OnClusterEvent(Time now, std::string_view what, std::string_view member,
                                     std::string_view by, std::uint64_t value, std::size_t live) {
   if (closed_ || !budget_.MayKeep(now)) return;
@@ -234,7 +234,7 @@
   }
   if (endpoint_list_.now == 0) return;
   EndpointListRecord r = endpoint_list_;
-  r.repeated = true;  // its time stays: that is how old the list is
+  r.repeated = true;  // keeps its time, which tells the age of the list
   Append(r);
 }
 
@@ -255,7 +255,7 @@
     block_records_ = 0;
     return;
   }
-  // A gap stands before the first record that follows it.
+  // A Gap precedes the first record after the dropped ones.
   std::string raw;
   if (lost_ > 0) Encode(Gap{std::exchange(lost_, 0)}, raw);
   raw += block_;
@@ -346,7 +346,7 @@
 
 void FlightRecorder::Close() {
   if (closed_) return;
-  closed_ = true;  // the loop has ended: no deadline can be set, and no job runs
+  closed_ = true;  // the event loop has ended: no deadline can be set, and no job is running
   if (options_.detect_anomalies) detector_.Close();
   FlushCoalesced();
   QueueBlock();
--- a/src/timeline/flight_recorder.h
+++ b/src/timeline/flight_recorder.h
@@ -1,7 +1,7 @@
-// Keeps a node's flight record, in a ring in memory or on disk: records gather in memory, whole blocks are
-// compressed and written off the loop's thread. The loop never waits: when the disk is slower than the node,
-// blocks are dropped, counted and shown as gaps; when decisions come faster than the budget allows, they are
-// counted instead of kept.
+// Writes a node's flight record to disk, or keeps it in a ring in memory. Records are collected in memory;
+// complete blocks are compressed and written on a thread of libuv's pool, so that the event loop never waits
+// for the disk. If the disk is too slow, blocks are dropped and counted, and the record shows a gap.
+// Decisions that exceed the byte budget are counted instead of recorded.
 #pragma once
 
 #include <uv.h>
@@ -21,18 +21,20 @@
 namespace ryeglade::timeline {
 
 struct RecorderOptions {
-  std::string directory;  // empty: nothing on disk but what Dump writes
+  std::string directory;  // for the record's files; if empty, only Dump writes to disk
   std::string node;
-  std::size_t block_bytes = std::size_t{64} * 1024;             // raw; then it is written
-  Time block_interval = 1'000'000;                              // or when its first record is this old
-  std::size_t segment_bytes = std::size_t{16} * 1024 * 1024;    // of a file, then the next begins
-  std::size_t total_bytes = std::size_t{256} * 1024 * 1024;     // of all files of this node; the oldest go
-  std::size_t max_queued_blocks = 16;                           // for the disk; more are dropped
-  std::size_t bytes_per_second = std::size_t{2} * 1024 * 1024;  // raw; decisions beyond that are counted
-  std::size_t ring_bytes = 0;    // raw, of the newest blocks, kept in memory; 0: none
-  std::string dump_directory;    // where Dump writes the ring
-  bool record_reasons = false;   // kept with the decisions; else a replay tells them
-  bool detect_anomalies = true;  // for anomalies
+  std::size_t block_bytes = std::size_t{64} * 1024;  // raw size at which a block is written
+  Time block_interval = 1'000'000;                   // age of its first record at which a block is written
+  std::size_t segment_bytes = std::size_t{16} * 1024 * 1024;  // size at which the next file is begun
+  std::size_t total_bytes =
+      std::size_t{256} * 1024 * 1024;  // of all files of this node; the oldest are deleted
+  std::size_t max_queued_blocks = 16;  // waiting for the disk; further blocks are dropped
+  std::size_t bytes_per_second =
+      std::size_t{2} * 1024 * 1024;  // raw budget; decisions beyond it are only counted
+  std::size_t ring_bytes = 0;        // raw size of the newest blocks kept in memory; 0 if there is no ring
+  std::string dump_directory;        // where Dump writes the ring
+  bool record_reasons = false;       // record the reasons of decisions; otherwise a replay determines them
+  bool detect_anomalies = true;      // and record them
 };
 
 class FlightRecorder : public DecisionRecorder,
@@ -53,23 +55,24 @@
   void OnCallId(Time now, policy::RequestId id, std::string_view call_id) override;
   void OnClusterEvent(Time now, std::string_view what, std::string_view member, std::string_view by,
                       std::uint64_t value, std::size_t live) override;
-  void OnDispatch(const policy::DispatchRecord& note) override { AddReason(note); }
-  void OnConclusion(const policy::ConclusionRecord& note) override { AddReason(note); }
-  void OnEjection(const policy::EjectionRecord& note) override { AddReason(note); }
+  void OnDispatch(const policy::DispatchRecord& reason) override { AddReason(reason); }
+  void OnConclusion(const policy::ConclusionRecord& reason) override { AddReason(reason); }
+  void OnEjection(const policy::EjectionRecord& reason) override { AddReason(reason); }
 
   bool wants_reasons() const { return options_.record_reasons; }
-  // Writes the ring to a file of its own, off the loop. False: there is none, or the last is still written.
+  // Writes the ring to a separate file, in the background. Returns false if there is no ring, or if an
+  // earlier dump is still in progress.
   bool Dump();
-  void Close();  // writes what is left, waiting for the disk; for the program's end
+  void Close();  // writes the remaining blocks and waits for the disk; used at shutdown
 
   std::uint64_t records() const { return records_; }
   std::uint64_t dropped() const { return dropped_; }      // records
-  std::uint64_t coalesced() const { return coalesced_; }  // decisions counted instead of kept
-  std::uint64_t anomalies() const { return anomalies_; }  // events begun
-  std::uint64_t failures() const;                         // blocks that the disk did not take
+  std::uint64_t coalesced() const { return coalesced_; }  // decisions counted instead of recorded
+  std::uint64_t anomalies() const { return anomalies_; }  // anomalies that have begun
+  std::uint64_t failures() const;                         // blocks that could not be written
 
  private:
-  struct Disk;  // the writer's side: only ever used by one job at a time
+  struct Disk;  // the file writer; used by only one job at a time
   struct Job {
     uv_work_t work{};
     FlightRecorder* recorder = nullptr;
@@ -79,8 +82,8 @@
     uv_work_t work{};
     FlightRecorder* recorder = nullptr;
     std::string path;
-    std::uint64_t first = 0;
-    std::deque<std::string> raws;
+    std::uint64_t first = 0;       // number of the first block
+    std::deque<std::string> raws;  // raw blocks
     int error = 0;
   };
   template <class T>
@@ -88,35 +91,35 @@
     Encode(record, block_);
     OnAppended();
   }
-  void OnAppended(std::uint64_t records = 1);  // counts what was put into the block
-  void AddReason(const decltype(ReasonRecord::reason)& what);
+  void OnAppended(std::uint64_t records = 1);  // counts records appended to the current block
+  void AddReason(const decltype(ReasonRecord::reason)& reason);
   void FlushCoalesced();
-  void RepeatEndpoints(Time now);  // identities, for readers of a record whose beginning is gone
-  void QueueBlock();               // the block at hand goes to the queue
-  void WriteNextBlock();           // the next of the queue to the disk
+  void RepeatEndpoints(Time now);  // for readers of a record whose beginning has been deleted
+  void QueueBlock();               // moves the current block to the queue and to the ring
+  void WriteNextBlock();           // starts writing the next block of the queue
   void ScheduleFlush();
 
   const Runtime* run_;
   RecorderOptions options_;
   std::unique_ptr<Disk> disk_;
-  std::string block_;
-  std::uint64_t block_records_ = 0;  // records
-  std::uint64_t lost_ = 0;           // dropped since the last block that was kept
-  std::deque<std::string> queue_;
-  bool writing_ = false;
+  std::string block_;                // the current block, raw
+  std::uint64_t block_records_ = 0;  // records in it
+  std::uint64_t lost_ = 0;           // records dropped since the last block that was queued
+  std::deque<std::string> queue_;    // raw blocks waiting for the disk
+  bool writing_ = false;             // a block is being written
   bool closed_ = false;
-  DeadlineId due_{};
+  DeadlineId due_{};  // when the current block is queued even if it is not full
   std::uint64_t records_ = 0, dropped_ = 0, coalesced_ = 0, anomalies_ = 0;
   RecordBudget budget_;
   Coalescer coalescer_;
-  std::string reasons_;  // of the decision that is being taken
+  std::string reasons_;  // encoded reasons of the decision in progress
   std::uint64_t reason_count_ = 0;
   AnomalyDetector detector_;
   std::map<policy::ReplicaId, EndpointRecord> endpoints_;
   EndpointListRecord endpoint_list_;
-  Time repeat_at_ = 0;
-  std::deque<std::string> ring_;  // raw blocks
-  std::size_t ring_size_ = 0;
+  Time repeat_at_ = 0;             // of the next RepeatEndpoints
+  std::deque<std::string> ring_;   // raw blocks
+  std::size_t ring_size_ = 0;      // bytes
   std::uint64_t ring_number_ = 0;  // of the next block
   bool dumping_ = false;
 };
