--- a/tests/membership_nodes_test.cpp
+++ b/tests/membership_nodes_test.cpp
@@ -1,5 +1,6 @@
-// Membership of several processes of the program on loopback, without links between: what operators type,
-// what a peer may send, the flight record, and that nothing is there where the settings do not ask for it.
+// Membership among several processes of the program on loopback, without emulated links: the operators'
+// commands, hostile input from a peer, the flight record, and no trace of the membership if the settings do
+// not enable it.
 #include <gtest/gtest.h>
 #include <netinet/in.h>
 #include <signal.h>
@@ -30,40 +31,42 @@
 
 std::string Program() { return std::getenv("RYEGLADE_PROGRAM"); }
 
-struct Said {
+struct CommandOutput {
   int code = 0;
   std::string text;
 };
-Said Ask(const std::string& words) {
-  std::FILE* pipe = popen((Program() + " " + words + " 2>&1").c_str(), "r");
-  Said said;
-  char piece[4096];
-  for (std::size_t n = 0; (n = std::fread(piece, 1, sizeof piece, pipe)) > 0;) said.text.append(piece, n);
-  said.code = WEXITSTATUS(pclose(pipe));
-  return said;
+// Runs a subcommand of the program.
+CommandOutput RunCommand(const std::string& arguments) {
+  std::FILE* pipe = popen((Program() + " " + arguments + " 2>&1").c_str(), "r");
+  CommandOutput output;
+  char buffer[4096];
+  for (std::size_t n = 0; (n = std::fread(buffer, 1, sizeof buffer, pipe)) > 0;)
+    output.text.append(buffer, n);
+  output.code = WEXITSTATUS(pclose(pipe));
+  return output;
 }
 
-class Tier {
+class TestCluster {
  public:
-  explicit Tier(std::size_t n, const std::string& more = "") : more_(more) {
+  explicit TestCluster(std::size_t n, const std::string& more_settings = "") : more_settings_(more_settings) {
     std::string name = std::filesystem::temp_directory_path().string() + "/ryeglade-tier-test-XXXXXX";
     root_ = mkdtemp(name.data());
     const unsigned pid = static_cast<unsigned>(getpid());
     for (std::size_t i = 0; i < n; ++i) {
       const std::string ip = "127." + std::to_string(30 + pid % 200) + "." + std::to_string(pid / 200 % 250) +
                              "." + std::to_string(i + 1);
-      listen_.push_back(cluster::FreeAddress(ip));
-      status_.push_back(cluster::FreeAddress(ip));
+      listen_addresses_.push_back(cluster::FreeAddress(ip));
+      status_addresses_.push_back(cluster::FreeAddress(ip));
     }
     nodes_.resize(n);
   }
-  ~Tier() {
+  ~TestCluster() {
     nodes_.clear();
     std::error_code ignored;
     std::filesystem::remove_all(root_, ignored);
   }
-  Tier(const Tier&) = delete;
-  Tier& operator=(const Tier&) = delete;
+  TestCluster(const TestCluster&) = delete;
+  TestCluster& operator=(const TestCluster&) = delete;
 
   NodeProcess& Start(std::size_t i, bool membership = true) {
     json config =
@@ -72,57 +75,60 @@
     NodeFiles files;
     files.config = config.dump();
     if (membership) {
-      files.settings = "[membership]\nlisten = \"" + listen_[i] + "\"\nstatus = \"" + status_[i] +
-                       "\"\nseeds = [\"" + listen_[0] +
+      files.settings = "[membership]\nlisten = \"" + listen_addresses_[i] + "\"\nstatus = \"" +
+                       status_addresses_[i] + "\"\nseeds = [\"" + listen_addresses_[0] +
                        "\"]\nnetworks = [\"127.0.0.0/8\"]\nperiod = \"200ms\"\nshrink_after = \"2s\"\n" +
-                       more_;
+                       more_settings_;
     }
     files.tmpdir = root_;
     nodes_[i] = std::make_unique<NodeProcess>();
     nodes_[i]->Start(Program(), files);
     return *nodes_[i];
   }
-  json Nodes(std::size_t i) const {
-    const Said said = Ask("nodes show --json --at " + status_[i]);
-    return said.code == 0 ? json::parse(said.text, nullptr, false) : json::object();
+  // Returns what `ryeglade nodes show --json` prints for a node, or an empty object if it fails.
+  json Status(std::size_t i) const {
+    const CommandOutput output = RunCommand("nodes show --json --at " + status_addresses_[i]);
+    return output.code == 0 ? json::parse(output.text, nullptr, false) : json::object();
   }
-  // Waits, generously, until a node's status is as wanted.
-  template <class Wanted>
-  bool Until(std::size_t i, Wanted wanted) const {
+  // Waits until a node's status fulfils the condition. Returns false if it does not within at least 30 s.
+  template <class Condition>
+  bool WaitUntil(std::size_t i, Condition is_wanted) const {
     for (int tries = 0; tries < 600; ++tries) {
-      const json j = Nodes(i);
-      if (j.is_object() && wanted(j)) return true;
+      const json status = Status(i);
+      if (status.is_object() && is_wanted(status)) return true;
       std::this_thread::sleep_for(std::chrono::milliseconds(50));
     }
     return false;
   }
-  bool Settled(std::size_t i, std::size_t live) const {
-    return Until(i, [&](const json& j) { return j.value("settled", false) && j.value("live", 0U) == live; });
+  bool WaitUntilStable(std::size_t i, std::size_t live) const {
+    return WaitUntil(i, [&](const json& status) {
+      return status.value("settled", false) && status.value("live", 0U) == live;
+    });
   }
-  const std::string& listen(std::size_t i) const { return listen_[i]; }
-  const std::string& status(std::size_t i) const { return status_[i]; }
+  const std::string& listen_address(std::size_t i) const { return listen_addresses_[i]; }
+  const std::string& status_address(std::size_t i) const { return status_addresses_[i]; }
   NodeProcess& node(std::size_t i) { return *nodes_[i]; }
 
  private:
-  std::string root_, more_;
-  std::vector<std::string> listen_, status_;
+  std::string root_, more_settings_;
+  std::vector<std::string> listen_addresses_, status_addresses_;
   std::vector<std::unique_ptr<NodeProcess>> nodes_;
 };
 
-std::string Standing(const json& nodes, const std::string& name) {
-  for (const json& m : nodes.value("members", json::array())) {
-    if (m.value("name", "") == name) return m.value("standing", "");
+std::string StateOf(const json& status, const std::string& name) {
+  for (const json& member : status.value("members", json::array())) {
+    if (member.value("name", "") == name) return member.value("standing", "");
   }
   return "unknown";
 }
 
-// The sockets that a process holds, by their inode.
+// The inodes of the sockets that a process holds.
 std::set<std::string> SocketsOf(pid_t pid) {
   std::set<std::string> all;
   const std::string dir = "/proc/" + std::to_string(pid) + "/fd";
-  for (const auto& e : std::filesystem::directory_iterator(dir)) {
+  for (const auto& entry : std::filesystem::directory_iterator(dir)) {
     std::error_code ignored;
-    const std::string to = std::filesystem::read_symlink(e.path(), ignored).string();
+    const std::string to = std::filesystem::read_symlink(entry.path(), ignored).string();
     if (to.starts_with("socket:[")) all.insert(to.substr(8, to.size() - 9));
   }
   return all;
@@ -132,160 +138,164 @@
   std::ifstream in("/proc/net/udp");
   std::size_t n = 0;
   for (std::string line; std::getline(in, line);) {
-    std::istringstream words(line);
-    std::string word;
-    for (int i = 0; i < 10; ++i) words >> word;
-    n += own.contains(word) ? 1 : 0;
+    std::istringstream fields(line);
+    std::string field;
+    for (int i = 0; i < 10; ++i) fields >> field;
+    n += own.contains(field) ? 1 : 0;
   }
   return n;
 }
 
-TEST(Nodes, OperatorsSeeWhoIsThereWhoDiedAndWhoSaidSo) {
-  Tier tier(4);
-  for (std::size_t i = 0; i < 4; ++i) tier.Start(i);
-  for (std::size_t i = 0; i < 4; ++i) ASSERT_TRUE(tier.Settled(i, 4)) << tier.Nodes(i).dump();
-  EXPECT_EQ(Ask("nodes check --at " + tier.status(1)).code, 0);
-  EXPECT_EQ(tier.Nodes(1).value("nodes_told", 0), 4);
-  const Said show = Ask("nodes show --at " + tier.status(1));
+TEST(Nodes, CommandsShowMembersDeathsAndTheirReporters) {
+  TestCluster cluster(4);
+  for (std::size_t i = 0; i < 4; ++i) cluster.Start(i);
+  for (std::size_t i = 0; i < 4; ++i) ASSERT_TRUE(cluster.WaitUntilStable(i, 4)) << cluster.Status(i).dump();
+  EXPECT_EQ(RunCommand("nodes check --at " + cluster.status_address(1)).code, 0);
+  EXPECT_EQ(cluster.Status(1).value("nodes_told", 0), 4);
+  const CommandOutput show = RunCommand("nodes show --at " + cluster.status_address(1));
   EXPECT_NE(show.text.find("view"), std::string::npos);
   EXPECT_NE(show.text.find("n3"), std::string::npos);
-  tier.node(3).Signal(SIGKILL);
-  ASSERT_TRUE(tier.Until(1, [](const json& j) { return Standing(j, "n3") == "dead"; }));
-  const Said explain = Ask("nodes explain n3 --at " + tier.status(1));
+  cluster.node(3).Signal(SIGKILL);
+  ASSERT_TRUE(cluster.WaitUntil(1, [](const json& status) { return StateOf(status, "n3") == "dead"; }));
+  const CommandOutput explain = RunCommand("nodes explain n3 --at " + cluster.status_address(1));
   EXPECT_EQ(explain.code, 0);
   EXPECT_NE(explain.text.find("member-suspect"), std::string::npos) << explain.text;
   EXPECT_NE(explain.text.find("member-dead"), std::string::npos) << explain.text;
-  EXPECT_EQ(Ask("nodes explain nobody --at " + tier.status(1)).code, 1);
-  // Fewer nodes are told only after the settled view has held.
-  EXPECT_TRUE(tier.Until(1, [](const json& j) { return j.value("nodes_told", 0) == 3; }));
-  // One that leaves in order is left, not dead.
-  EXPECT_EQ(tier.node(2).Stop(), 0);
-  EXPECT_TRUE(tier.Until(1, [](const json& j) { return Standing(j, "n2") == "left"; }))
-      << tier.Nodes(1).dump();
-  EXPECT_EQ(tier.node(1).Log().find("event=member-dead member=n2"), std::string::npos);
+  EXPECT_EQ(RunCommand("nodes explain nobody --at " + cluster.status_address(1)).code, 1);
+  // The lower node count is announced only after the view has been stable for a while.
+  EXPECT_TRUE(cluster.WaitUntil(1, [](const json& status) { return status.value("nodes_told", 0) == 3; }));
+  // A node that is stopped in order has left; it is not dead.
+  EXPECT_EQ(cluster.node(2).Stop(), 0);
+  EXPECT_TRUE(cluster.WaitUntil(1, [](const json& status) { return StateOf(status, "n2") == "left"; }))
+      << cluster.Status(1).dump();
+  EXPECT_EQ(cluster.node(1).Log().find("event=member-dead member=n2"), std::string::npos);
 }
 
-TEST(Nodes, ASeedThatComesLateIsFound) {
-  Tier tier(3);
-  tier.Start(1);
-  tier.Start(2);
-  ASSERT_TRUE(tier.Until(1, [](const json& j) { return !j.value("joined", true); }));
-  EXPECT_EQ(Ask("nodes check --at " + tier.status(1)).code, 1);
-  tier.Start(0);
-  for (std::size_t i = 0; i < 3; ++i) EXPECT_TRUE(tier.Settled(i, 3));
+TEST(Nodes, ASeedThatStartsLateIsFound) {
+  TestCluster cluster(3);
+  cluster.Start(1);
+  cluster.Start(2);
+  ASSERT_TRUE(cluster.WaitUntil(1, [](const json& status) { return !status.value("joined", true); }));
+  EXPECT_EQ(RunCommand("nodes check --at " + cluster.status_address(1)).code, 1);
+  cluster.Start(0);
+  for (std::size_t i = 0; i < 3; ++i) EXPECT_TRUE(cluster.WaitUntilStable(i, 3));
 }
 
-TEST(Nodes, APeerCanSendWhatItLikes) {
-  Tier tier(2);
-  tier.Start(0);
-  tier.Start(1);
-  ASSERT_TRUE(tier.Settled(0, 2));
-  // A list of 100,000 made-up names, then one that is as long as may be, then noise and half a message.
-  membership::Message m;
-  m.cluster = "ryeglade";
-  m.sender.name = "liar";
-  m.sender.address = tier.listen(1);
-  m.kind = membership::MessageKind::kPushPull;
+TEST(Nodes, InvalidInputFromAPeerDoesNoHarm) {
+  TestCluster cluster(2);
+  cluster.Start(0);
+  cluster.Start(1);
+  ASSERT_TRUE(cluster.WaitUntilStable(0, 2));
+  // A message with 100,000 invented names, then one within the size limit, then noise and an incomplete
+  // message.
+  membership::Message message;
+  message.cluster = "ryeglade";
+  message.sender.name = "liar";
+  message.sender.address = cluster.listen_address(1);
+  message.kind = membership::MessageKind::kPushPull;
   for (int i = 0; i < 100'000; ++i) {
     membership::Update update;
     update.record.name = "made-up-" + std::to_string(i);
     update.record.address = "127.0.0.1:" + std::to_string(1 + i % 60'000);
     update.record.incarnation = static_cast<std::uint64_t>(i);
-    m.updates.push_back(update);
+    message.updates.push_back(update);
   }
-  const auto framed = [](const std::string& message) {
+  const auto with_length = [](const std::string& bytes) {
     std::string out;
-    for (int i = 0; i < 4; ++i) out += static_cast<char>(message.size() >> (8 * i) & 0xff);
-    return out + message;
+    for (int i = 0; i < 4; ++i) out += static_cast<char>(bytes.size() >> (8 * i) & 0xff);
+    return out + bytes;
   };
   const auto send = [&](const std::string& bytes) {
     sockaddr_storage to{};
-    ASSERT_TRUE(ParseAddress(tier.listen(0), &to));
+    ASSERT_TRUE(ParseAddress(cluster.listen_address(0), &to));
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
     ASSERT_EQ(connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof(sockaddr_in)), 0);
     for (std::size_t at = 0; at < bytes.size();) {
       const ssize_t n = ::send(fd, bytes.data() + at, bytes.size() - at, MSG_NOSIGNAL);
-      if (n <= 0) break;  // it was hung up on
+      if (n <= 0) break;  // the node closed the connection
       at += static_cast<std::size_t>(n);
     }
     shutdown(fd, SHUT_WR);
-    char piece[4096];
-    while (recv(fd, piece, sizeof piece, 0) > 0) {
+    char buffer[4096];
+    while (recv(fd, buffer, sizeof buffer, 0) > 0) {
     }
     close(fd);
   };
-  send(framed(membership::Encode(m)));
-  m.updates.resize(12'000);
-  send(framed(membership::Encode(m)));
+  send(with_length(membership::Encode(message)));
+  message.updates.resize(12'000);
+  send(with_length(membership::Encode(message)));
   send(std::string(3000, '\xff'));
-  send(framed(membership::Encode(m)).substr(0, 500));
+  send(with_length(membership::Encode(message)).substr(0, 500));
   send("");
-  const json j = tier.Nodes(0);
-  EXPECT_LE(j.value("members", json::array()).size(), 1024U);
-  EXPECT_EQ(j.value("live", 0), 2);
-  EXPECT_EQ(Standing(j, "n1"), "alive");
-  EXPECT_TRUE(tier.node(0).Running());
-  // What never answers is given up: the table empties.
-  EXPECT_TRUE(tier.Until(0, [](const json& k) { return k.value("members", json::array()).size() == 1; }))
-      << tier.Nodes(0).value("members", json::array()).size();
-  EXPECT_EQ(tier.Nodes(0).value("nodes_told", 0), 2);
+  const json after = cluster.Status(0);
+  EXPECT_LE(after.value("members", json::array()).size(), 1024U);
+  EXPECT_EQ(after.value("live", 0), 2);
+  EXPECT_EQ(StateOf(after, "n1"), "alive");
+  EXPECT_TRUE(cluster.node(0).Running());
+  // Names that never answer are dropped, so that the table shrinks again.
+  EXPECT_TRUE(cluster.WaitUntil(0, [](const json& status) {
+    return status.value("members", json::array()).size() == 1;
+  })) << cluster.Status(0).value("members", json::array()).size();
+  EXPECT_EQ(cluster.Status(0).value("nodes_told", 0), 2);
 }
 
-TEST(Nodes, TwoOfOneNameAreNotBothTaken) {
-  Tier tier(4);
-  for (std::size_t i = 0; i < 3; ++i) tier.Start(i);
-  for (std::size_t i = 0; i < 3; ++i) ASSERT_TRUE(tier.Settled(i, 3));
-  // The fourth is started as another n1, with a directory of its own.
+TEST(Nodes, ASecondNodeOfTheSameNameIsRefused) {
+  TestCluster cluster(4);
+  for (std::size_t i = 0; i < 3; ++i) cluster.Start(i);
+  for (std::size_t i = 0; i < 3; ++i) ASSERT_TRUE(cluster.WaitUntilStable(i, 3));
+  // The fourth is started with the name n1 and with a directory of its own.
   json config = json::parse(ConfigJson("127.0.0.1:0", "127.0.0.1:1", "{\"generation\":1,\"instances\":[]}"));
   config["name"] = "n1";
   NodeFiles files;
   files.config = config.dump();
-  files.settings = "[membership]\nlisten = \"" + tier.listen(3) + "\"\nstatus = \"" + tier.status(3) +
-                   "\"\nseeds = [\"" + tier.listen(0) +
+  files.settings = "[membership]\nlisten = \"" + cluster.listen_address(3) + "\"\nstatus = \"" +
+                   cluster.status_address(3) + "\"\nseeds = [\"" + cluster.listen_address(0) +
                    "\"]\nnetworks = [\"127.0.0.0/8\"]\nperiod = \"200ms\"\n";
   std::string dir = std::filesystem::temp_directory_path().string() + "/ryeglade-twin-XXXXXX";
   files.tmpdir = mkdtemp(dir.data());
-  NodeProcess twin;
-  twin.Start(Program(), files);
-  EXPECT_TRUE(tier.Until(3, [](const json& j) { return j.value("refused", false); })) << tier.Nodes(3).dump();
-  EXPECT_NE(twin.Log().find("event=name-taken"), std::string::npos);
-  EXPECT_EQ(Ask("nodes check --at " + tier.status(3)).code, 1);
-  EXPECT_EQ(Standing(tier.Nodes(0), "n1"), "alive");
-  EXPECT_EQ(tier.node(0).Log().find("event=member-dead"), std::string::npos);
-  EXPECT_EQ(twin.Stop(), 0);
+  NodeProcess second_n1;
+  second_n1.Start(Program(), files);
+  EXPECT_TRUE(cluster.WaitUntil(3, [](const json& status) { return status.value("refused", false); }))
+      << cluster.Status(3).dump();
+  EXPECT_NE(second_n1.Log().find("event=name-taken"), std::string::npos);
+  EXPECT_EQ(RunCommand("nodes check --at " + cluster.status_address(3)).code, 1);
+  EXPECT_EQ(StateOf(cluster.Status(0), "n1"), "alive");
+  EXPECT_EQ(cluster.node(0).Log().find("event=member-dead"), std::string::npos);
+  EXPECT_EQ(second_n1.Stop(), 0);
   std::filesystem::remove_all(dir);
 }
 
-TEST(Nodes, TheRecordTellsTheTierBesideTheRoutingAndReplays) {
-  Tier tier(3, "\n[timeline]\ndirectory = \"@DIR@\"\nblock_within = \"100ms\"\n");
-  for (std::size_t i = 0; i < 3; ++i) tier.Start(i);
-  ASSERT_TRUE(tier.Settled(0, 3));
-  tier.node(2).Signal(SIGKILL);
-  ASSERT_TRUE(tier.Until(
-      0, [](const json& j) { return Standing(j, "n2") == "dead" && j.value("nodes_told", 0) == 2; }));
-  const std::string where = tier.node(0).directory();
-  tier.node(0).Signal(SIGTERM);
-  while (tier.node(0).Running()) std::this_thread::sleep_for(std::chrono::milliseconds(20));
-  const Said show = Ask("timeline show " + where);
+TEST(Nodes, TheFlightRecordHasMembershipEventsAndVerifies) {
+  TestCluster cluster(3, "\n[timeline]\ndirectory = \"@DIR@\"\nblock_within = \"100ms\"\n");
+  for (std::size_t i = 0; i < 3; ++i) cluster.Start(i);
+  ASSERT_TRUE(cluster.WaitUntilStable(0, 3));
+  cluster.node(2).Signal(SIGKILL);
+  ASSERT_TRUE(cluster.WaitUntil(0, [](const json& status) {
+    return StateOf(status, "n2") == "dead" && status.value("nodes_told", 0) == 2;
+  }));
+  const std::string directory = cluster.node(0).directory();
+  cluster.node(0).Signal(SIGTERM);
+  while (cluster.node(0).Running()) std::this_thread::sleep_for(std::chrono::milliseconds(20));
+  const CommandOutput show = RunCommand("timeline show " + directory);
   EXPECT_NE(show.text.find("member-dead n2"), std::string::npos) << show.text;
-  const Said records = Ask("timeline show --records " + where);
+  const CommandOutput records = RunCommand("timeline show --records " + directory);
   EXPECT_NE(records.text.find("tier of 3 nodes"), std::string::npos);
   EXPECT_NE(records.text.find("tier of 2 nodes"), std::string::npos);
-  const Said verify = Ask("timeline verify " + where);
+  const CommandOutput verify = RunCommand("timeline verify " + directory);
   EXPECT_EQ(verify.code, 0) << verify.text;
 }
 
 TEST(Nodes, WithoutTheTableThereIsNoSocketOfIt) {
-  Tier tier(2);
-  tier.Start(0, false);
-  tier.Start(1, true);
-  ASSERT_TRUE(tier.Until(1, [](const json& j) { return j.contains("live"); }));
-  while (tier.node(0).Log().find("event=listening ") == std::string::npos)
+  TestCluster cluster(2);
+  cluster.Start(0, false);
+  cluster.Start(1, true);
+  ASSERT_TRUE(cluster.WaitUntil(1, [](const json& status) { return status.contains("live"); }));
+  while (cluster.node(0).Log().find("event=listening ") == std::string::npos)
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
-  EXPECT_EQ(DatagramSockets(tier.node(0).pid()), 0U);
-  EXPECT_EQ(DatagramSockets(tier.node(1).pid()), 1U);  // the count can tell
-  EXPECT_EQ(SocketsOf(tier.node(0).pid()).size() + 3, SocketsOf(tier.node(1).pid()).size());
-  EXPECT_EQ(tier.node(0).Log().find("membership"), std::string::npos);
+  EXPECT_EQ(DatagramSockets(cluster.node(0).pid()), 0U);
+  EXPECT_EQ(DatagramSockets(cluster.node(1).pid()), 1U);  // shows that the count works
+  EXPECT_EQ(SocketsOf(cluster.node(0).pid()).size() + 3, SocketsOf(cluster.node(1).pid()).size());
+  EXPECT_EQ(cluster.node(0).Log().find("membership"), std::string::npos);
 }
 
 }  // namespace
