--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -1,5 +1,5 @@
-// Gossip: traffic shares that add up whatever is lost, late, dead or cut off; messages from untrusted peers;
-// the consensus on outliers; the traffic of prefixes.
+// Gossip: traffic shares that add up despite losses, delays, deaths and partitions; messages from untrusted
+// peers; the consensus on outliers; the traffic of prefixes.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -30,105 +30,107 @@
   return report;
 }
 
-// A node that hears of others with rates of `rates`, all sure, for `seconds`.
-double ShareAfter(TrafficShareModel& m, const std::vector<double>& rates, double own, int seconds,
+// Runs the model for `seconds` with `own` requests per second and a stable view of peers that report `rates`.
+// Returns its share at the end.
+double ShareAfter(TrafficShareModel& model, const std::vector<double>& rates, double own, int seconds,
                   Time* now) {
   std::vector<std::string> names;
   for (std::size_t i = 0; i < rates.size(); ++i) names.push_back("p" + std::to_string(i));
   double share = 0;
-  for (int half = 0; half < 2 * seconds; ++half, *now += kSecond / 2) {
-    for (int k = 0; k < static_cast<int>(own / 2); ++k) m.OnArrival(*now);
-    m.SetMembers(*now, names, true, true);
-    m.NextReport(*now);
+  for (int step = 0; step < 2 * seconds; ++step, *now += kSecond / 2) {
+    for (int request = 0; request < static_cast<int>(own / 2); ++request) model.OnArrival(*now);
+    model.SetMembers(*now, names, true, true);
+    model.NextReport(*now);
     for (std::size_t i = 0; i < rates.size(); ++i)
-      m.OnReport(*now, names[i], MakeReport(1, static_cast<std::uint64_t>(*now), rates[i]));
-    share = m.UpdateShare(*now, rates.size() + 1);
+      model.OnReport(*now, names[i], MakeReport(1, static_cast<std::uint64_t>(*now), rates[i]));
+    share = model.UpdateShare(*now, rates.size() + 1);
   }
   return share;
 }
 
-TEST(TrafficShare, ANodeThatGetsMoreHasALargerShare) {
+TEST(TrafficShare, ANodeWithMoreTrafficHasALargerShare) {
   Time now = kSecond;
-  TrafficShareModel m("me", 1, now);
-  // 60 of 60 + 3 * 20 requests, with a quarter of the mean (30) for each of the four on top.
-  EXPECT_NEAR(ShareAfter(m, {20, 20, 20}, 60, 40, &now), (60 + 7.5) / (120 + 30), 0.03);
-  EXPECT_STREQ(m.state(), "shares");
-  const auto lines = m.Explain(now);
-  ASSERT_EQ(lines.size(), 4U);
-  EXPECT_EQ(lines.front().node, "me");
+  TrafficShareModel model("me", 1, now);
+  // 60 of 60 + 3 * 20 requests per second, plus a quarter of the mean rate (30) for each of the four nodes.
+  EXPECT_NEAR(ShareAfter(model, {20, 20, 20}, 60, 40, &now), (60 + 7.5) / (120 + 30), 0.03);
+  EXPECT_STREQ(model.state(), "shares");
+  const auto shares = model.Explain(now);
+  ASSERT_EQ(shares.size(), 4U);
+  EXPECT_EQ(shares.front().node, "me");
 }
 
-TEST(TrafficShare, AShareFallsAtOnceAndRisesOnlyWhenOthersHaveHadTimeToHear) {
+TEST(TrafficShare, AShareFallsAtOnceAndRisesOnlyAfterTheRiseDelay) {
   Time now = kSecond;
-  TrafficShareModel m("me", 1, now);
-  const double before = ShareAfter(m, {20, 20}, 20, 40, &now);
-  // Another gets ten times the traffic: this part falls with the first word of it.
-  m.OnReport(now, "p0", MakeReport(1, 1'000'000'000, 200));
-  const double fallen = m.UpdateShare(now, 3);
-  EXPECT_LT(fallen, before / 2);
-  // It is over: not before the span to settle has passed.
-  m.OnReport(now + 1, "p0", MakeReport(1, 1'000'000'001, 20));
-  EXPECT_EQ(m.UpdateShare(now + kSecond, 3), fallen);
-  EXPECT_EQ(m.UpdateShare(now + 2 * kSecond, 3), fallen);
+  TrafficShareModel model("me", 1, now);
+  const double initial = ShareAfter(model, {20, 20}, 20, 40, &now);
+  // Another node gets ten times the traffic: this node's share falls with the first report of it.
+  model.OnReport(now, "p0", MakeReport(1, 1'000'000'000, 200));
+  const double fallen = model.UpdateShare(now, 3);
+  EXPECT_LT(fallen, initial / 2);
+  // The other's traffic is back to normal: the share rises only after the delay.
+  model.OnReport(now + 1, "p0", MakeReport(1, 1'000'000'001, 20));
+  EXPECT_EQ(model.UpdateShare(now + kSecond, 3), fallen);
+  EXPECT_EQ(model.UpdateShare(now + 2 * kSecond, 3), fallen);
   now += 4 * kSecond;
-  EXPECT_GT(ShareAfter(m, {20, 20}, 20, 10, &now), 1.5 * fallen);
+  EXPECT_GT(ShareAfter(model, {20, 20}, 20, 10, &now), 1.5 * fallen);
 }
 
-TEST(TrafficShare, ReportsOutOfBoundsOldOnesAndThoseOfNonMembersMoveNothing) {
+TEST(TrafficShare, IgnoresReportsThatAreOutOfBoundsOutdatedOrNotFromMembers) {
   Time now = kSecond;
-  TrafficShareModel m("me", 1, now);
-  ShareAfter(m, {20, 20}, 20, 40, &now);
-  const double before = m.UpdateShare(now, 3);
+  TrafficShareModel model("me", 1, now);
+  ShareAfter(model, {20, 20}, 20, 40, &now);
+  const double initial = model.UpdateShare(now, 3);
   const double nan = std::numeric_limits<double>::quiet_NaN();
   for (const double rate : {nan, -5.0, 1e18, std::numeric_limits<double>::infinity()})
-    m.OnReport(now, "p0", MakeReport(9, 9'000'000'000, rate));
-  m.OnReport(now, "stranger", MakeReport(1, 1, 1000));
-  m.OnReport(now, "p0", MakeReport(1, 1, 1000));  // older than what was heard
-  m.OnReport(now, "me", MakeReport(5, 5, 1000));  // of this node's own name
-  EXPECT_EQ(m.UpdateShare(now, 3), before);
-  // A process that has started anew counts, whatever its numbers.
-  m.OnReport(now, "p0", MakeReport(2, 1, 1000));
-  EXPECT_LT(m.UpdateShare(now, 3), before);
+    model.OnReport(now, "p0", MakeReport(9, 9'000'000'000, rate));
+  model.OnReport(now, "stranger", MakeReport(1, 1, 1000));
+  model.OnReport(now, "p0", MakeReport(1, 1, 1000));  // older than the known report
+  model.OnReport(now, "me", MakeReport(5, 5, 1000));  // a report under this node's own name
+  EXPECT_EQ(model.UpdateShare(now, 3), initial);
+  // A report of a newer process counts, whatever its sequence number.
+  model.OnReport(now, "p0", MakeReport(2, 1, 1000));
+  EXPECT_LT(model.UpdateShare(now, 3), initial);
 }
 
-TEST(TrafficShare, WithAnUncertainViewAShareIsFrozenAndThenGoesBackByStepsToTheEqualOne) {
+TEST(TrafficShare, WithAnUncertainViewAShareIsFrozenAndThenMovesInStepsToTheEqualShare) {
   Time now = kSecond;
-  TrafficShareModel m("me", 1, now);
-  const double before = ShareAfter(m, {10, 10, 10}, 60, 40, &now);
-  m.SetMembers(now, {}, false, false);
-  EXPECT_EQ(m.UpdateShare(now + 20 * kSecond, 4), before);
-  EXPECT_STREQ(m.state(), "held");
-  double last = m.UpdateShare(now + 31 * kSecond, 4);
+  TrafficShareModel model("me", 1, now);
+  const double initial = ShareAfter(model, {10, 10, 10}, 60, 40, &now);
+  model.SetMembers(now, {}, false, false);
+  EXPECT_EQ(model.UpdateShare(now + 20 * kSecond, 4), initial);
+  EXPECT_STREQ(model.state(), "held");
+  double last = model.UpdateShare(now + 31 * kSecond, 4);
   int steps = 0;
-  for (Time t = now + 31 * kSecond; last > 0.25 && steps < 1000; t += kSecond / 2, ++steps) {
-    const double next = m.UpdateShare(t, 4);
-    EXPECT_GE(next, last * 0.9);  // never a jump
+  for (Time time = now + 31 * kSecond; last > 0.25 && steps < 1000; time += kSecond / 2, ++steps) {
+    const double next = model.UpdateShare(time, 4);
+    EXPECT_GE(next, last * 0.9);  // no step is larger than a tenth
     last = next;
   }
   EXPECT_EQ(last, 0.25);
   EXPECT_GT(steps, 10);
-  EXPECT_STREQ(m.state(), "equal");
+  EXPECT_STREQ(model.state(), "equal");
 }
 
-TEST(TrafficShare, OfThoseThatAreAbsentButNotSettledAsGoneOnlyABoundedPartIsTaken) {
+TEST(TrafficShare, TakesOnlyABoundedPartOfTheSharesOfAbsentMembersUntilTheViewIsStable) {
   Time now = kSecond;
-  TrafficShareModel m("me", 1, now);
-  const double before = ShareAfter(m, {20, 20, 20, 20}, 20, 40, &now);
+  TrafficShareModel model("me", 1, now);
+  const double initial = ShareAfter(model, {20, 20, 20, 20}, 20, 40, &now);
   for (int i = 0; i < 40; ++i, now += kSecond / 2) {
-    m.SetMembers(now, {"p0"}, true, false);  // three have been taken off the view, which is not settled yet
-    m.OnReport(now, "p0", MakeReport(1, static_cast<std::uint64_t>(now), 20));
-    m.UpdateShare(now, 5);
+    // Three members are missing from the view, which is not stable yet.
+    model.SetMembers(now, {"p0"}, true, false);
+    model.OnReport(now, "p0", MakeReport(1, static_cast<std::uint64_t>(now), 20));
+    model.UpdateShare(now, 5);
   }
-  EXPECT_LE(m.UpdateShare(now, 5), 1.5 * before + 1e-9);
+  EXPECT_LE(model.UpdateShare(now, 5), 1.5 * initial + 1e-9);
   for (int i = 0; i < 40; ++i, now += kSecond / 2) {
-    m.SetMembers(now, {"p0"}, true, true);
-    m.UpdateShare(now, 5);
+    model.SetMembers(now, {"p0"}, true, true);
+    model.UpdateShare(now, 5);
   }
-  EXPECT_GT(m.UpdateShare(now, 5), 2 * before);
+  EXPECT_GT(model.UpdateShare(now, 5), 2 * initial);
 }
 
-// Messages that are lost at random, rates that move at random: the sum of all shares stays near one.
-RC_GTEST_PROP(TrafficShare, AddUpWhateverIsLostAndHoweverRatesMove, ()) {
+// With random losses of messages and randomly changing rates the sum of all shares stays near 1.
+RC_GTEST_PROP(TrafficShare, AddUpDespiteLossesAndChangingRates, ()) {
   const auto n = *rc::gen::inRange<std::size_t>(2, 9);
   const double loss = *rc::gen::inRange(0, 60) / 100.0;
   std::uint64_t state = *rc::gen::inRange<std::uint64_t>(1, 1'000'000);
@@ -142,20 +144,20 @@
   std::vector<double> rates(n, 20);
   for (std::size_t i = 0; i < n; ++i) names.push_back("n" + std::to_string(i));
   for (std::size_t i = 0; i < n; ++i) nodes.emplace_back(names[i], 1, now);
-  for (int turn = 0; turn < 240; ++turn, now += kSecond / 2) {
-    if (turn % 20 == 19) rates[static_cast<std::size_t>(draw() * static_cast<double>(n))] = 5 + 100 * draw();
+  for (int step = 0; step < 240; ++step, now += kSecond / 2) {
+    if (step % 20 == 19) rates[static_cast<std::size_t>(draw() * static_cast<double>(n))] = 5 + 100 * draw();
     double sum = 0;
     for (std::size_t i = 0; i < n; ++i) {
-      for (int k = 0; k < static_cast<int>(rates[i] / 2); ++k) nodes[i].OnArrival(now);
+      for (int request = 0; request < static_cast<int>(rates[i] / 2); ++request) nodes[i].OnArrival(now);
       nodes[i].SetMembers(now, names, true, true);
       const auto report = nodes[i].NextReport(now);
-      for (std::size_t m = 0; report && m < n; ++m) {
-        if (m != i && draw() >= loss) nodes[m].OnReport(now, names[i], *report);
+      for (std::size_t receiver = 0; report && receiver < n; ++receiver) {
+        if (receiver != i && draw() >= loss) nodes[receiver].OnReport(now, names[i], *report);
       }
     }
     for (std::size_t i = 0; i < n; ++i) sum += nodes[i].UpdateShare(now, n);
     RC_ASSERT(sum <= 1.1);
-    if (turn > 60) RC_ASSERT(sum >= 0.3);
+    if (step > 60) RC_ASSERT(sum >= 0.3);
   }
 }
 
@@ -175,25 +177,25 @@
   return report;
 }
 
-TEST(GossipMessages, TheLongestFitsAndComesBackAsItWas) {
-  const gossip::GossipMessage t{std::string(64, 'n'), gossip::kMaxAge, LargestReport()};
-  const std::string bytes = gossip::Encode(t);
+TEST(GossipMessages, TheLargestMessageFitsAndIsDecodedUnchanged) {
+  const gossip::GossipMessage message{std::string(64, 'n'), gossip::kMaxAge, LargestReport()};
+  const std::string bytes = gossip::Encode(message);
   EXPECT_LE(bytes.size(), gossip::kMaxMessageBytes);
   const char* why = "";
-  const auto back = gossip::Decode(bytes, &why);
-  ASSERT_TRUE(back) << why;
-  EXPECT_EQ(back->node, t.node);
-  EXPECT_EQ(back->age, t.age);
-  ASSERT_EQ(back->report.outlier_reports.size(), gossip::kMaxOutlierReports);
-  const gossip::OutlierReport &a = back->report.outlier_reports[3], &b = t.report.outlier_reports[3];
+  const auto decoded = gossip::Decode(bytes, &why);
+  ASSERT_TRUE(decoded) << why;
+  EXPECT_EQ(decoded->node, message.node);
+  EXPECT_EQ(decoded->age, message.age);
+  ASSERT_EQ(decoded->report.outlier_reports.size(), gossip::kMaxOutlierReports);
+  const gossip::OutlierReport &a = decoded->report.outlier_reports[3], &b = message.report.outlier_reports[3];
   EXPECT_EQ(std::tie(a.replica, a.started_at, a.consecutive_failures, a.ejected_for, a.last_outcome_age,
                      a.slowness, a.slowness_samples, a.in_flight, a.stalled_for),
             std::tie(b.replica, b.started_at, b.consecutive_failures, b.ejected_for, b.last_outcome_age,
                      b.slowness, b.slowness_samples, b.in_flight, b.stalled_for));
-  EXPECT_EQ(back->report.prefix_rates.back().rate, gossip::kMaxRate);
+  EXPECT_EQ(decoded->report.prefix_rates.back().rate, gossip::kMaxRate);
 }
 
-TEST(GossipMessages, WhatIsNotANumberIsToldAsNothingAndWhatIsTooMuchAsTheMost) {
+TEST(GossipMessages, EncodesNaNAsZeroAndClampsValuesOutOfRange) {
   NodeReport report;
   const double nan = std::numeric_limits<double>::quiet_NaN();
   report.rate = nan;
@@ -202,19 +204,19 @@
       {2, 0, 9999, Time{1} << 60, 1 + gossip::kMaxSpan, 1e300, 1e300, 9999, Time{1} << 60}};
   report.prefix_rates = {{1, -1}, {2, 1e300}};
   const char* why = "";
-  const auto back = gossip::Decode(gossip::Encode({"n", -5, report}), &why);
-  ASSERT_TRUE(back) << why;
-  EXPECT_EQ(back->report.rate, 0);
-  EXPECT_EQ(back->report.outlier_reports[0].slowness, 0);
-  EXPECT_EQ(back->report.outlier_reports[0].consecutive_failures, 0);
-  EXPECT_EQ(back->report.outlier_reports[1].consecutive_failures, 255);
-  EXPECT_EQ(back->report.outlier_reports[1].slowness, 4);
-  EXPECT_EQ(back->report.outlier_reports[1].last_outcome_age, -1);
-  EXPECT_EQ(back->report.prefix_rates[1].rate, gossip::kMaxRate);
-}
-
-// Bytes that are cut, changed or made up are turned down or read within bounds, never worse.
-RC_GTEST_PROP(GossipMessages, AnyBytesAreReadWithinBoundsOrTurnedDown, ()) {
+  const auto decoded = gossip::Decode(gossip::Encode({"n", -5, report}), &why);
+  ASSERT_TRUE(decoded) << why;
+  EXPECT_EQ(decoded->report.rate, 0);
+  EXPECT_EQ(decoded->report.outlier_reports[0].slowness, 0);
+  EXPECT_EQ(decoded->report.outlier_reports[0].consecutive_failures, 0);
+  EXPECT_EQ(decoded->report.outlier_reports[1].consecutive_failures, 255);
+  EXPECT_EQ(decoded->report.outlier_reports[1].slowness, 4);
+  EXPECT_EQ(decoded->report.outlier_reports[1].last_outcome_age, -1);
+  EXPECT_EQ(decoded->report.prefix_rates[1].rate, gossip::kMaxRate);
+}
+
+// Truncated or changed bytes are either rejected or decoded to values within their bounds.
+RC_GTEST_PROP(GossipMessages, AnyBytesAreRejectedOrDecodedWithinBounds, ()) {
   std::string bytes = gossip::Encode({"n1", 1000, LargestReport()});
   const auto cut = *rc::gen::inRange<std::size_t>(0, bytes.size() + 1);
   bytes.resize(cut);
@@ -223,58 +225,59 @@
     if (at < bytes.size()) bytes[at] = value;
   }
   const char* why = "";
-  const auto t = gossip::Decode(bytes, &why);
-  if (!t) {
+  const auto message = gossip::Decode(bytes, &why);
+  if (!message) {
     RC_ASSERT(std::string(why) == "malformed" || std::string(why) == "range" || std::string(why) == "form");
     return;
   }
-  RC_ASSERT(t->report.outlier_reports.size() <= gossip::kMaxOutlierReports &&
-            t->report.prefix_rates.size() <= gossip::kMaxPrefixRates);
-  RC_ASSERT(t->report.rate >= 0 && t->report.rate <= gossip::kMaxRate);
-  for (const gossip::OutlierReport& c : t->report.outlier_reports)
-    RC_ASSERT(std::abs(c.slowness) <= 4 && c.ejected_for >= 0 && c.ejected_for <= gossip::kMaxSpan);
+  RC_ASSERT(message->report.outlier_reports.size() <= gossip::kMaxOutlierReports &&
+            message->report.prefix_rates.size() <= gossip::kMaxPrefixRates);
+  RC_ASSERT(message->report.rate >= 0 && message->report.rate <= gossip::kMaxRate);
+  for (const gossip::OutlierReport& outlier : message->report.outlier_reports)
+    RC_ASSERT(std::abs(outlier.slowness) <= 4 && outlier.ejected_for >= 0 &&
+              outlier.ejected_for <= gossip::kMaxSpan);
 }
 
-TEST(GossipQueue, EveryReportGoesAFewTimesThoseSentLeastFirstAndANewerOneTakesItsPlace) {
-  gossip::GossipQueue g;
-  for (int i = 0; i < 40; ++i) g.Enqueue(0, {"n" + std::to_string(i), 0, MakeReport(1, 1, i)}, i == 0);
+TEST(GossipQueue, SendsEachReportAFewTimesLeastSentFirstAndReplacesItByANewerOne) {
+  gossip::GossipQueue queue;
+  for (int i = 0; i < 40; ++i) queue.Enqueue(0, {"n" + std::to_string(i), 0, MakeReport(1, 1, i)}, i == 0);
   std::map<std::string, int> sent;
   const char* why = "";
-  for (int i = 0; i < 1000 && g.has_pending(); ++i) {
+  for (int i = 0; i < 1000 && queue.has_pending(); ++i) {
     std::size_t size = 0;
-    for (const std::string& bytes : g.TakeMessages(kSecond, 200, 5)) {
+    for (const std::string& bytes : queue.TakeMessages(kSecond, 200, 5)) {
       size += bytes.size() + 5;
-      const auto t = gossip::Decode(bytes, &why);
-      ASSERT_TRUE(t) << why;
-      EXPECT_EQ(t->age, kSecond);  // it has lain here
-      ++sent[t->node];
+      const auto message = gossip::Decode(bytes, &why);
+      ASSERT_TRUE(message) << why;
+      EXPECT_EQ(message->age, kSecond);  // the time that it was queued
+      ++sent[message->node];
     }
     EXPECT_LE(size, 200U);
     if (i == 3) {
-      // Before any has gone twice all have gone once, or nearly.
+      // Reports are sent in turn: after four messages none has been sent more than twice.
       for (const auto& [name, n] : sent) EXPECT_LE(n, 2) << name;
     }
   }
   EXPECT_EQ(sent.size(), 40U);
   for (const auto& [name, n] : sent)
     EXPECT_EQ(n, name == "n0" ? gossip::GossipQueue::kOwnSends : gossip::GossipQueue::kForwards);
-  g.Enqueue(0, {"n1", 0, MakeReport(1, 2, 7)}, false);
-  EXPECT_TRUE(g.has_pending());
-  EXPECT_EQ(g.size(), 40U);
-  EXPECT_TRUE(g.TakeMessages(2 * gossip::kMaxAge, 1000, 5).empty());  // too old to be passed on
-  EXPECT_FALSE(g.has_pending());
+  queue.Enqueue(0, {"n1", 0, MakeReport(1, 2, 7)}, false);
+  EXPECT_TRUE(queue.has_pending());
+  EXPECT_EQ(queue.size(), 40U);
+  EXPECT_TRUE(queue.TakeMessages(2 * gossip::kMaxAge, 1000, 5).empty());  // too old to be forwarded
+  EXPECT_FALSE(queue.has_pending());
 }
 
 // ---- Outlier consensus ----
 
-struct Fleet {
+struct TestFleet {
   std::vector<policy::ReplicaView> all;
-  explicit Fleet(std::size_t n) {
+  explicit TestFleet(std::size_t n) {
     for (std::size_t i = 0; i < n; ++i) {
-      policy::ReplicaView v;
-      v.endpoint.id = static_cast<policy::ReplicaId>(i + 1);
-      v.endpoint.started_at = 1000;
-      all.push_back(v);
+      policy::ReplicaView view;
+      view.endpoint.id = static_cast<policy::ReplicaId>(i + 1);
+      view.endpoint.started_at = 1000;
+      all.push_back(view);
     }
   }
   policy::ReplicaView& at(policy::ReplicaId id) { return all[id - 1]; }
@@ -291,85 +294,87 @@
   return report;
 }
 
-// A node that sees nothing itself, among `n` others, in zones.
-struct Node {
-  Fleet fleet{20};
+// A node that observes no outliers itself, among `n` other nodes, which are spread over `zones` zones.
+struct TestNode {
+  TestFleet fleet{20};
   gossip::OutlierConsensusModel model{"me", gossip::OutlierConsensusLimits{}};
   Time now = 100 * kSecond;
-  explicit Node(std::size_t n, std::size_t zones = 1) {
+  explicit TestNode(std::size_t n, std::size_t zones = 1) {
     std::vector<gossip::OutlierConsensusModel::Peer> members;
     for (std::size_t i = 0; i < n; ++i)
       members.push_back({"p" + std::to_string(i), zones > 1 ? "z" + std::to_string(i % zones) : ""});
     model.ObserveReplicas(now, fleet.all, false);
     model.SetMembers(now, members, zones > 1 ? "z0" : "", true);
   }
-  std::map<policy::ReplicaId, policy::PeerReplicaReport> Evaluate(double part = 0.1) {
-    std::map<policy::ReplicaId, policy::PeerReplicaReport> told;
+  // Returns the reports for the decision module by replica.
+  std::map<policy::ReplicaId, policy::PeerReplicaReport> Evaluate(double share = 0.1) {
+    std::map<policy::ReplicaId, policy::PeerReplicaReport> reports;
     model.ObserveReplicas(now, fleet.all, false);
-    for (const auto& t : model.Evaluate(now, part)) told[t.id] = t;
-    return told;
+    for (const auto& report : model.Evaluate(now, share)) reports[report.id] = report;
+    return reports;
   }
   bool IsEjected(policy::ReplicaId id) {
-    const auto told = Evaluate();
-    return told.contains(id) && told.at(id).ejected_until > now;
+    const auto reports = Evaluate();
+    return reports.contains(id) && reports.at(id).ejected_until > now;
   }
 };
 
-TEST(OutlierConsensus, OneNodeTakesNothingFromOthersTwoDoAndOnesOwnAnswerComesFirst) {
-  Node node(4);
+TEST(OutlierConsensus, EjectionRequiresTwoReportersAndNoRecentAnswerOfThisNode) {
+  TestNode node(4);
   node.model.OnReport(node.now, "p0", ReportWith({FailureOf(1)}));
   EXPECT_FALSE(node.IsEjected(1));
   EXPECT_STREQ(node.model.findings().front().reason, "too-few-accusers");
   node.model.OnReport(node.now, "p1", ReportWith({FailureOf(1)}));
   EXPECT_TRUE(node.IsEjected(1));
-  // It answered here a moment ago.
+  // The replica answered this node a moment ago.
   node.fleet.at(1).slowness_updated_at = node.now - kSecond / 4;
   EXPECT_TRUE(node.Evaluate().contains(1));
   EXPECT_EQ(node.model.findings().front().ejected_until, 0);
 }
 
-TEST(OutlierConsensus, InMoreThanOneZoneItTakesAccusersInTwoOrInOnesOwn) {
-  Node node(6, 3);
+TEST(OutlierConsensus, WithSeveralZonesTheReportersMustBeInTwoZonesOrInThisNodesOwn) {
+  TestNode node(6, 3);
   node.model.OnReport(node.now, "p1", ReportWith({FailureOf(1)}));
-  node.model.OnReport(node.now, "p4", ReportWith({FailureOf(1)}));  // the same zone, and not this node's
+  node.model.OnReport(node.now, "p4",
+                      ReportWith({FailureOf(1)}));  // in the same zone as p1, which is not this node's
   EXPECT_FALSE(node.IsEjected(1));
   node.model.OnReport(node.now, "p2", ReportWith({FailureOf(1)}));
   EXPECT_TRUE(node.IsEjected(1));
-  // Two of this node's own zone: what their network does to them it does to this node.
+  // Two reporters in this node's own zone suffice: a fault of their network affects this node too.
   node.model.OnReport(node.now, "p0", ReportWith({FailureOf(2)}));
   node.model.OnReport(node.now, "p3", ReportWith({FailureOf(2)}));
   EXPECT_TRUE(node.IsEjected(2));
 }
 
-TEST(OutlierConsensus, AnAnswerThatSomebodyGotSinceReleasesAll) {
-  Node node(8);
+TEST(OutlierConsensus, AnAnswerToAnyNodeSinceTheFailuresEndsTheEjection) {
+  TestNode node(8);
   for (const char* p : {"p0", "p1", "p2", "p3", "p4", "p5"})
     node.model.OnReport(node.now, p, ReportWith({FailureOf(1)}));
   ASSERT_TRUE(node.IsEjected(1));
   gossip::OutlierReport good{1, 1000, 0, 0, kSecond / 10, 0, 5, 0, 0};
   node.now += kSecond;
   node.model.OnReport(node.now, "p6", ReportWith({good}));
-  const auto told = node.Evaluate();
-  ASSERT_TRUE(told.contains(1));
-  EXPECT_EQ(told.at(1).ejected_until, 0);
+  const auto reports = node.Evaluate();
+  ASSERT_TRUE(reports.contains(1));
+  EXPECT_EQ(reports.at(1).ejected_until, 0);
   EXPECT_STREQ(node.model.findings().front().reason, "answered-since");
 }
 
-TEST(OutlierConsensus, ANodeThatSeesItsOwnNetworkCountsForNothing) {
-  Node node(6);
+TEST(OutlierConsensus, ReportsOfNodesWithAFaultyNetworkAreIgnored) {
+  TestNode node(6);
   std::vector<gossip::OutlierReport> all;
   for (policy::ReplicaId id = 1; id <= 20; ++id) all.push_back(FailureOf(id));
-  // A third of the nodes see every replica fail.
+  // For a third of the nodes every replica fails.
   node.model.OnReport(node.now, "p0", ReportWith(all));
   node.model.OnReport(node.now, "p1", ReportWith(all));
   for (policy::ReplicaId id = 1; id <= 20; ++id) EXPECT_FALSE(node.IsEjected(id));
-  // One that says itself that it is in doubt, though it accuses one alone.
-  NodeReport suspecting = ReportWith({FailureOf(2)});
-  suspecting.suspects_itself = true;
-  node.model.OnReport(node.now, "p2", suspecting);
+  // A node that suspects itself, although it reports only one replica.
+  NodeReport report_of_p2 = ReportWith({FailureOf(2)});
+  report_of_p2.suspects_itself = true;
+  node.model.OnReport(node.now, "p2", report_of_p2);
   node.model.OnReport(node.now, "p3", ReportWith({FailureOf(2)}));
   EXPECT_FALSE(node.IsEjected(2));
-  // And this node, cut off itself, says so.
+  // This node, if every replica fails for it, reports that it suspects itself.
   for (policy::ReplicaView& view : node.fleet.all) {
     view.ejected_until = node.now + kSecond;
     view.consecutive_failures = 2;
@@ -383,91 +388,92 @@
 }
 
 TEST(OutlierConsensus, NeverMoreThanAShareOfTheFleetIsEjected) {
-  Node node(10);
-  // Pairs of accusers, each pair of three replicas of its own: nobody accuses many, together they accuse
-  // twelve.
+  TestNode node(10);
+  // Four pairs of reporters, each pair for three other replicas: no node reports many, but together they
+  // report twelve.
   for (std::size_t i = 0; i < 8; ++i) {
     std::vector<gossip::OutlierReport> outlier_reports;
     for (policy::ReplicaId k = 0; k < 3; ++k)
       outlier_reports.push_back(FailureOf(static_cast<policy::ReplicaId>(i / 2 * 3) + k + 1));
     node.model.OnReport(node.now, "p" + std::to_string(i), ReportWith(outlier_reports));
   }
-  std::size_t out = 0;
-  for (const auto& [id, t] : node.Evaluate()) out += t.ejected_until > node.now ? 1 : 0;
-  EXPECT_EQ(out, 4U);  // a fifth of twenty
+  std::size_t ejected = 0;
+  for (const auto& [id, report] : node.Evaluate()) ejected += report.ejected_until > node.now ? 1 : 0;
+  EXPECT_EQ(ejected, 4U);  // a fifth of twenty
 }
 
-TEST(OutlierConsensus, WhatIsReportedOfOneThatWasReplacedAtTheSameAddressMeansNothing) {
-  Node node(4);
+TEST(OutlierConsensus, ReportsOnAReplicaThatHasRestartedAreIgnored) {
+  TestNode node(4);
   node.model.OnReport(node.now, "p0", ReportWith({FailureOf(1, 999)}));
   node.model.OnReport(node.now, "p1", ReportWith({FailureOf(1, 999)}));
   EXPECT_FALSE(node.IsEjected(1));
   node.model.OnReport(node.now, "p0", ReportWith({FailureOf(1)}));
   node.model.OnReport(node.now, "p1", ReportWith({FailureOf(1)}));
   EXPECT_TRUE(node.IsEjected(1));
-  node.fleet.at(1).endpoint.started_at = 2000;  // replaced
+  node.fleet.at(1).endpoint.started_at = 2000;  // restarted
   EXPECT_FALSE(node.IsEjected(1));
 }
 
-TEST(OutlierConsensus, SilenceTakesMoreWhoWaitAndNoAnswerSinceTheyBegan) {
-  Node node(6);
+TEST(OutlierConsensus, StallsRequireThreeReportersAndNoAnswerSinceTheyBegan) {
+  TestNode node(6);
   const gossip::OutlierReport stall{1, 1000, 0, 0, 20 * kSecond, 0, 1, 2, 4 * kSecond};
   node.model.OnReport(node.now, "p0", ReportWith({stall}));
   node.model.OnReport(node.now, "p1", ReportWith({stall}));
   EXPECT_FALSE(node.IsEjected(1));
   node.model.OnReport(node.now, "p2", ReportWith({stall}));
   EXPECT_TRUE(node.IsEjected(1));
-  // Somebody got an answer three seconds ago, so it is only slow.
+  // Another node got an answer three seconds ago, so the replica is only slow.
   node.model.OnReport(node.now, "p3", ReportWith({{1, 1000, 0, 0, 3 * kSecond, 0, 5, 0, 0}}));
   EXPECT_FALSE(node.IsEjected(1));
 }
 
-TEST(OutlierConsensus, SlownessIsAMedianThatOneLiarCannotMove) {
-  Node node(8);
+TEST(OutlierConsensus, OneFalseReportDoesNotMoveTheMedianSlowness) {
+  TestNode node(8);
   const auto slow = [](double s) { return gossip::OutlierReport{1, 1000, 0, 0, kSecond, s, 6, 0, 0}; };
-  // One says a thousand times: nothing comes of it while the others find the replica as usual.
+  // One node reports the highest slowness. It has no effect while the others find the replica normal.
   node.model.OnReport(node.now, "p0", ReportWith({slow(4)}));
   node.Evaluate();
-  NodeReport asked;  // who is asked says what it found
-  policy::ReplicaView& used = node.fleet.at(1);
-  used.slowness = 0.05;
-  used.slowness_samples = 4;
-  used.slowness_updated_at = node.now;
+  NodeReport requested;  // once a node reports slowness, this node reports its own finding
+  policy::ReplicaView& own_view = node.fleet.at(1);
+  own_view.slowness = 0.05;
+  own_view.slowness_samples = 4;
+  own_view.slowness_updated_at = node.now;
   node.model.ObserveReplicas(node.now, node.fleet.all, false);
-  node.model.FillReport(node.now, &asked);
-  ASSERT_EQ(asked.outlier_reports.size(), 1U);
+  node.model.FillReport(node.now, &requested);
+  ASSERT_EQ(requested.outlier_reports.size(), 1U);
   for (const char* p : {"p1", "p2", "p3"}) node.model.OnReport(node.now, p, ReportWith({slow(0.1)}));
-  for (const auto& [id, t] : node.Evaluate()) EXPECT_EQ(t.slowness_samples, 0) << id;
-  // Most find it slow: it counts, with a weight below an own answer's, whatever the liar says.
+  for (const auto& [id, report] : node.Evaluate()) EXPECT_EQ(report.slowness_samples, 0) << id;
+  // Once most nodes find the replica slow, their median counts, with a lower weight than this node's own
+  // answers.
   for (const char* p : {"p1", "p2", "p3"}) node.model.OnReport(node.now, p, ReportWith({slow(1.8)}));
-  const auto told = node.Evaluate();
-  ASSERT_TRUE(told.contains(1));
-  EXPECT_NEAR(told.at(1).slowness, 1.8, 0.01);
-  EXPECT_LE(told.at(1).slowness_samples, gossip::OutlierConsensusLimits{}.max_peer_samples);
+  const auto reports = node.Evaluate();
+  ASSERT_TRUE(reports.contains(1));
+  EXPECT_NEAR(reports.at(1).slowness, 1.8, 0.01);
+  EXPECT_LE(reports.at(1).slowness_samples, gossip::OutlierConsensusLimits{}.max_peer_samples);
 }
 
 TEST(OutlierConsensus, OrphanedAttemptsOfADeadNodeCountUntilTheyMustHaveEnded) {
-  Node node(3);
+  TestNode node(3);
   node.model.OnReport(node.now, "p0", ReportWith({{1, 1000, 2, kSecond, kSecond, 0, 1, 8, 0}}));
   node.Evaluate();
   node.now += 2 * kSecond;
   node.model.SetMembers(node.now, {{"p1", ""}, {"p2", ""}}, "", true);
-  auto told = node.Evaluate(0.5);
-  ASSERT_TRUE(told.contains(1));
-  EXPECT_NEAR(told.at(1).orphaned_in_flight, 4, 1e-9);  // this node's part of eight
+  auto reports = node.Evaluate(0.5);
+  ASSERT_TRUE(reports.contains(1));
+  EXPECT_NEAR(reports.at(1).orphaned_in_flight, 4, 1e-9);  // half of eight
   node.now += gossip::OutlierConsensusLimits{}.orphan_lifetime;
-  told = node.Evaluate(0.5);
-  ASSERT_TRUE(told.contains(1));
-  EXPECT_EQ(told.at(1).orphaned_in_flight, 0);
+  reports = node.Evaluate(0.5);
+  ASSERT_TRUE(reports.contains(1));
+  EXPECT_EQ(reports.at(1).orphaned_in_flight, 0);
 }
 
-// Whatever order messages arrive in and however often, the newest report of each node counts.
-RC_GTEST_PROP(OutlierConsensus, AnyOrderAndRepetitionEndsTheSame, ()) {
+// The newest report of each node counts, in whatever order and however often messages arrive.
+RC_GTEST_PROP(OutlierConsensus, AnyOrderAndRepetitionOfMessagesGivesTheSameResult, ()) {
   gossip::SharedStateModel a("me", 1, 0, {}), b("me", 1, 0, {});
   std::vector<gossip::OutlierConsensusModel::Peer> members;
   for (int i = 0; i < 6; ++i) members.push_back({"p" + std::to_string(i), ""});
   const Time now = 50 * kSecond;
-  Fleet fleet(20);
+  TestFleet fleet(20);
   std::vector<gossip::GossipMessage> messages;
   for (int i = 0; i < 6; ++i) {
     for (std::uint64_t k = 1; k <= 3; ++k) {
@@ -484,176 +490,177 @@
   for (std::size_t i = shuffled.size(); i > 1; --i)
     std::swap(shuffled[i - 1], shuffled[*rc::gen::inRange<std::size_t>(0, i)]);
   shuffled.insert(shuffled.end(), messages.begin(), messages.begin() + 5);
-  const auto play = [&](gossip::SharedStateModel& m, const std::vector<gossip::GossipMessage>& all) {
-    m.SetMembers(now, members, "", true, true);
-    m.ObserveReplicas(now, fleet.all, false);
-    for (const gossip::GossipMessage& message : all) m.OnMessage(now, message);
+  const auto evaluate = [&](gossip::SharedStateModel& model, const std::vector<gossip::GossipMessage>& all) {
+    model.SetMembers(now, members, "", true, true);
+    model.ObserveReplicas(now, fleet.all, false);
+    for (const gossip::GossipMessage& message : all) model.OnMessage(now, message);
     std::vector<policy::ReplicaId> ejected;
-    for (const policy::Event& e : m.Evaluate(now, 7)) {
-      const auto* told = std::get_if<policy::PeerReportsReceived>(&e);
-      for (std::size_t i = 0; told != nullptr && i < told->replicas.size(); ++i) {
-        if (told->replicas[i].ejected_until > now) ejected.push_back(told->replicas[i].id);
+    for (const policy::Event& event : model.Evaluate(now, 7)) {
+      const auto* reports = std::get_if<policy::PeerReportsReceived>(&event);
+      for (std::size_t i = 0; reports != nullptr && i < reports->replicas.size(); ++i) {
+        if (reports->replicas[i].ejected_until > now) ejected.push_back(reports->replicas[i].id);
       }
     }
     return ejected;
   };
-  RC_ASSERT(play(a, messages) == play(b, shuffled));
+  RC_ASSERT(evaluate(a, messages) == evaluate(b, shuffled));
 }
 
-TEST(PrefixTraffic, IsCountedOverAllNodesAndOneLiarIsBounded) {
-  gossip::PrefixTrafficModel m("me", 0);
+TEST(PrefixTraffic, IsSummedOverAllNodesAndOneFalseReportIsBounded) {
+  gossip::PrefixTrafficModel model("me", 0);
   Time now = 30 * kSecond;
-  for (int i = 0; i < 200; ++i) m.OnArrival(now - (i % 20) * kSecond, i % 4 == 0 ? 7 : 8);
+  for (int i = 0; i < 200; ++i) model.OnArrival(now - (i % 20) * kSecond, i % 4 == 0 ? 7 : 8);
   for (int i = 0; i < 5; ++i) {
     NodeReport report = MakeReport(1, 1, 10);
     report.prefix_rates = {{7, 4}, {8, 2}};
-    m.OnReport(now, "p" + std::to_string(i), report);
+    model.OnReport(now, "p" + std::to_string(i), report);
   }
   policy::PrefixTrafficReceived traffic;
-  ASSERT_TRUE(m.UpdateShares(now, &traffic));
+  ASSERT_TRUE(model.UpdateShares(now, &traffic));
   ASSERT_EQ(traffic.shares.size(), 2U);
   EXPECT_EQ(traffic.shares[0].first, 7U);
   EXPECT_GT(traffic.shares[0].second, 0.3);
   EXPECT_LT(traffic.shares[0].second, 0.4);
-  NodeReport lie = MakeReport(1, 1, 1e6);
-  lie.prefix_rates = {{99, 1e6}, {8, 1e6}};
-  m.OnReport(now, "liar", lie);
+  NodeReport false_report = MakeReport(1, 1, 1e6);
+  false_report.prefix_rates = {{99, 1e6}, {8, 1e6}};
+  model.OnReport(now, "liar", false_report);
   now += 2 * kSecond;
-  m.UpdateShares(now, &traffic);
+  model.UpdateShares(now, &traffic);
   for (const auto& [prefix, share] : traffic.shares) {
-    EXPECT_NE(prefix, 99U);  // too few tell of it
+    EXPECT_NE(prefix, 99U);  // reported by too few nodes
     EXPECT_LT(share, 0.75);
   }
-  EXPECT_TRUE(m.WithdrawAll(&traffic));
+  EXPECT_TRUE(model.WithdrawAll(&traffic));
   EXPECT_TRUE(traffic.shares.empty());
 }
 
-TEST(TrafficShare, OneThatLiesByAThousandLeavesTheOthersABoundedPart) {
+TEST(TrafficShare, ANodeThatReportsAThousandfoldRateTakesABoundedShare) {
   Time now = kSecond;
-  TrafficShareModel m("me", 1, now);
-  const double before = ShareAfter(m, std::vector<double>(9, 20), 20, 40, &now);
-  m.OnReport(now, "p0", MakeReport(1, ~std::uint64_t{0}, 20'000));
-  const double after = m.UpdateShare(now, 10);
+  TrafficShareModel model("me", 1, now);
+  const double before = ShareAfter(model, std::vector<double>(9, 20), 20, 40, &now);
+  model.OnReport(now, "p0", MakeReport(1, ~std::uint64_t{0}, 20'000));
+  const double after = model.UpdateShare(now, 10);
   EXPECT_GT(after, before * 10 / (9 + 1.25 * gossip::kMaxTimesMedian + 1));
   EXPECT_LT(after, before);
 }
 
-TEST(GossipSimulation, ReportsSpreadThoughAThirdIsLostAndSomeHearHalfOfTheOthers) {
+TEST(GossipSimulation, ReportsSpreadDespiteLossesAndOneWayCuts) {
   emulator::GossipSimulationSpec spec;
   spec.nodes = 48;
   spec.replicas = 100;
   spec.rate = 20;
   spec.loss = 0.3;
   spec.one_way = 6;
-  const auto r = emulator::PlayGossipSimulation(spec);
-  EXPECT_EQ(r.unheard, 0);
-  EXPECT_LT(r.age_p99, 20);
-  EXPECT_GT(r.alone_p50, 0);
-  EXPECT_LT(r.alone_last, 45);  // every node left every failing replica alone before the end
-  EXPECT_LT(r.bytes, 20'000);
-}
-
-emulator::ScenarioSpec Day() {
-  emulator::ScenarioSpec d;
-  d.seconds = 60;
-  d.warm = 20;
-  d.fleet.nodes = 8;
-  d.fleet.replicas = 24;
-  d.fleet.skew = 0.8;
-  d.clients.per_second = 400;
-  return d;
-}
-
-TEST(GossipDay, OneSeedOneDayAndSharesThatAddUp) {
-  emulator::ScenarioSpec d = Day();
-  d.fleet.tier.talk = "talk-parts";
-  d.fleet.tier.loss = 0.3;
-  const auto a = emulator::PlayScenario(d), b = emulator::PlayScenario(d);
+  const auto result = emulator::PlayGossipSimulation(spec);
+  EXPECT_EQ(result.unheard, 0);
+  EXPECT_LT(result.age_p99, 20);
+  EXPECT_GT(result.alone_p50, 0);
+  EXPECT_LT(result.alone_last, 45);  // every node ejected every failing replica before the end
+  EXPECT_LT(result.bytes, 20'000);
+}
+
+emulator::ScenarioSpec BaseScenario() {
+  emulator::ScenarioSpec scenario;
+  scenario.seconds = 60;
+  scenario.warm = 20;
+  scenario.fleet.nodes = 8;
+  scenario.fleet.replicas = 24;
+  scenario.fleet.skew = 0.8;
+  scenario.clients.per_second = 400;
+  return scenario;
+}
+
+TEST(GossipScenario, SameSeedGivesTheSameRunAndSharesAddUp) {
+  emulator::ScenarioSpec scenario = BaseScenario();
+  scenario.fleet.tier.talk = "talk-parts";
+  scenario.fleet.tier.loss = 0.3;
+  const auto a = emulator::PlayScenario(scenario), b = emulator::PlayScenario(scenario);
   EXPECT_EQ(a.worth, b.worth);
   EXPECT_EQ(a.joint_shares, b.joint_shares);
   EXPECT_EQ(a.breaks.all(), 0U) << a.breaks.Words();
   EXPECT_LE(a.joint_shares, 1.1);
 }
 
-TEST(GossipDay, HalvesThatDoNotHearEachOtherStayWithinTheBound) {
-  emulator::ScenarioSpec d = Day();
-  d.fleet.tier.talk = "talk-parts";
-  d.faults = {{"talk-cut", 25, 25, 0, 3}};  // three of eight: the five go on by themselves
-  const auto r = emulator::PlayScenario(d);
-  EXPECT_EQ(r.breaks.all(), 0U) << r.breaks.Words();
-  EXPECT_LE(r.joint_shares, 2.0);
-  d.faults = {{"talk-cut", 25, 25, 0, 4}};  // even halves: neither side removes the other
-  EXPECT_LE(emulator::PlayScenario(d).joint_shares, 1.1);
+TEST(GossipScenario, SharesOfPartitionedHalvesStayWithinTheBound) {
+  emulator::ScenarioSpec scenario = BaseScenario();
+  scenario.fleet.tier.talk = "talk-parts";
+  scenario.faults = {{"talk-cut", 25, 25, 0, 3}};  // three of eight are cut off; the five remove them
+  const auto result = emulator::PlayScenario(scenario);
+  EXPECT_EQ(result.breaks.all(), 0U) << result.breaks.Words();
+  EXPECT_LE(result.joint_shares, 2.0);
+  scenario.faults = {{"talk-cut", 25, 25, 0, 4}};  // even halves: neither side removes the other
+  EXPECT_LE(emulator::PlayScenario(scenario).joint_shares, 1.1);
 }
 
-TEST(GossipDay, NodesThatDieAndReturnBreakNoRule) {
-  emulator::ScenarioSpec d = Day();
-  d.fleet.tier.talk = "talk-parts";
-  d.faults = {{"node-dies", 25, 15, 0, 5}};
-  const auto r = emulator::PlayScenario(d);
-  EXPECT_EQ(r.breaks.all(), 0U) << r.breaks.Words();
+TEST(GossipScenario, NodesThatDieAndReturnBreakNoInvariant) {
+  emulator::ScenarioSpec scenario = BaseScenario();
+  scenario.fleet.tier.talk = "talk-parts";
+  scenario.faults = {{"node-dies", 25, 15, 0, 5}};
+  const auto result = emulator::PlayScenario(scenario);
+  EXPECT_EQ(result.breaks.all(), 0U) << result.breaks.Words();
 }
 
-// Worth that stays down after its cause is over shows, and worth that is back shows when.
-TEST(GossipDay, WhenADayIsBackIsSeenAndThatItNeverIs) {
-  std::vector<emulator::Second> day(60);
-  for (std::size_t s = 0; s < day.size(); ++s) {
-    day[s].worth_asked = 10;
-    day[s].worth = s < 20 ? 9 : s < 33 ? 2 : 9;
+// BackAfter returns how long it took until the worth per second was back to its level from before a fault.
+TEST(GossipScenario, RecoveryTimeIsFoundAlsoIfThereIsNoRecovery) {
+  std::vector<emulator::Second> seconds(60);
+  for (std::size_t s = 0; s < seconds.size(); ++s) {
+    seconds[s].worth_asked = 10;
+    seconds[s].worth = s < 20 ? 9 : s < 33 ? 2 : 9;
   }
-  EXPECT_NEAR(emulator::BackAfter(day, 60, 5, 20, 25), 8, 0.01);
-  for (std::size_t s = 33; s < day.size(); ++s) day[s].worth = 5;
-  EXPECT_NEAR(emulator::BackAfter(day, 60, 5, 20, 25), 35, 0.01);
-  for (std::size_t s = 25; s < day.size(); ++s) day[s].worth = 8.6;  // 95.6% of it
-  EXPECT_NEAR(emulator::BackAfter(day, 60, 5, 20, 25), 0, 0.01);
-  day[31].worth = 0;  // good for a moment is not back
-  EXPECT_GT(emulator::BackAfter(day, 60, 5, 20, 25), 5);
-}
-
-// It knows what comes to it after a second, and the others must have heard that before its part rises.
-TEST(TrafficShare, ANodeThatHasJustStartedTakesPartAtAGrowingShare) {
+  EXPECT_NEAR(emulator::BackAfter(seconds, 60, 5, 20, 25), 8, 0.01);
+  for (std::size_t s = 33; s < seconds.size(); ++s) seconds[s].worth = 5;
+  EXPECT_NEAR(emulator::BackAfter(seconds, 60, 5, 20, 25), 35, 0.01);
+  for (std::size_t s = 25; s < seconds.size(); ++s) seconds[s].worth = 8.6;  // 95.6 % of the level before
+  EXPECT_NEAR(emulator::BackAfter(seconds, 60, 5, 20, 25), 0, 0.01);
+  seconds[31].worth = 0;  // a recovery must last
+  EXPECT_GT(emulator::BackAfter(seconds, 60, 5, 20, 25), 5);
+}
+
+// A new node knows its own rate after a second, but its share rises only after the others have had time to
+// receive that rate.
+TEST(TrafficShare, TheShareOfANewNodeGrowsGradually) {
   Time now = kSecond;
-  TrafficShareModel m("me", 1, now);
+  TrafficShareModel model("me", 1, now);
   const std::vector<double> others(9, 20);
-  const double first = ShareAfter(m, others, 20, 2, &now);
-  EXPECT_LT(first, 0.03);  // what a node without traffic gets
+  const double first = ShareAfter(model, others, 20, 2, &now);
+  EXPECT_LT(first, 0.03);  // about the share of a node without traffic
   EXPECT_GT(first, 0.01);
   double last = first;
-  for (int s = 0; s < 20; ++s) {
-    const double next = ShareAfter(m, others, 20, 1, &now);
+  for (int second = 0; second < 20; ++second) {
+    const double next = ShareAfter(model, others, 20, 1, &now);
     EXPECT_GE(next, last * 0.9);
     last = next;
   }
   EXPECT_NEAR(last, 0.1, 0.01);
-  // All start at once: nobody has anything to go by, and each has its equal part until rates are told.
+  // If all nodes start at once, each has the equal share until rates are reported.
   TrafficShareModel fresh("me", 1, now);
   EXPECT_NEAR(ShareAfter(fresh, std::vector<double>(9, 0), 0, 2, &now), 0.1, 0.001);
 }
 
-TEST(GossipDay, OutlierReportsSpareMostOfTheErrorsAndOneThatLiesTakesNothing) {
-  emulator::ScenarioSpec d = Day();
-  d.fleet.nodes = 24;
-  d.clients.per_second = 200;
-  emulator::FaultSpec bad;
-  bad.what = "fails";
-  bad.at = 25;
-  bad.lasts = 20;
-  bad.count = 3;
-  d.faults = {bad};
-  const auto alone = emulator::PlayScenario(d);
-  d.fleet.tier.talk = "talk-evidence";
-  d.fleet.tier.loss = 0.3;
-  const auto told = emulator::PlayScenario(d);
-  EXPECT_EQ(told.breaks.all(), 0U) << told.breaks.Words();
-  EXPECT_LT(told.errors, alone.errors * 2 / 3);
-  EXPECT_GE(told.Share(), alone.Share() - 0.02);
-  // Nobody fails, but one says that all do.
-  d.faults.clear();
-  const auto calm = emulator::PlayScenario(d);
-  d.fleet.tier.liar = 5;
-  const auto lied_to = emulator::PlayScenario(d);
-  EXPECT_GE(lied_to.Share(), calm.Share() - 0.01);
-  EXPECT_EQ(lied_to.breaks.all(), 0U);
+TEST(GossipScenario, OutlierReportsPreventErrorsAndOneFalseReporterDoesNoHarm) {
+  emulator::ScenarioSpec scenario = BaseScenario();
+  scenario.fleet.nodes = 24;
+  scenario.clients.per_second = 200;
+  emulator::FaultSpec fault;
+  fault.what = "fails";
+  fault.at = 25;
+  fault.lasts = 20;
+  fault.count = 3;
+  scenario.faults = {fault};
+  const auto without_gossip = emulator::PlayScenario(scenario);
+  scenario.fleet.tier.talk = "talk-evidence";
+  scenario.fleet.tier.loss = 0.3;
+  const auto with_gossip = emulator::PlayScenario(scenario);
+  EXPECT_EQ(with_gossip.breaks.all(), 0U) << with_gossip.breaks.Words();
+  EXPECT_LT(with_gossip.errors, without_gossip.errors * 2 / 3);
+  EXPECT_GE(with_gossip.Share(), without_gossip.Share() - 0.02);
+  // No replica fails, but one node reports that all do.
+  scenario.faults.clear();
+  const auto without_liar = emulator::PlayScenario(scenario);
+  scenario.fleet.tier.liar = 5;
+  const auto with_liar = emulator::PlayScenario(scenario);
+  EXPECT_GE(with_liar.Share(), without_liar.Share() - 0.01);
+  EXPECT_EQ(with_liar.breaks.all(), 0U);
 }
 
 }  // namespace
