--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -43,7 +43,7 @@
 TEST(Termination, EverythingEndsBeforeSigkillForAllDeadlines) {
   for (Time deadline = 0; deadline <= 4'000'000; deadline += 10'000) {
     const TerminationPlan plan = PlanFor({deadline});
-    EXPECT_LT(plan.respond_by, plan.earliest_kill - 150'000);  // a node may be suspended for 0.15 s
+    EXPECT_LT(plan.respond_by, plan.earliest_kill - 150'000);  // a node may be delayed by 0.15 s
     EXPECT_LE(plan.accept_requests_until, plan.respond_by);
     EXPECT_LT(plan.respond_by, plan.exit_by);
     EXPECT_LE(plan.exit_by, plan.earliest_kill - 80'000);
--- a/tests/request_lifecycle.cpp
+++ b/tests/request_lifecycle.cpp
@@ -1,5 +1,5 @@
-// The node between scripted peers, one scenario for each failure met or expected. `request_lifecycle PROGRAM
-// NAME` plays one of them.
+// The node between scripted peers: one scenario for each failure that has occurred or is expected.
+// `request_lifecycle PROGRAM NAME` runs one of them.
 #include <cstring>
 #include <future>
 #include <map>
@@ -12,21 +12,22 @@
 namespace {
 
 std::string program;
-const std::string kNobody = "127.0.0.1:9";  // discovery that the node never needs
+const std::string kUnreachable = "127.0.0.1:9";  // address of a discovery service that the node does not need
 
-struct One {  // a node with one upstream host
+struct SingleHostNode {  // a node with one upstream host
   ScriptedServer host;
-  Node node{program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNobody};
+  Node node{program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kUnreachable};
 };
 
-// Events pass unchanged, each as it comes; the last chunk only after the host's own; both connections go on.
-void Calm() {
-  One w;
-  Connection client = w.node.Connect(), host;
+// Events are passed on unchanged and at once, the last chunk only after the host's own. Both connections are
+// reused.
+void PassesEventsUnchanged() {
+  SingleHostNode setup;
+  Connection client = setup.node.Connect(), host;
   for (const std::string id : {"9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42"}) {
-    usleep(50'000);  // a connection just parked is left alone for a moment
+    usleep(50'000);  // a connection is reused only after it has been idle for a moment
     client.Send(RequestText(id, "{\"a\":1}"));
-    if (host.fd() < 0) host = w.host.Accept();
+    if (host.fd() < 0) host = setup.host.Accept();
     std::string body;
     const std::string head = host.ReadMessage(&body);
     assert(head.rfind("POST /v1/chat/completions?x=1 HTTP/1.1\r\n", 0) == 0);
@@ -35,19 +36,19 @@
     host.Send(kStreamHead);
     for (const std::string event : {"data: {\"a\"}\n\n", "data: b\r\n\r\n", "data: [DONE]\n\n"}) {
       host.SendChunk(event);
-      assert(Contains(client.ReadUntil(event), "\r\n"));  // before the next is sent
+      assert(Contains(client.ReadUntil(event), "\r\n"));  // received before the next event is sent
     }
     assert(client.ReadBytes(2) == "\r\n" && !client.ReadableWithin(100));
     host.SendChunk("");
     assert(client.ReadBytes(5) == "0\r\n\r\n");
   }
-  assert(!w.host.HasConnectionWithin(0));
+  assert(!setup.host.HasConnectionWithin(0));
 }
 
-// A stream that has passed on its first event.
-Connection Begin(const One& w, Connection& client, const std::string& id = "1") {
+// Starts a stream and waits until the client has received its first event. Returns the upstream connection.
+Connection StartStream(const SingleHostNode& setup, Connection& client, const std::string& id = "1") {
   client.Send(RequestText(id));
-  Connection host = w.host.Accept();
+  Connection host = setup.host.Accept();
   host.ReadMessage();
   host.Send(kStreamHead);
   host.SendChunk("data: x\n\n");
@@ -55,27 +56,29 @@
   return host;
 }
 
-// A stream that breaks ends the client's connection without the last chunk.
-void Broken() {
-  One w;
-  Connection client = w.node.Connect();
-  Connection host = Begin(w, client);
+// When the upstream connection breaks, the client's connection is closed without the last chunk.
+void UpstreamStreamBreaks() {
+  SingleHostNode setup;
+  Connection client = setup.node.Connect();
+  Connection host = StartStream(setup, client);
   host.Close();
   assert(client.ReadToEnd() == "\r\n");
 }
 
-// So does one whose host says nothing more: its connection stays open, so only the node's own limit tells.
-void Silent() {
-  One w;
-  Connection client = w.node.Connect();
-  Connection host = Begin(w, client);
+// The same happens when the host sends nothing more: its connection stays open, so only the node's idle
+// timeout detects it.
+void UpstreamStreamStalls() {
+  SingleHostNode setup;
+  Connection client = setup.node.Connect();
+  Connection host = StartStream(setup, client);
   assert(client.ReadToEnd() == "\r\n");
-  assert(host.ReadToEnd().empty());  // and is given up on upstream
+  assert(host.ReadToEnd().empty());  // the node closes the upstream connection too
 }
 
-// What a host turns away, or fails with, goes elsewhere, with one attempt out at a time.
-void Elsewhere() {
-  for (const std::string& answer :
+// A request that a host rejects or that fails there is retried at another host, with one attempt in flight at
+// a time.
+void RetriesAtAnotherHost() {
+  for (const std::string& response :
        std::vector<std::string>{"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
                                 "HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", "",
                                 "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "garbage\r\n\r\n",
@@ -85,7 +88,7 @@
     ScriptedServer a, b;
     Node node(program,
               EndpointListJson(1, true, {InstanceJson("s-a", a.address()), InstanceJson("s-b", b.address())}),
-              kNobody);
+              kUnreachable);
     Connection client = node.Connect();
     client.Send(RequestText("1", std::string(200'000, 'p')));
     while (!a.HasConnectionWithin(5) && !b.HasConnectionWithin(5)) {
@@ -95,7 +98,7 @@
     Connection one = first.Accept();
     one.ReadMessage();
     assert(!second.HasConnectionWithin(50));
-    answer.empty() ? one.Close() : one.Send(answer);
+    response.empty() ? one.Close() : one.Send(response);
     Connection two = second.Accept();
     std::string body;
     two.ReadMessage(&body);
@@ -107,78 +110,79 @@
   }
 }
 
-// What is spoilt after the first event ends the client's connection without the last chunk, and is not passed
-// on.
-void Spoilt() {
+// Malformed data after the first event is not passed on, and the client's connection is closed without the
+// last chunk.
+void MalformedAfterFirstEvent() {
   for (const std::string& rest : std::vector<std::string>{"9\r\ndata: y\n\nXX9\r\ndata: y\n\n\r\n0\r\n\r\n",
                                                           "zz\r\ndata: y\n\n", "B2D05E00\r\ndata: y\n\n"}) {
-    One w;
-    Connection client = w.node.Connect();
-    Connection host = Begin(w, client);
+    SingleHostNode setup;
+    Connection client = setup.node.Connect();
+    Connection host = StartStream(setup, client);
     host.Send(rest);
     assert(client.ReadToEnd() == "\r\n");
   }
 }
 
-// More than belongs to an answer: 1xx ahead leave nothing behind and do not start its time, and a second
-// answer right behind is never taken for the next request's, not even if both arrive in one turn of the loop.
-void Surplus() {
-  One w;
-  Connection client = w.node.Connect();
+// Responses beside the expected one. 1xx responses before it have no influence on it and do not start its
+// timeout. A second response right after it is never used for the next request, even if both are read in one
+// iteration of the loop.
+void ExtraResponses() {
+  SingleHostNode setup;
+  Connection client = setup.node.Connect();
   client.Send(RequestText("1"));
-  Connection host = w.host.Accept();
+  Connection host = setup.host.Accept();
   host.ReadMessage();
   host.Send("HTTP/1.1 103 Early\r\nX-Rejected: 1\r\nX-Empty:\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n");
-  usleep(1'200'000);  // the answer itself has its full time
+  usleep(1'200'000);  // longer than kFirstEventTimeout, which must not run yet
   host.Send("HTTP/1.1 503 Broken\r\nContent-Length: 0\r\n\r\n");
-  w.node.WaitForLog("outcome=error");  // not one that never ran
+  setup.node.WaitForLog("outcome=error");  // not a rejection: X-Rejected was in the 1xx response
   usleep(50'000);
-  if (!host.ReadableWithin(2'000)) host = w.host.Accept();
+  if (!host.ReadableWithin(2'000)) host = setup.host.Accept();
   host.ReadMessage();
-  const std::string answer = kStreamHead + "9\r\ndata: a\n\n\r\n0\r\n\r\n";
-  host.Send(answer);
+  const std::string response = kStreamHead + "9\r\ndata: a\n\n\r\n0\r\n\r\n";
+  host.Send(response);
   assert(Contains(client.ReadUntil("0\r\n\r\n"), "data: a"));
   usleep(50'000);
-  w.node.Suspend();
+  setup.node.Suspend();
   client.Send(RequestText("2"));
   usleep(20'000);
   host.Send(kStreamHead + "9\r\ndata: 9\n\n\r\n0\r\n\r\n");
-  w.node.Resume();
-  Connection other = w.host.Accept();
+  setup.node.Resume();
+  Connection other = setup.host.Accept();
   other.ReadMessage();
-  other.Send(answer);
+  other.Send(response);
   assert(!Contains(client.ReadUntil("0\r\n\r\n"), "data: 9"));
 }
 
-// Nobody listens: a refused connection proves the request never ran, and the module refuses it at once.
-void Refused() {
-  One w;
-  w.host.StopListening();
-  Connection client = w.node.Connect();
+// No host listens: a refused connection proves that the request never ran, so it is rejected at once.
+void ConnectionRefused() {
+  SingleHostNode setup;
+  setup.host.StopListening();
+  Connection client = setup.node.Connect();
   client.Send(RequestText("1", "{}", "3.0"));
   const std::string head = client.ReadMessage();
   assert(Contains(head, " 503 ") && Contains(head, "Retry-After: "));
 }
 
-// A host that says nothing: the answer comes before the budget ends, and the attempt is given up.
-void Timeout() {
-  One w;
-  Connection client = w.node.Connect();
+// A host that never answers: the node responds before the time budget ends, and cancels the attempt.
+void HostNeverAnswers() {
+  SingleHostNode setup;
+  Connection client = setup.node.Connect();
   client.Send(RequestText("1", "{}", "0.800"));
-  Connection host = w.host.Accept();
+  Connection host = setup.host.Accept();
   host.ReadMessage();
   const std::string head = client.ReadMessage();
   assert(Contains(head, " 503 ") && Contains(head, "Retry-After: "));
   assert(host.ReadToEnd().empty());
-  assert(!w.host.HasConnectionWithin(50) &&
-         !Contains(w.node.Log(), "watchdog-reply"));  // no hopeless attempt after it
-  client.Send(RequestText("2", "{}", "0"));           // no time at all
+  // There is no further attempt that could not succeed, and it was not the watchdog that answered.
+  assert(!setup.host.HasConnectionWithin(50) && !Contains(setup.node.Log(), "watchdog-reply"));
+  client.Send(RequestText("2", "{}", "0"));  // no time budget at all
   assert(Contains(client.ReadMessage(), " 503 "));
 }
 
-// One local reply each, and the node goes on.
-void BadInput() {
-  One w;
+// Each invalid request gets one local reply, and the node keeps working.
+void InvalidRequests() {
+  SingleHostNode setup;
   const auto with = [](const std::string& from, const std::string& to) {
     std::string text = RequestText("ab");
     return text.replace(text.find(from), from.size(), to);
@@ -211,7 +215,7 @@
       {with("HTTP/1.1", "HTTP/1.0"), " 505 "},
   };
   for (const auto& [text, status] : cases) {
-    Connection client = w.node.Connect();
+    Connection client = setup.node.Connect();
     client.Send(text);
     const std::string head = client.ReadMessage();
     if (!Contains(head, status))
@@ -220,79 +224,80 @@
     shutdown(client.fd(), SHUT_WR);
     assert(!Contains(client.ReadToEnd(), "HTTP/1.1"));
   }
-  Connection client = w.node.Connect();
+  Connection client = setup.node.Connect();
   client.Send("POST /v1/chat/completions HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
   for (int i = 0; i < 5; ++i) client.SendChunk(std::string(60'000, 'x'));
   assert(Contains(client.ReadMessage(), " 413 "));
-  Connection well = w.node.Connect();
-  well.Send("GET /_health HTTP/1.1\r\n\r\nGET /_health HTTP/1.1\r\n\r\n");  // two at once, in turn
-  for (int i = 0; i < 2; ++i) assert(Contains(well.ReadMessage(), " 200 "));
+  Connection valid = setup.node.Connect();
+  valid.Send("GET /_health HTTP/1.1\r\n\r\nGET /_health HTTP/1.1\r\n\r\n");  // pipelined; answered in order
+  for (int i = 0; i < 2; ++i) assert(Contains(valid.ReadMessage(), " 200 "));
 }
 
-// A second request under an id that is still open would be a second copy upstream.
-void Duplicate() {
-  One w;
-  Connection first = w.node.Connect(), second = w.node.Connect();
+// A second request with the id of an open request is rejected: it would be a duplicate upstream.
+void DuplicateRequestId() {
+  SingleHostNode setup;
+  Connection first = setup.node.Connect(), second = setup.node.Connect();
   first.Send(RequestText("77"));
-  Connection host = w.host.Accept();
+  Connection host = setup.host.Accept();
   host.ReadMessage();
   second.Send(RequestText("77"));
   assert(Contains(second.ReadMessage(), " 409 "));
-  assert(!w.host.HasConnectionWithin(50));
+  assert(!setup.host.HasConnectionWithin(50));
 }
 
-// A client that leaves takes its upstream request along, before the first event and after.
-void Leaves() {
-  One w;
-  Connection waiting = w.node.Connect();
+// When a client disconnects, its upstream request is cancelled, before the first event as well as after it.
+void ClientDisconnects() {
+  SingleHostNode setup;
+  Connection waiting = setup.node.Connect();
   waiting.Send(RequestText("1"));
-  Connection host = w.host.Accept();
+  Connection host = setup.host.Accept();
   host.ReadMessage();
   waiting.Close();
   host.ReadToEnd();
-  Connection running = w.node.Connect();
-  host = Begin(w, running, "2");
+  Connection running = setup.node.Connect();
+  host = StartStream(setup, running, "2");
   running.Close();
-  for (int i = 0; !host.ReadableWithin(50); ++i) {  // it speaks on, so that no silence ends it
+  for (int i = 0; !host.ReadableWithin(50); ++i) {  // keeps sending, so that the idle timeout does not end it
     assert(i < 400);
     host.SendChunk("data: y\n\n");
   }
 }
 
-// After SIGTERM: health says no, new requests are served and their connections closed, what runs is finished,
-// and only then the node ends, with 0.
-void Terminates() {
-  One w;
-  Connection running = w.node.Connect(), kept = w.node.Connect();
+// After SIGTERM, health checks fail, new requests are served and their connections closed, and running
+// streams are completed. Only then does the node exit, with status 0.
+void ShutsDownGracefully() {
+  SingleHostNode setup;
+  Connection running = setup.node.Connect(), kept = setup.node.Connect();
   kept.Send("GET /_health HTTP/1.1\r\n\r\n");
   assert(Contains(kept.ReadMessage(), " 200 "));
   running.Send(RequestText("1"));
-  Connection host = w.host.Accept();
+  Connection host = setup.host.Accept();
   host.ReadMessage();
   host.Send(kStreamHead);
   host.SendChunk("data: a\n\n");
   running.ReadUntil("data: a\n\n\r\n");
-  w.node.SendSigterm();
-  w.node.WaitForLog("draining");
+  setup.node.SendSigterm();
+  setup.node.WaitForLog("draining");
   kept.Send("GET /_health HTTP/1.1\r\n\r\n");
   const std::string health = kept.ReadMessage();
   assert(Contains(health, " 503 ") && Contains(health, "Connection: close"));
-  Connection late = w.node.Connect();
+  Connection late = setup.node.Connect();
   late.Send(RequestText("2"));
-  Connection other = w.host.Accept();
+  Connection other = setup.host.Accept();
   other.ReadMessage();
   other.Send(kStreamHead);
   other.SendChunk("data: b\n\n");
   other.SendChunk("");
-  const std::string answer = late.ReadUntil("0\r\n\r\n");
-  assert(Contains(answer, "Connection: close") && Contains(answer, "data: b"));
-  usleep(1'500'000);  // past the time it would have ended at, had nothing been open
+  const std::string response = late.ReadUntil("0\r\n\r\n");
+  assert(Contains(response, "Connection: close") && Contains(response, "data: b"));
+  usleep(1'500'000);  // longer than the node would have run without an open stream
   host.SendChunk("data: c\n\n");
   host.SendChunk("");
   assert(Contains(running.ReadUntil("0\r\n\r\n"), "data: c"));
-  assert(w.node.WaitForExit() == 0);
+  assert(setup.node.WaitForExit() == 0);
 
-  One slow;  // what has not begun is answered before SIGKILL may come, however long its client would wait
+  // A request without a response is answered before SIGKILL may come, however long its time budget is.
+  SingleHostNode slow;
   Connection patient = slow.node.Connect();
   patient.Send(RequestText("3", "{}", "90.000"));
   slow.host.Accept().ReadMessage();
@@ -300,50 +305,51 @@
   assert(Contains(patient.ReadMessage(), " 503 "));
   assert(slow.node.WaitForExit() == 0);
 
-  ScriptedServer
-      host_of_moved;  // where clients ask for the rest elsewhere, a stream that runs on is handed over
-  Node moved(program, EndpointListJson(1, true, {InstanceJson("s-a", host_of_moved.address())}), kNobody,
-             "push", 1024, 192, "", true);
-  Connection follower = moved.Connect();
+  // If clients can resume streams elsewhere, a stream that is still running is migrated.
+  ScriptedServer migrating_host;
+  Node migrating(program, EndpointListJson(1, true, {InstanceJson("s-a", migrating_host.address())}),
+                 kUnreachable, "push", 1024, 192, "", true);
+  Connection follower = migrating.Connect();
   follower.Send(RequestText("4"));
-  Connection running_on = host_of_moved.Accept();
+  Connection running_on = migrating_host.Accept();
   running_on.ReadMessage();
   running_on.Send(kStreamHead);
   running_on.SendChunk("data: a\n\n");
   follower.ReadUntil("data: a\n\n\r\n");
-  moved.SendSigterm();
-  int said = 0;  // it speaks on, so that no silence ends it
-  for (; said < 200 && !running_on.ReadableWithin(50); ++said) running_on.SendChunk("data: b\n\n");
-  assert(said < 200 && !Contains(follower.ReadToEnd(), "\r\n0\r\n"));
-  assert(moved.WaitForExit() == 0);
+  migrating.SendSigterm();
+  int sent = 0;  // the host keeps sending, so that the idle timeout does not end the stream
+  for (; sent < 200 && !running_on.ReadableWithin(50); ++sent) running_on.SendChunk("data: b\n\n");
+  assert(sent < 200 && !Contains(follower.ReadToEnd(), "\r\n0\r\n"));
+  assert(migrating.WaitForExit() == 0);
 
-  One idle;  // with nothing to finish it serves on for a while all the same
+  SingleHostNode idle;  // without open requests, the node still serves for a while
   idle.node.SendSigterm();
   assert(idle.node.WaitForExit() == 0);
   const std::string log = idle.node.Log();
-  const auto at = [&](const char* word) {
-    return std::stoll(log.substr(log.rfind("ts=", log.find(word)) + 3));
+  const auto time_of = [&](const char* event) {
+    return std::stoll(log.substr(log.rfind("ts=", log.find(event)) + 3));
   };
-  assert(at("event=stopped") - at("event=draining") >= 700);
+  assert(time_of("event=stopped") - time_of("event=draining") >= 700);
 }
 
-Connection Watched(const ScriptedServer& discovery, const std::string& since) {
+Connection AcceptWatch(const ScriptedServer& discovery, const std::string& since) {
   Connection watch = discovery.Accept();
   assert(Contains(watch.ReadMessage(), "GET /catalog/members?follow=1&since=" + since + " "));
   watch.Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   return watch;
 }
 
-// The watch that a node opens while it starts, in a thread, as the node takes no client before it has told.
-std::future<Connection> WatchedAtStart(const ScriptedServer& discovery, const std::string& since) {
+// Answers, in a thread, the watch that a node opens while it starts: the node listens for clients only after
+// it has received a list.
+std::future<Connection> AcceptWatchAtStart(const ScriptedServer& discovery, const std::string& since) {
   return std::async(std::launch::async, [&discovery, since] {
-    Connection watch = Watched(discovery, since);
+    Connection watch = AcceptWatch(discovery, since);
     watch.SendChunk(EndpointListJson(std::stoi(since), false, {}).dump() + "\n");
     return watch;
   });
 }
 
-void Serves(const Node& node, const ScriptedServer& host, const std::string& id) {
+void ServeRequest(const Node& node, const ScriptedServer& host, const std::string& id) {
   Connection client = node.Connect();
   client.Send(RequestText(id));
   Connection upstream = host.Accept();
@@ -354,55 +360,58 @@
   client.ReadUntil("0\r\n\r\n");
 }
 
-// The list: served from `known` while discovery is down, then changes, a moved address, a drain, a new start.
+// Endpoint lists: the node serves from its cached list (`known`) while discovery is down, then follows a
+// replacement, a changed address, a draining replica, and a watch that is opened again.
 void ListChanges() {
   ScriptedServer discovery, a, b, c;
   Node node(program, EndpointListJson(4, true, {InstanceJson("s-a", a.address())}), discovery.address(),
             "ask");
-  discovery.Accept().Close();  // down: the module asks again by itself
-  Serves(node, a, "1");
-  Connection watch = Watched(discovery, "4");
-  const auto tell = [&](const nlohmann::json& list, const std::string& logged) {
+  discovery.Accept().Close();  // discovery is down: the decision module retries by itself
+  ServeRequest(node, a, "1");
+  Connection watch = AcceptWatch(discovery, "4");
+  const auto send_list = [&](const nlohmann::json& list, const std::string& logged) {
     const std::string line = list.dump() + "\n";
-    watch.SendChunk(line.substr(0, 9));  // a line may come in pieces
+    watch.SendChunk(line.substr(0, 9));  // a line may arrive in pieces
     watch.SendChunk(line.substr(9));
     node.WaitForLog(logged);
   };
-  tell(EndpointListJson(5, false,
-                        {InstanceJson("s-a", a.address(), "left"), InstanceJson("s-b", b.address())}),
-       "generation=5");
-  Serves(node, b, "2");
-  tell(EndpointListJson(6, false, {InstanceJson("s-b", c.address())}), "generation=6");
-  Serves(node, c, "3");
+  send_list(EndpointListJson(5, false,
+                             {InstanceJson("s-a", a.address(), "left"), InstanceJson("s-b", b.address())}),
+            "generation=5");
+  ServeRequest(node, b, "2");
+  send_list(EndpointListJson(6, false, {InstanceJson("s-b", c.address())}), "generation=6");
+  ServeRequest(node, c, "3");
   assert(!b.HasConnectionWithin(0));
-  tell(EndpointListJson(
-           7, true,
-           {InstanceJson("s-b", c.address(), "leaving"), InstanceJson("s-d", a.address()), {{"odd", 1}}}),
-       "generation=7");
-  Serves(node, a, "4");
+  send_list(
+      EndpointListJson(
+          7, true,
+          {InstanceJson("s-b", c.address(), "leaving"), InstanceJson("s-d", a.address()), {{"odd", 1}}}),
+      "generation=7");
+  ServeRequest(node, a, "4");
   watch.Close();
-  Connection again = Watched(discovery, "7");
+  Connection again = AcceptWatch(discovery, "7");
   again.SendChunk("not json\n");
   node.WaitForLog("why=malformed");
-  Serves(node, a, "5");
+  ServeRequest(node, a, "5");
 }
 
-// SIGHUP: a bad file changes nothing; a good one moves the watch, whatever the variable says, from a whole
-// list, and the old watch is kept until the new one tells. SIGTERM still ends the node with 0.
-void Reloads() {
+// SIGHUP: an invalid config file changes nothing. A valid one with another discovery address moves the watch,
+// even if EDGE_DISCOVERY has another value: the node first fetches the complete list, and keeps the old watch
+// until the new one has sent something. After SIGTERM the node still exits with status 0.
+void ReloadsConfig() {
   ScriptedServer before, after, a, b;
-  std::future<Connection> first = WatchedAtStart(before, "4");
-  Node node(program, EndpointListJson(4, true, {InstanceJson("s-a", a.address())}), kNobody, "ask", 1024, 192,
-            before.address());
+  std::future<Connection> first = AcceptWatchAtStart(before, "4");
+  Node node(program, EndpointListJson(4, true, {InstanceJson("s-a", a.address())}), kUnreachable, "ask", 1024,
+            192, before.address());
   Connection watch = first.get();
   node.WriteConfig("{");
   node.SendSighup();
   node.WaitForLog("reload-failed");
-  Serves(node, a, "1");
+  ServeRequest(node, a, "1");
   node.Reload("listen", "127.0.0.1:1");
   node.WaitForLog("reload-needs-restart what=listen");
   node.Reload("discovery", after.address());
-  after.Accept().Close();  // not up yet: it is asked again, and the old one heard meanwhile
+  after.Accept().Close();  // not available yet: the node retries, and uses the old watch until then
   Connection fetch = after.Accept();
   assert(Contains(fetch.ReadMessage(), "GET /catalog/members "));
   watch.SendChunk(
@@ -410,56 +419,58 @@
           .dump() +
       "\n");
   node.WaitForLog("generation=5");
-  Serves(node, b, "2");
+  ServeRequest(node, b, "2");
   assert(!watch.ReadableWithin(50));
   const std::string list = EndpointListJson(2, true, {InstanceJson("s-a", a.address())}).dump();
   fetch.Send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list);
-  Connection moved = Watched(after, "2");
+  Connection moved = AcceptWatch(after, "2");
   assert(!watch.ReadableWithin(50));
   moved.SendChunk("\n");
   watch.ReadToEnd();
-  Serves(node, a, "3");
+  ServeRequest(node, a, "3");
   moved.Close();
-  Watched(after, "2");  // and it is the new address that is asked again
+  AcceptWatch(after, "2");  // the watch is opened again at the new address
   node.SendSigterm();
   assert(node.WaitForExit() == 0);
 }
 
-// A watch that is cut off without a word is noticed and asked for anew well before changes count as told.
+// A watch that falls silent is detected and opened again well before discovery counts changes as delivered.
 void SilentWatch() {
   ScriptedServer discovery, a;
-  std::future<Connection> first_watch = WatchedAtStart(discovery, "4");
+  std::future<Connection> first_watch = AcceptWatchAtStart(discovery, "4");
   Node node(program, EndpointListJson(4, true, {InstanceJson("s-a", a.address())}), discovery.address(),
             "ask");
   Connection watch = first_watch.get();
-  Connection again = Watched(discovery, "4");
+  Connection again = AcceptWatch(discovery, "4");
   again.SendChunk(EndpointListJson(4, false, {}).dump() + "\n");
-  const std::string word = "event=watching",
-                    log = (node.WaitForLog("why=silent"), usleep(300'000), node.Log());
-  const std::size_t first = log.find(word), second = log.find(word, first + 1);
+  node.WaitForLog("why=silent");
+  usleep(300'000);
+  const std::string event = "event=watching", log = node.Log();
+  const std::size_t first = log.find(event), second = log.find(event, first + 1);
   assert(second != std::string::npos);
   const auto at = [&](std::size_t n) { return std::stoll(log.substr(log.rfind("ts=", n) + 3)); };
   assert(at(second) - at(first) < 4'700);
 }
 
-// A client that does not read: the node stops reading the host, keeps little, and then hands on every byte.
-void Congested() {
-  One w;
-  Connection client = w.node.Connect();
+// While a client does not read, the node stops reading from the host and buffers little; afterwards it passes
+// on every byte.
+void ClientDoesNotRead() {
+  SingleHostNode setup;
+  Connection client = setup.node.Connect();
   client.Send(RequestText("1"));
-  Connection host = w.host.Accept();
+  Connection host = setup.host.Accept();
   host.ReadMessage();
   host.Send(kStreamHead);
   const std::string event = "data: " + std::string(32'000, 'e') + "\n\n";
   std::size_t sent = 0;
-  const long before = w.node.ResidentKb();
+  const long before = setup.node.ResidentKb();
   for (pollfd p{host.fd(), POLLOUT, 0}; sent < 4000 && poll(&p, 1, 500) == 1; ++sent) host.SendChunk(event);
-  assert(sent < 4000);                            // it was held up
-  assert(w.node.ResidentKb() - before < 64'000);  // half of what is there to be sent
+  assert(sent < 4000);                                // the node stopped reading
+  assert(setup.node.ResidentKb() - before < 64'000);  // half of all the data that could have been sent
   host.SendChunk("");
   client.ReadUntil("\r\n\r\n");
   std::size_t got = 0;
-  for (std::size_t size = 1; size > 0; got += size) {  // framing is free: chunks may be cut anew
+  for (std::size_t size = 1; size > 0; got += size) {  // the node may split the data into other chunks
     size = std::stoul(client.ReadUntil("\r\n"), nullptr, 16);
     const std::string text = client.ReadBytes(size);
     for (std::size_t i = 0; i < size; ++i) assert(text[i] == event[(got + i) % event.size()]);
@@ -468,11 +479,11 @@
   assert(got == sent * event.size());
 }
 
-// More than the node has sockets or memory for: whoever is over is told to come back, all get one answer
-// each, and once there is room the node goes on.
-void TooMany(int sockets, int memory_mb, const std::string& body, const std::string& why) {
+// More requests than the node has sockets or memory for: those over the limit are rejected with a
+// Retry-After, each client gets exactly one response, and the node works again once resources are free.
+void OverLimit(int sockets, int memory_mb, const std::string& body, const std::string& why) {
   ScriptedServer host;
-  Node node(program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNobody, "push",
+  Node node(program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kUnreachable, "push",
             sockets, memory_mb);
   std::vector<Connection> clients;
   for (int i = 0; i < 40; ++i) {
@@ -480,12 +491,12 @@
     clients.back().Send(RequestText(std::to_string(i + 1), body, "5.0"));
     usleep(2'000);
   }
-  for (Connection& client : clients) {  // the host answers none
+  for (Connection& client : clients) {  // the host answers no request
     const std::string head = client.ReadMessage();
     assert(Contains(head, " 503 ") && Contains(head, "Retry-After: "));
   }
   node.WaitForLog("why=" + why);
-  for (std::string head; !Contains(head, " 200 ");) {  // those now idle make room
+  for (std::string head; !Contains(head, " 200 ");) {  // the node closes idle connections to free resources
     Connection again = node.Connect();
     again.Send("GET /_health HTTP/1.1\r\n\r\n");
     head = again.ReadMessage();
@@ -493,14 +504,14 @@
   }
 }
 
-void Crowded() { TooMany(80, 192, "{}", "sockets"); }
-void Scarce() { TooMany(1024, 16, std::string(250'000, 'b'), "memory"); }
+void OutOfSockets() { OverLimit(80, 192, "{}", "sockets"); }
+void OutOfMemory() { OverLimit(1024, 16, std::string(250'000, 'b'), "memory"); }
 
-// A sender that trickles does not keep its socket for ever, nor does one that says nothing; whoever has been
-// served may be silent for longer.
-void Trickle() {
-  One w;
-  Connection client = w.node.Connect(), mute = w.node.Connect(), served = w.node.Connect();
+// A client that sends its request too slowly, or sends nothing, is disconnected. A connection on which a
+// request has been served may be idle for longer.
+void SlowSenders() {
+  SingleHostNode setup;
+  Connection client = setup.node.Connect(), mute = setup.node.Connect(), served = setup.node.Connect();
   const auto began = time(nullptr);
   client.Send("POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: ");
   served.Send("GET /_health HTTP/1.1\r\n\r\n");
@@ -510,28 +521,30 @@
   assert(!served.ReadableWithin(0));
 }
 
-// Half requests by the hundred do not keep a usual client out: the oldest of them make room.
-void Mute() {
+// Many connections with incomplete requests do not lock out other clients: the oldest of them are closed.
+void IncompleteRequests() {
   ScriptedServer host;
-  Node node(program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNobody, "push", 120);
-  std::vector<Connection> mute;
+  Node node(program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kUnreachable, "push",
+            120);
+  std::vector<Connection> incomplete;
   for (int i = 0; i < 45; ++i) {
-    mute.push_back(node.Connect());
-    mute.back().Send("POST /v1");
+    incomplete.push_back(node.Connect());
+    incomplete.back().Send("POST /v1");
   }
   usleep(700'000);
-  Serves(node, host, "1");
+  ServeRequest(node, host, "1");
 }
 
-// A handle that has ended finds nothing, though its slot is in use again; buffers come back to their pool.
-void Parts() {
+// The handle of a removed value finds nothing although its slot is in use again. Buffers return to their
+// pool.
+void SlotTableAndBufferPool() {
   ryeglade::SlotTable<int> slots;
-  const ryeglade::Handle old = slots.Add(1);
-  slots.Remove(old);
-  const ryeglade::Handle young = slots.Add(2);
-  assert(static_cast<std::uint32_t>(old) == static_cast<std::uint32_t>(young));
-  assert(slots.Get(old) == nullptr && *slots.Get(young) == 2 && slots.size() == 1);
-  slots.Remove(old);
+  const ryeglade::Handle removed = slots.Add(1);
+  slots.Remove(removed);
+  const ryeglade::Handle current = slots.Add(2);
+  assert(static_cast<std::uint32_t>(removed) == static_cast<std::uint32_t>(current));
+  assert(slots.Get(removed) == nullptr && *slots.Get(current) == 2 && slots.size() == 1);
+  slots.Remove(removed);
   assert(slots.size() == 1);
 
   ryeglade::BufferPool pool(3 * ryeglade::BufferPool::kSize);
@@ -550,17 +563,27 @@
 
 int main(int argc, char** argv) {
   using namespace scripted;
-  const std::map<std::string, void (*)()> all = {{"calm", Calm},          {"broken", Broken},
-                                                 {"silent", Silent},      {"elsewhere", Elsewhere},
-                                                 {"refused", Refused},    {"timeout", Timeout},
-                                                 {"bad-input", BadInput}, {"duplicate", Duplicate},
-                                                 {"leaves", Leaves},      {"terminates", Terminates},
-                                                 {"list", ListChanges},   {"congested", Congested},
-                                                 {"crowded", Crowded},    {"scarce", Scarce},
-                                                 {"trickle", Trickle},    {"mute", Mute},
-                                                 {"spoilt", Spoilt},      {"silent-watch", SilentWatch},
-                                                 {"surplus", Surplus},    {"parts", Parts},
-                                                 {"reloads", Reloads}};
+  const std::map<std::string, void (*)()> all = {{"calm", PassesEventsUnchanged},
+                                                 {"broken", UpstreamStreamBreaks},
+                                                 {"silent", UpstreamStreamStalls},
+                                                 {"elsewhere", RetriesAtAnotherHost},
+                                                 {"refused", ConnectionRefused},
+                                                 {"timeout", HostNeverAnswers},
+                                                 {"bad-input", InvalidRequests},
+                                                 {"duplicate", DuplicateRequestId},
+                                                 {"leaves", ClientDisconnects},
+                                                 {"terminates", ShutsDownGracefully},
+                                                 {"list", ListChanges},
+                                                 {"congested", ClientDoesNotRead},
+                                                 {"crowded", OutOfSockets},
+                                                 {"scarce", OutOfMemory},
+                                                 {"trickle", SlowSenders},
+                                                 {"mute", IncompleteRequests},
+                                                 {"spoilt", MalformedAfterFirstEvent},
+                                                 {"silent-watch", SilentWatch},
+                                                 {"surplus", ExtraResponses},
+                                                 {"parts", SlotTableAndBufferPool},
+                                                 {"reloads", ReloadsConfig}};
   signal(SIGPIPE, SIG_IGN);
   assert(argc == 3 && all.contains(argv[2]));
   program = argv[1];
