--- a/src/base/listener.cpp
+++ b/src/base/listener.cpp
@@ -105,12 +105,12 @@
 // client may have sent a request already. On a system without such filters, that short window remains.
 void Listener::DropNewConnections() {
   if (poll_ == nullptr) return;
-  constexpr std::uint32_t kFlagsAt = 13;  // offset of the flags in the TCP header, bytes
+  constexpr std::uint32_t kFlagsOffset = 13;  // offset of the flags in the TCP header, bytes
   constexpr std::uint32_t kSyn = 0x02;
-  constexpr std::uint32_t kWhole = 0xffffffff;  // number of bytes to keep: the whole segment
-  std::array<sock_filter, 4> drop_syn = {{BPF_STMT(BPF_LD | BPF_B | BPF_ABS, kFlagsAt),
-                                          BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, kSyn, 1, 0),
-                                          BPF_STMT(BPF_RET | BPF_K, kWhole), BPF_STMT(BPF_RET | BPF_K, 0)}};
+  constexpr std::uint32_t kKeepWholeSegment = 0xffffffff;  // maximum number of bytes
+  std::array<sock_filter, 4> drop_syn = {
+      {BPF_STMT(BPF_LD | BPF_B | BPF_ABS, kFlagsOffset), BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, kSyn, 1, 0),
+       BPF_STMT(BPF_RET | BPF_K, kKeepWholeSegment), BPF_STMT(BPF_RET | BPF_K, 0)}};
   const sock_fprog program{static_cast<unsigned short>(drop_syn.size()), drop_syn.data()};
   setsockopt(fd_, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program);
 }
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -17,7 +17,7 @@
 namespace ryeglade {
 namespace {
 
-constexpr std::size_t kMaxLine = 1024;  // bytes; a writable pipe accepts a whole line of this size
+constexpr std::size_t kMaxLineBytes = 1024;  // a writable pipe accepts a whole line of this size
 constexpr std::string_view kLevels[] = {"debug", "info", "warn", "error"};
 
 // Drops lines while standard error is not writable, so that the node does not wait for a stalled reader.
@@ -43,7 +43,7 @@
 class VerbatimFormatter : public spdlog::formatter {
  public:
   void format(const spdlog::details::log_msg& msg, spdlog::memory_buf_t& to) override {
-    const std::size_t n = std::min(msg.payload.size(), kMaxLine - 1);
+    const std::size_t n = std::min(msg.payload.size(), kMaxLineBytes - 1);
     to.append(msg.payload.data(), msg.payload.data() + n);
     to.push_back('\n');
   }
@@ -90,7 +90,7 @@
           const bool plain = !json && !v.empty() && std::all_of(v.begin(), v.end(), [](unsigned char c) {
             return c > 0x20 && c != '"' && c != '=' && c != '\\' && c != 0x7f;
           });
-          const std::string_view shown = v.substr(0, kMaxLine / 2);
+          const std::string_view shown = v.substr(0, kMaxLineBytes / 2);
           if (plain) {
             out.append(shown.data(), shown.data() + shown.size());
           } else {
@@ -143,7 +143,7 @@
   const std::string_view text(line.data(), line.size());
   // A line that is too long is truncated; a JSON line is replaced, so that it remains a valid object.
   if (json) {
-    const bool fits = text.size() + 3 <= kMaxLine;
+    const bool fits = text.size() + 3 <= kMaxLineBytes;
     state.logger.info("{{{}}}", fits ? text : "\"event\":\"log-line-too-long\"");
   } else {
     state.logger.info("{}", text);
--- a/src/core/connection_pool.cpp
+++ b/src/core/connection_pool.cpp
@@ -73,8 +73,8 @@
   return 0;
 }
 
-// Closes the connection before the host's own idle timeout: a request sent just as the host closes the
-// connection would fail with a reset.
+// The deadline closes the connection before the host's own idle timeout does: a request sent just as the host
+// closes the connection would fail with a reset.
 void ConnectionPool::Return(Handle handle) {
   UpstreamConnection& c = *connections_.Get(handle);
   if (!hosts_->Contains(c.host)) return Close(handle);
--- a/src/core/discovery.h
+++ b/src/core/discovery.h
@@ -33,8 +33,8 @@
   void LoadCachedList(const std::string& list);
   void Watch(bool enabled) override;
   void Poll() override;
-  // Opens the watch, and opens it again shortly after it ends, for as long as the node runs. For fleets whose
-  // discovery pushes lists: the decision module makes no requests then.
+  // Opens the watch, and opens it again shortly after it ends, for as long as the node runs. For the mode in
+  // which discovery pushes lists: the decision module asks for none then.
   void KeepWatching();
   // `callback` is called once, when the first list has arrived from discovery or the first request for one
   // has failed.
--- a/src/core/upstream.cpp
+++ b/src/core/upstream.cpp
@@ -211,8 +211,7 @@
   Request* r = requests_.Get(handle);
   if (r == nullptr) return;
   const Time now = Now();
-  if (r->paused)
-    r->last_byte_at = now;  // reading is paused because of the client, so the host is not at fault
+  if (r->paused) r->last_byte_at = now;  // nothing is read because of the client, not because of the host
   const Time idle = now - r->last_byte_at;
   if (idle >= kIdleTimeout) {
     Log(Level::kWarn, "silent", {{"replica", Hex8(r->replica)}, {"after_ms", idle / 1000}});
