--- a/src/columnar/columnar_file.cpp
+++ b/src/columnar/columnar_file.cpp
@@ -12,8 +12,8 @@
 namespace ryeglade {
 namespace {
 
-constexpr hsize_t kChunk = 16384;
-constexpr int kDeflate = 4;
+constexpr hsize_t kChunkRows = 16384;
+constexpr int kDeflateLevel = 4;
 
 H5::StrType TextType() {
   H5::StrType type(H5::PredType::C_S1, H5T_VARIABLE);
@@ -25,19 +25,19 @@
   const hsize_t rows =
       std::visit([](const auto& v) { return static_cast<hsize_t>(v.size()); }, column.values);
   const H5::DataSpace space(1, &rows);
-  H5::DSetCreatPropList how;
-  H5Pset_obj_track_times(how.getId(), false);
+  H5::DSetCreatPropList properties;
+  H5Pset_obj_track_times(properties.getId(), false);
   if (rows > 0) {
-    const hsize_t chunk = std::min(rows, kChunk);
-    how.setChunk(1, &chunk);
-    how.setShuffle();
-    how.setDeflate(kDeflate);
+    const hsize_t chunk = std::min(rows, kChunkRows);
+    properties.setChunk(1, &chunk);
+    properties.setShuffle();
+    properties.setDeflate(kDeflateLevel);
   }
   if (const auto* numbers = std::get_if<Numbers>(&column.values)) {
-    H5::DataSet set = group.createDataSet(column.name, H5::PredType::IEEE_F64LE, space, how);
+    H5::DataSet set = group.createDataSet(column.name, H5::PredType::IEEE_F64LE, space, properties);
     if (rows > 0) set.write(numbers->data(), H5::PredType::NATIVE_DOUBLE);
   } else if (const auto* wholes = std::get_if<Integers>(&column.values)) {
-    H5::DataSet set = group.createDataSet(column.name, H5::PredType::STD_I64LE, space, how);
+    H5::DataSet set = group.createDataSet(column.name, H5::PredType::STD_I64LE, space, properties);
     if (rows > 0) set.write(wholes->data(), H5::PredType::NATIVE_INT64);
   } else {
     const auto& words = std::get<Strings>(column.values);
@@ -45,25 +45,26 @@
     std::vector<const char*> pointers;
     pointers.reserve(words.size());
     for (const std::string& w : words) pointers.push_back(w.c_str());
-    H5::DataSet set = group.createDataSet(column.name, type, space, how);
+    H5::DataSet set = group.createDataSet(column.name, type, space, properties);
     if (rows > 0) set.write(pointers.data(), type);
   }
 }
 
-// The file's bytes, made in memory: the disk is met once, by what knows how to fail there.
+// Builds the file in memory and returns its bytes, so that ReplaceFile does all the disk access and reports
+// its errors.
 std::string Bytes(const ColumnarFile& file) {
   H5::FileAccPropList memory;
   memory.setCore(std::size_t{1} << 20, false);
   H5::H5File out("in memory", H5F_ACC_TRUNC, H5::FileCreatPropList::DEFAULT, memory);
   for (const auto& [name, text] : file.attributes) {
-    // A variable string as an attribute is kept in a heap, so that it may be long.
+    // HDF5 stores strings of variable length in a heap, so that the attribute may be long.
     const char* pointer = text.c_str();
     out.createAttribute(name, TextType(), H5::DataSpace()).write(TextType(), &pointer);
   }
-  for (const TextTable& sheet : file.tables) {
-    H5::Group group = out.createGroup(sheet.name);
-    for (const Column& column : sheet.columns) Write(group, column);
-    const auto rows = static_cast<std::int64_t>(sheet.rows());
+  for (const TextTable& table : file.tables) {
+    H5::Group group = out.createGroup(table.name);
+    for (const Column& column : table.columns) Write(group, column);
+    const auto rows = static_cast<std::int64_t>(table.rows());
     group.createAttribute("rows", H5::PredType::STD_I64LE, H5::DataSpace())
         .write(H5::PredType::NATIVE_INT64, &rows);
   }
@@ -71,7 +72,7 @@
   const ssize_t size = H5Fget_file_image(out.getId(), nullptr, 0);
   std::string bytes(static_cast<std::size_t>(std::max<ssize_t>(0, size)), '\0');
   if (size <= 0 || H5Fget_file_image(out.getId(), bytes.data(), bytes.size()) != size)
-    throw std::runtime_error("the library does not give the file's bytes");
+    throw std::runtime_error("HDF5 did not return the file's bytes");
   return bytes;
 }
 
@@ -79,7 +80,8 @@
   const H5::DataSet set = group.openDataSet(name);
   hsize_t rows = 0;
   const H5::DataSpace space = set.getSpace();
-  if (space.getSimpleExtentNdims() != 1) throw std::runtime_error("column " + name + " is no list");
+  if (space.getSimpleExtentNdims() != 1)
+    throw std::runtime_error("column " + name + " does not have exactly one dimension");
   space.getSimpleExtentDims(&rows);
   const auto n = static_cast<std::size_t>(rows);
   switch (set.getTypeClass()) {
@@ -95,7 +97,7 @@
     }
     case H5T_STRING: {
       if (!set.getStrType().isVariableStr())
-        throw std::runtime_error("column " + name + " is of a kind not known");
+        throw std::runtime_error("column " + name + " has strings of fixed length");
       std::vector<char*> pointers(n);
       const H5::StrType type = TextType();
       if (n > 0) set.read(pointers.data(), type);
@@ -106,7 +108,7 @@
       return {name, std::move(v)};
     }
     default:
-      throw std::runtime_error("column " + name + " is of a kind not known");
+      throw std::runtime_error("column " + name + " has an unknown type");
   }
 }
 
@@ -116,7 +118,7 @@
   for (const TextTable& s : tables) {
     if (s.name == name) return s;
   }
-  throw std::runtime_error("there is no table " + name);
+  throw std::runtime_error("there is no table '" + name + "'");
 }
 
 void WriteColumns(const std::string& path, const ColumnarFile& file) {
@@ -125,17 +127,17 @@
   try {
     bytes = Bytes(file);
   } catch (const H5::Exception& e) {
-    throw std::runtime_error(path + ": cannot be made: " + e.getDetailMsg());
+    throw std::runtime_error(path + ": cannot be created: " + e.getDetailMsg());
   }
-  const FileError fault = ReplaceFile(path, bytes, 0644);
-  if (fault.error != 0)
-    throw std::runtime_error(path + ": " + fault.what + ": " + std::strerror(fault.error));
+  const FileError failure = ReplaceFile(path, bytes, 0644);
+  if (failure.error != 0)
+    throw std::runtime_error(path + ": " + failure.what + ": " + std::strerror(failure.error));
 }
 
 ColumnarFile ReadColumns(const std::string& path) {
   H5::Exception::dontPrint();
   try {
-    if (!std::filesystem::exists(path)) throw std::runtime_error("there is no such file");
+    if (!std::filesystem::exists(path)) throw std::runtime_error("no such file");
     const H5::H5File in(path, H5F_ACC_RDONLY);
     ColumnarFile file;
     for (unsigned i = 0; i < static_cast<unsigned>(in.getNumAttrs()); ++i) {
@@ -148,23 +150,23 @@
     }
     for (hsize_t g = 0; g < in.getNumObjs(); ++g) {
       if (in.childObjType(g) != H5O_TYPE_GROUP) continue;
-      TextTable sheet;
-      sheet.name = in.getObjnameByIdx(g);
-      const H5::Group group = in.openGroup(sheet.name);
+      TextTable table;
+      table.name = in.getObjnameByIdx(g);
+      const H5::Group group = in.openGroup(table.name);
       for (hsize_t c = 0; c < group.getNumObjs(); ++c)
-        sheet.columns.push_back(ReadColumn(group, group.getObjnameByIdx(c)));
+        table.columns.push_back(ReadColumn(group, group.getObjnameByIdx(c)));
       const auto rows = [](const Column& c) {
         return std::visit([](const auto& v) { return v.size(); }, c.values);
       };
-      for (const Column& c : sheet.columns) {
-        if (rows(c) != sheet.rows())
-          throw std::runtime_error("table " + sheet.name + " has columns of different length");
+      for (const Column& c : table.columns) {
+        if (rows(c) != table.rows())
+          throw std::runtime_error("table " + table.name + " has columns of different lengths");
       }
-      file.tables.push_back(std::move(sheet));
+      file.tables.push_back(std::move(table));
     }
     return file;
   } catch (const H5::Exception& e) {
-    throw std::runtime_error(path + ": is no table file, or damaged: " + e.getDetailMsg());
+    throw std::runtime_error(path + ": is not an HDF5 file of tables, or is damaged: " + e.getDetailMsg());
   } catch (const std::exception& e) {
     throw std::runtime_error(path + ": " + e.what());
   }
--- a/src/columnar/columnar_file.h
+++ b/src/columnar/columnar_file.h
@@ -1,7 +1,7 @@
-// Tables in one HDF5 file: a group for each, in it a data set for each column, chunked and deflated. Numbers
-// are 64-bit floats (NaN: not told) or integers, words are UTF-8 text of variable length. The attribute
-// `rows` of a group is its columns' common length. Notes are text attributes of the file itself. Nothing in
-// the file tells when it was written, so that the same tables are the same bytes.
+// Tables in one HDF5 file: one group per table, with one chunked and deflated data set per column. Numbers
+// are 64-bit floats, where NaN means that there is no value, or 64-bit integers; text is UTF-8 of variable
+// length. The attribute `rows` of a group is the common length of its columns. The file itself may have text
+// attributes. The file contains no time of writing, so that equal tables produce equal bytes.
 #pragma once
 
 #include <map>
@@ -19,10 +19,10 @@
       const std::string& name) const;  // throws std::runtime_error where it is not there
 };
 
-// The file is there whole or as it was before. Waits for the disk; throws std::runtime_error saying which
-// step failed.
+// Replaces the file atomically and waits for the disk. Throws std::runtime_error that names the step that
+// failed; an existing file is then unchanged.
 void WriteColumns(const std::string& path, const ColumnarFile& file);
-// Throws std::runtime_error naming the file for what is no such file or is damaged.
+// Throws std::runtime_error that names the file if it does not exist, is not such a file, or is damaged.
 ColumnarFile ReadColumns(const std::string& path);
 
 }  // namespace ryeglade
--- a/src/timeline/plot_model.cpp
+++ b/src/timeline/plot_model.cpp
@@ -15,16 +15,18 @@
 namespace ryeglade::timeline {
 namespace {
 
-// Colours, as RGB.
+// Colours as 0xRRGGBB.
 constexpr unsigned kReady = 0xd4ead4, kDraining = 0xf4d58a, kUnknown = 0xc9c9d1, kGone = 0xf3f3f3;
 constexpr unsigned kSent = 0x4a7ab5, kFailed = 0xc8321f, kAtCapacity = 0xe58a1a, kEjected = 0x7b5aa6,
                    kAnomaly = 0xb0127b;
 
 constexpr double kFleetPanelPixels = 210;
-constexpr double kDetailedRowPixels = 54, kPlainRowPixels = 11;  // of one replica
-constexpr double kBarHeight = 0.62;                              // of the largest bar, in rows
+constexpr double kDetailedRowPixels = 54, kPlainRowPixels = 11;  // height of one replica's row
+constexpr double kBarHeight = 0.62;  // height of the largest bar, as a share of the row
 constexpr std::size_t kMaxReplicaLabels = 4, kMaxFleetLabels = 12;
-constexpr double kFirstTokenQuantile = 0.995;  // that is the top of a row: one outlier must not flatten all
+// The quantile of the times to first token that is drawn at the top of a row, so that one outlier does not
+// flatten the lines of all replicas.
+constexpr double kFirstTokenQuantile = 0.995;
 
 unsigned ColourOf(ReplicaState state) {
   switch (state) {
@@ -49,7 +51,8 @@
   return out;
 }
 
-// For gnuplot's double quotes.
+// Makes a text safe within gnuplot's double quotes: special characters become apostrophes, control characters
+// are removed.
 std::string Escaped(const std::string& text) {
   std::string out;
   for (const char c : text) {
@@ -62,13 +65,13 @@
   return out;
 }
 
-// Rectangles of one data block, each with its colour.
+// Rectangles with a colour each, which become one data block of the script.
 class Boxes {
  public:
   explicit Boxes(std::string name) : name_(std::move(name)) {}
   void Add(double x0, double x1, double y0, double y1, unsigned colour) {
     if (x1 <= x0 || y1 <= y0) return;
-    // Neighbours alike are one, so that strips of many bins stay small.
+    // Equal neighbours are merged, to keep the script small.
     if (n_ > 0 && colour == colour_ && y0 == y0_ && y1 == y1_ && std::abs(x0 - x1_) < 1e-6) {
       x1_ = x1;
       return;
@@ -81,7 +84,7 @@
     colour_ = colour;
     ++n_;
   }
-  // The block, and the term of the plot command that draws it.
+  // Returns the data block; Term returns the part of the plot command that draws it.
   std::string Block() {
     Flush();
     n_ = 0;
@@ -108,7 +111,7 @@
   unsigned colour_ = 0;
 };
 
-// How much there is to see of a replica, for choosing among too many.
+// Ranks a replica by failures, state changes and anomalies, for choosing which replicas to plot.
 double Interest(const ReplicaTimeline& replica, const std::map<policy::ReplicaId, int>& anomalies) {
   double failed = 0;
   for (const auto& [n, bin] : replica.bins) failed += bin.failed + bin.at_capacity;
@@ -118,10 +121,10 @@
   return failed + 50.0 * items + 1000.0 * (at == anomalies.end() ? 0 : at->second);
 }
 
-// Builds the script of one chart. A row for each replica, the first at the top; x in seconds since the begin.
+// Builds the script of one chart, with one row per replica from the top; x is in seconds since the begin.
 class TimelinePlot {
  public:
-  // Both must outlive this.
+  // Both arguments must outlive this object.
   TimelinePlot(const ReplicaTimelines& timelines, const PlotOptions& options)
       : timelines_(timelines),
         options_(options),
@@ -189,7 +192,7 @@
     max_first_token_ = std::max(1.0, *at);
   }
 
-  // `y`: the bottom of its row.
+  // `y` is the bottom of the row.
   void AddReplica(const ReplicaTimeline& replica, double y) {
     row_of_[replica.id] = y;
     tics_ += fmt::format("{}\"{}\" {}", tics_.empty() ? "" : ", ", Escaped(replica.Title()), y + 0.5);
@@ -203,7 +206,7 @@
         AddPlainBin(n, bin, y);
       }
     }
-    first_tokens_ += "\n";  // ends the line of this replica
+    first_tokens_ += "\n";  // ends this replica's line in the plot
     for (const EjectionSpan& ejection : replica.ejections)
       ejections_.Add(X(ejection.from), std::max(X(ejection.until), X(ejection.from) + span_ / 700), y + 0.0,
                      y + (detailed_ ? 0.06 : 0.3), kEjected);
@@ -216,7 +219,8 @@
     }
   }
 
-  // What was sent, and of what ended in that bin the parts that failed or met a full replica.
+  // Draws bars for the attempts sent in the bin and, of those that ended in it, for those that failed and
+  // those that were rejected by the replica at capacity; and a point of the line of times to first token.
   void AddDetailedBin(std::uint32_t n, const ReplicaBin& bin, double y) {
     const double x0 = BinX(n);
     const double x1 = std::min(span_, x0 + bin_seconds_);
@@ -235,7 +239,7 @@
                                  y + 0.05 + 0.85 * std::min(1.0, mean / max_first_token_));
   }
 
-  // The share of attempts that failed or met a full replica, as a colour.
+  // Draws the share of attempts that failed or were rejected at capacity as a colour.
   void AddPlainBin(std::uint32_t n, const ReplicaBin& bin, double y) {
     const double x0 = BinX(n);
     const double x1 = std::min(span_, x0 + bin_seconds_);
@@ -282,7 +286,8 @@
                              Name(begin.kind), x0, y + 0.81);
   }
 
-  // Of each bin, per second: arrived, served, rejected or failed, coalesced.
+  // One line per bin: time, and the rates per second of requests that arrived, were served, and were rejected
+  // or failed, and of coalesced decisions.
   std::string FleetData() const {
     std::string data = "$fleet << EOD\n";
     for (std::uint32_t n = 0; n < timelines_.bins(); ++n) {
@@ -329,8 +334,8 @@
     s += fleet_anomalies_ + FleetAnnotations();
     s += "plot $fleet using 1:2 with lines lw 1.5 lc rgb \"#333333\" title \"arrived\", "
          "$fleet using 1:3 with lines lw 1.5 lc rgb \"#2f8f46\" title \"served\", "
-         "$fleet using 1:4 with lines lw 1.5 lc rgb \"#c8321f\" title \"refused or failed\"";
-    s += ", $fleet using 1:5 with lines lw 1 dt 2 lc rgb \"#7b5aa6\" title \"counted, not kept\"\n";
+         "$fleet using 1:4 with lines lw 1.5 lc rgb \"#c8321f\" title \"rejected or failed\"";
+    s += ", $fleet using 1:5 with lines lw 1 dt 2 lc rgb \"#7b5aa6\" title \"coalesced decisions\"\n";
     return s + "unset arrow\nunset label\nunset object\nunset title\n";
   }
 
@@ -349,10 +354,10 @@
          anomalies_.Term();
     if (detailed_) {
       s += fmt::format(
-          ", $first using 1:2 with lines lw 1.2 lc rgb \"#222222\" title \"first token (lane's top: {:.0f} "
+          ", $first using 1:2 with lines lw 1.2 lc rgb \"#222222\" title \"first token (top of row: {:.0f} "
           "ms)\"",
           max_first_token_);
-      s += fmt::format(", keyentry with boxes fs solid lc rgb {} title \"sent (most: {:.0f}/s)\"", kSent,
+      s += fmt::format(", keyentry with boxes fs solid lc rgb {} title \"sent (maximum: {:.0f}/s)\"", kSent,
                        max_sent_ / bin_seconds_);
     }
     return s + ColourKey();
@@ -361,7 +366,7 @@
   static std::string ColourKey() {
     constexpr std::pair<unsigned, const char*> kEntries[] = {
         {kReady, "ready"},   {kDraining, "draining"},      {kUnknown, "unknown"}, {kGone, "gone"},
-        {kFailed, "failed"}, {kAtCapacity, "turned away"}, {kEjected, "rests"},   {kAnomaly, "unusual"}};
+        {kFailed, "failed"}, {kAtCapacity, "at capacity"}, {kEjected, "ejected"}, {kAnomaly, "anomaly"}};
     std::string key;
     for (const auto& [colour, name] : kEntries)
       key += fmt::format(", keyentry with boxes fs solid lc rgb {} title \"{}\"", colour, name);
@@ -373,11 +378,13 @@
   double span_, bin_seconds_;                  // seconds
   std::vector<const ReplicaTimeline*> shown_;  // from the top
   std::size_t hidden_ = 0;                     // replicas beyond kMaxPlottedTimelines
-  bool detailed_ = false;                      // bars and lines; else one strip for each replica
+  bool detailed_ = false;                      // rows with bars and lines; otherwise plain strips
   double rows_ = 0;
   double footer_pixels_ = 0, height_pixels_ = 0;
-  double max_sent_ = 1, max_first_token_ = 1;  // of a bin: the tops of the scales; requests, ms
-  Boxes states_{"states"}, traffic_{"traffic"}, faults_{"faults"}, ejections_{"rests"}, anomalies_{"unusual"};
+  double max_sent_ = 1;         // attempts in a bin at the top of the scale
+  double max_first_token_ = 1;  // mean time to first token at the top of the scale, ms
+  Boxes states_{"states"}, traffic_{"traffic"}, faults_{"faults"}, ejections_{"ejections"},
+      anomalies_{"anomalies"};
   std::string first_tokens_, labels_, tics_;
   std::string fleet_anomalies_;
   std::size_t fleet_anomaly_count_ = 0;
--- a/src/timeline/plot_model.h
+++ b/src/timeline/plot_model.h
@@ -1,6 +1,6 @@
-// Replica timelines as a gnuplot script: the fleet's traffic above, then a row for each replica with its
-// state, what it was sent, what failed, the times to first token, its ejections and anomalies. Up to 24
-// replicas in detail; above that each is a strip. No I/O.
+// Replica timelines as a gnuplot script: a panel with the fleet's traffic, and below it one row per replica
+// with its state, the attempts sent and failed, the times to first token, its ejections and its anomalies.
+// With more than kMaxDetailedTimelines replicas each row is a plain strip. Performs no I/O.
 #pragma once
 
 #include <string>
@@ -10,15 +10,16 @@
 namespace ryeglade::timeline {
 
 struct PlotOptions {
-  std::string out;  // its ending says the form: .svg or .png
-  std::string title;
-  int width = 1400;  // pixels
+  std::string out;    // path of the image; its extension, .svg or .png, selects the format
+  std::string title;  // if empty, the name of the node
+  int width = 1400;   // pixels
 };
 
 inline constexpr std::size_t kMaxDetailedTimelines = 24;
-inline constexpr std::size_t kMaxPlottedTimelines = 400;  // those with most failures, changes and anomalies
+// If there are more replicas, those with the most failures, state changes and anomalies are plotted.
+inline constexpr std::size_t kMaxPlottedTimelines = 400;
 
-// Throws std::runtime_error for an ending that is neither.
+// Throws std::runtime_error if the extension is neither .svg nor .png.
 std::string TimelinePlotScript(const ReplicaTimelines& timelines, const PlotOptions& options);
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/request_trace_model.h
+++ b/src/timeline/request_trace_model.h
@@ -1,5 +1,6 @@
-// One request's whole story, from a record with its reasons: what it was, who was asked and why, what came of
-// it, how it ended, and what was known of the replicas that it met. No I/O, no clock.
+// Traces one request through a flight record with reasons: its parameters, the replicas that it was sent to
+// and why, the outcome of each attempt, its conclusion, and the states of the replicas involved. Performs no
+// I/O and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -15,14 +16,15 @@
 
 class RequestTrace {
  public:
-  // The module's number of the request in hexadecimal, or what its client calls it.
+  // `id` is the request's id in the decision module in hexadecimal, or the client's id of it, with or without
+  // the prefix "req_".
   explicit RequestTrace(std::string id);
 
-  // In the record's order, reasons included.
+  // Records are added in order, including the reasons.
   void AddRecord(const Record& record);
-  // Lines of text; empty: it was not met.
+  // Returns the trace as lines of text; empty if the request does not occur.
   std::vector<std::string> Lines() const;
-  std::size_t found() const { return found_; }  // requests by that name
+  std::size_t found() const { return found_; }  // number of requests with that id
 
  private:
   bool IsTraced(policy::RequestId id) const { return traced_.contains(id); }
@@ -33,7 +35,7 @@
   std::string id_;
   std::uint64_t number_ = 0;
   bool is_number_ = false;
-  std::set<policy::RequestId> traced_;  // open now
+  std::set<policy::RequestId> traced_;  // requests with that id that are open
   std::map<policy::RequestId, Time> arrived_;
   std::map<policy::RequestId, std::string> matched_;  // call ids of requests that have not arrived yet
   std::size_t found_ = 0;
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -260,8 +260,8 @@
       return e.what();
     }
   };
-  EXPECT_NE(error("").find("no table file"), std::string::npos);
-  EXPECT_NE(error("name = 'a'\n").find("no table file"), std::string::npos);
+  EXPECT_NE(error("").find("not an HDF5 file of tables"), std::string::npos);
+  EXPECT_NE(error("name = 'a'\n").find("not an HDF5 file of tables"), std::string::npos);
   for (const std::size_t part : {8U, 3U, 2U}) EXPECT_NE(error(whole.substr(0, whole.size() / part)), "");
   EXPECT_EQ(error(whole), "");
   WriteColumns(at / "x", {{{"what", "something else"}}, {}});
--- a/tests/replica_timeline_test.cpp
+++ b/tests/replica_timeline_test.cpp
@@ -159,7 +159,7 @@
     EXPECT_EQ(s->state, ReplicaState::kUnknown);
     EXPECT_EQ(s->last_known, ReplicaState::kReady);
     EXPECT_EQ(s->from, p.result.from);  // since when
-    EXPECT_NE(s->reason.find("dark"), std::string::npos);
+    EXPECT_NE(s->reason.find("endpoint list unavailable"), std::string::npos);
     (StateAt(p.lanes, id, after) == ReplicaState::kGone ? gone : ready) += 1;
   }
   EXPECT_EQ(gone, 6U);
@@ -592,9 +592,9 @@
     std::string all;
     for (const std::string& line : story.Lines()) all += line + "\n";
     EXPECT_NE(all.find("arrives"), std::string::npos) << all;
-    EXPECT_NE(all.find("most room"), std::string::npos) << all;
+    EXPECT_NE(all.find("most spare capacity"), std::string::npos) << all;
     EXPECT_NE(all.find("ends: error"), std::string::npos) << all;
-    EXPECT_TRUE(all.find("served") != std::string::npos || all.find("refused") != std::string::npos) << all;
+    EXPECT_TRUE(all.find("served") != std::string::npos || all.find("rejected") != std::string::npos) << all;
     EXPECT_NE(all.find("ready for"), std::string::npos) << all;
   }
   RequestTrace nobody("call-0");
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -227,7 +227,7 @@
   const std::string id = shown.substr(at + 9, shown.find(' ', at + 9) - at - 9);
   const std::string why = r.Command("why " + id);
   EXPECT_NE(why.find("sent to stand-in-"), std::string::npos) << why;
-  EXPECT_NE(why.find("most room"), std::string::npos) << why;
+  EXPECT_NE(why.find("most spare capacity"), std::string::npos) << why;
   EXPECT_LT(why.size(), shown.size() / 10);
 }
 
--- a/tests/timeline_tools.sh
+++ b/tests/timeline_tools.sh
@@ -23,7 +23,7 @@
 "$program" timeline merge "$dir/small.flight" "$dir/other.flight" >"$dir/merged"
 grep -q '^n1: clock -3.000 s' "$dir/merged" || fail "the clocks were not told apart: $(head -2 "$dir/merged")"
 "$program" timeline show --span +60,+80 --replica replica-001 "$dir/small.flight" | grep -q 'ready' || fail "no span"
-"$program" timeline why call-1000 "$dir/small.flight" | grep -q 'most room' || fail "no reason"
+"$program" timeline why call-1000 "$dir/small.flight" | grep -q 'most spare capacity' || fail "no reason"
 for slip in "plot --out x.gif $dir/small.flight" "show --span soon $dir/small.flight" "show --replica nobody $dir/small.flight" \
   "why call-0 $dir/small.flight" "show $dir/none.flight" "export $dir/small.flight"; do
   # shellcheck disable=SC2086
