--- a/src/membership/membership_options.h
+++ b/src/membership/membership_options.h
@@ -13,7 +13,7 @@
 
 using RandomBits = std::function<std::uint64_t()>;  // 64 random bits
 
-// The defaults are those of the settings.
+// The defaults match those of the settings file.
 struct MembershipOptions {
   std::string cluster = "ryeglade";
   Time probe_interval = 1'000'000;  // at least 20 ms
