--- a/tests/accounts_test.cpp
+++ b/tests/accounts_test.cpp
@@ -1,4 +1,5 @@
-// Keys, limits, usage and the ledger: figures that lie change nothing, and everything reserved is given back.
+// API keys, rate limits, token usage and the ledger. Invalid usage figures must not be counted, and every
+// reservation must be returned.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 #include <sys/stat.h>
@@ -28,7 +29,7 @@
 
 // ---- Usage ----
 
-TEST(Usage, WhatPassesIsTaken) {
+TEST(Usage, ValidUsageIsAccepted) {
   const auto r = CheckUsage(R"({"usage":{"prompt_tokens":100,"completion_tokens":20,"total_tokens":120,
       "prompt_tokens_details":{"cached_tokens":64},"completion_tokens_details":null}})",
                             1, {400, 80, 5, 20});
@@ -38,7 +39,7 @@
   EXPECT_EQ(r.usage->output, 20);
 }
 
-TEST(Usage, EachLieHasItsName) {
+TEST(Usage, EachFaultIsNamed) {
   const auto fault = [](const std::string& usage, int times = 1) {
     const auto r = CheckUsage("{\"usage\":" + usage + "}", times, {400, 80, 5, 20});
     EXPECT_FALSE(r.usage.has_value()) << usage;
@@ -72,12 +73,13 @@
   for (int i = 0; i < 200; ++i) sizes.Learn("m", 1'000'000, 1);
   EXPECT_LE(sizes.BytesPerToken("m"), 16);
   for (int i = 0; i < 10'000; ++i) sizes.Learn("model-" + std::to_string(i), 400, 100);
-  EXPECT_EQ(sizes.Estimate("n", {400, 80, 30, std::nullopt}).output, 30);  // an event holds a token at least
+  EXPECT_EQ(sizes.Estimate("n", {400, 80, 30, std::nullopt}).output,
+            30);  // an event holds at least one token
 }
 
 // ---- Limits ----
 
-TEST(Limits, ARefusalNamesAWaitThatIsLongEnoughAndNotTooLong) {
+TEST(Limits, RetryAfterIsExact) {
   limits::RateLimiter limits;
   const limits::KeyLimits rule{2, 600, 0};
   EXPECT_EQ(limits.Admit(0, "k", rule, 300).admission, limits::Admission::kAdmitted);
@@ -90,7 +92,7 @@
   EXPECT_EQ(limits.Admit(30 * kSecond, "other", rule, 601).admission, limits::Admission::kRequestTooLarge);
 }
 
-TEST(Limits, WhatWasNotUsedComesBackAndWhatWasOverIsPaidOff) {
+TEST(Limits, UnusedTokensAreReturnedAndExcessIsCharged) {
   limits::RateLimiter limits;
   const limits::KeyLimits rule{0, 1000, 1};
   EXPECT_EQ(limits.Admit(0, "k", rule, 1000).admission, limits::Admission::kAdmitted);
@@ -103,23 +105,24 @@
   EXPECT_EQ(limits.Admit(61 * kSecond, "k", rule, 1).admission, limits::Admission::kAdmitted);
 }
 
-RC_GTEST_PROP(LedgerProperty, EveryRequestInOneColumnAndReservationsReturnToZero, ()) {
+RC_GTEST_PROP(LedgerProperty, EveryRequestHasOneOutcomeAndReservationsReturnToZero, ()) {
   limits::RateLimiter limits;
   ledger::Ledger ledger;
-  struct Out {
+  struct OpenRequest {
     std::string key;
     double reserved;
   };
-  std::vector<Out> open;
+  std::vector<OpenRequest> open;
   std::uint64_t admitted = 0, ended = 0;
   double used = 0;
   Time now = 0;
   const limits::KeyLimits rule{600, 60'000, 5};
-  const auto end = [&](std::size_t at, std::size_t column, double tokens, bool reported) {
-    const Out o = open[at];
+  const auto end = [&](std::size_t at, std::size_t outcome, double tokens, bool reported) {
+    const OpenRequest request = open[at];
     open.erase(open.begin() + static_cast<std::ptrdiff_t>(at));
-    limits.Settle(now, o.key, rule, o.reserved, tokens, column != 1);
-    ledger.RecordOutcome(o.key, "m", static_cast<ledger::Outcome>(column), {tokens, 0, 0}, reported, nullptr);
+    limits.Settle(now, request.key, rule, request.reserved, tokens, outcome != 1);
+    ledger.RecordOutcome(request.key, "m", static_cast<ledger::Outcome>(outcome), {tokens, 0, 0}, reported,
+                         nullptr);
     used += tokens;
     ++ended;
   };
@@ -127,14 +130,14 @@
     now += step * 1000;
     const std::string key = "k" + std::to_string(step % 3);
     if (step % 4 == 3 && limits.ReserveMore(now, key, rule, step)) {
-      // Only what runs may grow.
-      bool running = false;
-      for (Out& o : open) {
-        if (o.key != key || running) continue;
-        o.reserved += step;
-        running = true;
+      // Add the tokens to an open request of the key, or return them if there is none.
+      bool found = false;
+      for (OpenRequest& request : open) {
+        if (request.key != key || found) continue;
+        request.reserved += step;
+        found = true;
       }
-      if (!running) limits.Settle(now, key, rule, step, 0, true);
+      if (!found) limits.Settle(now, key, rule, step, 0, true);
     } else if (step % 2 == 0 || open.empty()) {
       if (limits.Admit(now, key, rule, step).admission != limits::Admission::kAdmitted) continue;
       ledger.RecordAdmission(key, "m");
@@ -154,8 +157,8 @@
   for (const char* key : {"k0", "k1", "k2"}) {
     RC_ASSERT(limits.reserved(key) == 0 && limits.streams(key) == 0);
   }
-  const auto back = ledger::RowsFromJson(ledger::ToJson(ledger, "n", 0));
-  RC_ASSERT(back.size() == ledger.rows().size());
+  const auto decoded = ledger::RowsFromJson(ledger::ToJson(ledger, "n", 0));
+  RC_ASSERT(decoded.size() == ledger.rows().size());
 }
 
 // ---- Keys ----
@@ -172,7 +175,7 @@
   std::string dir_;
 };
 
-TEST_F(KeyFile, HoldsNoKeyAndVerifiesOnlyTheRightOne) {
+TEST_F(KeyFile, HoldsNoSecretAndVerifiesOnlyTheRightKey) {
   keys::Keyring ring;
   const keys::NewKey made = keys::MakeKey("desk \"7\"");
   ring.Add(made.key);
@@ -181,43 +184,43 @@
   std::ifstream in(path());
   const std::string text{std::istreambuf_iterator<char>(in), {}};
   EXPECT_EQ(text.find(made.presented.substr(12)), std::string::npos);
-  const keys::Keyring back = keys::Keyring::Load(path());
-  ASSERT_NE(back.Verify(made.presented), nullptr);
-  EXPECT_EQ(back.Verify(made.presented)->name, "desk \"7\"");
-  ASSERT_NE(back.Verify("open sesame"), nullptr);
+  const keys::Keyring loaded = keys::Keyring::Load(path());
+  ASSERT_NE(loaded.Verify(made.presented), nullptr);
+  EXPECT_EQ(loaded.Verify(made.presented)->name, "desk \"7\"");
+  ASSERT_NE(loaded.Verify("open sesame"), nullptr);
   for (std::size_t at = 0; at < made.presented.size(); ++at) {
     std::string wrong = made.presented;
     wrong[at] = wrong[at] == '0' ? '1' : '0';
-    EXPECT_EQ(back.Verify(wrong), nullptr);
+    EXPECT_EQ(loaded.Verify(wrong), nullptr);
   }
-  EXPECT_EQ(back.Verify(""), nullptr);
-  EXPECT_EQ(back.Verify(std::string(100'000, 'x')), nullptr);
+  EXPECT_EQ(loaded.Verify(""), nullptr);
+  EXPECT_EQ(loaded.Verify(std::string(100'000, 'x')), nullptr);
 }
 
-TEST_F(KeyFile, AFileThatOthersReadOrThatIsWrongIsRefusedWithARemedy) {
+TEST_F(KeyFile, AnAccessibleOrInvalidFileIsRejectedWithARemedy) {
   keys::Keyring ring;
   ring.Add(keys::MakeKey("a").key);
   ring.Save(path());
   ASSERT_EQ(chmod(path().c_str(), 0640), 0);
-  const auto says = [&](const auto& act) -> std::string {
+  const auto error_of = [&](const auto& function) -> std::string {
     try {
-      act();
+      function();
     } catch (const SettingsError& e) {
       return e.what();
     }
     return "";
   };
-  EXPECT_NE(says([&] { keys::Keyring::Load(path()); }).find("chmod 600"), std::string::npos);
-  const std::string slip =
-      says([] { keys::Keyring::Parse("f.toml", "[[key]]\nid = \"0011aabb\"\nsalz = \"x\"\n"); });
-  EXPECT_NE(slip.find("f.toml:1: key.salt: is missing"), std::string::npos) << slip;
+  EXPECT_NE(error_of([&] { keys::Keyring::Load(path()); }).find("chmod 600"), std::string::npos);
+  const std::string misspelled =
+      error_of([] { keys::Keyring::Parse("f.toml", "[[key]]\nid = \"0011aabb\"\nsalz = \"x\"\n"); });
+  EXPECT_NE(misspelled.find("f.toml:1: key.salt: is missing"), std::string::npos) << misspelled;
   const std::string text = ring.Text() + ring.Text();
-  EXPECT_NE(says([&] { keys::Keyring::Parse("f.toml", text); }).find("twice"), std::string::npos);
+  EXPECT_NE(error_of([&] { keys::Keyring::Parse("f.toml", text); }).find("twice"), std::string::npos);
 }
 
 // ---- Networks ----
 
-TEST(Networks, BothFamiliesInOneSet) {
+TEST(Networks, ASetHoldsBothAddressFamilies) {
   limits::Networks set;
   EXPECT_TRUE(set.Add("10.1.0.0/16") && set.Add("10.2.0.0/16") && set.Add("2001:db8::/32") && set.Add("::1"));
   EXPECT_FALSE(set.Add("10.1.0.1/16") || set.Add("10.1.0.0/33") || set.Add("nowhere") ||
@@ -230,7 +233,7 @@
   }
 }
 
-RC_GTEST_PROP(NetworksProperty, SameAsCountingBits, ()) {
+RC_GTEST_PROP(NetworksProperty, AgreesWithBitMasks, ()) {
   const auto address = *rc::gen::arbitrary<std::uint32_t>();
   const auto length = *rc::gen::inRange(0, 33);
   const auto other = *rc::gen::arbitrary<std::uint32_t>();
@@ -247,21 +250,21 @@
   }
 }
 
-TEST(InvalidKeyThrottle, AFewAreToldAtOnceAndAFloodTakesTurns) {
-  limits::InvalidKeyThrottle w(100, 10, 2'000'000);
+TEST(InvalidKeyThrottle, ABurstIsAnsweredAtOnceAndAFloodIsPaced) {
+  limits::InvalidKeyThrottle throttle(100, 10, 2'000'000);
   Time now = 1'000'000'000;
   int at_once = 0;
   Time last = 0;
   for (int i = 0; i < 500; ++i) {
-    const Time wait = w.DelayOfNext(now);
-    at_once += wait == 0 ? 1 : 0;
-    ASSERT_GE(wait, last);
-    ASSERT_LE(wait, 2'000'000);
-    last = wait;
+    const Time delay = throttle.DelayOfNext(now);
+    at_once += delay == 0 ? 1 : 0;
+    ASSERT_GE(delay, last);
+    ASSERT_LE(delay, 2'000'000);
+    last = delay;
   }
   EXPECT_EQ(at_once, 11);
   EXPECT_EQ(last, 2'000'000);
-  EXPECT_EQ(w.DelayOfNext(now + 5'000'000), 0);  // the flood leaves no debt
+  EXPECT_EQ(throttle.DelayOfNext(now + 5'000'000), 0);  // the flood leaves no backlog
 }
 
 }  // namespace
--- a/tests/replica_timeline_test.cpp
+++ b/tests/replica_timeline_test.cpp
@@ -1,5 +1,6 @@
-// ReplicaTimelines, the unusual, bursts, merging and stories, each on scripted hours in virtual time: states
-// that lie, events that are missed or made up, records that grow beyond their budget.
+// Replica timelines, anomalies, coalesced decisions, merged records and request traces, tested on fault
+// scenarios in virtual time. Guards against wrong states, missed or false anomalies, and records that exceed
+// their byte budget.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -36,23 +37,23 @@
 
 constexpr Time kSec = 1'000'000;
 
-struct Played {
+struct PlayedScenario {
   FaultScenarioResult result;
   std::vector<Record> records;
-  std::vector<Anomaly> unusual;
-  ReplicaTimelines lanes;
+  std::vector<Anomaly> anomalies;
+  ReplicaTimelines timelines;
 };
 
-Played Play(FaultScenarioOptions o) {
-  Played p;
-  AnomalyDetector watch([&](const Anomaly& u) { p.unusual.push_back(u); });
+PlayedScenario Play(FaultScenarioOptions o) {
+  PlayedScenario p;
+  AnomalyDetector detector([&](const Anomaly& anomaly) { p.anomalies.push_back(anomaly); });
   p.result = lab::PlayFaultScenario(o, [&](const Record& r) {
     p.records.push_back(r);
-    watch.OnRecord(r);
-    p.lanes.AddRecord(r);
+    detector.OnRecord(r);
+    p.timelines.AddRecord(r);
   });
-  watch.Close();
-  p.lanes.Close();
+  detector.Close();
+  p.timelines.Close();
   return p;
 }
 
@@ -66,16 +67,18 @@
   return o;
 }
 
-const ReplicaTimeline& Of(const ReplicaTimelines& lanes, ReplicaId id) { return lanes.replicas().at(id); }
+const ReplicaTimeline& Of(const ReplicaTimelines& timelines, ReplicaId id) {
+  return timelines.replicas().at(id);
+}
 
-ReplicaState StateAt(const ReplicaTimelines& lanes, ReplicaId id, Time at) {
-  const StateSpan* s = ReplicaTimelines::SpanAt(Of(lanes, id), at);
+ReplicaState StateAt(const ReplicaTimelines& timelines, ReplicaId id, Time at) {
+  const StateSpan* s = ReplicaTimelines::SpanAt(Of(timelines, id), at);
   return s == nullptr ? ReplicaState::kUnlisted : s->state;
 }
 
-// ---- Hours ----
+// ---- Fault scenarios ----
 
-TEST(Hours, TheSameSeedIsTheSameRecordAndAnotherIsNot) {
+TEST(FaultScenario, TheSeedDeterminesTheRecord) {
   FaultScenarioOptions o = Short(ScriptedFault::kErrors);
   o.seconds = 20;
   o.at = 5;
@@ -85,7 +88,7 @@
   EXPECT_NE(a, lab::EncodeFaultScenario(o));
 }
 
-TEST(Hours, EveryBadHourIsReproducedWhole) {
+TEST(FaultScenario, EveryScenarioIsReproduced) {
   for (int n = 0; n < static_cast<int>(ScriptedFault::kCount); ++n) {
     FaultScenarioOptions o = Short(static_cast<ScriptedFault>(n));
     o.seconds = 60;
@@ -99,8 +102,8 @@
   }
 }
 
-// Every kind of record is read as it was written.
-TEST(Records, AllKindsComeBackAsTheyWere) {
+// Encodes and decodes a record of every kind and compares the bytes.
+TEST(Records, EveryKindIsDecodedAsItWasEncoded) {
   FaultScenarioOptions o = Short(ScriptedFault::kDark);
   o.seconds = 130;
   std::vector<Record> records;
@@ -140,88 +143,88 @@
   }
 }
 
-// ---- States that do not lie ----
+// ---- States ----
 
-TEST(ReplicaTimelines, ADarkRosterIsUnknownWithWhatWasLastKnownAndNeverReady) {
-  const Played p = Play(Short(ScriptedFault::kDark));
+TEST(ReplicaTimelines, AnUnavailableListMakesStatesUnknown) {
+  const PlayedScenario p = Play(Short(ScriptedFault::kDark));
   const Time middle = p.result.from + 10 * kSec, after = p.result.to + 5 * kSec;
   std::size_t gone = 0, ready = 0, fresh = 0;
-  for (const auto& [id, lane] : p.lanes.replicas()) {
-    if (StateAt(p.lanes, id, p.result.from - kSec) == ReplicaState::kUnlisted) {
-      ++fresh;  // came while nobody said so
-      EXPECT_EQ(StateAt(p.lanes, id, middle), ReplicaState::kUnlisted) << lane.Title();
-      EXPECT_EQ(StateAt(p.lanes, id, after), ReplicaState::kReady);
+  for (const auto& [id, replica] : p.timelines.replicas()) {
+    if (StateAt(p.timelines, id, p.result.from - kSec) == ReplicaState::kUnlisted) {
+      ++fresh;  // started while the endpoint list was unavailable
+      EXPECT_EQ(StateAt(p.timelines, id, middle), ReplicaState::kUnlisted) << replica.Title();
+      EXPECT_EQ(StateAt(p.timelines, id, after), ReplicaState::kReady);
       continue;
     }
-    EXPECT_EQ(StateAt(p.lanes, id, p.result.from - kSec), ReplicaState::kReady);
-    const StateSpan* s = ReplicaTimelines::SpanAt(lane, middle);
+    EXPECT_EQ(StateAt(p.timelines, id, p.result.from - kSec), ReplicaState::kReady);
+    const StateSpan* s = ReplicaTimelines::SpanAt(replica, middle);
     ASSERT_NE(s, nullptr);
     EXPECT_EQ(s->state, ReplicaState::kUnknown);
     EXPECT_EQ(s->last_known, ReplicaState::kReady);
-    EXPECT_EQ(s->from, p.result.from);  // since when
+    EXPECT_EQ(s->from, p.result.from);
     EXPECT_NE(s->reason.find("endpoint list unavailable"), std::string::npos);
-    (StateAt(p.lanes, id, after) == ReplicaState::kGone ? gone : ready) += 1;
+    (StateAt(p.timelines, id, after) == ReplicaState::kGone ? gone : ready) += 1;
   }
   EXPECT_EQ(gone, 6U);
   EXPECT_EQ(ready, 6U);
   EXPECT_EQ(fresh, 6U);
 }
 
-TEST(ReplicaTimelines, WhatANodeOnceKnewIsNoWordAboutNow) {
-  ReplicaTimelines lanes;
-  lanes.AddRecord(Start{kFormat, "n", "", 1, 100 * kSec});
+TEST(ReplicaTimelines, ACachedListLeavesStatesUnknown) {
+  ReplicaTimelines timelines;
+  timelines.AddRecord(Start{kFormat, "n", "", 1, 100 * kSec});
   Endpoint e;
   e.id = 4;
-  lanes.AddRecord(Decision{101 * kSec, EndpointList{EndpointListScope::kCached, 1, {e}}, {}});
-  EXPECT_EQ(StateAt(lanes, 4, 102 * kSec), ReplicaState::kUnknown);
-  EXPECT_EQ(ReplicaTimelines::SpanAt(Of(lanes, 4), 102 * kSec)->last_known, ReplicaState::kReady);
-  lanes.AddRecord(Decision{103 * kSec, EndpointList{EndpointListScope::kFull, 2, {e}}, {}});
-  EXPECT_EQ(StateAt(lanes, 4, 104 * kSec), ReplicaState::kReady);
+  timelines.AddRecord(Decision{101 * kSec, EndpointList{EndpointListScope::kCached, 1, {e}}, {}});
+  EXPECT_EQ(StateAt(timelines, 4, 102 * kSec), ReplicaState::kUnknown);
+  EXPECT_EQ(ReplicaTimelines::SpanAt(Of(timelines, 4), 102 * kSec)->last_known, ReplicaState::kReady);
+  timelines.AddRecord(Decision{103 * kSec, EndpointList{EndpointListScope::kFull, 2, {e}}, {}});
+  EXPECT_EQ(StateAt(timelines, 4, 104 * kSec), ReplicaState::kReady);
 }
 
-TEST(ReplicaTimelines, AHoleIsShownAndWhatCameBeforeItIsNotTakenToHold) {
-  Played p = Play(Short(ScriptedFault::kNone));
-  ReplicaTimelines lanes;
+TEST(ReplicaTimelines, AGapIsAnnotatedAndMakesStatesUnknown) {
+  PlayedScenario p = Play(Short(ScriptedFault::kNone));
+  ReplicaTimelines timelines;
   std::size_t n = 0;
-  Time hole = 0;
+  Time gap_at = 0;
   for (const Record& r : p.records) {
     if (++n == p.records.size() / 2) {
-      lanes.AddRecord(Gap{40});
-      hole = lanes.end();
+      timelines.AddRecord(Gap{40});
+      gap_at = timelines.end();
     }
     if (std::holds_alternative<EndpointRecord>(r) || std::holds_alternative<EndpointListRecord>(r)) continue;
     if (const auto* d = std::get_if<Decision>(&r);
-        d != nullptr && hole != 0 && std::holds_alternative<EndpointList>(d->event))
+        d != nullptr && gap_at != 0 && std::holds_alternative<EndpointList>(d->event))
       continue;
-    lanes.AddRecord(r);
+    timelines.AddRecord(r);
   }
-  lanes.Close();
-  for (const auto& [id, lane] : lanes.replicas())
-    EXPECT_EQ(StateAt(lanes, id, hole + 5 * kSec), ReplicaState::kUnknown);
-  bool said = false;
-  for (const Annotation& m : lanes.annotations())
-    said = said || m.text.find("40 records") != std::string::npos;
-  EXPECT_TRUE(said);
-  // Who is who is said again now and then, and that brings the states back.
-  lanes.AddRecord(
-      EndpointRecord{lanes.end() + kSec, 0x1001, "replica-001", "a:1", 0, EndpointState::kDraining, true});
-  EXPECT_EQ(Of(lanes, 0x1001).spans.back().state, ReplicaState::kDraining);
+  timelines.Close();
+  for (const auto& [id, replica] : timelines.replicas())
+    EXPECT_EQ(StateAt(timelines, id, gap_at + 5 * kSec), ReplicaState::kUnknown);
+  bool annotated = false;
+  for (const Annotation& m : timelines.annotations())
+    annotated = annotated || m.text.find("40 records") != std::string::npos;
+  EXPECT_TRUE(annotated);
+  // The state is known again once the endpoint record is repeated.
+  timelines.AddRecord(EndpointRecord{timelines.end() + kSec, 0x1001, "replica-001", "a:1", 0,
+                                     EndpointState::kDraining, true});
+  EXPECT_EQ(Of(timelines, 0x1001).spans.back().state, ReplicaState::kDraining);
 }
 
 TEST(ReplicaTimelines, AReplicaThatReportedNothingHasNoLoad) {
-  Played p = Play(Short(ScriptedFault::kCutOff));
-  ReplicaTimelines lanes;
+  PlayedScenario p = Play(Short(ScriptedFault::kCutOff));
+  ReplicaTimelines timelines;
   for (Record r : p.records) {
     if (auto* d = std::get_if<Decision>(&r)) {
       if (auto* e = std::get_if<AttemptEnded>(&d->event)) e->load_report.clear();
     }
-    lanes.AddRecord(r);
+    timelines.AddRecord(r);
   }
-  lanes.Close();
-  for (const auto& [id, lane] : lanes.replicas()) {
-    for (const auto& [n, b] : lane.bins) EXPECT_LT(b.load, 0);
+  timelines.Close();
+  for (const auto& [id, replica] : timelines.replicas()) {
+    for (const auto& [n, b] : replica.bins) EXPECT_LT(b.load, 0);
   }
-  for (const TextTable& s : TimelineTables(lanes)) {
+  for (const TextTable& s : TimelineTables(timelines)) {
     if (s.name != "bins") continue;
     for (const Column& c : s.columns) {
       if (c.name != "load") continue;
@@ -230,43 +233,44 @@
   }
 }
 
-TEST(ReplicaTimelines, AClockThatStepsBackShiftsTimeAndSaysSo) {
-  ReplicaTimelines lanes;
+TEST(ReplicaTimelines, AClockThatStepsBackShiftsTimesAndIsAnnotated) {
+  ReplicaTimelines timelines;
   Endpoint e;
   e.id = 4;
-  lanes.AddRecord(Start{kFormat, "n", "", 1, 1000 * kSec});
-  lanes.AddRecord(Decision{1010 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {}});
-  lanes.AddRecord(Start{kFormat, "n", "", 1, 400 * kSec});  // the process came back with another clock
-  lanes.AddRecord(Decision{405 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {}});
-  lanes.AddRecord(Decision{420 * kSec, RequestArrived{1}, {SendAttempt{1, 4, 0}}});
-  lanes.Close();
-  EXPECT_EQ(lanes.end(), 1030 * kSec);
-  EXPECT_LT(lanes.bins(), 40U);
-  ASSERT_EQ(lanes.annotations().size(), 3U);
-  EXPECT_NE(lanes.annotations()[1].text.find("stepped back by 610.0 s"), std::string::npos);
-  EXPECT_EQ(StateAt(lanes, 4, 1012 * kSec), ReplicaState::kUnknown);  // between the start and its first list
-  EXPECT_EQ(StateAt(lanes, 4, 1020 * kSec), ReplicaState::kReady);
+  timelines.AddRecord(Start{kFormat, "n", "", 1, 1000 * kSec});
+  timelines.AddRecord(Decision{1010 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {}});
+  timelines.AddRecord(Start{kFormat, "n", "", 1, 400 * kSec});  // restarted with another clock
+  timelines.AddRecord(Decision{405 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {}});
+  timelines.AddRecord(Decision{420 * kSec, RequestArrived{1}, {SendAttempt{1, 4, 0}}});
+  timelines.Close();
+  EXPECT_EQ(timelines.end(), 1030 * kSec);
+  EXPECT_LT(timelines.bins(), 40U);
+  ASSERT_EQ(timelines.annotations().size(), 3U);
+  EXPECT_NE(timelines.annotations()[1].text.find("stepped back by 610.0 s"), std::string::npos);
+  EXPECT_EQ(StateAt(timelines, 4, 1012 * kSec),
+            ReplicaState::kUnknown);  // between the start and the first list
+  EXPECT_EQ(StateAt(timelines, 4, 1020 * kSec), ReplicaState::kReady);
 }
 
-TEST(ReplicaTimelines, AnIdThatComesBackElsewhereIsMarked) {
-  ReplicaTimelines lanes;
-  lanes.AddRecord(Start{kFormat, "n", "", 1, kSec});
-  lanes.AddRecord(EndpointRecord{2 * kSec, 4, "a", "10.0.0.1:1", 0, EndpointState::kReady, false});
-  lanes.AddRecord(EndpointRecord{9 * kSec, 4, "a", "10.0.0.2:1", 0, EndpointState::kReady, false});
-  ASSERT_EQ(Of(lanes, 4).annotations.size(), 1U);
-  EXPECT_EQ(Of(lanes, 4).annotations[0].text, "moved from 10.0.0.1:1 to 10.0.0.2:1");
+TEST(ReplicaTimelines, AChangedAddressIsAnnotated) {
+  ReplicaTimelines timelines;
+  timelines.AddRecord(Start{kFormat, "n", "", 1, kSec});
+  timelines.AddRecord(EndpointRecord{2 * kSec, 4, "a", "10.0.0.1:1", 0, EndpointState::kReady, false});
+  timelines.AddRecord(EndpointRecord{9 * kSec, 4, "a", "10.0.0.2:1", 0, EndpointState::kReady, false});
+  ASSERT_EQ(Of(timelines, 4).annotations.size(), 1U);
+  EXPECT_EQ(Of(timelines, 4).annotations[0].text, "moved from 10.0.0.1:1 to 10.0.0.2:1");
 }
 
-// However long the record and however many its replicas, memory is bounded and nothing sent is lost from the
-// sums.
-RC_GTEST_PROP(LanesProperty, FoldedBinsKeepTheSums, ()) {
+// For any length of the record and any number of replicas, memory is bounded and the sums count every attempt
+// sent.
+RC_GTEST_PROP(TimelinesProperty, MergedBinsKeepTheSums, ()) {
   ReplicaTimelineOptions o;
   o.max_bins = 8;
   o.max_replicas = 3;
   o.max_items = 4;
-  ReplicaTimelines lanes(o);
+  ReplicaTimelines timelines(o);
   Time now = kSec;
-  lanes.AddRecord(Start{kFormat, "n", "", 1, now});
+  timelines.AddRecord(Start{kFormat, "n", "", 1, now});
   std::uint64_t sent = 0;
   for (const int gap : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 5'000'000))) {
     now += gap;
@@ -275,24 +279,25 @@
     Endpoint e;
     e.id = id;
     e.state = phase;
-    if (gap % 5 == 0) lanes.AddRecord(Decision{now, EndpointList{EndpointListScope::kDelta, 1, {e}}, {}});
-    lanes.AddRecord(Decision{now, RequestArrived{1}, {SendAttempt{1, id, 0}}});
+    if (gap % 5 == 0) timelines.AddRecord(Decision{now, EndpointList{EndpointListScope::kDelta, 1, {e}}, {}});
+    timelines.AddRecord(Decision{now, RequestArrived{1}, {SendAttempt{1, id, 0}}});
     ++sent;
   }
-  lanes.Close();
-  RC_ASSERT(lanes.bins() <= o.max_bins);
+  timelines.Close();
+  RC_ASSERT(timelines.bins() <= o.max_bins);
   std::uint64_t counted = 0, fleet = 0;
-  for (const auto& [id, lane] : lanes.replicas()) {
-    RC_ASSERT(lane.spans.size() <= o.max_items);
-    for (std::size_t i = 1; i < lane.spans.size(); ++i) RC_ASSERT(lane.spans[i - 1].to == lane.spans[i].from);
-    for (const auto& [n, b] : lane.bins) counted += b.sent;
+  for (const auto& [id, replica] : timelines.replicas()) {
+    RC_ASSERT(replica.spans.size() <= o.max_items);
+    for (std::size_t i = 1; i < replica.spans.size(); ++i)
+      RC_ASSERT(replica.spans[i - 1].to == replica.spans[i].from);
+    for (const auto& [n, b] : replica.bins) counted += b.sent;
   }
-  for (const auto& [n, f] : lanes.fleet()) fleet += f.sent;
+  for (const auto& [n, f] : timelines.fleet()) fleet += f.sent;
   RC_ASSERT(counted == sent);
   RC_ASSERT(fleet == sent);
 }
 
-// ---- The unusual ----
+// ---- Anomalies ----
 
 struct Expected {
   ScriptedFault thing;
@@ -300,7 +305,7 @@
   bool fleet;
 };
 
-TEST(Anomaly, EachBadThingIsNoticedWhileItLastsAndEnds) {
+TEST(Anomaly, EachFaultIsDetectedAndEnds) {
   for (const Expected e : {Expected{ScriptedFault::kErrors, AnomalyKind::kErrors, false},
                            Expected{ScriptedFault::kSlow, AnomalyKind::kFirstToken, false},
                            Expected{ScriptedFault::kFull, AnomalyKind::kRejections, false},
@@ -312,13 +317,17 @@
     o.seconds = 240;
     o.at = 120;
     o.lasts = 30;
-    const Played p = Play(o);
+    const PlayedScenario p = Play(o);
     const Anomaly* begins = nullptr;
     bool ends = false;
-    for (const Anomaly& u : p.unusual) {
-      if (u.kind != e.kind || u.fleet != e.fleet || (!e.fleet && u.replica != p.result.victim)) continue;
-      if (u.begins && begins == nullptr && u.now >= p.result.from && u.now <= p.result.to) begins = &u;
-      ends = ends || (begins != nullptr && !u.begins && u.number == begins->number && u.now > p.result.from);
+    for (const Anomaly& anomaly : p.anomalies) {
+      if (anomaly.kind != e.kind || anomaly.fleet != e.fleet ||
+          (!e.fleet && anomaly.replica != p.result.victim))
+        continue;
+      if (anomaly.begins && begins == nullptr && anomaly.now >= p.result.from && anomaly.now <= p.result.to)
+        begins = &anomaly;
+      ends = ends || (begins != nullptr && !anomaly.begins && anomaly.number == begins->number &&
+                      anomaly.now > p.result.from);
     }
     ASSERT_NE(begins, nullptr) << Name(e.thing);
     EXPECT_TRUE(ends) << Name(e.thing);
@@ -328,94 +337,96 @@
   }
 }
 
-// A change of the whole fleet is one event, not one for each replica.
-TEST(Anomaly, WhatAllDoAtOnceIsTheFleets) {
+// A change of the whole fleet is one anomaly rather than one per replica.
+TEST(Anomaly, AChangeOfAllReplicasIsOneFleetAnomaly) {
   for (const ScriptedFault thing : {ScriptedFault::kFleetErrors, ScriptedFault::kFleetSlow}) {
     FaultScenarioOptions o = Short(thing);
     o.replicas = 20;
     o.per_second = 100;
-    const Played p = Play(o);
+    const PlayedScenario p = Play(o);
     const AnomalyKind kind =
         thing == ScriptedFault::kFleetErrors ? AnomalyKind::kErrors : AnomalyKind::kFirstToken;
     int fleet = 0, single = 0;
-    for (const Anomaly& u : p.unusual) {
-      if (!u.begins || u.kind != kind || u.now < p.result.from || u.now > p.result.to + 10 * kSec) continue;
-      (u.fleet ? fleet : single) += 1;
+    for (const Anomaly& anomaly : p.anomalies) {
+      if (!anomaly.begins || anomaly.kind != kind || anomaly.now < p.result.from ||
+          anomaly.now > p.result.to + 10 * kSec)
+        continue;
+      (anomaly.fleet ? fleet : single) += 1;
     }
     EXPECT_EQ(fleet, 1) << Name(thing);
     EXPECT_LE(single, 1) << Name(thing);
   }
 }
 
-TEST(Anomaly, OneMadSecondIsNoEvent) {
-  const Played calm = Play(Short(ScriptedFault::kNone));
+TEST(Anomaly, OneSecondOfErrorsIsNoAnomaly) {
+  const PlayedScenario calm = Play(Short(ScriptedFault::kNone));
   std::vector<Anomaly> events;
-  AnomalyDetector watch([&](const Anomaly& u) { events.push_back(u); });
+  AnomalyDetector detector([&](const Anomaly& anomaly) { events.push_back(anomaly); });
   for (const Record& r : calm.records) {
     if (const auto* d = std::get_if<Decision>(&r);
-        d != nullptr && d->now / kSec == (calm.lanes.begin() + 100 * kSec) / kSec) {
+        d != nullptr && d->now / kSec == (calm.timelines.begin() + 100 * kSec) / kSec) {
       if (const auto* e = std::get_if<AttemptEnded>(&d->event); e != nullptr && e->replica == 0x1003) {
         AttemptEnded bad = *e;
         bad.outcome = Outcome::kReset;
-        watch.OnDecision(d->now, bad, d->actions);
+        detector.OnDecision(d->now, bad, d->actions);
         continue;
       }
     }
-    watch.OnRecord(r);
+    detector.OnRecord(r);
   }
-  for (const Anomaly& u : events) EXPECT_NE(u.kind, AnomalyKind::kErrors) << ToText(u);
+  for (const Anomaly& anomaly : events) EXPECT_NE(anomaly.kind, AnomalyKind::kErrors) << ToText(anomaly);
 }
 
-TEST(Anomaly, ARosterThatCallsReadyWhatNobodyCanReachIsContradicted) {
+TEST(Anomaly, RefusedConnectsContradictTheEndpointList) {
   std::vector<Anomaly> events;
-  AnomalyDetector watch([&](const Anomaly& u) { events.push_back(u); });
+  AnomalyDetector detector([&](const Anomaly& anomaly) { events.push_back(anomaly); });
   Endpoint e;
   e.id = 9;
   Time now = 100 * kSec;
-  watch.OnDecision(now, EndpointList{EndpointListScope::kFull, 1, {e}}, {});
+  detector.OnDecision(now, EndpointList{EndpointListScope::kFull, 1, {e}}, {});
   for (RequestId id = 1; id < 12; ++id) {
     now += 400'000;
-    watch.OnDecision(now, AttemptEnded{id, 0, 9, Outcome::kConnectFailed, 100, false, 0, {}}, {});
+    detector.OnDecision(now, AttemptEnded{id, 0, 9, Outcome::kConnectFailed, 100, false, 0, {}}, {});
   }
   ASSERT_EQ(events.size(), 1U);
   EXPECT_EQ(events[0].kind, AnomalyKind::kEndpointListContradicted);
   EXPECT_EQ(events[0].replica, 9U);
-  watch.OnDecision(now += kSec, AttemptEnded{20, 0, 9, Outcome::kServed, 100, true, 0, {}}, {});
-  watch.OnDecision(now += 2 * kSec, TimerFired{1}, {});
+  detector.OnDecision(now += kSec, AttemptEnded{20, 0, 9, Outcome::kServed, 100, true, 0, {}}, {});
+  detector.OnDecision(now += 2 * kSec, TimerFired{1}, {});
   ASSERT_EQ(events.size(), 2U);
   EXPECT_FALSE(events[1].begins);
-  EXPECT_EQ(watch.open_anomalies(), 0U);
+  EXPECT_EQ(detector.open_anomalies(), 0U);
 }
 
-TEST(Anomaly, OnlyWhatItOnceKnewForLongIsBehind) {
+TEST(Anomaly, ACachedListBecomesStale) {
   std::vector<Anomaly> events;
-  AnomalyDetector watch([&](const Anomaly& u) { events.push_back(u); });
+  AnomalyDetector detector([&](const Anomaly& anomaly) { events.push_back(anomaly); });
   Endpoint e;
   e.id = 9;
-  watch.OnDecision(100 * kSec, EndpointList{EndpointListScope::kCached, 0, {e}}, {});
-  watch.OnDecision(104 * kSec, TimerFired{1}, {});
+  detector.OnDecision(100 * kSec, EndpointList{EndpointListScope::kCached, 0, {e}}, {});
+  detector.OnDecision(104 * kSec, TimerFired{1}, {});
   EXPECT_TRUE(events.empty());
-  watch.OnDecision(107 * kSec, TimerFired{2}, {});
+  detector.OnDecision(107 * kSec, TimerFired{2}, {});
   ASSERT_EQ(events.size(), 1U);
   EXPECT_EQ(events[0].kind, AnomalyKind::kEndpointListStale);
-  watch.OnDecision(108 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {});
+  detector.OnDecision(108 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {});
   ASSERT_EQ(events.size(), 2U);
   EXPECT_FALSE(events[1].begins);
 }
 
-// Whatever comes, each event that begins ends once, and memory is bounded.
-RC_GTEST_PROP(UnusualProperty, WhatBeginsEndsOnce, ()) {
+// For any sequence of events, each anomaly that begins ends at most once, and memory is bounded.
+RC_GTEST_PROP(AnomalyProperty, EachAnomalyEndsOnce, ()) {
   std::map<std::uint64_t, int> open;
   AnomalyOptions o;
   o.max_replicas = 5;
-  AnomalyDetector watch(
-      [&](const Anomaly& u) {
-        if (u.begins) {
-          RC_ASSERT(open[u.number] == 0);
-          open[u.number] = 1;
+  AnomalyDetector detector(
+      [&](const Anomaly& anomaly) {
+        if (anomaly.begins) {
+          RC_ASSERT(open[anomaly.number] == 0);
+          open[anomaly.number] = 1;
         } else {
-          RC_ASSERT(open[u.number] == 1);
-          open[u.number] = 2;
+          RC_ASSERT(open[anomaly.number] == 1);
+          open[anomaly.number] = 2;
         }
       },
       o);
@@ -426,21 +437,21 @@
     Endpoint e;
     e.id = id;
     e.state = static_cast<EndpointState>(x / 56 % 3);
-    if (x % 11 == 0) watch.OnEndpointList(now, "watch", x % 2 == 0 ? "silent" : "");
+    if (x % 11 == 0) detector.OnEndpointList(now, "watch", x % 2 == 0 ? "silent" : "");
     if (x % 5 == 0)
-      watch.OnDecision(now, EndpointList{static_cast<EndpointListScope>(x / 5 % 4), 1, {e}}, {});
-    watch.OnDecision(
+      detector.OnDecision(now, EndpointList{static_cast<EndpointListScope>(x / 5 % 4), 1, {e}}, {});
+    detector.OnDecision(
         now, AttemptEnded{1, 0, id, static_cast<Outcome>(x % 8), 5, false, 0, {static_cast<double>(x % 100)}},
         {});
-    watch.OnDecision(now, ResponseStarted{1, 0, id, x}, {SendAttempt{1, id, 0}});
+    detector.OnDecision(now, ResponseStarted{1, 0, id, x}, {SendAttempt{1, id, 0}});
   }
-  watch.Close();
-  RC_ASSERT(watch.open_anomalies() <= 2U);  // the roster's own may last
+  detector.Close();
+  RC_ASSERT(detector.open_anomalies() <= 2U);  // those of the endpoint list may stay open
 }
 
-// ---- Bursts ----
+// ---- Coalesced decisions ----
 
-TEST(Bursts, TenThousandFailuresASecondStayWithinTheBudgetAndAreCounted) {
+TEST(Coalescing, TenThousandFailuresPerSecondStayWithinTheBudgetAndAreCounted) {
   const std::size_t rate = std::size_t{256} * 1024;
   RecordBudget budget(rate);
   Coalescer coalescer;
@@ -449,14 +460,14 @@
   Time last = 0;
   std::map<Time, std::size_t> by_second;
   const auto flush = [&] {
-    if (const auto burst = coalescer.TakeCounted()) {
+    if (const auto coalesced = coalescer.TakeCounted()) {
       const std::size_t before = kept.size();
-      Encode(*burst, kept);
+      Encode(*coalesced, kept);
       by_second[last / kSec] += kept.size() - before;
-      counted += burst->decisions;
-      EXPECT_LE(burst->replicas.size(), Coalescer::kMaxReplicas);
-      EXPECT_GE(burst->last, burst->first);
-      failures += burst->outcomes[static_cast<std::size_t>(Outcome::kReset)];
+      counted += coalesced->decisions;
+      EXPECT_LE(coalesced->replicas.size(), Coalescer::kMaxReplicas);
+      EXPECT_GE(coalesced->last, coalesced->first);
+      failures += coalesced->outcomes[static_cast<std::size_t>(Outcome::kReset)];
     }
   };
   std::uint64_t all = 0;
@@ -475,7 +486,7 @@
     by_second[now / kSec] += kept.size() - before;
     ++decisions;
   };
-  // Five seconds of 10,000 failures each, at 200 replicas, each followed by another attempt or a refusal.
+  // Five seconds with 10,000 failures each, at 200 replicas, each followed by another attempt or a rejection.
   Time now = 100 * kSec;
   for (RequestId id = 1; id <= 50'000; ++id) {
     now += 100;
@@ -492,24 +503,24 @@
   for (const auto& [second, bytes] : by_second) EXPECT_LE(bytes, 2 * rate + 4096) << second;
   std::vector<Record> records;
   Decode(kept, records);
-  ReplicaTimelines lanes;
-  lanes.AddRecord(Start{kFormat, "n", "", 1, 0});
-  for (const Record& r : records) lanes.AddRecord(r);
+  ReplicaTimelines timelines;
+  timelines.AddRecord(Start{kFormat, "n", "", 1, 0});
+  for (const Record& r : records) timelines.AddRecord(r);
   std::uint64_t shown = 0;
-  for (const auto& [n, f] : lanes.fleet()) shown += f.coalesced;
-  EXPECT_EQ(shown, counted);  // what was not kept shows as not kept
+  for (const auto& [n, f] : timelines.fleet()) shown += f.coalesced;
+  EXPECT_EQ(shown, counted);  // the timelines show every coalesced decision
 }
 
 // ---- Merging ----
 
-TEST(TimelineMerge, TwoClocksThreeSecondsApartBecomeOneLinePerReplica) {
+TEST(TimelineMerge, NodesWithDifferentClocksGiveOneTimelinePerReplica) {
   FaultScenarioOptions a = Short(ScriptedFault::kSlow), b = a;
   b.node = "n1";
   b.clock = 3 * kSec;
-  b.seed = a.seed + 12;  // the same victim: 12 replicas
+  b.seed = a.seed + 12;  // selects the same victim, as there are 12 replicas
   std::vector<ReplicaTimelines> nodes;
-  nodes.push_back(Play(a).lanes);
-  nodes.push_back(Play(b).lanes);
+  nodes.push_back(Play(a).timelines);
+  nodes.push_back(Play(b).timelines);
   const TimelineMerge merge(nodes);
   ASSERT_EQ(merge.nodes().size(), 2U);
   EXPECT_EQ(merge.nodes()[1].offset, -3 * kSec);
@@ -518,31 +529,31 @@
   EXPECT_TRUE(merge.disagreements().empty());
   std::uint64_t parts = 0, joined = 0;
   for (const ReplicaTimelines& n : nodes) {
-    for (const auto& [id, lane] : n.replicas()) {
-      for (const auto& [k, bin] : lane.bins) parts += bin.sent;
+    for (const auto& [id, replica] : n.replicas()) {
+      for (const auto& [k, bin] : replica.bins) parts += bin.sent;
     }
   }
-  for (const auto& [id, lane] : merge.timelines().replicas()) {
-    for (const auto& [k, bin] : lane.bins) joined += bin.sent;
+  for (const auto& [id, replica] : merge.timelines().replicas()) {
+    for (const auto& [k, bin] : replica.bins) joined += bin.sent;
   }
   EXPECT_EQ(parts, joined);
 }
 
-TEST(TimelineMerge, OneNodeInTheDarkDoesNotHideWhatTheOtherKnowsAndDifferencesAreTold) {
+TEST(TimelineMerge, KnownStatesPrevailAndDisagreementsAreReported) {
   const auto node = [](const char* name, bool dark, bool draining) {
-    ReplicaTimelines lanes;
+    ReplicaTimelines timelines;
     Endpoint e;
     e.id = 4;
-    lanes.AddRecord(Start{kFormat, name, "", 1, 100 * kSec});
-    lanes.AddRecord(Decision{101 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {}});
-    if (dark) lanes.AddRecord(EndpointListRecord{110 * kSec, "watch", 1, "silent", false});
+    timelines.AddRecord(Start{kFormat, name, "", 1, 100 * kSec});
+    timelines.AddRecord(Decision{101 * kSec, EndpointList{EndpointListScope::kFull, 1, {e}}, {}});
+    if (dark) timelines.AddRecord(EndpointListRecord{110 * kSec, "watch", 1, "silent", false});
     if (draining) {
       e.state = EndpointState::kDraining;
-      lanes.AddRecord(Decision{110 * kSec, EndpointList{EndpointListScope::kDelta, 2, {e}}, {}});
+      timelines.AddRecord(Decision{110 * kSec, EndpointList{EndpointListScope::kDelta, 2, {e}}, {}});
     }
-    lanes.AddRecord(Decision{130 * kSec, TimerFired{1}, {}});
-    lanes.Close();
-    return lanes;
+    timelines.AddRecord(Decision{130 * kSec, TimerFired{1}, {}});
+    timelines.Close();
+    return timelines;
   };
   const TimelineMerge dark({node("a", true, false), node("b", false, false)});
   EXPECT_EQ(StateAt(dark.timelines(), 4, 120 * kSec), ReplicaState::kReady);
@@ -555,29 +566,29 @@
   EXPECT_EQ(StateAt(both.timelines(), 4, 120 * kSec), ReplicaState::kUnknown);
 }
 
-// Two nodes may know different replicas by one number: what was unusual stays with the replica that it was.
-TEST(TimelineMerge, ANumberThatTwoReplicasShareDoesNotMixTheirEvents) {
+// Two nodes may use the same id for different replicas. Each anomaly must stay with its own replica.
+TEST(TimelineMerge, ReplicasWithTheSameIdKeepTheirAnomalies) {
   const auto node = [](const char* name, const char* replica) {
-    ReplicaTimelines lanes;
-    lanes.AddRecord(Start{kFormat, name, "", 1, 100 * kSec});
-    lanes.AddRecord(EndpointRecord{101 * kSec, 4, replica, "a:1", 0, EndpointState::kReady, false});
-    lanes.AddRecord(Anomaly{.now = 105 * kSec, .number = 1, .kind = AnomalyKind::kErrors, .replica = 4});
-    lanes.Close();
-    return lanes;
+    ReplicaTimelines timelines;
+    timelines.AddRecord(Start{kFormat, name, "", 1, 100 * kSec});
+    timelines.AddRecord(EndpointRecord{101 * kSec, 4, replica, "a:1", 0, EndpointState::kReady, false});
+    timelines.AddRecord(Anomaly{.now = 105 * kSec, .number = 1, .kind = AnomalyKind::kErrors, .replica = 4});
+    timelines.Close();
+    return timelines;
   };
   const TimelineMerge merge({node("a", "left"), node("b", "right")});
   std::set<std::string> named;
-  for (const Anomaly& u : merge.timelines().anomalies())
-    named.insert(merge.timelines().ReplicaTitle(u.replica));
+  for (const Anomaly& anomaly : merge.timelines().anomalies())
+    named.insert(merge.timelines().ReplicaTitle(anomaly.replica));
   EXPECT_EQ(named, (std::set<std::string>{"left", "right"}));
 }
 
-// ---- Stories ----
+// ---- Request traces ----
 
-TEST(RequestTrace, TellsWhoWasAskedAndWhyAndHowItEnded) {
+TEST(RequestTrace, ShowsAttemptsReasonsAndConclusion) {
   FaultScenarioOptions o = Short(ScriptedFault::kErrors);
-  const Played p = Play(o);
-  // A request whose first attempt failed at the victim.
+  const PlayedScenario p = Play(o);
+  // A request with an attempt that failed at the victim.
   RequestId id = 0;
   for (const Record& r : p.records) {
     const auto* d = std::get_if<Decision>(&r);
@@ -586,51 +597,51 @@
   }
   ASSERT_NE(id, 0U);
   for (const std::string& name : {"call-" + std::to_string(id), "req_call-" + std::to_string(id)}) {
-    RequestTrace story(name);
-    for (const Record& r : p.records) story.AddRecord(r);
-    EXPECT_EQ(story.found(), 1U);
+    RequestTrace trace(name);
+    for (const Record& r : p.records) trace.AddRecord(r);
+    EXPECT_EQ(trace.found(), 1U);
     std::string all;
-    for (const std::string& line : story.Lines()) all += line + "\n";
+    for (const std::string& line : trace.Lines()) all += line + "\n";
     EXPECT_NE(all.find("arrives"), std::string::npos) << all;
     EXPECT_NE(all.find("most spare capacity"), std::string::npos) << all;
     EXPECT_NE(all.find("ends: error"), std::string::npos) << all;
     EXPECT_TRUE(all.find("served") != std::string::npos || all.find("rejected") != std::string::npos) << all;
     EXPECT_NE(all.find("ready for"), std::string::npos) << all;
   }
-  RequestTrace nobody("call-0");
-  for (const Record& r : p.records) nobody.AddRecord(r);
-  EXPECT_EQ(nobody.found(), 0U);
+  RequestTrace unknown("call-0");
+  for (const Record& r : p.records) unknown.AddRecord(r);
+  EXPECT_EQ(unknown.found(), 0U);
 }
 
-// Reasons from a replay are those that the node itself would have kept.
-TEST(RequestTrace, AReplayTellsTheReasonsThatTheRecordDoesNotKeep) {
+// The reasons determined by a replay equal those that the node records itself.
+TEST(RequestTrace, AReplayDeterminesReasonsThatWereNotRecorded) {
   const std::string path =
       std::filesystem::temp_directory_path().string() + "/ryeglade-reasons-" + std::to_string(getpid());
   std::filesystem::create_directories(path);
   FaultScenarioOptions o = Short(ScriptedFault::kCutOff);
   o.seconds = 120;
-  std::vector<std::string> notes[2];
-  for (const bool kept : {true, false}) {
-    o.reasons = kept;
-    const std::string file = path + "/" + (kept ? "kept" : "bare") + ".flight";
+  std::vector<std::string> reasons[2];
+  for (const bool recorded : {true, false}) {
+    o.reasons = recorded;
+    const std::string file = path + "/" + (recorded ? "with" : "without") + ".flight";
     lab::WriteFaultScenario(o, file);
     ReadWithReasons({file}, [&](const Record& r) {
-      if (std::holds_alternative<ReasonRecord>(r)) notes[kept ? 0 : 1].push_back(ToText(r));
+      if (std::holds_alternative<ReasonRecord>(r)) reasons[recorded ? 0 : 1].push_back(ToText(r));
     });
   }
   std::filesystem::remove_all(path);
-  EXPECT_GT(notes[0].size(), 1000U);
-  EXPECT_EQ(notes[0], notes[1]);
+  EXPECT_GT(reasons[0].size(), 1000U);
+  EXPECT_EQ(reasons[0], reasons[1]);
 }
 
-// ---- Tables and pictures ----
+// ---- Tables and plots ----
 
-TEST(Export, EverySheetIsSquareAndCsvHasItsRows) {
-  const Played p = Play(Short(ScriptedFault::kDark));
-  ReplicaTimelines lanes = p.lanes;
-  for (const Anomaly& u : p.unusual) lanes.AddRecord(u);
+TEST(Export, EveryTableIsRectangularAndCsvHasItsRows) {
+  const PlayedScenario p = Play(Short(ScriptedFault::kDark));
+  ReplicaTimelines timelines = p.timelines;
+  for (const Anomaly& anomaly : p.anomalies) timelines.AddRecord(anomaly);
   std::set<std::string> names;
-  for (const TextTable& s : TimelineTables(lanes)) {
+  for (const TextTable& s : TimelineTables(timelines)) {
     names.insert(s.name);
     for (const Column& c : s.columns)
       EXPECT_EQ(std::visit([](const auto& v) { return v.size(); }, c.values), s.rows()) << s.name << c.name;
@@ -640,14 +651,14 @@
   EXPECT_EQ(names, (std::set<std::string>{"bins", "fleet", "states", "rests", "events", "marks"}));
 }
 
-TEST(Plot, AScriptForEveryFleetAndNoWayOutOfItsQuotes) {
+TEST(Plot, ScriptsAreBoundedAndNamesAreEscaped) {
   FaultScenarioOptions o = Short(ScriptedFault::kErrors);
   for (const int replicas : {3, 200}) {
     o.replicas = replicas;
-    ReplicaTimelines lanes = Play(o).lanes;
-    lanes.AddRecord(
-        EndpointRecord{lanes.end(), 0x1001, "na\"me`date`\\", "a:1", 0, EndpointState::kReady, false});
-    const std::string script = TimelinePlotScript(lanes, {"x.svg", "a \"title\"", 1400});
+    ReplicaTimelines timelines = Play(o).timelines;
+    timelines.AddRecord(
+        EndpointRecord{timelines.end(), 0x1001, "na\"me`date`\\", "a:1", 0, EndpointState::kReady, false});
+    const std::string script = TimelinePlotScript(timelines, {"x.svg", "a \"title\"", 1400});
     EXPECT_NE(script.find("set terminal svg"), std::string::npos);
     EXPECT_EQ(script.find('`'), std::string::npos);
     EXPECT_NE(script.find("na'me'date''"), std::string::npos);
@@ -658,9 +669,9 @@
 
 // ---- A node as a process ----
 
-class BadHour : public testing::TestWithParam<std::string> {};
+class LiveFaultScenarioTest : public testing::TestWithParam<std::string> {};
 
-TEST_P(BadHour, IsRecordedAsItWasAndReproduced) {
+TEST_P(LiveFaultScenarioTest, IsRecordedAndReproduced) {
   const std::string program = std::getenv("RYEGLADE_PROGRAM");
   std::string directory = std::filesystem::temp_directory_path().string() + "/ryeglade-bad-XXXXXX";
   ASSERT_NE(mkdtemp(directory.data()), nullptr);
@@ -680,26 +691,26 @@
   EXPECT_NE(verified.find(" 0 could not be compared"), std::string::npos) << verified;
   const std::string all = Shell(timeline + "show " + directory);
   EXPECT_NE(all.find("stand-in-5"), std::string::npos) << all;
-  const std::string told = Shell(timeline + "show --replica stand-in-0 " + directory);
+  const std::string replica = Shell(timeline + "show --replica stand-in-0 " + directory);
   const std::map<std::string, std::string> expected = {
       {"dark", "unknown for "},      {"slow", "first ms"}, {"erroring", "error"},
       {"cut-off", "connect-failed"}, {"replaced", "gone"}, {"drained", "draining for "}};
-  EXPECT_NE(told.find(expected.at(o.name)), std::string::npos) << told;
+  EXPECT_NE(replica.find(expected.at(o.name)), std::string::npos) << replica;
   if (o.name == "dark") {
-    EXPECT_NE(told.find("last known ready"), std::string::npos) << told;
+    EXPECT_NE(replica.find("last known ready"), std::string::npos) << replica;
     EXPECT_NE(Shell(timeline + "events " + directory).find("roster-dark"), std::string::npos);
   }
   std::filesystem::remove_all(directory);
 }
 
-INSTANTIATE_TEST_SUITE_P(All, BadHour, testing::ValuesIn(lab::LiveFaultScenarioNames()),
+INSTANTIATE_TEST_SUITE_P(All, LiveFaultScenarioTest, testing::ValuesIn(lab::LiveFaultScenarioNames()),
                          [](const auto& named) {
                            std::string name = named.param;
                            std::erase(name, '-');
                            return name;
                          });
 
-TEST(RingNode, TheNewestIsKeptInMemoryAndWrittenOnASignal) {
+TEST(RingNode, TheRingIsWrittenOnASignal) {
   std::string directory = std::filesystem::temp_directory_path().string() + "/ryeglade-ring-XXXXXX";
   ASSERT_NE(mkdtemp(directory.data()), nullptr);
   lab::LocalFleetOptions o;
@@ -718,13 +729,13 @@
   EXPECT_TRUE(
       fleet.Until([&] { return fleet.node().Log().find("flight-dumped") != std::string::npos; }, 10'000'000));
   std::uint64_t bytes = 0, decisions = 0;
-  std::set<std::string> members;
+  std::set<std::string> names;
   const ReadTotals totals = ReadFlight(FlightFiles({directory}), [&](const Record& r) {
     std::string raw;
     EncodeRecord(r, raw);
     bytes += raw.size();
     decisions += std::holds_alternative<Decision>(r) ? 1 : 0;
-    if (const auto* m = std::get_if<EndpointRecord>(&r)) members.insert(m->name);
+    if (const auto* m = std::get_if<EndpointRecord>(&r)) names.insert(m->name);
   });
   EXPECT_EQ(totals.Losses(), "");
   EXPECT_GT(decisions, 100U);
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -1,5 +1,5 @@
-// The flight record: what is written is what is read, whatever tears it; and a module that decides otherwise
-// is found out.
+// The flight record: undamaged blocks are read as they were written, whatever damages the rest of the file,
+// and a replay detects a decision module that decides differently.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 #include <signal.h>
@@ -31,27 +31,27 @@
     "stream=true\n"
     "limits.max-attempts=4\nobligations.answer-slack=16000\n";
 
-// A node's day: arrivals, outcomes of every kind, drains and timers, recorded as they come.
-std::string Day(std::uint64_t seed, const std::string& settings = kSettings) {
+// Returns the encoded record of a Router that handles arrivals, all kinds of outcomes, drains and timers.
+std::string RecordTraffic(std::uint64_t seed, const std::string& settings = kSettings) {
   std::string out;
   const Time start = 100'000'000;
   Encode(Start{kFormat, "n0", settings, 7, start}, out);
   Router router(wire::ReadSettings(settings), 7, start);
   std::vector<std::pair<Time, std::uint64_t>> timers;
-  std::vector<std::pair<RequestId, ReplicaId>> out_now;
+  std::vector<std::pair<RequestId, ReplicaId>> in_flight;
   std::vector<int> attempts(2000, 0);
   Time now = start;
-  const auto give = [&](const Event& event) {
+  const auto handle = [&](const Event& event) {
     std::vector<Action> actions;
     router.Handle(now, event, actions);
     Encode(now, event, actions, out);
     for (const Action& a : actions) {
-      if (const auto* send = std::get_if<SendAttempt>(&a)) out_now.emplace_back(send->id, send->replica);
+      if (const auto* send = std::get_if<SendAttempt>(&a)) in_flight.emplace_back(send->id, send->replica);
       if (const auto* timer = std::get_if<SetTimer>(&a))
         timers.emplace_back(now + timer->delay, timer->token);
     }
   };
-  give(EndpointList{EndpointListScope::kFull, 1, test::ReadyReplicas(4)});
+  handle(EndpointList{EndpointListScope::kFull, 1, test::ReadyReplicas(4)});
   for (RequestId id = 1; id <= 400; ++id) {
     seed = seed * 6364136223846793005ULL + 1442695040888963407ULL;
     now += static_cast<Time>(seed >> 50);
@@ -62,21 +62,21 @@
       }
       const std::uint64_t token = timers[i].second;
       timers.erase(timers.begin() + static_cast<std::ptrdiff_t>(i));
-      give(TimerFired{token});
+      handle(TimerFired{token});
     }
-    give(RequestArrived{id, 0, 0, id % 7, id % 3, 500, 100, 80, 4'000'000, 0, false, false, false});
+    handle(RequestArrived{id, 0, 0, id % 7, id % 3, 500, 100, 80, 4'000'000, 0, false, false, false});
     if (id % 50 == 0) {
       Endpoint e = test::Ready(static_cast<ReplicaId>(id / 50 % 4));
       e.state = id % 100 == 0 ? EndpointState::kReady : EndpointState::kDraining;
-      give(EndpointList{EndpointListScope::kDelta, static_cast<std::uint32_t>(id), {e}});
+      handle(EndpointList{EndpointListScope::kDelta, static_cast<std::uint32_t>(id), {e}});
     }
-    while (out_now.size() > 3) {
-      const auto [request, replica] = out_now.front();
-      out_now.erase(out_now.begin());
+    while (in_flight.size() > 3) {
+      const auto [request, replica] = in_flight.front();
+      in_flight.erase(in_flight.begin());
       const auto outcome = static_cast<Outcome>(request % 6);
       int& n = attempts[request];
-      if (outcome == Outcome::kServed) give(ResponseStarted{request, n, replica, 100'000});
-      give(AttemptEnded{request, n, replica, outcome, 300'000, outcome == Outcome::kServed, 20, {}});
+      if (outcome == Outcome::kServed) handle(ResponseStarted{request, n, replica, 100'000});
+      handle(AttemptEnded{request, n, replica, outcome, 300'000, outcome == Outcome::kServed, 20, {}});
       ++n;
     }
   }
@@ -91,21 +91,21 @@
   return v;
 }
 
-TEST(Flight, ADayIsReproducedDecisionByDecision) {
+TEST(Flight, EveryDecisionIsReproduced) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    const Verifier v = Verify(Day(seed));
+    const Verifier v = Verify(RecordTraffic(seed));
     EXPECT_GT(v.decisions(), 600U);
     EXPECT_EQ(v.matched(), v.decisions()) << v.first_difference();
     EXPECT_TRUE(v.good());
   }
 }
 
-// The check can fail: a module that had one constant changed is found out.
-TEST(Flight, AModuleThatDecidesOtherwiseIsFoundOut) {
+// Guards against a replay that cannot fail: a Router with one changed setting must be detected.
+TEST(Flight, ADifferentDecisionIsDetected) {
   std::string changed = kSettings;
   changed.replace(changed.find("max-attempts=4"), 14, "max-attempts=2");
   std::vector<Record> records;
-  Decode(Day(1), records);
+  Decode(RecordTraffic(1), records);
   std::get<Start>(records.front()).settings = changed;
   Verifier v;
   for (const Record& r : records) v.AddRecord(r);
@@ -114,9 +114,9 @@
   EXPECT_NE(v.first_difference().find("recorded:"), std::string::npos);
 }
 
-TEST(Flight, BehindAGapNothingIsClaimed) {
+TEST(Flight, DecisionsAfterAGapAreSkipped) {
   std::vector<Record> records;
-  Decode(Day(1), records);
+  Decode(RecordTraffic(1), records);
   records.insert(records.begin() + 100, Gap{5});
   Verifier v;
   for (const Record& r : records) v.AddRecord(r);
@@ -125,7 +125,7 @@
   EXPECT_GT(v.skipped(), 500U);
 }
 
-RC_GTEST_PROP(FlightProperty, AnyBytesAreReadOrRefused, (const std::string& bytes)) {
+RC_GTEST_PROP(FlightProperty, AnyBytesAreDecodedOrRejected, (const std::string& bytes)) {
   std::vector<Record> records;
   try {
     Decode(bytes, records);
@@ -134,18 +134,18 @@
   for (const Record& r : records) RC_ASSERT(!ToText(r).empty());
 }
 
-std::string File(std::vector<std::string>* raws) {
+std::string MakeFile(std::vector<std::string>* raws) {
   std::string file = FileHeader();
   for (std::uint64_t n = 0; n < 4; ++n) {
-    raws->push_back(Day(n).substr(0, 400 + 300 * n));
+    raws->push_back(RecordTraffic(n).substr(0, 400 + 300 * n));
     file += MakeBlock(raws->back(), n);
   }
   return file;
 }
 
-TEST(Blocks, WhereverItIsTornAllWholeBlocksAreRead) {
+TEST(Blocks, CompleteBlocksOfATruncatedFileAreRead) {
   std::vector<std::string> raws;
-  const std::string file = File(&raws);
+  const std::string file = MakeFile(&raws);
   for (std::size_t cut = FileHeader().size(); cut <= file.size(); ++cut) {
     std::size_t read = 0;
     const ReadReport report =
@@ -153,19 +153,19 @@
           EXPECT_EQ(raw, raws[n]);
           return ++read > 0;
         });
-    std::size_t whole = 0, end = FileHeader().size();
-    while (whole < raws.size() && end + MakeBlock(raws[whole], whole).size() <= cut) {
-      end += MakeBlock(raws[whole], whole).size();
-      ++whole;
+    std::size_t complete = 0, end = FileHeader().size();
+    while (complete < raws.size() && end + MakeBlock(raws[complete], complete).size() <= cut) {
+      end += MakeBlock(raws[complete], complete).size();
+      ++complete;
     }
-    ASSERT_EQ(read, whole) << cut;
+    ASSERT_EQ(read, complete) << cut;
     ASSERT_EQ(report.lost_bytes, cut - end) << cut;
   }
 }
 
-TEST(Blocks, AnyFlippedBitCostsAtMostItsOwnBlockAndIsTold) {
+TEST(Blocks, AFlippedBitLosesOnlyItsBlockAndIsReported) {
   std::vector<std::string> raws;
-  const std::string file = File(&raws);
+  const std::string file = MakeFile(&raws);
   for (std::size_t at = FileHeader().size(); at < file.size(); at += 3) {
     std::string bad = file;
     bad[at] = static_cast<char>(bad[at] ^ (1 << (at % 8)));
@@ -184,15 +184,16 @@
 
 // ---- A node as a process ----
 
-struct Recorded {
-  Recorded(const std::string& more, const std::string& directory = "@DIR@") {
+struct RecordingFleet {
+  RecordingFleet(const std::string& more, const std::string& directory = "@DIR@") {
     lab::LocalFleetOptions o;
     o.program = std::getenv("RYEGLADE_PROGRAM");
     o.replicas.resize(3);
     o.more_settings = "[timeline]\ndirectory = \"" + directory + "\"\n" + more;
     fleet = std::make_unique<lab::LocalFleet>(o);
   }
-  int Hour(int requests) {
+  // Sends requests, some of them with a fault, and returns how many were served.
+  int SendRequests(int requests) {
     static const char* kFaults[] = {"none", "reset-once", "error-once", "break", "busy-once", "none"};
     int served = 0;
     for (int i = 0; i < requests; ++i) {
@@ -212,14 +213,14 @@
   std::unique_ptr<lab::LocalFleet> fleet;
 };
 
-TEST(FlightNode, ABadHourIsReproducedWholeAndToldByRequest) {
-  Recorded r("");
-  EXPECT_GT(r.Hour(60), 40);
-  r.fleet->Ledger();  // ends the node in order
-  const std::string said = r.Command("verify");
-  EXPECT_NE(said.find("1 starts"), std::string::npos) << said;
-  EXPECT_EQ(said.find("failed"), std::string::npos) << said;
-  EXPECT_EQ(said.find("lost"), std::string::npos) << said;
+TEST(FlightNode, FaultyTrafficIsReproducedAndTracedByRequest) {
+  RecordingFleet r("");
+  EXPECT_GT(r.SendRequests(60), 40);
+  r.fleet->Ledger();  // stops the node gracefully
+  const std::string output = r.Command("verify");
+  EXPECT_NE(output.find("1 starts"), std::string::npos) << output;
+  EXPECT_EQ(output.find("failed"), std::string::npos) << output;
+  EXPECT_EQ(output.find("lost"), std::string::npos) << output;
   const std::string shown = r.Command("show --records");
   EXPECT_NE(shown.find(" error after "), std::string::npos);
   EXPECT_NE(shown.find("-> send "), std::string::npos);
@@ -231,40 +232,40 @@
   EXPECT_LT(why.size(), shown.size() / 10);
 }
 
-TEST(FlightNode, AfterAKillAllWholeBlocksAreReproduced) {
-  Recorded r("block_within = \"50ms\"\n");
-  r.Hour(30);
+TEST(FlightNode, CompleteBlocksAreReproducedAfterAKill) {
+  RecordingFleet r("block_within = \"50ms\"\n");
+  r.SendRequests(30);
   r.fleet->node().Signal(SIGKILL);
   EXPECT_TRUE(r.fleet->Until([&] { return !r.fleet->node().Running(); }, 10'000'000));
-  const std::string said = r.Command("verify");
-  EXPECT_EQ(said.find("failed"), std::string::npos) << said;
-  EXPECT_NE(said.find("decisions reproduced"), std::string::npos);
+  const std::string output = r.Command("verify");
+  EXPECT_EQ(output.find("failed"), std::string::npos) << output;
+  EXPECT_NE(output.find("decisions reproduced"), std::string::npos);
 }
 
-// A block that begins with a decision and its reasons is written in time like any other, though nothing
-// follows it.
-TEST(FlightNode, WhatAQuietNodeDidIsOnDiskWithinTheBlocksTime) {
-  Recorded r("block_within = \"50ms\"\nreasons = true\n");
-  r.fleet->Until([] { return false; }, 1'500'000);  // what the start wrote is out
-  EXPECT_EQ(r.Hour(1), 1);
+// Guards against a block that begins with a decision and its reasons and is not written until another record
+// follows.
+TEST(FlightNode, AnIdleNodeWritesItsBlockWithinTheInterval) {
+  RecordingFleet r("block_within = \"50ms\"\nreasons = true\n");
+  r.fleet->Until([] { return false; }, 1'500'000);  // until the records of the start are written
+  EXPECT_EQ(r.SendRequests(1), 1);
   r.fleet->Until([] { return false; }, 2'000'000);
-  const std::string shown = r.Command("show --records");  // the node still runs
+  const std::string shown = r.Command("show --records");  // the node is still running
   EXPECT_NE(shown.find(" served after "), std::string::npos) << shown;
 }
 
-TEST(FlightNode, ADiskThatTakesNothingCostsRecordsAndNoRequest) {
-  Recorded r("block_within = \"50ms\"\n", "/proc/nowhere");
-  EXPECT_GT(r.Hour(30), 20);
+TEST(FlightNode, AFailingDiskLosesRecordsButNoRequests) {
+  RecordingFleet r("block_within = \"50ms\"\n", "/proc/nowhere");
+  EXPECT_GT(r.SendRequests(30), 20);
   EXPECT_TRUE(r.fleet->Until(
       [&] { return r.fleet->node().Log().find("flight-not-written") != std::string::npos; }, 10'000'000));
   EXPECT_EQ(r.fleet->node().Stop(), 0);
 }
 
 TEST(FlightNode, FilesStayWithinTheirBound) {
-  Recorded r("block = \"4KiB\"\nblock_within = \"50ms\"\nsegment = \"64KiB\"\ntotal = \"256KiB\"\n");
+  RecordingFleet r("block = \"4KiB\"\nblock_within = \"50ms\"\nsegment = \"64KiB\"\ntotal = \"256KiB\"\n");
   std::uintmax_t most = 0;
   for (int round = 0; round < 6; ++round) {
-    r.Hour(60);
+    r.SendRequests(60);
     std::uintmax_t all = 0;
     for (const auto& e : std::filesystem::directory_iterator(r.fleet->node().directory())) {
       if (e.path().extension() == ".flight") all += e.file_size();
