--- a/src/columnar/columnar_file.h
+++ b/src/columnar/columnar_file.h
@@ -15,8 +15,8 @@
 struct ColumnarFile {
   std::map<std::string, std::string> attributes;
   std::vector<TextTable> tables;
-  const TextTable& TableNamed(
-      const std::string& name) const;  // throws std::runtime_error where it is not there
+  // Throws std::runtime_error if there is no table of this name.
+  const TextTable& TableNamed(const std::string& name) const;
 };
 
 // Replaces the file atomically and waits for the disk. Throws std::runtime_error that names the step that
--- a/src/timeline/anomaly_model.cpp
+++ b/src/timeline/anomaly_model.cpp
@@ -253,7 +253,7 @@
   if (const auto* b = std::get_if<CoalescedDecisions>(&record)) return OnCoalesced(*b);
 }
 
-// ---- A tick ----
+// ---- One tick ----
 
 void AnomalyDetector::ComputeValues(Replica& r, double mean_sent, double load_scale) {
   const Counts& c = r.tick;
@@ -261,8 +261,8 @@
   auto& now = r.now;
   now = {};
   if (c.ended > 0) {
-    // With few attempts a single failure is a large share. The floor is the sampling error of a share near 3
-    // %.
+    // With few attempts a single failure is a large share. The floor is the sampling error of a share of
+    // 0.03.
     const double floor = kFloorError + std::sqrt(0.03 / ended);
     now[0] = Value{c.failed / ended, floor};
     now[3] = Value{c.full / ended, floor + kFloorError};
--- a/src/timeline/flight_recorder.cpp
+++ b/src/timeline/flight_recorder.cpp
@@ -37,8 +37,8 @@
   std::uint64_t started = 0, segment = 0, number = 0, failures = 0;
   int fd = -1;
   std::size_t size = 0;
-  Time not_before = 0;
-  int error = 0;  // of the last write
+  Time not_before = 0;  // nothing is written before this time
+  int error = 0;        // errno of the last failed write; 0 once it has been logged
 
   bool Open() {
     const std::string path = fmt::format("{}/{}{:013}-{:06}.flight", directory, prefix, started, segment);
--- a/src/timeline/merge_model.cpp
+++ b/src/timeline/merge_model.cpp
@@ -147,8 +147,8 @@
   MergeStates(replica, replica.Title(), parts);
 }
 
-// Attempts in flight are counted per node and are summed; the load reported by the replica is the same for
-// all nodes and is not.
+// Attempts in flight are counted by each node and are summed. The load reported by the replica is the same
+// for all nodes and is not summed.
 void TimelineMerge::AddBins(const ReplicaTimelines& node, std::size_t i, const ReplicaTimeline& part,
                             ReplicaTimeline& into) const {
   std::map<std::uint32_t, ReplicaBin> bins;
--- a/src/timeline/merge_model.h
+++ b/src/timeline/merge_model.h
@@ -17,8 +17,8 @@
 struct MergedNode {
   std::string name;
   Time offset = 0;  // added to the times of this node
-  std::size_t common_generations =
-      0;  // list generations that the offset is estimated from; 0 if none, and the offset is then 0
+  // Number of list generations that the offset is estimated from. If it is 0, the offset is 0 as well.
+  std::size_t common_generations = 0;
   Time offset_spread = 0;  // median absolute deviation of the differences around `offset`
 };
 
--- a/tests/accounts_test.cpp
+++ b/tests/accounts_test.cpp
@@ -73,8 +73,8 @@
   for (int i = 0; i < 200; ++i) sizes.Learn("m", 1'000'000, 1);
   EXPECT_LE(sizes.BytesPerToken("m"), 16);
   for (int i = 0; i < 10'000; ++i) sizes.Learn("model-" + std::to_string(i), 400, 100);
-  EXPECT_EQ(sizes.Estimate("n", {400, 80, 30, std::nullopt}).output,
-            30);  // an event holds at least one token
+  // Each event holds at least one token.
+  EXPECT_EQ(sizes.Estimate("n", {400, 80, 30, std::nullopt}).output, 30);
 }
 
 // ---- Limits ----
--- a/tests/replica_timeline_test.cpp
+++ b/tests/replica_timeline_test.cpp
@@ -247,8 +247,8 @@
   EXPECT_LT(timelines.bins(), 40U);
   ASSERT_EQ(timelines.annotations().size(), 3U);
   EXPECT_NE(timelines.annotations()[1].text.find("stepped back by 610.0 s"), std::string::npos);
-  EXPECT_EQ(StateAt(timelines, 4, 1012 * kSec),
-            ReplicaState::kUnknown);  // between the start and the first list
+  // Between the second start and its first list.
+  EXPECT_EQ(StateAt(timelines, 4, 1012 * kSec), ReplicaState::kUnknown);
   EXPECT_EQ(StateAt(timelines, 4, 1020 * kSec), ReplicaState::kReady);
 }
 
