--- a/src/timeline/anomaly_model.cpp
+++ b/src/timeline/anomaly_model.cpp
@@ -49,9 +49,9 @@
 
 }  // namespace
 
-void AnomalyDetector::Baseline::Add(double x, std::size_t most) {
+void AnomalyDetector::Baseline::Add(double x, std::size_t max_values) {
   values_.push_back(x);
-  if (values_.size() > most) values_.pop_front();
+  if (values_.size() > max_values) values_.pop_front();
   if (++unmeasured_values_ >= kMeasureInterval || values_.size() <= 2 * kMeasureInterval) Measure();
 }
 
@@ -178,7 +178,7 @@
     if (Replica* r = FindOrAdd(ended->replica); r != nullptr) {
       ++r->tick.ended;
       if (Failed(ended->outcome)) ++r->tick.failed;
-      if (ended->outcome == Outcome::kAtCapacity) ++r->tick.full;
+      if (ended->outcome == Outcome::kAtCapacity) ++r->tick.at_capacity;
       if (ended->outcome == Outcome::kConnectFailed) {
         if (r->refused_connects++ == 0) r->refused_since = now_;
       } else if (ended->outcome != Outcome::kCancelled && ended->outcome != Outcome::kNotSent) {
@@ -265,7 +265,7 @@
     // 0.03.
     const double floor = kFloorError + std::sqrt(0.03 / ended);
     now[0] = Value{c.failed / ended, floor};
-    now[3] = Value{c.full / ended, floor + kFloorError};
+    now[3] = Value{c.at_capacity / ended, floor + kFloorError};
   }
   // A mean of few first tokens is imprecise: they are collected until there are min_first_tokens of them, or
   // for at most max_first_token_ticks.
--- a/src/timeline/anomaly_model.h
+++ b/src/timeline/anomaly_model.h
@@ -76,7 +76,7 @@
   // The most recent values of a series, with their median and scale.
   class Baseline {
    public:
-    void Add(double x, std::size_t most);
+    void Add(double x, std::size_t max_values);
     std::size_t size() const { return values_.size(); }
     double median() const { return median_; }
     double scale() const { return scale_; }
@@ -104,7 +104,8 @@
   };
   // What happened at one replica in one tick.
   struct Counts {
-    std::uint32_t sent = 0, ended = 0, failed = 0, full = 0, first_n = 0;
+    std::uint32_t sent = 0, ended = 0, failed = 0, at_capacity = 0;  // attempts
+    std::uint32_t first_n = 0;                                       // responses that started
     double first_sum = 0;  // of ln(time to first token / expected time)
   };
   struct Value {
