--- a/src/hot_restart/handover_state_codec.cpp
+++ b/src/hot_restart/handover_state_codec.cpp
@@ -16,21 +16,22 @@
 
 using nlohmann::json;
 
-// First words of the stored forms.
+// First word of the header line of each stored form.
 constexpr std::string_view kStateMagic = "ryeglade-state";
 constexpr std::string_view kInFlightMagic = "ryeglade-out";
 
-constexpr std::size_t kMaxHeader = 100;  // bytes
+constexpr std::size_t kMaxHeaderBytes = 100;
 constexpr std::size_t kMaxReplicas = 100'000;
-constexpr int kMaxInFlight = 1'000'000;  // at one replica
+constexpr int kMaxInFlightPerReplica = 1'000'000;
 
-constexpr const char* kForAnotherProcess = "of or for another process";
+// The PID in the header is the recipient's in a state and the sender's in in-flight counts.
+constexpr const char* kForAnotherProcess = "for or by another process";
 
 std::string Checksum(const std::string& body) {
   return fmt::format("{:016x}", XXH3_64bits(body.data(), body.size()));
 }
 
-// "MAGIC MAJOR PID CHECKSUM\n" and the body.
+// Returns "MAGIC MAJOR PID CHECKSUM\n" followed by the body.
 std::string AddHeader(std::string_view magic, std::int64_t pid, const std::string& body) {
   return fmt::format("{} {} {} {}\n", magic, kHandoverFormatMajor, pid, Checksum(body)) + body;
 }
@@ -45,16 +46,16 @@
   return fields;
 }
 
-// The body; throws std::runtime_error where the header is not as expected.
+// Returns the body. Throws std::runtime_error if the header is not the expected one.
 std::string CheckAndRemoveHeader(std::string_view magic, const std::string& text, std::int64_t pid) {
   const std::size_t end = text.find('\n');
-  if (end > kMaxHeader) throw std::runtime_error("torn: no head");
+  if (end > kMaxHeaderBytes) throw std::runtime_error("truncated: no header line");
   const std::vector<std::string_view> fields = SplitAtSpaces(std::string_view(text.data(), end));
-  if (fields.size() < 4 || fields[0] != magic) throw std::runtime_error("not ours");
+  if (fields.size() < 4 || fields[0] != magic) throw std::runtime_error("not a hand-over file of this kind");
   if (fields[1] != std::to_string(kHandoverFormatMajor)) throw std::runtime_error("of another major version");
   if (fields[2] != std::to_string(pid)) throw std::runtime_error(kForAnotherProcess);
   std::string body = text.substr(end + 1);
-  if (fields[3] != Checksum(body)) throw std::runtime_error("torn: the checksum is another");
+  if (fields[3] != Checksum(body)) throw std::runtime_error("truncated or corrupted: checksum mismatch");
   return body;
 }
 
@@ -116,7 +117,7 @@
     InFlightCounts counts = json::from_msgpack(body).get<InFlightCounts>();
     if (counts.size() > kMaxReplicas) return std::nullopt;
     const auto is_valid = [](const auto& replica) {
-      return replica.second >= 0 && replica.second <= kMaxInFlight;
+      return replica.second >= 0 && replica.second <= kMaxInFlightPerReplica;
     };
     if (!std::all_of(counts.begin(), counts.end(), is_valid)) return std::nullopt;
     return counts;
--- a/src/hot_restart/handover_state_codec.h
+++ b/src/hot_restart/handover_state_codec.h
@@ -1,6 +1,7 @@
-// What one process of a node hands over to the next: a header line ("ryeglade-state MAJOR PID CHECKSUM", the
-// pid being the recipient's) and MessagePack with named fields. A reader of the same major version ignores
-// fields that it does not know; another major version is rejected. Pure: no I/O, no clock.
+// Encoding of the state that the old process of a node hands over to the new one: a header line
+// ("ryeglade-state MAJOR PID CHECKSUM", where PID is the recipient's) and MessagePack with named fields. A
+// reader of the same major version ignores fields that it does not know; a state of another major version is
+// rejected. Pure: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -16,30 +17,31 @@
 inline constexpr int kHandoverFormatMajor = 1;
 
 struct HandoverState {
-  std::string node;                  // name of the node that wrote it
-  std::string program;               // its version
-  std::string discovery;             // address of the discovery service that `roster` came from
-  std::string roster;                // the endpoint list, in discovery's form
-  std::vector<std::string> classes;  // names by class index, as used by `learned`
+  std::string node;                  // name of the node that wrote the state
+  std::string program;               // version of the program that wrote the state
+  std::string discovery;             // address of the discovery service that `roster` was read from
+  std::string roster;                // the endpoint list, as the discovery service sent it
+  std::vector<std::string> classes;  // class names; their indexes are those used in `learned`
   policy::LearnedState learned;
 };
 
-// `recipient`: the pid of the process that may restore it.
+// `recipient` is the pid of the only process that may restore the state.
 std::string EncodeHandoverState(const HandoverState& state, std::int64_t recipient);
-// Null unless it is for the process `recipient` of the node `node`; `why` then says what is wrong.
+// Returns nullopt, with the reason in `why`, if the text is not intact or is not for the process `recipient`
+// of the node `node`.
 std::optional<HandoverState> DecodeHandoverState(const std::string& text, std::int64_t recipient,
                                                  const std::string& node, std::string* why);
-// Whether DecodeHandoverState gave `why` because the state is for another process.
+// Whether `why`, as set by DecodeHandoverState, says that the state is for another process.
 bool IsForAnotherProcess(const std::string& why);
-// Removes what was learned by class index where the classes differ from `classes`: it would be applied to
-// other classes.
+// Removes everything in `learned` that is keyed by class index if the state's classes differ from `classes`,
+// because the indexes would then refer to other classes.
 void DropMismatchedClasses(const std::vector<std::string>& classes, HandoverState* state);
 
-// Number of upstream requests that a process has in flight, by replica.
+// Number of upstream requests that a process has in flight, by replica id.
 using InFlightCounts = std::vector<std::pair<std::uint32_t, int>>;
-// `sender`: the pid of the process whose requests they are.
+// `sender` is the pid of the process that has these requests in flight.
 std::string EncodeInFlight(const InFlightCounts& counts, std::int64_t sender);
-// Null: truncated, corrupted, of another process, or with counts that can't be.
+// Returns nullopt if the text is truncated, corrupted or of another process, or if a count is out of range.
 std::optional<InFlightCounts> DecodeInFlight(const std::string& text, std::int64_t sender);
 
 }  // namespace ryeglade::hot_restart
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -9,12 +9,12 @@
 namespace ryeglade::hot_restart {
 namespace {
 
-// Microseconds, unless said otherwise.
-constexpr Time kPollAlone = 100'000;
-constexpr Time kPollWithSibling = 20'000;
+// Intervals of type Time are in microseconds.
+constexpr Time kPollIntervalAlone = 100'000;
+constexpr Time kPollIntervalWithSibling = 20'000;
 constexpr Time kHeartbeatInterval = 200'000;
-constexpr Time kInFlightInterval = 100'000;
-constexpr unsigned kInFlightWatchMs = 50;
+constexpr Time kMinInFlightPublishInterval = 100'000;
+constexpr unsigned kInFlightWatchIntervalMs = 50;
 
 }  // namespace
 
@@ -36,7 +36,8 @@
 
 void HotRestart::Start() {
   if (!lease_file_.is_holder() && state_file_.enabled())
-    Log(Level::kWarn, "hand-over-off", {{"why", "two processes of this node run, or no TMPDIR"}});
+    Log(Level::kWarn, "hand-over-off",
+        {{"why", "two other processes of this node hold both leases, or $TMPDIR can't be used"}});
   UpdateLease();
   if (!sibling_.alive) {
     port_->StartServing();
@@ -56,16 +57,16 @@
   const bool is_successor = policy_.phase() != Phase::kStarting && !policy_.handed_over();
   if (sibling_.alive && is_successor && !watches_in_flight_) {
     watches_in_flight_ = true;
-    in_flight_file_.Watch(kInFlightWatchMs);
+    in_flight_file_.Watch(kInFlightWatchIntervalMs);
   }
   UpdateLease();
-  const Time interval = sibling_.alive ? kPollWithSibling : kPollAlone;
+  const Time interval = sibling_.alive ? kPollIntervalWithSibling : kPollIntervalAlone;
   poll_timer_ = runtime_->deadlines->Set(Now() + interval, [this] { Poll(); });
 }
 
-// Tells the new process what this one still has in flight, where that has changed.
+// Publishes to the new process what this one still has in flight, if that has changed.
 void HotRestart::PublishInFlight() {
-  if (Now() - in_flight_published_at_ < kInFlightInterval) return;
+  if (Now() - in_flight_published_at_ < kMinInFlightPublishInterval) return;
   in_flight_published_at_ = Now();
   InFlightCounts counts = port_->CountInFlight();
   if (counts == published_in_flight_) return;
@@ -96,14 +97,14 @@
   if (!closed_) port_->SetSiblingInFlight(std::move(in_flight));
 }
 
-// StartServing may fail, which closes this object.
+// HotRestartPort::StartServing may fail and then calls Close(), so closed_ is checked after it.
 void HotRestart::Apply(const Actions& actions) {
   if (actions.send_state) {
     Log(Level::kInfo, "hand-over-gives", {{"to", actions.state_recipient}});
     state_file_.Write(EncodeHandoverState(port_->ExportState(), actions.state_recipient));
   }
   if (actions.start_serving) {
-    if (actions.reason != Reason::kStateReceived)  // that has been logged
+    if (actions.reason != Reason::kStateReceived)  // logged by TryRestoreState
       Log(Level::kInfo, "hand-over-serves", {{"why", Name(actions.reason)}});
     port_->StartServing();
     UpdateLease();
@@ -128,7 +129,7 @@
   return request;
 }
 
-// Writes the lease where the phase or the limits have changed, and otherwise as a heartbeat.
+// Writes the lease if the phase or the limits have changed, or if the next heartbeat is due.
 void HotRestart::UpdateLease() {
   ShareRequest request = MakeShareRequest();
   request.total = options_.sockets;
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -1,6 +1,6 @@
-// The hot restart between two processes of one node, on the event loop: keeps this process's lease, observes
-// its sibling's, passes learned state and in-flight counts through files in $TMPDIR, and splits the node's
-// limits. HotRestartPolicy decides; the node carries it out through HotRestartPort.
+// Runs the hot restart between two processes of one node on the event loop: writes this process's lease,
+// reads its sibling's, passes learned state and in-flight counts through files in $TMPDIR, and splits the
+// node's limits. HotRestartPolicy makes the decisions; the node carries them out through HotRestartPort.
 #pragma once
 
 #include <string>
@@ -17,41 +17,41 @@
 class HotRestartPort {
  public:
   virtual ~HotRestartPort() = default;
-  virtual void StartServing() = 0;                             // may come more than once
-  virtual void RestoreState(HandoverState state) = 0;          // before StartServing
-  virtual void SetSiblingInFlight(InFlightCounts counts) = 0;  // empty: none, or there is no sibling
+  virtual void StartServing() = 0;                             // may be called more than once
+  virtual void RestoreState(HandoverState state) = 0;          // called before StartServing
+  virtual void SetSiblingInFlight(InFlightCounts counts) = 0;  // empty: none in flight, or no sibling
   virtual HandoverState ExportState() = 0;
   virtual InFlightCounts CountInFlight() = 0;
-  virtual void HandOverClients() = 0;  // the sibling serves: accept nothing new
-  virtual void ResumeClients() = 0;    // the sibling no longer serves: accept again
-  virtual std::size_t UsedSockets() const = 0;
-  virtual std::size_t UsedMemory() const = 0;  // bytes of buffers
+  virtual void HandOverClients() = 0;           // the sibling serves: accept no new clients
+  virtual void ResumeClients() = 0;             // the sibling no longer serves: accept clients again
+  virtual std::size_t UsedSockets() const = 0;  // open descriptors
+  virtual std::size_t UsedMemory() const = 0;   // bytes of buffers
   virtual void SetLimits(std::size_t sockets, std::size_t memory) = 0;
 };
 
-// Files in $TMPDIR that the node's processes share; an empty path: that part is off.
+// Files in $TMPDIR that the node's processes share. An empty path turns that part off.
 struct HotRestartPaths {
-  std::string lease;      // without the number of the file
-  std::string state;      // what the old process hands over
-  std::string in_flight;  // what the old process still has in flight
+  std::string lease;      // without the "-0" or "-1" that LeaseFile appends
+  std::string state;      // the state that the old process hands over
+  std::string in_flight;  // the requests that the old process still has in flight
 };
 
 struct HotRestartOptions {
-  std::string node;  // its name
+  std::string node;  // name of the node
   HotRestartPaths paths;
-  std::size_t sockets = 0;  // the whole node's limit
-  std::size_t memory = 0;   // the same, in bytes of buffers
+  std::size_t sockets = 0;  // socket limit of the whole node
+  std::size_t memory = 0;   // memory limit of the whole node, in bytes of buffers
 };
 
 class HotRestart {
  public:
   HotRestart(const Runtime* runtime, HotRestartPort* port, HotRestartOptions options);
-  // Calls StartServing at once where no other process lives, else once that one has handed over its state or
-  // has let kMaxStateWait pass.
+  // Calls StartServing at once if no other process of this node lives; otherwise once that process has handed
+  // over its state, has died, or kMaxStateWait has passed.
   void Start();
-  void Terminate();  // this process was told to end
+  void Terminate();  // to be called when this process was told to end
   void Close();
-  bool handed_over() const { return policy_.handed_over(); }  // the sibling serves in its place
+  bool handed_over() const { return policy_.handed_over(); }  // the sibling accepts clients instead
 
  private:
   void Poll();
@@ -71,7 +71,7 @@
   HotRestartPolicy policy_;
   StateFile state_file_;
   StateFile in_flight_file_;
-  Lease lease_;  // this process's, as last written
+  Lease lease_;  // this process's lease, as last written
   Time lease_written_at_ = 0;
   Time in_flight_published_at_ = 0;
   InFlightCounts published_in_flight_;
--- a/src/hot_restart/hot_restart_policy.cpp
+++ b/src/hot_restart/hot_restart_policy.cpp
@@ -43,8 +43,8 @@
   return phase_ == Phase::kStarting ? StartServing(Reason::kStateReceived) : Actions{};
 }
 
-// Whether the sibling's event loop turns, as far as can be known: its heartbeat has changed within
-// kHeartbeatTimeout. A process that was itself stopped for a while judges nobody by that time.
+// Whether the sibling's event loop appears to run: its heartbeat has changed within kHeartbeatTimeout. If
+// this process itself was stopped for a while, that time does not count against the sibling.
 bool HotRestartPolicy::IsResponsive(Time now, const Sibling& sibling) {
   const bool was_paused = updated_at_ != 0 && now - updated_at_ > kHeartbeatTimeout / 2;
   updated_at_ = now;
@@ -91,7 +91,7 @@
   return {};
 }
 
-// Hands the clients over to a successor that serves, and takes them back when it no longer does.
+// Hands the clients over to a successor that serves, and resumes them when it no longer does.
 void HotRestartPolicy::UpdateClients(const Sibling& sibling, bool responsive, Actions* actions) {
   if (!handed_over_) {
     if (!IsSuccessor(sibling) || !responsive || sibling.lease->phase != Phase::kServing) return;
--- a/src/hot_restart/lease_codec.cpp
+++ b/src/hot_restart/lease_codec.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::string_view kHeader = "ryeglade-lease 1 ";
 
-// The stored form's names of the phases, in the order of `Phase`. Processes of older programs write and read
-// the same file, so these and the field names below do not follow the names in the code:
+// Names of the phases in the stored form, in the order of `Phase`. Processes of older program versions write
+// and read the same file, so these names and those of the fields below differ from the names in the code:
 // "word" is `phase`, "beat" is `heartbeat`, "started" is `started_at`.
 constexpr const char* kStoredPhases[] = {"starting", "serving", "yielding", "ending"};
 
@@ -37,7 +37,7 @@
   return fmt::format("{:016x}", XXH3_64bits(text.data(), text.size()));
 }
 
-// False: a known field with a value that can't be used.
+// Returns false if the field is known and its value is invalid. Fields that are not known are ignored.
 bool ParseField(std::string_view name, std::string_view value, Lease* lease) {
   if (name == "pid") return ParseNumber(value, &lease->pid) && lease->pid > 0;
   if (name == "started") return ParseNumber(value, &lease->started_at);
--- a/src/hot_restart/lease_codec.h
+++ b/src/hot_restart/lease_codec.h
@@ -1,5 +1,5 @@
-// The lease that each process of a node writes during its life: which process it is, its phase, a heartbeat
-// and its share of the node's limits. One line of text with a checksum. Pure: no I/O, no clock.
+// The lease that each process of a node keeps up to date while it lives: which process it is, its phase, a
+// heartbeat and its share of the node's limits. One line of text with a checksum. Pure: no I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -12,9 +12,9 @@
 using Time = std::int64_t;  // microseconds, Unix time
 
 enum class Phase : std::uint8_t {
-  kStarting,     // waits for the state of the process before it
+  kStarting,     // waits for the state of the older process
   kServing,      // accepts clients
-  kDraining,     // has handed its clients over and finishes what it accepted
+  kDraining,     // has handed its clients over and finishes the requests it accepted
   kTerminating,  // was told to end
 };
 
@@ -22,14 +22,14 @@
   std::int64_t pid = 0;
   Time started_at = 0;
   Phase phase = Phase::kStarting;
-  std::uint64_t heartbeat = 0;   // counts up while the process's event loop turns
+  std::uint64_t heartbeat = 0;   // incremented while the process's event loop runs
   std::size_t socket_limit = 0;  // descriptors that the process allows itself
   std::size_t memory_limit = 0;  // bytes of buffers that the process allows itself
 };
 
-// One line, checksummed. Fields that are not known are ignored.
+// Returns one line with a checksum.
 std::string EncodeLease(const Lease& lease);
-// Null: truncated, corrupted, or not a lease.
+// Returns nullopt if the text is truncated, corrupted or not a lease. Fields that are not known are ignored.
 std::optional<Lease> DecodeLease(const std::string& text);
 
 }  // namespace ryeglade::hot_restart
--- a/src/hot_restart/lease_file.cpp
+++ b/src/hot_restart/lease_file.cpp
@@ -8,7 +8,7 @@
 namespace ryeglade::hot_restart {
 namespace {
 
-constexpr std::size_t kLeaseBytes = 256;  // a lease, padded
+constexpr std::size_t kLeaseBytes = 256;  // a lease is padded with newlines to this size
 
 struct flock WholeFileLock() {
   struct flock lock {};
@@ -40,7 +40,7 @@
   if (!is_holder() || files_[1 - own_] < 0) return sibling;
   const int fd = files_[1 - own_];
   struct flock lock = WholeFileLock();
-  // Queries only: nothing is locked, so that a process that starts now finds the file free.
+  // Only queries the lock: taking it could make a process that starts now find the file locked.
   if (fcntl(fd, F_OFD_GETLK, &lock) != 0 || lock.l_type == F_UNLCK) return sibling;
   sibling.alive = true;
   char text[kLeaseBytes];
@@ -53,7 +53,7 @@
   if (!is_holder()) return;
   std::string text = EncodeLease(lease);
   text.resize(std::max(kLeaseBytes, text.size()), '\n');
-  // A partly written lease fails its checksum; the next one follows soon.
+  // A partly written lease fails its checksum, and the next heartbeat replaces it.
   [[maybe_unused]] const ssize_t written = pwrite(files_[own_], text.data(), text.size(), 0);
 }
 
