--- a/src/rollout/background_work.cpp
+++ b/src/rollout/background_work.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 void RunInBackground(uv_loop_t* loop, std::function<void()> work, std::function<void()> done) {
-  // Owned by libuv until the completion callback.
+  // libuv holds the only pointer until the completion callback, which takes ownership.
   auto* background = new BackgroundWork{{}, std::move(work), std::move(done)};
   background->request.data = background;
   uv_queue_work(
--- a/src/rollout/background_work.h
+++ b/src/rollout/background_work.h
@@ -1,4 +1,4 @@
-// Blocking work beside an event loop: on one of libuv's worker threads, with its completion on the loop.
+// Runs blocking work on one of libuv's worker threads and reports its completion on the event loop.
 #pragma once
 
 #include <uv.h>
@@ -7,8 +7,8 @@
 
 namespace ryeglade::rollout {
 
-// Calls `work` on a worker thread, then `done` on the loop's thread. The loop runs until `done` was called.
-// `work` must not throw and must not touch what belongs to the loop.
+// Calls `work` on a worker thread, then `done` on the loop's thread. The loop keeps running until `done` has
+// been called. `work` must not throw and must not access data that belongs to the loop's thread.
 void RunInBackground(uv_loop_t* loop, std::function<void()> work, std::function<void()> done);
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/canary_analysis_model.cpp
+++ b/src/rollout/canary_analysis_model.cpp
@@ -8,31 +8,34 @@
 namespace ryeglade::rollout {
 namespace {
 
-// As records and tables name them; in the order of CanaryMetric.
+// Names used in rollout records and report tables, in the order of CanaryMetric.
 constexpr const char* kMetricNames[] = {"failed", "refused", "late", "first-token", "attempts"};
-constexpr double kAllClassesWeight = 0.5;  // beside single classes' priority weights
+constexpr double kAllClassesWeight =
+    0.5;  // of all classes together, against the priority weights of single ones
 
 constexpr std::size_t kMaxStrata = 20'000;
 constexpr std::size_t kMaxMemorySamples = 600;
 constexpr std::size_t kMinMemorySamples = 10;
-constexpr Time kMinGrowthSpan = 60'000'000;  // memory growth is fitted over no less
+constexpr Time kMinGrowthSpan = 60'000'000;  // microseconds over which memory growth is fitted, at least
 constexpr double kMicrosPerHour = 3.6e9;
-constexpr double kWarmUpMemory = 0.02;  // of the limit: growth below it is a process's start
+constexpr double kWarmUpMemory = 0.02;  // part of the limit; growth below it is normal when a process starts
 constexpr double kBytesPerMiB = 1048576;
 
-constexpr double kMinRequestsToCompare = 30;   // of each cohort: the boundary is asymptotic
-constexpr double kMinRequestsOfNode = 20;      // for the variance between nodes,
-constexpr double kMinOldNodes = 3;             // of which it takes so many
-constexpr double kWarmUpRequests = 10;         // first requests of a process are served cold: not counted
-constexpr std::size_t kMinStrataToSpread = 4;  // for the variance between strata
+constexpr double kMinRequestsToCompare = 30;   // in each cohort, because the boundary is asymptotic
+constexpr double kMinRequestsOfNode = 20;      // of a node that counts for the variance between nodes
+constexpr double kMinOldNodes = 3;             // needed to estimate the variance between nodes
+constexpr double kWarmUpRequests = 10;         // first requests of a process, served cold and not counted
+constexpr std::size_t kMinStrataToSpread = 4;  // needed to estimate the variance between strata
 constexpr double kTunedInformation = 500;      // 1/variance at which the boundary is tightest
 constexpr double kMinVariance = 1e-12;
-constexpr double kUnknownHalfWidth = 1e9;
+constexpr double kUnknownHalfWidth = 1e9;  // beyond kMaxKnownHalfWidth
+// Of the old cohort, before and during the comparison, to tell whether the environment has changed.
 constexpr double kMinRequestsOfEnvironment = 50;
-// A difference that exceeds what is allowed by this part of its half width is possibly worse: not proven, but
-// a release that is no worse stays below it on nineteen of twenty looks.
+// A difference that exceeds what is allowed by more than this part of its half width is possibly worse. That
+// proves nothing, but a release that is no worse stays below it in nineteen of twenty evaluations.
 constexpr double kPossiblyWorsePart = 0.5;
-// Times the requests of a stage until which a possibly worse release waits: by then harm has shown itself.
+// A possibly worse release waits until it has served this many times the stage's minimum of requests: by then
+// a release that is really worse has been recognized.
 constexpr std::uint64_t kPossiblyWorseFactor = 4;
 
 double Increase(std::uint64_t now, std::uint64_t before) {
@@ -45,7 +48,7 @@
   return static_cast<double>(concluded);
 }
 
-// Half width of the confidence sequence for an estimate of that variance: Robbins' normal mixture boundary.
+// Half width of the confidence sequence for an estimate with this variance: Robbins' normal mixture boundary.
 double HalfWidth(double variance, double alpha) {
   const double information = 1 / std::max(variance, kMinVariance);
   return std::sqrt((information + kTunedInformation) *
@@ -73,7 +76,7 @@
   return std::max(0.0, (sum_of_squares - sum * sum / count) / (count - 1));
 }
 
-// What happened between two samples of one process.
+// Adds what happened between two samples of one process to `sums`.
 void CanaryAnalysis::AddIncrease(const ClassMetrics& before, const ClassMetrics& now, MetricSums& sums) {
   const auto of = [&](CanaryMetric metric) -> Sums& { return sums[static_cast<std::size_t>(metric)]; };
   const double served = Increase(now.served, before.served);
@@ -150,11 +153,12 @@
   for (auto& [name, node] : nodes_) node.by_class.clear();
 }
 
-// All strata in which both cohorts served requests.
+// Returns all strata in which both cohorts served requests.
 std::vector<CanaryAnalysis::Stratum> CanaryAnalysis::Strata(const std::string& class_name, std::size_t metric,
                                                             const Sums& all_old, const Sums& all_new) const {
   std::vector<Stratum> strata;
-  // Strata are small: their variance is borrowed from the cohort's, which they share but for their means.
+  // Strata are too small to estimate their own variance. The cohort's is used instead: strata are taken to
+  // differ only in their means.
   const double old_variance = all_old.Variance();
   const double new_variance = all_new.Variance();
   const auto add = [&](const Sums& of_old, const Sums& of_new) {
@@ -178,8 +182,8 @@
       pooled.of_new.Add(of_new);
     }
   }
-  // Where a zone has one cohort only (a stage is a whole zone, or its other nodes are dead), the rest of the
-  // window's zones is pooled: zones may differ, but the alternative is to know nothing.
+  // A zone may have one cohort only, because a stage is a whole zone or the zone's other nodes are dead. All
+  // such zones of a window are pooled: zones may differ, but otherwise nothing could be compared.
   for (const auto& [window, pooled] : pooled_by_window) {
     if (pooled.of_old.count > 0 && pooled.of_new.count > 0) add(pooled.of_old, pooled.of_new);
   }
@@ -230,22 +234,23 @@
   if (weights <= 0) return comparison;
   comparison.difference = weighted_difference / weights;
   variance /= weights * weights;
-  // What windows and zones differ by beyond the chance of single requests.
+  // Windows and zones may differ by more than the chance of single requests explains.
   if (strata.size() >= kMinStrataToSpread) {
     double spread = 0;
     for (const Stratum& s : strata) spread += std::pow(s.weight * (s.difference - comparison.difference), 2);
     variance = std::max(variance, spread / (weights * weights));
   }
-  // A share of which nothing was seen is not known to be none: half a request more on each side.
+  // A share of which no case was observed is not known to be zero, so half a case among one more request is
+  // added (continuity correction).
   if (IsShare(metric)) {
     const double share = (all_old.sum + all_new.sum + 0.5) / (all_old.count + all_new.count + 1);
     variance = std::max(variance, share * (1 - share) / weights);
   }
   if (all_new.count < kMinRequestsToCompare || all_old.count < kMinRequestsToCompare) return comparison;
   comparison.sampling_half_width = HalfWidth(variance, alpha);
-  const Between between = BetweenNodes(class_name, index);
-  if (between.new_nodes > 0 && between.old_nodes > 0)
-    variance += between.variance * (1 / between.new_nodes + 1 / between.old_nodes);
+  const NodeVariance nodes = VarianceBetweenNodes(class_name, index);
+  if (nodes.new_nodes > 0 && nodes.old_nodes > 0)
+    variance += nodes.variance * (1 / nodes.new_nodes + 1 / nodes.old_nodes);
   comparison.half_width = HalfWidth(variance, alpha);
   comparison.allowed = AllowedDifference(metric);
   comparison.worse = comparison.difference - comparison.half_width > comparison.allowed;
@@ -254,47 +259,48 @@
   return comparison;
 }
 
-// The variance of nodes' own means in the old cohort, beyond what the chance of single requests makes of it.
-CanaryAnalysis::Between CanaryAnalysis::BetweenNodes(const std::string& class_name,
-                                                     std::size_t metric) const {
-  Between between;
+// Returns the variance of the nodes' means in the old cohort beyond what the chance of single requests
+// explains.
+CanaryAnalysis::NodeVariance CanaryAnalysis::VarianceBetweenNodes(const std::string& class_name,
+                                                                  std::size_t metric) const {
+  NodeVariance result;
   double sum = 0;
   double sum_of_squares = 0;
-  double within = 0;  // over the old cohort's nodes
+  double within = 0;  // sum of the variances of the old nodes' means that sampling alone explains
   for (const auto& [name, node] : nodes_) {
     const auto at = node.by_class.find(class_name);
     if (at == node.by_class.end()) continue;
     const Sums& sums = at->second.by_cohort[node.new_release ? kNew : kOld][metric];
     if (sums.count < kMinRequestsOfNode) continue;
     if (node.new_release) {
-      ++between.new_nodes;
+      ++result.new_nodes;
       continue;
     }
-    ++between.old_nodes;
+    ++result.old_nodes;
     sum += sums.Mean();
     sum_of_squares += sums.Mean() * sums.Mean();
     within += sums.Variance() / sums.count;
   }
-  const double n = between.old_nodes;
+  const double n = result.old_nodes;
   if (n >= kMinOldNodes)
-    between.variance = std::max(0.0, (sum_of_squares - sum * sum / n) / (n - 1) - within / n);
-  return between;
+    result.variance = std::max(0.0, (sum_of_squares - sum * sum / n) / (n - 1) - within / n);
+  return result;
 }
 
-// How fast the cohort's processes grow: the median of their slopes by least squares.
+// Returns how fast the memory of a cohort's processes grows: the median of their least-squares slopes.
 CanaryAnalysis::MemoryGrowth CanaryAnalysis::GrowthOf(bool new_release) const {
   MemoryGrowth growth;
   std::vector<double> slopes;
   for (const auto& [name, node] : nodes_) {
     if (node.new_release != new_release || node.memory.size() < kMinMemorySamples) continue;
-    // The first half is left out as the process's start: buffers fill once.
+    // The first half of the samples is left out, because a process's buffers fill once after its start.
     const Time middle = (node.memory.front().first + node.memory.back().first) / 2;
     if (node.memory.back().first - middle < kMinGrowthSpan) continue;
     double n = 0;
     double sum_t = 0;
     double sum_m = 0;
     double sum_tt = 0;
-    double sum_tm = 0;  // t: hours; m: bytes
+    double sum_tm = 0;  // t: hours since `middle`; m: memory in bytes
     for (const auto& [at, bytes] : node.memory) {
       if (at < middle) continue;
       const double t = static_cast<double>(at - middle) / kMicrosPerHour;
@@ -315,7 +321,7 @@
   return growth;
 }
 
-// The reason to fail at once; null: none. So for the other two below.
+// This function and the next two return the reason for the verdict, or nullopt if they found none.
 std::optional<std::string> CanaryAnalysis::ResourceLimitReached() const {
   const auto near_limit = [&](std::uint64_t used, std::uint64_t limit) {
     return limit > 0 && static_cast<double>(used) > thresholds_.resource_usage * static_cast<double>(limit);
@@ -334,7 +340,7 @@
   const MemoryGrowth new_growth = GrowthOf(true);
   const MemoryGrowth old_growth = GrowthOf(false);
   const double limit = old_growth.limit.value_or(new_growth.limit.value_or(0));
-  double largest = 0;  // process of the new cohort, bytes
+  double largest = 0;  // bytes of the new cohort's largest process
   for (const auto& [name, node] : nodes_) {
     if (node.new_release) largest = std::max(largest, static_cast<double>(node.last->memory_bytes));
   }
@@ -357,7 +363,8 @@
                      baseline_late_share_, share);
 }
 
-// Every class, then all classes together. Half of the error rate for either.
+// Compares every class and then all classes together. Single classes and the total get half of the error rate
+// each.
 std::vector<CohortComparison> CanaryAnalysis::CompareAll() const {
   std::vector<CohortComparison> comparisons;
   if (class_weights_.empty()) return comparisons;
@@ -373,7 +380,7 @@
   return comparisons;
 }
 
-// Of those that are worse the one with the largest weighted excess; null: none is worse.
+// Returns the comparison with the largest weighted excess among those that are worse, or nullptr if none is.
 const CohortComparison* CanaryAnalysis::Worst(const std::vector<CohortComparison>& comparisons) const {
   const auto excess = [&](const CohortComparison& c) {
     const auto at = class_weights_.find(c.class_name);
@@ -387,7 +394,8 @@
   return worst;
 }
 
-// Without an old cohort there is nothing to be precise against: only what fails at once is left.
+// Whether the difference in failures is known precisely enough. Without an old cohort there is nothing to
+// compare with; only resource limits and memory leaks can still fail the release.
 bool CanaryAnalysis::FailuresKnown(const CohortComparison& failed) const {
   const bool no_old_cohort =
       std::all_of(nodes_.begin(), nodes_.end(), [](const auto& n) { return n.second.new_release; });
@@ -404,7 +412,7 @@
   if (!result.comparisons.empty()) {
     const auto all_classes = result.comparisons.end() - static_cast<std::ptrdiff_t>(kMetrics);
     result.new_requests = static_cast<std::uint64_t>(all_classes->new_requests);
-    failures_known = FailuresKnown(*all_classes);  // the first metric is kFailed
+    failures_known = FailuresKnown(*all_classes);  // CanaryMetric::kFailed comes first
     possibly_worse = std::any_of(all_classes, result.comparisons.end(),
                                  [](const CohortComparison& c) { return c.possibly_worse; });
   }
--- a/src/rollout/canary_analysis_model.h
+++ b/src/rollout/canary_analysis_model.h
@@ -1,18 +1,18 @@
-// Does the new release do worse than the old one, beside it, at the same time? A sequential analysis of the
-// cohort of nodes with the new release against the cohort with the old one, class by class, that may be
-// evaluated as often as one likes. No I/O, no clock.
+// Decides whether the new release does worse than the old one that runs beside it at the same time. A
+// sequential analysis of the cohort of nodes with the new release against the cohort with the old one, class
+// by class. It may be evaluated as often as needed without raising the error rate. No I/O, no clock.
 //
-// What is compared: the shares of requests that failed, that were rejected, and that were not served in time;
-// the mean of ln(time to first token); the mean number of attempts. Each is a difference of means within
-// strata (a window of time in a zone; zones that have one cohort only are pooled), combined with
+// Compared are the shares of requests that failed, that were rejected, and that were not served in time; the
+// mean of ln(time to first token); and the mean number of attempts. Each comparison is a difference of means
+// within strata (a window of time in a zone; zones that have one cohort only are pooled), combined with
 // Mantel-Haenszel weights, so that neither unequal traffic nor a changing environment counts as a difference
-// between cohorts. Its variance is the larger of what the samples say within the strata and of how much the
-// strata differ among themselves (windows are not independent requests), plus the variance between nodes of
-// the old cohort: one node may do worse than others with any release.
+// between cohorts. Its variance is the larger of two estimates, from the samples within the strata and from
+// the differences among the strata (requests of a window are not independent), plus the variance between
+// nodes of the old cohort, because one node may do worse than others with any release.
 //
-// Repeated evaluation: Robbins' normal mixture boundary (Robbins 1970; Howard, Ramdas, McAuliffe, Sekhon
-// 2021, "Time-uniform, nonparametric, nonasymptotic confidence sequences"; asymptotic as in Waudby-Smith and
-// others 2021). The error rate is divided among all comparisons (Bonferroni).
+// Repeated evaluation is allowed for by Robbins' normal mixture boundary (Robbins 1970; Howard, Ramdas,
+// McAuliffe, Sekhon 2021, "Time-uniform, nonparametric, nonasymptotic confidence sequences"; asymptotic as in
+// Waudby-Smith and others 2021). The error rate is divided among all comparisons (Bonferroni).
 #pragma once
 
 #include <cstdint>
@@ -30,42 +30,48 @@
 using Time = std::int64_t;  // microseconds
 
 struct CanaryThresholds {
-  // Of one whole rollout: how often a release that does not do worse may be stopped.
+  // Probability that a whole rollout stops a release that does not do worse.
   double false_positive_rate = 0.01;
-  // By how much the new cohort may be worse before that counts: shares of requests,
-  double failed_share = 0.005;
-  double rejected_share = 0.01;
-  double late_share = 0.02;
-  double first_token_slowdown = 0.05;    // part of the time to first token,
-  double attempts_per_request = 0.05;    // attempts.
-  double resource_usage = 0.9;           // part of the memory or descriptor limit: above it, fail at once
-  double memory_growth_per_hour = 0.10;  // part of the limit, beyond the old cohort's growth: a leak
-  double failure_precision = 0.02;       // half width to which failures must be known before a release passes
-  double environment_shift = 0.15;       // rise of the old cohort's own late share: nothing can be compared
-  Time window = 10'000'000;              // of a stratum
+  // By how much the new cohort may be worse than the old one before that counts.
+  double failed_share = 0.005;         // of requests
+  double rejected_share = 0.01;        // of requests
+  double late_share = 0.02;            // of requests
+  double first_token_slowdown = 0.05;  // as a part of the old cohort's time to first token
+  double attempts_per_request = 0.05;  // mean number
+  // A process that uses more than this part of its memory or descriptor limit fails the release at once.
+  double resource_usage = 0.9;
+  // Memory growth beyond the old cohort's that counts as a leak, as a part of the memory limit.
+  double memory_growth_per_hour = 0.10;
+  // The difference in failures must be known to this half width before a release passes.
+  double failure_precision = 0.02;
+  // If the old cohort's own late share rises by more than this, the environment has changed and nothing can
+  // be compared.
+  double environment_shift = 0.15;
+  Time window = 10'000'000;  // length of a stratum, microseconds
 };
 
 enum class CanaryVerdict : std::uint8_t {
   kPass,
   kFail,                // the new release does worse
   kInconclusive,        // more requests are needed
-  kEnvironmentChanged,  // the old release does worse than before, too
+  kEnvironmentChanged,  // the old release does worse than before as well
 };
 
 enum class CanaryMetric : std::uint8_t { kFailed, kRejected, kLate, kFirstToken, kAttempts, kCount };
 const char* Name(CanaryMetric metric);
 
-inline constexpr const char* kAllClasses = "all";        // class name of the comparisons over all classes
-inline constexpr double kMaxKnownHalfWidth = 1'000'000;  // a half width beyond it: nothing is known yet
+inline constexpr const char* kAllClasses = "all";  // class name of comparisons over all classes
+inline constexpr double kMaxKnownHalfWidth =
+    1'000'000;  // a half width beyond it means that nothing is known yet
 
 struct CohortComparison {
-  std::string class_name;  // or kAllClasses
-  std::string metric;      // Name(CanaryMetric); in a record that was read, any text
+  std::string class_name;  // name of a class, or kAllClasses
+  std::string metric;      // Name(CanaryMetric); any text if read from a record
   double new_requests = 0, old_requests = 0;
   double new_mean = 0, old_mean = 0;
-  double difference = 0, half_width = 0;  // of the confidence sequence
-  double sampling_half_width = 0;  // the part of it due to sampling alone, without variance between nodes
-  double allowed = 0;
+  double difference = 0, half_width = 0;  // new less old; half width of its confidence sequence
+  double sampling_half_width = 0;         // half width without the variance between nodes
+  double allowed = 0;                     // difference up to which the new release does not count as worse
   bool worse = false;
   bool possibly_worse = false;  // more requests are needed before the release can pass
   bool known() const { return half_width < kMaxKnownHalfWidth; }
@@ -75,27 +81,29 @@
   CanaryVerdict verdict = CanaryVerdict::kInconclusive;
   std::string reason;
   std::vector<CohortComparison> comparisons;
-  std::uint64_t new_requests = 0;  // of the new cohort, over all classes
+  std::uint64_t new_requests = 0;  // served by the new cohort, over all classes
 };
 
 class CanaryAnalysis {
  public:
   explicit CanaryAnalysis(CanaryThresholds thresholds) : thresholds_(thresholds) {}
 
-  // A node's metrics as of `now`. What is counted is their increase since the sample before; a new process
-  // counts from nothing. `new_release`: the node runs the new release.
+  // Takes a node's metrics as of `now`. Counted is their increase since the previous sample; the first sample
+  // of a process only serves as the base of the next one. `new_release` says whether the node runs the new
+  // release.
   void AddSample(Time now, const std::string& node, const std::string& zone, bool new_release,
                  const NodeMetrics& metrics);
-  // The comparison starts here; what was sampled before becomes the environment's baseline.
+  // Starts the comparison. What was sampled before becomes the baseline of the environment.
   void StartComparison();
-  // `min_requests` of the new cohort for a pass; 0: none.
+  // Passes only once the new cohort has served `min_requests`. With 0, everything passes that neither fails
+  // nor finds a changed environment.
   CanaryResult Evaluate(std::uint64_t min_requests) const;
 
  private:
   static constexpr std::size_t kMetrics = static_cast<std::size_t>(CanaryMetric::kCount);
   enum Cohort : std::size_t { kOld, kNew, kCohorts };
 
-  // Sums over requests of one metric.
+  // Sums of one metric over requests.
   struct Sums {
     double count = 0, sum = 0, sum_of_squares = 0;
     void Add(const Sums& other);
@@ -112,23 +120,23 @@
     auto operator<=>(const StratumKey&) const = default;
   };
   struct Node {
-    std::optional<NodeMetrics> last;             // null: no sample yet
-    std::deque<std::pair<Time, double>> memory;  // bytes at a time, of this process
+    std::optional<NodeMetrics> last;             // nullopt: no sample yet
+    std::deque<std::pair<Time, double>> memory;  // time and bytes, of the current process
     bool new_release = false;
     std::string zone;
-    std::map<std::string, CohortSums> by_class;  // of this process; only its own cohort's side
+    std::map<std::string, CohortSums> by_class;  // of the current process; only its own cohort is filled
   };
-  // What strata contribute to a comparison: the difference new less old, its weight and its variance.
+  // What a stratum contributes to a comparison: the difference new less old, its weight and its variance.
   struct Stratum {
     double weight, difference, variance;
   };
-  struct Between {
-    double variance = 0;
-    double new_nodes = 0, old_nodes = 0;  // nodes with enough requests
+  struct NodeVariance {
+    double variance = 0;                  // between the means of old nodes
+    double new_nodes = 0, old_nodes = 0;  // number of nodes with enough requests
   };
   struct MemoryGrowth {
     double bytes_per_hour = 0;
-    std::optional<double> limit;  // bytes; null: no process ran for long enough
+    std::optional<double> limit;  // bytes; nullopt: no process ran for long enough
   };
 
   static void AddIncrease(const ClassMetrics& before, const ClassMetrics& now, MetricSums& sums);
@@ -138,7 +146,7 @@
   std::vector<Stratum> Strata(const std::string& class_name, std::size_t metric, const Sums& all_old,
                               const Sums& all_new) const;
   double AllowedDifference(CanaryMetric metric) const;
-  Between BetweenNodes(const std::string& class_name, std::size_t metric) const;
+  NodeVariance VarianceBetweenNodes(const std::string& class_name, std::size_t metric) const;
   MemoryGrowth GrowthOf(bool new_release) const;
   Sums OldCohortLate() const;
   std::optional<std::string> ResourceLimitReached() const;
@@ -150,7 +158,7 @@
 
   CanaryThresholds thresholds_;
   std::map<StratumKey, CohortSums> strata_;
-  std::map<std::string, double> class_weights_;  // priority weights, by class
+  std::map<std::string, double> class_weights_;  // priority weight by class name
   std::map<std::string, Node> nodes_;
   double baseline_late_share_ = 0, baseline_requests_ = 0;  // of the old cohort, before the comparison
 };
--- a/src/rollout/cluster_view_model.cpp
+++ b/src/rollout/cluster_view_model.cpp
@@ -8,13 +8,13 @@
 
 using nlohmann::json;
 
-// Throws for what is no answer of a status address.
+// Throws if the JSON is not the answer of a status address.
 std::optional<NodeClusterView> NodeClusterViewFrom(const json& j) {
   NodeClusterView view;
   view.node = j.at("name").get<std::string>();
   if (view.node.empty()) return std::nullopt;
-  // During a hot restart two processes answer for the node, and only the active one has a view: the new one
-  // has none yet, and the old one no longer receives messages.
+  // During a hot restart two processes answer for the node, and only the active one has a current view: the
+  // new one has none yet, and the old one no longer receives messages.
   if (!j.contains("members") || j.value("phase", "") != "active") return view;
   view.joined = j.at("joined").get<bool>();
   view.in_doubt = j.at("in_doubt").get<bool>();
@@ -57,7 +57,7 @@
   std::map<std::string, Votes> votes;
   std::set<std::string> counted;
   for (const NodeClusterView& view : views) {
-    if (!counted.insert(view.node).second) continue;  // a node at two addresses votes once
+    if (!counted.insert(view.node).second) continue;  // a node that answers at two addresses votes once
     ++merged.answers;
     merged.known.insert(view.node);
     ++votes[view.node].alive;
--- a/src/rollout/cluster_view_model.h
+++ b/src/rollout/cluster_view_model.h
@@ -1,6 +1,6 @@
-// What the nodes' membership says of the cluster, as a rollout's driver uses it: which nodes must not be
-// changed now, which count as dead, and whether the view can be trusted at all. Read from nodes' status
-// addresses (`GET /nodes`), any of which may be dead, partitioned or wrong. No I/O, no clock.
+// The cluster as the nodes' membership sees it, for a rollout's driver: which nodes must not be changed now,
+// which count as dead, and whether the view can be trusted at all. Read from the nodes' status addresses
+// (`GET /nodes`), any of which may be dead, partitioned or wrong. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -19,22 +19,24 @@
 struct NodeClusterView {
   std::string node;
   bool joined = false, in_doubt = true, settled = false;
-  // Of the other members, by name: "alive", "suspect", "dead", "leaving", "left" (`standing` in JSON).
+  // States of the other members by name: "alive", "suspect", "dead", "leaving" or "left". The key in JSON is
+  // `standing`.
   std::map<std::string, std::string> member_states;
 };
-// Null: not the body of a status address, or larger than the bounds above.
+// Returns nullopt if this is not the body of a status address, or exceeds the bounds above.
 std::optional<NodeClusterView> DecodeNodeClusterView(const std::string& body);
 
-// All nodes' views merged by majority: of the views that name a member and are confident, more than half
-// decide its state. That a node answers counts as a vote that it is alive.
+// The views of all nodes, merged by majority: a member is dead or suspect if more than half of the confident
+// views that name it say so. A node that answers thereby votes that it is alive itself.
 struct ClusterView {
-  std::size_t polled = 0;     // status addresses asked
+  std::size_t polled = 0;     // status addresses that were asked
   std::size_t answers = 0;    // different nodes that answered
-  std::size_t confident = 0;  // of these, joined and not in doubt
+  std::size_t confident = 0;  // of these, nodes that have joined and are not in doubt
   std::set<std::string> suspect;
   std::set<std::string> dead;   // leaving and left members count as dead
-  std::set<std::string> known;  // all members that were named
-  // More than half of the polled addresses are confident: a node that is absent from the view is absent.
+  std::set<std::string> known;  // all members that any view names
+  // Whether more than half of the polled addresses are confident: only then does a node that is suspect or
+  // dead in the view count as absent.
   bool trusted() const { return 2 * confident > polled; }
 };
 ClusterView MergeClusterViews(std::size_t polled, const std::vector<NodeClusterView>& views);
--- a/src/rollout/driver_model.cpp
+++ b/src/rollout/driver_model.cpp
@@ -8,9 +8,9 @@
 namespace ryeglade::rollout {
 namespace {
 
-// A node of the new release that gives no metrics for longer than this counts as failed.
-constexpr Time kMaxWithoutMetrics = 20'000'000;
-// In records and on the operator's terminal; in the order of RolloutState.
+// A node that runs the new release and reports no metrics for longer than this counts as failed.
+constexpr Time kMaxTimeWithoutMetrics = 20'000'000;  // microseconds
+// Names used in records and on the operator's terminal, in the order of RolloutState.
 constexpr const char* kStateNames[] = {"waiting", "stage", "soak",      "back",
                                        "paused",  "done",  "back-done", "over"};
 
@@ -55,7 +55,7 @@
   return to_node;
 }
 
-// What the plan leaves open stays as the node's last good release has it.
+// Fields that the plan leaves empty are taken from the node's last good release.
 Release Driver::ReleaseFor(const Node& node) const {
   Release release = plan_.release;
   if (!node.status) return release;
@@ -81,7 +81,7 @@
   return node.status && !IsUpdated(node) && !IsOutdated(node);
 }
 
-// A reason to roll back at once, whatever the canary analysis says; null: none.
+// Returns a reason to roll back at once, whatever the canary analysis says, or nullopt.
 std::optional<std::string> Driver::HardFailure(Time now, const Node& node) const {
   if (!node.status) return std::nullopt;
   const SupervisorStatus& status = *node.status;
@@ -91,7 +91,7 @@
     return status.node + ": " + status.failure_reason;
   if (RunsNewRelease(status) && status.crashes > node.old_release_crashes)
     return fmt::format("{}: crashed {} times", status.node, status.crashes);
-  if (node.no_metrics_since >= 0 && now - node.no_metrics_since > kMaxWithoutMetrics)
+  if (node.no_metrics_since >= 0 && now - node.no_metrics_since > kMaxTimeWithoutMetrics)
     return status.node + ": gives no figures that can be read";
   return std::nullopt;
 }
@@ -144,7 +144,7 @@
   reason_ = "another driver has taken over";
 }
 
-// What is decided is stored at the supervisors before it is acted on: a driver that takes over continues it.
+// Stores a decision at the supervisors before it is acted on, so that a driver that takes over continues it.
 void Driver::SendDirective(const std::string& name, const std::string& reason, Commands& commands) {
   directive_ = {name, reason};
   for (const auto& [node_name, node] : nodes_) {
@@ -156,9 +156,9 @@
   }
 }
 
-// ---- What a round showed ----
+// ---- The answers of a round ----
 
-// What a view in doubt says of absent nodes is not used; what was known before remains.
+// A view that cannot be trusted does not change which nodes count as absent or dead.
 void Driver::UpdateFromClusterView(Time now, const ClusterView& view) {
   if (!view.trusted()) {
     if (view_in_doubt_since_ < 0) view_in_doubt_since_ = now;
@@ -220,7 +220,8 @@
                         *status.metrics);
 }
 
-// The newest directive for this rollout, wherever it was stored; of two that are equally new, a rollback.
+// Adopts the newest directive that any supervisor has stored for this rollout. Of two with the same number,
+// one that means a rollback wins.
 void Driver::TakeDirective(const SupervisorStatus& status) {
   if (status.plan != plan_.text || status.directive_number == 0 || status.directive.empty()) return;
   const bool newer = status.directive_number > directive_number_;
@@ -231,8 +232,9 @@
   directive_ = {status.directive, status.directive_reason};
 }
 
-// A node that does not answer here and is dead in the cluster view is skipped at once; one whose supervisor
-// answers though the others call the node dead is waited for as long as one that does not answer.
+// A node whose supervisor does not answer and that is dead in the cluster view is skipped at once. One whose
+// supervisor answers although it is absent from the cluster view is skipped after the same time as one whose
+// supervisor does not answer.
 void Driver::UpdateReachability(Time now, Node& node, bool answered) {
   if (node.first_polled_at < 0) node.first_polled_at = now;
   const Time silent = answered ? 0 : now - std::max(node.first_polled_at, node.answered_at);
@@ -242,7 +244,7 @@
   if (node.skipped) node.command_sent = false;
 }
 
-// Without a majority nobody may act: another driver may have the other nodes.
+// Without a majority the driver must not act, because another driver may have claimed the other nodes.
 bool Driver::MayAct(Time now, std::size_t claimed) {
   const std::size_t majority = plan_.nodes.size() / 2 + 1;
   if (claimed < majority) {
@@ -254,13 +256,13 @@
   if (first_majority_at_ < 0) first_majority_at_ = now;
   if (now - first_majority_at_ < lease_) {
     state_ = RolloutState::kWaiting;
-    reason_ = "an earlier driver's lease";
+    reason_ = "waiting for an earlier driver's lease to expire";
     return false;
   }
   return true;
 }
 
-// -1: nowhere in the history.
+// Returns -1 if no sample in the history is of the new release.
 Time Driver::NewReleaseFirstSeen() const {
   Time first = -1;
   for (const auto& [name, node] : nodes_) {
@@ -271,8 +273,8 @@
   return first;
 }
 
-// What the supervisors sampled before this driver came; what lies before the first sample of the new release
-// is the environment's baseline.
+// Feeds the analysis with what the supervisors sampled before this driver came. Samples before the first one
+// of the new release are the environment's baseline.
 void Driver::AnalyseHistory() {
   history_analysed_ = true;
   const Time first = NewReleaseFirstSeen();
@@ -294,7 +296,7 @@
   for (auto& [name, node] : nodes_) node.history.clear();
 }
 
-// ---- What is done about it ----
+// ---- Actions ----
 
 std::vector<NodeCommand> Driver::RunRound(Time now,
                                           const std::map<std::string, SupervisorResponse>& responses,
@@ -339,7 +341,8 @@
   return commands;
 }
 
-// No change begins and nothing is analysed by half of a cluster; a rollback would go on.
+// While less than a majority of the cluster can be seen, no change begins and nothing is analysed. A rollback
+// is not held up: RunRound handles it first.
 void Driver::WaitForTrustedView(Time now, const ClusterView& view, Commands& commands) {
   if (now - view_in_doubt_since_ > plan_.inconclusive_timeout)
     return Pause("the view among the nodes is in doubt for too long", commands);
@@ -355,7 +358,7 @@
   StopSoaking();
 }
 
-// The number of stages: all nodes that answer are updated.
+// Returns the number of stages if all nodes that are not skipped are updated.
 std::size_t Driver::FirstUnfinishedStage() const {
   std::size_t stage = plan_.stages.size();
   for (const auto& [name, node] : nodes_) {
@@ -371,7 +374,8 @@
     if (StagePasses(now, last, commands)) Complete(now, plan_.stages[last].soak, commands);
     return;
   }
-  // The stage before is analysed before the next one begins; one that an earlier driver had begun has passed.
+  // A stage must pass its analysis before the next one begins. If an earlier driver has begun this stage, the
+  // one before it has passed.
   const bool begun = std::any_of(nodes_.begin(), nodes_.end(), [&](const auto& n) {
     return n.second.stage == stage && (IsUpdated(n.second) || IsChanging(n.second));
   });
@@ -380,7 +384,7 @@
   if (may_change) ChangeNodes(now, stage, commands);
 }
 
-// While a stage changes the new cohort is analysed, too: a bad release gets no more nodes.
+// Analyses the new cohort also while a stage changes, so that a bad release gets no more nodes.
 bool Driver::NoHarmSeen(Time now, Commands& commands) {
   canary_result_ = analysis_.Evaluate(0);
   if (!ActOnVerdict(now, commands)) return false;
@@ -388,7 +392,7 @@
   return true;
 }
 
-// Whether the last result lets the rollout go on.
+// Returns whether the last result lets the rollout go on.
 bool Driver::ActOnVerdict(Time now, Commands& commands) {
   switch (canary_result_.verdict) {
     case CanaryVerdict::kFail:
@@ -433,7 +437,7 @@
   }
 }
 
-// The last stage has passed: every node's new release becomes its last good one.
+// Called when the last stage has passed: the new release becomes the last good one of every node.
 void Driver::Complete(Time now, Time soak, Commands& commands) {
   bool confirmed = true;
   for (const auto& [name, node] : nodes_) {
@@ -442,7 +446,7 @@
     commands.push_back(CommandFor(node, CommandKind::kConfirm));
   }
   if (!confirmed) {
-    // Its time is over already: asked again in the next round until all have confirmed.
+    // The soak time is over. Dating it back lets the next round ask again, until all nodes have confirmed.
     soaking_since_ = waiting_since_ = now - soak;
     return;
   }
@@ -459,7 +463,7 @@
     if (changing_nodes_ >= plan_.stages[stage].max_concurrent) break;
     Node& node = nodes_.at(name);
     if (node.answered_at != now || !IsOutdated(node) || node.absent_since >= 0) continue;
-    // What was sampled before the first change is the environment's baseline.
+    // What was sampled before the first change becomes the environment's baseline.
     if (!std::exchange(change_begun_, true)) analysis_.StartComparison();
     node.command_sent = true;
     ++changing_nodes_;
@@ -485,7 +489,7 @@
     if (node.answered_at != now || !node.status) continue;
     const SupervisorStatus& status = *node.status;
     if (status.pending == plan_.release.id) {
-      // Given up at once, however many do so: nothing serves with the new release there yet.
+      // Abandoned at once and without a limit on their number: the new release does not serve there yet.
       node.command_sent = false;
       commands.push_back(CommandFor(node, CommandKind::kRollBack));
       continue;
@@ -499,8 +503,7 @@
   }
 }
 
-// Nodes that have confirmed the new release already keep it: what becomes of them is the operator's to
-// decide.
+// Nodes that have already confirmed the new release keep it; the operator decides what to do about them.
 void Driver::FinishRollBack() {
   bool any_left = false;
   bool only_confirmed_left = true;
--- a/src/rollout/driver_model.h
+++ b/src/rollout/driver_model.h
@@ -1,10 +1,10 @@
-// What a rollout does next, decided from what the supervisors report and nothing else: a driver may be killed
+// Decides what a rollout does next, from nothing but what the supervisors report: a driver may be killed
 // between any two steps, and another one continues. No I/O, no clock.
 //
-// A round: poll all supervisors; claim them for this driver's epoch (a majority of the plan's nodes must
-// accept, or nothing is done); then act on what this round showed. Supervisors reject an epoch that is not
-// the highest they know, and any command whose claim is older than their lease. A new driver waits for a
-// lease before its first action, so that nothing an earlier one sent can still be accepted.
+// In each round a driver polls all supervisors, claims them for its epoch (unless a majority of the plan's
+// nodes accepts, it does nothing), and then acts on the answers. Supervisors reject an epoch that is not the
+// highest they know, and any command whose claim is older than their lease. A new driver waits for the length
+// of a lease before its first action, so that nothing an earlier driver sent can still be accepted.
 #pragma once
 
 #include <cstdint>
@@ -23,40 +23,41 @@
 
 enum class RolloutState : std::uint8_t {
   kWaiting,      // for a majority, for an earlier driver's lease to expire, or for a trusted cluster view
-  kChanging,     // nodes of a stage change
-  kSoaking,      // a stage has changed; its canary analysis goes on
+  kChanging,     // nodes of a stage are being changed
+  kSoaking,      // all nodes of a stage have changed; the canary analysis goes on
   kRollingBack,  // all nodes return to their last good release
-  kPaused,       // with a reason; continues when resumed
+  kPaused,       // stopped with a reason until it is resumed
   kCompleted,    // all nodes have changed, and the last stage passed
-  kRolledBack,   // all nodes that can be reached run what ran before
+  kRolledBack,   // all nodes that can be reached run their last good release again
   kSuperseded,   // another driver has taken over
   kCount
 };
 const char* Name(RolloutState state);
 
 struct NodeCommand {
-  std::string node;  // by name
+  std::string node;  // its name
   SupervisorCommand command;
 };
 
-// What a supervisor answered to a round's claim.
+// A supervisor's answer to the claim of a round.
 struct SupervisorResponse {
-  std::optional<SupervisorStatus> status;  // null: no answer
+  std::optional<SupervisorStatus> status;  // nullopt: no answer
   bool claimed = false;                    // the claim was accepted
 };
 
 class Driver {
  public:
-  // `epoch`: higher than any that the supervisors know; `driver`: a name no other driver has.
+  // `epoch` must be higher than any that the supervisors know, and `driver` a name that no other driver has.
+  // `lease` is the time for which the supervisors accept commands after a claim.
   Driver(Plan plan, std::uint64_t epoch, std::string driver, Time lease);
 
-  // The claim that goes to every supervisor in each round.
+  // Returns the claim that is to be sent to every supervisor in each round.
   SupervisorCommand MakeClaim() const;
-  // Takes the answers to the round's claims, by node, and gives the commands that are to be sent now, each
-  // once. `cluster_view`: where the plan asks for it; else null.
+  // Takes the answers to the round's claims, by node name, and returns the commands to send now, each once.
+  // `cluster_view` is null unless the plan names status addresses.
   std::vector<NodeCommand> RunRound(Time now, const std::map<std::string, SupervisorResponse>& responses,
                                     const ClusterView* cluster_view = nullptr);
-  // A claim or command was rejected; `reason` as in CommandReply.
+  // To be called when a claim or command was rejected, with the `reason` of the CommandReply.
   void OnRejected(const std::string& reason);
 
   RolloutState state() const { return state_; }
@@ -65,50 +66,54 @@
            state_ == RolloutState::kSuperseded;
   }
   std::size_t stage() const { return stage_; }                          // counted from 0
-  const std::string& reason() const { return reason_; }                 // of the state, in words
-  const CanaryResult& canary_result() const { return canary_result_; }  // the last one
+  const std::string& reason() const { return reason_; }                 // why it is in this state, for people
+  const CanaryResult& canary_result() const { return canary_result_; }  // the latest
   std::size_t changing_nodes() const { return changing_nodes_; }
   std::vector<std::string> skipped_nodes() const;   // unreachable, or dead in the cluster view for too long
-  std::vector<std::string> deferred_nodes() const;  // not to be changed now: suspect or dead in the view
+  std::vector<std::string> deferred_nodes() const;  // not changed now: suspect or dead in the cluster view
   const Plan& plan() const { return plan_; }
-  // All that decides what it does next, with times as spans before `now`: equal for drivers that will act
-  // alike. For explorers.
+  // Returns a text of everything that decides what the driver does next, with times given as their age at
+  // `now`, so that it is equal for drivers that will act alike. Used by the lab's explorer.
   std::string StateFingerprint(Time now) const;
-  // An operator's directive; sent with the next round's commands.
+  // Sets an operator's directive. It is sent with the commands of the next round.
   void SetDirective(std::string directive, std::string reason);
 
  private:
   struct Directive {
-    std::string name;  // kDirective...; empty: none
+    std::string name;  // one of kDirective...; empty: none
     std::string reason;
   };
   struct Node {
-    std::size_t plan_index = 0;  // in the plan's nodes
+    std::size_t plan_index = 0;  // index in the plan's nodes
     std::size_t stage = 0;
-    std::optional<SupervisorStatus> status;               // the last one
-    std::vector<std::pair<Time, MetricsSample>> history;  // by this driver's clock; until it is analysed
-    Time first_polled_at = -1, answered_at = -1;          // answered: last; -1: never
-    bool skipped = false;                                 // unreachable for too long
-    Time no_metrics_since = -1;   // it runs the new release and reports no metrics since; -1: it does
-    int old_release_crashes = 0;  // seen while it ran another release: it crashes by itself
-    Time absent_since = -1;       // suspect or dead in the cluster view since; -1: it is not
-    bool dead = false;            // in the cluster view
-    bool command_sent = false;    // it was told to change, and has not answered since
+    std::optional<SupervisorStatus> status;  // the last one reported; nullopt: none yet
+    // What the supervisor sampled before this driver came, by this driver's clock; empty once analysed.
+    std::vector<std::pair<Time, MetricsSample>> history;
+    Time first_polled_at = -1;  // -1: never
+    Time answered_at = -1;      // when it last answered; -1: never
+    bool skipped = false;       // unreachable, or dead in the cluster view for too long
+    // Since when it runs the new release without reporting metrics. -1: it reports them, or does not run it.
+    Time no_metrics_since = -1;
+    // Crashes reported while it ran another release; the new release is not blamed for that many.
+    int old_release_crashes = 0;
+    Time absent_since = -1;     // when it became suspect or dead in the cluster view; -1: it is neither
+    bool dead = false;          // in the cluster view
+    bool command_sent = false;  // told to change or to roll back, and no answer since
   };
   struct RoundCounts {
     std::size_t claimed = 0, skipped = 0;
   };
   using Commands = std::vector<NodeCommand>;
 
-  // Of a node's state, as last reported.
+  // These judge a node by its last reported status.
   bool IsUpdated(const Node& node) const;   // runs the new release, and no change is under way
-  bool IsOutdated(const Node& node) const;  // does not, and none is under way
-  bool IsChanging(const Node& node) const;  // is, or may be, between the two
+  bool IsOutdated(const Node& node) const;  // runs another release, and no change is under way
+  bool IsChanging(const Node& node) const;  // a change is, or may be, under way
   bool RunsNewRelease(const SupervisorStatus& status) const;
   std::optional<std::string> HardFailure(Time now, const Node& node) const;
 
   void UpdateFromClusterView(Time now, const ClusterView& view);
-  // Null: superseded.
+  // Returns nullopt if another driver has superseded this one.
   std::optional<RoundCounts> TakeResponses(Time now,
                                            const std::map<std::string, SupervisorResponse>& responses);
   void TakeStatus(Time now, const std::string& name, Node& node, const SupervisorStatus& status);
@@ -120,7 +125,7 @@
 
   void Advance(Time now, Commands& commands);
   std::size_t FirstUnfinishedStage() const;
-  // Each: whether the rollout may go on; else it has set the state.
+  // Each of these three returns whether the rollout may go on. If not, it has set the state.
   bool StagePasses(Time now, std::size_t stage, Commands& commands);
   bool NoHarmSeen(Time now, Commands& commands);
   bool ActOnVerdict(Time now, Commands& commands);
@@ -145,13 +150,15 @@
   RolloutState state_ = RolloutState::kWaiting;
   std::string reason_;
   std::size_t stage_ = 0, changing_nodes_ = 0;
-  Time first_majority_at_ = -1;  // when a majority was first claimed; -1: never
+  Time first_majority_at_ = -1;  // when a majority first accepted a claim; -1: never
   bool history_analysed_ = false;
-  Time view_in_doubt_since_ = -1;                 // -1: the cluster view is trusted, or not asked for
-  bool change_begun_ = false;                     // this driver, or an earlier one, has told a node to change
-  Time soaking_since_ = -1, waiting_since_ = -1;  // of the stage that is analysed; waiting: for a verdict
-  Directive directive_, operator_directive_;      // in force; still to be sent
-  std::uint64_t directive_number_ = 0;            // the highest seen at a supervisor
+  Time view_in_doubt_since_ = -1;       // -1: the cluster view is trusted, or the plan does not ask for it
+  bool change_begun_ = false;           // this driver, or an earlier one, has told a node to change
+  Time soaking_since_ = -1;             // when the stage under analysis began to soak; -1: none does
+  Time waiting_since_ = -1;             // since when its verdict is waited for; -1: no stage is analysed
+  Directive directive_;                 // in force
+  Directive operator_directive_;        // still to be sent
+  std::uint64_t directive_number_ = 0;  // the highest that a supervisor reported
   CanaryAnalysis analysis_;
   CanaryResult canary_result_;
 };
