--- a/src/rollout/file_digest.h
+++ b/src/rollout/file_digest.h
@@ -1,4 +1,4 @@
-// Digests of files, by which supervisors make sure that a release is the same on every node.
+// Digests of files. Supervisors use them to make sure that a release is the same on every node.
 #pragma once
 
 #include <array>
@@ -8,20 +8,23 @@
 
 namespace ryeglade::rollout {
 
-// XXH3 of a file's bytes, 16 hexadecimal digits. Reads the whole file. Throws std::runtime_error naming it.
+// Reads the whole file and returns the 64-bit XXH3 of its bytes as 16 hexadecimal digits. Throws
+// std::runtime_error naming the file if it can't be read.
 std::string FileDigest(const std::string& path);
 
-// Remembers digests: a file is read again only where device, inode, size or modification time has changed.
+// Caches digests by path. A file is read again only if its device, inode, size or modification time has
+// changed.
 class FileDigestCache {
  public:
-  // Throws std::runtime_error naming the file.
+  // Throws std::runtime_error naming the file if it can't be read.
   std::string Digest(const std::string& path);
 
  private:
+  // Device, inode, size in bytes, and modification time in seconds and nanoseconds.
   using FileIdentity = std::array<std::int64_t, 5>;
   struct Entry {
     FileIdentity identity{};
-    std::string digest;  // empty: not known yet
+    std::string digest;  // empty: not computed yet
   };
   std::map<std::string, Entry> entries_;
 };
--- a/src/rollout/metrics_model.cpp
+++ b/src/rollout/metrics_model.cpp
@@ -14,7 +14,7 @@
 constexpr double kMaxNumber = 1e18;
 constexpr std::uint64_t kMaxCount = 100'000'000'000'000'000ULL;
 
-// Both give 0 for a key that is absent, and throw for a number out of bounds.
+// NumberAt and CountAt return 0 for an absent key and throw for a number that is out of bounds.
 double NumberAt(const json& object, const char* key) {
   const double number = object.value(key, 0.0);
   if (!std::isfinite(number) || std::abs(number) > kMaxNumber) throw std::runtime_error(key);
@@ -28,7 +28,8 @@
   return at->get<std::uint64_t>();
 }
 
-// The keys of the JSON object are older than the names in ClassMetrics and NodeMetrics: mapped here only.
+// The keys of the JSON object are older than the names in ClassMetrics and NodeMetrics, and are mapped only
+// in this file.
 json ToJson(const ClassMetrics& metrics) {
   return {{"worth", metrics.priority_weight},
           {"served", metrics.served},
--- a/src/rollout/metrics_model.h
+++ b/src/rollout/metrics_model.h
@@ -1,6 +1,6 @@
-// Service metrics of one node, by request class, counted since its process started. The canary analysis
-// compares cohorts of nodes by them. Exchanged as one JSON object; a reader skips fields that it does not
-// know. Pure: no I/O, no clock.
+// Service metrics of one node by request class, counted since its process started. The canary analysis uses
+// them to compare cohorts of nodes. They are exchanged as one JSON object; a reader skips fields that it does
+// not know. Pure: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -12,9 +12,10 @@
 
 struct ClassMetrics {
   double priority_weight = 1;  // of one request of this class
+  // Numbers of requests; `in_time` counts the served ones that met their latency objective.
   std::uint64_t served = 0, in_time = 0, rejected = 0, failed = 0;
-  double attempts_sum = 0, attempts_sum_of_squares = 0;  // attempts per request, over all concluded requests
-  std::uint64_t started = 0;                             // responses whose first token was sent
+  double attempts_sum = 0, attempts_sum_of_squares = 0;              // of the attempts per concluded request
+  std::uint64_t started = 0;                                         // responses whose first token was sent
   double first_token_ln_sum = 0, first_token_ln_sum_of_squares = 0;  // of ln(time to first token in ms)
   std::uint64_t concluded() const { return served + rejected + failed; }
 };
@@ -22,13 +23,14 @@
 struct NodeMetrics {
   std::int64_t pid = 0;
   std::int64_t measured_at = 0;                            // microseconds, Unix time
-  std::uint64_t memory_bytes = 0, memory_limit_bytes = 0;  // resident; limit 0: none known
-  std::uint64_t descriptors = 0, descriptor_limit = 0;     // open; limit 0: none known
+  std::uint64_t memory_bytes = 0, memory_limit_bytes = 0;  // resident size; limit 0: none known
+  std::uint64_t descriptors = 0, descriptor_limit = 0;     // open descriptors; limit 0: none known
   std::map<std::string, ClassMetrics> classes;             // by class name
 };
 
 std::string EncodeNodeMetrics(const NodeMetrics& metrics);
-// Null: not an object of this form, or a number is negative, not finite or out of bounds.
+// Returns nullopt if the text is not an object of this form, or if a number is negative, not finite or out of
+// bounds.
 std::optional<NodeMetrics> DecodeNodeMetrics(const std::string& text);
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/node_process.cpp
+++ b/src/rollout/node_process.cpp
@@ -35,7 +35,7 @@
   return variables;
 }
 
-// For exec: valid as long as `strings` is.
+// Returns the array of pointers that exec needs. It is valid as long as `strings` is.
 std::vector<char*> NullTerminated(std::vector<std::string>& strings) {
   std::vector<char*> pointers;
   pointers.reserve(strings.size() + 1);
@@ -97,11 +97,11 @@
   options.stdio_count = 3;
   options.exit_cb = [](uv_process_t* handle, std::int64_t status, int signal) {
     auto* process = static_cast<NodeProcess*>(handle->data);
-    const OnExit on_exit = process->on_exit_;  // it may destroy the process
+    const OnExit on_exit = process->on_exit_;  // a copy, because the call may destroy `process`
     on_exit(process->number_, status, signal);
   };
   handle_.data = this;
-  has_handle_ = true;  // also where it fails: libuv has initialized it
+  has_handle_ = true;  // set before uv_spawn, which initializes the handle even if it fails
   const int error = uv_spawn(loop, &handle_, &options);
   close(log_fd);
   if (error != 0) throw std::runtime_error(release.program + ": " + uv_strerror(error));
--- a/src/rollout/node_process.h
+++ b/src/rollout/node_process.h
@@ -1,5 +1,5 @@
-// One process of a supervised node, as its supervisor sees it: started by this supervisor, or adopted from an
-// earlier one. The process itself outlives this object and the supervisor.
+// One process of a supervised node, from its supervisor's point of view: started by this supervisor, or
+// adopted from an earlier one. The process itself may outlive this object and the supervisor.
 #pragma once
 
 #include <uv.h>
@@ -20,13 +20,13 @@
     void operator()(NodeProcess* process) const;
   };
   using Ptr = std::unique_ptr<NodeProcess, Closer>;
-  // Called on the loop when a process that was started here has ended; `signal` 0: it exited by itself.
+  // Called on the loop when a process that was started here has ended. `signal` is 0 if it exited by itself.
   using OnExit = std::function<void(int number, std::int64_t status, int signal)>;
 
-  // Null: the process has ended, or its pid belongs to another one by now.
+  // Returns null if the process has ended or its pid now belongs to another process.
   static Ptr Adopt(int number, const ProcessRecord& record);
-  // Starts `ryeglade serve` of the release, with its output appended to node.log of `directory`, and its
-  // $TMPDIR there. Throws std::runtime_error.
+  // Starts `ryeglade serve` of the release. Its output is appended to `directory`/node.log, and its $TMPDIR
+  // is `directory`/tmp. Throws std::runtime_error if the log can't be opened or the program can't be started.
   static Ptr Start(uv_loop_t* loop, int number, const Release& release, const std::string& directory,
                    OnExit on_exit);
   NodeProcess(const NodeProcess&) = delete;
@@ -34,13 +34,14 @@
 
   int number() const { return number_; }
   const ProcessRecord& record() const { return record_; }
-  // An adopted process is no child of this one: its end has to be polled for.
+  // Whether this is an adopted process that has ended. An adopted process is not a child of the supervisor,
+  // so its end has to be polled for.
   bool AdoptedHasEnded() const;
 
-  // Polling of its management address by the supervisor.
-  bool ready = false;  // it has said so
+  // State of the supervisor's polling of the management address.
+  bool ready = false;  // the process has reported that it is ready
   bool poll_running = false;
-  Time last_polled_at = 0;
+  Time last_polled_at = 0;  // 0: never
 
  private:
   NodeProcess(int number, OnExit on_exit) : number_(number), on_exit_(std::move(on_exit)) {}
--- a/src/rollout/plan.cpp
+++ b/src/rollout/plan.cpp
@@ -23,14 +23,17 @@
 
 Release ParseRelease(TomlSection& root) {
   TomlSection section = root.Table("release");
-  if (!section.present()) root.Fail("release", "is missing; add [release] with `id` and what changes");
+  if (!section.present())
+    root.Fail("release",
+              "is missing; add [release] with `id` and at least one of `program`, `config` and `settings`");
   Release release;
-  release.id = section.Needed("id", "a word for the release");
+  release.id = section.Needed("id", "a name for the release");
   release.program = section.Text("program", "");
   release.config = section.Text("config", "");
   release.settings = section.Text("settings", "");
   if (release.program.empty() && release.config.empty() && release.settings.empty())
-    section.Fail("program", "is missing, and so are `settings` and `config`: nothing would change");
+    section.Fail("program",
+                 "is missing, and so are `settings` and `config`: nothing would change; give at least one");
   section.Close();
   return release;
 }
@@ -70,8 +73,8 @@
   return names;
 }
 
-// The nodes of a stage: named, or a count or share of those that no earlier stage has, of one zone where the
-// stage names it.
+// Returns the nodes of a stage: those that it names, or a count or share of those that no earlier stage has.
+// If the stage gives a zone, only nodes of that zone are counted.
 std::vector<std::string> ParseStageNodes(TomlSection& section, const std::vector<PlanNode>& nodes,
                                          const std::set<std::string>& assigned) {
   const std::vector<std::string> names = section.Texts("nodes");
@@ -114,8 +117,8 @@
   if (stages.empty()) root.Fail("stage", "is missing; add a [[stage]] for each step");
   for (const PlanNode& node : nodes) {
     if (!assigned.contains(node.name))
-      root.Fail("stage",
-                "leaves out \"" + node.name + "\"; a last [[stage]] without `nodes` takes all that are left");
+      root.Fail("stage", "leaves out \"" + node.name +
+                             "\"; add a last [[stage]] without `nodes`: it takes all that are left");
   }
   return stages;
 }
@@ -137,7 +140,7 @@
   return addresses;
 }
 
-// The keys are older than the names in CanaryThresholds: mapped here only.
+// The keys are older than the names in CanaryThresholds, and are mapped only here.
 CanaryThresholds ParseThresholds(TomlSection& root) {
   TomlSection section = root.Table("guards");
   CanaryThresholds t;
@@ -163,7 +166,7 @@
   TomlSection root(file, "", &table);
   Plan plan;
   plan.text = text;
-  plan.name = root.Needed("name", "a word for this rollout; it is told in logs and by keepers");
+  plan.name = root.Needed("name", "a name for this rollout, shown in logs and by keepers");
   plan.unreachable_after = root.Span("unreached_after", kSecond, kHour, plan.unreachable_after);
   plan.max_skipped = root.Whole("most_passed_over", 0, kMaxNodes, plan.max_skipped);
   plan.inconclusive_timeout = root.Span("ask_after", kSecond, kWeek, plan.inconclusive_timeout);
--- a/src/rollout/process_util.cpp
+++ b/src/rollout/process_util.cpp
@@ -16,7 +16,7 @@
 
 constexpr unsigned kProgramTimeoutSeconds = 10;
 constexpr std::size_t kMaxOutputBytes = std::size_t{16} * 1024;
-constexpr int kStartTimeField = 22;  // of /proc/PID/stat, counted from 1; see proc(5)
+constexpr int kStartTimeField = 22;  // number of the field in /proc/PID/stat, from 1; see proc(5)
 
 [[noreturn]] void ExecuteProgram(int output, char* const* argv) {
   dup2(output, STDOUT_FILENO);
@@ -26,7 +26,7 @@
   _exit(127);
 }
 
-// To the end of the pipe; what exceeds the bound is read and dropped.
+// Reads to the end of the pipe. Output beyond kMaxOutputBytes is dropped.
 std::string ReadOutput(int fd) {
   std::string output;
   char buffer[4096];
--- a/src/rollout/process_util.h
+++ b/src/rollout/process_util.h
@@ -1,4 +1,4 @@
-// Small helpers around processes of this machine.
+// Helpers for processes of this machine.
 #pragma once
 
 #include <cstdint>
@@ -8,18 +8,20 @@
 
 namespace ryeglade::rollout {
 
-// When a process started, in kernel clock ticks since boot; 0: there is none, or it is a zombie.
+// Returns when a process started, in kernel clock ticks since boot, or 0 if there is no such process or it is
+// a zombie.
 std::uint64_t ProcessStartTicks(std::int64_t pid);
 
-// A loopback address, ip:port, whose port is free now. Throws std::runtime_error where there is none.
+// Returns a loopback address (ip:port) whose port is free now. Throws std::runtime_error if there is none.
 std::string FreeLoopbackAddress();
 
 struct ProgramResult {
-  std::optional<int> exit_code;  // null: it did not start, or did not exit by itself in time
-  std::string output;            // stdout and stderr together, up to a bound
+  std::optional<int> exit_code;  // nullopt: not started, or ended by a signal, as after the time limit
+  std::string output;            // stdout and stderr together, cut off after about 16 KiB
 };
 
-// Runs a program (an absolute path, then its arguments) to its end. Blocks, for 10 s at most.
+// Runs a program to its end. `command_line` is its absolute path followed by its arguments. Blocks for at
+// most 10 s; then the program is killed.
 ProgramResult RunProgram(const std::vector<std::string>& command_line);
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/release_check.h
+++ b/src/rollout/release_check.h
@@ -1,4 +1,4 @@
-// Whether a node could run a release, found out without changing anything of the node.
+// Checks whether a node could run a release, without changing anything on the node.
 #pragma once
 
 #include <string>
@@ -9,12 +9,12 @@
 
 struct ReleaseCheck {
   bool good = false;
-  std::string reason;  // where it is not
-  std::string output;  // of the release's own `check-config`
+  std::string reason;  // why the release is not good; empty if it is
+  std::string output;  // printed by the release's own `check-config`
 };
 
-// The release's own program checks its configuration, and both programs report what they are compatible with.
-// Blocks, for 30 s at most.
+// Lets the release's own program check its configuration, and asks the programs of `release` and `active`
+// which protocol versions they speak. Blocks for at most 30 s.
 ReleaseCheck CheckRelease(const Release& release, const Release& active);
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/release_model.cpp
+++ b/src/rollout/release_model.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-// On the wire; in the order of the enumerators.
+// Names on the wire, in the order of the enumerators.
 constexpr const char* kPhaseNames[] = {"down", "starting", "running", "changing", "settling"};
 constexpr const char* kCommandKindNames[] = {"claim", "change", "back", "confirm", "mark"};
 constexpr std::size_t kMaxTextBytes = std::size_t{256} * 1024;
@@ -148,11 +148,12 @@
   return VersionRange{j[0].get<int>(), j[1].get<int>()};
 }
 
-// Empty: compatible in this one protocol.
+// Returns an empty string if the programs are compatible in this one protocol.
 std::string ProtocolError(const char* protocol, const json& old_compat, const json& new_compat) {
   const auto old_entry = old_compat.find(protocol);
   const auto new_entry = new_compat.find(protocol);
-  if (old_entry == old_compat.end() || new_entry == new_compat.end()) return "";  // one does not speak it
+  if (old_entry == old_compat.end() || new_entry == new_compat.end())
+    return "";  // one of them does not speak it
   const auto old_range = VersionRangeFrom(*old_entry);
   const auto new_range = VersionRangeFrom(*new_entry);
   if (!old_range || !new_range) return std::string(protocol) + " is no range of versions";
--- a/src/rollout/release_model.h
+++ b/src/rollout/release_model.h
@@ -1,6 +1,6 @@
 // A release, the status that a supervisor reports of its node, and the commands that a rollout's driver may
-// send it, as JSON. A reader skips fields that it does not know. The JSON keys are older than the names here
-// and stay as they are; release_model.cpp maps them. Pure: no I/O, no clock.
+// send to a supervisor, as JSON. A reader skips fields that it does not know. The JSON keys are older than
+// the names here and don't change; release_model.cpp maps them. Pure: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +13,16 @@
 
 namespace ryeglade::rollout {
 
-inline constexpr int kProtocolVersion = 1;  // of these messages
+inline constexpr int kProtocolVersion = 1;  // version of these messages
 
-// What a node runs. The digests are of the files' bytes: a file that has changed by the time it is to be
-// started is rejected.
+// What a node runs. The digests are those of the files' contents: if a file has changed by the time the
+// release is to be started, the release is rejected.
 struct Release {
-  std::string id;        // the operators' name for it
+  std::string id;        // the operators' name for the release
   std::string program;   // path
-  std::string config;    // path of the platform's JSON; empty: the supervisor's own
-  std::string settings;  // path of our TOML; empty: none
-  std::string program_digest, config_digest, settings_digest;
+  std::string config;    // path of the platform's JSON; empty: that of the last good release
+  std::string settings;  // path of the TOML settings; empty: none
+  std::string program_digest, config_digest, settings_digest;  // from FileDigest; empty: not known
   bool operator==(const Release&) const = default;
 };
 
@@ -36,49 +36,51 @@
 };
 const char* Name(NodePhase phase);
 
-// Metrics that a supervisor sampled from its node; it keeps the last ones for a driver that comes later.
+// Metrics that a supervisor sampled from its node. It keeps the latest samples for a driver that starts
+// later.
 struct MetricsSample {
-  std::string release_id;  // that was active then
+  std::string release_id;  // the release that was active then
   NodeMetrics metrics;
 };
 
-// What is to become of the rollout, as decided by an operator or a driver. Stored by every supervisor, so
-// that a driver that takes over continues with it. An unknown one is stored and has no effect.
+// Directives: what an operator or a driver has decided about the rollout. Every supervisor stores the last
+// one, so that a driver that takes over continues with it. An unknown directive is stored and has no effect.
 inline constexpr const char* kDirectivePause = "pause";
 inline constexpr const char* kDirectiveResume = "resume";
 inline constexpr const char* kDirectiveAbort = "abort";
 inline constexpr const char* kDirectiveRollBack = "back";
 inline constexpr const char* kDirectiveDone = "done";
 
-// Why a release is not active (SupervisorStatus::failure_reason) though nothing is wrong with it. All other
-// reasons are a process's exit code or signal, in words.
+// Values of SupervisorStatus::failure_reason that do not blame the release: the supervisor was restarted
+// during the change, or the release was rolled back by a command. All other reasons say how the release
+// failed, for example its process's exit code or signal.
 inline constexpr const char* kFailedSupervisorRestarted = "keeper-restarted";
 inline constexpr const char* kFailedRolledBack = "taken-back";
 
 struct SupervisorStatus {
   std::string node;
-  std::uint64_t epoch = 0;  // the highest that has claimed this supervisor
-  std::string driver;       // that claimed it,
-  std::string plan;         // and the plan's text that it left here
-  std::string directive;    // the last one set; empty: none
-  std::uint64_t directive_number = 0;
+  std::uint64_t epoch = 0;             // the highest epoch that has claimed this supervisor
+  std::string driver;                  // name of the driver that claimed it
+  std::string plan;                    // text of that driver's plan
+  std::string directive;               // the last one that was set; empty: none
+  std::uint64_t directive_number = 0;  // how many directives were set in this rollout
   std::string directive_reason;
   NodePhase phase = NodePhase::kDown;
   Release active, last_good;
-  std::string pending;         // release id: a change to it is under way
-  std::string failed_release;  // id of the last one that could not be started, or was rolled back here
-  std::string failure_reason;
-  int crashes = 0;  // of the active release since it became active
-  std::int64_t pid = 0;
+  std::string pending;         // id of the release that a change under way leads to; empty: none
+  std::string failed_release;  // id of the last release that failed or was rolled back here
+  std::string failure_reason;  // why; empty: no release failed
+  int crashes = 0;             // of the active release since it became active
+  std::int64_t pid = 0;        // of the active release's process; 0: none
   std::string zone;
-  std::optional<NodeMetrics> metrics;
-  std::int64_t now = 0;                // microseconds, by the clock of its metrics
-  std::int64_t claimed_at = 0;         // last claim, by the supervisor's own clock; 0: not reported
-  std::vector<MetricsSample> history;  // with the first claim of an epoch only; oldest first
+  std::optional<NodeMetrics> metrics;  // of the active release's process; nullopt: not available
+  std::int64_t now = 0;                // microseconds, on the same clock as the metrics
+  std::int64_t claimed_at = 0;         // time of the last claim, on the same clock; 0: not reported
+  std::vector<MetricsSample> history;  // oldest first; sent only in reply to the first claim of an epoch
 };
 
 enum class CommandKind : std::uint8_t {
-  kClaim,         // the driver takes the supervisor for `epoch`, or renews its lease
+  kClaim,         // the driver claims the supervisor for `epoch`, or renews its lease
   kChange,        // replace the active release by `release`
   kRollBack,      // return to the last good release
   kConfirm,       // the active release becomes the last good one
@@ -86,22 +88,22 @@
   kCount
 };
 
-// All kinds but kClaim need a claim of the same epoch that is not older than the lease.
+// Every kind except kClaim needs a claim of the same epoch that is not older than the lease.
 struct SupervisorCommand {
   CommandKind kind = CommandKind::kClaim;
   std::uint64_t epoch = 0;
   std::string driver;
-  std::string plan;  // kClaim: stored by the supervisor
-  Release release;   // kChange, kConfirm
-  std::string directive, directive_reason;
-  // The `claimed_at` of the reply to the claim on which this command rests: a command that was in transit for
-  // longer than the lease is rejected also by a supervisor that was claimed again meanwhile. 0: a driver that
-  // does not send it.
+  std::string plan;                         // for kClaim; the supervisor stores it
+  Release release;                          // for kChange and kConfirm
+  std::string directive, directive_reason;  // for kSetDirective
+  // The `claimed_at` in the reply to the claim that allows this command. With it, a command that was in
+  // transit for longer than the lease is rejected even if the supervisor was claimed again meanwhile. 0: the
+  // driver does not send it.
   std::int64_t claimed_at = 0;
 };
 
-// Why a command was rejected, as it stands in CommandReply::reason. Besides, "unreadable: ..." with the text
-// of an error.
+// Why a command was rejected, as given in CommandReply::reason. Another reason is "unreadable: ..." with the
+// text of an error, if a file of the release can't be read or is not the expected one.
 inline constexpr const char* kRejectedShuttingDown = "ending";
 inline constexpr const char* kRejectedStaleEpoch = "stale";
 inline constexpr const char* kRejectedNotClaimed = "claim-first";
@@ -113,11 +115,11 @@
 
 struct CommandReply {
   bool accepted = false;
-  std::string reason;  // where rejected
+  std::string reason;  // why it was rejected; empty if accepted
   SupervisorStatus status;
 };
 
-// Each Decode... gives null for text that is not of its form.
+// Each Decode function returns nullopt if the text does not have its form.
 std::string EncodeRelease(const Release& release);
 std::optional<Release> DecodeRelease(const std::string& text);
 std::string EncodeStatus(const SupervisorStatus& status);
@@ -127,8 +129,8 @@
 std::string EncodeReply(const CommandReply& reply);
 std::optional<CommandReply> DecodeReply(const std::string& text);
 
-// Whether processes of an old and a new program can run side by side, by what `version --compat` of each
-// prints. Empty: they can; else the reason why not.
+// Compares what `version --compat` of an old and a new program printed. Returns why their processes can't run
+// side by side, or an empty string if they can.
 std::string CompatibilityError(const std::string& old_compat, const std::string& new_compat);
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/report_chart_model.cpp
+++ b/src/rollout/report_chart_model.cpp
@@ -12,12 +12,13 @@
 namespace ryeglade::rollout {
 namespace {
 
-constexpr double kWidth = 1100, kComparisonPanelHeight = 190;  // pixels
+// Widths, heights and margins are in pixels.
+constexpr double kWidth = 1100, kComparisonPanelHeight = 190;
 constexpr double kNodeRowHeight = 16, kNodePanelMargin = 60;
 constexpr double kMinNodePanelHeight = 120, kMaxNodePanelHeight = 700;
 constexpr int kFontPoints = 9;
-constexpr double kBarTop = 0.12, kBarBottom = 0.88;  // of a node, in its row
-constexpr double kMinYRange = 1e-3;
+constexpr double kBarTop = 0.12, kBarBottom = 0.88;  // edges of a node's bar, as parts of its row
+constexpr double kMinYRange = 1e-3;                  // of a comparison panel
 
 struct ComparisonPanel {
   const char* metric;
@@ -36,7 +37,7 @@
   return "#b8b8b8";
 }
 
-// For a string in double quotes in gnuplot.
+// Makes text safe for a gnuplot string in double quotes: special characters become spaces.
 std::string Escaped(const std::string& text) {
   std::string escaped;
   for (const char c : text) {
@@ -48,7 +49,7 @@
 
 class ChartScript {
  public:
-  // Both must outlive this.
+  // `record` and `out` must outlive this object.
   ChartScript(const std::vector<RecordedRound>& record, const std::string& out) : record_(record), out_(out) {
     for (const RecordedRound& round : record) {
       if (round.fault.empty()) rounds_.push_back(&round);
@@ -67,7 +68,7 @@
     script_ = GnuplotHead(out_, kWidth, height_, kFontPoints);
     script_ += "set multiplot\nset lmargin at screen 0.10\nset rmargin at screen 0.97\n";
     script_ += fmt::format("set xrange [0:{:.3f}]\nunset key\n", end_ - begin_);
-    // On every panel, in its own height.
+    // Objects and arrows that are set before the first plot appear on every panel, each over its full height.
     AddFaults();
     AddStageBegins();
     AddNodePanel();
@@ -86,7 +87,7 @@
   }
 
   void AddFaults() {
-    std::map<std::string, double> begun;  // faults without an end so far, with their begin
+    std::map<std::string, double> begun;  // start times of faults that have not ended so far, by name
     for (const RecordedRound& marker : record_) {
       if (marker.fault.empty()) continue;
       if (!marker.fault_ends) {
@@ -125,7 +126,8 @@
     PlacePanel(0, node_panel_height_);
     const RecordedRound& last = *rounds_.back();
     const std::string reason = last.reason.empty() ? "" : ", " + last.reason;
-    script_ += fmt::format("set title \"{}\"\n", Escaped("the rollout's end: " + last.state + reason));
+    script_ +=
+        fmt::format("set title \"{}\"\n", Escaped("final state of the rollout: " + last.state + reason));
     script_ += fmt::format("set yrange [{}:0]\n", rows_);
     std::string tics;
     for (std::size_t i = 0; i < node_names_.size(); ++i)
@@ -164,7 +166,7 @@
 
   void AddComparisonPanel(const ComparisonPanel& panel, double top) {
     PlacePanel(top, kComparisonPanelHeight);
-    std::string data;  // seconds, difference, its lower and its upper bound
+    std::string data;  // columns: seconds, difference, lower and upper bound of the difference
     double allowed = 0;
     double largest = 0;
     for (const RecordedRound* round : rounds_) {
@@ -183,7 +185,8 @@
       script_ += "set yrange [-1:1]\nplot NaN\n";
       return;
     }
-    // The wide intervals of the first rounds must not hide the rest.
+    // The range ignores the confidence intervals: those of the first rounds are so wide that they would hide
+    // the rest.
     const double range = std::max({3 * allowed, 1.5 * largest, kMinYRange});
     script_ += fmt::format("set yrange [{}:{}]\n$d << EOD\n{}EOD\n", -range, range, data);
     script_ += fmt::format(
@@ -195,11 +198,12 @@
 
   const std::vector<RecordedRound>& record_;
   const std::string& out_;
-  std::vector<const RecordedRound*> rounds_;  // without markers
+  std::vector<const RecordedRound*> rounds_;  // without the markers of faults
   std::vector<std::string> node_names_;
-  double begin_ = 0, end_ = 0;                            // seconds, Unix time
-  double rows_ = 0, node_panel_height_ = 0, height_ = 0;  // rows of nodes; pixels
-  int objects_ = 0;                                       // gnuplot's numbers of rectangles so far
+  double begin_ = 0, end_ = 0;                 // seconds, Unix time
+  double rows_ = 0;                            // of nodes
+  double node_panel_height_ = 0, height_ = 0;  // pixels
+  int objects_ = 0;                            // the highest number given to a gnuplot object so far
   std::string script_;
 };
 
--- a/src/rollout/report_chart_model.h
+++ b/src/rollout/report_chart_model.h
@@ -1,4 +1,4 @@
-// A recorded rollout as a gnuplot script. No I/O, no clock.
+// Draws a recorded rollout as a gnuplot script. No I/O, no clock.
 #pragma once
 
 #include <string>
@@ -8,9 +8,10 @@
 
 namespace ryeglade::rollout {
 
-// Draws into the file `out`: a row for each node with its state over time, then the difference between the
-// cohorts with its confidence interval, for failures, for what was not served in time and for first tokens,
-// over all classes; faults as shading. Throws std::runtime_error where no round is recorded.
+// Returns a script that draws into the file `out`: a row for each node with its state over time, and below it
+// the differences between the cohorts, with confidence intervals, in failures, in requests not served in time
+// and in times to first token, over all classes. Injected faults are shaded. Throws std::runtime_error if no
+// round is recorded.
 std::string ReportChart(const std::vector<RecordedRound>& rounds, const std::string& out);
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/report_model.cpp
+++ b/src/rollout/report_model.cpp
@@ -14,11 +14,11 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMaxNodes = 2000, kMaxComparisons = 2000;  // of a line that is read
+constexpr std::size_t kMaxNodes = 2000, kMaxComparisons = 2000;  // in a line that is read
 
 double FiniteOrZero(double value) { return std::isfinite(value) ? value : 0; }
 
-// The keys of a record's lines are older than the names of the fields: mapped in this file only.
+// The keys in a record's lines are older than the names of the fields, and are mapped only in this file.
 json ToJson(const CohortComparison& comparison) {
   json j = {{"class", comparison.class_name},
             {"what", comparison.metric},
@@ -48,7 +48,8 @@
   return comparison;
 }
 
-// Throws for what is no round, as the JSON library does; null: out of bounds.
+// Returns nullopt if a value is out of bounds. Throws an exception of the JSON library if this is not a
+// round.
 std::optional<RecordedRound> RoundFrom(const json& j) {
   RecordedRound round;
   round.at = j.at("at").get<double>();
@@ -162,7 +163,7 @@
     }
     if (!round.comparisons.empty()) last_compared = &round;
     const NodeCounts counts = CountNodes(round.nodes);
-    // The reason and the number of changing nodes differ in each round: they alone are not worth a line.
+    // The reason and the number of changing nodes differ in almost every round, so they alone get no line.
     const std::string key = fmt::format("{} {} {} {} {}", round.state, round.stage, counts.updated,
                                         counts.outdated, counts.skipped);
     if (key == last_key) continue;
--- a/src/rollout/report_model.h
+++ b/src/rollout/report_model.h
@@ -1,6 +1,6 @@
-// What a driver saw round by round, as lines of JSON, and reports on it: a table, columns, and a chart of
-// nodes, stages and cohorts. The lines are written by `rollout start --record` and read by `rollout report`;
-// a reader skips lines and fields that it does not know. No I/O, no clock.
+// The record of a rollout, with a line of JSON for each of the driver's rounds, and reports on it: a table
+// and columns (report_chart_model.h draws the chart). The lines are written by `rollout start --record` and
+// read by `rollout report`; a reader skips lines and fields that it does not know. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
   std::string state;  // "old", "changing", "new", "gone" (skipped), "left-alone" (deferred)
 };
 
-// A round, or a marker that a fault injected by a test begins or ends.
+// A round of the driver, or a marker of the begin or end of a fault that a test injected.
 struct RecordedRound {
   double at = 0;  // seconds, Unix time
   std::string state, reason, driver;
@@ -28,20 +28,21 @@
   std::size_t changing_nodes = 0;
   std::vector<RecordedNode> nodes;
   std::vector<CohortComparison> comparisons;
-  std::string fault;        // a marker: the fault's name; empty: a round
-  bool fault_ends = false;  // a marker: that of the same name has ended
+  std::string fault;        // name of the fault; empty: this is a round, not a marker
+  bool fault_ends = false;  // the fault has ended; false: it begins
 };
 
-// One line, with its end. Numbers that are not finite become 0, or are left out.
+// Returns one line with its newline. Numbers of comparisons that are not finite are written as 0 or left out.
 std::string EncodeRound(const RecordedRound& round);
-// Null: not such a line, or larger than the bounds.
+// Returns nullopt if the line is not a round or exceeds the bounds.
 std::optional<RecordedRound> DecodeRound(std::string_view line);
-// All lines of a record that can be read, in the order of time. `skipped`: how many could not.
+// Returns all lines of a record that can be read, ordered by time. `skipped` is set to the number of those
+// that can't.
 std::vector<RecordedRound> DecodeRecord(std::string_view text, std::size_t* skipped);
 
-// Each change of state with its time, then the last comparisons.
+// Returns a table of the changes of state with their times, followed by the last comparisons.
 std::string ReportTable(const std::vector<RecordedRound>& rounds);
-// Every comparison of every round.
+// Returns every comparison of every round as columns.
 TextTable ComparisonColumns(const std::vector<RecordedRound>& rounds);
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/supervisor.cpp
+++ b/src/rollout/supervisor.cpp
@@ -32,16 +32,18 @@
 namespace ryeglade::rollout {
 namespace {
 
+// Intervals of type Time are in microseconds.
 constexpr Time kTickInterval = 100'000;
-constexpr Time kPollInterval = 500'000;  // of a node that is ready; one that is not is polled at each tick
+constexpr Time kPollInterval = 500'000;  // for a ready process; others are polled at each tick
 constexpr int kPollTimeoutMs = 1000;
-constexpr std::size_t kMaxConnections = 64;  // of the control address
+constexpr std::size_t kMaxConnections = 64;  // to the control address
 constexpr std::size_t kMaxBodyBytes = std::size_t{512} * 1024;
 constexpr std::size_t kBufferPoolBytes = std::size_t{8} << 20;
-constexpr Time kHistoryInterval = 10'000'000;    // between two samples that are kept,
-constexpr std::size_t kMaxHistorySamples = 180;  // of which there are at most so many
+constexpr Time kHistoryInterval = 10'000'000;    // between two samples of the metrics that are kept
+constexpr std::size_t kMaxHistorySamples = 180;  // older samples are dropped
 
-// Locks the supervisor's directory for as long as it lives: two supervisors of one node would start it twice.
+// Creates the supervisor's directory and keeps it locked during the lifetime of this object, because two
+// supervisors of one node would start it twice.
 class DirectoryLock {
  public:
   explicit DirectoryLock(const std::string& directory) {
@@ -51,8 +53,9 @@
     struct flock whole_file {};
     whole_file.l_type = F_WRLCK;
     if (fd_ < 0 || fcntl(fd_, F_OFD_SETLK, &whole_file) != 0)
-      throw std::runtime_error("another keeper has " + directory +
-                               ", or it can't be written: " + std::strerror(errno));
+      throw std::runtime_error(
+          "cannot lock " + directory +
+          "/keeper.lock (does another keeper use this directory?): " + std::strerror(errno));
   }
   ~DirectoryLock() { close(fd_); }
   DirectoryLock(const DirectoryLock&) = delete;
@@ -66,22 +69,22 @@
   if (access(path.c_str(), F_OK) == 0) {
     auto state = DecodeSupervisorState(ReadWholeFile(path));
     if (!state)
-      throw std::runtime_error(path +
-                               " is not a keeper's memory of this version; move it away to start afresh");
+      throw std::runtime_error(
+          path + " is not a state file of this version of the keeper; move it away to start without it");
     return std::move(*state);
   }
   if (initial_release.program.empty())
-    throw std::runtime_error("the first start needs --program and --config");
+    throw std::runtime_error("the first start of a keeper needs --program and --config");
   SupervisorState state;
   state.active = initial_release;
   state.last_good = initial_release;
   return state;
 }
 
-// A node process's answer to one poll.
+// What one poll of a node process showed.
 struct PollResult {
-  bool ready = false;                  // where readiness was asked for
-  std::optional<NodeMetrics> metrics;  // otherwise; null: no answer, or none that can be read
+  bool ready = false;                  // set only if readiness was asked for
+  std::optional<NodeMetrics> metrics;  // nullopt: not asked for, no answer, or an answer that can't be read
 };
 
 PollResult PollNode(const std::string& management, bool for_readiness) {
@@ -95,12 +98,12 @@
     } else if (const HttpResponse response = get("/control/figures"); response.status == 200) {
       result.metrics = DecodeNodeMetrics(response.body);
     }
-  } catch (const std::runtime_error&) {  // no answer: the result says so
+  } catch (const std::runtime_error&) {  // no answer, which the empty result says
   }
   return result;
 }
 
-// All members belong to the loop's thread.
+// All members are used only on the loop's thread.
 class SupervisorProcess : public Front {
  public:
   explicit SupervisorProcess(const SupervisorOptions& options)
@@ -113,7 +116,7 @@
         supervisor_(options.node, options.zone, options.limits,
                     LoadState(StatePath(), options.initial_release)) {}
 
-  // Until the supervisor has shut down.
+  // Returns once the supervisor has shut down.
   void Run() {
     Log(Level::kInfo, "listening-supervisor", {{"addr", control_.Listen()}, {"node", options_.node}});
     for (const int number : {SIGTERM, SIGINT, SIGHUP, SIGUSR2}) HandleSignal(number);
@@ -124,7 +127,7 @@
     Log(Level::kInfo, "stopped");
   }
 
-  // Front: the control address.
+  // Front: requests to the control address.
   void OnRequest(Handle connection, HttpRequest request) override {
     control_.CloseAfter(connection);
     const std::string_view path = request.Path();
@@ -176,7 +179,7 @@
     if (error.empty()) {
       SupervisorEffects effects;
       reply = supervisor_.HandleCommand(Now(), *command, effects);
-      // What was accepted is on disk before the driver learns of it.
+      // The state is on disk before the driver learns that its command was accepted.
       Execute(effects);
     } else {
       reply.reason = error;
@@ -189,7 +192,7 @@
   }
 
   static void LogCommand(const SupervisorCommand& command, const CommandReply& reply) {
-    if (command.kind == CommandKind::kClaim && reply.accepted) return;  // each round has one
+    if (command.kind == CommandKind::kClaim && reply.accepted) return;  // every round of a driver has one
     Log(reply.accepted ? Level::kInfo : Level::kWarn, "supervisor-command",
         {{"what", static_cast<int>(command.kind)},
          {"epoch", command.epoch},
@@ -199,8 +202,9 @@
          {"why", reply.reason}});
   }
 
-  // Fills what the command left open with what the last good release has, and takes the digests that it does
-  // not give, so that every start of the release is of these very files. Gives the error; empty: none.
+  // Fills the program and config that the command left empty from the last good release, and computes the
+  // digests that it does not give, so that every start of the release uses exactly these files. Returns an
+  // error, or an empty string.
   std::string CompleteRelease(Release& release) {
     const Release& last_good = supervisor_.state().last_good;
     if (release.program.empty()) release.program = last_good.program;
@@ -215,7 +219,8 @@
     return "";
   }
 
-  // Throws std::runtime_error where the file can't be read or is not the expected one.
+  // Computes `expected` if it is empty. Throws std::runtime_error if the file can't be read or has another
+  // digest. An empty path has none.
   void CheckDigest(const std::string& path, std::string& expected) {
     if (path.empty()) return;
     const std::string digest = digests_.Digest(path);
@@ -223,7 +228,7 @@
     if (expected != digest) throw std::runtime_error(path + " is another file than the plan's");
   }
 
-  // Answers whether the node could run a release; nothing of the node changes.
+  // Answers whether the node could run a release. Changes nothing on the node.
   void HandleCheck(Handle connection, const std::string& body) {
     auto release = DecodeRelease(body);
     if (!release) return Respond(connection, 400, "{\"why\":\"not a release\"}");
@@ -254,8 +259,8 @@
     Execute(effects);
   }
 
-  // A supervisor that died between starting a process and recording it leaves one that nobody knows. It is
-  // found by its hot-restart lease in the node's $TMPDIR, and it is ours: nobody else writes there.
+  // If an earlier supervisor died between starting a process and recording it, the process is in no state
+  // file. It is found by its hot-restart lease in the node's $TMPDIR, where only this node's processes write.
   void KillUnrecordedProcesses(const SupervisorState& state) {
     for (const auto& entry : std::filesystem::directory_iterator(options_.directory + "/tmp")) {
       if (entry.path().filename().string().find("-lease-") == std::string::npos) continue;
@@ -269,7 +274,7 @@
     }
   }
 
-  // The pid may belong to another program by now.
+  // Guards against a pid that now belongs to another program.
   static bool IsNodeProcess(std::int64_t pid, const std::string& config) {
     const std::string command_line = ReadFileIfPresent("/proc/" + std::to_string(pid) + "/cmdline");
     return command_line.find(std::string("\0serve\0", 7)) != std::string::npos &&
@@ -335,13 +340,13 @@
     Log(Level::kInfo, "supervisor-started",
         {{"release", release.id}, {"pid", record.pid}, {"management", record.management}});
     processes_[number] = std::move(process);
-    // On disk at once: a supervisor that follows this one must know of it.
+    // Saved at once, so that the next supervisor of this node knows of the process.
     SupervisorEffects effects;
     supervisor_.OnProcessStarted(number, record, effects);
     Execute(effects);
   }
 
-  // On the loop's next turn: the state machine may be in the middle of a step.
+  // Reports on the next iteration of the loop, because the state machine may be in the middle of a step.
   void ReportEndedLater(int number, const std::string& reason) {
     deadlines_.Set(Now(), [this, number, reason] {
       SupervisorEffects effects;
@@ -387,7 +392,7 @@
     RunInBackground(
         &loop_, [result, management, for_readiness] { *result = PollNode(management, for_readiness); },
         [this, result, for_readiness, number = process.number()] {
-          // The process may have ended meanwhile; numbers are not used again.
+          // The process may have ended meanwhile. Numbers of processes are never reused.
           const auto at = processes_.find(number);
           if (at != processes_.end()) OnPolled(*at->second, *result, for_readiness);
         });
@@ -408,7 +413,7 @@
     if (result.metrics && result.metrics->pid == pid) {
       StoreMetrics(*result.metrics);
     } else if (!for_readiness) {
-      metrics_.reset();  // old ones would pass for the node's metrics of now
+      metrics_.reset();  // the previous ones would be taken for current
     }
   }
 
@@ -435,7 +440,7 @@
 
   void OnSignal(int number) {
     if (number == SIGHUP || number == SIGUSR2)
-      return SendSignal(supervisor_.current(), number);  // the node's
+      return SendSignal(supervisor_.current(), number);  // meant for the node: passed on
     SupervisorEffects effects;
     supervisor_.ShutDown(Now(), effects);
     Execute(effects);
@@ -459,9 +464,9 @@
   Downstream control_;
   DirectoryLock lock_;
   Supervisor supervisor_;
-  std::map<int, NodeProcess::Ptr> processes_;  // by the supervisor's number
+  std::map<int, NodeProcess::Ptr> processes_;  // by the number that the state machine gave them
   FileDigestCache digests_;
-  std::optional<NodeMetrics> metrics_;  // of the current process; null: its last poll gave none
+  std::optional<NodeMetrics> metrics_;  // of the current process; nullopt: its last poll gave none
   std::deque<MetricsSample> history_;   // oldest first
   std::vector<std::unique_ptr<uv_signal_t>> signals_;
   DeadlineId tick_;
--- a/src/rollout/supervisor.h
+++ b/src/rollout/supervisor.h
@@ -1,6 +1,7 @@
-// The supervisor's process: starts, watches and stops the processes of one node as the Supervisor state
-// machine decides, persists its state in a file, and serves commands on a control address. One event loop;
-// what may block (polling the node, checking a release) runs on the loop's worker threads.
+// The supervisor as a process: it starts, watches and stops the processes of one node as the Supervisor state
+// machine decides, persists that machine's state in a file, and serves commands on a control address. It has
+// one event loop; work that may block (polling the node, checking a release) runs on the loop's worker
+// threads.
 #pragma once
 
 #include <string>
@@ -11,14 +12,14 @@
 
 struct SupervisorOptions {
   std::string node, zone;
-  std::string directory;    // the supervisor's own: its state, the node's log and $TMPDIR
+  std::string directory;    // of this supervisor alone; holds its state, the node's log and its $TMPDIR
   std::string control;      // ip:port of the control address
-  Release initial_release;  // at the first start only: later the state file has it
+  Release initial_release;  // used at the first start only; later starts read the state file
   SupervisorLimits limits;
 };
 
-// Serves until SIGTERM. Throws std::runtime_error where it can't start: another supervisor has this
-// directory, the address is in use, the release can't be read.
+// Runs until SIGTERM or SIGINT. Throws std::runtime_error if it can't start, for example because another
+// supervisor uses this directory, the address is in use or the state file can't be read.
 void RunSupervisor(const SupervisorOptions& options);
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/supervisor_model.cpp
+++ b/src/rollout/supervisor_model.cpp
@@ -26,8 +26,8 @@
 
 }  // namespace
 
-// The keys of the state file are older than the names in SupervisorState: mapped here and in
-// DecodeSupervisorState only.
+// The keys of the state file are older than the names in SupervisorState, and are mapped only here and in
+// DecodeSupervisorState.
 std::string EncodeSupervisorState(const SupervisorState& state) {
   const json j = {{"format", kStateFormat},
                   {"epoch", state.epoch},
@@ -102,9 +102,9 @@
   state_.failure_reason = reason;
 }
 
-// A change that an earlier supervisor began is abandoned, as nobody knows how far it came; a driver that
-// still wants it asks again, and the process before serves clients again by itself. But where only the new
-// process lives, it is the node.
+// A change that an earlier supervisor began is abandoned, because it is not known how far it got. A driver
+// that still wants it sends the command again, and the old process resumes its clients by itself. If only the
+// new process is alive, its release becomes the active one.
 void Supervisor::Recover(Time now, bool current_lives, bool next_lives, bool stopping_lives,
                          SupervisorEffects& effects) {
   current_since_ = now;
@@ -155,7 +155,7 @@
   claimed_at_ = now;
   const bool other_rollout = command.plan != state_.plan;
   if (command.epoch <= state_.epoch && !other_rollout) return;
-  if (other_rollout) {  // directives and failures of the one before no longer count
+  if (other_rollout) {  // directives and failures of the previous rollout no longer count
     state_.directive.clear();
     state_.directive_reason.clear();
     state_.directive_number = 0;
@@ -167,8 +167,8 @@
   Save(effects);
 }
 
-// Guards against a driver that was paused, or whose commands were in transit for long: another driver may be
-// active by now.
+// Guards against a driver that was paused or whose commands were in transit for a long time: another driver
+// may be active by now.
 bool Supervisor::HasLease(Time now, const SupervisorCommand& command) const {
   if (claimed_at_ < 0 || now - claimed_at_ > limits_.lease) return false;
   if (command.claimed_at <= 0) return true;  // the driver does not send it
@@ -214,14 +214,14 @@
 CommandReply Supervisor::Change(Time now, const Release& release, SupervisorEffects& effects) {
   if (release.id.empty() || release.program.empty()) return Reject(kRejectedNoRelease);
   if (state_.pending) return *state_.pending == release ? Accept() : Reject(kRejectedBusy);
-  if (state_.active == release) return Accept();  // done: sent twice, or the reply was lost
+  if (state_.active == release) return Accept();  // done before: sent twice, or the reply was lost
   if (state_.failed_release == release.id && state_.failure_reason != kFailedSupervisorRestarted)
     return Reject(kRejectedFailedBefore);
   BeginChange(now, release, effects);
   return Accept();
 }
 
-// Abandons any change that is under way.
+// Abandons any change that is under way, then starts `release` beside the active one.
 void Supervisor::BeginChange(Time now, const Release& release, SupervisorEffects& effects) {
   if (next_ != 0) {
     KillProcess(next_, effects);
@@ -229,7 +229,7 @@
   }
   restart_next_at_ = -1;
   next_attempts_ = 0;
-  if (release == state_.active) {  // a rollback while the newer release was not active yet
+  if (release == state_.active) {  // a rollback before the new release became active
     if (state_.pending) MarkFailed(state_.pending->id, kFailedRolledBack);
     state_.pending.reset();
     Save(effects);
@@ -256,7 +256,7 @@
   const bool rolling_back = *state_.pending == state_.last_good;
   if (rolling_back && state_.active.id != state_.last_good.id && state_.failed_release != state_.active.id)
     MarkFailed(state_.active.id, kFailedRolledBack);
-  if (stopping_ != 0) KillProcess(stopping_, effects);  // no more than two processes of a node
+  if (stopping_ != 0) KillProcess(stopping_, effects);  // a node has at most two processes
   stopping_ = current_;
   stopping_since_ = now;
   if (stopping_ != 0) effects.push_back({SupervisorEffect::Kind::kTerminateProcess, stopping_, {}});
@@ -326,7 +326,7 @@
   OnTick(now, effects);
 }
 
-// A process that is never ready is treated like one that ended.
+// A process that is not ready within the limit is killed and treated like one that ended.
 void Supervisor::KillIfNeverReady(Time now, int process, Time started_at, SupervisorEffects& effects) {
   if (process == 0 || now - started_at <= limits_.ready_timeout) return;
   KillProcess(process, effects);
