--- a/src/timeline/anomaly_model.cpp
+++ b/src/timeline/anomaly_model.cpp
@@ -204,10 +204,10 @@
 
 void AnomalyDetector::OnStart(const std::string& settings) { load_field_ = LoadFieldOf(settings); }
 
-void AnomalyDetector::OnEndpointList(Time now, std::string_view source, std::string_view why) {
+void AnomalyDetector::OnEndpointList(Time now, std::string_view source, std::string_view unavailable_reason) {
   Advance(now);
   if (source == "known") return;
-  if (!why.empty()) {
+  if (!unavailable_reason.empty()) {
     if (list_unavailable_ != 0) return;
     list_unavailable_since_ = now_;
     list_unavailable_ = BeginAnomaly({.now = now_,
--- a/src/timeline/flight_recorder.cpp
+++ b/src/timeline/flight_recorder.cpp
@@ -197,11 +197,11 @@
 }
 
 void FlightRecorder::OnEndpointList(Time now, std::string_view source, std::uint64_t generation,
-                                    std::string_view why) {
+                                    std::string_view error) {
   if (closed_) return;
-  endpoint_list_ = {now, std::string(source), generation, std::string(why), false};
+  endpoint_list_ = {now, std::string(source), generation, std::string(error), false};
   Append(endpoint_list_);
-  if (options_.detect_anomalies) detector_.OnEndpointList(now, source, why);
+  if (options_.detect_anomalies) detector_.OnEndpointList(now, source, error);
 }
 
 // Call ids are not recorded while the budget is exhausted.
@@ -214,11 +214,12 @@
 }
 
 // Cluster events are not recorded while the budget is exhausted, as a member may flap.
-void FlightRecorder::OnClusterEvent(Time now, std::string_view what, std::string_view member,
-                                    std::string_view by, std::uint64_t value, std::size_t live) {
+void FlightRecorder::OnClusterEvent(Time now, std::string_view reason, std::string_view member,
+                                    std::string_view reporter, std::uint64_t value, std::size_t live_nodes) {
   if (closed_ || !budget_.MayKeep(now)) return;
   const std::size_t before = block_.size();
-  Encode(ClusterEventRecord{now, std::string(what), std::string(member), std::string(by), value, live},
+  Encode(ClusterEventRecord{now, std::string(reason), std::string(member), std::string(reporter), value,
+                            live_nodes},
          block_);
   budget_.Spend(block_.size() - before);
   OnAppended();
--- a/src/timeline/flight_recorder.h
+++ b/src/timeline/flight_recorder.h
@@ -23,18 +23,17 @@
 struct RecorderOptions {
   std::string directory;  // for the record's files; if empty, only Dump writes to disk
   std::string node;
-  std::size_t block_bytes = std::size_t{64} * 1024;  // raw size at which a block is written
-  Time block_interval = 1'000'000;                   // age of its first record at which a block is written
+  // A block is written when its raw size reaches block_bytes or its first record is block_interval old.
+  std::size_t block_bytes = std::size_t{64} * 1024;
+  Time block_interval = 1'000'000;
   std::size_t segment_bytes = std::size_t{16} * 1024 * 1024;  // size at which the next file is begun
-  std::size_t total_bytes =
-      std::size_t{256} * 1024 * 1024;  // of all files of this node; the oldest are deleted
+  std::size_t total_bytes = std::size_t{256} * 1024 * 1024;   // of all files; the oldest are deleted
   std::size_t max_queued_blocks = 16;  // waiting for the disk; further blocks are dropped
-  std::size_t bytes_per_second =
-      std::size_t{2} * 1024 * 1024;  // raw budget; decisions beyond it are only counted
-  std::size_t ring_bytes = 0;        // raw size of the newest blocks kept in memory; 0 if there is no ring
-  std::string dump_directory;        // where Dump writes the ring
-  bool record_reasons = false;       // record the reasons of decisions; otherwise a replay determines them
-  bool detect_anomalies = true;      // and record them
+  std::size_t bytes_per_second = std::size_t{2} * 1024 * 1024;  // raw; decisions beyond it are only counted
+  std::size_t ring_bytes = 0;    // raw size of the newest blocks kept in memory; 0 if there is no ring
+  std::string dump_directory;    // where Dump writes the ring
+  bool record_reasons = false;   // record the reasons of decisions; otherwise a replay determines them
+  bool detect_anomalies = true;  // and record them
 };
 
 class FlightRecorder : public DecisionRecorder,
@@ -51,10 +50,10 @@
   void OnEndpoint(Time now, const policy::Endpoint& entry, const std::string& name,
                   const std::string& address) override;
   void OnEndpointList(Time now, std::string_view source, std::uint64_t generation,
-                      std::string_view why) override;
+                      std::string_view error) override;
   void OnCallId(Time now, policy::RequestId id, std::string_view call_id) override;
-  void OnClusterEvent(Time now, std::string_view what, std::string_view member, std::string_view by,
-                      std::uint64_t value, std::size_t live) override;
+  void OnClusterEvent(Time now, std::string_view reason, std::string_view member, std::string_view reporter,
+                      std::uint64_t value, std::size_t live_nodes) override;
   void OnDispatch(const policy::DispatchRecord& reason) override { AddReason(reason); }
   void OnConclusion(const policy::ConclusionRecord& reason) override { AddReason(reason); }
   void OnEjection(const policy::EjectionRecord& reason) override { AddReason(reason); }
