--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -1,6 +1,6 @@
-// The decision logic of hot restart and rollout: leases and succession, the state that passes between
-// processes, supervisors, plans, canary analysis, and complete rollouts in virtual time with their invariants
-// and the broken variants that violate them.
+// The decision logic of hot restart and rollout: leases and hand-over, the state that the old process sends
+// to the new one, supervisors, plans, canary analysis, and complete rollouts in virtual time with their
+// invariants and the broken variants that violate them.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -28,124 +28,138 @@
 
 // ---- Two processes of one node ----
 
-struct Pair {
-  // Both processes, each seeing what the other said last; either may be dead or stopped.
-  struct One {
-    std::optional<HotRestartPolicy> s;
-    bool dead = false, stopped = false, taking = false, given = false;
+// Two processes that each observe the lease that the other wrote last. Either may be dead or stopped
+// (SIGSTOP).
+struct HotRestartPair {
+  struct Process {
+    std::optional<HotRestartPolicy> policy;  // nullopt: not started yet
+    bool dead = false, stopped = false;
+    bool accepts_clients = false;
+    bool state_sent = false;  // the other process has written its state for this one
     Lease lease;
   };
+  static constexpr Time kUpdateInterval = 50'000;
+  static constexpr std::int64_t kOldPid = 1, kNewPid = 2;
   Time now = 1000 * kS;
-  One old, young;
+  Process old_process, new_process;
 
-  Pair() {
-    old.s.emplace(now, false);
-    old.taking = true;
-    Say(old, 1);
+  HotRestartPair() {
+    old_process.policy.emplace(now, false);
+    old_process.accepts_clients = true;
+    WriteLease(old_process, kOldPid);
   }
-  void StartYoung() {
+  void StartNewProcess() {
     now += kS;
-    young.s.emplace(now, !old.dead);
-    Say(young, 2);
+    new_process.policy.emplace(now, !old_process.dead);
+    WriteLease(new_process, kNewPid);
   }
-  void Say(One& o, std::int64_t pid) {
-    o.lease.pid = pid;
-    o.lease.started_at = o.s->started_at();
-    o.lease.phase = o.s->phase();
-    ++o.lease.heartbeat;
+  void WriteLease(Process& process, std::int64_t pid) {
+    process.lease.pid = pid;
+    process.lease.started_at = process.policy->started_at();
+    process.lease.phase = process.policy->phase();
+    ++process.lease.heartbeat;
   }
-  static Sibling Seen(const One& o) {
-    if (!o.s || o.dead) return {};
-    return {true, o.lease};
+  static Sibling Observe(const Process& process) {
+    if (!process.policy || process.dead) return {};
+    return {true, process.lease};
   }
-  void Take(One& o, const Actions& actions, One& other) {
-    if (actions.send_state) other.given = true;
-    if (actions.start_serving || actions.resume_clients) o.taking = true;
-    if (actions.hand_over_clients) o.taking = false;
+  void Apply(Process& process, const Actions& actions, Process& sibling) {
+    if (actions.send_state) sibling.state_sent = true;
+    if (actions.start_serving || actions.resume_clients) process.accepts_clients = true;
+    if (actions.hand_over_clients) process.accepts_clients = false;
   }
-  void Pass(Time span) {
-    for (const Time end = now + span; now < end; now += 50'000) {
-      for (One* o : {&old, &young}) {
-        One& other = o == &old ? young : old;
-        if (!o->s || o->dead || o->stopped) continue;
-        if (o->given && o->s->phase() == Phase::kStarting) Take(*o, o->s->OnStateReceived(), other);
-        Take(*o, o->s->Update(now, Seen(other)), other);
-        Say(*o, o == &old ? 1 : 2);
+  void Run(Time duration) {
+    for (const Time end = now + duration; now < end; now += kUpdateInterval) {
+      for (Process* process : {&old_process, &new_process}) {
+        Process& sibling = process == &old_process ? new_process : old_process;
+        if (!process->policy || process->dead || process->stopped) continue;
+        if (process->state_sent && process->policy->phase() == Phase::kStarting)
+          Apply(*process, process->policy->OnStateReceived(), sibling);
+        Apply(*process, process->policy->Update(now, Observe(sibling)), sibling);
+        WriteLease(*process, process == &old_process ? kOldPid : kNewPid);
       }
     }
   }
 };
 
-TEST(HotRestartPolicy, TheYoungOneIsGivenTheStateServesAndTheOldOneYields) {
-  Pair p;
-  p.StartYoung();
-  EXPECT_FALSE(p.young.taking);
-  p.Pass(kS);
-  EXPECT_TRUE(p.young.taking);
-  EXPECT_FALSE(p.old.taking);
-  EXPECT_TRUE(p.young.given);
-}
-
-TEST(HotRestartPolicy, AYoungOneThatDiesHangsOrEndsLeavesTheOldOneServing) {
-  for (int how = 0; how < 4; ++how) {
-    Pair p;
-    p.StartYoung();
-    if (how > 0) p.Pass(kS);
-    if (how == 0 || how == 1) p.young.dead = true;
-    if (how == 2) p.young.stopped = true;
-    if (how == 3) p.Take(p.young, p.young.s->OnTerminate(Pair::Seen(p.old)), p.old), p.Say(p.young, 2);
-    p.Pass(4 * kS);
-    EXPECT_TRUE(p.old.taking) << how;
-    if (how != 2) continue;
-    p.young.stopped = false;  // it wakes: the old one yields again
-    p.Pass(kS);
-    EXPECT_TRUE(p.young.taking);
-    EXPECT_FALSE(p.old.taking);
+TEST(HotRestartPolicy, TheNewProcessReceivesTheStateAndServesAndTheOldOneHandsOver) {
+  HotRestartPair pair;
+  pair.StartNewProcess();
+  EXPECT_FALSE(pair.new_process.accepts_clients);
+  pair.Run(kS);
+  EXPECT_TRUE(pair.new_process.accepts_clients);
+  EXPECT_FALSE(pair.old_process.accepts_clients);
+  EXPECT_TRUE(pair.new_process.state_sent);
+}
+
+TEST(HotRestartPolicy, TheOldProcessServesAgainIfTheNewOneDiesHangsOrEnds) {
+  enum Fault { kDiesBeforeTheHandOver, kDies, kHangs, kIsTerminated };
+  for (const Fault fault : {kDiesBeforeTheHandOver, kDies, kHangs, kIsTerminated}) {
+    HotRestartPair pair;
+    pair.StartNewProcess();
+    if (fault != kDiesBeforeTheHandOver) pair.Run(kS);
+    if (fault == kDiesBeforeTheHandOver || fault == kDies) pair.new_process.dead = true;
+    if (fault == kHangs) pair.new_process.stopped = true;
+    if (fault == kIsTerminated) {
+      const Actions actions = pair.new_process.policy->OnTerminate(HotRestartPair::Observe(pair.old_process));
+      pair.Apply(pair.new_process, actions, pair.old_process);
+      pair.WriteLease(pair.new_process, HotRestartPair::kNewPid);
+    }
+    pair.Run(4 * kS);
+    EXPECT_TRUE(pair.old_process.accepts_clients) << fault;
+    if (fault != kHangs) continue;
+    pair.new_process.stopped = false;  // it continues: the old process hands over again
+    pair.Run(kS);
+    EXPECT_TRUE(pair.new_process.accepts_clients);
+    EXPECT_FALSE(pair.old_process.accepts_clients);
   }
 }
 
-TEST(HotRestartPolicy, AnOldOneThatGivesNothingOrDiesIsNotWaitedForForLong) {
+TEST(HotRestartPolicy, TheNewProcessSoonServesIfTheOldOneSendsNoStateOrDies) {
   for (const bool dies : {false, true}) {
-    Pair p;
-    p.StartYoung();
-    (dies ? p.old.dead : p.old.stopped) = true;
-    p.Pass(2 * kS);
-    EXPECT_TRUE(p.young.taking);
+    HotRestartPair pair;
+    pair.StartNewProcess();
+    (dies ? pair.old_process.dead : pair.old_process.stopped) = true;
+    pair.Run(2 * kS);
+    EXPECT_TRUE(pair.new_process.accepts_clients);
   }
 }
 
-// Whatever happens to either, in whatever order: as long as one lives and turns, one takes clients soon
-// after.
-RC_GTEST_PROP(HotRestartPolicy, SomebodyServes, (const std::vector<unsigned char>& deeds)) {
-  Pair p;
+// Whatever happens to the two processes, in whatever order: as long as one of them is alive and runs, one
+// soon accepts clients.
+RC_GTEST_PROP(HotRestartPolicy, OneProcessServesAfterAnySequenceOfEvents,
+              (const std::vector<unsigned char>& events)) {
+  HotRestartPair pair;
   bool started = false;
-  for (const unsigned char d : deeds) {
-    switch (d % 7) {
+  for (const unsigned char event : events) {
+    switch (event % 7) {
       case 0:
-        if (!started) p.StartYoung();
+        if (!started) pair.StartNewProcess();
         started = true;
         break;
       case 1:
-        if (started && !p.old.dead) p.young.dead = true;
+        if (started && !pair.old_process.dead) pair.new_process.dead = true;
         break;
       case 2:
-        if (started && !p.young.dead && p.young.taking) p.old.dead = true;
+        if (started && !pair.new_process.dead && pair.new_process.accepts_clients)
+          pair.old_process.dead = true;
         break;
       case 3:
-        p.young.stopped = !p.young.stopped;
+        pair.new_process.stopped = !pair.new_process.stopped;
         break;
       default:
-        p.Pass(200'000 * (d % 16));
+        pair.Run(200'000 * (event % 16));
     }
   }
-  p.young.stopped = false;
-  p.Pass(5 * kS);
-  RC_ASSERT((p.old.taking && !p.old.dead) || (p.young.taking && !p.young.dead));
+  pair.new_process.stopped = false;
+  pair.Run(5 * kS);
+  RC_ASSERT((pair.old_process.accepts_clients && !pair.old_process.dead) ||
+            (pair.new_process.accepts_clients && !pair.new_process.dead));
 }
 
-TEST(HotRestartPolicy, SharesStayWithinTheWhole) {
+TEST(HotRestartPolicy, SharesStayWithinTheTotal) {
   const std::size_t total = 800;
-  // The older one leaves half before the new one serves, then never takes more than it uses.
+  // The older process leaves half of the total until it hands over, and then keeps only what it uses.
   ShareRequest older{
       .total = total, .used = 100, .current_share = total, .is_older = true, .sibling_alive = true};
   const std::size_t older_share = ComputeShare(older);
@@ -171,45 +185,48 @@
   EXPECT_EQ(ComputeShare(without_sibling), total);
 }
 
-TEST(Lease, IsReadBackAndATornOneIsNot) {
-  const Lease l{7, 5 * kS, Phase::kDraining, 9, 100, 200};
-  const std::string text = EncodeLease(l);
-  const auto back = DecodeLease(text);
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->pid, 7);
-  EXPECT_EQ(back->phase, Phase::kDraining);
-  EXPECT_EQ(back->socket_limit, 100U);
+TEST(Lease, IsDecodedUnlessTruncatedOrCorrupted) {
+  const Lease lease{7, 5 * kS, Phase::kDraining, 9, 100, 200};
+  const std::string text = EncodeLease(lease);
+  const auto decoded = DecodeLease(text);
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(decoded->pid, 7);
+  EXPECT_EQ(decoded->phase, Phase::kDraining);
+  EXPECT_EQ(decoded->socket_limit, 100U);
   for (std::size_t n = 0; n + 1 < text.size(); ++n) EXPECT_FALSE(DecodeLease(text.substr(0, n))) << n;
-  std::string bent = text;
-  bent[20] ^= 1;
-  EXPECT_FALSE(DecodeLease(bent));
-}
-
-// ---- What passes ----
-
-HandoverState SomeState() {
-  HandoverState s;
-  s.node = "n0", s.program = "0.2.0", s.discovery = "127.0.0.1:1", s.roster = "{}";
-  s.classes = {"docs", "agent"};
-  s.learned.base_limit = 3.25;
-  s.learned.runtime_by_bucket[5] = {1000, 7};
-  s.learned.key_traffic[99].long_term.Add(10, 100, 1);
-  s.learned.cached_prefixes[4] = {200, 5};
-  s.learned.runtime_per_hint.resize(2);
-  s.learned.replicas.push_back({17, 4, 2, {}});
-  s.learned.replicas[0].learned.slowness = 0.5;
-  return s;
-}
-
-TEST(HandOverState, IsReadBackByWhomItIsForOnly) {
-  const std::string text = EncodeHandoverState(SomeState(), 42);
+  std::string corrupted = text;
+  corrupted[20] ^= 1;
+  EXPECT_FALSE(DecodeLease(corrupted));
+}
+
+// ---- The state that is handed over ----
+
+HandoverState MakeState() {
+  HandoverState state;
+  state.node = "n0";
+  state.program = "0.2.0";
+  state.discovery = "127.0.0.1:1";
+  state.roster = "{}";
+  state.classes = {"docs", "agent"};
+  state.learned.base_limit = 3.25;
+  state.learned.runtime_by_bucket[5] = {1000, 7};
+  state.learned.key_traffic[99].long_term.Add(10, 100, 1);
+  state.learned.cached_prefixes[4] = {200, 5};
+  state.learned.runtime_per_hint.resize(2);
+  state.learned.replicas.push_back({17, 4, 2, {}});
+  state.learned.replicas[0].learned.slowness = 0.5;
+  return state;
+}
+
+TEST(HandOverState, IsDecodedOnlyByItsRecipient) {
+  const std::string text = EncodeHandoverState(MakeState(), 42);
   std::string why;
-  const auto s = DecodeHandoverState(text, 42, "n0", &why);
-  ASSERT_TRUE(s) << why;
-  EXPECT_EQ(s->learned.base_limit, 3.25);
-  EXPECT_EQ(s->learned.runtime_by_bucket.at(5).mean, 1000);
-  EXPECT_EQ(s->learned.replicas.at(0).in_flight, 2);
-  EXPECT_EQ(s->learned.replicas.at(0).learned.slowness, 0.5);
+  const auto state = DecodeHandoverState(text, 42, "n0", &why);
+  ASSERT_TRUE(state) << why;
+  EXPECT_EQ(state->learned.base_limit, 3.25);
+  EXPECT_EQ(state->learned.runtime_by_bucket.at(5).mean, 1000);
+  EXPECT_EQ(state->learned.replicas.at(0).in_flight, 2);
+  EXPECT_EQ(state->learned.replicas.at(0).learned.slowness, 0.5);
   EXPECT_FALSE(DecodeHandoverState(text, 43, "n0", &why));
   EXPECT_FALSE(DecodeHandoverState(text, 42, "n1", &why));
   EXPECT_EQ(why, "of another node");
@@ -220,38 +237,38 @@
   EXPECT_FALSE(DecodeHandoverState(text.substr(0, text.size() - 3), 42, "n0", &why));
 }
 
-RC_GTEST_PROP(HandOverState, BentBytesAreNeverTaken, (std::size_t at, unsigned char with)) {
-  std::string text = EncodeHandoverState(SomeState(), 42), why;
+RC_GTEST_PROP(HandOverState, CorruptedBytesAreRejected, (std::size_t at, unsigned char byte)) {
+  std::string text = EncodeHandoverState(MakeState(), 42), why;
   const std::size_t i = at % text.size();
   const char before = text[i];
-  text[i] = static_cast<char>(with);
+  text[i] = static_cast<char>(byte);
   RC_PRE(text[i] != before);
   RC_ASSERT(!DecodeHandoverState(text, 42, "n0", &why).has_value());
 }
 
-TEST(HandOverState, OtherClassesTakeWithThemWhatWasLearnedByClass) {
-  HandoverState s = SomeState();
-  DropMismatchedClasses({"docs", "agent"}, &s);
-  EXPECT_EQ(s.learned.runtime_by_bucket.size(), 1U);
-  DropMismatchedClasses({"docs"}, &s);
-  EXPECT_TRUE(s.learned.runtime_by_bucket.empty());
-  EXPECT_EQ(s.learned.base_limit, 3.25);
+TEST(HandOverState, WhatWasLearnedByClassIsDroppedIfTheClassesDiffer) {
+  HandoverState state = MakeState();
+  DropMismatchedClasses({"docs", "agent"}, &state);
+  EXPECT_EQ(state.learned.runtime_by_bucket.size(), 1U);
+  DropMismatchedClasses({"docs"}, &state);
+  EXPECT_TRUE(state.learned.runtime_by_bucket.empty());
+  EXPECT_EQ(state.learned.base_limit, 3.25);
 }
 
-TEST(Learned, NumbersOutOfAllBoundsAreNotTaken) {
+TEST(Learned, NumbersOutOfBoundsAreRejected) {
   for (int k = 0; k < 5; ++k) {
-    policy::LearnedState l = SomeState().learned;
-    if (k == 0) l.base_limit = std::nan("");
-    if (k == 1) l.base_limit = -1;
-    if (k == 2) l.replicas[0].in_flight = -3;
-    if (k == 3) l.runtime_by_bucket[5].samples = -1;
-    if (k == 4) l.node_count = 0;
+    policy::LearnedState learned = MakeState().learned;
+    if (k == 0) learned.base_limit = std::nan("");
+    if (k == 1) learned.base_limit = -1;
+    if (k == 2) learned.replicas[0].in_flight = -3;
+    if (k == 3) learned.runtime_by_bucket[5].samples = -1;
+    if (k == 4) learned.node_count = 0;
     std::string why;
-    EXPECT_FALSE(DecodeLearnedState(EncodeLearnedState(l), &why)) << k;
+    EXPECT_FALSE(DecodeLearnedState(EncodeLearnedState(learned), &why)) << k;
     EXPECT_FALSE(why.empty());
   }
   std::string why;
-  EXPECT_TRUE(DecodeLearnedState(EncodeLearnedState(SomeState().learned), &why)) << why;
+  EXPECT_TRUE(DecodeLearnedState(EncodeLearnedState(MakeState().learned), &why)) << why;
 }
 
 // ---- The supervisor ----
@@ -293,7 +310,7 @@
   }
 };
 
-TEST(Supervisor, TakesNoCommandWithoutAFreshClaimOfTheHighestEpoch) {
+TEST(Supervisor, RejectsCommandsWithoutAFreshClaimOfTheHighestEpoch) {
   SupervisorTest t;
   EXPECT_EQ(t.Send(CommandKind::kChange).reason, "claim-first");
   EXPECT_TRUE(t.Send(CommandKind::kClaim, 5).accepted);
@@ -307,7 +324,7 @@
   EXPECT_EQ(t.StartedProcesses(), 1);
 }
 
-TEST(Supervisor, AStepAskedTwiceIsDoneOnce) {
+TEST(Supervisor, ACommandSentTwiceIsExecutedOnce) {
   SupervisorTest t;
   t.Send(CommandKind::kClaim);
   EXPECT_TRUE(t.Send(CommandKind::kChange).accepted);
@@ -320,7 +337,7 @@
   EXPECT_EQ(t.StartedProcesses(), 0);
 }
 
-TEST(Supervisor, ANewReleaseThatNeverGetsReadyIsGivenUpAndTheOldOneServesOn) {
+TEST(Supervisor, ANewReleaseThatIsNeverReadyIsAbandonedAndTheOldOneKeepsServing) {
   SupervisorTest t;
   t.Send(CommandKind::kClaim);
   t.Send(CommandKind::kChange);
@@ -340,7 +357,7 @@
   EXPECT_EQ(t.Send(CommandKind::kChange).reason, "failed-before");
 }
 
-TEST(Supervisor, OneThatCrashLoopsIsReplacedByTheLastGoodOneWithoutADriver) {
+TEST(Supervisor, AReleaseThatCrashLoopsIsReplacedByTheLastGoodOneWithoutADriver) {
   SupervisorTest t;
   t.Send(CommandKind::kClaim);
   t.Send(CommandKind::kChange);
@@ -357,7 +374,7 @@
   EXPECT_NE(t.supervisor->current(), 0);
 }
 
-TEST(Supervisor, RemembersAcrossItsOwnDeathAndNeverStartsASecondNode) {
+TEST(Supervisor, KeepsItsStateAcrossARestartAndStartsNoSecondNode) {
   SupervisorTest t;
   t.Send(CommandKind::kClaim, 9);
   t.Send(CommandKind::kChange, 9);
@@ -365,22 +382,24 @@
   const auto state = rollout::DecodeSupervisorState(rollout::EncodeSupervisorState(t.supervisor->state()));
   ASSERT_TRUE(state);
   EXPECT_EQ(state->next.pid, 77);
-  rollout::Supervisor after("n0", "a", t.limits, *state);
+  rollout::Supervisor restarted("n0", "a", t.limits, *state);
   rollout::SupervisorEffects effects;
-  after.Recover(t.now, true, true, false, effects);  // both live: the one that was being tried goes
+  restarted.Recover(t.now, true, true, false,
+                    effects);  // both are alive: the process of the change is killed
   int starts = 0, kills = 0;
-  for (const auto& a : effects) {
-    starts += a.kind == SupervisorEffect::Kind::kStartProcess ? 1 : 0;
-    kills += a.kind == SupervisorEffect::Kind::kKillProcess ? 1 : 0;
+  for (const auto& effect : effects) {
+    starts += effect.kind == SupervisorEffect::Kind::kStartProcess ? 1 : 0;
+    kills += effect.kind == SupervisorEffect::Kind::kKillProcess ? 1 : 0;
   }
   EXPECT_EQ(starts, 0);
   EXPECT_EQ(kills, 1);
-  EXPECT_EQ(after.Status().epoch, 9U);
-  rollout::Supervisor alone("n0", "a", t.limits, *state);
+  EXPECT_EQ(restarted.Status().epoch, 9U);
+  rollout::Supervisor restarted_with_next("n0", "a", t.limits, *state);
   effects.clear();
-  alone.Recover(t.now, false, true, false, effects);  // only it lives: it is the node
-  EXPECT_EQ(alone.Status().active.id, "new");
-  for (const auto& a : effects) EXPECT_EQ(a.kind, SupervisorEffect::Kind::kSaveState);
+  // Only the new process is alive: it becomes the current one.
+  restarted_with_next.Recover(t.now, false, true, false, effects);
+  EXPECT_EQ(restarted_with_next.Status().active.id, "new");
+  for (const auto& effect : effects) EXPECT_EQ(effect.kind, SupervisorEffect::Kind::kSaveState);
 }
 
 // ---- Plans, metrics, compatibility ----
@@ -390,7 +409,7 @@
     "\"127.0.0.1:1\"\n"
     "[[node]]\nname = \"b\"\nkeeper = \"127.0.0.1:2\"\n[[node]]\nname = \"c\"\nkeeper = \"127.0.0.1:3\"\n";
 
-TEST(Plan, StagesAreDrawnInOrder) {
+TEST(Plan, StagesTakeNodesInOrder) {
   const auto plan = rollout::ParsePlan(
       "p.toml", kPlan + "[[stage]]\ncount = 1\n[[stage]]\nnodes = [\"c\"]\n[[stage]]\nsoak = \"5s\"\n");
   ASSERT_EQ(plan.stages.size(), 3U);
@@ -400,8 +419,8 @@
   EXPECT_EQ(plan.stages[2].soak, 5 * kS);
 }
 
-TEST(Plan, WhatIsWrongNamesFileKeyAndRemedy) {
-  const std::vector<std::pair<std::string, std::string>> wrong = {
+TEST(Plan, ErrorsNameFileKeyAndRemedy) {
+  const std::vector<std::pair<std::string, std::string>> invalid_plans = {
       {kPlan, "[[stage]]"},
       {kPlan + "[[stage]]\ncount = 1\n", "leaves out"},
       {kPlan + "[[stage]]\nnodes = [\"z\"]\n", "none of [[node]]"},
@@ -410,18 +429,18 @@
       {kPlan + "[[stage]]\n[[stage]]\n", "no node is left"},
       {kPlan + "[[stage]]\n[guards]\nfaild = 1\n", "faild"},
       {"name = \"x\"\n[release]\nid = \"r\"\n", "nothing would change"}};
-  for (const auto& [text, want] : wrong) {
+  for (const auto& [text, expected] : invalid_plans) {
     try {
       rollout::ParsePlan("p.toml", text);
       ADD_FAILURE() << text;
     } catch (const SettingsError& e) {
-      EXPECT_NE(std::string(e.what()).find(want), std::string::npos) << e.what();
+      EXPECT_NE(std::string(e.what()).find(expected), std::string::npos) << e.what();
       EXPECT_NE(std::string(e.what()).find("p.toml"), std::string::npos) << e.what();
     }
   }
 }
 
-TEST(NodeMetrics, WrongOnesAreNone) {
+TEST(NodeMetrics, InvalidMetricsAreRejected) {
   rollout::NodeMetrics metrics;
   metrics.pid = 3;
   metrics.measured_at = 1'796'000'000'000'000;
@@ -434,14 +453,14 @@
   EXPECT_FALSE(rollout::DecodeNodeMetrics("nonsense"));
 }
 
-TEST(Compat, ProgramsWhoseRangesDoNotMeetCannotStandSideBySide) {
-  const auto with = [](int low, int high) {
+TEST(Compat, ProgramsWithoutACommonVersionCannotRunSideBySide) {
+  const auto compat = [](int low, int high) {
     return "{\"membership-wire\":[" + std::to_string(low) + "," + std::to_string(high) + "]}";
   };
-  EXPECT_EQ(rollout::CompatibilityError(with(1, 2), with(2, 3)), "");
-  EXPECT_NE(rollout::CompatibilityError(with(1, 2), with(3, 4)), "");
-  EXPECT_NE(rollout::CompatibilityError("old and silent", with(1, 2)), "");
-  EXPECT_EQ(rollout::CompatibilityError("{}", with(1, 2)), "");
+  EXPECT_EQ(rollout::CompatibilityError(compat(1, 2), compat(2, 3)), "");
+  EXPECT_NE(rollout::CompatibilityError(compat(1, 2), compat(3, 4)), "");
+  EXPECT_NE(rollout::CompatibilityError("old and silent", compat(1, 2)), "");
+  EXPECT_EQ(rollout::CompatibilityError("{}", compat(1, 2)), "");
 }
 
 // ---- Whole rollouts in virtual time ----
@@ -531,7 +550,7 @@
   EXPECT_TRUE(caught("no-token", "at-once", 2));
 }
 
-TEST(Supervisor, ACommandThatWasOnItsWayForLongIsRefusedThoughTheClaimWasRenewed) {
+TEST(Supervisor, ACommandDelayedBeyondTheLeaseIsRejectedThoughTheClaimWasRenewed) {
   rollout::SupervisorState state;
   state.active = state.last_good = {"old", "/old", "", "", "", "", ""};
   rollout::SupervisorLimits limits;
@@ -549,38 +568,37 @@
   change.kind = CommandKind::kChange;
   change.release = {"new", "/new", "", "", "", "", ""};
   change.claimed_at = first.status.claimed_at;
-  ASSERT_TRUE(supervisor.HandleCommand(4'500'000, claim, effects)
-                  .accepted);  // renewed, while `change` was on its way
+  // The claim is renewed while `change` is in transit.
+  ASSERT_TRUE(supervisor.HandleCommand(4'500'000, claim, effects).accepted);
   EXPECT_EQ(supervisor.HandleCommand(4'600'000, change, effects).reason, "lease");
   change.claimed_at = 4'500'000;
   EXPECT_TRUE(supervisor.HandleCommand(4'600'000, change, effects).accepted);
-  change.claimed_at = 9'000'000;  // of no clock of this supervisor's
+  change.claimed_at = 9'000'000;  // in the future: not a time that this supervisor gave
   EXPECT_EQ(supervisor.HandleCommand(4'600'000, change, effects).reason, "lease");
 }
 
 // ---- The cluster view ----
 
 rollout::NodeClusterView ViewOf(const std::string& node, std::map<std::string, std::string> member_states,
-                                bool doubt = false) {
-  return {node, true, doubt, true, std::move(member_states)};
+                                bool in_doubt = false) {
+  return {node, true, in_doubt, true, std::move(member_states)};
 }
 
-TEST(ClusterView, TakesWhatMostOfTheSureSay) {
+TEST(ClusterView, TheMajorityOfTheConfidentViewsDecides) {
   const auto view = rollout::MergeClusterViews(
-      3,
-      {ViewOf("a", {{"b", "alive"}, {"c", "dead"}, {"d", "suspect"}}),
-       ViewOf("b", {{"a", "alive"}, {"c", "dead"}, {"d", "alive"}}),
-       ViewOf("e", {{"a", "dead"}, {"b", "dead"}, {"c", "alive"}}, true)});  // cut off, and knows that it is
+      3, {ViewOf("a", {{"b", "alive"}, {"c", "dead"}, {"d", "suspect"}}),
+          ViewOf("b", {{"a", "alive"}, {"c", "dead"}, {"d", "alive"}}),
+          ViewOf("e", {{"a", "dead"}, {"b", "dead"}, {"c", "alive"}}, true)});  // partitioned, and in doubt
   EXPECT_EQ(view.dead, (std::set<std::string>{"c"}));
-  EXPECT_TRUE(view.suspect.empty());  // one says so, the other does not
+  EXPECT_TRUE(view.suspect.empty());  // only one of two views says that d is suspect
   EXPECT_TRUE(view.trusted());
   EXPECT_EQ(view.confident, 2U);
   EXPECT_FALSE(rollout::MergeClusterViews(4, {ViewOf("a", {}), ViewOf("b", {})}).trusted());
   EXPECT_FALSE(
-      rollout::MergeClusterViews(2, {ViewOf("a", {}), ViewOf("a", {})}).trusted());  // one node, twice
+      rollout::MergeClusterViews(2, {ViewOf("a", {}), ViewOf("a", {})}).trusted());  // the same node twice
 }
 
-TEST(ClusterView, OneDeafNodeTakesNobodyAway) {
+TEST(ClusterView, ANodeThatReceivesNothingCannotMakeOthersCountAsDead) {
   const auto view = rollout::MergeClusterViews(
       3, {ViewOf("deaf", {{"a", "dead"}, {"b", "dead"}}), ViewOf("a", {{"b", "alive"}, {"deaf", "suspect"}}),
           ViewOf("b", {{"a", "alive"}, {"deaf", "suspect"}})});
@@ -588,15 +606,15 @@
   EXPECT_EQ(view.suspect, (std::set<std::string>{"deaf"}));
 }
 
-TEST(ClusterView, AnswersThatAreNoneAreNotTaken) {
+TEST(ClusterView, InvalidAnswersAreRejected) {
   EXPECT_FALSE(rollout::DecodeNodeClusterView("{"));
   EXPECT_FALSE(rollout::DecodeNodeClusterView("[]"));
   EXPECT_FALSE(rollout::DecodeNodeClusterView(R"({"name": 3})"));
   EXPECT_FALSE(rollout::DecodeNodeClusterView(
       R"({"name": "a", "phase": "active", "joined": true, "in_doubt": false, "settled": true, "members": 7})"));
-  const auto waits = rollout::DecodeNodeClusterView(R"({"name": "a", "phase": "waiting"})");
-  ASSERT_TRUE(waits);
-  EXPECT_FALSE(waits->joined);
+  const auto waiting = rollout::DecodeNodeClusterView(R"({"name": "a", "phase": "waiting"})");
+  ASSERT_TRUE(waiting);
+  EXPECT_FALSE(waiting->joined);
   const auto yielded = rollout::DecodeNodeClusterView(
       R"({"name": "a", "phase": "yielded", "joined": true, "in_doubt": false, "settled": true, "members": []})");
   ASSERT_TRUE(yielded);
@@ -605,36 +623,40 @@
 
 // ---- The record ----
 
-RC_GTEST_PROP(RolloutRecord, LinesComeBackAsTheyWereAndNoiseIsSkipped, ()) {
-  rollout::RecordedRound r;
-  r.at = *rc::gen::inRange(0, 1'000'000'000);
-  r.state = "soak";
-  r.reason = *rc::gen::string<std::string>();
-  r.stage = *rc::gen::inRange<std::size_t>(0, 100);
-  r.nodes = {{"n0", "a", "new"}, {"n1", "b", "old"}};
-  rollout::CohortComparison c;
-  c.class_name = "all", c.metric = "failed", c.new_requests = 12, c.difference = 0.25, c.half_width = 1e9;
-  r.comparisons = {c};
+RC_GTEST_PROP(RolloutRecord, RoundsAreDecodedAndOtherLinesSkipped, ()) {
+  rollout::RecordedRound round;
+  round.at = *rc::gen::inRange(0, 1'000'000'000);
+  round.state = "soak";
+  round.reason = *rc::gen::string<std::string>();
+  round.stage = *rc::gen::inRange<std::size_t>(0, 100);
+  round.nodes = {{"n0", "a", "new"}, {"n1", "b", "old"}};
+  rollout::CohortComparison comparison;
+  comparison.class_name = "all";
+  comparison.metric = "failed";
+  comparison.new_requests = 12;
+  comparison.difference = 0.25;
+  comparison.half_width = 1e9;
+  round.comparisons = {comparison};
   std::size_t skipped = 0;
-  const std::string noise = *rc::gen::string<std::string>();
-  std::string flat = noise;
-  std::erase(flat, '\n');
-  const auto all = rollout::DecodeRecord(EncodeRound(r) + flat + "\n" + EncodeRound(r), &skipped);
-  RC_ASSERT(all.size() >= 2U);
-  RC_ASSERT(all.front().stage == r.stage);
-  RC_ASSERT(all.front().nodes.size() == 2U);
-  RC_ASSERT(all.front().comparisons.front().half_width >= 1e6);
+  std::string other_line = *rc::gen::string<std::string>();
+  std::erase(other_line, '\n');
+  const auto decoded =
+      rollout::DecodeRecord(EncodeRound(round) + other_line + "\n" + EncodeRound(round), &skipped);
+  RC_ASSERT(decoded.size() >= 2U);
+  RC_ASSERT(decoded.front().stage == round.stage);
+  RC_ASSERT(decoded.front().nodes.size() == 2U);
+  RC_ASSERT(decoded.front().comparisons.front().half_width >= 1e6);
   RC_ASSERT(skipped <= 1U);
-  RC_ASSERT(ReportTable(all).find("soak") != std::string::npos);
+  RC_ASSERT(ReportTable(decoded).find("soak") != std::string::npos);
 }
 
-TEST(CanaryAnalysis, AStageThatIsAWholeZoneIsHeldAgainstTheOthers) {
-  const auto verdict_with = [](double fails) {
+TEST(CanaryAnalysis, AStageThatIsAWholeZoneIsComparedWithTheOtherZones) {
+  const auto verdict_with = [](bool with_failures) {
     rollout::CanaryAnalysis analysis(rollout::CanaryThresholds{});
     rollout::NodeMetrics metrics[2];
     for (int node = 0; node < 2; ++node) metrics[node].pid = node + 1;
     for (int second = 0; second < 600; ++second) {
-      for (int node = 0; node < 2; ++node) {  // the new one alone in zone a, the old one alone in b
+      for (int node = 0; node < 2; ++node) {  // the new release runs only in zone a, the old one only in b
         rollout::ClassMetrics& c = metrics[node].classes["docs"];
         c.served += 20;
         c.in_time += 20;
@@ -643,24 +665,26 @@
         c.attempts_sum_of_squares += 20;
         c.first_token_ln_sum += 100;
         c.first_token_ln_sum_of_squares += 501;
-        if (node == 0 && fails > 0 && second % 5 == 0) ++c.failed;
+        if (node == 0 && with_failures && second % 5 == 0) ++c.failed;
         analysis.AddSample(second * 1'000'000LL, node == 0 ? "new" : "old", node == 0 ? "a" : "b", node == 0,
                            metrics[node]);
       }
     }
     return analysis.Evaluate(500).verdict;
   };
-  EXPECT_EQ(verdict_with(0), rollout::CanaryVerdict::kPass);
-  EXPECT_EQ(verdict_with(0.01), rollout::CanaryVerdict::kFail);
-}
-
-// Beside load a stage of 100 requests ended with 0.22 +- 0.19 failed, and the next one began.
-TEST(CanaryAnalysis, AStageWhoseFailuresAreDoubtfulWaitsForMoreRequests) {
-  rollout::CanaryThresholds wide;
-  wide.failed_share = 0.02;
-  wide.failure_precision = 1;
-  wide.late_share = wide.first_token_slowdown = wide.attempts_per_request = 10;
-  rollout::CanaryAnalysis analysis(wide);
+  EXPECT_EQ(verdict_with(false), rollout::CanaryVerdict::kPass);
+  EXPECT_EQ(verdict_with(true), rollout::CanaryVerdict::kFail);
+}
+
+// Guards against a stage that passes although it is possibly worse: on a loaded machine a stage of 100
+// requests ended with a difference in failures of 0.22 +- 0.19, which proves nothing, and the next stage
+// began.
+TEST(CanaryAnalysis, AStageWithAnUncertainDifferenceInFailuresWaitsForMoreRequests) {
+  rollout::CanaryThresholds thresholds;
+  thresholds.failed_share = 0.02;
+  thresholds.failure_precision = 1;
+  thresholds.late_share = thresholds.first_token_slowdown = thresholds.attempts_per_request = 10;
+  rollout::CanaryAnalysis analysis(thresholds);
   rollout::NodeMetrics metrics[2];
   const auto serve = [&](int node, int second, std::uint64_t served, std::uint64_t failed) {
     metrics[node].pid = node + 1;
