--- a/include/ryeglade/actions.h
+++ b/include/ryeglade/actions.h
@@ -1,4 +1,5 @@
-// What a Router wants done, to be carried out in the order appended. Durations are microseconds.
+// The actions that a Router asks its host to carry out, in the order in which they are appended. Durations
+// are microseconds.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +10,15 @@
 
 namespace ryeglade::policy {
 
-// Attempts of a request count from 0 in the order sent.
+// Sends the request to a replica. The attempts of a request are numbered from 0 in the order of these
+// actions.
 struct SendAttempt {
   RequestId id = 0;
   ReplicaId replica = 0;
-  Time timeout = 0;  // 0: until the client gives up
-  // Its first byte may be written no later than this after the action: beyond it a repeat is no longer known
-  // to be recognised. 0: any time. What comes too late is not sent and ends as kNotSent.
+  Time timeout = 0;  // 0: no timeout of its own, the attempt may last until the client gives up
+  // The first byte must be written within this time of the action, because afterwards the replica may no
+  // longer recognise the attempt as a repeat. An attempt that is late is not sent and ends as kNotSent. 0: no
+  // bound.
   Time write_within = 0;
 };
 
@@ -24,13 +27,14 @@
   int attempt = 0;
 };
 
-// Final; tells the client that trying again is harmless.
+// Concludes the request with a response that tells the client that sending it again is harmless.
 struct RejectRequest {
   RequestId id = 0;
-  Time retry_after = 0;
+  Time retry_after = 0;  // how long the client should wait before it retries; 0: not stated
 };
 
-// Final; promises nothing.
+// Concludes the request with a failure: it may have been executed, so the client is not told that a retry is
+// harmless.
 struct FailRequest {
   RequestId id = 0;
 };
@@ -39,6 +43,7 @@
   RequestId id = 0;
 };
 
+// Asks for a TimerFired event with this token after `delay`.
 struct SetTimer {
   std::uint64_t token = 0;
   Time delay = 0;
@@ -48,15 +53,15 @@
   ReplicaId replica = 0;
 };
 
-// Opens (or closes) a watch on the endpoint list.
+// Opens or closes a watch on the endpoint list.
 struct WatchEndpoints {
   bool enabled = true;
 };
 
-// Asks for the endpoint list once.
+// Requests the endpoint list once.
 struct PollEndpoints {};
 
-// In the order in which flight records number the actions: new ones go to the end.
+// Flight records store an action's index in this variant, so new actions must be added at the end.
 using Action = std::variant<SendAttempt, CancelAttempt, RejectRequest, FailRequest, MigrateStream, SetTimer,
                             CheckHealth, WatchEndpoints, PollEndpoints>;
 
--- a/include/ryeglade/decision_observer.h
+++ b/include/ryeglade/decision_observer.h
@@ -1,5 +1,5 @@
-// Why a Router decided as it did, for logs, flight records and dashboards. Nothing of it is needed to carry
-// actions out, and what is observed changes no decision. Times are microseconds.
+// Records of why a Router decided as it did, for logs, flight records and dashboards. They are not needed to
+// carry out the actions, and observing them changes no decision. Times are microseconds.
 #pragma once
 
 #include <cstdint>
@@ -11,57 +11,58 @@
 
 // Why a request was rejected or failed.
 enum class ConclusionReason : std::uint8_t {
-  kNoTimeBudget,          // it came with no time left
-  kQueueTimeout,          // no replica had capacity for it before its latest useful dispatch
-  kDeadlineExceeded,      // an attempt failed, and there was no time for another
-  kAttemptsExhausted,     // as many attempts as are allowed have failed
-  kUnsafeToRetry,         // an attempt may have run, and running it again is not harmless
-  kRetryBudgetExhausted,  // too many attempts fail: further ones are a bounded share of requests
-  kStreamInterrupted,     // its stream had begun, so it can't be answered from elsewhere
+  kNoTimeBudget,          // the request arrived with no time left
+  kQueueTimeout,          // no replica had capacity before the latest useful dispatch
+  kDeadlineExceeded,      // an attempt failed, and no time was left for another
+  kAttemptsExhausted,     // the maximum number of attempts has failed
+  kUnsafeToRetry,         // an attempt may have run, and the request must not be executed twice
+  kRetryBudgetExhausted,  // too many attempts fail at present: retries are bounded to a share of the requests
+  kStreamInterrupted,     // the stream had begun, so no other replica can answer the request
   kCount
 };
 
-// An attempt that is about to be sent, and what the choice of its replica rested on.
+// An attempt that is about to be sent, and the figures by which its replica was chosen.
 struct DispatchRecord {
   RequestId id = 0;
   int attempt = 0;
   ReplicaId replica = 0;
   double estimated_runtime = 0;      // microseconds
-  Time queued_for = 0;               // since the request arrived
-  int candidates = 0;                // replicas with a limit above 0
-  int candidates_with_capacity = 0;  // of them
-  double score = 0;                  // the chosen one's: free share of its limit, over tokens to prefill
-  ReplicaId runner_up = 0;
-  double runner_up_score = 0;    // 0: there is none
-  double concurrency_limit = 0;  // this node's, of the chosen one
-  int in_flight = 0;             // this node's there, before this one
-  double tokens_to_prefill = 0;  // tokens of the prompt that it is taken to have to read
+  Time queued_for = 0;               // time since the request arrived
+  int candidates = 0;                // replicas considered whose concurrency limit is above 0
+  int candidates_with_capacity = 0;  // those of them that could take the request
+  double score = 0;                  // of the chosen replica: spare share of its limit / cost of the request
+  ReplicaId runner_up = 0;           // the replica with the second highest score
+  double runner_up_score = 0;        // 0: there is no runner-up
+  double concurrency_limit = 0;      // this node's limit for the chosen replica
+  int in_flight = 0;                 // this node's attempts at the chosen replica, without this one
+  double tokens_to_prefill = 0;      // prompt tokens that the chosen replica is expected to prefill
 };
 
-// A rejection or a failure.
+// The rejection or failure of a request.
 struct ConclusionRecord {
   RequestId id = 0;
   ConclusionReason reason = ConclusionReason::kQueueTimeout;
-  int attempts = 0;
-  Time open_for = 0;               // since the request arrived
-  std::uint32_t queue_length = 0;  // requests queued at this node
-  double total_concurrency_limit = 0;
-  int in_flight = 0;  // this node's, everywhere
+  int attempts = 0;                    // how many were sent
+  Time open_for = 0;                   // time since the request arrived
+  std::uint32_t queue_length = 0;      // requests queued at this node
+  double total_concurrency_limit = 0;  // sum of this node's limits
+  int in_flight = 0;                   // this node's attempts, over all replicas
 };
 
-// A replica gets nothing new until then.
+// A replica is sent no new attempts until `ejected_until`.
 struct EjectionRecord {
   ReplicaId replica = 0;
-  Outcome outcome = Outcome::kServed;  // that led to it
+  Outcome outcome = Outcome::kServed;  // the outcome that caused the ejection
   int consecutive_failures = 0;
   Time ejected_until = 0;
 };
 
-// Must not call back. Records come before the Router returns, in the order of the decisions.
+// Receives the records in the order of the decisions, before Router::Handle returns. Must not call the
+// Router.
 class DecisionObserver {
  public:
   virtual ~DecisionObserver() = default;
-  // False: OnDispatch is not called, and what its records cost is not spent.
+  // If this returns false, OnDispatch is not called and its records are not computed.
   virtual bool wants_dispatches() const { return true; }
   virtual void OnDispatch(const DispatchRecord& record) = 0;
   virtual void OnConclusion(const ConclusionRecord& record) = 0;
--- a/include/ryeglade/events.h
+++ b/include/ryeglade/events.h
@@ -1,5 +1,5 @@
-// What a Router is told: everything that happens to its requests, its replicas and its routing tier.
-// Durations and times are microseconds.
+// The events that a Router handles: everything that happens to its requests, its replicas and its routing
+// tier. Durations and times are microseconds.
 #pragma once
 
 #include <cstdint>
@@ -24,18 +24,18 @@
 struct Endpoint {
   ReplicaId id = 0;
   double weight = 1.0;
-  int kind = 0;
-  int zone = 0;
-  int cell = 0;
+  int kind = 0;         // index of its machine type; replicas of one kind are expected to be equally fast
+  int zone = 0;         // below 0: unknown
+  int cell = 0;         // a group of replicas, see DedupScope::kCell; below 0: unknown
   Time started_at = 0;  // 0: long ago
   EndpointState state = EndpointState::kReady;
 };
 
 enum class EndpointListScope : std::uint8_t {
-  kFailed,  // no list could be had
-  kDelta,   // only what has changed
-  kCached,  // a whole list as the node last knew it
-  kFull,    // a whole list from discovery
+  kFailed,  // the list could not be fetched; `endpoints` means nothing
+  kDelta,   // only the endpoints that have changed
+  kCached,  // a complete list that this node has kept, which may be out of date
+  kFull,    // a complete list from service discovery
 };
 
 struct EndpointList {
@@ -50,36 +50,37 @@
   RequestId id = 0;
   int class_index = 0;
   int tenant_index = 0;
-  std::uint64_t session = 0;  // key of the client's session; 0: none
-  std::uint64_t prefix = 0;   // key of the prompt's shared prefix; 0: none
-  double prompt_tokens = 0;
-  double prefix_tokens = 0;
-  double max_answer_tokens = 0;
-  Time time_budget = 0;  // until the client gives this request up
-  Time cost_hint = 0;    // expected work; 0: none
-  bool client_retry = false;
-  bool write = false;
-  bool resumed = false;  // comes again after its stream was interrupted
-};
-
-// The stream's first token has come; the attempt now belongs to the client.
+  std::uint64_t session = 0;     // key of the client's session; 0: none
+  std::uint64_t prefix = 0;      // key of the prompt's shared prefix; 0: none
+  double prompt_tokens = 0;      // length of the whole prompt
+  double prefix_tokens = 0;      // length of its shared prefix
+  double max_answer_tokens = 0;  // the most tokens that the answer may have
+  Time time_budget = 0;          // time until the client gives up on this request
+  Time cost_hint = 0;            // expected work, as the client states it; 0: not stated
+  bool client_retry = false;     // the client has sent this request before
+  bool write = false;            // the request is marked as a write
+  bool resumed = false;          // the client repeats it because its stream was interrupted
+};
+
+// The first token of the stream has arrived and goes to the client, so no other attempt can serve the
+// request.
 struct ResponseStarted {
   RequestId id = 0;
   int attempt = 0;
   ReplicaId replica = 0;
-  Time elapsed = 0;
+  Time elapsed = 0;  // since the attempt was sent
 };
 
 // How an attempt or a health check ended.
 enum class Outcome : std::uint8_t {
   kServed,
-  kError,
-  kAtCapacity,  // the replica turned it down unexecuted, as it has no capacity
-  kTimeout,
-  kConnectFailed,
-  kReset,
-  kCancelled,
-  kNotSent  // this node did not write it
+  kError,          // the replica answered with an error
+  kAtCapacity,     // the replica refused it without executing it, because it has no capacity
+  kTimeout,        // no answer in time
+  kConnectFailed,  // no connection could be opened
+  kReset,          // the connection broke
+  kCancelled,      // by a CancelAttempt action
+  kNotSent         // this node did not write it
 };
 
 struct AttemptEnded {
@@ -87,19 +88,19 @@
   int attempt = 0;
   ReplicaId replica = 0;
   Outcome outcome = Outcome::kServed;
-  Time elapsed = 0;
-  bool request_concluded = false;
-  double cached_tokens = 0;         // of the prompt, found in the replica's prefix cache
-  std::vector<double> load_report;  // in the order of Settings::load_fields; empty: none
+  Time elapsed = 0;                 // since the attempt was sent
+  bool request_concluded = false;   // nothing is left to send to the client, so the request is over
+  double cached_tokens = 0;         // prompt tokens that the replica found in its prefix cache
+  std::vector<double> load_report;  // in the order of Settings::load_fields; empty: no report
 };
 
 struct ClientDisconnected {
   RequestId id = 0;
 };
 
-// An open request has to be answered sooner than its client asks for: within `time_budget` of this event,
-// because the process ends before then, or at once (0). More than is left is ignored, and so is a request
-// whose stream has begun.
+// The process ends before the client's deadline, so the request must be concluded within `time_budget` of
+// this event (0: at once). A budget longer than the time left changes nothing, and a request whose stream has
+// begun is not affected.
 struct DeadlineShortened {
   RequestId id = 0;
   Time time_budget = 0;
@@ -107,7 +108,7 @@
 
 // ---- Timers and health checks ----
 
-// A timer that SetTimer asked for.
+// A timer that a SetTimer action asked for has expired.
 struct TimerFired {
   std::uint64_t token = 0;
 };
@@ -115,57 +116,59 @@
 struct HealthCheckCompleted {
   ReplicaId replica = 0;
   Outcome outcome = Outcome::kServed;
-  Time elapsed = 0;
-  std::vector<double> load_report;
+  Time elapsed = 0;                 // since the check was sent
+  std::vector<double> load_report;  // as in AttemptEnded
 };
 
 // ---- The routing tier ----
 
-// How many nodes the tier has from now on, this one included: limits keep their sum over all nodes.
+// The tier now has `node_count` nodes, this one included. Limits are scaled so that their sum over all nodes
+// stays the same.
 struct NodeCountChanged {
   int node_count = 1;
 };
 
-// This node's share of the tier's traffic, where the nodes know: over 0 to 1. Concurrency limits, quotas and
-// what others are taken to have in flight go by it instead of by one part of `node_count`; each change of the
-// tier's size scales it. Out of range: ignored.
+// This node's share of the tier's traffic, above 0 and up to 1, where the nodes measure it; other values are
+// ignored. It takes the place of 1 / `node_count` in concurrency limits, quotas and the estimate of what the
+// other nodes have in flight. A later NodeCountChanged scales it.
 struct TrafficShareChanged {
   double share = 1;
 };
 
-// What another process of this node had learned; it takes the place of what was learned here. Of replicas
-// only those count that are listed here with the same start, so the endpoint list comes first. Null: nothing.
+// State that another process of this node had learned. It replaces what this Router has learned. A replica's
+// part is used only if the replica is listed here with the same start time, so the endpoint list must be
+// given first. A null pointer is ignored.
 struct StateRestored {
   std::shared_ptr<const LearnedState> state;
 };
 
-// How many attempts another process of this node (before or after a hot restart) still has in flight, by
-// replica; what is not named has none. They count against this node's limits.
+// The number of attempts that another process of this node (before or after a hot restart) still has in
+// flight, by replica; replicas that are left out have none. They count against this node's limits.
 struct SiblingInFlightChanged {
   std::vector<std::pair<ReplicaId, int>> in_flight;
 };
 
-// What the other nodes of the tier know of a replica, already weighed by whoever passes it on, with every
-// number finite. It takes the place of the earlier report on that replica.
+// What the other nodes of the tier report of a replica, already combined and weighted by the caller, which
+// must pass finite numbers only. It replaces the earlier report on that replica.
 struct PeerReplicaReport {
   ReplicaId id = 0;
-  Time started_at = 0;  // another than the listed one: ignored
-  double slowness = 0;  // as in LearnedReplica; counts beside this node's own answers
-  double slowness_samples = 0;
-  Time ejected_until = 0;         // nothing new before then, as after own failures
-  double orphaned_in_flight = 0;  // attempts of nodes that have died: this node's share of those
+  Time started_at = 0;            // the report is ignored if the listed start time differs
+  double slowness = 0;            // as in LearnedReplica; counts beside this node's own samples
+  double slowness_samples = 0;    // how many answers `slowness` rests on
+  Time ejected_until = 0;         // no new attempts before then, as after failures seen by this node
+  double orphaned_in_flight = 0;  // this node's share of the attempts in flight that dead nodes left behind
 };
 struct PeerReportsReceived {
   std::vector<PeerReplicaReport> replicas;
 };
 
-// Shares, 0 to 1, of the tier's traffic that belongs to shared prefixes. They take the place of the earlier
-// ones; a prefix that is left out goes by what this node has counted itself.
+// The shares, 0 to 1, that shared prefixes have of the tier's traffic, by prefix key. They replace the
+// earlier ones; for a prefix that is left out the Router uses the share that it has counted itself.
 struct PrefixTrafficReceived {
   std::vector<std::pair<std::uint64_t, double>> shares;
 };
 
-// In the order in which flight records number the events: new ones go to the end.
+// Flight records store an event's index in this variant, so new events must be added at the end.
 using Event =
     std::variant<EndpointList, RequestArrived, ResponseStarted, AttemptEnded, ClientDisconnected, TimerFired,
                  HealthCheckCompleted, NodeCountChanged, StateRestored, SiblingInFlightChanged,
--- a/include/ryeglade/learned_state.h
+++ b/include/ryeglade/learned_state.h
@@ -1,6 +1,6 @@
-// What a Router has learned, as plain data, so that one process can hand it to the next: averages, limits,
-// how slow each replica is, which prefixes are cached where. Times are microseconds of the same clock as the
-// events'. Whoever passes it on keeps every number finite; the Router bounds what it takes.
+// What a Router has learned, as plain data that one process can hand over to the next: averages, limits, how
+// slow each replica is, and which prefixes are cached where. Times are microseconds on the clock of the
+// events. The caller must pass finite numbers only; the Router bounds the values that it restores.
 #pragma once
 
 #include <algorithm>
@@ -11,25 +11,25 @@
 
 namespace ryeglade::policy {
 
-// A mean that looks back on at most `memory` samples.
+// The mean of all samples until there are `memory` of them; from then on each new sample weighs 1 / `memory`.
 struct RunningAverage {
   double mean = 0;
-  double samples = 0;
+  double samples = 0;  // at most `memory`
   void Add(double sample, double memory) {
     samples = std::min(samples + 1, memory);
     mean += (sample - mean) / samples;
   }
-  // Shrunk towards `prior`, which counts as `weight` samples.
+  // Returns the mean shrunk towards `prior`, which counts as `weight` samples.
   double Shrunk(double prior, double weight) const {
     return (samples * mean + weight * prior) / (samples + weight);
   }
 };
 
-// A counter that decays exponentially with time: to 1/e of its value in `memory` microseconds.
+// A counter that decays exponentially with time, to 1/e of its value in `memory` microseconds.
 struct DecayingCounter {
-  double value = 0;  // as of `updated_at`
+  double value = 0;  // at the time `updated_at`
   std::int64_t updated_at = 0;
-  // What is left of 1 after `elapsed`.
+  // The factor by which a value decays in `elapsed` microseconds.
   static double DecayFactor(std::int64_t elapsed, std::int64_t memory) {
     return elapsed <= 0 ? 1.0 : std::exp(-static_cast<double>(elapsed) / static_cast<double>(memory));
   }
@@ -50,7 +50,7 @@
     sum.Add(now, memory, sample);
     count.Add(now, memory, 1);
   }
-  // Shrunk towards 0, which counts as `weight` samples.
+  // Returns the mean shrunk towards 0, which counts as `weight` samples.
   double Shrunk(std::int64_t now, std::int64_t memory, double weight) const {
     return sum.ValueAt(now, memory) / (count.ValueAt(now, memory) + weight);
   }
@@ -58,66 +58,69 @@
 
 // What this node has learned of one replica.
 struct LearnedReplica {
-  double slowness = 0;          // mean ln(observed / expected) of its own answers
-  double slowness_samples = 0;  // how many answers that rests on, decaying
+  double slowness = 0;          // mean of ln(observed / expected runtime) over its answers
+  double slowness_samples = 0;  // number of answers in that mean; decays with time
   std::int64_t slowness_updated_at = 0;
-  double capacity_factor = 1;  // what "at capacity" answers left of its limit
+  double capacity_factor = 1;  // factor on its limit after "at capacity" answers, as of `capacity_updated_at`
   std::int64_t capacity_updated_at = 0;
-  std::int64_t at_capacity_until = 0;  // it has just answered "at capacity"
+  std::int64_t at_capacity_until = 0;  // no new attempts before then, after an "at capacity" answer
   int consecutive_failures = 0;
-  std::int64_t ejected_until = 0;  // outlier ejection after failures
-  double slow_start_tokens = 0;    // requests that may be sent while it warms up
+  std::int64_t ejected_until = 0;  // outlier ejection: no new attempts before then; 0: never ejected
+  double slow_start_tokens = 0;    // requests that may be sent to it while it warms up
   std::int64_t slow_start_updated_at = 0;
-  double reported_load = -1;  // last report: requests in flight there, or its utilization; < 0: none
+  double reported_load = -1;  // last reported requests in flight, or else utilization; below 0: no report
   std::int64_t reported_at = 0;
 };
 
 struct LearnedState {
-  // How long a class's answers take for each unit of work, ln, now and at its best.
+  // The pace of a class: ln of the time that its answers stream for each unit of work.
   struct ClassPace {
     RunningAverage current;
-    double best = 1e9;
+    double best = 1e9;  // the lowest (fastest) mean so far, which rises a little with each answer
   };
-  // Arrivals under one key, over a long and a short memory.
+  // The arrivals of one session or prefix, counted over a long and a short memory.
   struct KeyTraffic {
     DecayingCounter long_term;
     DecayingCounter short_term;
   };
+  // A prompt prefix that this node has sent to a replica, which is taken to have it in its cache since.
   struct CachedPrefix {
     double tokens = 0;
     std::int64_t cached_at = 0;
   };
   struct Replica {
     std::uint32_t id = 0;
-    std::int64_t started_at = 0;  // as it was told; another start makes the rest mean nothing
-    int in_flight = 0;            // attempts there when this was taken
+    std::int64_t started_at = 0;  // as listed; `learned` is void once the replica has another start time
+    int in_flight = 0;            // this node's attempts there at the time of the export
     LearnedReplica learned;
   };
 
-  int node_count = 1;                // of the tier, that `base_limit` is one node's part of
-  double base_limit = 0;             // limit of a replica of ordinary speed, this node's part of it
-  double limit_before_decrease = 0;  // the base limit above which limits fell last; 0: never
+  int node_count = 1;                // nodes of the tier among which the limits below are divided
+  double base_limit = 0;             // this node's part of the limit of a replica of ordinary speed
+  double limit_before_decrease = 0;  // the base limit that last had to be decreased; 0: none yet
   std::int64_t limit_decreased_at = 0;
-  double late_share = 0;      // of recent first tokens
-  double pace_slowdown = 0;   // mean ln of how much slower streams run than at their best
-  double objective_used = 0;  // mean part of its latency objective that a first token takes
-  double retry_budget = 0;
-  RunningAverage mean_runtime;
+  double late_share = 0;        // share of recent first tokens that were late
+  double pace_slowdown = 0;     // mean ln(pace of the streams now / their best pace)
+  double objective_used = 0;    // mean part of the latency objective that first tokens took
+  double retry_budget = 0;      // retries saved up
+  RunningAverage mean_runtime;  // of all served requests
   std::vector<ClassPace> pace_by_class;
+  // By bucket of similar requests, see RuntimeEstimator.
   std::unordered_map<std::uint32_t, RunningAverage> runtime_by_bucket;
   std::unordered_map<std::uint32_t, RunningAverage> first_token_by_bucket;
-  std::vector<RunningAverage> runtime_per_hint;  // by class: runtime over cost hint
-  std::vector<RunningAverage> bucket_error;      // by class: squared ln of estimate over runtime
-  std::vector<RunningAverage> hint_error;        // the same of the estimate from hints
-  std::vector<RunningAverage> slowness_by_kind;
-  std::vector<DecayingAverage> slowness_by_zone;  // ln(observed / expected); not handed on, it decays soon
-  std::unordered_map<std::uint64_t, KeyTraffic> key_traffic;  // by session or prefix
-  DecayingCounter arrivals_long_term;
+  std::vector<RunningAverage> runtime_per_hint;  // by class: runtime / cost hint
+  std::vector<RunningAverage> bucket_error;      // by class: squared ln(estimate from buckets / runtime)
+  std::vector<RunningAverage> hint_error;  // by class: squared ln(estimate from the cost hint / runtime)
+  std::vector<RunningAverage> slowness_by_kind;  // ln(observed / expected runtime)
+  // ln(observed / expected runtime). Not handed over to another process, as it decays within seconds.
+  std::vector<DecayingAverage> slowness_by_zone;
+  std::unordered_map<std::uint64_t, KeyTraffic> key_traffic;  // by session key or prefix key
+  DecayingCounter arrivals_long_term;                         // all arrivals at this node
   DecayingCounter arrivals_short_term;
-  std::unordered_map<std::uint64_t, CachedPrefix> cached_prefixes;  // by session or prefix, and replica
+  std::unordered_map<std::uint64_t, CachedPrefix> cached_prefixes;  // by session or prefix key, and replica
   std::vector<DecayingCounter> arrivals_by_tenant;
-  DecayingCounter dispatches;
-  std::vector<Replica> replicas;  // only in what is handed on; a Router keeps its own elsewhere
+  DecayingCounter dispatches;     // this node's, to all replicas
+  std::vector<Replica> replicas;  // for the handover only; a Router keeps its own elsewhere
 };
 
 }  // namespace ryeglade::policy
--- a/include/ryeglade/router.h
+++ b/include/ryeglade/router.h
@@ -1,12 +1,13 @@
 // ryeglade::policy: the decisions of a request router for fleets of language-model servers.
 //
-// One Router is one node of the routing tier. It is constructed from settings, a seed and the present
-// time; it is then given every event that concerns it, with the time of the event, and appends the actions
-// it wants carried out to a sink. It does no I/O, starts no thread, reads no clock and shares nothing:
-// the same events at the same times yield the same actions. All times are microseconds.
+// A Router decides for one node of the routing tier. It is constructed from settings, a seed and the current
+// time. The host then gives it every event that concerns it, with the time of the event, and the Router
+// appends the actions that the host has to carry out. It does no I/O, starts no thread, reads no clock and
+// shares no state, so the same events at the same times yield the same actions. All times are microseconds.
 //
-// Wrong calls never corrupt state: an event for an unknown request, attempt, replica or timer, a second
-// outcome of one attempt, or a second arrival under one id is ignored. Time that steps back is held still.
+// Invalid calls never corrupt its state: an event for an unknown request, attempt, replica or timer, a second
+// outcome of one attempt, or a second arrival with the same id is ignored. A time before that of an earlier
+// event is replaced by the latest time seen.
 #pragma once
 
 #include <cstddef>
@@ -23,13 +24,13 @@
 
 namespace ryeglade::policy {
 
-// A replica as a Router sees it now; all zeros: not known.
+// The current state of a replica at this node; default values if the replica is not known.
 struct ReplicaView : LearnedReplica {
   Endpoint endpoint;
-  int in_flight = 0;                  // this node's attempts there
-  double concurrency_limit = 0;       // this node's present limit there; 0: nothing new is sent
-  double prefill_backlog_tokens = 0;  // tokens of this node's prompts still to be read, as far as is known
-  Time no_response_since = 0;         // while there are any: how long no answer has begun there
+  int in_flight = 0;                  // this node's attempts at the replica
+  double concurrency_limit = 0;       // this node's current limit for the replica; 0: no new attempts
+  double prefill_backlog_tokens = 0;  // expected prompt tokens of this node's attempts not yet prefilled
+  Time no_response_since = 0;  // while there is such a backlog: since when no response has started there
 };
 
 class Router {
@@ -39,32 +40,34 @@
   Router(Router&&) noexcept;
   Router& operator=(Router&&) noexcept;
 
-  // Takes one event that happened at `now` and appends what is to be done about it.
+  // Handles an event that happened at `now` and appends the resulting actions to `actions`.
   void Handle(Time now, const Event& event, std::vector<Action>& actions);
 
-  // New settings at run time: the classes by index (those of open requests keep their index and meaning, so
-  // the caller only appends; fewer than before are ignored) and how many attempts a request may have.
+  // Replaces the request classes and the maximum number of attempts of a request at run time. Open requests
+  // refer to their class by index, so the caller may only append classes and must not reorder them. A list
+  // with fewer classes than before is ignored.
   void UpdateClasses(const std::vector<ClassSettings>& classes, int max_attempts);
 
-  // Null: nobody; then nothing is spent on reasons. Not owned. What is observed changes no decision.
+  // Sets the observer of the decisions, or removes it (null), in which case no records are computed. Does not
+  // take ownership. Observing changes no decision.
   void SetObserver(DecisionObserver* observer);
 
-  // All that is learned, and what is in flight at each replica, to hand on as StateRestored and
-  // SiblingInFlightChanged.
+  // Returns everything learned and the number of attempts in flight at each replica, for another process of
+  // this node to take up by StateRestored and SiblingInFlightChanged.
   LearnedState ExportState() const;
 
-  // For dashboards and tests; none of these changes anything.
-  std::size_t queued_requests() const;  // waiting at this node
-  std::size_t open_requests() const;    // taken and not finished with
+  // For dashboards and tests.
+  std::size_t queued_requests() const;  // waiting at this node for a replica
+  std::size_t open_requests() const;    // not concluded, or with an attempt still in flight
   ReplicaView replica(ReplicaId replica_id) const;
   int in_flight(ReplicaId replica_id) const { return replica(replica_id).in_flight; }
   double concurrency_limit(ReplicaId replica_id) const { return replica(replica_id).concurrency_limit; }
-  // After failures it gets nothing new before then; 0: never.
+  // Until when the replica gets no new attempts after failures; 0: it has not been ejected.
   Time ejected_until(ReplicaId replica_id) const { return replica(replica_id).ejected_until; }
   double total_concurrency_limit() const;
-  // Whether a client may be told now that repeating this request is harmless: by its class's idempotency and
-  // scope, or because every attempt provably never ran. One that is in flight counts as run; false for an
-  // unknown request.
+  // Whether a client may now be told that repeating this request is harmless, because its class's idempotency
+  // and scope allow it or because it is proved that no attempt ran. An attempt in flight counts as run.
+  // Returns false for an unknown request.
   bool may_reject(RequestId id) const;
 
  private:
--- a/include/ryeglade/settings.h
+++ b/include/ryeglade/settings.h
@@ -1,5 +1,4 @@
-// What a Router is told when it is constructed. Every field has a default that is safe to run with.
-// Durations are microseconds.
+// The settings of a Router. Every field has a default that is safe to run with. Durations are microseconds.
 #pragma once
 
 #include <cstdint>
@@ -13,31 +12,32 @@
 // Whether the requests of a class may be executed more than once.
 enum class Idempotency : std::uint8_t {
   kIdempotent,      // a repeat does no harm
-  kIdempotencyKey,  // replicas recognise a repeat by its idempotency key, within a scope and for a while
+  kIdempotencyKey,  // replicas recognise a repeat by its idempotency key, within a scope and a time window
   kNotIdempotent,   // a request that may have run must not be sent again
 };
 
-// Which replicas recognise the repeat of a request that carries an idempotency key.
+// Which replicas recognise the repeat of a request that carries an idempotency key: all of them, or those in
+// the zone or cell of the replica that got the first attempt.
 enum class DedupScope : std::uint8_t { kAll, kZone, kCell };
 
 struct ClassSettings {
-  std::string name;                    // for logs only, never decided on
-  Time latency_objective = 1'000'000;  // a first token (or answer) within this earns the full weight
-  Time time_budget = 10'000'000;       // how long the client waits in all, over all its attempts
+  std::string name;                    // for logs only
+  Time latency_objective = 1'000'000;  // a first token (or answer) within this time earns the full weight
+  Time time_budget = 10'000'000;       // how long the client waits in total, over all attempts
   double priority_weight = 1.0;        // of one request
-  double late_weight_share = 0.0;  // part of the weight still earned after the objective, within the budget
+  double late_weight_share = 0.0;      // part of the weight that a later answer earns, within the time budget
   Idempotency idempotency = Idempotency::kIdempotent;
   DedupScope dedup_scope = DedupScope::kAll;  // with kIdempotencyKey only
   Time dedup_window = 0;                      // with kIdempotencyKey only: how long repeats are recognised
-  bool streaming = false;
-  Time objective_per_1000_tokens = 0;  // added to the objective for each 1,000 prompt tokens
-  Time inter_token_objective = 0;      // wanted mean interval between tokens; 0: none
+  bool streaming = false;                     // answers are streams of tokens
+  Time objective_per_1000_tokens = 0;         // added to the latency objective for each 1,000 prompt tokens
+  Time inter_token_objective = 0;             // wanted mean interval between tokens; 0: none
 };
 
 struct TenantSettings {
   std::string name;               // for logs only
-  double traffic_share = 1.0;     // of the service
-  double quota_per_second = 0.0;  // requests within its quota, over all nodes; 0: unknown
+  double traffic_share = 1.0;     // the tenant's share of the service's traffic
+  double quota_per_second = 0.0;  // requests per second, over all nodes; 0: no quota
 };
 
 // What one number of a replica's load report means.
@@ -54,38 +54,42 @@
 };
 
 struct Settings {
-  std::vector<ClassSettings> classes;
-  std::vector<TenantSettings> tenants;
-  std::vector<LoadField> load_fields;      // what a load report holds, in order
-  bool load_reports_in_responses = false;  // else they come with health checks, or not at all
+  std::vector<ClassSettings> classes;      // empty: one class with default values
+  std::vector<TenantSettings> tenants;     // by tenant index
+  std::vector<LoadField> load_fields;      // the meaning of each number of a load report, in order
+  bool load_reports_in_responses = false;  // false: reports come with health checks only, or not at all
   int node_count = 1;                      // nodes of the routing tier, this one included
   int node_index = 0;                      // this node's index among them
   int zone = 0;                            // this node's zone
   int zone_count = 1;
   int replica_kind_count = 1;
-  bool poll_endpoints = false;            // the endpoint list comes only when the node asks for it
-  bool weights_known = false;             // Endpoint::weight means something
-  double over_quota_weight = 1.0;         // weight of what a tenant sends beyond its quota
-  double cross_zone_penalty = 0.0;        // points (of 1) if every request crossed zones once
-  double wasted_work_penalty = 0.0;       // points if as much work was wasted as was asked for
-  double late_failure_penalty = 0.0;      // points if all weight failed only after its objective
-  double health_check_penalty = 0.0;      // points for one health check a request
-  double migration_penalty = 0.0;         // points if every stream migrated once
+  bool poll_endpoints = false;  // the node has to request the endpoint list; false: it is pushed to the node
+  bool weights_known = false;   // Endpoint::weight means something
+  double over_quota_weight = 1.0;  // weight of a request beyond its tenant's quota; 1 or more: no quotas
+  // A penalty is the part of the score (0 to 1) that would be lost if the named event happened to all
+  // requests.
+  double cross_zone_penalty = 0.0;        // every request crosses zones once
+  double wasted_work_penalty = 0.0;       // as much work is wasted as is requested
+  double late_failure_penalty = 0.0;      // all requests fail, and only after their latency objective
+  double health_check_penalty = 0.0;      // there is one health check for each request
+  double migration_penalty = 0.0;         // every stream migrates once
   bool can_cancel = true;                 // attempts can be cancelled
   bool can_check_health = false;          // CheckHealth actions are carried out
   bool can_hedge = false;                 // two attempts of a request may be in flight at once
   bool clients_honor_retry_after = true;  // rejections carry a Retry-After
   bool can_migrate_streams = false;
-  int max_attempts = 1;
-  Time max_retry_after = 1'000'000;
+  int max_attempts = 1;              // of one request
+  Time max_retry_after = 1'000'000;  // the Retry-After of a rejection
   Time connect_timeout = 250'000;
   Time response_grace = 0;            // a final response this long after the deadline still counts
   Time drain_grace = 0;               // a draining replica stays up for this long
-  Time max_poll_interval = 0;         // polling: at least one call in each such span; 0: no such rule
-  Time slow_start_window = 0;         // a started replica has warmed up no later than this
-  double slow_start_min_share = 1.0;  // and starts at no less than this share of its capacity
-  double overload_factor = 2.0;       // a warming replica that is sent more than this multiple of its
-  Time overload_window = 1'000'000;   // present capacity for this long fails
+  Time max_poll_interval = 0;         // with poll_endpoints: the longest time between requests; 0: no bound
+  Time slow_start_window = 0;         // a replica has warmed up this long after its start; 0: no slow start
+  double slow_start_min_share = 1.0;  // the share of its capacity that a replica has at its start
+  // A replica that warms up fails if it gets more than `overload_factor` times its current capacity for
+  // `overload_window`.
+  double overload_factor = 2.0;
+  Time overload_window = 1'000'000;
 };
 
 }  // namespace ryeglade::policy
--- a/include/ryeglade/time.h
+++ b/include/ryeglade/time.h
@@ -1,4 +1,4 @@
-// The time type of the decision module.
+// The time type of ryeglade::policy.
 #pragma once
 
 #include <cstdint>
