--- a/src/policy/adaptive_concurrency.cpp
+++ b/src/policy/adaptive_concurrency.cpp
@@ -6,38 +6,44 @@
 namespace ryeglade::policy {
 namespace {
 
-// Bounds, of a replica of ordinary speed.
-constexpr double kInitialLimit = 16;           // before anything is known
-constexpr double kLargeTierInitialFactor = 4;  // times that in a large tier
+// Bounds of the limit of a replica of ordinary speed, in attempts in flight.
+constexpr double kInitialLimit = 16;           // over all nodes, before anything is known
+constexpr double kLargeTierInitialFactor = 4;  // the initial limit is multiplied by this in a large tier
 constexpr double kMinLimit = 2;                // over all nodes
-constexpr double kMaxLimit = 256;              // at one node, which may have most of the traffic
+constexpr double kMaxLimit = 256;              // over all nodes; in a large tier at each node, see MaxLimit()
 
 // Increase.
-constexpr double kIncreasePerRound = 0.4;         // share by which limits rise in a round of answers
-constexpr double kInitialIncreasePerRound = 0.9;  // the same until they have fallen once
-constexpr double kRecoveredShare = 0.7;  // below this part of where they fell, they rise as if they never had
-constexpr double kMinUtilization = 0.85;         // limits used less than this have not been tried: no rise
-constexpr double kMaxObjectiveUsedToRise = 0.3;  // and not above it, in parts of the objective
+// The share by which limits rise in a round of answers, as many as the sum of the limits.
+constexpr double kIncreasePerRound = 0.4;
+// The same while the limit is below kRecoveredShare of the one that last had to be decreased, or before any.
+constexpr double kInitialIncreasePerRound = 0.9;
+constexpr double kRecoveredShare = 0.7;
+constexpr double kMinUtilization = 0.85;  // limits used less than this have not been tested: no increase
+// No increase while first tokens take more than this part of their objectives on average.
+constexpr double kMaxObjectiveUsedToRise = 0.3;
 
 // Decrease.
-constexpr double kDecreaseFactor = 0.85;  // at most once a mean runtime
-constexpr double kMaxLateShare = 0.25;    // when more than this share of recent first tokens was late
-constexpr double kLateThreshold = 0.8;    // a first token later than this share of its objective is late
-constexpr double kLatenessWeight = 0.05;  // of the newest sample in the share of late ones and the slowdown
-constexpr double kObjectiveUsedWeight = 0.1;  // of the newest first token in the mean part of its objective
-constexpr double kSaturationSlowdown = 2.0;   // streams this much slower than at their best: saturated
-constexpr double kMinObjectiveUsedToSaturate =
-    0.15;                                   // but only if first tokens take more of their objectives
-constexpr double kMinDecreaseFactor = 0.5;  // no fall at once goes below this
+constexpr double kDecreaseFactor = 0.85;  // applied at most once per mean runtime
+constexpr double kMaxLateShare = 0.25;    // limits fall if more of the recent first tokens are late
+constexpr double kLateThreshold = 0.8;    // part of its objective after which a first token is late
+// Weights of the newest sample in the moving averages.
+constexpr double kLatenessWeight = 0.05;      // share of late first tokens, and slowdown of the streams
+constexpr double kObjectiveUsedWeight = 0.1;  // mean part of the objective used
+// Replicas are saturated if streams are slower than at their best by this factor, and only if first tokens
+// also take more than kMinObjectiveUsedToSaturate of their objectives.
+constexpr double kSaturationSlowdown = 2.0;
+constexpr double kMinObjectiveUsedToSaturate = 0.15;
+constexpr double kMinDecreaseFactor = 0.5;  // one decrease multiplies the limit by no less than this
 
 // Pace.
-constexpr double kPaceMemory = 25;       // answers of a class that its present pace looks back on
-constexpr double kMinPaceSamples = 8;    // before a class's best pace means anything
-constexpr double kBestPaceLeak = 0.002;  // each answer lets the best pace seen slip by this much (ln)
+constexpr double kPaceMemory = 25;       // answers of a class over which its current pace is averaged
+constexpr double kMinPaceSamples = 8;    // answers needed before a class's best pace means anything
+constexpr double kBestPaceLeak = 0.002;  // added to the best pace (ln) by each answer, so that it ages
 
 }  // namespace
 
-// Traffic is spread unevenly over many nodes, so their shares of a limit are never all in use together.
+// The initial limit is higher in a large tier: traffic is spread unevenly over many nodes, so their shares of
+// a limit are never all in use at the same time.
 AdaptiveConcurrency::AdaptiveConcurrency(const Settings& settings, const TrafficShare& traffic_share)
     : settings_(settings), traffic_share_(traffic_share) {
   const double initial = IsLargeTier(settings) ? kLargeTierInitialFactor * kInitialLimit : kInitialLimit;
@@ -46,7 +52,7 @@
 
 double AdaptiveConcurrency::MinLimit() const { return kMinLimit / traffic_share_.equivalent_nodes(); }
 
-// Of many nodes one may have most of the traffic, so its limit is not bound to its share.
+// In a large tier one node may have most of the traffic, so its limit is not bounded by its share.
 double AdaptiveConcurrency::MaxLimit() const {
   return IsLargeTier(settings_) ? kMaxLimit : kMaxLimit / traffic_share_.equivalent_nodes();
 }
@@ -91,8 +97,8 @@
   return pace_slowdown_ > std::log(kSaturationSlowdown) && objective_used_ > kMinObjectiveUsedToSaturate;
 }
 
-// A replica that answers in batches takes on more than it can keep pace with long before its first tokens are
-// late: every stream slows down. How slow is too slow is judged against the best pace seen, class by class.
+// A replica that batches its requests accepts more than it can serve at full pace long before its first
+// tokens are late: every stream slows down. Each class is compared with the best pace that it has shown.
 bool AdaptiveConcurrency::LearnPace(const Request& request, Time runtime, const LimitUsage& usage) {
   const Time streaming = request.response_started ? runtime - request.time_to_first_token : runtime;
   const double work = request.arrival.cost_hint > 0 ? static_cast<double>(request.arrival.cost_hint) : 1.0;
--- a/src/policy/adaptive_concurrency.h
+++ b/src/policy/adaptive_concurrency.h
@@ -1,6 +1,7 @@
-// Adaptive concurrency: the base limit, which is how many attempts a replica of ordinary speed may have in
-// flight from this node. It rises while first tokens come well within their objectives and the limits are in
-// use, and falls when many first tokens are late or streams run much slower than they can. Microseconds.
+// Adaptive concurrency: learns the base limit, which is how many attempts this node may have in flight at a
+// replica of ordinary speed. The base limit rises while first tokens come well within their latency
+// objectives and the limits are in use. It falls when many first tokens are late or streams run much slower
+// than they did at their best. Times are microseconds.
 #pragma once
 
 #include <vector>
@@ -12,35 +13,36 @@
 
 namespace ryeglade::policy {
 
-// What the limits are used for at the time of an answer.
+// How far the limits are used at the time of an outcome.
 struct LimitUsage {
   Time now = 0;
-  int in_flight = 0;        // over all replicas
-  double total_limit = 0;   // over all replicas
-  double mean_runtime = 0;  // of served requests: the limit falls at most once in such a span
+  int in_flight = 0;        // attempts, over all replicas
+  double total_limit = 0;   // sum of the limits of all replicas
+  double mean_runtime = 0;  // of served requests; the base limit falls at most once in this time
 };
 
 class AdaptiveConcurrency {
  public:
-  // Both must outlive it.
+  // Both arguments must outlive this object.
   AdaptiveConcurrency(const Settings& settings, const TrafficShare& traffic_share);
 
   // This node's share of the limit of a replica of ordinary speed.
   double base_limit() const { return base_limit_; }
 
-  // Each returns whether the base limit has changed.
+  // The Learn functions return whether the base limit has changed.
   bool LearnTimeToFirstToken(double time_to_first_token, double objective, const LimitUsage& usage);
-  // A request that timed out or was turned down at capacity counts as one whose first token was late.
+  // A request that timed out or that a replica refused at capacity counts as one with a late first token.
   bool LearnLateResponse(const LimitUsage& usage);
-  // A served request; `runtime` is of the whole attempt.
+  // A request was served; `runtime` is that of the whole attempt.
   bool LearnPace(const Request& request, Time runtime, const LimitUsage& usage);
 
-  // Multiplies the limits, as this node's share of the traffic has changed.
+  // Multiplies the limits by `factor`, because this node's share of the traffic has changed.
   void Scale(double factor);
 
-  // After a change of the settings' classes.
+  // Must be called after the settings' classes have changed.
   void ResizeTables();
-  // Limits are handed on as those of a node whose share is one of a whole number of nodes.
+  // LearnedState::node_count is an integer, so the limits are exported as those of a node whose share of the
+  // traffic is 1 / the nearest whole number of nodes.
   void ExportTo(LearnedState& state) const;
   void RestoreFrom(const LearnedState& state);
 
@@ -55,11 +57,11 @@
   const Settings& settings_;
   const TrafficShare& traffic_share_;
   double base_limit_ = 0;
-  double limit_before_decrease_ = 0;  // the base limit above which it fell last; 0: never
+  double limit_before_decrease_ = 0;  // the base limit that last had to be decreased; 0: none yet
   Time decreased_at_ = 0;
-  double late_share_ = 0;      // of recent first tokens
-  double objective_used_ = 0;  // mean part of its objective that a first token takes
-  double pace_slowdown_ = 0;   // mean ln of how much slower streams run than at their best
+  double late_share_ = 0;      // share of recent first tokens that were late
+  double objective_used_ = 0;  // mean part of the latency objective that first tokens took
+  double pace_slowdown_ = 0;   // mean ln(pace of the streams now / their best pace)
   std::vector<LearnedState::ClassPace> pace_by_class_;
 };
 
--- a/src/policy/candidate_finder.cpp
+++ b/src/policy/candidate_finder.cpp
@@ -9,11 +9,13 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr std::size_t kMaxPreferred = 32;  // of a key that are looked at
-constexpr std::size_t kMaxRingPoints = 8 * kMaxPreferred * HashRing::kPointsPerReplica;  // in one search
-constexpr int kRandomDraws = 24;  // drawn besides: the best of so many is hardly worse than the best of all
+// Bounds of the sample that is taken of a large fleet.
+constexpr std::size_t kMaxPreferred = 32;  // preferred replicas of a key
+constexpr std::size_t kMaxRingPoints =
+    8 * kMaxPreferred * HashRing::kPointsPerReplica;  // visited in one search
+constexpr int kRandomDraws = 24;  // random replicas; the best of so many is hardly worse than the best of all
 
-// By zone where `by_zone`, then by falling rank.
+// Orders candidates by zone if `by_zone`, then by descending rank.
 auto ByRank(double Candidate::*rank, bool by_zone) {
   return [rank, by_zone](const Candidate& a, const Candidate& b) {
     const auto key = [&](const Candidate& c) {
@@ -33,8 +35,8 @@
     MarkPreferred(request, prefix_share, session_share, candidates);
     return;
   }
-  // Departure: of a large fleet only a key's preferred replicas and some drawn by chance are looked at (power
-  // of d choices).
+  // Departure: in a large fleet only a key's preferred replicas and some drawn at random are candidates
+  // (power of d choices).
   ring_.RebuildIfInvalid(in_.fleet);
   ++search_;
   if (request.prefix != 0) {
@@ -65,8 +67,8 @@
   }
 }
 
-// The prefix's preferred replicas, and among them the session's; in each zone, where a cross-zone request
-// costs.
+// Marks the prefix's preferred replicas and, among them, the session's. Where cross-zone requests are
+// penalized, a prefix has preferred replicas in each zone, and a session only in this node's zone.
 void CandidateFinder::MarkPreferred(const RequestArrived& request, double prefix_share, double session_share,
                                     std::vector<Candidate>& candidates) const {
   const bool by_zone = AvoidsOtherZones(in_.settings);
@@ -112,7 +114,8 @@
       PrefixAffinity::PreferredCount(search.traffic_share, in_.limits.available().size(), ring_.size());
   std::size_t left = std::min(kMaxPreferred, preferred);
   std::size_t index = ring_.Locate(search.key);
-  // Of a key with many preferred replicas a stretch is looked at, for a session always the same one.
+  // If a key has more preferred replicas than fit, a random section of them is used, for a session always the
+  // same one.
   if (preferred > kMaxPreferred) {
     const double start = request.session != 0 ? UnitInterval(Mix64(request.session)) : in_.random.Next();
     index += static_cast<std::size_t>(start * static_cast<double>(preferred - kMaxPreferred));
--- a/src/policy/candidate_finder.h
+++ b/src/policy/candidate_finder.h
@@ -1,5 +1,6 @@
-// The replicas that are looked at for a dispatch, and which of them are preferred for the request's shared
-// prefix and session: all replicas with a limit, or of a large fleet a sample of them.
+// Finds the candidate replicas for a dispatch, and which of them are preferred for the request's shared
+// prefix and session. Candidates are all replicas with a limit above 0 or, in a large fleet, a sample of
+// them.
 #pragma once
 
 #include <cstddef>
@@ -22,34 +23,37 @@
   Replica* replica = nullptr;
   bool prefix_preferred = false;
   bool session_preferred = false;
-  double prefix_rank = 0;  // rendezvous scores, the higher the more preferred
+  // Rendezvous scores, higher is more preferred. Not used in a sampled fleet.
+  double prefix_rank = 0;
   double session_rank = 0;
-  std::uint64_t session_hash = 0;  // of a sampled fleet, the higher the more preferred
-  std::optional<double> score;     // set by ReplicaSelector; none: not eligible
+  std::uint64_t session_hash = 0;  // used in a sampled fleet only; higher is more preferred
+  std::optional<double> score;     // set by ReplicaSelector; nullopt if the request can't be sent there now
 };
 
-// Whether a request that crosses zones costs.
+// Whether sending a request to another zone is penalized.
 inline bool AvoidsOtherZones(const Settings& settings) {
   return settings.cross_zone_penalty > 0 && settings.zone_count > 1;
 }
 
 class CandidateFinder {
  public:
-  // All must outlive it.
+  // All members must outlive the CandidateFinder.
   struct Inputs {
     const Settings& settings;
     const Fleet& fleet;
     const ReplicaLimits& limits;
     const ReplicaSpeed& speed;
-    LoadReports& load_reports;  // their mean, of a fleet that is not sampled, is over the candidates
+    LoadReports&
+        load_reports;  // in a fleet that is not sampled, Find sets their mean to that of the candidates
     RandomSource& random;
   };
   explicit CandidateFinder(const Inputs& inputs) : in_(inputs) {}
 
-  // The replicas of the fleet have changed.
+  // Must be called after the replicas of the fleet have changed.
   void InvalidateRing() { ring_.Invalidate(); }
 
-  // Fills `candidates`; the shares are of the traffic, 0 where the request has no such key.
+  // Replaces the contents of `candidates`. `prefix_share` and `session_share` are the shares of the traffic
+  // that the request's prefix and session have, 0 if it has none.
   void Find(const RequestArrived& request, double prefix_share, double session_share, Time now,
             std::vector<Candidate>& candidates);
 
@@ -57,7 +61,7 @@
   struct RingSearch {
     std::uint64_t key;
     double traffic_share;
-    bool is_session;  // else a shared prefix
+    bool is_session;  // whether `key` is that of a session; false: of a shared prefix
   };
 
   void AddAll(const RequestArrived& request, Time now, std::vector<Candidate>& candidates);
@@ -68,11 +72,13 @@
   void MarkSessionAmongPrefix(const RequestArrived& request, double session_share,
                               std::vector<Candidate>& candidates) const;
   void AddRandom(std::vector<Candidate>& candidates);
+  // Returns true if the replica has a limit above 0 and is not yet a candidate of the current search, and
+  // marks it as one.
   bool ClaimForSearch(Replica& replica) const;
 
   Inputs in_;
   HashRing ring_;
-  std::uint64_t search_ = 0;
+  std::uint64_t search_ = 0;  // number of the current search of a sampled fleet
 };
 
 }  // namespace ryeglade::policy
--- a/src/policy/capacity_backoff.cpp
+++ b/src/policy/capacity_backoff.cpp
@@ -5,10 +5,10 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr double kLimitFactor = 0.7;     // one answer lowers the replica's limit by this factor
-constexpr double kMinLimitFactor = 0.1;  // of all such answers together
-constexpr Time kRecovery = 5'000'000;    // this long later most of that is forgotten
-constexpr double kPauseShare = 0.05;     // the replica gets nothing new for this part of a mean runtime
+constexpr double kLimitFactor = 0.7;     // one "at capacity" answer multiplies the replica's limit by this
+constexpr double kMinLimitFactor = 0.1;  // lower bound of the product of these factors
+constexpr Time kRecovery = 5'000'000;    // the reduction decays to 1/e of itself in this time
+constexpr double kPauseShare = 0.05;     // the pause without new attempts, as a part of the mean runtime
 constexpr Time kMaxPause = 500'000;
 
 }  // namespace
--- a/src/policy/endpoint_polling.cpp
+++ b/src/policy/endpoint_polling.cpp
@@ -8,14 +8,15 @@
 namespace {
 
 constexpr Time kMaxFirstDelay = 1'000'000;
-constexpr double kBaseBackoff = 100'000;  // doubled by each failure in a row
+constexpr double kBaseBackoff = 100'000;  // doubled by each consecutive failure
 constexpr double kMaxBackoff = 2'000'000;
 constexpr int kMaxDoublings = 5;
 
 }  // namespace
 
-// Nodes start together: calls in step would overrun discovery, so each waits a random part of a span. It is
-// short: the list known at the start may be old, and what it lacks counts as notified before long.
+// All nodes may start at the same time, and simultaneous calls would overload discovery, so each node waits
+// for a random part of a time span. The span is short because the list known at the start may be out of date,
+// and its changes soon count as known to the node.
 std::optional<Time> EndpointPolling::FirstDelay(RandomSource& random) const {
   if (!settings_.poll_endpoints) return std::nullopt;
   const Time span = settings_.max_poll_interval > 0
--- a/src/policy/endpoint_polling.h
+++ b/src/policy/endpoint_polling.h
@@ -1,6 +1,6 @@
-// When the endpoint list is asked for: at start, and again after a failure with exponential backoff and
-// jitter. A change counts as notified at the latest 6 s after discovery has it and can be reached, so calls
-// that fail are repeated well within that. Microseconds.
+// Decides when to request the endpoint list: at start, and again after a failure with exponential backoff and
+// jitter. A change of the list counts as known to the node at the latest 6 s after discovery has it and can
+// be reached, so failed calls are repeated well within that time. Times are microseconds.
 #pragma once
 
 #include <optional>
@@ -13,15 +13,16 @@
 
 class EndpointPolling {
  public:
-  // The settings must outlive it.
+  // The settings must outlive this object.
   explicit EndpointPolling(const Settings& settings) : settings_(settings) {}
 
-  // How long after the start to ask first; none: the list comes unasked.
+  // Returns the delay after the start before the first request, or nullopt if the list is pushed to the node.
   std::optional<Time> FirstDelay(RandomSource& random) const;
-  // How long after a failure to ask again.
+  // The watch has failed. Returns the delay before the next request, or nullopt as above.
   std::optional<Time> OnFailure(RandomSource& random);
+  // A list has arrived.
   void OnList(EndpointListScope scope);
-  // Whether a watch has to be opened now; it then counts as open until it fails.
+  // Returns true if no watch is open, and marks it as open until the next failure.
   bool OpenWatch();
 
  private:
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -46,13 +46,14 @@
   });
 }
 
-// Nothing known of it holds any more, but for attempts whose outcomes are still to come.
+// Resets a replica that has restarted, except for the number of its attempts, whose outcomes are still to
+// come. Also initializes a new replica.
 void Fleet::ResetAfterRestart(Replica& replica, Time now, RandomSource& random) {
   const int in_flight = replica.in_flight;
   sibling_in_flight_ -= replica.sibling_in_flight;
   replica = Replica{};
   replica.in_flight = in_flight;
-  // Nodes hear of a start together: their first dispatches are spread over time.
+  // All nodes learn of a start at the same time. A random number of tokens spreads their first dispatches.
   replica.slow_start_tokens = random.Next();
   replica.slow_start_updated_at = now;
 }
--- a/src/policy/fleet.h
+++ b/src/policy/fleet.h
@@ -1,6 +1,6 @@
-// The replicas that this node knows of, and how many attempts are in flight at them. Takes endpoint lists;
-// a replica that is listed no more stays until the last attempt there has ended. Owns the replicas: pointers
-// stay valid until Apply or RemoveIfUnlisted takes the replica out.
+// The replicas that this node knows and the number of attempts in flight at them. The replicas come from
+// endpoint lists. A replica that is no longer listed stays until the last attempt there has ended. Fleet owns
+// the replicas: pointers to them stay valid until Apply or RemoveIfUnlisted removes the replica.
 #pragma once
 
 #include <cstddef>
@@ -15,40 +15,42 @@
 
 class Fleet {
  public:
-  // Takes a list of any scope but kFailed.
+  // Applies an endpoint list of any scope except kFailed.
   void Apply(const EndpointList& list, Time now, RandomSource& random);
 
-  // Null: not known.
+  // Returns null if the replica is not known.
   const Replica* Find(ReplicaId id) const;
   Replica* Find(ReplicaId id) { return const_cast<Replica*>(std::as_const(*this).Find(id)); }
 
-  // By id.
+  // Sorted by id.
   const std::vector<std::unique_ptr<Replica>>& replicas() const { return replicas_; }
   std::size_t size() const { return replicas_.size(); }
 
-  // Whether it is so large that a dispatch looks at a sample of it and limits are updated by time: looking at
-  // every replica for every request would cost more the more there are.
+  // Whether the fleet is so large that a dispatch considers only a sample of it and limits are updated at
+  // intervals, because the cost of considering every replica for every request grows with their number.
   bool UsesSampling() const { return replicas_.size() > kMaxFullScan; }
 
   void AttemptSent(Replica& replica);
-  // Null: a replica that is known no more.
+  // `replica` is null if the replica is no longer known.
   void AttemptEnded(Replica* replica);
+  // Removes the replica if it is no longer listed and has no attempt in flight.
   void RemoveIfUnlisted(const Replica& replica);
 
-  // Replaces what is known of another process of this node.
+  // Replaces the numbers of attempts that another process of this node has in flight; see
+  // SiblingInFlightChanged.
   void SetSiblingInFlight(const std::vector<std::pair<ReplicaId, int>>& in_flight);
 
+  // Attempts in flight at all replicas, of this process and together with the other process of this node.
   int own_in_flight() const { return own_in_flight_; }
-  // With those of another process of this node.
   int in_flight() const { return own_in_flight_ + sibling_in_flight_; }
 
  private:
-  static constexpr std::size_t kMaxFullScan = 64;
+  static constexpr std::size_t kMaxFullScan = 64;  // replicas
 
   Replica& FindOrAdd(ReplicaId id, Time now, RandomSource& random);
   void ResetAfterRestart(Replica& replica, Time now, RandomSource& random);
 
-  std::vector<std::unique_ptr<Replica>> replicas_;  // by id
+  std::vector<std::unique_ptr<Replica>> replicas_;  // sorted by id
   int own_in_flight_ = 0;
   int sibling_in_flight_ = 0;
 };
--- a/src/policy/hash_ring.cpp
+++ b/src/policy/hash_ring.cpp
@@ -25,7 +25,7 @@
 std::size_t HashRing::Locate(std::uint64_t key) const {
   const auto first =
       std::lower_bound(points_.begin(), points_.end(), Mix64(key),
-                       [](const auto& point, std::uint64_t place) { return point.first < place; });
+                       [](const auto& point, std::uint64_t position) { return point.first < position; });
   return static_cast<std::size_t>(first - points_.begin());
 }
 
--- a/src/policy/hash_ring.h
+++ b/src/policy/hash_ring.h
@@ -1,6 +1,6 @@
-// Consistent hashing for large fleets: each replica has some points on a ring, at the same places at every
-// node, and a key's preferred replicas are those whose points come next behind the key's own place. Few keys
-// move when a replica comes or goes.
+// Consistent hashing for large fleets: each replica has several points on a ring, at the same positions at
+// every node, and a key's preferred replicas are those whose points follow the key's own position. Few keys
+// move to another replica when a replica is added or removed.
 #pragma once
 
 #include <cstddef>
@@ -16,20 +16,22 @@
  public:
   static constexpr int kPointsPerReplica = 8;
 
-  // The replicas have changed: pointers of the ring are used no more until it is rebuilt.
+  // Must be called when the replicas have changed, because the ring holds pointers to them. The ring must
+  // then be rebuilt before it is used.
   void Invalidate() { valid_ = false; }
-  // From the ready replicas, if it has been invalidated.
+  // Rebuilds the ring from the ready replicas if it has been invalidated.
   void RebuildIfInvalid(const Fleet& fleet);
 
-  // In points.
+  // The number of points.
   std::size_t size() const { return points_.size(); }
-  // The first point at or behind the key's place; size() if there is none before the ring closes.
+  // Returns the index of the first point at or after the key's position, or size() if there is none, in which
+  // case the next point is the first of the ring.
   std::size_t Locate(std::uint64_t key) const;
-  // The replica of a point; indices go round the ring. The ring is not empty.
+  // Returns the replica of a point. Indices from size() on wrap around. The ring must not be empty.
   Replica& ReplicaAt(std::size_t index) const { return *points_[index % points_.size()].second; }
 
  private:
-  std::vector<std::pair<std::uint64_t, Replica*>> points_;  // by place, then replica
+  std::vector<std::pair<std::uint64_t, Replica*>> points_;  // sorted by position, then by replica id
   bool valid_ = false;
 };
 
--- a/src/policy/hashing.h
+++ b/src/policy/hashing.h
@@ -1,5 +1,5 @@
-// Hash functions that are alike at every node of the tier, so that all nodes rank replicas for a key alike
-// without exchanging messages.
+// Hash functions that give the same results at every node of the tier, so that all nodes rank the replicas
+// for a key in the same order without exchanging messages.
 #pragma once
 
 #include <cmath>
@@ -15,11 +15,11 @@
   return value ^ (value >> 31);
 }
 
-// Maps random bits to (0, 1]. 1 comes only of the 2^11 largest values, where the sum rounds up.
+// Maps random bits to (0, 1]. The result is 1 only for the 2^11 largest values, where the sum rounds up.
 inline double UnitInterval(std::uint64_t bits) { return (static_cast<double>(bits >> 11) + 0.5) * 0x1.0p-53; }
 
-// Weighted rendezvous (highest random weight) hashing: over all keys, a replica has the highest score in
-// proportion to its weight.
+// Weighted rendezvous (highest random weight) hashing: the share of keys for which a replica has the highest
+// score is proportional to its weight.
 inline double RendezvousScore(std::uint64_t key, std::uint32_t replica_id, double weight) {
   return -weight / std::log(UnitInterval(Mix64(key ^ Mix64(replica_id))));
 }
--- a/src/policy/load_reports.cpp
+++ b/src/policy/load_reports.cpp
@@ -6,8 +6,8 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr Time kReportMemory = 2'500'000;
-constexpr double kMaxRelativeLoad = 1.5;  // and no less than one over this
+constexpr Time kReportMemory = 2'500'000;  // a report's weight decays to 1/e in this time
+constexpr double kMaxRelativeLoad = 1.5;   // the lower bound is 1 / this
 
 }  // namespace
 
@@ -45,7 +45,7 @@
   return std::clamp(ComparableLoad(replica, now) / mean, 1 / kMaxRelativeLoad, kMaxRelativeLoad);
 }
 
-// Requests in flight count for more on a slow replica than on a fast one.
+// A request in flight is more load for a slow replica than for a fast one.
 double LoadReports::ComparableLoad(const Replica& replica, Time now) const {
   if (!reports_in_flight_) return replica.reported_load;
   return replica.reported_load * ReplicaSpeed::LoadFactor(-speed_.Slowness(replica, now));
--- a/src/policy/load_reports.h
+++ b/src/policy/load_reports.h
@@ -1,5 +1,5 @@
-// What replicas say of their own load, compared with what the others say: requests in flight where a report
-// holds them, else utilization. A report counts less the older it is.
+// The load that replicas report of themselves, relative to the mean of the reports: requests in flight if the
+// reports contain them, else utilization. A report counts less the older it is.
 #pragma once
 
 #include <vector>
@@ -12,20 +12,20 @@
 
 class LoadReports {
  public:
-  // Both must outlive it.
+  // Both arguments must outlive this object.
   LoadReports(const Settings& settings, const ReplicaSpeed& speed) : settings_(settings), speed_(speed) {}
 
-  // A report in the order of Settings::load_fields; may hold fewer fields, or none.
+  // Stores a report whose numbers are in the order of Settings::load_fields. It may have fewer, or none.
   void Record(Replica& replica, const std::vector<double>& report, Time now);
 
-  // The mean load is over the replicas counted since the last ResetMean.
+  // The mean load is that of the replicas counted since the last ResetMean.
   void ResetMean();
   void CountTowardsMean(const Replica& replica, Time now);
 
   static bool HasReport(const Replica& replica) { return replica.reported_load >= 0; }
-  // The weight, 0 to 1, of the replica's last report.
+  // The weight, 0 to 1, of the replica's last report, by its age.
   static double Freshness(const Replica& replica, Time now);
-  // The replica's load over the mean, within bounds.
+  // The replica's load divided by the mean, within bounds.
   double RelativeLoad(const Replica& replica, Time now) const;
 
  private:
@@ -33,7 +33,7 @@
 
   const Settings& settings_;
   const ReplicaSpeed& speed_;
-  bool reports_in_flight_ = false;  // whether reports hold a number of requests
+  bool reports_in_flight_ = false;  // whether reports contain requests in flight; false: utilization
   double load_sum_ = 0;
   double weight_sum_ = 0;
 };
--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -6,18 +6,18 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr Time kBaseEjection = 1'000'000;  // doubled by each further failure in a row
+constexpr Time kBaseEjection = 1'000'000;  // doubled by each further consecutive failure
 constexpr Time kMaxEjection = 8'000'000;
 constexpr int kMaxDoublings = 6;
-constexpr double kPanicThreshold = 0.4;  // share of the ready replicas
+constexpr double kPanicThreshold = 0.4;  // of the ready replicas
 
 }  // namespace
 
 std::optional<Time> OutlierEjection::RecordFailure(Replica& replica, Outcome outcome, Time now,
                                                    RandomSource& random) {
   ++replica.consecutive_failures;
-  // One failure proves nothing: where now and then a stream comes spoilt from any replica, ejecting each for
-  // it takes more of the fleet away than the failures do. Only what can't be reached is ejected at once.
+  // A single failure proves nothing. Where any replica breaks a stream now and then, ejecting each of them
+  // would cost more capacity than the failures do. Only a replica that can't be reached is ejected at once.
   if (replica.consecutive_failures < 2 && outcome != Outcome::kConnectFailed) return std::nullopt;
   const double doubled = static_cast<double>(kBaseEjection) *
                          std::pow(2.0, std::min(replica.consecutive_failures - 1, kMaxDoublings));
--- a/src/policy/outlier_ejection.h
+++ b/src/policy/outlier_ejection.h
@@ -1,5 +1,6 @@
-// Outlier ejection: a replica that fails gets nothing new for a while, longer with each failure in a row. If
-// too much of the fleet would be ejected at once the cause is shared, and nothing is.
+// Outlier ejection: a replica that fails gets no new attempts for a time that grows with each consecutive
+// failure. If too large a part of the fleet would be ejected at once, the cause is probably a shared one, and
+// no replica is ejected (panic threshold).
 #pragma once
 
 #include <cstddef>
@@ -12,14 +13,14 @@
 
 class OutlierEjection {
  public:
-  // Another failure in a row. The time until which the replica is ejected, if it now is; `outcome` is neither
-  // kServed nor kAtCapacity.
+  // Counts a failure, which must be neither kServed nor kAtCapacity. Returns the time until which the replica
+  // is ejected, or nullopt if this failure does not eject it.
   std::optional<Time> RecordFailure(Replica& replica, Outcome outcome, Time now, RandomSource& random);
 
-  // By own failures or by what other nodes tell.
+  // Whether the replica is ejected after failures that this node or other nodes have seen.
   static bool IsEjected(const Replica& replica, Time now);
 
-  // Ejections count only while no more than the panic threshold of the ready replicas is ejected.
+  // Ejections are enforced only while the share of ejected replicas is within the panic threshold.
   void UpdatePanic(std::size_t ejected, std::size_t ready);
   bool is_enforced() const { return enforced_; }
   bool MayDispatch(const Replica& replica, Time now) const { return !enforced_ || !IsEjected(replica, now); }
