--- a/src/policy/prefix_affinity.cpp
+++ b/src/policy/prefix_affinity.cpp
@@ -12,20 +12,23 @@
 
 // Traffic by key.
 constexpr Time kLongTermMemory = 60'000'000;
-constexpr Time kShortTermMemory = 5'000'000;  // when watching for a key that turns hot
-constexpr double kMinArrivals = 8.0;          // shares are of at least so many
+constexpr Time kShortTermMemory = 5'000'000;  // for detecting that a key gets hot
+constexpr double kMinArrivals = 8.0;          // a share is computed of at least this many arrivals
+// Keys with fewer than kMinTrafficToKeep arrivals are removed once there are more than kMinKeysToPrune keys
+// and more than kKeysPerArrivalToPrune for each counted arrival.
 constexpr std::size_t kMinKeysToPrune = 1024;
 constexpr std::size_t kKeysPerArrivalToPrune = 4;
-constexpr double kMinTrafficToKeep = 0.3;  // arrivals
+constexpr double kMinTrafficToKeep = 0.3;
 
-// Preferred replicas: the key's share of the traffic in replicas, times this.
+// Preferred replicas of a key: its share of the traffic times the number of replicas, times this.
 constexpr double kPreferredSpread = 4.0;
 
 // Cached prefixes.
-constexpr Time kCacheLifetime = 30'000'000;  // what was sent to a replica is taken to be cached so long
+constexpr Time kCacheLifetime = 30'000'000;  // a prompt is taken to stay in a replica's cache for this long
 constexpr std::size_t kMaxCachedPrefixes = 16384;
-constexpr double kPrefixHitProbability = 0.7;   // of a preferred replica not sent the prefix from here
-constexpr double kSessionHitProbability = 0.5;  // the same of a session's whole prompt
+// The probability that a preferred replica to which this node has not sent the prefix has it in its cache.
+constexpr double kPrefixHitProbability = 0.7;
+constexpr double kSessionHitProbability = 0.5;  // the same for the whole prompt of a session
 
 }  // namespace
 
@@ -51,7 +54,8 @@
   tier_traffic_ = {shares.begin(), shares.end()};
 }
 
-// What has been seen once or twice may be chance, so that much is taken off.
+// Two standard deviations are subtracted from the count, because a key seen once or twice may be there by
+// chance.
 double PrefixAffinity::RecentTrafficShareOf(std::uint64_t key, Time now) const {
   if (const auto tier = tier_traffic_.find(key); tier != tier_traffic_.end()) return tier->second;
   const auto traffic = key_traffic_.find(key);
@@ -61,8 +65,9 @@
   return std::clamp((count - 2 * std::sqrt(count)) / std::max(kMinArrivals, arrivals), 0.0, 1.0);
 }
 
-// Departure: nothing is taken off in a large tier. Each node sees few requests, would take a hot prefix for
-// cold, and all would send it to the same one preferred replica; there a share starts wide and narrows.
+// Departure: nothing is subtracted in a large tier. Each node sees few requests there, so it would take a hot
+// prefix for a cold one, and all nodes would send it to its one preferred replica. Without the subtraction a
+// prefix starts with several preferred replicas, and with fewer as more requests are counted.
 double PrefixAffinity::TrafficShareOf(std::uint64_t key, Time now) const {
   if (const auto tier = tier_traffic_.find(key); tier != tier_traffic_.end()) return tier->second;
   const auto traffic = key_traffic_.find(key);
@@ -74,7 +79,7 @@
   return std::clamp(std::max(RecentTrafficShareOf(key, now), share), 0.0, 1.0);
 }
 
-// Powers of two: nodes whose counts differ a little still agree.
+// Rounded up to a power of two, so that nodes whose counts differ a little still agree.
 std::size_t PrefixAffinity::PreferredCount(double traffic_share, std::size_t replicas, std::size_t max) {
   const double wanted = traffic_share * static_cast<double>(replicas) * kPreferredSpread;
   return std::min(max, std::bit_ceil(static_cast<std::size_t>(std::max(1.0, wanted))));
--- a/src/policy/prefix_affinity.h
+++ b/src/policy/prefix_affinity.h
@@ -1,5 +1,6 @@
-// Which replicas have cached a request's prompt prefix. Each session and each shared prefix (a key) has
-// preferred replicas, more of them the more traffic it has; and this node remembers what it has sent where.
+// Estimates which replicas have a request's prompt prefix in their cache. Each session and each shared prefix
+// (a key) has preferred replicas, and more of them the more traffic it has. This node also remembers which
+// prompts it has sent to which replica.
 #pragma once
 
 #include <cstddef>
@@ -15,46 +16,50 @@
 
 namespace ryeglade::policy {
 
-// What makes it likely that a replica has cached a prompt that this node has not sent there.
+// Why a replica is likely to have cached a prompt although this node has not sent it there.
 struct Affinity {
-  bool prefix_preferred = false;   // a preferred replica of the request's shared prefix
-  bool session_preferred = false;  // and of its session
-  bool session_is_hot = false;     // the session has several preferred replicas, each as good
+  bool prefix_preferred = false;   // it is a preferred replica of the request's shared prefix
+  bool session_preferred = false;  // it is a preferred replica of the request's session
+  bool session_is_hot = false;     // the session has several preferred replicas, all equally suitable
 };
 
 class PrefixAffinity {
  public:
-  // The settings must outlive it.
+  // The settings must outlive this object.
   explicit PrefixAffinity(const Settings& settings) : settings_(settings) {}
 
   void CountArrival(const RequestArrived& request, Time now);
-  // Shares of the tier's traffic, which replace what this node has counted itself.
+  // Sets shares of the tier's traffic by key. They replace the earlier ones, and are used instead of what
+  // this node has counted for these keys.
   void SetTierTraffic(const std::vector<std::pair<std::uint64_t, double>>& shares);
 
-  // A key's share, 0 to 1, of this node's traffic, which stands for its share of all. The recent one tells a
-  // key that turns hot only.
+  // A key's share, 0 to 1, of this node's traffic, as an estimate of its share of all traffic. The recent
+  // share has a short memory and is 0 for a key with few recent arrivals; it detects a key that gets hot.
   double TrafficShareOf(std::uint64_t key, Time now) const;
   double RecentTrafficShareOf(std::uint64_t key, Time now) const;
 
-  // How many of `replicas` a key with this share of the traffic prefers; at most `max`.
+  // The number of preferred replicas, out of `replicas`, of a key with this share of the traffic; at most
+  // `max`.
   static std::size_t PreferredCount(double traffic_share, std::size_t replicas, std::size_t max);
-  // Whether that would be more than one.
+  // Whether a key with this share of the traffic has more than one preferred replica.
   static bool IsHot(double traffic_share, double replicas);
 
-  // The tokens of the prompt that the replica is expected to have to read, as they are not in its cache.
+  // The number of prompt tokens that the replica is expected to prefill, because they are not in its cache.
   double TokensToPrefill(const RequestArrived& request, const Replica& replica, const Affinity& affinity,
                          Time now) const;
-  // From here on the replica has cached the whole prompt.
+  // From here on the replica is taken to have the whole prompt in its cache.
   void RecordDispatch(const RequestArrived& request, ReplicaId replica, Time now);
 
   void ExportTo(LearnedState& state) const;
   void RestoreFrom(const LearnedState& state);
 
  private:
+  // The tokens of the key's prefix that this node has sent to the replica and that should still be cached
+  // there.
   double CachedTokens(std::uint64_t key, const Replica& replica, Time now) const;
 
   const Settings& settings_;
-  std::unordered_map<std::uint64_t, double> tier_traffic_;  // shares by key
+  std::unordered_map<std::uint64_t, double> tier_traffic_;  // shares of the tier's traffic, by key
   std::unordered_map<std::uint64_t, LearnedState::KeyTraffic> key_traffic_;
   DecayingCounter arrivals_long_term_;
   DecayingCounter arrivals_short_term_;
--- a/src/policy/queue_order.h
+++ b/src/policy/queue_order.h
@@ -1,5 +1,5 @@
 // The order in which queued requests are dispatched: shortest estimated runtime first, with a bound on how
-// long a request that is large for its class gives way to others. Pure; times in microseconds.
+// long a request that is large for its class is delayed behind others. Times are microseconds.
 #pragma once
 
 #include <algorithm>
@@ -10,37 +10,40 @@
 
 namespace ryeglade::policy {
 
-// A request overtakes an earlier one whose runtime is longer by more than one part in so many of the time
-// between their arrivals.
+// A request overtakes an earlier one if its runtime is shorter by more than the time between their arrivals
+// divided by this factor.
 inline constexpr double kAgingFactor = 6.0;
-// A request gives way to usual ones of its class that came later by at most this part of the time that it had
-// until its latency objective. Without a bound, one that is many times as large as usual gives way to all
-// that come for as long as its client waits. Half of the time cost 0.018 of the simulator's score, the whole
-// of it 0.004.
+// A large request lets typical requests of its class overtake it that arrive up to this part of its latency
+// objective later. Without a bound, a request many times as large as typical ones is overtaken for as long as
+// its client waits. A bound of 0.5 costs 0.018 of the simulator's score, 1.0 costs 0.004.
 inline constexpr double kMaxDelayShare = 1.0;
 
 struct QueuedRequest {
   Time arrived = 0;
-  Time until_objective = 0;    // from its arrival
-  double runtime = 0;          // estimated
-  double typical_runtime = 0;  // of its class
+  Time until_objective = 0;    // time from its arrival to its latency objective
+  double runtime = 0;          // estimated runtime
+  double typical_runtime = 0;  // mean runtime of its class
 };
 
-// Requests leave in the order of this key, the smallest first.
+// Requests are dispatched in ascending order of this key.
 inline double QueueKey(const QueuedRequest& request) {
   const double bound = kAgingFactor * request.typical_runtime +
                        kMaxDelayShare * static_cast<double>(std::max<Time>(0, request.until_objective));
   return static_cast<double>(request.arrived) + std::min(kAgingFactor * request.runtime, bound);
 }
 
-// Requests of a later tier wait for all of the earlier ones.
-enum class PriorityTier : std::uint8_t { kOrdinary, kOverQuota, kObjectiveMissed };
+// Requests of a later tier wait for all requests of the earlier tiers.
+enum class PriorityTier : std::uint8_t {
+  kOrdinary,
+  kOverQuota,       // beyond the quota of its tenant
+  kObjectiveMissed  // can no longer meet its latency objective
+};
 
-// Where a request stands in the queue.
+// A request's position in the queue; members are compared in the order of their declaration.
 struct QueuePosition {
   PriorityTier tier = PriorityTier::kOrdinary;
   double key = 0;
-  std::uint64_t order = 0;  // of entering the queue
+  std::uint64_t order = 0;  // counts up with each request that is enqueued
   RequestId id = 0;
   auto operator<=>(const QueuePosition&) const = default;
 };
--- a/src/policy/random_source.h
+++ b/src/policy/random_source.h
@@ -1,4 +1,4 @@
-// A seeded sequence of uniform random numbers: the same seed yields the same decisions.
+// A seeded sequence of uniformly distributed random numbers. The same seed yields the same sequence.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
  public:
   explicit RandomSource(std::uint64_t seed) : state_(Mix64(seed)) {}
 
-  // The next number in (0, 1].
+  // Returns the next number, in (0, 1].
   double Next() {
     state_ = Mix64(state_);
     return UnitInterval(state_);
--- a/src/policy/replica.h
+++ b/src/policy/replica.h
@@ -1,5 +1,5 @@
-// A replica as the decision module keeps it: what the endpoint list says, what this node has learned and has
-// in flight there, and what other nodes report of it. Owned by Fleet. Times are microseconds.
+// The decision module's state of a replica: its entry in the endpoint list, what this node has learned of it
+// and has in flight there, and what other nodes report of it. Owned by Fleet. Times are microseconds.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,13 @@
 
 struct Replica : ReplicaView {
   bool ready = false;             // listed, and neither draining nor removed
-  bool listed = false;            // else it stays only until its last attempt has ended
-  int sibling_in_flight = 0;      // attempts of another process of this node, across a hot restart
-  PeerReplicaReport peer_report;  // what the other nodes of the tier know of it
-  Time peer_report_at = 0;        // 0: no report
-  std::uint64_t last_search = 0;  // the last search of ReplicaSelector that took it as a candidate
+  bool listed = false;            // false: it is removed when its last attempt has ended
+  int sibling_in_flight = 0;      // attempts of the other process of this node, during a hot restart
+  PeerReplicaReport peer_report;  // latest report of the other nodes of the tier
+  Time peer_report_at = 0;        // time of that report; 0: none
+  std::uint64_t last_search = 0;  // number of the last search of CandidateFinder that made it a candidate
 
-  // Attempts that count against this node's limit and are not its own process's.
+  // Attempts of other processes that count against this node's limit.
   double in_flight_elsewhere() const { return sibling_in_flight + peer_report.orphaned_in_flight; }
 };
 
--- a/src/policy/replica_limits.cpp
+++ b/src/policy/replica_limits.cpp
@@ -8,9 +8,9 @@
 namespace ryeglade::policy {
 namespace {
 
-// Between two recomputations of a fleet that is sampled, for each replica.
+// Minimum time between two recomputations in a sampled fleet, in microseconds for each replica.
 constexpr Time kUpdateIntervalPerReplica = 10;
-// Standard deviations by which one of many nodes may exceed its share of a limit.
+// Standard deviations by which a node may exceed its share of a replica's limit if there are other nodes.
 constexpr double kShareDeviations = 2;
 
 }  // namespace
@@ -45,9 +45,9 @@
   for (const auto& replica : in_.fleet.replicas()) {
     replica->concurrency_limit = 0;
     if (!replica->ready || !in_.ejection.MayDispatch(*replica, now)) continue;
-    // The base limit already tells how slow the fleet as a whole is; speed divides it among the replicas.
-    // Were it to count twice, all limits would shrink as soon as long answers follow the short ones that are
-    // back first.
+    // The base limit already reflects how slow the fleet is as a whole, so only the difference from the mean
+    // slowness counts here. Otherwise all limits would shrink after a start, when the short answers are
+    // complete first and the long ones follow.
     const double speed = ReplicaSpeed::LoadFactor(in_.speed.Slowness(*replica, now) - mean_slowness);
     const double warm_fraction = in_.slow_start.Fraction(*replica, now);
     replica->concurrency_limit =
@@ -70,10 +70,12 @@
 
 bool ReplicaLimits::HasCapacity(const Replica& replica, Time now) const {
   if (replica.concurrency_limit <= 0 || replica.at_capacity_until > now) return false;
-  if (replica.consecutive_failures > 1 && replica.in_flight > 0) return false;  // on trial: one at a time
+  // After repeated failures the replica gets one attempt at a time until it has served one.
+  if (replica.consecutive_failures > 1 && replica.in_flight > 0) return false;
   if (!in_.slow_start.MayDispatch(replica, now)) return false;
-  // A limit of half a request is a mean over all nodes' shares; each node's own deviation evens out with the
-  // others', and the total limit bounds them together. Alone, a node sees the whole and keeps to it.
+  // A node's share of a limit, possibly less than one attempt, is the mean over all nodes. A node may deviate
+  // from it, as the deviations of the nodes cancel out and the sum of the limits bounds them together. A
+  // single node has the whole limit and no deviation.
   const double others_share = 1 - 1.0 / in_.traffic_share.equivalent_nodes();
   const double deviation = kShareDeviations * std::sqrt(replica.concurrency_limit * others_share);
   return replica.in_flight + replica.in_flight_elsewhere() <
--- a/src/policy/replica_limits.h
+++ b/src/policy/replica_limits.h
@@ -1,6 +1,7 @@
-// The concurrency limit of each replica and their sum. This node's share of a replica's limit is a real
-// number: the base limit that adaptive concurrency has learned, times the replica's speed, less what "at
-// capacity" answers, ejection and slow start take off. Writes Replica::concurrency_limit.
+// Computes the concurrency limit of each replica (Replica::concurrency_limit) and their sum. This node's
+// share of a replica's limit need not be an integer. It is the base limit that adaptive concurrency has
+// learned, times a factor for the replica's speed, reduced after "at capacity" answers and during slow start,
+// and 0 while the replica is ejected.
 #pragma once
 
 #include <vector>
@@ -17,34 +18,36 @@
 
 class ReplicaLimits {
  public:
-  // All must outlive it.
+  // All members must outlive the ReplicaLimits.
   struct Inputs {
     const Fleet& fleet;
     const TrafficShare& traffic_share;
     const AdaptiveConcurrency& concurrency;
     const ReplicaSpeed& speed;
     const SlowStart& slow_start;
-    OutlierEjection& ejection;  // its panic threshold goes by the ready replicas counted here
-    LoadReports& load_reports;  // their mean, of a fleet that is sampled, is over the replicas with a limit
+    OutlierEjection& ejection;  // Update gives it the numbers of ready and ejected replicas
+    LoadReports&
+        load_reports;  // in a sampled fleet, Update sets their mean to that of the available replicas
   };
   explicit ReplicaLimits(const Inputs& inputs) : in_(inputs) {}
 
   // Recomputes the limits unless they are up to date.
   void Update(Time now);
-  // The next Update recomputes them.
+  // Makes the next Update recompute the limits.
   void Invalidate() { updated_at_ = kNever; }
-  // The same, but limits of a fleet that is sampled may be a little old: they are recomputed by time, not for
-  // each thing learned.
+  // The same, except in a sampled fleet, whose limits may be slightly out of date: they are recomputed at
+  // intervals rather than after each outcome.
   void InvalidateUnlessSampling();
-  // Takes a replica out until the next recomputation.
+  // Sets the replica's limit to 0 until the next recomputation.
   void Exclude(Replica& replica);
 
-  // Whether the replica may get another attempt now, whatever the request.
+  // Whether another attempt may be sent to the replica now, regardless of the request.
   bool HasCapacity(const Replica& replica, Time now) const;
 
+  // The sum of all limits.
   double total() const { return total_; }
-  // Of a fleet that is sampled: the replicas that had a limit at the last recomputation. Invalidate after the
-  // fleet has changed.
+  // In a sampled fleet, the replicas that had a limit at the last recomputation; else empty. Call Invalidate
+  // after the fleet has changed.
   const std::vector<Replica*>& available() const { return available_; }
 
  private:
--- a/src/policy/replica_selector.cpp
+++ b/src/policy/replica_selector.cpp
@@ -6,17 +6,18 @@
 namespace ryeglade::policy {
 namespace {
 
-// What a request costs, in prompt tokens.
-constexpr double kMinCost = 300;
-constexpr double kCrossZoneCost = 800;  // at the usual penalty
+// The cost of a request, in prompt tokens.
+constexpr double kMinCost = 300;        // added to the tokens to prefill
+constexpr double kCrossZoneCost = 800;  // added for another zone, if the penalty is kUsualCrossZonePenalty
 constexpr double kUsualCrossZonePenalty = 0.08;
-constexpr double kRetryCostFactor =
-    5;  // where it was tried before: somewhere else, if there is anywhere else
+constexpr double kRetryCostFactor = 5;  // for a replica that was tried before, so that any other is preferred
 
-constexpr double kSlowReplicaLoad = 0.5;  // how far a replica slower than its kind is taken to be fuller
-constexpr double kMaxUtilization = 0.8;   // replicas are not taken to be fuller than this unless they say so
+// A replica slower than its kind by a factor f is assumed to be utilized f^kSlowReplicaLoad times as much.
+constexpr double kSlowReplicaLoad = 0.5;
+constexpr double kMaxUtilization = 0.8;  // upper bound of the utilization assumed without reports
 constexpr double kMinSpareShare = 0.01;
-constexpr double kTieTolerance = 0.02;  // scores closer than this are a tie, drawn by limit
+// Among the scores this close to the best, the replica is drawn at random, weighted by limit.
+constexpr double kTieTolerance = 0.02;
 
 }  // namespace
 
@@ -59,8 +60,8 @@
   return spare / Cost(candidate, slowness, context);
 }
 
-// What other nodes have there is not seen: as much as here on average, more where answers are slow, or what
-// the replica reports.
+// The attempts of other nodes are not visible here. Their utilization of a replica is estimated by this
+// node's mean utilization, higher for a replica that answers slowly, or by the load that the replica reports.
 double ReplicaSelector::OthersUtilization(const Replica& replica, double slowness,
                                           const Context& context) const {
   const double slower_than_kind = slowness - in_.speed.KindSlowness(replica.endpoint.kind);
@@ -71,8 +72,8 @@
          (1 - freshness) * unreported;
 }
 
-// What must be read before the request's first token comes: the prompts that came before it, and what of its
-// own is not cached there.
+// The tokens to prefill before the request's first token: those of the attempts ahead of it, and those of its
+// own prompt that are not cached there. Weighted by slowness, zone and earlier attempts.
 double ReplicaSelector::Cost(const Candidate& candidate, double slowness, const Context& context) const {
   const Replica& replica = *candidate.replica;
   const Affinity affinity = {candidate.prefix_preferred, candidate.session_preferred, context.session_is_hot};
--- a/src/policy/replica_selector.h
+++ b/src/policy/replica_selector.h
@@ -1,6 +1,6 @@
-// Chooses the replica for a dispatch: the one with most spare capacity, counted in requests like this one. A
-// request takes what must be read before its first token comes, so where its prompt is cached more of them
-// fit.
+// Chooses the replica for a dispatch: the one with the most spare capacity, measured in requests like this
+// one. The cost of a request is the number of tokens to prefill before its first token, so a replica that has
+// cached its prompt has room for more of them.
 #pragma once
 
 #include <vector>
@@ -17,7 +17,7 @@
 
 class ReplicaSelector {
  public:
-  // All must outlive it.
+  // All members must outlive the ReplicaSelector.
   struct Inputs {
     const Settings& settings;
     const Fleet& fleet;
@@ -31,25 +31,26 @@
   };
   explicit ReplicaSelector(const Inputs& inputs);
 
-  // The replicas of the fleet have changed.
+  // Must be called after the replicas of the fleet have changed.
   void OnFleetChanged() { finder_.InvalidateRing(); }
 
-  // Null: no replica that the request may be sent to has spare capacity. The limits are up to date.
+  // Returns null if no replica to which the request may be sent has spare capacity. The limits must be up to
+  // date.
   Replica* Select(const Request& request, Time now);
 
-  // The following are of the request and the replica that Select has chosen last.
+  // The following two must be called with the request of the last Select and the replica that it returned.
 
-  // The tokens of the prompt that the replica is expected to read.
+  // The number of prompt tokens that the replica is expected to prefill.
   double TokensToPrefill(const Request& request, const Replica& chosen, Time now) const;
-  // What the choice rested on.
+  // The figures by which the replica was chosen.
   DispatchRecord Describe(const Request& request, const Replica& chosen, Time now) const;
 
  private:
-  // What all candidates of a request are scored by.
+  // The inputs to the scores that are the same for all candidates of a request.
   struct Context {
     const Request& request;
     Time now;
-    double utilization;  // of this node's limits, which stands for the other nodes' as well
+    double utilization;  // of this node's limits, taken as an estimate for the other nodes as well
     bool session_is_hot;
   };
 
--- a/src/policy/replica_speed.cpp
+++ b/src/policy/replica_speed.cpp
@@ -9,10 +9,12 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr Time kReplicaMemory = 10'000'000;  // a replica's own answers decay this fast: load moves
-constexpr Time kZoneMemory = 5'000'000;      // and what a zone's answers tell of it as a whole
-constexpr double kKindMemory = 400;          // answers that a kind's average looks back on
-constexpr double kSpeedPower = 1.7;  // one twice as slow gets this power of half: objectives are absolute
+constexpr Time kReplicaMemory = 10'000'000;  // decay time of a replica's own answers, as its load changes
+constexpr Time kZoneMemory = 5'000'000;      // decay time of a zone's answers
+constexpr double kKindMemory = 400;          // answers over which a kind's slowness is averaged
+// A replica f times as slow gets f^-kSpeedPower of the load. It gets less than in proportion to its speed,
+// because latency objectives are absolute.
+constexpr double kSpeedPower = 1.7;
 
 }  // namespace
 
@@ -23,8 +25,8 @@
   return k < slowness_by_kind_.size() ? slowness_by_kind_[k].Shrunk(0, kPriorWeight) : 0;
 }
 
-// Where traffic is unequal a zone is overrun as a whole, and a node of many sees too few answers of each
-// replica to learn that one by one.
+// Uneven traffic can overload all replicas of a zone, and a node of a large tier sees too few answers of each
+// replica to learn that replica by replica.
 double ReplicaSpeed::ZoneSlowness(int zone, Time now) const {
   if (!IsLargeTier(settings_)) return 0;
   const auto z = static_cast<std::size_t>(zone);
--- a/src/policy/replica_speed.h
+++ b/src/policy/replica_speed.h
@@ -1,5 +1,6 @@
-// How slow each replica is: ln(observed / expected runtime), 0 for one of ordinary speed. A replica's own
-// answers count, beside what its kind and (in a large tier) its zone have shown and what other nodes report.
+// How slow each replica is: ln(observed / expected runtime), 0 for a replica of ordinary speed. The estimate
+// combines the replica's own answers, those of its kind and (in a large tier) its zone, and the reports of
+// other nodes.
 #pragma once
 
 #include <vector>
@@ -12,24 +13,24 @@
 
 class ReplicaSpeed {
  public:
-  // Bounds of one answer: it counts as at most e^2 times slower or faster than expected.
+  // Bound of one answer, as ln: it counts as at most e^2 times slower or faster than expected.
   static constexpr double kMaxSlowness = 2.0;
-  // Answers that a replica's kind and zone are worth against its own.
+  // The weight of the estimate from a replica's kind and zone, as a number of its own answers.
   static constexpr double kPriorWeight = 8;
 
-  // The settings must outlive it.
+  // The settings must outlive this object.
   explicit ReplicaSpeed(const Settings& settings) : settings_(settings) {}
 
   double Slowness(const Replica& replica, Time now) const;
   double KindSlowness(int kind) const;
-  // The share of load of a replica of this slowness, against one of ordinary speed.
+  // The share of the load that a replica of this slowness gets, relative to one of ordinary speed.
   static double LoadFactor(double slowness);
 
-  // One answer of the replica took e^log_ratio times as long as expected. While a replica warms up its
-  // answers tell nothing of its kind.
+  // One answer of the replica took e^log_ratio times as long as expected. The answers of a replica that is
+  // warming up are not counted for its kind.
   void Learn(Replica& replica, double log_ratio, Time now, bool warming_up);
 
-  // After a change of the settings' numbers of kinds and zones.
+  // Must be called after the settings' numbers of kinds and zones have changed.
   void ResizeTables();
   void ExportTo(LearnedState& state) const;
   void RestoreFrom(const LearnedState& state);
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -5,8 +5,9 @@
 namespace ryeglade::policy {
 namespace {
 
-// A repeat is decided so long before its window ends: the node may be held up between its clock and the write
-// (0.15 s), and clocks of replicas start when the first attempt's last byte arrives, never earlier.
+// A repeat must be decided at least this long before the deduplication window ends, because up to 0.15 s may
+// pass between the node reading its clock and writing the request. The clocks of the replicas need no margin:
+// a replica's window starts when the last byte of the first attempt arrives, which is never earlier.
 constexpr Time kDedupWindowMargin = 160'000;
 
 }  // namespace
@@ -37,7 +38,7 @@
   const bool by_zone = settings.dedup_scope == DedupScope::kZone;
   for (const Attempt& attempt : request.attempts) {
     if (!attempt.may_have_run) continue;
-    // A zone or cell that is not known (below 0) may be any.
+    // An unknown zone or cell (below 0) may differ from any other.
     const int scope = by_zone ? attempt.zone : attempt.cell;
     const int next_scope = by_zone ? replica.endpoint.zone : replica.endpoint.cell;
     if (scope < 0 || scope != next_scope) return false;
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -1,5 +1,6 @@
-// When a request may be sent again. An attempt that may have run is repeated only where that does no harm:
-// the class is idempotent, or the replica recognises the repeat by its idempotency key. Microseconds.
+// Decides when a request may be sent again. A request that may have been executed is repeated only where that
+// is harmless: its class is idempotent, or the replica recognises the repeat by its idempotency key. Times
+// are microseconds.
 #pragma once
 
 #include <algorithm>
@@ -16,14 +17,15 @@
 
 class RetryPolicy {
  public:
-  // The settings must outlive it.
+  // The settings must outlive this object.
   explicit RetryPolicy(const Settings& settings) : settings_(settings) {}
 
-  // Whether another attempt may be sent now, if the replica is right.
+  // Whether another attempt may be sent now to at least some replicas.
   bool MaySend(const Request& request, Time now) const;
-  // Whether it may be sent to this replica.
+  // Whether another attempt may be sent now to this replica.
   bool MaySendTo(const Request& request, const Replica& replica, Time now) const;
-  // Within how long the next attempt must be written, as repeats are recognised only so long; 0: no bound.
+  // The time within which the next attempt must be written, because replicas recognise it as a repeat only
+  // for a limited time; 0: no bound.
   Time WriteWithin(const Request& request, Time now) const;
   // Whether a client may be told that sending the request again is harmless.
   bool MayReject(const Request& request) const;
@@ -36,7 +38,7 @@
   const Settings& settings_;
 };
 
-// Bounds retries after failures to a share of the requests.
+// Limits retries after failures to a share of the requests.
 class RetryBudget {
  public:
   void AddRequest() { retries_ = std::min(kMaxRetries, retries_ + kRetriesPerRequest); }
@@ -48,7 +50,7 @@
 
  private:
   static constexpr double kRetriesPerRequest = 0.3;
-  static constexpr double kMaxRetries = 10;  // that can be saved up
+  static constexpr double kMaxRetries = 10;  // the most that can be saved up
 
   double retries_ = kMaxRetries / 2;
 };
--- a/src/policy/runtime_estimator.cpp
+++ b/src/policy/runtime_estimator.cpp
@@ -6,10 +6,10 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr double kSampleMemory = 200;  // answers that a bucket's average looks back on
-constexpr double kParentWeight = 4;    // answers a coarser bucket is worth while a finer one has few
+constexpr double kSampleMemory = 200;  // answers over which a bucket is averaged
+constexpr double kParentWeight = 4;    // weight of the coarser bucket's mean, as a number of answers
 
-// Each level divides the buckets of the one before.
+// Each level subdivides the buckets of the level before.
 enum BucketLevel : std::uint32_t { kAll, kByClass, kByPromptLength, kByAnswerAndPrefixLength, kLevelCount };
 
 std::uint32_t LengthBucket(double tokens) {
@@ -31,7 +31,7 @@
 
 void RuntimeEstimator::Estimate(Request& request) const {
   const std::size_t c = request.class_index();
-  // Before anything was served.
+  // The estimate before any request was served.
   double estimate = static_cast<double>(settings_.classes[c].latency_objective);
   for (std::uint32_t level = kAll; level < kLevelCount; ++level) {
     const auto bucket = runtime_by_bucket_.find(BucketKey(request.arrival, level));
@@ -44,7 +44,7 @@
   if (request.arrival.cost_hint <= 0 || runtime_per_hint_[c].samples <= kParentWeight) return;
   request.runtime_by_hint =
       std::max(1.0, runtime_per_hint_[c].mean * static_cast<double>(request.arrival.cost_hint));
-  // Either estimate counts by how well it has done so far.
+  // The two estimates are weighted by how accurate they have been so far.
   const double hint_weight =
       (bucket_error_[c].mean + 1e-6) / (bucket_error_[c].mean + hint_error_[c].mean + 2e-6);
   request.estimated_runtime = std::exp(hint_weight * std::log(request.runtime_by_hint) +
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr double kSafetyMargin = 0.4;     // part of the overload factor that all nodes together use
-constexpr Time kRateMemory = 20'000'000;  // of the rate of dispatches
-constexpr double kMaxTokens = 1.0;
+constexpr Time kRateMemory = 20'000'000;  // decay time of the dispatches counted for their rate
+constexpr double kMaxTokens = 1.0;        // the most that can be saved up
 
 }  // namespace
 
@@ -28,10 +28,10 @@
   if (IsWarmingUp(replica, now)) replica.slow_start_tokens -= 1;
 }
 
-void SlowStart::EarnTokens(Replica& replica, double fraction, double share, Time now) const {
+void SlowStart::EarnTokens(Replica& replica, double fraction, double warm_rate, Time now) const {
   replica.slow_start_tokens =
       std::min(kMaxTokens, replica.slow_start_tokens +
-                               kSafetyMargin * settings_.overload_factor * fraction * share *
+                               kSafetyMargin * settings_.overload_factor * fraction * warm_rate *
                                    static_cast<double>(now - replica.slow_start_updated_at) / 1e6);
   replica.slow_start_updated_at = now;
 }
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,6 +1,6 @@
-// Slow start of replicas that warm up after they have started: their capacity rises with their age, and all
-// nodes of the tier together must stay inside it. Each node earns tokens for such a replica at its share of
-// the rate that the replica can take now, and spends one a dispatch.
+// Slow start of replicas that warm up after their start: their capacity rises with their age, and all nodes
+// of the tier together must stay within it. For each such replica a node earns tokens at its share of the
+// rate that the replica can take now, and spends one token for each dispatch.
 #pragma once
 
 #include "replica.h"
@@ -11,21 +11,21 @@
 
 class SlowStart {
  public:
-  // The settings must outlive it.
+  // The settings must outlive this object.
   explicit SlowStart(const Settings& settings) : settings_(settings) {}
 
-  // What part of its full capacity the replica has now; 1: it has warmed up.
+  // The part of its full capacity that the replica has now; 1: it has warmed up.
   double Fraction(const Replica& replica, Time now) const;
   bool IsWarmingUp(const Replica& replica, Time now) const { return Fraction(replica, now) < 1; }
 
   // Whether the replica has warmed up or there is a token for a dispatch to it.
   bool MayDispatch(const Replica& replica, Time now) const;
   void RecordDispatch(Replica& replica, Time now);
-  // Adds the tokens earned since the last time. `share` is the rate of dispatches a second that a replica
-  // that has warmed up gets from this node.
-  void EarnTokens(Replica& replica, double fraction, double share, Time now) const;
+  // Adds the tokens earned since the last call. `fraction` is as returned by Fraction, and `warm_rate` is the
+  // number of dispatches per second that a replica which has warmed up gets from this node.
+  void EarnTokens(Replica& replica, double fraction, double warm_rate, Time now) const;
 
-  // This node's dispatches a second, to all replicas.
+  // This node's dispatches per second, to all replicas.
   double DispatchRate(Time now) const;
 
   void ExportTo(LearnedState& state) const { state.dispatches = dispatches_; }
--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -6,8 +6,8 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr Time kRateMemory = 20'000'000;
-constexpr double kTolerance = 1.25;  // a rate above the quota times this is beyond it
+constexpr Time kRateMemory = 20'000'000;  // decay time of the arrivals counted for their rate
+constexpr double kTolerance = 1.25;       // a tenant is beyond its quota above this multiple of it
 
 }  // namespace
 
@@ -19,7 +19,7 @@
   if (quota <= 0) return false;
   const double arrivals = arrivals_by_tenant_[index].ValueAt(now, kRateMemory);
   const double allowed = quota * static_cast<double>(kRateMemory) / 1e6 / traffic_share_.equivalent_nodes();
-  // Two standard deviations of what chance does to the count.
+  // Random variation of the count is tolerated up to two standard deviations.
   return arrivals > kTolerance * allowed + 2 * std::sqrt(allowed) + 1;
 }
 
--- a/src/policy/tenant_quotas.h
+++ b/src/policy/tenant_quotas.h
@@ -1,5 +1,5 @@
-// Whether a tenant sends more than its quota. Quotas are for the whole tier, and this node keeps its share of
-// the traffic to its share of them.
+// Decides whether a tenant sends more than its quota. Quotas are for the whole tier; this node allows its
+// share of them, which is its share of the tier's traffic.
 #pragma once
 
 #include <vector>
@@ -13,14 +13,15 @@
 
 class TenantQuotas {
  public:
-  // Both must outlive it.
+  // Both arguments must outlive this object.
   TenantQuotas(const Settings& settings, const TrafficShare& traffic_share)
       : settings_(settings), traffic_share_(traffic_share) {}
 
-  // Counts an arrival; true: the tenant is clearly beyond its quota. Unknown tenants have none.
+  // Counts an arrival and returns whether the tenant is clearly beyond its quota. Unknown tenants have no
+  // quota.
   bool CountArrival(int tenant, Time now);
 
-  // After a change of the settings' tenants.
+  // Must be called after the settings' tenants have changed.
   void ResizeTables() { arrivals_by_tenant_.resize(settings_.tenants.size()); }
   void ExportTo(LearnedState& state) const { state.arrivals_by_tenant = arrivals_by_tenant_; }
   void RestoreFrom(const LearnedState& state);
--- a/src/policy/timer_queue.h
+++ b/src/policy/timer_queue.h
@@ -1,5 +1,5 @@
-// What the Router has to do at given times. The host has one timer armed for it at a time, for the earliest
-// of them. Times are microseconds.
+// The timers of the Router. The host has to keep only one timer armed at a time, for the earliest of them.
+// Times are microseconds.
 #pragma once
 
 #include <algorithm>
@@ -18,17 +18,18 @@
 namespace ryeglade::policy {
 
 enum class TimerKind : std::uint8_t {
-  kQueueTimeout,     // a queued request's latest useful dispatch
+  kQueueTimeout,     // the latest useful dispatch of a queued request has passed
   kObjectiveMissed,  // a queued request can no longer meet its latency objective
-  kUpdateLimits,     // an ejection ends: limits change
-  kPollEndpoints,
+  kUpdateLimits,     // an ejection or a pause ends, which changes the limits
+  kPollEndpoints,    // the endpoint list has to be requested
 };
 
+// Members are compared in the order of their declaration.
 struct Timer {
   Time at = 0;
-  std::uint64_t order = 0;  // of scheduling, among those of one time
+  std::uint64_t order = 0;  // counts up with each timer that is scheduled
   TimerKind kind = TimerKind::kUpdateLimits;
-  RequestId request = 0;  // 0 where the kind has none
+  RequestId request = 0;  // for kQueueTimeout and kObjectiveMissed; else 0
   auto operator<=>(const Timer&) const = default;
 };
 
@@ -38,7 +39,7 @@
     timers_.push({at, ++order_, kind, request});
   }
 
-  // The next timer that is due, removed from the queue.
+  // Removes and returns the first timer, or returns nullopt if it is not due.
   std::optional<Timer> PopDue(Time now) {
     if (timers_.empty() || timers_.top().at > now) return std::nullopt;
     const Timer due = timers_.top();
@@ -46,14 +47,15 @@
     return due;
   }
 
-  // What the host has to arm: set when nothing as early as the first timer is armed.
+  // Returns the timer that the host has to arm, or nullopt if one at least as early as the first timer is
+  // armed.
   std::optional<SetTimer> Arm(Time now) {
     if (timers_.empty() || timers_.top().at >= armed_for_) return std::nullopt;
     armed_for_ = timers_.top().at;
     return SetTimer{++token_, std::max<Time>(0, armed_for_ - now)};
   }
 
-  // The host's timer has fired; one that a later SetTimer replaced is ignored.
+  // The host's timer has fired. A timer that a later SetTimer has replaced is ignored.
   void Fired(std::uint64_t token) {
     if (token == token_) armed_for_ = kNever;
   }
@@ -63,8 +65,8 @@
 
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
   std::uint64_t order_ = 0;
-  Time armed_for_ = kNever;
-  std::uint64_t token_ = 0;
+  Time armed_for_ = kNever;  // the time for which the host has a timer armed; kNever: none
+  std::uint64_t token_ = 0;  // of the last SetTimer
 };
 
 }  // namespace ryeglade::policy
--- a/src/policy/traffic_share.h
+++ b/src/policy/traffic_share.h
@@ -1,5 +1,5 @@
 // This node's share of the tier's traffic. Concurrency limits and quotas are for the whole tier; this node
-// keeps to its share of them.
+// uses its share of them.
 #pragma once
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 namespace ryeglade::policy {
 
-// In a large tier each node sees few requests of each replica and of each key, and traffic is spread unevenly
-// over the nodes.
+// In a large tier each node has few requests for each replica and for each session or prefix, and traffic is
+// spread unevenly over the nodes.
 inline bool IsLargeTier(const Settings& settings) {
   constexpr int kMaxSmallTier = 8;  // nodes
   return settings.node_count > kMaxSmallTier;
@@ -20,15 +20,18 @@
  public:
   explicit TrafficShare(int node_count) : nodes_(node_count), nodes_at_scaling_(node_count) {}
 
-  // One over this node's share: how many nodes the tier would have if all had as much traffic as this one.
+  // 1 / this node's share: the number of nodes that the tier would have if all had as much traffic as this
+  // one.
   double equivalent_nodes() const { return nodes_; }
 
-  // The tier's size has changed. Limits are to be multiplied by what it returns.
+  // The tier's size has changed from `from` to `to` nodes. Returns the factor by which to multiply the
+  // limits.
   double ScaleNodeCount(double from, int to) { return Rescale(nodes_ * to / from); }
 
-  // The share of the tier's traffic, over 0 to 1; anything else is ignored. A share that grows leaves the
-  // limits to what answers teach, as more traffic has taught them already by the time that the others have
-  // heard of it. For one that falls by much it returns what limits are to be multiplied by at once.
+  // Sets the share of the tier's traffic, above 0 and up to 1; other values are ignored. If the share has
+  // fallen by much, returns the factor by which to multiply the limits. Otherwise returns nullopt: the limits
+  // are learned from the outcomes, and those of a growing share have already been learned when the nodes
+  // agree on the share.
   std::optional<double> SetShare(double share) {
     if (!(share > 0 && share <= 1)) return std::nullopt;
     nodes_ = std::min(1 / share, kMaxNodes);
@@ -40,8 +43,8 @@
   }
 
  private:
-  static constexpr double kMaxNodes = 1e6;          // a share is no less than one part of so many
-  static constexpr double kScalingThreshold = 1.2;  // a share that falls by this factor scales the limits
+  static constexpr double kMaxNodes = 1e6;          // the share is at least 1 / kMaxNodes
+  static constexpr double kScalingThreshold = 1.2;  // a fall by more than this factor scales the limits
 
   double Rescale(double nodes) {
     const double before = nodes_;
@@ -50,8 +53,8 @@
     return before / nodes_;
   }
 
-  double nodes_;
-  double nodes_at_scaling_;
+  double nodes_;             // 1 / share
+  double nodes_at_scaling_;  // the lowest value of `nodes_` since the limits were scaled last
 };
 
 }  // namespace ryeglade::policy
