--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -1,17 +1,20 @@
-// ryeglade::policy: every decision of the router. The interface (settings, events, actions) is
-// include/ryeglade/router.h.
+// The decisions of the router. The interface (settings, events, actions) is include/ryeglade/router.h.
 //
-// The ordinary path, after Dyachuk and Deters' transparent scheduling:
-//   a request arrives         -> it is queued; its runtime is estimated from what requests like it took
-//                                (RuntimeEstimator);
-//   queued requests leave     -> shortest estimate first, while what this node has in flight is below the sum
-//                                of its concurrency limits and some replica has spare capacity
-//                                (DispatchQueued);
-//   each goes to the replica  -> with most spare capacity, counted in requests like this one, so that a
-//                                replica which has cached the prompt has more of it (ReplicaSelector);
-//   outcomes teach            -> the estimates (served requests only), how slow each replica is, and the
-//                                limits (LearnServed, LearnFailure).
-// What departs from that path is marked "Departure" and listed, with its condition, in docs/design.md.
+// The ordinary path of a request follows Dyachuk and Deters' transparent scheduling:
+//   1. A request that arrives is queued. Its runtime is estimated from those of similar requests
+//      (RuntimeEstimator).
+//   2. Queued requests are dispatched in the order of their estimates, the shortest first, while this node
+//   has
+//      fewer attempts in flight than the sum of its concurrency limits and a replica has spare capacity
+//      (DispatchQueued).
+//   3. A request is sent to the replica with the most spare capacity, measured in requests like this one, so
+//   that
+//      a replica which has cached the prompt has more of it (ReplicaSelector).
+//   4. From the outcomes the Router learns the estimates (from served requests only), how slow each replica
+//   is,
+//      and the limits (LearnServed, LearnFailure).
+// Code that departs from this path is marked "Departure". docs/design.md lists the departures with their
+// conditions.
 #include "ryeglade/router.h"
 
 #include <algorithm>
@@ -45,15 +48,18 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr double kFailureSlowness = 1.1;  // ln 3: a failed attempt makes a replica look this much slower
+constexpr double kFailureSlowness =
+    1.1;  // ln 3: a failed attempt counts as one three times as slow as expected
 constexpr double kMaxPromptTokens = 1e9;
-// Queued requests that rules keep from every replica with spare capacity; they must not block the others.
+// Retry rules can keep a queued request from every replica with spare capacity. Up to this many such requests
+// are passed over in one round, so that they don't block the others.
 constexpr int kMaxUnplaceable = 8;
-// The final response has to be out before the client's time is up: by this, or by one part in so many of its
-// time budget.
+// The final response must be sent before the client's deadline by the larger of these margins: a fixed time,
+// or the time budget divided by kResponseMarginParts.
 constexpr Time kMinResponseMargin = 20'000;
 constexpr Time kResponseMarginParts = 50;
 
+// Makes sure that there is a class and that the tier has at least one node.
 Settings Normalized(Settings settings) {
   if (settings.classes.empty()) settings.classes.emplace_back();
   settings.node_count = std::max(1, settings.node_count);
@@ -85,7 +91,7 @@
   double total_concurrency_limit() const { return limits_.total(); }
 
  private:
-  // Events.
+  // Event handlers.
   void HandleEvent(const Event& event);
   void OnEndpointList(const EndpointList& list);
   void OnRequestArrived(const RequestArrived& arrival);
@@ -108,13 +114,13 @@
   PriorityTier TierOf(const Request& request) const;
   void OnRequestTimer(const Timer& timer);
 
-  // The end of requests.
+  // Retries and the conclusion of requests.
   void RetryOrConclude(Request& request, Outcome outcome);
   ConclusionReason WhyNoRetry(const Request& request) const;
   void Conclude(Request& request, ConclusionReason reason);
   void MarkConcluded(Request& request);
 
-  // What is learned.
+  // Learning from outcomes.
   void FinishPrefill(Attempt& attempt);
   void LearnServed(const Request& request, Replica& replica, Time runtime);
   void LearnFailure(Replica& replica, Outcome outcome);
@@ -126,7 +132,7 @@
   const ClassSettings& ClassOf(const Request& request) const {
     return settings_.classes[request.class_index()];
   }
-  // Null: not known, or concluded.
+  // Returns null if the request is unknown or concluded.
   Request* FindOpen(RequestId id);
   void PollEndpointsAfter(std::optional<Time> delay);
   void ReportEjection(const Replica& replica, Outcome outcome, Time until) const;
@@ -137,11 +143,11 @@
 
   Settings settings_;
   RandomSource random_;
-  Time now_;                                // of the event being handled; never steps back
-  std::vector<Action>* actions_ = nullptr;  // while an event is handled
-  DecisionObserver* observer_ = nullptr;
+  Time now_;                                // time of the latest event; never decreases
+  std::vector<Action>* actions_ = nullptr;  // set while an event is handled
+  DecisionObserver* observer_ = nullptr;    // null: none
 
-  // What is known of replicas and learned from outcomes.
+  // State of the replicas, and what is learned from outcomes.
   Fleet fleet_;
   TrafficShare traffic_share_{settings_.node_count};
   RuntimeEstimator estimator_{settings_};
@@ -154,7 +160,7 @@
   TenantQuotas tenant_quotas_{settings_, traffic_share_};
   RetryBudget retry_budget_;
 
-  // What decides.
+  // Decisions based on that state.
   RetryPolicy retry_policy_{settings_};
   ReplicaLimits limits_{
       {fleet_, traffic_share_, concurrency_, speed_, slow_start_, ejection_, load_reports_}};
@@ -193,7 +199,7 @@
       [&](const ClientDisconnected& e) { OnClientDisconnected(e.id); },
       [&](const DeadlineShortened& e) { OnDeadlineShortened(e); },
       [&](const TimerFired& e) { OnTimerFired(e.token); },
-      [&](const HealthCheckCompleted&) {},  // the Router asks for none
+      [&](const HealthCheckCompleted&) {},  // ignored: the Router requests no health checks
       [&](const NodeCountChanged& e) { OnNodeCountChanged(e.node_count); },
       [&](const TrafficShareChanged& e) { OnTrafficShareChanged(e.share); },
       [&](const StateRestored& e) {
@@ -209,7 +215,7 @@
 // ---- Replicas and the routing tier ----
 
 void Router::Impl::OnEndpointList(const EndpointList& list) {
-  if (list.scope == EndpointListScope::kFailed) {  // the old list stays
+  if (list.scope == EndpointListScope::kFailed) {  // the previous list stays in use
     PollEndpointsAfter(polling_.OnFailure(random_));
     return;
   }
@@ -260,7 +266,7 @@
   request.arrival = arrival;
   const int last_class = static_cast<int>(settings_.classes.size()) - 1;
   request.arrival.class_index = std::clamp(arrival.class_index, 0, last_class);
-  // 0 for what is no number.
+  // In this order of the arguments, NaN becomes 0.
   request.arrival.prompt_tokens = std::min(kMaxPromptTokens, std::max(0.0, arrival.prompt_tokens));
   const ClassSettings& settings = ClassOf(request);
   const double objective_for_prompt =
@@ -274,7 +280,7 @@
   request.over_quota = tenant_quotas_.CountArrival(arrival.tenant_index, now_);
   estimator_.Estimate(request);
 
-  // It can come with no time left; a timer would conclude it a tick too late.
+  // The request may arrive with no time left, and a timer would conclude it slightly too late.
   if (LatestDispatch(request) <= now_) {
     Conclude(request, ConclusionReason::kNoTimeBudget);
     return;
@@ -294,7 +300,8 @@
   MarkConcluded(*request);
 }
 
-// An attempt in flight stays so: the request is concluded by its outcome, as there is no time for another.
+// An attempt in flight is not cancelled. Its outcome concludes the request, as there is no time for another
+// attempt.
 void Router::Impl::OnDeadlineShortened(const DeadlineShortened& shortened) {
   Request* request = FindOpen(shortened.id);
   if (request == nullptr || request->response_started) return;
@@ -315,12 +322,12 @@
 
 // ---- The queue ----
 
-// The latest dispatch that can still earn something.
+// The latest dispatch at which the request can still earn some of its weight.
 Time Router::Impl::LatestDispatch(const Request& request) const {
   const Time time_budget = request.deadline - request.arrived_at;
   const Time margin = std::max(kMinResponseMargin, time_budget / kResponseMarginParts);
   Time latest = request.deadline - margin;
-  // Departure: what earns nothing once its objective has passed is rejected early, not served late.
+  // Departure: a request that earns nothing after its objective is rejected early rather than served late.
   if (ClassOf(request).late_weight_share <= 0) {
     latest = std::min(latest, LatestDispatchForObjective(request));
   }
@@ -331,8 +338,8 @@
   return request.objective_at - estimator_.ExpectedTimeToFirstToken(request);
 }
 
-// Departure: what can no longer meet its objective waits behind what can. In the order of runtime and age
-// alone, a queue that has once grown past the objective serves everything late.
+// Departure: requests that can no longer meet their objective wait behind those that can. If only runtime and
+// age counted, a queue that has once become longer than the objective would serve every request late.
 PriorityTier Router::Impl::TierOf(const Request& request) const {
   if (now_ >= LatestDispatchForObjective(request)) return PriorityTier::kObjectiveMissed;
   return request.over_quota ? PriorityTier::kOverQuota : PriorityTier::kOrdinary;
@@ -358,13 +365,13 @@
   for (auto it = queue_.begin(); it != queue_.end() && unplaceable < kMaxUnplaceable;) {
     if (fleet_.in_flight() >= std::max(1.0, limits_.total())) return;
     Request& request = requests_.at(it->id);
-    ++it;  // the request may leave the queue
+    ++it;  // the request may be removed from the queue below
     Replica* replica = selector_.Select(request, now_);
     if (replica != nullptr) {
       queue_.Dequeue(request);
       Send(request, *replica);
     } else if (request.attempts.empty()) {
-      return;  // it may go anywhere, and nowhere is spare capacity
+      return;  // a first attempt may go to any replica, so none has spare capacity
     } else {
       ++unplaceable;
     }
@@ -381,7 +388,7 @@
   attempt.zone = replica.endpoint.zone;
   attempt.cell = replica.endpoint.cell;
   attempt.sent_at = now_;
-  // From here on the whole prompt is taken to be cached there.
+  // Must come before RecordDispatch, after which the whole prompt is taken to be cached at the replica.
   attempt.tokens_to_prefill = selector_.TokensToPrefill(request, replica, now_);
   affinity_.RecordDispatch(request.arrival, replica.endpoint.id, now_);
 
@@ -400,7 +407,7 @@
   timers_.Fired(token);
   while (const std::optional<Timer> timer = timers_.PopDue(now_)) {
     switch (timer->kind) {
-      case TimerKind::kUpdateLimits:  // with the dispatch that follows every event
+      case TimerKind::kUpdateLimits:  // the dispatch that follows every event updates them
         limits_.Invalidate();
         break;
       case TimerKind::kPollEndpoints:
@@ -479,7 +486,7 @@
     queue_.Dequeue(request);
     MarkConcluded(request);
   } else if (request.attempts_in_flight > 0) {
-    return;  // the others decide
+    return;  // the attempts still in flight decide
   } else if (request.response_started) {
     Conclude(request, ConclusionReason::kStreamInterrupted);
   } else {
@@ -490,7 +497,7 @@
 void Router::Impl::RetryOrConclude(Request& request, Outcome outcome) {
   if (request.queued) return;
   const bool in_time = now_ < LatestDispatch(request);
-  // Being turned down at capacity is cheap, and that replica's limit has fallen.
+  // A refusal at capacity costs little and has lowered that replica's limit, so its retry needs no budget.
   const bool takes_budget = outcome != Outcome::kAtCapacity;
   const bool in_budget = !takes_budget || retry_budget_.HasRetry();
   if (in_time && retry_policy_.MaySend(request, now_) && in_budget) {
@@ -510,8 +517,8 @@
   return ConclusionReason::kRetryBudgetExhausted;
 }
 
-// The one final response, given only when no attempt is in flight: a rejection where that is allowed, else a
-// failure.
+// Gives the final response: a rejection if that is allowed, else a failure. Must not be called while an
+// attempt is in flight.
 void Router::Impl::Conclude(Request& request, ConclusionReason reason) {
   const RequestId id = request.id();
   if (observer_ != nullptr) {
@@ -534,7 +541,7 @@
   MarkConcluded(request);
 }
 
-// The request may be gone after this.
+// `request` may have been destroyed when this returns.
 void Router::Impl::MarkConcluded(Request& request) {
   request.concluded = true;
   if (request.attempts_in_flight == 0) requests_.erase(request.id());
@@ -545,7 +552,7 @@
   return it != requests_.end() && retry_policy_.MayReject(it->second);
 }
 
-// ---- What is learned ----
+// ---- Learning from outcomes ----
 
 void Router::Impl::FinishPrefill(Attempt& attempt) {
   if (Replica* replica = fleet_.Find(attempt.replica)) {
@@ -573,7 +580,7 @@
     LearnAtCapacity(replica);
     return;
   }
-  // An error must never make a replica look fast or idle: it counts as slow.
+  // Failures are often quick and must not make a replica look fast or idle, so they count as slow answers.
   LearnSpeed(replica, kFailureSlowness);
   if (outcome == Outcome::kTimeout) concurrency_.LearnLateResponse(CurrentUsage());
   const std::optional<Time> ejected_until = ejection_.RecordFailure(replica, outcome, now_, random_);
@@ -629,7 +636,7 @@
   return state;
 }
 
-// What another process of this node learned: a hot restart does not lose it.
+// Takes over what another process of this node has learned, so that a hot restart does not lose it.
 void Router::Impl::OnStateRestored(const LearnedState& state) {
   concurrency_.RestoreFrom(state);
   estimator_.RestoreFrom(state);
