--- a/simhost/codec.cpp
+++ b/simhost/codec.cpp
@@ -9,7 +9,7 @@
 namespace ryeglade::policy::wire {
 namespace {
 
-// Codes of the records sent, by what they mean; the wire's names beside them.
+// Codes of the records that are sent, with their names in the wire format as comments.
 namespace action_code {
 constexpr std::uint8_t kSendAttempt = 1;     // attempt
 constexpr std::uint8_t kWatchEndpoints = 2;  // watch
@@ -23,13 +23,14 @@
 constexpr std::uint8_t kCancelAttempt = 12;  // undo_send
 }  // namespace action_code
 
-// Bits of a request's `opts`.
+// Bits of a request's field `opts`.
 constexpr std::uint8_t kHasCostHint = 1;
 constexpr std::uint8_t kClientRetry = 2;
 constexpr std::uint8_t kWrite = 4;
 constexpr std::uint8_t kResumed = 16;
 
-constexpr std::size_t kEndpointBytes = 22;
+constexpr std::size_t kEndpointBytes = 22;  // size of one entry of an endpoint list
+// The highest codes of the enumerations, whose values are the same on the wire as in ryeglade::policy.
 constexpr std::uint16_t kLastOutcome = 7;
 constexpr std::uint8_t kLastScope = 3;
 constexpr std::uint8_t kLastState = 2;
@@ -41,7 +42,7 @@
 template <class... Ts>
 Overloaded(Ts...) -> Overloaded<Ts...>;
 
-constexpr Time kMaxDelay = 71LL * 60 * 1'000'000;  // the longest timer
+constexpr Time kMaxDelay = 71LL * 60 * 1'000'000;  // fits the 32-bit microseconds of the wire format
 
 Outcome DecodeOutcome(Reader& in) {
   const std::uint16_t code = in.U16("result");
@@ -51,7 +52,7 @@
 
 std::vector<double> DecodeLoadReport(Reader& in) {
   const std::size_t count = in.U8("server-stats count");
-  if (count * sizeof(float) > in.left()) in.Fail("server-stats count runs past the record");
+  if (count * sizeof(float) > in.remaining()) in.Fail("server-stats count runs past the record");
   std::vector<double> load;
   load.reserve(count);
   for (std::size_t i = 0; i < count; ++i) load.push_back(in.F32("server-stats"));
@@ -65,7 +66,7 @@
   list.scope = static_cast<EndpointListScope>(scope);
   list.version = in.U32("stamp");
   const std::size_t count = in.U32("entries count");
-  if (count > in.left() / kEndpointBytes) in.Fail("entries count runs past the record");
+  if (count > in.remaining() / kEndpointBytes) in.Fail("entries count runs past the record");
   list.endpoints.reserve(count);
   for (std::size_t i = 0; i < count; ++i) {
     Endpoint endpoint;
@@ -117,7 +118,7 @@
   return ended;
 }
 
-// Writes one record: its code, the size of its fields, the fields.
+// Writes one record: its code, the size of its fields in bytes, and the fields.
 template <class Fields>
 void EncodeRecord(Writer& out, std::uint8_t code, Fields fields) {
   out.U8(code);
@@ -149,14 +150,14 @@
 }
 
 std::string_view Reader::Bytes(std::size_t count, const char* field) {
-  if (count > left()) Fail(std::string("truncated in ") + field);
+  if (count > remaining()) Fail(std::string("truncated in ") + field);
   const std::string_view raw = bytes_.substr(offset_, count);
   offset_ += count;
   return raw;
 }
 
 void Reader::ExpectEnd() const {
-  if (left() != 0) Fail(std::to_string(left()) + " bytes too many");
+  if (remaining() != 0) Fail(std::to_string(remaining()) + " bytes too many");
 }
 
 void Writer::Unsigned(std::uint64_t v, std::size_t width) {
--- a/simhost/codec.h
+++ b/simhost/codec.h
@@ -1,6 +1,7 @@
-// The simulator's wire: little-endian frames of records. Every read is checked against the record's end, and
-// a defect is a WireError that names what was wrong and where. The wire has names of its own; this codec is
-// the one place that maps them to the terms of ryeglade::policy, and errors name fields as the wire does.
+// The simulator's wire format: little-endian frames of records. Every read is checked against the record's
+// end. A defect throws a WireError whose text says what was wrong and where. The wire format has its own
+// names for fields and records; only this codec maps them to the terms of ryeglade::policy. Errors use the
+// names of the wire format.
 #pragma once
 
 #include <cstddef>
@@ -22,20 +23,23 @@
 inline constexpr std::size_t kBatchHeaderBytes = 12;
 inline constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 28;
 
-// Reads the fields of one record, or of a header, in order.
+// Reads the fields of one record, or of a header, in order. Each function throws a WireError if the input
+// ends before the field does.
 class Reader {
  public:
+  // `what` names the record in errors.
   Reader(std::string_view bytes, std::string what) : bytes_(bytes), what_(std::move(what)) {}
 
   std::uint8_t U8(const char* field) { return static_cast<std::uint8_t>(Unsigned(1, field)); }
   std::uint16_t U16(const char* field) { return static_cast<std::uint16_t>(Unsigned(2, field)); }
   std::uint32_t U32(const char* field) { return static_cast<std::uint32_t>(Unsigned(4, field)); }
   std::uint64_t U64(const char* field) { return Unsigned(8, field); }
-  double F32(const char* field);  // a value that is not finite is a defect
+  double F32(const char* field);  // throws a WireError if the value is not finite
   std::string_view Bytes(std::size_t count, const char* field);
-  std::size_t left() const { return bytes_.size() - offset_; }
+  std::size_t remaining() const { return bytes_.size() - offset_; }
+  // Throws a WireError unless all input has been read.
   void ExpectEnd() const;
-  // Throws a WireError that names the record and the offset.
+  // Throws a WireError with `text`, the name of the record and the offset.
   [[noreturn]] void Fail(const std::string& text) const;
 
  private:
@@ -53,7 +57,7 @@
   void U16(std::uint64_t v) { Unsigned(v, 2); }
   void U32(std::uint64_t v) { Unsigned(v, 4); }
   void U64(std::uint64_t v) { Unsigned(v, 8); }
-  // Overwrites four bytes that have been written.
+  // Overwrites four bytes that have already been written.
   void OverwriteU32(std::size_t offset, std::uint64_t v);
   std::string& bytes() { return bytes_; }
 
@@ -62,7 +66,7 @@
   std::string bytes_;
 };
 
-// Codes of the event records, by what they mean; the wire's names beside them.
+// Codes of the event records, with their names in the wire format as comments.
 namespace event_code {
 // Handled by the host.
 inline constexpr std::uint8_t kPeerMessage = 1;  // from_peer
@@ -79,12 +83,13 @@
 inline constexpr std::uint8_t kAttemptEnded = 9;          // answer
 }  // namespace event_code
 
-// The fields of one event record that goes to a Router. Throws WireError on an unknown code.
+// Decodes an event record for a Router. Throws a WireError if the code is unknown or the fields are
+// malformed.
 Event DecodeEvent(std::uint8_t code, std::string_view fields);
 
-// A record that names the node whose actions follow.
+// Writes a record that names the node whose actions follow.
 void EncodeNode(std::uint16_t node, Writer& out);
-// One action record.
+// Writes one action record.
 void EncodeAction(const Action& action, Writer& out);
 
 }  // namespace ryeglade::policy::wire
--- a/simhost/host.cpp
+++ b/simhost/host.cpp
@@ -16,14 +16,14 @@
   const Time now = static_cast<Time>(in.U64("clock"));
 
   Writer out;
-  out.U32(0);
+  out.U32(0);  // size of the frame and number of records, overwritten at the end
   out.U32(0);
   std::uint32_t records = 0;
-  std::optional<std::uint16_t> node;  // that the following events are for
-  bool node_encoded = false;          // whether the reply names it already
+  std::optional<std::uint16_t> node;  // the node to which the following records belong
+  bool node_encoded = false;          // whether the reply already names that node
   std::vector<Action> actions;
 
-  while (in.left() > 0) {
+  while (in.remaining() > 0) {
     const std::uint8_t code = in.U8("record code");
     const std::uint32_t length = in.U32("record length");
     const std::string_view body = in.Bytes(length, "record");
@@ -50,7 +50,7 @@
       continue;
     }
     if (code == event_code::kPeerMessage)
-      continue;  // this node sends nothing to peers and expects nothing from them
+      continue;  // ignored: the Router exchanges no messages with its peers
     const auto router = routers_.find(*node);
     if (router == routers_.end())
       in.Fail("event for node " + std::to_string(*node) + " that was not started");
--- a/simhost/host.h
+++ b/simhost/host.h
@@ -1,4 +1,5 @@
-// Hosts many Routers that share nothing, and turns one batch of the wire into one reply.
+// Runs many Routers that share no state, one for each node of the simulation, and turns one batch of records
+// into one reply.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +13,12 @@
 
 class Host {
  public:
-  // `frame` is a complete batch, header included; returns the reply's frame. Throws WireError on any defect.
+  // `frame` is a complete batch including its header. Returns the frame of the reply. Throws a WireError if
+  // the batch is malformed.
   std::string HandleBatch(std::string_view frame);
 
  private:
-  std::map<std::uint16_t, Router> routers_;
+  std::map<std::uint16_t, Router> routers_;  // by node id
 };
 
 }  // namespace ryeglade::policy::wire
--- a/simhost/main.cpp
+++ b/simhost/main.cpp
@@ -1,5 +1,6 @@
-// ryeglade_simhost: the Router on the simulator's wire, batches on standard input, replies on standard
-// output. End of input ends it with 0; a defect is named in one line on standard error and ends it with 1.
+// ryeglade_simhost: runs the Router for the simulator, with batches on standard input and replies on standard
+// output. Exits with 0 at the end of the input, and with 1 and one line on standard error if the input is
+// malformed or the reply can't be written.
 #include <algorithm>
 #include <cstdio>
 #include <exception>
@@ -12,14 +13,15 @@
 
 using ryeglade::policy::wire::WireError;
 
-// Appends `count` bytes of input to `to`, in pieces, so that a wrong length allocates no more than what
-// comes. Returns false if the input ends at a frame's start.
+// Appends `count` bytes of input to `to`. Reads in pieces, so that a wrong length allocates little more
+// memory than the input that arrives. If `may_end`, returns false if the input ends before the first byte;
+// any other early end throws a WireError.
 bool ReadBytes(std::size_t count, bool may_end, std::string& to) {
-  constexpr std::size_t kPiece = std::size_t{1} << 20;
+  constexpr std::size_t kPieceBytes = std::size_t{1} << 20;
   const std::size_t start = to.size();
   while (to.size() - start < count) {
     const std::size_t offset = to.size();
-    const std::size_t want = std::min(kPiece, count - (offset - start));
+    const std::size_t want = std::min(kPieceBytes, count - (offset - start));
     to.resize(offset + want);
     const std::size_t got = std::fread(to.data() + offset, 1, want, stdin);
     to.resize(offset + got);
--- a/simhost/settings.cpp
+++ b/simhost/settings.cpp
@@ -12,9 +12,10 @@
 namespace ryeglade::policy::wire {
 namespace {
 
-constexpr std::size_t kMaxItems = 4096;  // of any one list of objects
+constexpr std::size_t kMaxItems = 4096;  // the most classes or tenants
 
-// The settings text as keys and values, with checked conversions.
+// The keys and values of the settings text. Conversions throw a WireError if a value is malformed, and return
+// `fallback` if the key is missing.
 class SettingsText {
  public:
   explicit SettingsText(std::string_view text) {
--- a/simhost/settings.h
+++ b/simhost/settings.h
@@ -1,6 +1,7 @@
-// Reads the settings text that comes with a new node: one path=value a line. Unknown keys are ignored, a
-// missing key keeps the default of ryeglade::policy::Settings, and a malformed value is a WireError naming
-// it. The text has names of its own; ReadSettings is the one place that maps them to the terms of Settings.
+// Reads the settings text of a new node, which has one key=value per line. Unknown keys are ignored. A
+// missing key leaves the default of ryeglade::policy::Settings. A malformed value throws a WireError that
+// names its key. The text has its own names for the settings; only ReadSettings maps them to the terms of
+// Settings.
 #pragma once
 
 #include <string_view>
