--- a/tests/policy/candidate_finder_test.cpp
+++ b/tests/policy/candidate_finder_test.cpp
@@ -62,7 +62,7 @@
   EXPECT_TRUE(of_prefix.contains(*of_session.begin()));
 }
 
-TEST_F(CandidateFinderTest, WhereZonesCountAPrefixHasPreferredReplicasInEach) {
+TEST_F(CandidateFinderTest, WithAZonePenaltyAPrefixHasPreferredReplicasInEachZone) {
   settings_.cross_zone_penalty = 0.1;
   List(16, 2);
   const auto candidates = Find(7, 0, 99, 0);
@@ -76,7 +76,7 @@
   EXPECT_EQ(fleet_.Find(*of_session.begin())->endpoint.zone, settings_.zone);
 }
 
-TEST_F(CandidateFinderTest, OfALargeFleetASampleWithoutRepeats) {
+TEST_F(CandidateFinderTest, ALargeFleetIsSampledWithoutRepeats) {
   List(300);
   const auto candidates = Find(7, 1.0);
   std::set<ReplicaId> ids;
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -31,7 +31,7 @@
   EXPECT_EQ(fleet.in_flight(), 0);
 }
 
-TEST(Fleet, ADeltaLeavesTheOthersListed) {
+TEST(Fleet, ADeltaKeepsTheOtherReplicas) {
   Fleet fleet;
   RandomSource random(1);
   fleet.Apply(Full({Ready(1), Ready(2)}), 0, random);
@@ -43,7 +43,7 @@
   EXPECT_NE(fleet.Find(3), nullptr);
 }
 
-TEST(Fleet, ARestartForgetsAllButAttemptsInFlight) {
+TEST(Fleet, ARestartResetsAllButAttemptsInFlight) {
   Fleet fleet;
   RandomSource random(1);
   fleet.Apply(Full({Ready(1, 100)}), 0, random);
--- a/tests/policy/hash_ring_test.cpp
+++ b/tests/policy/hash_ring_test.cpp
@@ -32,18 +32,18 @@
   EXPECT_EQ(ring_.size(), 10u * HashRing::kPointsPerReplica);
   fleet_.Find(3)->ready = false;
   ring_.RebuildIfInvalid(fleet_);
-  EXPECT_EQ(ring_.size(), 10u * HashRing::kPointsPerReplica);  // still valid
+  EXPECT_EQ(ring_.size(), 10u * HashRing::kPointsPerReplica);  // not rebuilt, as it was not invalidated
   ring_.Invalidate();
   ring_.RebuildIfInvalid(fleet_);
   EXPECT_EQ(ring_.size(), 9u * HashRing::kPointsPerReplica);
 }
 
-TEST_F(HashRingTest, GoesRound) {
+TEST_F(HashRingTest, IndicesWrapAround) {
   List(1, 4);
   EXPECT_EQ(&ring_.ReplicaAt(0), &ring_.ReplicaAt(ring_.size()));
 }
 
-TEST_F(HashRingTest, FewKeysMoveWhenAReplicaGoes) {
+TEST_F(HashRingTest, OnlyTheKeysOfARemovedReplicaMove) {
   List(1, 100);
   std::map<std::uint64_t, ReplicaId> before;
   for (std::uint64_t key = 0; key < 2000; ++key) before[key] = First(key);
--- a/tests/policy/hashing_test.cpp
+++ b/tests/policy/hashing_test.cpp
@@ -7,7 +7,7 @@
 namespace ryeglade::policy {
 namespace {
 
-TEST(Hashing, UnitIntervalLeavesOutZero) {
+TEST(Hashing, UnitIntervalExcludesZero) {
   EXPECT_GT(UnitInterval(0), 0);
   EXPECT_LE(UnitInterval(std::numeric_limits<std::uint64_t>::max()), 1);
 }
--- a/tests/policy/load_reports_test.cpp
+++ b/tests/policy/load_reports_test.cpp
@@ -12,7 +12,7 @@
   LoadReports reports_{settings_, speed_};
 };
 
-TEST_F(LoadReportsTest, InFlightGoesBeforeUtilization) {
+TEST_F(LoadReportsTest, InFlightTakesPrecedenceOverUtilization) {
   settings_.load_fields = {LoadField::kUtilization, LoadField::kInFlight, LoadField::kUtilization};
   Replica replica;
   EXPECT_FALSE(LoadReports::HasReport(replica));
--- a/tests/policy/outlier_ejection_test.cpp
+++ b/tests/policy/outlier_ejection_test.cpp
@@ -15,7 +15,7 @@
   Replica replica_;
 };
 
-TEST_F(OutlierEjectionTest, OneFailureProvesNothingUnlessNotReached) {
+TEST_F(OutlierEjectionTest, ASingleFailureEjectsOnlyAnUnreachableReplica) {
   EXPECT_FALSE(ejection_.RecordFailure(replica_, Outcome::kReset, 0, random_).has_value());
   EXPECT_TRUE(ejection_.RecordFailure(replica_, Outcome::kReset, 0, random_).has_value());
   Replica unreachable;
@@ -34,7 +34,7 @@
   }
 }
 
-TEST_F(OutlierEjectionTest, PeersEjectToo) {
+TEST_F(OutlierEjectionTest, EjectionsByPeersCount) {
   replica_.peer_report.ejected_until = 100;
   EXPECT_FALSE(ejection_.MayDispatch(replica_, 99));
   EXPECT_TRUE(ejection_.MayDispatch(replica_, 100));
--- a/tests/policy/prefix_affinity_test.cpp
+++ b/tests/policy/prefix_affinity_test.cpp
@@ -26,11 +26,11 @@
   Time now_ = 100'000'000;
 };
 
-TEST_F(PrefixAffinityTest, WhatWasSentThereIsCachedForAWhile) {
+TEST_F(PrefixAffinityTest, ADispatchedPromptIsCachedForItsLifetime) {
   EXPECT_EQ(ToPrefill(Prompt(1, 2)), 1'000);
   affinity_.RecordDispatch(Prompt(1, 2), 3, now_);
   EXPECT_EQ(ToPrefill(Prompt(1, 2)), 0);    // the same session
-  EXPECT_EQ(ToPrefill(Prompt(9, 2)), 600);  // another one with the same prefix
+  EXPECT_EQ(ToPrefill(Prompt(9, 2)), 600);  // another session with the same prefix
   EXPECT_EQ(ToPrefill(Prompt(9, 8)), 1'000);
   now_ += 30'000'001;
   EXPECT_EQ(ToPrefill(Prompt(1, 2)), 1'000);
@@ -62,7 +62,7 @@
   EXPECT_DOUBLE_EQ(affinity_.TrafficShareOf(2, now_), 1.0 / 9);
 }
 
-TEST_F(PrefixAffinityTest, TrafficIsAShareOfArrivalsUnlessTheTierTellsIt) {
+TEST_F(PrefixAffinityTest, TrafficSharesAreCountedUnlessSetForTheTier) {
   for (int i = 0; i < 100; ++i) affinity_.CountArrival(Prompt(0, i % 2 == 0 ? 2 : 7), now_);
   EXPECT_NEAR(affinity_.TrafficShareOf(2, now_), 0.49, 0.01);
   EXPECT_NEAR(affinity_.RecentTrafficShareOf(2, now_), 0.36, 0.01);
--- a/tests/policy/queue_order_test.cpp
+++ b/tests/policy/queue_order_test.cpp
@@ -12,11 +12,11 @@
   EXPECT_GT(QueueKey({bound + 1, 10'000'000, 100'000, 100'000}), QueueKey(long_one));
 }
 
-TEST(QueueOrder, AnObjectiveInThePastGivesNoDelay) {
+TEST(QueueOrder, AnObjectiveInThePastAddsNoDelay) {
   EXPECT_EQ(QueueKey({0, -5'000'000, 900'000, 100'000}), QueueKey({0, 0, 900'000, 100'000}));
 }
 
-TEST(QueueOrder, TheTierGoesBeforeTheKey) {
+TEST(QueueOrder, TheTierTakesPrecedenceOverTheKey) {
   const QueuePosition ordinary{PriorityTier::kOrdinary, 9, 2, 1};
   const QueuePosition over_quota{PriorityTier::kOverQuota, 1, 1, 2};
   EXPECT_LT(ordinary, over_quota);
--- a/tests/policy/replica_limits_fixture.h
+++ b/tests/policy/replica_limits_fixture.h
@@ -1,4 +1,5 @@
-// A fleet with its limits and all that these rest on, for tests of the modules that choose among replicas.
+// A fleet with its limits and the objects that these depend on, for tests of the modules that choose among
+// replicas.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -9,7 +10,7 @@
 
 class ReplicaLimitsFixture : public testing::Test {
  protected:
-  // Lists `count` replicas, numbered from `first` on, in zones that take turns.
+  // Lists `count` replicas with ids from `first` on; replica `id` is in zone `id % zones`.
   void ListReplicas(ReplicaId first, ReplicaId count, int zones, Time now) {
     settings_.zone_count = zones;
     EndpointList list;
--- a/tests/policy/replica_limits_test.cpp
+++ b/tests/policy/replica_limits_test.cpp
@@ -19,7 +19,7 @@
   EXPECT_DOUBLE_EQ(limits_.total(), 3 * concurrency_.base_limit());
 }
 
-TEST_F(ReplicaLimitsTest, EjectedAndDrainingReplicasHaveNone) {
+TEST_F(ReplicaLimitsTest, EjectedAndDrainingReplicasHaveALimitOfZero) {
   List(5);
   fleet_.Find(1)->ejected_until = 100;
   fleet_.Find(2)->ready = false;
@@ -30,7 +30,7 @@
   EXPECT_DOUBLE_EQ(limits_.total(), 3 * concurrency_.base_limit());
 }
 
-TEST_F(ReplicaLimitsTest, CapacityEndsAtTheLimitOfAnOnlyNode) {
+TEST_F(ReplicaLimitsTest, ASingleNodeHasCapacityUpToTheLimit) {
   List(1);
   limits_.Update(1);
   Replica& replica = *fleet_.Find(1);
@@ -40,7 +40,7 @@
   EXPECT_FALSE(limits_.HasCapacity(replica, 1));
 }
 
-TEST_F(ReplicaLimitsTest, AReplicaOnTrialGetsOneAtATime) {
+TEST_F(ReplicaLimitsTest, AfterRepeatedFailuresAReplicaGetsOneAttemptAtATime) {
   List(1);
   limits_.Update(1);
   Replica& replica = *fleet_.Find(1);
@@ -50,7 +50,7 @@
   EXPECT_FALSE(limits_.HasCapacity(replica, 1));
 }
 
-TEST_F(ReplicaLimitsTest, ASampledFleetIsRecomputedByTimeOnly) {
+TEST_F(ReplicaLimitsTest, LimitsOfASampledFleetAreRecomputedAtIntervals) {
   List(100);
   limits_.Update(1'000);
   EXPECT_EQ(limits_.available().size(), 100u);
--- a/tests/policy/replica_selector_test.cpp
+++ b/tests/policy/replica_selector_test.cpp
@@ -38,7 +38,7 @@
   Time now_ = 1'000'000;
 };
 
-TEST_F(ReplicaSelectorTest, NoneWithoutReplicasOrCapacity) {
+TEST_F(ReplicaSelectorTest, SelectsNoneWithoutReplicasOrCapacity) {
   EXPECT_EQ(selector_.Select(request_, now_), nullptr);
   List(1);
   fleet_.Find(0)->in_flight = 1'000;
@@ -50,7 +50,7 @@
   EXPECT_EQ(Chosen(200).size(), 4u);
 }
 
-TEST_F(ReplicaSelectorTest, TakesTheOneWithTheCachedPrompt) {
+TEST_F(ReplicaSelectorTest, PrefersTheReplicaWithTheCachedPrompt) {
   List(4);
   request_.arrival.session = 7;
   affinity_.RecordDispatch(request_.arrival, 2, now_);
@@ -65,7 +65,7 @@
   EXPECT_EQ(Chosen(50), std::set<ReplicaId>{1});
 }
 
-TEST_F(ReplicaSelectorTest, StaysInTheZoneWhereCrossingCosts) {
+TEST_F(ReplicaSelectorTest, StaysInItsZoneWhereCrossingIsPenalized) {
   settings_.cross_zone_penalty = 0.08;
   settings_.zone = 1;
   List(4, 2);
@@ -79,7 +79,7 @@
   EXPECT_EQ(Chosen(50).size(), 1u);
 }
 
-TEST_F(ReplicaSelectorTest, ASampledFleetKeepsToThePreferredReplicaToo) {
+TEST_F(ReplicaSelectorTest, ASampledFleetAlsoUsesThePreferredReplica) {
   List(200);
   request_.arrival.prefix = 7;
   request_.arrival.prefix_tokens = 900;
--- a/tests/policy/replica_speed_test.cpp
+++ b/tests/policy/replica_speed_test.cpp
@@ -19,13 +19,13 @@
   Time now_ = 1'000'000;
 };
 
-TEST_F(ReplicaSpeedTest, OwnAnswersCountBesideThePriorAndDecay) {
+TEST_F(ReplicaSpeedTest, OwnAnswersAreCombinedWithThePriorAndDecay) {
   Replica replica;
   EXPECT_EQ(speed_.Slowness(replica, now_), 0);
   Answer(replica, 1.0, 40);
   const double fresh = speed_.Slowness(replica, now_);
   EXPECT_GT(fresh, 0.8);
-  replica.endpoint.kind = 1;  // whose kind has shown nothing
+  replica.endpoint.kind = 1;  // a kind without any answers
   EXPECT_LT(speed_.Slowness(replica, now_ + 60'000'000), 0.1);
 }
 
@@ -60,7 +60,7 @@
   EXPECT_DOUBLE_EQ(speed_.Slowness(replica, now_), 0.5);
 }
 
-TEST(ReplicaSpeed, ASlowReplicaGetsLessThanItsPartOfTheLoad) {
+TEST(ReplicaSpeed, ASlowReplicaGetsLessThanInProportionToItsSpeed) {
   EXPECT_EQ(ReplicaSpeed::LoadFactor(0), 1);
   EXPECT_LT(ReplicaSpeed::LoadFactor(std::log(2.0)), 0.5);
 }
--- a/tests/policy/request_queue_test.cpp
+++ b/tests/policy/request_queue_test.cpp
@@ -29,7 +29,7 @@
   EXPECT_EQ(Order(queue), (std::vector<RequestId>{8, 7, 6, 9}));
 }
 
-TEST(RequestQueue, DequeueTakesOutOnceAndOnlyWhatIsQueued) {
+TEST(RequestQueue, DequeueRemovesOnlyQueuedRequests) {
   RequestQueue queue;
   Request a = WithId(1), b = WithId(2);
   queue.Enqueue(a, PriorityTier::kOrdinary, 1);
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -71,7 +71,7 @@
   Class().dedup_scope = DedupScope::kZone;
   EXPECT_TRUE(policy_.MaySendTo(WithAttempt(true, 1), InZone(1), 0));
   EXPECT_FALSE(policy_.MaySendTo(WithAttempt(true, 1), InZone(2), 0));
-  EXPECT_FALSE(policy_.MaySendTo(WithAttempt(true, -1), InZone(-1), 0));  // not known: may be any
+  EXPECT_FALSE(policy_.MaySendTo(WithAttempt(true, -1), InZone(-1), 0));  // unknown zones may differ
   EXPECT_TRUE(policy_.MaySendTo(WithAttempt(false, 1), InZone(2), 0));
   EXPECT_FALSE(policy_.MayReject(WithAttempt(true, 1)));
   Class().dedup_scope = DedupScope::kAll;
@@ -87,7 +87,7 @@
     EXPECT_FALSE(ProvesNotRun(o));
 }
 
-TEST(RetryBudget, IsAShareOfRequestsAndSavesUpALittle) {
+TEST(RetryBudget, IsAShareOfRequestsUpToABound) {
   RetryBudget budget;
   for (int i = 0; i < 5; ++i) {
     ASSERT_TRUE(budget.HasRetry());
--- a/tests/policy/runtime_estimator_test.cpp
+++ b/tests/policy/runtime_estimator_test.cpp
@@ -41,7 +41,7 @@
   EXPECT_EQ(Estimate(WithPrompt(100)), 1'000'000);
 }
 
-TEST_F(RuntimeEstimatorTest, TellsPromptLengthsApartAndFallsBackToTheClass) {
+TEST_F(RuntimeEstimatorTest, DistinguishesPromptLengthsAndFallsBackToTheClass) {
   Serve(WithPrompt(100), 10'000, 100);
   Serve(WithPrompt(10'000), 90'000, 100);
   EXPECT_NEAR(Estimate(WithPrompt(100)), 10'000, 4'000);
@@ -50,7 +50,7 @@
   EXPECT_NEAR(estimator_.TypicalRuntime(WithPrompt(1'000)), 50'000, 4'000);
 }
 
-TEST_F(RuntimeEstimatorTest, TrustsCostHintsThatHaveDoneBetterThanBuckets) {
+TEST_F(RuntimeEstimatorTest, PrefersCostHintsThatWereMoreAccurateThanBuckets) {
   for (int i = 0; i < 200; ++i) {
     Serve(WithPrompt(100, 1'000), 2'000, 1);
     Serve(WithPrompt(100, 50'000), 100'000, 1);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -18,7 +18,7 @@
   Replica replica_;
 };
 
-TEST_F(SlowStartTest, FractionRisesEvenlyFromTheMinimum) {
+TEST_F(SlowStartTest, FractionRisesLinearlyFromTheMinimum) {
   EXPECT_DOUBLE_EQ(slow_start_.Fraction(replica_, 1'000'000), 0.2);
   EXPECT_DOUBLE_EQ(slow_start_.Fraction(replica_, 6'000'000), 0.6);
   EXPECT_EQ(slow_start_.Fraction(replica_, 11'000'000), 1);
@@ -37,7 +37,7 @@
   EXPECT_EQ(replica_.slow_start_tokens, 0);
 }
 
-TEST_F(SlowStartTest, TokensAreEarnedAtAPartOfTheRateAndNeverSavedUp) {
+TEST_F(SlowStartTest, TokensAreEarnedAtAPartOfTheRateUpToOne) {
   slow_start_.EarnTokens(replica_, 0.5, 1.0, 2'000'000);
   EXPECT_DOUBLE_EQ(replica_.slow_start_tokens, 0.4 * settings_.overload_factor * 0.5);
   slow_start_.EarnTokens(replica_, 0.5, 1.0, 100'000'000);
