--- a/tests/fairness_test.cpp
+++ b/tests/fairness_test.cpp
@@ -1,6 +1,6 @@
-// Whose requests are answered: seeded arrivals at a Router before replicas that read prompts one after
-// another, below capacity and above it. Largest requests get their part of their class's share, and
-// rejections do not single out sessions.
+// Fairness of the decisions, in a simulation with seeded arrivals and replicas that prefill prompts one after
+// another, below and above their capacity: the largest requests of a class must get a fair part of the
+// class's share of answers, and rejections must not concentrate on the same sessions.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,15 +17,15 @@
 namespace ryeglade::policy::test {
 namespace {
 
-constexpr double kPrefillTokensPerSecond = 20'000;  // prompt tokens that a replica reads
+constexpr double kPrefillTokensPerSecond = 20'000;  // prompt tokens that a replica prefills
 constexpr Time kStreamDuration = 400 * kMs;         // from the first token to the last
-constexpr Time kTimeoutMargin = 15 * kMs;           // an attempt ends so long before its client goes
+constexpr Time kTimeoutMargin = 15 * kMs;  // an attempt times out this long before the client's deadline
 constexpr ReplicaId kReplicas = 6;
 
 struct Client {
   int class_index = 0;
   std::uint64_t session = 0;
-  double prompt = 0;
+  double prompt = 0;  // tokens
   Time deadline = 0;
   bool answered = false;
   bool rejected = false;
@@ -36,10 +36,10 @@
   double late_weight_share = 0.0;
   double spread = 1.2;  // standard deviation of ln(prompt)
   std::size_t sessions = 400;
-  Time length = 60 * kSecond;
+  Time length = 60 * kSecond;  // time during which requests arrive
 };
 
-// Two classes with aims that grow with the prompt.
+// Two classes with latency objectives that grow with the prompt.
 Settings TwoClasses(double late_weight_share) {
   Settings s = BasicSettings();
   s.classes.resize(2, s.classes[0]);
@@ -54,7 +54,7 @@
   return s;
 }
 
-// Plays a load from a seed; the clients come back with what became of them.
+// Simulates a load from a seed. Run returns the clients with what has become of their requests.
 class Simulation {
  public:
   Simulation(const Load& load, unsigned seed)
@@ -125,9 +125,9 @@
     const Time sent = now_;
     free_at = std::max(free_at, now_) + static_cast<Time>(c.prompt / kPrefillTokensPerSecond * 1e6);
     const Time first = free_at;
-    const Time last_call = c.deadline - kTimeoutMargin;
-    if (first > last_call) {
-      Schedule(std::max(now_, last_call), [this, send, attempt, sent] {
+    const Time timeout_at = c.deadline - kTimeoutMargin;
+    if (first > timeout_at) {
+      Schedule(std::max(now_, timeout_at), [this, send, attempt, sent] {
         Handle(AttemptEnded{send.id, attempt, send.replica, Outcome::kTimeout, now_ - sent, false, 0, {}});
       });
       return;
@@ -153,9 +153,11 @@
   std::map<ReplicaId, Time> prefill_ends_;
 };
 
+// Shares of the requests of a class that were answered.
 struct Shares {
-  double all = 0, largest = 0,
-         next = 0;  // answered, of a class, its tenth with the longest prompts, and the fifth below
+  double all = 0;
+  double largest = 0;  // of the tenth with the longest prompts
+  double next = 0;     // of the next fifth
 };
 
 Shares SharesOf(const std::vector<Client>& clients, int class_index) {
@@ -164,28 +166,28 @@
     if (c.class_index == class_index) of.push_back(c);
   }
   std::sort(of.begin(), of.end(), [](const Client& a, const Client& b) { return a.prompt > b.prompt; });
-  const auto share = [&](std::size_t from, std::size_t to) {
+  const auto answered_share = [&](std::size_t from, std::size_t to) {
     const auto begin = of.begin() + static_cast<std::ptrdiff_t>(from);
     const auto end = of.begin() + static_cast<std::ptrdiff_t>(to);
     return static_cast<double>(std::count_if(begin, end, [](const Client& c) { return c.answered; })) /
            static_cast<double>(std::max<std::size_t>(1, to - from));
   };
   const std::size_t n = of.size();
-  return {share(0, n), share(0, n / 10), share(n / 10, n * 3 / 10)};
+  return {answered_share(0, n), answered_share(0, n / 10), answered_share(n / 10, n * 3 / 10)};
 }
 
-constexpr double kMinShareBelowCapacity =
-    2.0 / 3;  // of its class's share that a class's largest requests get on a quiet day
-constexpr double kMinShareAboveCapacity = 0.5;  // and otherwise
+// The share of the largest requests of a class that must be answered, as a part of the class's share.
+constexpr double kMinShareBelowCapacity = 2.0 / 3;
+constexpr double kMinShareAboveCapacity = 0.5;
 
-void ExpectShares(const Load& load, unsigned seed, double least) {
+void ExpectShares(const Load& load, unsigned seed, double min_part) {
   const std::vector<Client> clients = Simulation(load, seed).Run();
   for (int class_index = 0; class_index < 2; ++class_index) {
     const Shares s = SharesOf(clients, class_index);
-    EXPECT_GE(s.largest, least * s.all)
+    EXPECT_GE(s.largest, min_part * s.all)
+        << load.share_of_capacity << " late " << load.late_weight_share << " seed " << seed;
+    EXPECT_GE(s.next, min_part * s.all)
         << load.share_of_capacity << " late " << load.late_weight_share << " seed " << seed;
-    EXPECT_GE(s.next, least * s.all) << load.share_of_capacity << " late " << load.late_weight_share
-                                     << " seed " << seed;
   }
 }
 
@@ -211,30 +213,31 @@
   }
 }
 
-// Sessions all of whose turns were rejected, as a share of all, less what chance gives with this share
-// answered.
+// The share of sessions none of whose turns was answered, less the share expected if every turn had the same
+// chance of an answer.
 double SessionsRejectedBeyondChance(const std::vector<Client>& clients) {
-  std::map<std::uint64_t, std::pair<int, int>> turns;  // of a session: all, answered
+  std::map<std::uint64_t, std::pair<int, int>> turns;  // by session: the number of all and of answered turns
   double answered = 0;
   for (const Client& c : clients) {
-    auto& [all, good] = turns[c.session];
+    auto& [all, answered_turns] = turns[c.session];
     ++all;
-    good += c.answered ? 1 : 0;
+    answered_turns += c.answered ? 1 : 0;
     answered += c.answered ? 1 : 0;
   }
-  const double refused_share = 1 - answered / static_cast<double>(clients.size());
-  double seen = 0, by_chance = 0;
+  const double unanswered_share = 1 - answered / static_cast<double>(clients.size());
+  double observed = 0, expected = 0;
   for (const auto& [session, counts] : turns) {
-    seen += counts.second == 0 ? 1 : 0;
-    by_chance += std::pow(refused_share, counts.first);
+    observed += counts.second == 0 ? 1 : 0;
+    expected += std::pow(unanswered_share, counts.first);
   }
-  return (seen - by_chance) / static_cast<double>(turns.size());
+  return (observed - expected) / static_cast<double>(turns.size());
 }
 
 TEST(Fairness, RejectionsDoNotSingleOutSessions) {
   for (unsigned seed = 1; seed <= 3; ++seed) {
     for (const double load : {0.8, 1.3}) {
-      // Two or three turns a session: more would hide a session that is rejected throughout.
+      // A session has only two or three turns. With more, hardly any session would be rejected throughout,
+      // and concentrated rejections would go unnoticed.
       const std::vector<Client> clients =
           Simulation({.share_of_capacity = load, .late_weight_share = 0.5, .sessions = 2000}, seed).Run();
       EXPECT_LE(SessionsRejectedBeyondChance(clients), 0.05) << load << " seed " << seed;
@@ -243,16 +246,17 @@
 }
 
 TEST(QueueKey, ShortestFirstAmongRequestsThatArriveTogether) {
-  const QueuedRequest usual{0, 1 * kSecond, 500'000, 500'000}, shorter{0, 1 * kSecond, 400'000, 500'000};
-  EXPECT_LT(QueueKey(shorter), QueueKey(usual));
+  const QueuedRequest typical{0, 1 * kSecond, 500'000, 500'000}, shorter{0, 1 * kSecond, 400'000, 500'000};
+  EXPECT_LT(QueueKey(shorter), QueueKey(typical));
 }
 
 TEST(QueueKey, DelayBehindTypicalRequestsIsBoundedByTheTimeUntilTheObjective) {
   for (const double size : {600'000.0, 2'000'000.0, 60'000'000.0}) {
-    for (const Time until_aim : {300 * kMs, 2 * kSecond, 30 * kSecond}) {
-      const Time later = static_cast<Time>(kMaxDelayShare * static_cast<double>(until_aim)) + 1;
-      const QueuedRequest large{0, until_aim, size, 500'000}, usual{later, until_aim, 500'000, 500'000};
-      EXPECT_LT(QueueKey(large), QueueKey(usual)) << size << " " << until_aim;
+    for (const Time until_objective : {300 * kMs, 2 * kSecond, 30 * kSecond}) {
+      const Time later = static_cast<Time>(kMaxDelayShare * static_cast<double>(until_objective)) + 1;
+      const QueuedRequest large{0, until_objective, size, 500'000},
+          typical{later, until_objective, 500'000, 500'000};
+      EXPECT_LT(QueueKey(large), QueueKey(typical)) << size << " " << until_objective;
     }
   }
 }
--- a/tests/node.h
+++ b/tests/node.h
@@ -1,4 +1,5 @@
-// A node under test: gives events to a Router, keeps its actions and fires its timers.
+// A test harness for one node of the routing tier: passes events to a Router, records its actions and fires
+// its timers.
 #pragma once
 
 #include <optional>
@@ -31,6 +32,7 @@
   return settings;
 }
 
+// An endpoint in the state kReady.
 inline Endpoint Ready(ReplicaId id, int zone = 0, int cell = 0) {
   Endpoint endpoint;
   endpoint.id = id;
@@ -60,7 +62,7 @@
     }
   }
 
-  // Lets time pass up to `to`, with the timers that fall due on the way.
+  // Advances the time to `to` and fires the timers that become due until then.
   void AdvanceTo(Time to) {
     while (true) {
       std::size_t first = timers.size();
@@ -97,6 +99,7 @@
     return arrival.id;
   }
 
+  // Ends an attempt that was sent, `elapsed` after it was sent.
   void EndAttempt(RequestId id, int attempt, Outcome outcome, bool concluded, Time elapsed = 500 * kMs) {
     AttemptEnded ended;
     ended.id = id;
@@ -108,13 +111,14 @@
     Handle(ended);
   }
 
+  // Serves an attempt: its first token comes after a quarter of `elapsed`, its end after all of it.
   void Serve(RequestId id, int attempt = 0, Time elapsed = 500 * kMs) {
     Handle(ResponseStarted{id, attempt, AttemptsOf(id).at(static_cast<std::size_t>(attempt)).replica,
                            elapsed / 4});
     EndAttempt(id, attempt, Outcome::kServed, true, elapsed);
   }
 
-  // All actions so far of one type; ActionsFor, those of one request.
+  // Returns all actions of type A so far. ActionsFor returns those for one request.
   template <class A>
   std::vector<A> Actions() const {
     std::vector<A> found;
@@ -132,16 +136,16 @@
     return found;
   }
   std::vector<SendAttempt> AttemptsOf(RequestId id) const { return ActionsFor<SendAttempt>(id); }
-  // Rejections and failures of the request.
+  // The number of rejections and failures of the request.
   std::size_t FinalResponses(RequestId id) const {
     return ActionsFor<RejectRequest>(id).size() + ActionsFor<FailRequest>(id).size();
   }
 
   Time now = 100 * kSecond;
   std::vector<Action> actions;
-  std::vector<std::pair<Time, std::uint64_t>> timers;
-  std::uint32_t version = 0;
-  RequestId last_request = 0;
+  std::vector<std::pair<Time, std::uint64_t>> timers;  // due time and token of the timers that have not fired
+  std::uint32_t version = 0;                           // of the last endpoint list
+  RequestId last_request = 0;                          // id of the last request that arrived
   Router router;
 };
 
--- a/tests/simhost_process.sh
+++ b/tests/simhost_process.sh
@@ -1,14 +1,14 @@
 #!/usr/bin/env bash
-# The adapter as a process: exit codes and the one line it says about a defect.
+# Tests ryeglade_simhost as a process: its exit codes, and the one line that it writes about malformed input.
 set -u
-sim=$1
+simhost=$1
 fails=0
-check() { # name, wanted exit, wanted text on standard error, input as printf escapes
+check() { # name, expected exit code, text expected on standard error, input as printf escapes
   local err code
-  err=$(printf "$4" | "$sim" 2>&1 >/dev/null)
+  err=$(printf "$4" | "$simhost" 2>&1 >/dev/null)
   code=$?
   if [ "$code" -ne "$2" ] || [[ "$err" != *"$3"* ]] || [ "$(printf '%s' "$err" | grep -c '')" -gt 1 ]; then
-    echo "FAIL $1: exit $code, said '$err'"
+    echo "FAIL $1: exit code $code, standard error '$err'"
     fails=$((fails + 1))
   else
     echo "ok $1"
@@ -16,10 +16,10 @@
 }
 check "end of input" 0 "" ""
 check "empty batch" 0 "" '\x0c\0\0\0\x5a\x5c\x80\0\0\0\0\0'
-check "cut header" 1 "input ends" '\x0c\0'
-check "cut frame" 1 "input ends" '\x20\0\0\0\x5a\x5c'
+check "truncated header" 1 "input ends" '\x0c\0'
+check "truncated frame" 1 "input ends" '\x20\0\0\0\x5a\x5c'
 check "huge length" 1 "out of range" '\xff\xff\xff\xff'
-check "length under the header" 1 "out of range" '\x03\0\0\0'
+check "length below the header size" 1 "out of range" '\x03\0\0\0'
 check "record past the end" 1 "truncated in record" '\x11\0\0\0\x5a\x5c\x80\0\0\0\0\0\x0b\xff\0\0\0'
 check "event before at" 1 "before any 'at'" '\x19\0\0\0\x5a\x5c\x80\0\0\0\0\0\x03\x08\0\0\0\0\0\0\0\0\0\0\0'
 exit $fails
