--- a/tests/router_path_test.cpp
+++ b/tests/router_path_test.cpp
@@ -1,4 +1,5 @@
-// The ordinary path: what is queued, in which order it is dispatched, where it goes, and what is learned.
+// The ordinary path of requests: what is queued, in which order queued requests are dispatched, which replica
+// is selected, and what is learned from outcomes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +11,7 @@
 namespace ryeglade::policy::test {
 namespace {
 
-// Serves `count` requests of one prompt length so that its bucket is known to take `runtime`.
+// Serves `count` requests with `prompt` tokens, so that the estimate for such requests becomes `runtime`.
 void ServeMany(Node& node, double prompt, Time runtime, int count = 30) {
   for (int i = 0; i < count; ++i) {
     const RequestId id = node.Arrive(6 * kSecond, prompt);
@@ -20,13 +21,13 @@
   }
 }
 
-// Fills the one replica until the node holds.
+// Lets requests arrive until the first one is queued. Returns those before it, which are in flight.
 std::vector<RequestId> SendUntilQueued(Node& node, double prompt) {
-  std::vector<RequestId> out;
-  while (node.router.queued_requests() == 0 && out.size() < 1000)
-    out.push_back(node.Arrive(7 * kSecond, prompt));
-  out.pop_back();
-  return out;
+  std::vector<RequestId> in_flight;
+  while (node.router.queued_requests() == 0 && in_flight.size() < 1000)
+    in_flight.push_back(node.Arrive(7 * kSecond, prompt));
+  in_flight.pop_back();
+  return in_flight;
 }
 
 TEST(Queueing, ShortestEstimateIsDispatchedFirst) {
@@ -34,18 +35,18 @@
   node.SetEndpoints({Ready(1)});
   ServeMany(node, 4000, 900 * kMs);
   ServeMany(node, 200, 100 * kMs);
-  const auto out = SendUntilQueued(node, 200);
-  const RequestId filler = node.last_request;
+  const auto in_flight = SendUntilQueued(node, 200);
+  const RequestId first_queued = node.last_request;
   const RequestId large = node.Arrive(7 * kSecond, 4000);
   const RequestId small = node.Arrive(7 * kSecond, 200);
   EXPECT_EQ(node.router.queued_requests(), 3u);
-  for (std::size_t i = 0; i < out.size() && node.AttemptsOf(large).empty(); ++i)
-    node.Serve(out[i], 0, 100 * kMs);
+  for (std::size_t i = 0; i < in_flight.size() && node.AttemptsOf(large).empty(); ++i)
+    node.Serve(in_flight[i], 0, 100 * kMs);
   std::vector<RequestId> order;
   for (const SendAttempt& s : node.Actions<SendAttempt>()) order.push_back(s.id);
   ASSERT_GE(order.size(), 3u);
   EXPECT_EQ(std::vector<RequestId>(order.end() - 3, order.end()),
-            (std::vector<RequestId>{filler, small, large}));
+            (std::vector<RequestId>{first_queued, small, large}));
 }
 
 TEST(Queueing, ALongRequestThatHasWaitedOvertakesShortNewcomers) {
@@ -53,33 +54,36 @@
   node.SetEndpoints({Ready(1)});
   ServeMany(node, 4000, 200 * kMs);
   ServeMany(node, 200, 100 * kMs);
-  const auto out = SendUntilQueued(node, 200);
+  const auto in_flight = SendUntilQueued(node, 200);
   const RequestId large = node.Arrive(7 * kSecond, 4000);
   node.Advance(800 * kMs);
   const RequestId small = node.Arrive(7 * kSecond, 200);
-  for (std::size_t i = 0; i < 2 && node.AttemptsOf(large).empty(); ++i) node.Serve(out[i], 0, 100 * kMs);
+  for (std::size_t i = 0; i < 2 && node.AttemptsOf(large).empty(); ++i)
+    node.Serve(in_flight[i], 0, 100 * kMs);
   EXPECT_EQ(node.AttemptsOf(large).size(), 1u);
   EXPECT_EQ(node.AttemptsOf(small).size(), 0u);
 }
 
-// Found on mandali-model rough-2: once the queue was older than the objective, the oldest went first and
-// everything left late.
+// Guards against a queue that, once it is older than the objective, dispatches the oldest request first and
+// so serves every request late.
 TEST(Queueing, RequestsThatMissTheirObjectiveWaitBehindThoseThatCanMeetIt) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
-  const auto out = SendUntilQueued(node, 1000);
+  const auto in_flight = SendUntilQueued(node, 1000);
   const RequestId stale = node.last_request;
   node.Advance(2 * kSecond);
   const RequestId fresh = node.Arrive(7 * kSecond);
   ASSERT_EQ(node.FinalResponses(stale) + node.AttemptsOf(stale).size(), 0u);
-  for (std::size_t i = 0; i < out.size() && node.AttemptsOf(stale).empty(); ++i)
-    node.Serve(out[i], 0, 300 * kMs);
+  for (std::size_t i = 0; i < in_flight.size() && node.AttemptsOf(stale).empty(); ++i)
+    node.Serve(in_flight[i], 0, 300 * kMs);
   const auto sends = node.Actions<SendAttempt>();
   ASSERT_GE(sends.size(), 2u);
   EXPECT_EQ(sends[sends.size() - 2].id, fresh);
   EXPECT_EQ(sends[sends.size() - 1].id, stale);
 }
 
+// With many nodes, a node's limit for each replica is below one attempt. Guards against rounding each of them
+// up to one, by which all nodes together would exceed the limits.
 TEST(Queueing, LimitsBelowOneRequestAreBoundedByTheirSum) {
   Settings s = BasicSettings();
   s.node_count = 140;
@@ -131,7 +135,8 @@
   EXPECT_NE(node.AttemptsOf(id)[1].replica, full);
 }
 
-// Found on incident i460702: streams were too slow long before first tokens were.
+// Guards against limits that fall only when first tokens are late: overloaded replicas slow down their
+// streams long before that.
 TEST(ConcurrencyLimits, FallWhenStreamsSlowDownThoughFirstTokensAreInTime) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
@@ -150,8 +155,8 @@
   EXPECT_LT(node.router.total_concurrency_limit(), before);
 }
 
-// Found on montevideo-central's quiet day: the first answers to end are the short ones, so the best pace
-// looked better than it was and limits fell though first tokens came at once.
+// The first answers to end are the short ones, so the best pace looks better than it is. Guards against
+// limits that then fall although first tokens come at once.
 TEST(ConcurrencyLimits, HoldWhenStreamsLookSlowButFirstTokensComeAtOnce) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
@@ -166,8 +171,8 @@
   stream(200 * kMs, 30);
   const double before = node.router.total_concurrency_limit();
   stream(1 * kSecond, 60);
-  EXPECT_GT(node.router.total_concurrency_limit(),
-            0.9 * before * std::exp(-1.7));  // only by the replica's own slowness
+  // The replica's own slowness lowers its limit; adaptive concurrency must not lower it further.
+  EXPECT_GT(node.router.total_concurrency_limit(), 0.9 * before * std::exp(-1.7));
 }
 
 TEST(ReplicaSelection, ErrorsNeverMakeAReplicaLookIdle) {
@@ -207,26 +212,26 @@
 TEST(ReplicaSelection, NodesAgreeOnThePreferredReplicaOfASession) {
   Settings s = BasicSettings();
   s.node_count = 20;
-  std::map<std::uint64_t, std::map<ReplicaId, int>> where;
+  std::map<std::uint64_t, std::map<ReplicaId, int>> chosen;  // by session: how often each replica was chosen
   for (std::uint64_t index = 0; index < 20; ++index) {
     Node node(s, index + 1);
     node.SetEndpoints(ReadyReplicas(16));
     for (std::uint64_t session = 1; session <= 10; ++session) {
       const RequestId id = node.Arrive(6 * kSecond, 1000, session);
       ASSERT_EQ(node.AttemptsOf(id).size(), 1u);
-      ++where[session][node.AttemptsOf(id)[0].replica];
+      ++chosen[session][node.AttemptsOf(id)[0].replica];
       node.Advance(300 * kMs);
       node.Serve(id, 0, 300 * kMs);
     }
   }
-  std::map<ReplicaId, int> homes;
-  for (const auto& [session, counts] : where) {
+  std::map<ReplicaId, int> preferred;  // the sessions of each preferred replica
+  for (const auto& [session, counts] : chosen) {
     const auto most = std::max_element(counts.begin(), counts.end(),
                                        [](const auto& a, const auto& b) { return a.second < b.second; });
     EXPECT_GE(most->second, 14) << "session " << session;
-    ++homes[most->first];
+    ++preferred[most->first];
   }
-  EXPECT_GE(homes.size(), 4u);
+  EXPECT_GE(preferred.size(), 4u);
 }
 
 TEST(ReplicaSelection, AHotSessionIsSpreadWider) {
@@ -234,30 +239,31 @@
   s.node_count = 20;
   Node node(s);
   node.SetEndpoints(ReadyReplicas(16));
-  std::map<ReplicaId, int> late;
+  std::map<ReplicaId, int> chosen;  // in the second half, when the session is known to be hot
   for (int i = 0; i < 200; ++i) {
     const RequestId id = node.Arrive(6 * kSecond, 1000, 77);
     ASSERT_EQ(node.AttemptsOf(id).size(), 1u);
-    if (i >= 100) ++late[node.AttemptsOf(id)[0].replica];
+    if (i >= 100) ++chosen[node.AttemptsOf(id)[0].replica];
     node.Advance(100 * kMs);
     node.Serve(id, 0, 300 * kMs);
   }
-  EXPECT_GE(late.size(), 3u);
+  EXPECT_GE(chosen.size(), 3u);
 }
 
-// A long prompt is read before those behind it: its replica has less spare capacity than its one request
-// tells.
+// A long prompt is prefilled before those behind it, so its replica has less spare capacity than the number
+// of its requests shows.
 TEST(ReplicaSelection, APromptStillBeingReadTakesCapacity) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1), Ready(2)});
   const RequestId large = node.Arrive(6 * kSecond, 16000);
-  const ReplicaId there = node.AttemptsOf(large)[0].replica;
-  for (int i = 0; i < 4; ++i) EXPECT_NE(node.AttemptsOf(node.Arrive(6 * kSecond, 500))[0].replica, there);
-  node.Handle(ResponseStarted{large, 0, there, 900 * kMs});  // read: what runs is light
-  EXPECT_EQ(node.AttemptsOf(node.Arrive(6 * kSecond, 500))[0].replica, there);
+  const ReplicaId busy = node.AttemptsOf(large)[0].replica;
+  for (int i = 0; i < 4; ++i) EXPECT_NE(node.AttemptsOf(node.Arrive(6 * kSecond, 500))[0].replica, busy);
+  node.Handle(ResponseStarted{large, 0, busy, 900 * kMs});  // prefilled: the rest of the request takes little
+  EXPECT_EQ(node.AttemptsOf(node.Arrive(6 * kSecond, 500))[0].replica, busy);
 }
 
-// A session's next turn goes where the node knows its prompt to be cached, until that replica starts afresh.
+// A session's next turn goes to the replica to which the node has sent its prompt, until that replica
+// restarts.
 TEST(ReplicaSelection, ASessionStaysWhereItsPromptIsCached) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
@@ -268,18 +274,18 @@
     return node.AttemptsOf(id)[0].replica;
   };
   for (std::uint64_t session = 1001; session < 1009; ++session) turn(session);
-  node.SetEndpoints(ReadyReplicas(8));  // whichever would now be preferred
+  node.SetEndpoints(ReadyReplicas(8));  // by hash, other replicas would now be preferred
   for (std::uint64_t session = 1001; session < 1009; ++session) EXPECT_EQ(turn(session), 1u);
   auto fleet = ReadyReplicas(8);
   fleet[1].started_at = node.now - 1;
   node.SetEndpoints(fleet);
-  int away = 0;
-  for (std::uint64_t session = 1001; session < 1009; ++session) away += turn(session) == 1 ? 0 : 1;
-  EXPECT_GE(away, 4);
+  int elsewhere = 0;
+  for (std::uint64_t session = 1001; session < 1009; ++session) elsewhere += turn(session) == 1 ? 0 : 1;
+  EXPECT_GE(elsewhere, 4);
 }
 
-// After a start short answers are back first; the long ones behind them make every replica look slow at once.
-// That says nothing about any of them, so it must not shrink the limits.
+// After a start the short answers are complete first, and the long ones after them make all replicas look
+// slow at the same time. That shows nothing about any one replica, so it must not lower the limits.
 TEST(ConcurrencyLimits, DoNotShrinkWhenAllReplicasLookSlowAlike) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1), Ready(2), Ready(3)});
@@ -289,7 +295,8 @@
   EXPECT_GE(node.router.total_concurrency_limit(), 0.95 * before);
 }
 
-// Where a stream comes spoilt now and then, from any replica, resting each for it would take the fleet away.
+// Where any replica breaks a stream now and then, ejecting a replica for a single failure would eject most of
+// the fleet.
 TEST(OutlierEjection, ASingleFailureEjectsNothingAndTwoInARowDo) {
   Settings s = BasicSettings();
   s.max_attempts = 1;
@@ -300,7 +307,7 @@
   const RequestId next = node.Arrive();
   ASSERT_EQ(node.AttemptsOf(next).size(), 1u);
   node.EndAttempt(next, 0, Outcome::kError, false, 20 * kMs);
-  EXPECT_TRUE(node.AttemptsOf(node.Arrive()).empty());  // quick errors draw no more
+  EXPECT_TRUE(node.AttemptsOf(node.Arrive()).empty());  // quick errors attract no more requests
   node.Serve(running);
 }
 
@@ -311,18 +318,18 @@
   s.cross_zone_penalty = 0.08;
   Node node(s);
   node.SetEndpoints({Ready(1, 0), Ready(2, 0), Ready(3, 1), Ready(4, 1)});
-  int own = 0;
+  int in_own_zone = 0;
   for (int i = 0; i < 50; ++i) {
     const RequestId id = node.Arrive();
-    own += node.AttemptsOf(id)[0].replica >= 3 ? 1 : 0;
+    in_own_zone += node.AttemptsOf(id)[0].replica >= 3 ? 1 : 0;
     node.Advance(50 * kMs);
     node.Serve(id, 0, 200 * kMs);
   }
-  EXPECT_GE(own, 45);
+  EXPECT_GE(in_own_zone, 45);
 }
 
-// A node of many sees few answers of each replica, so it learns how late its zone is from all of them at
-// once.
+// A node of a large tier sees few answers of each replica, so it learns from all replicas of its zone
+// together that the zone answers late.
 TEST(ReplicaSelection, LeavesAZoneThatAnswersLateAsAWhole) {
   Settings s = BasicSettings();
   s.node_count = 100;
@@ -336,17 +343,17 @@
   int crossed_early = 0, crossed_late = 0;
   for (int i = 0; i < 200; ++i) {
     const RequestId id = node.Arrive();
-    const bool own = node.AttemptsOf(id).at(0).replica >= 30;
-    if (!own) ++(i < 100 ? crossed_early : crossed_late);
+    const bool in_own_zone = node.AttemptsOf(id).at(0).replica >= 30;
+    if (!in_own_zone) ++(i < 100 ? crossed_early : crossed_late);
     node.Advance(50 * kMs);
-    const bool slow = own && i >= 100;
-    node.Serve(id, 0, slow ? 8000 * kMs : 400 * kMs);  // the first token comes after a quarter of it
+    const bool slow = in_own_zone && i >= 100;
+    node.Serve(id, 0, slow ? 8000 * kMs : 400 * kMs);  // the first token comes after a quarter of this
   }
   EXPECT_LE(crossed_early, 10);
   EXPECT_GE(crossed_late, 50);
 }
 
-// Copies of overdue requests were tried and lost: where first tokens are late, there is no capacity for them.
+// Hedged requests make things worse: where first tokens are late, there is no capacity for further attempts.
 TEST(HedgedRequests, AreNotSent) {
   Settings s = BasicSettings();
   s.can_hedge = true;
@@ -364,18 +371,18 @@
   s.tenants = {{"a", 0.5, 2.0}, {"b", 0.5, 2.0}};
   Node node(s);
   node.SetEndpoints({Ready(1)});
-  const auto ask = [&](int tenant) {
-    RequestArrived r;
-    r.id = ++node.last_request;
-    r.tenant_index = tenant;
-    r.time_budget = 7 * kSecond;
-    r.prompt_tokens = 1000;
-    node.Handle(r);
-    return r.id;
+  const auto arrive = [&](int tenant) {
+    RequestArrived arrival;
+    arrival.id = ++node.last_request;
+    arrival.tenant_index = tenant;
+    arrival.time_budget = 7 * kSecond;
+    arrival.prompt_tokens = 1000;
+    node.Handle(arrival);
+    return arrival.id;
   };
-  for (int i = 0; i < 200; ++i) ask(0);
+  for (int i = 0; i < 200; ++i) arrive(0);
   const RequestId beyond = node.last_request;
-  const RequestId within = ask(1);
+  const RequestId within = arrive(1);
   ASSERT_EQ(node.AttemptsOf(beyond).size() + node.AttemptsOf(within).size(), 0u);
   for (std::size_t i = 0; i < 200 && node.AttemptsOf(within).empty(); ++i) {
     node.Serve(node.Actions<SendAttempt>()[i].id, 0, 100 * kMs);
@@ -401,43 +408,43 @@
 }  // namespace
 // ---- Large fleets ----
 
-constexpr ReplicaId kMany = 300;
+constexpr ReplicaId kLargeFleetSize = 300;
 
-// Where a beginning goes while nothing else does.
+// The replica to which a request with this prefix is sent while no other request is in flight.
 ReplicaId PreferredReplicaOf(Node& node, std::uint64_t prefix) {
   const RequestId id = node.Arrive(4 * kSecond, 2000, 0, prefix);
-  const ReplicaId at = node.AttemptsOf(id).at(0).replica;
+  const ReplicaId replica = node.AttemptsOf(id).at(0).replica;
   node.Serve(id);
   node.Advance(2 * kSecond);
-  return at;
+  return replica;
 }
 
 TEST(LargeFleet, NodesAgreeOnPreferredReplicasAndFewMoveWhenSomeLeave) {
   Settings s = BasicSettings();
   s.node_count = 4;
   Node a(s, 7), b(s, 8);
-  a.SetEndpoints(ReadyReplicas(kMany));
-  b.SetEndpoints(ReadyReplicas(kMany));
+  a.SetEndpoints(ReadyReplicas(kLargeFleetSize));
+  b.SetEndpoints(ReadyReplicas(kLargeFleetSize));
   std::vector<ReplicaId> before;
-  int alike = 0;
+  int same = 0;
   for (std::uint64_t key = 1; key <= 60; ++key) {
     before.push_back(PreferredReplicaOf(a, 1000 + key));
-    alike += PreferredReplicaOf(b, 1000 + key) == before.back() ? 1 : 0;
+    same += PreferredReplicaOf(b, 1000 + key) == before.back() ? 1 : 0;
   }
-  EXPECT_GE(alike, 54);
+  EXPECT_GE(same, 54);
   Node c(s, 9);
-  std::vector<Endpoint> rest = ReadyReplicas(kMany);
+  std::vector<Endpoint> rest = ReadyReplicas(kLargeFleetSize);
   rest.erase(rest.begin() + 100, rest.begin() + 115);
   c.SetEndpoints(rest);
   int moved = 0;
   for (std::uint64_t key = 1; key <= 60; ++key) {
     moved += PreferredReplicaOf(c, 1000 + key) != before[static_cast<std::size_t>(key - 1)] ? 1 : 0;
   }
-  EXPECT_LE(moved, 15);  // 3 or so were preferred there; ties and draws add some
+  EXPECT_LE(moved, 15);  // about 3 had a removed replica as the preferred one; ties and random draws add some
 }
 
-// Found on herd+vast: a hundred nodes that had each seen a hot prefix once or twice sent it to the same one
-// replica, which took a quarter of the fleet's requests and answered seconds late.
+// Guards against a hundred nodes that have each seen a hot prefix once or twice and all send it to its one
+// preferred replica, which then gets a quarter of the fleet's requests and answers seconds late.
 TEST(LargeTier, APrefixSeenOnceIsNotSentToOneReplicaByAll) {
   const auto replicas_chosen = [](int nodes) {
     Settings s = BasicSettings();
@@ -446,7 +453,7 @@
     for (std::uint64_t seed = 1; seed <= 24; ++seed) {
       Node node(s, seed);
       node.SetEndpoints(ReadyReplicas(40));
-      const RequestId other = node.Arrive(4 * kSecond, 2000);  // a node has seen a few requests
+      const RequestId other = node.Arrive(4 * kSecond, 2000);  // the node has seen another request
       const RequestId id = node.Arrive(4 * kSecond, 2000, 0, 77);
       ++chosen[node.AttemptsOf(id).at(0).replica];
       node.Serve(other);
@@ -454,19 +461,19 @@
     return chosen.size();
   };
   EXPECT_GE(replicas_chosen(100), 4u);
-  EXPECT_LE(replicas_chosen(3), 2u);  // a few nodes together send its preferred replica few of it
+  EXPECT_LE(replicas_chosen(3), 2u);  // a few nodes can't overload the preferred replica
 }
 
 TEST(LargeFleet, DrainingAndUnreachableReplicasGetNoNewRequests) {
   Node node(BasicSettings());
-  node.SetEndpoints(ReadyReplicas(kMany));
-  std::vector<Endpoint> gone;
-  for (ReplicaId id = 0; id < kMany; id += 2) {
+  node.SetEndpoints(ReadyReplicas(kLargeFleetSize));
+  std::vector<Endpoint> draining;
+  for (ReplicaId id = 0; id < kLargeFleetSize; id += 2) {
     Endpoint e = Ready(id);
     e.state = EndpointState::kDraining;
-    gone.push_back(e);
+    draining.push_back(e);
   }
-  node.SetEndpoints(gone, EndpointListScope::kDelta);
+  node.SetEndpoints(draining, EndpointListScope::kDelta);
   std::map<ReplicaId, int> sent;
   for (int i = 0; i < 600; ++i) {
     const RequestId id =
@@ -478,34 +485,34 @@
     node.Advance(5 * kMs);
     if (!node.AttemptsOf(id).empty()) node.Serve(id);
   }
-  EXPECT_GT(sent.size(), 60U);  // and the rest share it
-  // One that can't be reached is ejected, though the limits are updated by time.
+  EXPECT_GT(sent.size(), 60U);  // the other replicas share the requests
+  // A replica that can't be reached is ejected at once, although the limits are updated only at intervals.
   const RequestId id = node.Arrive();
-  const ReplicaId bad = node.AttemptsOf(id).at(0).replica;
+  const ReplicaId unreachable = node.AttemptsOf(id).at(0).replica;
   node.EndAttempt(id, 0, Outcome::kConnectFailed, false);
   for (int i = 0; i < 200; ++i) {
     const RequestId next = node.Arrive();
-    EXPECT_NE(node.AttemptsOf(next).at(0).replica, bad);
+    EXPECT_NE(node.AttemptsOf(next).at(0).replica, unreachable);
     node.Serve(next);
     node.Advance(1 * kMs);
   }
 }
 
-// What is queued leaves as soon as there is capacity again, whatever the age of the limits.
+// Queued requests are dispatched as soon as there is capacity again, even before the limits are updated.
 TEST(LargeFleet, QueuedRequestsAreDispatchedWhenCapacityReturns) {
   Node node(BasicSettings());
   node.SetEndpoints(ReadyReplicas(80));
   std::vector<RequestId> all;
   for (int i = 0; i < 6000; ++i) all.push_back(node.Arrive());
   ASSERT_GT(node.router.queued_requests(), 0U);
-  std::vector<RequestId> out;
+  std::vector<RequestId> in_flight;
   for (const RequestId id : all) {
-    if (!node.AttemptsOf(id).empty()) out.push_back(id);
+    if (!node.AttemptsOf(id).empty()) in_flight.push_back(id);
   }
   const std::size_t queued = node.router.queued_requests();
   for (std::size_t i = 0; i < 50; ++i) {
     node.Advance(1 * kMs);
-    node.Serve(out[i]);
+    node.Serve(in_flight[i]);
   }
   EXPECT_LE(node.router.queued_requests(), queued - 40);
 }
