--- a/tests/router_rules_test.cpp
+++ b/tests/router_rules_test.cpp
@@ -1,4 +1,6 @@
-// The four rules and their corners, and calls that should never be made.
+// The rules that every decision must keep, with their corner cases: no request is lost, none is executed
+// twice against its idempotency, draining replicas get no new requests, and warming replicas are not
+// overloaded. Also service discovery, determinism, and events that should never occur.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -32,7 +34,8 @@
   EXPECT_EQ(node.FinalResponses(id), 1u);
 }
 
-// Found by the sanitizers on damaged frames: an objective worked out from -1.6e22 tokens does not fit a time.
+// Guards against an overflow: an objective computed from -1.6e22 tokens, as in a damaged frame, does not fit
+// a Time.
 TEST(NoRequestLost, AbsurdPromptLengthsAreBounded) {
   Settings s = BasicSettings();
   s.classes[0].objective_per_1000_tokens = kSecond;
@@ -51,8 +54,7 @@
     EXPECT_EQ(node.FinalResponses(id) + node.AttemptsOf(id).size(), 1u);
 }
 
-// Found on an overloaded day: an attempt came with no time budget left, and a timer would have been a tick
-// too late.
+// A request may arrive with no time budget left; a timer would conclude it slightly too late.
 TEST(NoRequestLost, NoTimeBudgetLeftIsConcludedAtOnce) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
@@ -61,8 +63,8 @@
   EXPECT_TRUE(node.AttemptsOf(id).empty());
 }
 
-// Found on lagos-permits rough-2: the latest dispatch was worked out anew when its timer fired, lay later by
-// then, and no timer was set again.
+// Guards against computing the latest dispatch anew when its timer fires: if it is later by then and no timer
+// is set again, the request is never concluded.
 TEST(NoRequestLost, TheLatestDispatchDoesNotMovePastItsTimer) {
   Settings s = BasicSettings();
   s.classes[0].late_weight_share = 0;
@@ -73,12 +75,12 @@
     node.Advance(800 * kMs);
     node.Serve(id, 0, 2 * kSecond);
   }
-  std::vector<RequestId> out;
-  while (node.router.queued_requests() == 0) out.push_back(node.Arrive(7 * kSecond));
-  const RequestId queued = out.back();
+  std::vector<RequestId> arrived;  // all but the last are in flight
+  while (node.router.queued_requests() == 0) arrived.push_back(node.Arrive(7 * kSecond));
+  const RequestId queued = arrived.back();
   node.SetEndpoints({});  // so that it stays queued
-  for (std::size_t i = 0; i + 1 < out.size(); ++i)
-    node.Handle(ResponseStarted{out[i], 0, 1, 1 * kMs});  // fast now
+  for (std::size_t i = 0; i + 1 < arrived.size(); ++i)
+    node.Handle(ResponseStarted{arrived[i], 0, 1, 1 * kMs});  // fast first tokens from now on
   node.Advance(7 * kSecond);
   EXPECT_EQ(node.FinalResponses(queued), 1u);
 }
@@ -101,13 +103,13 @@
   node.Handle(ClientDisconnected{queued});
   EXPECT_EQ(node.router.queued_requests(), 0u);
   node.SetEndpoints({Ready(1)});
-  const RequestId out = node.Arrive();
-  ASSERT_EQ(node.AttemptsOf(out).size(), 1u);
-  node.Handle(ClientDisconnected{out});
-  EXPECT_EQ(node.ActionsFor<CancelAttempt>(out).size(), 1u);
-  node.EndAttempt(out, 0, Outcome::kCancelled, true);
+  const RequestId in_flight = node.Arrive();
+  ASSERT_EQ(node.AttemptsOf(in_flight).size(), 1u);
+  node.Handle(ClientDisconnected{in_flight});
+  EXPECT_EQ(node.ActionsFor<CancelAttempt>(in_flight).size(), 1u);
+  node.EndAttempt(in_flight, 0, Outcome::kCancelled, true);
   node.Advance(20 * kSecond);
-  EXPECT_EQ(node.FinalResponses(queued) + node.FinalResponses(out), 0u);
+  EXPECT_EQ(node.FinalResponses(queued) + node.FinalResponses(in_flight), 0u);
   EXPECT_EQ(node.AttemptsOf(queued).size(), 0u);
   EXPECT_EQ(node.router.open_requests(), 0u);
 }
@@ -137,7 +139,7 @@
 
 class EveryOutcome : public testing::TestWithParam<std::tuple<Outcome, bool>> {};
 
-TEST_P(EveryOutcome, LeadsToExactlyOneEnd) {
+TEST_P(EveryOutcome, LeadsToExactlyOneConclusion) {
   const auto [outcome, concluded] = GetParam();
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1), Ready(2), Ready(3)});
@@ -156,7 +158,7 @@
   EXPECT_EQ(node.router.in_flight(1) + node.router.in_flight(2) + node.router.in_flight(3), 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Codes, EveryOutcome,
+INSTANTIATE_TEST_SUITE_P(AllOutcomes, EveryOutcome,
                          testing::Combine(testing::Values(Outcome::kServed, Outcome::kError,
                                                           Outcome::kAtCapacity, Outcome::kTimeout,
                                                           Outcome::kConnectFailed, Outcome::kReset,
@@ -176,11 +178,11 @@
   EXPECT_GT(node.ActionsFor<RejectRequest>(id)[0].retry_after, 0);
 }
 
-// ---- No effect twice ----
+// ---- No duplicate execution ----
 
-Settings WithIdempotency(Idempotency effect, DedupScope scope = DedupScope::kAll) {
+Settings WithIdempotency(Idempotency idempotency, DedupScope scope = DedupScope::kAll) {
   Settings s = BasicSettings();
-  s.classes[0].idempotency = effect;
+  s.classes[0].idempotency = idempotency;
   s.classes[0].dedup_scope = scope;
   return s;
 }
@@ -227,7 +229,8 @@
   }
   node.Advance(10 * kSecond);
   for (const SendAttempt& s : node.AttemptsOf(id)) EXPECT_EQ(zone(s.replica), zone(first));
-  EXPECT_EQ(node.ActionsFor<RejectRequest>(id).size(), 0u);  // the client could take it elsewhere
+  // Not rejected, because the client's retry could reach another zone.
+  EXPECT_EQ(node.ActionsFor<RejectRequest>(id).size(), 0u);
   EXPECT_EQ(node.ActionsFor<FailRequest>(id).size(), 1u);
 }
 
@@ -298,14 +301,14 @@
   EXPECT_TRUE(node.Actions<CheckHealth>().empty());
 }
 
-// ---- Draining replicas get nothing new ----
+// ---- Draining replicas get no new requests ----
 
 TEST(Draining, NothingNewGoesToADrainingOrGoneReplica) {
-  for (const EndpointState phase : {EndpointState::kDraining, EndpointState::kRemoved}) {
+  for (const EndpointState state : {EndpointState::kDraining, EndpointState::kRemoved}) {
     Node node(BasicSettings());
     node.SetEndpoints({Ready(1), Ready(2)});
     Endpoint e = Ready(1);
-    e.state = phase;
+    e.state = state;
     node.SetEndpoints({e}, EndpointListScope::kDelta);
     for (int i = 0; i < 20; ++i) {
       const RequestId id = node.Arrive();
@@ -331,18 +334,18 @@
 TEST(Draining, RequestsQueuedOrRetriedDuringADrainGoElsewhere) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
-  const RequestId out = node.Arrive();
+  const RequestId in_flight = node.Arrive();
   Endpoint draining = Ready(1);
   draining.state = EndpointState::kDraining;
   node.SetEndpoints({draining}, EndpointListScope::kDelta);
   const RequestId queued = node.Arrive();
   EXPECT_TRUE(node.AttemptsOf(queued).empty());
-  node.EndAttempt(out, 0, Outcome::kReset, false, 5 * kMs);
+  node.EndAttempt(in_flight, 0, Outcome::kReset, false, 5 * kMs);
   node.SetEndpoints({Ready(2)}, EndpointListScope::kDelta);
   ASSERT_EQ(node.AttemptsOf(queued).size(), 1u);
   EXPECT_EQ(node.AttemptsOf(queued)[0].replica, 2u);
-  ASSERT_EQ(node.AttemptsOf(out).size(), 2u);
-  EXPECT_EQ(node.AttemptsOf(out)[1].replica, 2u);
+  ASSERT_EQ(node.AttemptsOf(in_flight).size(), 2u);
+  EXPECT_EQ(node.AttemptsOf(in_flight)[1].replica, 2u);
 }
 
 TEST(Draining, ARestartedReplicaGetsRequestsAgain) {
@@ -359,19 +362,18 @@
   EXPECT_EQ(node.AttemptsOf(node.Arrive()).size(), 1u);
 }
 
-// ---- A replica that warms up is not overloaded ----
+// ---- Replicas that warm up are not overloaded ----
 
 TEST(SlowStart, ManyNodesTogetherStayWithinTheCapacityOfAWarmingReplica) {
   constexpr int kNodes = 60;
-  constexpr int kWarm = 20;
+  constexpr int kWarmReplicas = 20;
   Settings s = BasicSettings();
   s.node_count = kNodes;
   int to_warming = 0, to_all = 0;
   for (int index = 0; index < kNodes; ++index) {
     Node node(s, static_cast<std::uint64_t>(index) + 1);
-    node.SetEndpoints(ReadyReplicas(kWarm));
-    std::vector<RequestId> ids;
-    const auto traffic = [&](Time span, bool count) {
+    node.SetEndpoints(ReadyReplicas(kWarmReplicas));
+    const auto send_requests = [&](Time span, bool count) {
       for (Time at = 0; at < span; at += 250 * kMs) {
         node.Advance(250 * kMs);
         const RequestId id = node.Arrive();
@@ -383,17 +385,17 @@
         node.Serve(id, 0, 200 * kMs);
       }
     };
-    traffic(10 * kSecond, false);
+    send_requests(10 * kSecond, false);
     Endpoint warming = Ready(999);
     warming.started_at = node.now;
     node.SetEndpoints({warming}, EndpointListScope::kDelta);
-    traffic(3 * kSecond, true);
+    send_requests(3 * kSecond, true);
   }
-  // A replica that has warmed up has a 21st part. The other one starts at a tenth of its capacity and may get
-  // no more than about that share of what the others get, with a margin for chance.
-  const double warm_part = static_cast<double>(to_all) / (kWarm + 1);
+  // A warmed-up replica gets 1/21 of the requests. The new one starts at a tenth of its capacity and may get
+  // about a tenth of that; the bound of one half leaves a margin for random variation.
+  const double per_warm_replica = static_cast<double>(to_all) / (kWarmReplicas + 1);
   EXPECT_GT(to_all, kNodes * 10);
-  EXPECT_LT(to_warming, 0.5 * warm_part);
+  EXPECT_LT(to_warming, 0.5 * per_warm_replica);
 }
 
 // ---- Discovery ----
@@ -422,14 +424,14 @@
   Node node(s);
   node.SetEndpoints({Ready(1)}, EndpointListScope::kCached);
   node.Advance(9 * kSecond);
-  const std::size_t asked = node.Actions<WatchEndpoints>().size();
+  const std::size_t watches_before = node.Actions<WatchEndpoints>().size();
   node.SetEndpoints({}, EndpointListScope::kFailed);
   EXPECT_EQ(node.AttemptsOf(node.Arrive()).size(), 1u);
   node.Advance(9 * kSecond);
-  EXPECT_EQ(node.Actions<WatchEndpoints>().size(), asked + 1);
+  EXPECT_EQ(node.Actions<WatchEndpoints>().size(), watches_before + 1);
 }
 
-// A list known at the start may be old, and what it lacks counts as notified before long.
+// The list known at the start may be out of date, and its changes soon count as known to the node.
 TEST(Discovery, TheFirstListIsRequestedWithinASecond) {
   Settings s = BasicSettings();
   s.poll_endpoints = true;
@@ -442,8 +444,8 @@
   }
 }
 
-// A change counts as notified at the latest 6 s after discovery has it and can be reached, however long it
-// was down.
+// A change counts as known to the node at the latest 6 s after discovery has it and can be reached, however
+// long discovery was down.
 TEST(Discovery, AfterAnOutageOfAnyLengthTheListIsSoonRequestedAgain) {
   Settings s = BasicSettings();
   s.poll_endpoints = true;
@@ -453,10 +455,10 @@
     node.SetEndpoints({Ready(1)}, EndpointListScope::kCached);
     node.Advance(1 * kSecond);
     for (int failure = 0; failure < 30; ++failure) {
-      const std::size_t asked = node.Actions<WatchEndpoints>().size();
+      const std::size_t watches_before = node.Actions<WatchEndpoints>().size();
       node.SetEndpoints({}, EndpointListScope::kFailed);
       node.Advance(3 * kSecond);
-      ASSERT_EQ(node.Actions<WatchEndpoints>().size(), asked + 1);
+      ASSERT_EQ(node.Actions<WatchEndpoints>().size(), watches_before + 1);
     }
   }
 }
@@ -469,13 +471,15 @@
   EXPECT_TRUE(node.Actions<PollEndpoints>().empty());
 }
 
-// ---- Same events, same actions; wrong calls do no harm ----
+// ---- Determinism, and events that should never occur ----
 
-std::vector<Action> Script(std::uint64_t seed, Node* other_node = nullptr) {
+// Returns the actions of a node in a fixed sequence of events, which are interleaved with events of
+// `other_node`.
+std::vector<Action> RunScript(std::uint64_t seed, Node* other_node = nullptr) {
   Node node(BasicSettings(), seed);
   node.SetEndpoints({Ready(3), Ready(1), Ready(2)});
   for (int i = 0; i < 60; ++i) {
-    if (other_node != nullptr) {  // another node in the process, with troubles of its own
+    if (other_node != nullptr) {  // another node in the same process, with failures of its own
       other_node->SetEndpoints({Ready(1), Ready(static_cast<ReplicaId>(9 + i))});
       const RequestId other = other_node->Arrive(2 * kSecond, 900, 77);
       if (!other_node->AttemptsOf(other).empty())
@@ -493,7 +497,7 @@
 }
 
 TEST(Determinism, IdenticalEventsGiveIdenticalActions) {
-  const auto text = [](const std::vector<Action>& log) {
+  const auto comparable = [](const std::vector<Action>& log) {
     std::vector<std::tuple<std::size_t, std::uint64_t, std::uint64_t>> rows;
     for (const Action& a : log) {
       std::uint64_t x = 0, y = 0;
@@ -504,10 +508,10 @@
     }
     return rows;
   };
-  EXPECT_EQ(text(Script(5)), text(Script(5)));
+  EXPECT_EQ(comparable(RunScript(5)), comparable(RunScript(5)));
   Node other_node(BasicSettings(), 6);
-  EXPECT_EQ(text(Script(5)), text(Script(5, &other_node)));
-  EXPECT_FALSE(Script(5).empty());
+  EXPECT_EQ(comparable(RunScript(5)), comparable(RunScript(5, &other_node)));
+  EXPECT_FALSE(RunScript(5).empty());
 }
 
 TEST(InvalidEvents, AreIgnored) {
@@ -533,23 +537,22 @@
   node.Handle(AttemptEnded{id, 0, 1, Outcome::kServed, 5, true, 0, {}});
   EXPECT_EQ(node.router.in_flight(1), 0);
   EXPECT_EQ(node.router.open_requests(), 0u);
-  node.now -= 50 * kSecond;  // time that steps back is held still
+  node.now -= 50 * kSecond;  // a time before the latest event is replaced by that event's time
   EXPECT_EQ(node.AttemptsOf(node.Arrive()).size(), 1u);
 }
 
-// Caps keep their sum over all nodes when the tier grows or shrinks.
-// What one process learned serves the next as if it had learned it itself; of a replica that has started
-// again since, nothing holds.
+// A new process uses the state of the old one as if it had learned it itself, except that of replicas which
+// have restarted since.
 TEST(StateRestored, ANewProcessUsesWhatTheOldOneLearned) {
   Node old_process(BasicSettings());
   old_process.SetEndpoints(ReadyReplicas(4));
   for (int i = 0; i < 60; ++i) old_process.Serve(old_process.Arrive(), 0, (i % 4 + 1) * 400 * kMs);
-  const RequestId out = old_process.Arrive();
+  const RequestId in_flight = old_process.Arrive();
   for (int i = 0; i < 2; ++i) {
     const RequestId id = old_process.Arrive();
-    const ReplicaId to = old_process.AttemptsOf(id).at(0).replica;
+    const ReplicaId failed = old_process.AttemptsOf(id).at(0).replica;
     old_process.EndAttempt(id, 0, Outcome::kConnectFailed, false);
-    EXPECT_GT(old_process.router.ejected_until(to), old_process.now);
+    EXPECT_GT(old_process.router.ejected_until(failed), old_process.now);
   }
   auto learned = std::make_shared<LearnedState>(old_process.router.ExportState());
   Node new_process(BasicSettings());
@@ -557,44 +560,45 @@
   new_process.SetEndpoints(ReadyReplicas(4));
   const double before = new_process.router.total_concurrency_limit();
   new_process.Handle(StateRestored{learned});
-  new_process.Arrive();  // limits are updated when something is to be sent
+  new_process.Arrive();  // limits are updated when a request is to be dispatched
   EXPECT_NE(new_process.router.total_concurrency_limit(), before);
-  std::size_t resting = 0;
+  std::size_t ejected = 0;
   for (ReplicaId r = 0; r < 4; ++r) {
     EXPECT_EQ(new_process.router.ejected_until(r), old_process.router.ejected_until(r));
-    resting += new_process.router.ejected_until(r) > new_process.now ? 1 : 0;
+    ejected += new_process.router.ejected_until(r) > new_process.now ? 1 : 0;
   }
-  EXPECT_GT(resting, 0U);
-  EXPECT_FALSE(old_process.AttemptsOf(out).empty());
-  // Started again: it is as if never met.
-  Node other(BasicSettings());
-  other.now = old_process.now;
+  EXPECT_GT(ejected, 0U);
+  EXPECT_FALSE(old_process.AttemptsOf(in_flight).empty());
+  // Nothing is known of replicas that have restarted.
+  Node after_restart(BasicSettings());
+  after_restart.now = old_process.now;
   std::vector<Endpoint> fleet = ReadyReplicas(4);
   for (Endpoint& e : fleet) e.started_at = old_process.now - kSecond;
-  other.SetEndpoints(fleet);
-  other.Handle(StateRestored{learned});
-  for (ReplicaId r = 0; r < 4; ++r) EXPECT_EQ(other.router.ejected_until(r), 0);
-  other.Handle(StateRestored{nullptr});
+  after_restart.SetEndpoints(fleet);
+  after_restart.Handle(StateRestored{learned});
+  for (ReplicaId r = 0; r < 4; ++r) EXPECT_EQ(after_restart.router.ejected_until(r), 0);
+  after_restart.Handle(StateRestored{nullptr});
 }
 
-// What the other process of a node still has in flight takes capacity here, until it is reported gone.
+// Attempts that the other process of a node still has in flight take capacity here until they have ended.
 TEST(SiblingInFlightChanged, CountsAgainstTheLimits) {
   Node node(BasicSettings());
   node.SetEndpoints(ReadyReplicas(1));
   node.Handle(SiblingInFlightChanged{{{0, 1000}}});
   const RequestId id = node.Arrive();
   EXPECT_TRUE(node.AttemptsOf(id).empty());
-  node.Handle(SiblingInFlightChanged{{{0, -5}, {77, 3}}});  // nonsense counts for nothing
+  node.Handle(SiblingInFlightChanged{{{0, -5}, {77, 3}}});  // invalid entries count as 0
   EXPECT_EQ(node.AttemptsOf(id).size(), 1U);
   node.Serve(id);
   node.Handle(SiblingInFlightChanged{{{0, 1000}}});
-  node.SetEndpoints({}, EndpointListScope::kFull);  // the replica goes, and what was out there with it
+  node.SetEndpoints({}, EndpointListScope::kFull);  // the replica is removed, and the attempts there with it
   node.SetEndpoints(ReadyReplicas(2));
   const RequestId next = node.Arrive();
   EXPECT_EQ(node.AttemptsOf(next).size(), 1U);
 }
 
-TEST(NodeCountChanged, RescalesTheLimitsAndKeepsWhatIsInFlight) {
+// Limits keep their sum over all nodes when the tier grows or shrinks.
+TEST(NodeCountChanged, RescalesTheLimitsAndKeepsAttemptsInFlight) {
   Settings s = BasicSettings();
   s.node_count = 2;
   Node node(s);
@@ -608,7 +612,7 @@
   node.Handle(NodeCountChanged{2});
   node.Arrive();
   EXPECT_NEAR(node.router.total_concurrency_limit(), before, before / 10);
-  node.Handle(NodeCountChanged{0});  // there is always this one
+  node.Handle(NodeCountChanged{0});  // counts as 1, this node
   node.Handle(NodeCountChanged{1});
   EXPECT_EQ(node.FinalResponses(id), 0u);
   node.Serve(id);
@@ -622,7 +626,7 @@
   node.SetEndpoints({Ready(1), Ready(2)});
   const RequestId id = node.Arrive();
   const double before = node.router.total_concurrency_limit();
-  node.Handle(TrafficShareChanged{0.24});  // hardly less: answers teach that
+  node.Handle(TrafficShareChanged{0.24});  // hardly smaller, so the limits are left to be learned
   node.Arrive();
   EXPECT_NEAR(node.router.total_concurrency_limit(), before, before / 50);
   node.Handle(TrafficShareChanged{0.125});
@@ -631,7 +635,7 @@
   node.Handle(TrafficShareChanged{0.5});
   node.Arrive();
   EXPECT_NEAR(node.router.total_concurrency_limit(), before / 2, before / 20);
-  for (const double wrong : {0.0, -1.0, 2.0, std::nan("")}) node.Handle(TrafficShareChanged{wrong});
+  for (const double invalid : {0.0, -1.0, 2.0, std::nan("")}) node.Handle(TrafficShareChanged{invalid});
   node.Arrive();
   EXPECT_NEAR(node.router.total_concurrency_limit(), before / 2, before / 20);
   EXPECT_EQ(node.FinalResponses(id), 0u);
@@ -654,7 +658,7 @@
   EXPECT_EQ(node.router.open_requests(), 0u);
 }
 
-// ---- Time that is cut short ----
+// ---- Shortened deadlines ----
 
 TEST(DeadlineShortened, AQueuedRequestIsRejectedWithinIt) {
   Node node(WithIdempotency(Idempotency::kNotIdempotent));
@@ -669,7 +673,7 @@
 
 TEST(DeadlineShortened, AtZeroTheAttemptInFlightIsTheLastAndDecidesTheResponse) {
   struct Row {
-    Idempotency effect;
+    Idempotency idempotency;
     DedupScope scope;
     bool may_reject;
   };
@@ -680,13 +684,13 @@
                          Row{Idempotency::kIdempotencyKey, DedupScope::kCell, false}}) {
     for (const Outcome outcome :
          {Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset, Outcome::kNotSent}) {
-      Node node(WithIdempotency(row.effect, row.scope));
+      Node node(WithIdempotency(row.idempotency, row.scope));
       node.SetEndpoints(ReadyReplicas(3));
       const RequestId id = node.Arrive(8 * kSecond);
       ASSERT_EQ(node.AttemptsOf(id).size(), 1u);
       EXPECT_EQ(node.router.may_reject(id), row.may_reject);
       node.Handle(DeadlineShortened{id, 0});
-      EXPECT_EQ(node.FinalResponses(id), 0u);  // an attempt is out
+      EXPECT_EQ(node.FinalResponses(id), 0u);  // an attempt is in flight
       node.EndAttempt(id, 0, outcome, false);
       EXPECT_EQ(node.AttemptsOf(id).size(), 1u);
       const bool never_ran = outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
@@ -703,7 +707,7 @@
   node.Handle(DeadlineShortened{id + 7, 0});
   node.Handle(DeadlineShortened{id, -5});
   EXPECT_EQ(node.FinalResponses(id), 1u);
-  EXPECT_FALSE(node.router.may_reject(id));  // it is over: nothing is known of it
+  EXPECT_FALSE(node.router.may_reject(id));  // the request is concluded and no longer known
 }
 
 TEST(NoDuplicateExecution, ARetryCarriesTheRestOfTheDedupWindow) {
@@ -716,9 +720,11 @@
   node.EndAttempt(id, 0, Outcome::kReset, false);
   ASSERT_EQ(node.AttemptsOf(id).size(), 2u);
   EXPECT_EQ(node.AttemptsOf(id)[0].write_within, 0);
-  // 1.3 s are left, less 0.16 s: the node may be held up for 0.15 s between its clock and the write.
+  // 1.3 s of the window are left, less a margin of 0.16 s, because up to 0.15 s may pass between the node
+  // reading its clock and writing the request.
   EXPECT_EQ(node.AttemptsOf(id)[1].write_within, 1140 * kMs);
-  node.EndAttempt(id, 1, Outcome::kConnectFailed, false);  // never ran: the window is still the first one's
+  node.EndAttempt(id, 1, Outcome::kConnectFailed,
+                  false);  // never ran, so the first attempt's window still counts
   ASSERT_EQ(node.AttemptsOf(id).size(), 3u);
   EXPECT_EQ(node.AttemptsOf(id)[2].write_within, 1140 * kMs);
 }
@@ -736,7 +742,8 @@
   }
 }
 
-// Lists may name zones that the settings do not, and leave cells out: such replicas may be apart.
+// Endpoint lists may name zones that the settings do not know, or omit cells. Such replicas may be in
+// different ones.
 TEST(NoDuplicateExecution, WithAnIdempotencyKeyIsNotRetriedWhereTheScopeIsUnknown) {
   for (const DedupScope scope : {DedupScope::kZone, DedupScope::kCell}) {
     Settings s = WithIdempotency(Idempotency::kIdempotencyKey);
