--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,5 @@
-// The wire: what is read and written byte for byte, and what damaged input gets.
+// The simulator's wire format: records are decoded and encoded byte for byte, and malformed input throws a
+// WireError.
 #include "codec.h"
 
 #include <gtest/gtest.h>
@@ -11,18 +12,20 @@
 namespace ryeglade::policy::wire {
 namespace {
 
+// Decodes hexadecimal digits; blanks are ignored.
 std::string Bytes(std::string_view hex) {
-  std::string out;
+  std::string bytes;
   std::string digits;
   for (const char c : hex) {
     if (c != ' ' && c != '\n') digits.push_back(c);
   }
   for (std::size_t i = 0; i + 1 < digits.size(); i += 2) {
-    out.push_back(static_cast<char>(std::stoi(digits.substr(i, 2), nullptr, 16)));
+    bytes.push_back(static_cast<char>(std::stoi(digits.substr(i, 2), nullptr, 16)));
   }
-  return out;
+  return bytes;
 }
 
+// Appends a record.
 void Append(std::string& frame, std::uint8_t code, const std::string& fields) {
   Writer w;
   w.U8(code);
@@ -30,6 +33,7 @@
   frame += w.bytes() + fields;
 }
 
+// A batch with its header.
 std::string Frame(std::uint64_t clock, const std::string& records) {
   Writer w;
   w.U32(kBatchHeaderBytes + records.size());
@@ -51,6 +55,7 @@
   return w.bytes() + settings;
 }
 
+// Records that start node 3.
 std::string StartedNode() {
   std::string records;
   Append(records, event_code::kSelectNode, Bytes("0300"));
@@ -58,7 +63,7 @@
   return records;
 }
 
-// The simulator's page fixes these numbers.
+// The simulator's documentation fixes these numbers.
 TEST(Decode, EachEventHasTheCodeOfTheWire) {
   EXPECT_EQ(event_code::kPeerMessage, 1);
   EXPECT_EQ(event_code::kClientDisconnected, 2);
@@ -160,6 +165,7 @@
   EXPECT_FALSE(s.can_check_health);           // absent
 }
 
+// Returns the text of the WireError that the settings cause, or an empty string.
 std::string ErrorFromSettings(const std::string& settings) {
   try {
     ReadSettings(settings);
@@ -191,6 +197,7 @@
   EXPECT_GE(host.HandleBatch(Frame(2000, records)).size(), 8u);
 }
 
+// Returns the text of the WireError that the frame causes, or an empty string.
 std::string ErrorFromFrame(const std::string& frame) {
   Host host;
   try {
@@ -202,34 +209,34 @@
 }
 
 TEST(Host, ErrorsNameTheDefectAndItsRecord) {
-  std::string unknown = StartedNode();
-  Append(unknown, 99, "");
-  EXPECT_NE(ErrorFromFrame(Frame(1, unknown)).find("unknown event code 99"), std::string::npos);
+  std::string unknown_code = StartedNode();
+  Append(unknown_code, 99, "");
+  EXPECT_NE(ErrorFromFrame(Frame(1, unknown_code)).find("unknown event code 99"), std::string::npos);
 
-  std::string cut = StartedNode();
-  Append(cut, event_code::kClientDisconnected, Bytes("192b"));
-  EXPECT_NE(ErrorFromFrame(Frame(1, cut)).find("abandoned: truncated in corr"), std::string::npos);
+  std::string truncated = StartedNode();
+  Append(truncated, event_code::kClientDisconnected, Bytes("192b"));
+  EXPECT_NE(ErrorFromFrame(Frame(1, truncated)).find("abandoned: truncated in corr"), std::string::npos);
 
-  std::string many = StartedNode();
-  Append(many, event_code::kEndpointList, Bytes("03 29000000 ffffffff"));
-  EXPECT_NE(ErrorFromFrame(Frame(1, many)).find("entries count runs past"), std::string::npos);
+  std::string large_count = StartedNode();
+  Append(large_count, event_code::kEndpointList, Bytes("03 29000000 ffffffff"));
+  EXPECT_NE(ErrorFromFrame(Frame(1, large_count)).find("entries count runs past"), std::string::npos);
 
-  std::string longer = StartedNode();
-  Append(longer, event_code::kClientDisconnected, Bytes("192b6f0e8eaf0700 00"));
-  EXPECT_NE(ErrorFromFrame(Frame(1, longer)).find("1 bytes too many"), std::string::npos);
+  std::string extra_byte = StartedNode();
+  Append(extra_byte, event_code::kClientDisconnected, Bytes("192b6f0e8eaf0700 00"));
+  EXPECT_NE(ErrorFromFrame(Frame(1, extra_byte)).find("1 bytes too many"), std::string::npos);
 
-  std::string stranger;
-  Append(stranger, event_code::kSelectNode, Bytes("0500"));
-  Append(stranger, event_code::kClientDisconnected, Bytes("192b6f0e8eaf0700"));
-  EXPECT_NE(ErrorFromFrame(Frame(1, stranger)).find("node 5"), std::string::npos);
+  std::string unknown_node;
+  Append(unknown_node, event_code::kSelectNode, Bytes("0500"));
+  Append(unknown_node, event_code::kClientDisconnected, Bytes("192b6f0e8eaf0700"));
+  EXPECT_NE(ErrorFromFrame(Frame(1, unknown_node)).find("node 5"), std::string::npos);
 
-  std::string bare;
-  Append(bare, event_code::kSelectNode, Bytes("0500"));
-  Append(bare, event_code::kStartNode, Bytes("0100000000000000"));
-  EXPECT_NE(ErrorFromFrame(Frame(1, bare)).find("provision"), std::string::npos);
+  std::string no_settings;
+  Append(no_settings, event_code::kSelectNode, Bytes("0500"));
+  Append(no_settings, event_code::kStartNode, Bytes("0100000000000000"));
+  EXPECT_NE(ErrorFromFrame(Frame(1, no_settings)).find("provision"), std::string::npos);
 }
 
-// Bounded and seeded: damaged frames are answered or named, never anything else.
+// A damaged frame yields either a reply or a WireError. The damage is random with a fixed seed.
 TEST(Host, SurvivesDamagedFrames) {
   std::mt19937_64 random(20240607);
   std::string good = StartedNode();
@@ -240,7 +247,7 @@
                "00009644 01 00000000 00"));
   Append(good, event_code::kAttemptEnded,
          Bytes("c4913a5d922a0800 0000 074a1203 0000 44480000 01 00000000 00"));
-  int answered = 0, named = 0;
+  int replies = 0, errors = 0;
   for (int round = 0; round < 5000; ++round) {
     std::string frame = Frame(1000, good);
     const int edits = 1 + static_cast<int>(random() % 4);
@@ -258,13 +265,13 @@
     Host host;
     try {
       EXPECT_GE(host.HandleBatch(frame).size(), 8u);
-      ++answered;
+      ++replies;
     } catch (const WireError&) {
-      ++named;
+      ++errors;
     }
   }
-  EXPECT_GT(answered, 100);
-  EXPECT_GT(named, 100);
+  EXPECT_GT(replies, 100);
+  EXPECT_GT(errors, 100);
 }
 
 }  // namespace
