--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -24,7 +24,7 @@
   virtual InFlightCounts CountInFlight() = 0;
   virtual void HandOverClients() = 0;           // the sibling serves: accept no new clients
   virtual void ResumeClients() = 0;             // the sibling no longer serves: accept clients again
-  virtual std::size_t UsedSockets() const = 0;  // open descriptors
+  virtual std::size_t UsedSockets() const = 0;  // descriptors in use or reserved
   virtual std::size_t UsedMemory() const = 0;   // bytes of buffers
   virtual void SetLimits(std::size_t sockets, std::size_t memory) = 0;
 };
--- a/src/hot_restart/hot_restart_policy.h
+++ b/src/hot_restart/hot_restart_policy.h
@@ -16,9 +16,9 @@
 
 namespace ryeglade::hot_restart {
 
-// How long a new process waits for the old one's state before it serves without it.
+// Microseconds that a new process waits for the old one's state before it serves without it.
 inline constexpr Time kMaxStateWait = 1'500'000;
-// A sibling whose heartbeat does not change for this long counts as hung.
+// A sibling whose heartbeat does not change for this many microseconds counts as hung.
 inline constexpr Time kHeartbeatTimeout = 2'000'000;
 
 // The other process of this node, as this one observes it.
--- a/src/rollout/supervisor_model.h
+++ b/src/rollout/supervisor_model.h
@@ -18,7 +18,7 @@
 
 namespace ryeglade::rollout {
 
-using Time = std::int64_t;  // microseconds, steady
+using Time = std::int64_t;  // microseconds; never steps back
 
 struct SupervisorLimits {
   Time ready_timeout = 10'000'000;  // from the start of a process until it is ready
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -465,7 +465,7 @@
 
 // ---- Whole rollouts in virtual time ----
 
-rollout_lab::WorldSpec Small() {
+rollout_lab::WorldSpec SmallWorld() {
   rollout_lab::WorldSpec s;
   s.nodes = 8;
   s.stages = {1, 2};
@@ -475,18 +475,19 @@
   return s;
 }
 
-TEST(RolloutWorld, WhateverDiesItEndsAndNothingIsBroken) {
-  const auto set = [](auto change) {
-    rollout_lab::WorldSpec s = Small();
+TEST(RolloutWorld, TheRolloutEndsAndNoInvariantBreaksWhateverFails) {
+  const auto play = [](auto change) {
+    rollout_lab::WorldSpec s = SmallWorld();
     change(s);
     return rollout_lab::PlayAll(s, 20, 4);
   };
-  for (const auto& r : {set([](auto& s) { s.kill_driver = 0.003, s.lost = 0.2; }),
-                        set([](auto& s) { s.two_drivers = true, s.lost = 0.1; }),
-                        set([](auto& s) { s.pause_driver = 0.02, s.two_drivers = true; }),
-                        set([](auto& s) { s.kill_keeper = 0.005, s.kill_driver = 0.002, s.lost = 0.1; })}) {
-    EXPECT_TRUE(r.broken.empty()) << r.broken.front();
-    EXPECT_EQ(r.done, r.runs);
+  for (const auto& result :
+       {play([](auto& s) { s.kill_driver = 0.003, s.lost = 0.2; }),
+        play([](auto& s) { s.two_drivers = true, s.lost = 0.1; }),
+        play([](auto& s) { s.pause_driver = 0.02, s.two_drivers = true; }),
+        play([](auto& s) { s.kill_keeper = 0.005, s.kill_driver = 0.002, s.lost = 0.1; })}) {
+    EXPECT_TRUE(result.broken.empty()) << result.broken.front();
+    EXPECT_EQ(result.done, result.runs);
   }
 }
 
@@ -504,50 +505,52 @@
   EXPECT_GE(rollout_lab::PlayAll(s, 24, 4).first_stage, 22);
 }
 
-TEST(RolloutWorld, BrokenVariantsAreCaught) {
-  const auto caught = [](auto change) {
-    rollout_lab::WorldSpec s = Small();
+TEST(RolloutWorld, BrokenVariantsAreDetected) {
+  const auto detects = [](auto change) {
+    rollout_lab::WorldSpec s = SmallWorld();
     s.length = 150;
     change(s);
     return !rollout_lab::PlayAll(s, 10, 4).broken.empty();
   };
-  EXPECT_TRUE(caught(
+  EXPECT_TRUE(detects(
       [](auto& s) { s.forge_epoch = true, s.two_drivers = true, s.lost = 0.1, s.pause_driver = 0.02; }));
-  EXPECT_TRUE(caught([](auto& s) { s.greedy = true; }));
-  EXPECT_TRUE(caught([](auto& s) { s.forgetful = true, s.kill_keeper = 0.02; }));
+  EXPECT_TRUE(detects([](auto& s) { s.greedy = true; }));
+  EXPECT_TRUE(detects([](auto& s) { s.forgetful = true, s.kill_keeper = 0.02; }));
 }
 
-// Every course of up to so many faults. The sanitizers make each step ten times slower: one fault there.
+// Largest number of faults in an explored course. The sanitizers make each step ten times slower, so with
+// them only courses with one fault are explored.
 #if defined(__SANITIZE_ADDRESS__)
-constexpr int kExplored = 1;
+constexpr int kMaxFaults = 1;
 #else
-constexpr int kExplored = 2;
+constexpr int kMaxFaults = 2;
 #endif
 
-TEST(RolloutExplorer, NoCourseOfFaultsBreaksARule) {
-  rollout_lab::RolloutExploreOptions o;
-  o.faults = kExplored;
-  const auto e = rollout_lab::ExploreRollout(o);
-  EXPECT_TRUE(e.breaches.empty()) << e.breaches.front().invariant << ": " << e.breaches.front().what << ":"
-                                  << e.breaches.front().course;
-  EXPECT_GT(e.states, 10'000U);
-  EXPECT_GT(e.ends.at("done"), 0U);
-  EXPECT_GT(e.ends.at("back"), 0U);
-}
-
-TEST(RolloutExplorer, EachRuleIsCaughtBrokenByAVariant) {
-  const auto caught = [](const char* variant, const char* invariant, int faults) {
-    rollout_lab::RolloutExploreOptions o;
-    o.faults = faults;
-    o.variant = variant;
-    return rollout_lab::ExploreRollout(o).by_invariant.contains(invariant);
+TEST(RolloutExplorer, NoCourseOfFaultsBreaksAnInvariant) {
+  rollout_lab::RolloutExploreOptions options;
+  options.faults = kMaxFaults;
+  const auto explored = rollout_lab::ExploreRollout(options);
+  EXPECT_TRUE(explored.breaches.empty())
+      << explored.breaches.front().invariant << ": " << explored.breaches.front().what << ":"
+      << explored.breaches.front().course;
+  EXPECT_GT(explored.states, 10'000U);
+  EXPECT_GT(explored.ends.at("done"), 0U);
+  EXPECT_GT(explored.ends.at("back"), 0U);
+}
+
+TEST(RolloutExplorer, EachRuleIsViolatedByABrokenVariant) {
+  const auto detects = [](const char* variant, const char* invariant, int faults) {
+    rollout_lab::RolloutExploreOptions options;
+    options.faults = faults;
+    options.variant = variant;
+    return rollout_lab::ExploreRollout(options).by_invariant.contains(invariant);
   };
-  EXPECT_TRUE(caught("any-epoch", "one-driver", 1));
-  EXPECT_TRUE(caught("greedy", "at-once", 0));
-  EXPECT_TRUE(caught("forgetful", "good-release", 1));
-  if (kExplored < 2) return;
-  EXPECT_TRUE(caught("no-lease", "at-once", 2));
-  EXPECT_TRUE(caught("no-token", "at-once", 2));
+  EXPECT_TRUE(detects("any-epoch", "one-driver", 1));
+  EXPECT_TRUE(detects("greedy", "at-once", 0));
+  EXPECT_TRUE(detects("forgetful", "good-release", 1));
+  if (kMaxFaults < 2) return;
+  EXPECT_TRUE(detects("no-lease", "at-once", 2));
+  EXPECT_TRUE(detects("no-token", "at-once", 2));
 }
 
 TEST(Supervisor, ACommandDelayedBeyondTheLeaseIsRejectedThoughTheClaimWasRenewed) {
