--- a/src/rollout/canary_analysis_model.cpp
+++ b/src/rollout/canary_analysis_model.cpp
@@ -10,13 +10,13 @@
 
 // Names used in rollout records and report tables, in the order of CanaryMetric.
 constexpr const char* kMetricNames[] = {"failed", "refused", "late", "first-token", "attempts"};
-constexpr double kAllClassesWeight =
-    0.5;  // of all classes together, against the priority weights of single ones
+// Weight of all classes together, compared with the priority weights of single classes.
+constexpr double kAllClassesWeight = 0.5;
 
 constexpr std::size_t kMaxStrata = 20'000;
 constexpr std::size_t kMaxMemorySamples = 600;
 constexpr std::size_t kMinMemorySamples = 10;
-constexpr Time kMinGrowthSpan = 60'000'000;  // microseconds over which memory growth is fitted, at least
+constexpr Time kMinGrowthSpan = 60'000'000;  // microseconds; memory growth is not fitted over less
 constexpr double kMicrosPerHour = 3.6e9;
 constexpr double kWarmUpMemory = 0.02;  // part of the limit; growth below it is normal when a process starts
 constexpr double kBytesPerMiB = 1048576;
@@ -34,8 +34,8 @@
 // A difference that exceeds what is allowed by more than this part of its half width is possibly worse. That
 // proves nothing, but a release that is no worse stays below it in nineteen of twenty evaluations.
 constexpr double kPossiblyWorsePart = 0.5;
-// A possibly worse release waits until it has served this many times the stage's minimum of requests: by then
-// a release that is really worse has been recognized.
+// A possibly worse release waits until this many times the stage's minimum of requests have concluded: by
+// then a release that is really worse has been recognized.
 constexpr std::uint64_t kPossiblyWorseFactor = 4;
 
 double Increase(std::uint64_t now, std::uint64_t before) {
--- a/src/rollout/canary_analysis_model.h
+++ b/src/rollout/canary_analysis_model.h
@@ -61,8 +61,8 @@
 const char* Name(CanaryMetric metric);
 
 inline constexpr const char* kAllClasses = "all";  // class name of comparisons over all classes
-inline constexpr double kMaxKnownHalfWidth =
-    1'000'000;  // a half width beyond it means that nothing is known yet
+// A half width that is not below this means that nothing is known yet.
+inline constexpr double kMaxKnownHalfWidth = 1'000'000;
 
 struct CohortComparison {
   std::string class_name;  // name of a class, or kAllClasses
@@ -81,7 +81,7 @@
   CanaryVerdict verdict = CanaryVerdict::kInconclusive;
   std::string reason;
   std::vector<CohortComparison> comparisons;
-  std::uint64_t new_requests = 0;  // served by the new cohort, over all classes
+  std::uint64_t new_requests = 0;  // concluded in the new cohort, over all classes
 };
 
 class CanaryAnalysis {
@@ -95,8 +95,8 @@
                  const NodeMetrics& metrics);
   // Starts the comparison. What was sampled before becomes the baseline of the environment.
   void StartComparison();
-  // Passes only once the new cohort has served `min_requests`. With 0, everything passes that neither fails
-  // nor finds a changed environment.
+  // Passes only once the new cohort has concluded `min_requests`. With 0, everything passes unless the
+  // release fails or the environment has changed.
   CanaryResult Evaluate(std::uint64_t min_requests) const;
 
  private:
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -19,7 +19,7 @@
 struct Stage {
   std::vector<std::string> nodes;    // names of the nodes of this stage, in order
   Time soak = 60'000'000;            // microseconds after the last node has changed
-  std::uint64_t min_requests = 200;  // served by the new release before the stage can pass
+  std::uint64_t min_requests = 200;  // concluded with the new release before the stage can pass
   std::size_t max_concurrent = 1;    // nodes that may change at the same time
 };
 
