--- a/include/ryeglade/actions.h
+++ b/include/ryeglade/actions.h
@@ -10,15 +10,13 @@
 
 namespace ryeglade::policy {
 
-// Sends the request to a replica. The attempts of a request are numbered from 0 in the order of these
-// actions.
+// Sends the request to a replica. Attempts of a request are numbered from 0 in the order of these actions.
 struct SendAttempt {
   RequestId id = 0;
   ReplicaId replica = 0;
   Time timeout = 0;  // 0: no timeout of its own, the attempt may last until the client gives up
   // The first byte must be written within this time of the action, because afterwards the replica may no
-  // longer recognise the attempt as a repeat. An attempt that is late is not sent and ends as kNotSent. 0: no
-  // bound.
+  // longer recognise the attempt as a repeat. A late attempt is not sent and ends as kNotSent. 0: no bound.
   Time write_within = 0;
 };
 
--- a/include/ryeglade/decision_observer.h
+++ b/include/ryeglade/decision_observer.h
@@ -57,8 +57,7 @@
   Time ejected_until = 0;
 };
 
-// Receives the records in the order of the decisions, before Router::Handle returns. Must not call the
-// Router.
+// Receives the records in the order of the decisions, within Router::Handle. Must not call the Router.
 class DecisionObserver {
  public:
   virtual ~DecisionObserver() = default;
--- a/include/ryeglade/events.h
+++ b/include/ryeglade/events.h
@@ -62,8 +62,7 @@
   bool resumed = false;          // the client repeats it because its stream was interrupted
 };
 
-// The first token of the stream has arrived and goes to the client, so no other attempt can serve the
-// request.
+// The first token of the stream has arrived and goes to the client: no other attempt can serve the request.
 struct ResponseStarted {
   RequestId id = 0;
   int attempt = 0;
--- a/include/ryeglade/settings.h
+++ b/include/ryeglade/settings.h
@@ -66,8 +66,7 @@
   bool poll_endpoints = false;  // the node has to request the endpoint list; false: it is pushed to the node
   bool weights_known = false;   // Endpoint::weight means something
   double over_quota_weight = 1.0;  // weight of a request beyond its tenant's quota; 1 or more: no quotas
-  // A penalty is the part of the score (0 to 1) that would be lost if the named event happened to all
-  // requests.
+  // Penalties: the part of the score (0 to 1) that would be lost if the named event befell all requests.
   double cross_zone_penalty = 0.0;        // every request crosses zones once
   double wasted_work_penalty = 0.0;       // as much work is wasted as is requested
   double late_failure_penalty = 0.0;      // all requests fail, and only after their latency objective
--- a/src/policy/candidate_finder.h
+++ b/src/policy/candidate_finder.h
@@ -1,6 +1,5 @@
 // Finds the candidate replicas for a dispatch, and which of them are preferred for the request's shared
-// prefix and session. Candidates are all replicas with a limit above 0 or, in a large fleet, a sample of
-// them.
+// prefix and session. Candidates are all replicas with a limit above 0 or, in a large fleet, some of them.
 #pragma once
 
 #include <cstddef>
@@ -43,8 +42,8 @@
     const Fleet& fleet;
     const ReplicaLimits& limits;
     const ReplicaSpeed& speed;
-    LoadReports&
-        load_reports;  // in a fleet that is not sampled, Find sets their mean to that of the candidates
+    // In a fleet that is not sampled, Find sets the mean of the reports to that of the candidates.
+    LoadReports& load_reports;
     RandomSource& random;
   };
   explicit CandidateFinder(const Inputs& inputs) : in_(inputs) {}
--- a/src/policy/prefix_affinity.cpp
+++ b/src/policy/prefix_affinity.cpp
@@ -54,8 +54,7 @@
   tier_traffic_ = {shares.begin(), shares.end()};
 }
 
-// Two standard deviations are subtracted from the count, because a key seen once or twice may be there by
-// chance.
+// Two standard deviations are subtracted from the count: a key seen once or twice may be there by chance.
 double PrefixAffinity::RecentTrafficShareOf(std::uint64_t key, Time now) const {
   if (const auto tier = tier_traffic_.find(key); tier != tier_traffic_.end()) return tier->second;
   const auto traffic = key_traffic_.find(key);
--- a/src/policy/prefix_affinity.h
+++ b/src/policy/prefix_affinity.h
@@ -38,8 +38,7 @@
   double TrafficShareOf(std::uint64_t key, Time now) const;
   double RecentTrafficShareOf(std::uint64_t key, Time now) const;
 
-  // The number of preferred replicas, out of `replicas`, of a key with this share of the traffic; at most
-  // `max`.
+  // How many of `replicas` are preferred ones of a key with this share of the traffic; at most `max`.
   static std::size_t PreferredCount(double traffic_share, std::size_t replicas, std::size_t max);
   // Whether a key with this share of the traffic has more than one preferred replica.
   static bool IsHot(double traffic_share, double replicas);
@@ -54,8 +53,7 @@
   void RestoreFrom(const LearnedState& state);
 
  private:
-  // The tokens of the key's prefix that this node has sent to the replica and that should still be cached
-  // there.
+  // The tokens of the key that this node has sent to the replica and that should still be cached there.
   double CachedTokens(std::uint64_t key, const Replica& replica, Time now) const;
 
   const Settings& settings_;
--- a/src/policy/replica_limits.h
+++ b/src/policy/replica_limits.h
@@ -26,8 +26,8 @@
     const ReplicaSpeed& speed;
     const SlowStart& slow_start;
     OutlierEjection& ejection;  // Update gives it the numbers of ready and ejected replicas
-    LoadReports&
-        load_reports;  // in a sampled fleet, Update sets their mean to that of the available replicas
+    // In a sampled fleet, Update sets the mean of the reports to that of the available replicas.
+    LoadReports& load_reports;
   };
   explicit ReplicaLimits(const Inputs& inputs) : in_(inputs) {}
 
--- a/src/policy/replica_selector.h
+++ b/src/policy/replica_selector.h
@@ -34,8 +34,7 @@
   // Must be called after the replicas of the fleet have changed.
   void OnFleetChanged() { finder_.InvalidateRing(); }
 
-  // Returns null if no replica to which the request may be sent has spare capacity. The limits must be up to
-  // date.
+  // Returns null if no replica that may serve the request has capacity. The limits must be up to date.
   Replica* Select(const Request& request, Time now);
 
   // The following two must be called with the request of the last Select and the replica that it returned.
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -4,15 +4,12 @@
 //   1. A request that arrives is queued. Its runtime is estimated from those of similar requests
 //      (RuntimeEstimator).
 //   2. Queued requests are dispatched in the order of their estimates, the shortest first, while this node
-//   has
-//      fewer attempts in flight than the sum of its concurrency limits and a replica has spare capacity
+//      has fewer attempts in flight than the sum of its concurrency limits and a replica has spare capacity
 //      (DispatchQueued).
-//   3. A request is sent to the replica with the most spare capacity, measured in requests like this one, so
-//   that
-//      a replica which has cached the prompt has more of it (ReplicaSelector).
+//   3. A request is sent to the replica with the most spare capacity, measured in requests like this one,
+//      so that a replica which has cached the prompt has more of it (ReplicaSelector).
 //   4. From the outcomes the Router learns the estimates (from served requests only), how slow each replica
-//   is,
-//      and the limits (LearnServed, LearnFailure).
+//      is, and the limits (LearnServed, LearnFailure).
 // Code that departs from this path is marked "Departure". docs/design.md lists the departures with their
 // conditions.
 #include "ryeglade/router.h"
@@ -48,8 +45,8 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr double kFailureSlowness =
-    1.1;  // ln 3: a failed attempt counts as one three times as slow as expected
+// ln 3: a failed attempt counts as an answer that took three times as long as expected.
+constexpr double kFailureSlowness = 1.1;
 constexpr double kMaxPromptTokens = 1e9;
 // Retry rules can keep a queued request from every replica with spare capacity. Up to this many such requests
 // are passed over in one round, so that they don't block the others.
@@ -300,8 +297,7 @@
   MarkConcluded(*request);
 }
 
-// An attempt in flight is not cancelled. Its outcome concludes the request, as there is no time for another
-// attempt.
+// An attempt in flight is not cancelled. Its outcome concludes the request, as there is no time for a retry.
 void Router::Impl::OnDeadlineShortened(const DeadlineShortened& shortened) {
   Request* request = FindOpen(shortened.id);
   if (request == nullptr || request->response_started) return;
--- a/src/policy/runtime_estimator.h
+++ b/src/policy/runtime_estimator.h
@@ -23,8 +23,7 @@
 
   // Sets the three estimates of the request's runtime.
   void Estimate(Request& request) const;
-  // The mean runtime of the request's class, or the request's own estimate if none of the class was served
-  // yet.
+  // The mean runtime of the request's class, or the request's own estimate before any of it was served.
   double TypicalRuntime(const Request& request) const;
   // The expected time from sending the request to its first token; at most half of its latency objective.
   Time ExpectedTimeToFirstToken(const Request& request) const;
--- a/src/policy/tenant_quotas.h
+++ b/src/policy/tenant_quotas.h
@@ -17,8 +17,7 @@
   TenantQuotas(const Settings& settings, const TrafficShare& traffic_share)
       : settings_(settings), traffic_share_(traffic_share) {}
 
-  // Counts an arrival and returns whether the tenant is clearly beyond its quota. Unknown tenants have no
-  // quota.
+  // Counts an arrival and returns whether its tenant is clearly beyond its quota; false if it is unknown.
   bool CountArrival(int tenant, Time now);
 
   // Must be called after the settings' tenants have changed.
--- a/src/policy/timer_queue.h
+++ b/src/policy/timer_queue.h
@@ -47,8 +47,7 @@
     return due;
   }
 
-  // Returns the timer that the host has to arm, or nullopt if one at least as early as the first timer is
-  // armed.
+  // Returns the timer that the host has to arm, or nullopt if one as early as the first timer is armed.
   std::optional<SetTimer> Arm(Time now) {
     if (timers_.empty() || timers_.top().at >= armed_for_) return std::nullopt;
     armed_for_ = timers_.top().at;
--- a/src/policy/traffic_share.h
+++ b/src/policy/traffic_share.h
@@ -20,12 +20,10 @@
  public:
   explicit TrafficShare(int node_count) : nodes_(node_count), nodes_at_scaling_(node_count) {}
 
-  // 1 / this node's share: the number of nodes that the tier would have if all had as much traffic as this
-  // one.
+  // 1 / this node's share: the number of nodes of a tier in which all have as much traffic as this one.
   double equivalent_nodes() const { return nodes_; }
 
-  // The tier's size has changed from `from` to `to` nodes. Returns the factor by which to multiply the
-  // limits.
+  // The tier has changed from `from` to `to` nodes. Returns the factor by which to multiply the limits.
   double ScaleNodeCount(double from, int to) { return Rescale(nodes_ * to / from); }
 
   // Sets the share of the tier's traffic, above 0 and up to 1; other values are ignored. If the share has
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,5 +1,4 @@
-// The simulator's wire format: records are decoded and encoded byte for byte, and malformed input throws a
-// WireError.
+// The simulator's wire format: records are read and written byte for byte; malformed input throws WireError.
 #include "codec.h"
 
 #include <gtest/gtest.h>
--- a/tests/policy/replica_limits_fixture.h
+++ b/tests/policy/replica_limits_fixture.h
@@ -1,5 +1,4 @@
-// A fleet with its limits and the objects that these depend on, for tests of the modules that choose among
-// replicas.
+// A fleet with its limits and what these depend on, for tests of the modules that choose among replicas.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/router_path_test.cpp
+++ b/tests/router_path_test.cpp
@@ -262,8 +262,7 @@
   EXPECT_EQ(node.AttemptsOf(node.Arrive(6 * kSecond, 500))[0].replica, busy);
 }
 
-// A session's next turn goes to the replica to which the node has sent its prompt, until that replica
-// restarts.
+// A session's next turn goes to the replica that the node has sent its prompt to, until that one restarts.
 TEST(ReplicaSelection, ASessionStaysWhereItsPromptIsCached) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
