--- a/include/ryeglade/learned_state.h
+++ b/include/ryeglade/learned_state.h
@@ -11,12 +11,12 @@
 
 namespace ryeglade::policy {
 
-// The mean of all samples until there are `memory` of them; from then on each new sample weighs 1 / `memory`.
+// The mean of the samples. Once there are `max_samples` of them, each new sample weighs 1 / `max_samples`.
 struct RunningAverage {
   double mean = 0;
-  double samples = 0;  // at most `memory`
-  void Add(double sample, double memory) {
-    samples = std::min(samples + 1, memory);
+  double samples = 0;  // at most `max_samples`
+  void Add(double sample, double max_samples) {
+    samples = std::min(samples + 1, max_samples);
     mean += (sample - mean) / samples;
   }
   // Returns the mean shrunk towards `prior`, which counts as `weight` samples.
@@ -25,19 +25,19 @@
   }
 };
 
-// A counter that decays exponentially with time, to 1/e of its value in `memory` microseconds.
+// A counter that decays exponentially with time, to 1/e of its value in `decay_time` microseconds.
 struct DecayingCounter {
   double value = 0;  // at the time `updated_at`
   std::int64_t updated_at = 0;
   // The factor by which a value decays in `elapsed` microseconds.
-  static double DecayFactor(std::int64_t elapsed, std::int64_t memory) {
-    return elapsed <= 0 ? 1.0 : std::exp(-static_cast<double>(elapsed) / static_cast<double>(memory));
+  static double DecayFactor(std::int64_t elapsed, std::int64_t decay_time) {
+    return elapsed <= 0 ? 1.0 : std::exp(-static_cast<double>(elapsed) / static_cast<double>(decay_time));
   }
-  double ValueAt(std::int64_t now, std::int64_t memory) const {
-    return value * DecayFactor(now - updated_at, memory);
+  double ValueAt(std::int64_t now, std::int64_t decay_time) const {
+    return value * DecayFactor(now - updated_at, decay_time);
   }
-  void Add(std::int64_t now, std::int64_t memory, double amount) {
-    value = ValueAt(now, memory) + amount;
+  void Add(std::int64_t now, std::int64_t decay_time, double amount) {
+    value = ValueAt(now, decay_time) + amount;
     updated_at = now;
   }
 };
@@ -46,13 +46,13 @@
 struct DecayingAverage {
   DecayingCounter sum;
   DecayingCounter count;
-  void Add(std::int64_t now, std::int64_t memory, double sample) {
-    sum.Add(now, memory, sample);
-    count.Add(now, memory, 1);
+  void Add(std::int64_t now, std::int64_t decay_time, double sample) {
+    sum.Add(now, decay_time, sample);
+    count.Add(now, decay_time, 1);
   }
   // Returns the mean shrunk towards 0, which counts as `weight` samples.
-  double Shrunk(std::int64_t now, std::int64_t memory, double weight) const {
-    return sum.ValueAt(now, memory) / (count.ValueAt(now, memory) + weight);
+  double Shrunk(std::int64_t now, std::int64_t decay_time, double weight) const {
+    return sum.ValueAt(now, decay_time) / (count.ValueAt(now, decay_time) + weight);
   }
 };
 
@@ -78,7 +78,7 @@
     RunningAverage current;
     double best = 1e9;  // the lowest (fastest) mean so far, which rises a little with each answer
   };
-  // The arrivals of one session or prefix, counted over a long and a short memory.
+  // The arrivals of one session or prefix, counted with a long and a short decay time.
   struct KeyTraffic {
     DecayingCounter long_term;
     DecayingCounter short_term;
--- a/src/policy/adaptive_concurrency.cpp
+++ b/src/policy/adaptive_concurrency.cpp
@@ -36,7 +36,7 @@
 constexpr double kMinDecreaseFactor = 0.5;  // one decrease multiplies the limit by no less than this
 
 // Pace.
-constexpr double kPaceMemory = 25;       // answers of a class over which its current pace is averaged
+constexpr double kMaxPaceSamples = 25;   // answers of a class over which its current pace is averaged
 constexpr double kMinPaceSamples = 8;    // answers needed before a class's best pace means anything
 constexpr double kBestPaceLeak = 0.002;  // added to the best pace (ln) by each answer, so that it ages
 
@@ -103,7 +103,7 @@
   const Time streaming = request.response_started ? runtime - request.time_to_first_token : runtime;
   const double work = request.arrival.cost_hint > 0 ? static_cast<double>(request.arrival.cost_hint) : 1.0;
   LearnedState::ClassPace& pace = pace_by_class_[request.class_index()];
-  pace.current.Add(std::log(std::max(1.0, static_cast<double>(streaming)) / work), kPaceMemory);
+  pace.current.Add(std::log(std::max(1.0, static_cast<double>(streaming)) / work), kMaxPaceSamples);
   if (pace.current.samples < kMinPaceSamples) return false;
   pace.best = std::min(pace.best + kBestPaceLeak, pace.current.mean);
   pace_slowdown_ += kLatenessWeight * (pace.current.mean - pace.best - pace_slowdown_);
--- a/src/policy/capacity_backoff.cpp
+++ b/src/policy/capacity_backoff.cpp
@@ -5,17 +5,17 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr double kLimitFactor = 0.7;     // one "at capacity" answer multiplies the replica's limit by this
-constexpr double kMinLimitFactor = 0.1;  // lower bound of the product of these factors
-constexpr Time kRecovery = 5'000'000;    // the reduction decays to 1/e of itself in this time
-constexpr double kPauseShare = 0.05;     // the pause without new attempts, as a part of the mean runtime
+constexpr double kLimitFactor = 0.7;       // one "at capacity" answer multiplies the replica's limit by this
+constexpr double kMinLimitFactor = 0.1;    // lower bound of the product of these factors
+constexpr Time kRecoveryTime = 5'000'000;  // the reduction decays to 1/e of itself in this time
+constexpr double kPauseShare = 0.05;       // the pause without new attempts, as a part of the mean runtime
 constexpr Time kMaxPause = 500'000;
 
 }  // namespace
 
 double CapacityFactor(const Replica& replica, Time now) {
   return 1 - (1 - replica.capacity_factor) *
-                 DecayingCounter::DecayFactor(now - replica.capacity_updated_at, kRecovery);
+                 DecayingCounter::DecayFactor(now - replica.capacity_updated_at, kRecoveryTime);
 }
 
 void RecordAtCapacity(Replica& replica, Time now, double mean_runtime, Time connect_timeout) {
--- a/src/policy/load_reports.cpp
+++ b/src/policy/load_reports.cpp
@@ -6,8 +6,8 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr Time kReportMemory = 2'500'000;  // a report's weight decays to 1/e in this time
-constexpr double kMaxRelativeLoad = 1.5;   // the lower bound is 1 / this
+constexpr Time kReportDecayTime = 2'500'000;  // a report's weight decays to 1/e in this time
+constexpr double kMaxRelativeLoad = 1.5;      // the lower bound is 1 / this
 
 }  // namespace
 
@@ -37,7 +37,7 @@
 }
 
 double LoadReports::Freshness(const Replica& replica, Time now) {
-  return DecayingCounter::DecayFactor(now - replica.reported_at, kReportMemory);
+  return DecayingCounter::DecayFactor(now - replica.reported_at, kReportDecayTime);
 }
 
 double LoadReports::RelativeLoad(const Replica& replica, Time now) const {
--- a/src/policy/prefix_affinity.cpp
+++ b/src/policy/prefix_affinity.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 // Traffic by key.
-constexpr Time kLongTermMemory = 60'000'000;
-constexpr Time kShortTermMemory = 5'000'000;  // for detecting that a key gets hot
-constexpr double kMinArrivals = 8.0;          // a share is computed of at least this many arrivals
+constexpr Time kLongTermDecayTime = 60'000'000;
+constexpr Time kShortTermDecayTime = 5'000'000;  // for detecting that a key gets hot
+constexpr double kMinArrivals = 8.0;             // a share is computed of at least this many arrivals
 // Keys with fewer than kMinTrafficToKeep arrivals are removed once there are more than kMinKeysToPrune keys
 // and more than kKeysPerArrivalToPrune for each counted arrival.
 constexpr std::size_t kMinKeysToPrune = 1024;
@@ -33,20 +33,20 @@
 }  // namespace
 
 void PrefixAffinity::CountArrival(const RequestArrived& request, Time now) {
-  arrivals_long_term_.Add(now, kLongTermMemory, 1);
-  arrivals_short_term_.Add(now, kShortTermMemory, 1);
+  arrivals_long_term_.Add(now, kLongTermDecayTime, 1);
+  arrivals_short_term_.Add(now, kShortTermDecayTime, 1);
   for (const std::uint64_t key : {request.prefix, request.session}) {
     if (key == 0) continue;
     LearnedState::KeyTraffic& traffic = key_traffic_[key];
-    traffic.long_term.Add(now, kLongTermMemory, 1);
-    traffic.short_term.Add(now, kShortTermMemory, 1);
+    traffic.long_term.Add(now, kLongTermDecayTime, 1);
+    traffic.short_term.Add(now, kShortTermDecayTime, 1);
   }
   if (key_traffic_.size() <= kMinKeysToPrune) return;
   if (key_traffic_.size() <= kKeysPerArrivalToPrune * static_cast<std::size_t>(arrivals_long_term_.value)) {
     return;
   }
   std::erase_if(key_traffic_, [&](const auto& entry) {
-    return entry.second.long_term.ValueAt(now, kLongTermMemory) < kMinTrafficToKeep;
+    return entry.second.long_term.ValueAt(now, kLongTermDecayTime) < kMinTrafficToKeep;
   });
 }
 
@@ -59,8 +59,8 @@
   if (const auto tier = tier_traffic_.find(key); tier != tier_traffic_.end()) return tier->second;
   const auto traffic = key_traffic_.find(key);
   if (traffic == key_traffic_.end()) return 0;
-  const double count = traffic->second.short_term.ValueAt(now, kShortTermMemory);
-  const double arrivals = arrivals_short_term_.ValueAt(now, kShortTermMemory);
+  const double count = traffic->second.short_term.ValueAt(now, kShortTermDecayTime);
+  const double arrivals = arrivals_short_term_.ValueAt(now, kShortTermDecayTime);
   return std::clamp((count - 2 * std::sqrt(count)) / std::max(kMinArrivals, arrivals), 0.0, 1.0);
 }
 
@@ -71,8 +71,8 @@
   if (const auto tier = tier_traffic_.find(key); tier != tier_traffic_.end()) return tier->second;
   const auto traffic = key_traffic_.find(key);
   if (traffic == key_traffic_.end()) return 0;
-  const double count = traffic->second.long_term.ValueAt(now, kLongTermMemory);
-  const double arrivals = arrivals_long_term_.ValueAt(now, kLongTermMemory);
+  const double count = traffic->second.long_term.ValueAt(now, kLongTermDecayTime);
+  const double arrivals = arrivals_long_term_.ValueAt(now, kLongTermDecayTime);
   const double share = IsLargeTier(settings_) ? count / (kMinArrivals + arrivals)
                                               : (count - 1) / std::max(kMinArrivals, arrivals);
   return std::clamp(std::max(RecentTrafficShareOf(key, now), share), 0.0, 1.0);
--- a/src/policy/prefix_affinity.h
+++ b/src/policy/prefix_affinity.h
@@ -34,7 +34,7 @@
   void SetTierTraffic(const std::vector<std::pair<std::uint64_t, double>>& shares);
 
   // A key's share, 0 to 1, of this node's traffic, as an estimate of its share of all traffic. The recent
-  // share has a short memory and is 0 for a key with few recent arrivals; it detects a key that gets hot.
+  // share has a short decay time and is 0 for a key with few recent arrivals; it detects a key that gets hot.
   double TrafficShareOf(std::uint64_t key, Time now) const;
   double RecentTrafficShareOf(std::uint64_t key, Time now) const;
 
--- a/src/policy/replica_speed.cpp
+++ b/src/policy/replica_speed.cpp
@@ -9,9 +9,9 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr Time kReplicaMemory = 10'000'000;  // decay time of a replica's own answers, as its load changes
-constexpr Time kZoneMemory = 5'000'000;      // decay time of a zone's answers
-constexpr double kKindMemory = 400;          // answers over which a kind's slowness is averaged
+constexpr Time kReplicaDecayTime = 10'000'000;  // decay time of a replica's own answers, as its load changes
+constexpr Time kZoneDecayTime = 5'000'000;      // decay time of a zone's answers
+constexpr double kMaxKindSamples = 400;         // answers over which a kind's slowness is averaged
 // A replica f times as slow gets f^-kSpeedPower of the load. It gets less than in proportion to its speed,
 // because latency objectives are absolute.
 constexpr double kSpeedPower = 1.7;
@@ -30,15 +30,16 @@
 double ReplicaSpeed::ZoneSlowness(int zone, Time now) const {
   if (!IsLargeTier(settings_)) return 0;
   const auto z = static_cast<std::size_t>(zone);
-  return z < slowness_by_zone_.size() ? slowness_by_zone_[z].Shrunk(now, kZoneMemory, kPriorWeight) : 0;
+  return z < slowness_by_zone_.size() ? slowness_by_zone_[z].Shrunk(now, kZoneDecayTime, kPriorWeight) : 0;
 }
 
 double ReplicaSpeed::Slowness(const Replica& replica, Time now) const {
   const PeerReplicaReport& peers = replica.peer_report;
-  const double own_samples = replica.slowness_samples *
-                             DecayingCounter::DecayFactor(now - replica.slowness_updated_at, kReplicaMemory);
+  const double own_samples =
+      replica.slowness_samples *
+      DecayingCounter::DecayFactor(now - replica.slowness_updated_at, kReplicaDecayTime);
   const double peer_samples =
-      peers.slowness_samples * DecayingCounter::DecayFactor(now - replica.peer_report_at, kReplicaMemory);
+      peers.slowness_samples * DecayingCounter::DecayFactor(now - replica.peer_report_at, kReplicaDecayTime);
   const double prior = KindSlowness(replica.endpoint.kind) + ZoneSlowness(replica.endpoint.zone, now);
   return (own_samples * replica.slowness + peer_samples * peers.slowness + kPriorWeight * prior) /
          (own_samples + peer_samples + kPriorWeight);
@@ -46,14 +47,15 @@
 
 void ReplicaSpeed::Learn(Replica& replica, double log_ratio, Time now, bool warming_up) {
   const double sample = std::clamp(log_ratio, -kMaxSlowness, kMaxSlowness);
-  replica.slowness_samples *= DecayingCounter::DecayFactor(now - replica.slowness_updated_at, kReplicaMemory);
+  replica.slowness_samples *=
+      DecayingCounter::DecayFactor(now - replica.slowness_updated_at, kReplicaDecayTime);
   replica.slowness = (replica.slowness * replica.slowness_samples + sample) / (replica.slowness_samples + 1);
   replica.slowness_samples += 1;
   replica.slowness_updated_at = now;
   const auto kind = static_cast<std::size_t>(replica.endpoint.kind);
-  if (kind < slowness_by_kind_.size() && !warming_up) slowness_by_kind_[kind].Add(sample, kKindMemory);
+  if (kind < slowness_by_kind_.size() && !warming_up) slowness_by_kind_[kind].Add(sample, kMaxKindSamples);
   const auto zone = static_cast<std::size_t>(replica.endpoint.zone);
-  if (zone < slowness_by_zone_.size()) slowness_by_zone_[zone].Add(now, kZoneMemory, sample);
+  if (zone < slowness_by_zone_.size()) slowness_by_zone_[zone].Add(now, kZoneDecayTime, sample);
 }
 
 void ReplicaSpeed::ResizeTables() {
--- a/src/policy/runtime_estimator.cpp
+++ b/src/policy/runtime_estimator.cpp
@@ -6,8 +6,8 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr double kSampleMemory = 200;  // answers over which a bucket is averaged
-constexpr double kParentWeight = 4;    // weight of the coarser bucket's mean, as a number of answers
+constexpr double kMaxSamples = 200;  // answers over which a bucket is averaged
+constexpr double kParentWeight = 4;  // weight of the coarser bucket's mean, as a number of answers
 
 // Each level subdivides the buckets of the level before.
 enum BucketLevel : std::uint32_t { kAll, kByClass, kByPromptLength, kByAnswerAndPrefixLength, kLevelCount };
@@ -70,19 +70,19 @@
 }
 
 void RuntimeEstimator::LearnTimeToFirstToken(const Request& request, double time_to_first_token) {
-  first_token_by_bucket_[BucketKey(request.arrival, kByPromptLength)].Add(time_to_first_token, kSampleMemory);
+  first_token_by_bucket_[BucketKey(request.arrival, kByPromptLength)].Add(time_to_first_token, kMaxSamples);
 }
 
 void RuntimeEstimator::LearnRuntime(const Request& request, double runtime) {
   for (std::uint32_t level = kAll; level < kLevelCount; ++level) {
-    runtime_by_bucket_[BucketKey(request.arrival, level)].Add(runtime, kSampleMemory);
+    runtime_by_bucket_[BucketKey(request.arrival, level)].Add(runtime, kMaxSamples);
   }
-  mean_runtime_.Add(runtime, kSampleMemory);
+  mean_runtime_.Add(runtime, kMaxSamples);
   const std::size_t c = request.class_index();
-  bucket_error_[c].Add(std::pow(std::log(request.runtime_by_bucket / runtime), 2), kSampleMemory);
+  bucket_error_[c].Add(std::pow(std::log(request.runtime_by_bucket / runtime), 2), kMaxSamples);
   if (request.arrival.cost_hint <= 0) return;
-  runtime_per_hint_[c].Add(runtime / static_cast<double>(request.arrival.cost_hint), kSampleMemory);
-  hint_error_[c].Add(std::pow(std::log(request.runtime_by_hint / runtime), 2), kSampleMemory);
+  runtime_per_hint_[c].Add(runtime / static_cast<double>(request.arrival.cost_hint), kMaxSamples);
+  hint_error_[c].Add(std::pow(std::log(request.runtime_by_hint / runtime), 2), kMaxSamples);
 }
 
 void RuntimeEstimator::ResizeTables() {
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -5,9 +5,9 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr double kSafetyMargin = 0.4;     // part of the overload factor that all nodes together use
-constexpr Time kRateMemory = 20'000'000;  // decay time of the dispatches counted for their rate
-constexpr double kMaxTokens = 1.0;        // the most that can be saved up
+constexpr double kSafetyMargin = 0.4;        // part of the overload factor that all nodes together use
+constexpr Time kRateDecayTime = 20'000'000;  // decay time of the dispatches counted for their rate
+constexpr double kMaxTokens = 1.0;           // the most that can be saved up
 
 }  // namespace
 
@@ -24,7 +24,7 @@
 }
 
 void SlowStart::RecordDispatch(Replica& replica, Time now) {
-  dispatches_.Add(now, kRateMemory, 1);
+  dispatches_.Add(now, kRateDecayTime, 1);
   if (IsWarmingUp(replica, now)) replica.slow_start_tokens -= 1;
 }
 
@@ -37,7 +37,7 @@
 }
 
 double SlowStart::DispatchRate(Time now) const {
-  return dispatches_.ValueAt(now, kRateMemory) / (static_cast<double>(kRateMemory) / 1e6);
+  return dispatches_.ValueAt(now, kRateDecayTime) / (static_cast<double>(kRateDecayTime) / 1e6);
 }
 
 }  // namespace ryeglade::policy
--- a/tests/policy/tenant_quotas_test.cpp
+++ b/tests/policy/tenant_quotas_test.cpp
@@ -13,8 +13,8 @@
   const TrafficShare two_nodes(2);
   TenantQuotas quotas(settings, two_nodes);
   quotas.ResizeTables();
-  // This node's share is 10 requests per second, which are 200 in the memory of 20 s. The tolerance of 1.25,
-  // two standard deviations and one request allow 279.
+  // This node's share is 10 requests per second, which are 200 in the decay time of 20 s. The tolerance
+  // of 1.25, two standard deviations and one request allow 279.
   int within = 0;
   while (!quotas.CountArrival(0, 1'000'000)) ++within;
   EXPECT_EQ(within, 279);
