--- a/src/policy/prefix_affinity.h
+++ b/src/policy/prefix_affinity.h
@@ -34,12 +34,11 @@
   void SetTierTraffic(const std::vector<std::pair<std::uint64_t, double>>& shares);
 
   // A key's share, 0 to 1, of this node's traffic, as an estimate of its share of all traffic. The recent
-  // share has a short memory and is 0 for a key with few recent arrivals; it detects a key that gets hot.
+  // share has a short decay time and is 0 for a key with few recent arrivals; it detects a key that gets hot.
   double TrafficShareOf(std::uint64_t key, Time now) const;
   double RecentTrafficShareOf(std::uint64_t key, Time now) const;
 
-  // The number of preferred replicas, out of `replicas`, of a key with this share of the traffic; at most
-  // `max`.
+  // How many of `replicas` are preferred ones of a key with this share of the traffic; at most `max`.
   static std::size_t PreferredCount(double traffic_share, std::size_t replicas, std::size_t max);
   // Whether a key with this share of the traffic has more than one preferred replica.
   static bool IsHot(double traffic_share, double replicas);
@@ -54,8 +53,7 @@
   void RestoreFrom(const LearnedState& state);
 
  private:
-  // The tokens of the key's prefix that this node has sent to the replica and that should still be cached
-  // there.
+  // The tokens of the key that this node has sent to the replica and that should still be cached there.
   double CachedTokens(std::uint64_t key, const Replica& replica, Time now) const;
 
   const Settings& settings_;
