--- a/src/policy/prefix_affinity.cpp
+++ b/src/policy/prefix_affinity.cpp
@@ -11,39 +11,42 @@
 namespace {
 
 // Traffic by key.
-constexpr Time kLongTermMemory = 60'000'000;
-constexpr Time kShortTermMemory = 5'000'000;  // when watching for a key that turns hot
-constexpr double kMinArrivals = 8.0;          // shares are of at least so many
+constexpr Time kLongTermDecayTime = 60'000'000;
+constexpr Time kShortTermDecayTime = 5'000'000;  // for detecting that a key gets hot
+constexpr double kMinArrivals = 8.0;             // a share is computed of at least this many arrivals
+// Keys with fewer than kMinTrafficToKeep arrivals are removed once there are more than kMinKeysToPrune keys
+// and more than kKeysPerArrivalToPrune for each counted arrival.
 constexpr std::size_t kMinKeysToPrune = 1024;
 constexpr std::size_t kKeysPerArrivalToPrune = 4;
-constexpr double kMinTrafficToKeep = 0.3;  // arrivals
+constexpr double kMinTrafficToKeep = 0.3;
 
-// Preferred replicas: the key's share of the traffic in replicas, times this.
+// Preferred replicas of a key: its share of the traffic times the number of replicas, times this.
 constexpr double kPreferredSpread = 4.0;
 
 // Cached prefixes.
-constexpr Time kCacheLifetime = 30'000'000;  // what was sent to a replica is taken to be cached so long
+constexpr Time kCacheLifetime = 30'000'000;  // a prompt is taken to stay in a replica's cache for this long
 constexpr std::size_t kMaxCachedPrefixes = 16384;
-constexpr double kPrefixHitProbability = 0.7;   // of a preferred replica not sent the prefix from here
-constexpr double kSessionHitProbability = 0.5;  // the same of a session's whole prompt
+// The probability that a preferred replica to which this node has not sent the prefix has it in its cache.
+constexpr double kPrefixHitProbability = 0.7;
+constexpr double kSessionHitProbability = 0.5;  // the same for the whole prompt of a session
 
 }  // namespace
 
 void PrefixAffinity::CountArrival(const RequestArrived& request, Time now) {
-  arrivals_long_term_.Add(now, kLongTermMemory, 1);
-  arrivals_short_term_.Add(now, kShortTermMemory, 1);
+  arrivals_long_term_.Add(now, kLongTermDecayTime, 1);
+  arrivals_short_term_.Add(now, kShortTermDecayTime, 1);
   for (const std::uint64_t key : {request.prefix, request.session}) {
     if (key == 0) continue;
     LearnedState::KeyTraffic& traffic = key_traffic_[key];
-    traffic.long_term.Add(now, kLongTermMemory, 1);
-    traffic.short_term.Add(now, kShortTermMemory, 1);
+    traffic.long_term.Add(now, kLongTermDecayTime, 1);
+    traffic.short_term.Add(now, kShortTermDecayTime, 1);
   }
   if (key_traffic_.size() <= kMinKeysToPrune) return;
   if (key_traffic_.size() <= kKeysPerArrivalToPrune * static_cast<std::size_t>(arrivals_long_term_.value)) {
     return;
   }
   std::erase_if(key_traffic_, [&](const auto& entry) {
-    return entry.second.long_term.ValueAt(now, kLongTermMemory) < kMinTrafficToKeep;
+    return entry.second.long_term.ValueAt(now, kLongTermDecayTime) < kMinTrafficToKeep;
   });
 }
 
@@ -51,30 +54,31 @@
   tier_traffic_ = {shares.begin(), shares.end()};
 }
 
-// What has been seen once or twice may be chance, so that much is taken off.
+// Two standard deviations are subtracted from the count: a key seen once or twice may be there by chance.
 double PrefixAffinity::RecentTrafficShareOf(std::uint64_t key, Time now) const {
   if (const auto tier = tier_traffic_.find(key); tier != tier_traffic_.end()) return tier->second;
   const auto traffic = key_traffic_.find(key);
   if (traffic == key_traffic_.end()) return 0;
-  const double count = traffic->second.short_term.ValueAt(now, kShortTermMemory);
-  const double arrivals = arrivals_short_term_.ValueAt(now, kShortTermMemory);
+  const double count = traffic->second.short_term.ValueAt(now, kShortTermDecayTime);
+  const double arrivals = arrivals_short_term_.ValueAt(now, kShortTermDecayTime);
   return std::clamp((count - 2 * std::sqrt(count)) / std::max(kMinArrivals, arrivals), 0.0, 1.0);
 }
 
-// Departure: nothing is taken off in a large tier. Each node sees few requests, would take a hot prefix for
-// cold, and all would send it to the same one preferred replica; there a share starts wide and narrows.
+// Departure: nothing is subtracted in a large tier. Each node sees few requests there, so it would take a hot
+// prefix for a cold one, and all nodes would send it to its one preferred replica. Without the subtraction a
+// prefix starts with several preferred replicas, and with fewer as more requests are counted.
 double PrefixAffinity::TrafficShareOf(std::uint64_t key, Time now) const {
   if (const auto tier = tier_traffic_.find(key); tier != tier_traffic_.end()) return tier->second;
   const auto traffic = key_traffic_.find(key);
   if (traffic == key_traffic_.end()) return 0;
-  const double count = traffic->second.long_term.ValueAt(now, kLongTermMemory);
-  const double arrivals = arrivals_long_term_.ValueAt(now, kLongTermMemory);
+  const double count = traffic->second.long_term.ValueAt(now, kLongTermDecayTime);
+  const double arrivals = arrivals_long_term_.ValueAt(now, kLongTermDecayTime);
   const double share = IsLargeTier(settings_) ? count / (kMinArrivals + arrivals)
                                               : (count - 1) / std::max(kMinArrivals, arrivals);
   return std::clamp(std::max(RecentTrafficShareOf(key, now), share), 0.0, 1.0);
 }
 
-// Powers of two: nodes whose counts differ a little still agree.
+// Rounded up to a power of two, so that nodes whose counts differ a little still agree.
 std::size_t PrefixAffinity::PreferredCount(double traffic_share, std::size_t replicas, std::size_t max) {
   const double wanted = traffic_share * static_cast<double>(replicas) * kPreferredSpread;
   return std::min(max, std::bit_ceil(static_cast<std::size_t>(std::max(1.0, wanted))));
--- a/src/timeline/anomaly_model.cpp
+++ b/src/timeline/anomaly_model.cpp
@@ -49,9 +49,9 @@
 
 }  // namespace
 
-void AnomalyDetector::Baseline::Add(double x, std::size_t most) {
+void AnomalyDetector::Baseline::Add(double x, std::size_t max_values) {
   values_.push_back(x);
-  if (values_.size() > most) values_.pop_front();
+  if (values_.size() > max_values) values_.pop_front();
   if (++unmeasured_values_ >= kMeasureInterval || values_.size() <= 2 * kMeasureInterval) Measure();
 }
 
@@ -178,7 +178,7 @@
     if (Replica* r = FindOrAdd(ended->replica); r != nullptr) {
       ++r->tick.ended;
       if (Failed(ended->outcome)) ++r->tick.failed;
-      if (ended->outcome == Outcome::kAtCapacity) ++r->tick.full;
+      if (ended->outcome == Outcome::kAtCapacity) ++r->tick.at_capacity;
       if (ended->outcome == Outcome::kConnectFailed) {
         if (r->refused_connects++ == 0) r->refused_since = now_;
       } else if (ended->outcome != Outcome::kCancelled && ended->outcome != Outcome::kNotSent) {
@@ -204,10 +204,10 @@
 
 void AnomalyDetector::OnStart(const std::string& settings) { load_field_ = LoadFieldOf(settings); }
 
-void AnomalyDetector::OnEndpointList(Time now, std::string_view source, std::string_view why) {
+void AnomalyDetector::OnEndpointList(Time now, std::string_view source, std::string_view unavailable_reason) {
   Advance(now);
   if (source == "known") return;
-  if (!why.empty()) {
+  if (!unavailable_reason.empty()) {
     if (list_unavailable_ != 0) return;
     list_unavailable_since_ = now_;
     list_unavailable_ = BeginAnomaly({.now = now_,
@@ -253,7 +253,7 @@
   if (const auto* b = std::get_if<CoalescedDecisions>(&record)) return OnCoalesced(*b);
 }
 
-// ---- A tick ----
+// ---- One tick ----
 
 void AnomalyDetector::ComputeValues(Replica& r, double mean_sent, double load_scale) {
   const Counts& c = r.tick;
@@ -261,11 +261,11 @@
   auto& now = r.now;
   now = {};
   if (c.ended > 0) {
-    // With few attempts a single failure is a large share. The floor is the sampling error of a share near 3
-    // %.
+    // With few attempts a single failure is a large share. The floor is the sampling error of a share of
+    // 0.03.
     const double floor = kFloorError + std::sqrt(0.03 / ended);
     now[0] = Value{c.failed / ended, floor};
-    now[3] = Value{c.full / ended, floor + kFloorError};
+    now[3] = Value{c.at_capacity / ended, floor + kFloorError};
   }
   // A mean of few first tokens is imprecise: they are collected until there are min_first_tokens of them, or
   // for at most max_first_token_ticks.
