--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -326,7 +326,7 @@
         {{"records", flight_recorder_->records()},
          {"dropped", flight_recorder_->dropped()},
          {"coalesced", flight_recorder_->coalesced()},
-         {"unusual", flight_recorder_->unusual()},
+         {"unusual", flight_recorder_->anomalies()},
          {"failures", flight_recorder_->failures()}});
   }
 
