--- a/tests/membership_nodes_test.cpp
+++ b/tests/membership_nodes_test.cpp
@@ -279,8 +279,8 @@
   const CommandOutput show = RunCommand("timeline show " + directory);
   EXPECT_NE(show.text.find("member-dead n2"), std::string::npos) << show.text;
   const CommandOutput records = RunCommand("timeline show --records " + directory);
-  EXPECT_NE(records.text.find("tier of 3 nodes"), std::string::npos);
-  EXPECT_NE(records.text.find("tier of 2 nodes"), std::string::npos);
+  EXPECT_NE(records.text.find("cluster of 3 nodes"), std::string::npos);
+  EXPECT_NE(records.text.find("cluster of 2 nodes"), std::string::npos);
   const CommandOutput verify = RunCommand("timeline verify " + directory);
   EXPECT_EQ(verify.code, 0) << verify.text;
 }
