--- a/tests/duplicate_execution_test.cpp
+++ b/tests/duplicate_execution_test.cpp
@@ -39,7 +39,7 @@
 
 Node NodeWith(const ScriptedServer& host, const EffectCase& e, long deadline_us) {
   return Node(Program(), EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kUnreachable,
-              "push", 1024, 192, "", false, SettingsOf(e, deadline_us));
+              "push", 1024, 192, "", false, SettingsJson(e, deadline_us));
 }
 
 bool PromisesSafeRetry(int status) { return status == 429 || status == 503; }
