--- a/lab/cluster/scenario.cpp
+++ b/lab/cluster/scenario.cpp
@@ -63,7 +63,7 @@
                                     "");
   f.at = s.Number("at", 0, 1e6, 0);
   f.lasts = s.Number("lasts", 0, 1e6, 0);
-  f.times = static_cast<int>(s.Whole("times", 1, 1000, 1));
+  f.times = static_cast<int>(s.Integer("times", 1, 1000, 1));
   f.again_after = s.Number("again_after", 0, 1e6, 0);
   if (f.times > 1 && f.again_after <= f.lasts)
     s.Fail("again_after", "must be more than `lasts`, in periods, where `times` is over 1");
@@ -87,7 +87,7 @@
     if ((f.what == Fault::What::kPause || f.what == Fault::What::kStarve || f.what == Fault::What::kAbsent) &&
         f.lasts == 0)
       s.Fail("lasts", "is missing; say for how many periods");
-    s.Close();
+    s.RejectUnknownKeys();
     return f;
   }
   f.from = NodesOf(s, "from", scenario, "all");
@@ -107,7 +107,7 @@
     f.link.jitter = periods("jitter", 0);
   }
   if (what == "throttle") f.link.bytes_per_second = s.Number("bytes_per_second", 10, 1e9, 2000);
-  s.Close();
+  s.RejectUnknownKeys();
   return f;
 }
 
@@ -161,18 +161,18 @@
   TomlSection top(file, "", &table);
   Scenario s;
   s.text = text;
-  s.name = top.Needed("name", "a short name");
+  s.name = top.RequiredText("name", "a short name");
   s.title = top.Text("title", s.name);
-  s.nodes = top.Whole("nodes", 2, 1000, s.nodes);
-  s.seeds = top.Whole("seeds", 1, 16, s.seeds);
-  s.zones = top.Whole("zones", 1, 16, s.zones);
+  s.nodes = top.Integer("nodes", 2, 1000, s.nodes);
+  s.seeds = top.Integer("seeds", 1, 16, s.seeds);
+  s.zones = top.Integer("zones", 1, 16, s.zones);
   s.length = top.Number("length", 1, 1e6, s.length);
   s.warm_up = top.Number("warm_up", 1, 1e4, s.warm_up);
   s.loss = top.Number("loss", 0, 0.99, s.loss);
-  s.period = top.Span("period", 20'000, 60'000'000, s.period);
-  s.seed = top.Whole("seed", 0, 1'000'000'000, 1);
-  s.rate = top.PerSecond("rate", 0, 10'000, 0);
-  s.replicas = top.Whole("replicas", 1, 64, s.replicas);
+  s.period = top.Duration("period", 20'000, 60'000'000, s.period);
+  s.seed = top.Integer("seed", 0, 1'000'000'000, 1);
+  s.rate = top.Rate("rate", 0, 10'000, 0);
+  s.replicas = top.Integer("replicas", 1, 64, s.replicas);
   s.old_wire = Numbers(top, "old_wire", s);
   s.other_cluster = Numbers(top, "other_cluster", s);
   s.old_build = Numbers(top, "old_build", s);
@@ -185,14 +185,14 @@
   for (TomlSection& r : top.Tables("replica")) {
     ReplicaFault f;
     f.how = r.Choice("how", {"error", "silent", "unreachable"}, "error");
-    f.first = r.Whole("first", 0, s.replicas - 1, 0);
-    f.count = r.Whole("count", 1, s.replicas - f.first, 1);
+    f.first = r.Integer("first", 0, s.replicas - 1, 0);
+    f.count = r.Integer("count", 1, s.replicas - f.first, 1);
     f.nodes = NodesOf(r, "nodes", s, "all");
     f.at = r.Number("at", 0, 1e6, 0);
     f.lasts = r.Number("lasts", 0, 1e6, 0);
     if (f.nodes.size() < s.nodes && f.how != "unreachable")
       r.Fail("nodes", "a replica that is reached does the same to all; give how = \"unreachable\"");
-    r.Close();
+    r.RejectUnknownKeys();
     s.replica_faults.push_back(std::move(f));
   }
   TomlSection e = top.Table("expect");
@@ -201,13 +201,13 @@
   s.expect.in_doubt = NodesOf(e, "in_doubt", s, "");
   s.expect.refused = NodesOf(e, "refused", s, "");
   s.expect.no_doubt = e.Flag("no_doubt", false);
-  s.expect.most_false = e.Whole("most_false", 0, 1'000'000, 0);
-  s.expect.most_returns = e.Whole("most_returns", 0, 1000, s.expect.most_returns);
+  s.expect.most_false = e.Integer("most_false", 0, 1'000'000, 0);
+  s.expect.most_returns = e.Integer("most_returns", 0, 1000, s.expect.most_returns);
   s.expect.removed_within = e.Number("removed_within", 1, 1e4, s.expect.removed_within);
   s.expect.one_view_within = e.Number("one_view_within", 1, 1e4, s.expect.one_view_within);
   s.expect.served = e.Number("served", 0, 1, s.expect.served);
-  e.Close();
-  top.Close();
+  e.RejectUnknownKeys();
+  top.RejectUnknownKeys();
   return s;
 }
 
--- a/lab/experiment/spec.cpp
+++ b/lab/experiment/spec.cpp
@@ -33,18 +33,20 @@
       if (value != std::floor(value)) s_.Fail(key, "must be a whole number");
       field = static_cast<T>(value);
     } else {
-      field = s_.Whole(key, static_cast<std::size_t>(least), most, field);
+      field = s_.Integer(key, static_cast<std::size_t>(least), most, field);
     }
   }
-  void Span(const char* key, Time& field, Time least, Time most) { field = s_.Span(key, least, most, field); }
+  void Span(const char* key, Time& field, Time least, Time most) {
+    field = s_.Duration(key, least, most, field);
+  }
   void Seconds(const char* key, double& field, double least, double most) {
     if (s_.Has(key))
       field = static_cast<double>(
-                  s_.Span(key, static_cast<Time>(least * 1e6), static_cast<Time>(most * 1e6), 0)) /
+                  s_.Duration(key, static_cast<Time>(least * 1e6), static_cast<Time>(most * 1e6), 0)) /
               1e6;
   }
   void Rate(const char* key, double& field, double least, double most) {
-    field = s_.PerSecond(key, least, most, field);
+    field = s_.Rate(key, least, most, field);
   }
   void Text(const char* key, std::string& field) { field = s_.Text(key, field); }
   void Flag(const char* key, bool& field) { field = s_.Flag(key, field); }
@@ -108,7 +110,7 @@
 void Fill(TomlSection section, T& into, Visit visit) {
   Reader reader(section);
   visit(reader, into);
-  section.Close();
+  section.RejectUnknownKeys();
 }
 
 ScenarioSpec ReadDay(TomlSection& root) {
@@ -221,7 +223,7 @@
   TomlSection root(file, "", &table);
   Experiment e;
   e.text = text;
-  e.name = root.Needed("name", "a short name, as name = \"load\"");
+  e.name = root.RequiredText("name", "a short name, as name = \"load\"");
   e.title = root.Text("title", e.name);
   e.policies = root.Texts("policies");
   if (e.policies.empty()) e.policies = {"router"};
@@ -234,7 +236,7 @@
     if (std::count(e.policies.begin(), e.policies.end(), p) > 1)
       root.Fail("policies", "'" + p + "' stands twice");
   }
-  e.seeds = root.Whole("seeds", 1, 10'000, 5);
+  e.seeds = root.Integer("seeds", 1, 10'000, 5);
   e.measures = root.Texts("measures");
   if (e.measures.empty()) e.measures = {"share", "goodput", "p50_ms", "p99_ms", "unserved", "kept"};
   for (const std::string& m : e.measures) {
@@ -250,7 +252,7 @@
   for (std::size_t n = 0; n < sweeps.size(); ++n) {
     TomlSection& s = sweeps[n];
     Axis axis;
-    axis.key = s.Needed("key", "what is varied, as \"clients.rate\" or \"load\"");
+    axis.key = s.RequiredText("key", "what is varied, as \"clients.rate\" or \"load\"");
     axis.label = s.Text("label", axis.key.substr(axis.key.rfind('.') + 1));
     s.Has("values");
     const toml::node* list = table["sweep"].as_array()->get(n)->as_table()->get("values");
@@ -267,11 +269,11 @@
     values.push_back(list->as_array());
     cells *= axis.values.size();
     if (cells > kMostCells) s.Fail("values", fmt::format("makes more than {} cells", kMostCells));
-    s.Close();
+    s.RejectUnknownKeys();
     e.axes.push_back(std::move(axis));
   }
   ScenarioSpec base = ReadDay(root);
-  root.Close();
+  root.RejectUnknownKeys();
   e.first_seed = base.seed;
   std::string mark_of;
   for (std::size_t n = 0; n < cells; ++n) {
--- a/src/app/config_reload.cpp
+++ b/src/app/config_reload.cpp
@@ -25,7 +25,7 @@
   if (!edge_settings_file.empty()) {
     LoadEdgeSettings(edge_settings_file, ClassNames(update.loaded.settings));
   }
-  update.needs_restart = NeedsRestart(in_force, update.loaded);
+  update.needs_restart = ChangesNeedingRestart(in_force, update.loaded);
   return update;
 }
 
--- a/src/keys/keyring.cpp
+++ b/src/keys/keyring.cpp
@@ -82,23 +82,23 @@
   Keyring ring;
   for (TomlSection& entry : top.Tables("key")) {
     Key key;
-    key.id = entry.Needed("id", "8 hexadecimal digits, as `ryeglade key new` makes them");
+    key.id = entry.RequiredText("id", "8 hexadecimal digits, as `ryeglade key new` makes them");
     if (!IsHex(key.id, kIdDigits)) entry.Fail("id", "must be 8 lower-case hexadecimal digits");
     if (ring.keys_.contains(key.id)) entry.Fail("id", "occurs twice in the file; revoke one of the two keys");
     key.name = entry.Text("name", "");
-    key.salt = entry.Needed("salt", "32 hexadecimal digits");
+    key.salt = entry.RequiredText("salt", "32 hexadecimal digits");
     if (!IsHex(key.salt, kSaltDigits)) entry.Fail("salt", "must be 32 lower-case hexadecimal digits");
-    key.hash = entry.Needed("hash", "64 hexadecimal digits; this file never contains the key itself");
+    key.hash = entry.RequiredText("hash", "64 hexadecimal digits; this file never contains the key itself");
     if (!IsHex(key.hash, kHashDigits)) entry.Fail("hash", "must be 64 lower-case hexadecimal digits");
     key.created = entry.Text("created", "");
     key.class_name = entry.Text("class", "");
     key.limits = ReadKeyLimits(entry);
-    entry.Close();
+    entry.RejectUnknownKeys();
     if (ring.keys_.size() >= kMaxKeys)
       entry.Fail("id", fmt::format("exceeds the maximum of {} keys in one file", kMaxKeys));
     ring.Add(std::move(key));
   }
-  top.Close();
+  top.RejectUnknownKeys();
   return ring;
 }
 
--- a/src/rollout/plan.cpp
+++ b/src/rollout/plan.cpp
@@ -27,14 +27,14 @@
     root.Fail("release",
               "is missing; add [release] with `id` and at least one of `program`, `config` and `settings`");
   Release release;
-  release.id = section.Needed("id", "a name for the release");
+  release.id = section.RequiredText("id", "a name for the release");
   release.program = section.Text("program", "");
   release.config = section.Text("config", "");
   release.settings = section.Text("settings", "");
   if (release.program.empty() && release.config.empty() && release.settings.empty())
     section.Fail("program",
                  "is missing, and so are `settings` and `config`: nothing would change; give at least one");
-  section.Close();
+  section.RejectUnknownKeys();
   return release;
 }
 
@@ -44,15 +44,15 @@
   std::set<std::string> addresses;
   for (TomlSection& section : root.Tables("node")) {
     PlanNode node;
-    node.name = section.Needed("name", "the node's name");
-    node.supervisor_address = section.Needed("keeper", "ip:port of its keeper");
+    node.name = section.RequiredText("name", "the node's name");
+    node.supervisor_address = section.RequiredText("keeper", "ip:port of its keeper");
     node.zone = section.Text("zone", "");
     if (!IsAddress(node.supervisor_address))
       section.Fail("keeper", "is not an ip:port: \"" + node.supervisor_address + "\"");
     if (!names.insert(node.name).second) section.Fail("name", "\"" + node.name + "\" comes twice");
     if (!addresses.insert(node.supervisor_address).second)
       section.Fail("keeper", "\"" + node.supervisor_address + "\" comes twice");
-    section.Close();
+    section.RejectUnknownKeys();
     nodes.push_back(node);
   }
   if (nodes.empty()) root.Fail("node", "is missing; add a [[node]] for each node");
@@ -90,7 +90,7 @@
   }
   std::size_t count = unassigned.size();
   if (by_count) {
-    count = section.Whole("count", 1, kMaxNodes, 1);
+    count = section.Integer("count", 1, kMaxNodes, 1);
   } else if (by_share) {
     const double share = section.Number("share", 0.0001, 1, 1);
     count = static_cast<std::size_t>(std::ceil(share * static_cast<double>(nodes.size())));
@@ -104,13 +104,13 @@
   std::set<std::string> assigned;
   for (TomlSection& section : root.Tables("stage")) {
     Stage stage;
-    stage.soak = section.Span("soak", 0, kWeek, stage.soak);
-    stage.min_requests = section.Whole("requests", 0, 1'000'000'000, stage.min_requests);
-    stage.max_concurrent = section.Whole("at_once", 1, kMaxNodes, stage.max_concurrent);
+    stage.soak = section.Duration("soak", 0, kWeek, stage.soak);
+    stage.min_requests = section.Integer("requests", 0, 1'000'000'000, stage.min_requests);
+    stage.max_concurrent = section.Integer("at_once", 1, kMaxNodes, stage.max_concurrent);
     stage.nodes = ParseStageNodes(section, nodes, assigned);
     if (stage.nodes.empty())
       section.Fail("nodes", "no node is left for this stage; take the stage out or name fewer before");
-    section.Close();
+    section.RejectUnknownKeys();
     assigned.insert(stage.nodes.begin(), stage.nodes.end());
     stages.push_back(std::move(stage));
   }
@@ -136,7 +136,7 @@
   if (section.present() && addresses.empty())
     section.Fail("status",
                  "is missing; name the status address of one node in each zone, or take the table out");
-  section.Close();
+  section.RejectUnknownKeys();
   return addresses;
 }
 
@@ -154,8 +154,8 @@
   t.memory_growth_per_hour = section.Number("growth", 0, 1000, t.memory_growth_per_hour);
   t.failure_precision = section.Number("sure", 0.001, 1, t.failure_precision);
   t.environment_shift = section.Number("world", 0.01, 1, t.environment_shift);
-  t.window = section.Span("window", 100'000, 600 * kSecond, t.window);
-  section.Close();
+  t.window = section.Duration("window", 100'000, 600 * kSecond, t.window);
+  section.RejectUnknownKeys();
   return t;
 }
 
@@ -166,17 +166,17 @@
   TomlSection root(file, "", &table);
   Plan plan;
   plan.text = text;
-  plan.name = root.Needed("name", "a name for this rollout, shown in logs and by keepers");
-  plan.unreachable_after = root.Span("unreached_after", kSecond, kHour, plan.unreachable_after);
-  plan.max_skipped = root.Whole("most_passed_over", 0, kMaxNodes, plan.max_skipped);
-  plan.inconclusive_timeout = root.Span("ask_after", kSecond, kWeek, plan.inconclusive_timeout);
-  plan.rollback_concurrency = root.Whole("back_at_once", 1, kMaxNodes, plan.rollback_concurrency);
+  plan.name = root.RequiredText("name", "a name for this rollout, shown in logs and by keepers");
+  plan.unreachable_after = root.Duration("unreached_after", kSecond, kHour, plan.unreachable_after);
+  plan.max_skipped = root.Integer("most_passed_over", 0, kMaxNodes, plan.max_skipped);
+  plan.inconclusive_timeout = root.Duration("ask_after", kSecond, kWeek, plan.inconclusive_timeout);
+  plan.rollback_concurrency = root.Integer("back_at_once", 1, kMaxNodes, plan.rollback_concurrency);
   plan.release = ParseRelease(root);
   plan.nodes = ParseNodes(root);
   plan.stages = ParseStages(root, plan.nodes);
   plan.status_addresses = ParseStatusAddresses(root);
   plan.thresholds = ParseThresholds(root);
-  root.Close();
+  root.RejectUnknownKeys();
   return plan;
 }
 
--- a/src/settings/config.cpp
+++ b/src/settings/config.cpp
@@ -152,7 +152,7 @@
 
 Config ReloadConfig(const Config& in_force) { return LoadFile(in_force.source_file, true); }
 
-std::string NeedsRestart(const Config& in_force, const Config& loaded) {
+std::string ChangesNeedingRestart(const Config& in_force, const Config& loaded) {
   std::string names;
   const auto add_if = [&](bool differs, const char* name) {
     if (!differs) return;
--- a/src/settings/config.h
+++ b/src/settings/config.h
@@ -56,6 +56,6 @@
 // ConfigError.
 Config ReloadConfig(const Config& in_force);
 // Names, separated by commas, of what differs and takes effect only at a start; empty: nothing.
-std::string NeedsRestart(const Config& in_force, const Config& loaded);
+std::string ChangesNeedingRestart(const Config& in_force, const Config& loaded);
 
 }  // namespace ryeglade
--- a/src/settings/edge_settings.cpp
+++ b/src/settings/edge_settings.cpp
@@ -40,16 +40,16 @@
 ModelSettings ReadModel(TomlSection& section, const std::vector<ModelSettings>& earlier,
                         const std::vector<std::string>& classes) {
   ModelSettings model;
-  model.id = section.Needed("id", "the name by which clients ask for the model");
+  model.id = section.RequiredText("id", "the name by which clients ask for the model");
   for (const ModelSettings& other : earlier) {
     if (other.id == model.id) section.Fail("id", "\"" + model.id + "\" comes twice; name each model once");
   }
   model.upstream = section.Text("upstream", "");
   model.owned_by = section.Text("owned_by", "ryeglade");
-  model.created = static_cast<std::int64_t>(section.Whole("created", 0, 4'000'000'000, 0));
+  model.created = static_cast<std::int64_t>(section.Integer("created", 0, 4'000'000'000, 0));
   model.class_name = ReadClassName(section, classes);
   model.default_output_tokens = section.Number("answer_tokens", 1, 1e6, model.default_output_tokens);
-  section.Close();
+  section.RejectUnknownKeys();
   return model;
 }
 
@@ -67,8 +67,8 @@
     section.Fail("path", "must be \"/v1/chat/completions\" or \"/v1/completions\"");
   }
   route.class_name = ReadClassName(section, classes);
-  route.time_budget = section.Span("deadline", 10'000, 3600 * kSecond, 0);
-  section.Close();
+  route.time_budget = section.Duration("deadline", 10'000, 3600 * kSecond, 0);
+  section.RejectUnknownKeys();
   return route;
 }
 
@@ -76,7 +76,7 @@
   OpenAiSettings settings;
   if (!section.present()) return settings;
   settings.enabled = true;
-  settings.listen = section.Needed("listen", "the ip:port that clients of this API connect to");
+  settings.listen = section.RequiredText("listen", "the ip:port that clients of this API connect to");
   sockaddr_storage address{};
   if (!ParseAddress(settings.listen, &address))
     section.Fail("listen", "is not an ip:port: \"" + settings.listen + "\"");
@@ -85,14 +85,14 @@
   settings.keys_file = section.Text("keys", "");
   settings.max_body = section.Bytes("most_body", kKiB, 16 * kMiB, settings.max_body);
   settings.max_answer = section.Bytes("most_answer", 16 * kKiB, 64 * kMiB, settings.max_answer);
-  settings.read_timeout = section.Span("read_within", 100'000, 600 * kSecond, settings.read_timeout);
+  settings.read_timeout = section.Duration("read_within", 100'000, 600 * kSecond, settings.read_timeout);
   TomlSection ledger = section.Table("ledger");
   settings.ledger_directory = ledger.Text("directory", "");
-  settings.ledger_interval = ledger.Span("every", kSecond, 3600 * kSecond, settings.ledger_interval);
-  ledger.Close();
+  settings.ledger_interval = ledger.Duration("every", kSecond, 3600 * kSecond, settings.ledger_interval);
+  ledger.RejectUnknownKeys();
   TomlSection limits = section.Table("limits");
   settings.default_limits = ReadKeyLimits(limits);
-  limits.Close();
+  limits.RejectUnknownKeys();
   for (TomlSection& model : section.Tables("model")) {
     settings.models.push_back(ReadModel(model, settings.models, classes));
   }
@@ -101,7 +101,7 @@
   for (TomlSection& route : section.Tables("route")) {
     settings.routes.push_back(ReadRoute(route, settings.models, classes));
   }
-  section.Close();
+  section.RejectUnknownKeys();
   return settings;
 }
 
@@ -123,8 +123,9 @@
 MembershipSettings ReadMembership(TomlSection section) {
   MembershipSettings settings;
   if (!section.present()) return settings;
-  settings.listen = CheckAddress(
-      section, "listen", section.Needed("listen", "the ip:port at which the other nodes reach this one"));
+  settings.listen =
+      CheckAddress(section, "listen",
+                   section.RequiredText("listen", "the ip:port at which the other nodes reach this one"));
   settings.advertise = CheckAddress(section, "advertise", section.Text("advertise", ""));
   const std::string host = settings.listen.substr(0, settings.listen.rfind(':'));
   if (settings.advertise.empty() && (host == "0.0.0.0" || host == "[::]"))
@@ -142,18 +143,20 @@
   if (settings.networks.empty())
     section.Fail("networks",
                  "is missing; name the networks that the other nodes are in, such as [\"10.1.0.0/16\"]");
-  settings.probe_interval = section.Span("period", 20'000, 60 * kSecond, settings.probe_interval);
+  settings.probe_interval = section.Duration("period", 20'000, 60 * kSecond, settings.probe_interval);
   settings.suspicion_multiplier = section.Number("suspicion", 2, 100, settings.suspicion_multiplier);
-  settings.push_pull_interval = section.Span("exchange", settings.probe_interval, 3600 * kSecond,
-                                             std::max(settings.probe_interval, settings.push_pull_interval));
-  settings.forget_dead_after = section.Span("forget", 10 * settings.probe_interval, Time{24} * 3600 * kSecond,
-                                            settings.forget_dead_after);
-  settings.shrink_after = section.Span("shrink_after", 0, Time{24} * 3600 * kSecond, settings.shrink_after);
-  settings.max_members = section.Whole("most_members", 2, 4096, settings.max_members);
+  settings.push_pull_interval =
+      section.Duration("exchange", settings.probe_interval, 3600 * kSecond,
+                       std::max(settings.probe_interval, settings.push_pull_interval));
+  settings.forget_dead_after = section.Duration("forget", 10 * settings.probe_interval,
+                                                Time{24} * 3600 * kSecond, settings.forget_dead_after);
+  settings.shrink_after =
+      section.Duration("shrink_after", 0, Time{24} * 3600 * kSecond, settings.shrink_after);
+  settings.max_members = section.Integer("most_members", 2, 4096, settings.max_members);
   settings.protocol_version =
-      static_cast<std::uint32_t>(section.Whole("wire", 1, 2, settings.protocol_version));
+      static_cast<std::uint32_t>(section.Integer("wire", 1, 2, settings.protocol_version));
   settings.update_node_count = section.Flag("follow", settings.update_node_count);
-  section.Close();
+  section.RejectUnknownKeys();
   return settings;
 }
 
@@ -170,9 +173,9 @@
   settings.outlier_reports = section.Flag("evidence", settings.outlier_reports);
   settings.prefix_shares = section.Flag("beginnings", settings.prefix_shares);
   settings.dead_in_flight = section.Flag("departed", settings.dead_in_flight);
-  settings.min_reporters = section.Whole("accusers", 2, 16, settings.min_reporters);
+  settings.min_reporters = section.Integer("accusers", 2, 16, settings.min_reporters);
   settings.max_ejected_fraction = section.Number("most_out", 0, 0.5, settings.max_ejected_fraction);
-  section.Close();
+  section.RejectUnknownKeys();
   return settings;
 }
 
@@ -180,7 +183,7 @@
   TimelineSettings settings;
   settings.directory = section.Text("directory", "");
   settings.block_bytes = section.Bytes("block", 4 * kKiB, kMiB, settings.block_bytes);
-  settings.block_interval = section.Span("block_within", 50'000, 60 * kSecond, settings.block_interval);
+  settings.block_interval = section.Duration("block_within", 50'000, 60 * kSecond, settings.block_interval);
   settings.segment_bytes = section.Bytes("segment", 64 * kKiB, 1024 * kMiB, settings.segment_bytes);
   settings.total_bytes =
       section.Bytes("total", 128 * kKiB, std::size_t{1024} * 1024 * kMiB, settings.total_bytes);
@@ -194,16 +197,16 @@
   settings.detect_anomalies = section.Flag("watch", settings.detect_anomalies);
   if (settings.total_bytes < 2 * settings.segment_bytes)
     section.Fail("total", "must be at least twice `segment`, or nothing older is kept");
-  section.Close();
+  section.RejectUnknownKeys();
   return settings;
 }
 
 void ReadLog(TomlSection section, EdgeSettings* settings) {
   settings->log_format = section.Choice("format", {"logfmt", "json"}, settings->log_format);
   settings->log_level = section.Choice("level", {"debug", "info", "warn", "error"}, settings->log_level);
-  settings->log_lines_per_second = static_cast<int>(section.Whole(
+  settings->log_lines_per_second = static_cast<int>(section.Integer(
       "lines_per_second", 1, 100'000, static_cast<std::size_t>(settings->log_lines_per_second)));
-  section.Close();
+  section.RejectUnknownKeys();
 }
 
 void ReadUpstream(TomlSection section, EdgeSettings* settings) {
@@ -212,7 +215,7 @@
   if (!settings->upstream_key_file.empty() && settings->upstream_dialect != "openai") {
     section.Fail("key_file", "is of use only with dialect = \"openai\"; take it out or change the dialect");
   }
-  section.Close();
+  section.RejectUnknownKeys();
 }
 
 }  // namespace
@@ -221,7 +224,7 @@
   limits::KeyLimits limits;
   limits.requests_per_min = section.Number("requests_per_min", 0, 1e9, 0);
   limits.tokens_per_min = section.Number("tokens_per_min", 0, 1e12, 0);
-  limits.streams = static_cast<int>(section.Whole("streams", 0, 1'000'000, 0));
+  limits.streams = static_cast<int>(section.Integer("streams", 0, 1'000'000, 0));
   return limits;
 }
 
@@ -243,7 +246,7 @@
   settings.timeline = ReadTimeline(top.Table("timeline"));
   settings.membership = ReadMembership(top.Table("membership"));
   settings.gossip = ReadGossip(top.Table("tier"), settings.membership.enabled());
-  top.Close();
+  top.RejectUnknownKeys();
   return settings;
 }
 
--- a/src/settings/toml_reader.cpp
+++ b/src/settings/toml_reader.cpp
@@ -104,7 +104,7 @@
   return node->as_string()->get();
 }
 
-std::string TomlSection::Needed(const std::string& key, const std::string& what) {
+std::string TomlSection::RequiredText(const std::string& key, const std::string& what) {
   std::string text = Text(key, "");
   if (text.empty()) Fail(key, "is missing; give " + what);
   return text;
@@ -129,8 +129,8 @@
   return *value;
 }
 
-std::size_t TomlSection::Whole(const std::string& key, std::size_t least, std::size_t most,
-                               std::size_t fallback) {
+std::size_t TomlSection::Integer(const std::string& key, std::size_t least, std::size_t most,
+                                 std::size_t fallback) {
   const toml::node* node = Find(key);
   if (node == nullptr) return fallback;
   const auto value = node->is_integer() ? node->value<std::int64_t>() : std::nullopt;
@@ -148,7 +148,7 @@
   return node->as_boolean()->get();
 }
 
-Time TomlSection::Span(const std::string& key, Time least, Time most, Time fallback) {
+Time TomlSection::Duration(const std::string& key, Time least, Time most, Time fallback) {
   const toml::node* node = Find(key);
   if (node == nullptr) return fallback;
   const std::string allowed = fmt::format("a time in quotes with its unit (ms, s, m or h), from {} to {}",
@@ -177,7 +177,7 @@
   return static_cast<std::size_t>(value);
 }
 
-double TomlSection::PerSecond(const std::string& key, double least, double most, double fallback) {
+double TomlSection::Rate(const std::string& key, double least, double most, double fallback) {
   const toml::node* node = Find(key);
   if (node == nullptr) return fallback;
   const std::string allowed =
@@ -218,7 +218,7 @@
   return all;
 }
 
-void TomlSection::Close() const {
+void TomlSection::RejectUnknownKeys() const {
   if (table_ == nullptr) return;
   for (const auto& [name, node] : *table_) {
     const std::string key(name.str());
--- a/src/settings/toml_reader.h
+++ b/src/settings/toml_reader.h
@@ -24,7 +24,7 @@
 toml::table ParseToml(const std::string& file, const std::string& text);
 std::string ReadWholeFile(const std::string& path);  // throws SettingsError
 
-// One table of the file. Close() when all its keys have been asked for.
+// One table of the file. RejectUnknownKeys() when all its keys have been asked for.
 class TomlSection {
  public:
   TomlSection(std::string file, std::string path, const toml::table* table)
@@ -34,24 +34,24 @@
   bool Has(const std::string& key);
 
   std::string Text(const std::string& key, const std::string& fallback);
-  std::string Needed(const std::string& key, const std::string& what);  // text that must be there
+  std::string RequiredText(const std::string& key, const std::string& what);  // text that must be there
   std::string Choice(const std::string& key, const std::vector<std::string>& allowed,
                      const std::string& fallback);
   double Number(const std::string& key, double least, double most, double fallback);
-  std::size_t Whole(const std::string& key, std::size_t least, std::size_t most, std::size_t fallback);
+  std::size_t Integer(const std::string& key, std::size_t least, std::size_t most, std::size_t fallback);
   bool Flag(const std::string& key, bool fallback);
   // "250ms", "7.5s", "2m", "1h"; microseconds. A bare number is an error: its unit would be a guess.
-  policy::Time Span(const std::string& key, policy::Time least, policy::Time most, policy::Time fallback);
+  policy::Time Duration(const std::string& key, policy::Time least, policy::Time most, policy::Time fallback);
   // "256KiB", "4MiB"; bytes.
   std::size_t Bytes(const std::string& key, std::size_t least, std::size_t most, std::size_t fallback);
   // "1800/s", "60/m"; a second. A bare number is an error here too.
-  double PerSecond(const std::string& key, double least, double most, double fallback);
+  double Rate(const std::string& key, double least, double most, double fallback);
   std::vector<std::string> Texts(const std::string& key);
   TomlSection Table(const std::string& key);                // absent: not present()
   std::vector<TomlSection> Tables(const std::string& key);  // [[key]]
 
   [[noreturn]] void Fail(const std::string& key, const std::string& what) const;
-  void Close() const;  // throws for a key that nobody asked for
+  void RejectUnknownKeys() const;  // throws for a key that nobody asked for
 
  private:
   const toml::node* Find(const std::string& key);
--- a/tests/class_update_test.cpp
+++ b/tests/class_update_test.cpp
@@ -8,38 +8,40 @@
 namespace ryeglade {
 namespace {
 
-const std::string kOld =
+const std::string kInForce =
     "classes.count=2\nclasses.0.name=docs\nclasses.0.deadline=5000000\nclasses.0.promise=1000000\n"
     "classes.0.effect=free\nclasses.1.name=agent\nclasses.1.deadline=7500000\nclasses.1.promise=1500000\n"
     "classes.1.effect=free\nlimits.max-attempts=6\nlimits.idle-close=5000000\n";
 
-std::string With(std::string text, const std::string& from, const std::string& to) {
+std::string Replaced(std::string text, const std::string& from, const std::string& to) {
   const std::size_t at = text.find(from);
   if (at != std::string::npos) text.replace(at, from.size(), to);
   return text;
 }
 
-TEST(Retune, TakesWhatIsWhole) {
-  EXPECT_EQ(FindSettingsUpdateError(kOld, kOld), "");
-  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "limits.max-attempts=6", "limits.max-attempts=2")), "");
+TEST(ClassUpdate, AcceptsCompleteSettings) {
+  EXPECT_EQ(FindSettingsUpdateError(kInForce, kInForce), "");
+  EXPECT_EQ(
+      FindSettingsUpdateError(kInForce, Replaced(kInForce, "limits.max-attempts=6", "limits.max-attempts=2")),
+      "");
 }
 
-TEST(Retune, TurnsDownWhatIsBroken) {
-  EXPECT_NE(FindSettingsUpdateError(kOld, ""), "");
-  EXPECT_NE(FindSettingsUpdateError(kOld, kOld.substr(0, kOld.size() / 2)), "");
-  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "classes.1.deadline=7500000\n", "")),
+TEST(ClassUpdate, RejectsBrokenSettings) {
+  EXPECT_NE(FindSettingsUpdateError(kInForce, ""), "");
+  EXPECT_NE(FindSettingsUpdateError(kInForce, kInForce.substr(0, kInForce.size() / 2)), "");
+  EXPECT_EQ(FindSettingsUpdateError(kInForce, Replaced(kInForce, "classes.1.deadline=7500000\n", "")),
             "classes.1.deadline: is missing; every class needs it");
-  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "classes.1.effect=free\n", "")),
+  EXPECT_EQ(FindSettingsUpdateError(kInForce, Replaced(kInForce, "classes.1.effect=free\n", "")),
             "classes.1.effect: is missing; every class needs it");
-  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "limits.idle-close=5000000\n", "")),
+  EXPECT_EQ(FindSettingsUpdateError(kInForce, Replaced(kInForce, "limits.idle-close=5000000\n", "")),
             "limits.idle-close: is missing; the file in force has it, so give it a value");
-  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "deadline=5000000", "deadline=0")),
+  EXPECT_EQ(FindSettingsUpdateError(kInForce, Replaced(kInForce, "deadline=5000000", "deadline=0")),
             "classes.0.deadline: is not a positive number of microseconds");
-  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "deadline=5000000", "deadline=-1")),
+  EXPECT_EQ(FindSettingsUpdateError(kInForce, Replaced(kInForce, "deadline=5000000", "deadline=-1")),
             "classes.0.deadline: is not a positive number of microseconds");
-  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "max-attempts=6", "max-attempts=0")),
+  EXPECT_EQ(FindSettingsUpdateError(kInForce, Replaced(kInForce, "max-attempts=6", "max-attempts=0")),
             "limits.max-attempts: is not a positive number; give 1 or more");
-  EXPECT_EQ(FindSettingsUpdateError(kOld, With(kOld, "classes.count=2", "classes.count=0")),
+  EXPECT_EQ(FindSettingsUpdateError(kInForce, Replaced(kInForce, "classes.count=2", "classes.count=0")),
             "classes: none are given; name at least one class");
 }
 
@@ -51,7 +53,7 @@
   return c;
 }
 
-TEST(Retune, KeepsIndicesAndAppendsWhatChanged) {
+TEST(ClassUpdate, KeepsIndicesAndAppendsChangedClasses) {
   ClassTable table{{Class("docs"), Class("agent")}, {0, 1}};
   ASSERT_TRUE(UpdateClasses(table, {Class("agent"), Class("desk")}));  // docs dropped, desk added
   EXPECT_EQ(table.classes.size(), 3U);
@@ -63,7 +65,7 @@
   EXPECT_EQ(table.classes[1].idempotency, policy::Idempotency::kIdempotent);  // what open requests came with
 }
 
-TEST(Retune, BoundsTheTable) {
+TEST(ClassUpdate, BoundsTheTable) {
   ClassTable table{{Class("c")}, {0}};
   for (std::size_t i = 1; i < kMaxClassVersions; ++i)
     ASSERT_TRUE(UpdateClasses(table, {Class("c" + std::to_string(i))}));
--- a/tests/edge_settings_test.cpp
+++ b/tests/edge_settings_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 const std::vector<std::string> kClasses = {"docs", "agent"};
-const std::string kGood = R"([log]
+const std::string kValid = R"([log]
 format = "json"
 [upstream]
 dialect = "openai"
@@ -32,7 +32,7 @@
 deadline = "2m"
 )";
 
-std::string Says(const std::string& text) {
+std::string ErrorOf(const std::string& text) {
   try {
     ReadEdgeSettings("edge.toml", text, kClasses);
   } catch (const SettingsError& e) {
@@ -41,14 +41,14 @@
   return "";
 }
 
-std::string With(const std::string& from, const std::string& to) {
-  std::string text = kGood;
+std::string Replaced(const std::string& from, const std::string& to) {
+  std::string text = kValid;
   text.replace(text.find(from), from.size(), to);
   return text;
 }
 
-TEST(EdgeSettings, GoodOnesAreTaken) {
-  const EdgeSettings e = ReadEdgeSettings("edge.toml", kGood, kClasses);
+TEST(EdgeSettings, AcceptsValidSettings) {
+  const EdgeSettings e = ReadEdgeSettings("edge.toml", kValid, kClasses);
   EXPECT_TRUE(e.openai.enabled);
   EXPECT_EQ(e.openai.max_body, 128U * 1024);
   EXPECT_EQ(e.openai.read_timeout, 7'500'000);
@@ -57,30 +57,33 @@
   EXPECT_FALSE(ReadEdgeSettings("edge.toml", "", kClasses).openai.enabled);
 }
 
-TEST(EdgeSettings, EachSlipNamesPlaceAndRemedy) {
+TEST(EdgeSettings, EveryErrorNamesPlaceAndRemedy) {
   const std::vector<std::pair<std::string, std::string>> cases = {
-      {With("format", "fromat"), "edge.toml:2: log.fromat: is not known here; did you mean 'format'?"},
-      {With("\"json\"", "\"xml\""), "edge.toml:2: log.format: is \"xml\"; allowed are \"logfmt\", \"json\""},
-      {With("\"json\"", "json"), "edge.toml:2: not TOML"},
-      {With("[upstream]", "[upsteam]"), "edge.toml:3: upsteam: is not known here; did you mean 'upstream'?"},
-      {With("127.0.0.1:0", "localhost"), "edge.toml:6: openai.listen: is not an ip:port"},
-      {With("10.0.0.0/8", "10.0.0.1/8"), "edge.toml:7: openai.networks: \"10.0.0.1/8\" is no network"},
-      {With("\"128KiB\"", "131072"), "edge.toml:8: openai.most_body: must be a size in quotes with its unit"},
-      {With("\"7.5s\"", "7.5"), "edge.toml:9: openai.read_within: has no unit"},
-      {With("\"7.5s\"", "\"7.5 parsecs\""), "edge.toml:9: openai.read_within: is \"7.5 parsecs\""},
-      {With("\"7.5s\"", "\"7.5h\""), "from 100ms to 10m"},
-      {With("1e6", "-1"), "edge.toml:11: openai.limits.tokens_per_min: must be a number from 0"},
-      {With("id = \"m\"", "name = \"m\""), "edge.toml:12: openai.model.id: is missing"},
-      {With("\"agent\"", "\"agnt\""),
+      {Replaced("format", "fromat"), "edge.toml:2: log.fromat: is not known here; did you mean 'format'?"},
+      {Replaced("\"json\"", "\"xml\""),
+       "edge.toml:2: log.format: is \"xml\"; allowed are \"logfmt\", \"json\""},
+      {Replaced("\"json\"", "json"), "edge.toml:2: not TOML"},
+      {Replaced("[upstream]", "[upsteam]"),
+       "edge.toml:3: upsteam: is not known here; did you mean 'upstream'?"},
+      {Replaced("127.0.0.1:0", "localhost"), "edge.toml:6: openai.listen: is not an ip:port"},
+      {Replaced("10.0.0.0/8", "10.0.0.1/8"), "edge.toml:7: openai.networks: \"10.0.0.1/8\" is no network"},
+      {Replaced("\"128KiB\"", "131072"),
+       "edge.toml:8: openai.most_body: must be a size in quotes with its unit"},
+      {Replaced("\"7.5s\"", "7.5"), "edge.toml:9: openai.read_within: has no unit"},
+      {Replaced("\"7.5s\"", "\"7.5 parsecs\""), "edge.toml:9: openai.read_within: is \"7.5 parsecs\""},
+      {Replaced("\"7.5s\"", "\"7.5h\""), "from 100ms to 10m"},
+      {Replaced("1e6", "-1"), "edge.toml:11: openai.limits.tokens_per_min: must be a number from 0"},
+      {Replaced("id = \"m\"", "name = \"m\""), "edge.toml:12: openai.model.id: is missing"},
+      {Replaced("\"agent\"", "\"agnt\""),
        "edge.toml:14: openai.model.class: is \"agnt\"; the configuration has \"docs\", \"agent\""},
-      {With("model = \"m\"", "model = \"n\""),
+      {Replaced("model = \"m\"", "model = \"n\""),
        "edge.toml:16: openai.route.model: \"n\" is in no [[openai.model]]"},
-      {With("[[openai.route]]", "[openai.route]"), "openai.route: must be written as [[openai.route]]"},
-      {With("\"openai\"", "\"platform\"\nkey_file = \"x\""), "edge.toml:5: upstream.key_file"},
+      {Replaced("[[openai.route]]", "[openai.route]"), "openai.route: must be written as [[openai.route]]"},
+      {Replaced("\"openai\"", "\"platform\"\nkey_file = \"x\""), "edge.toml:5: upstream.key_file"},
   };
   for (const auto& [text, wanted] : cases) {
-    EXPECT_NE(Says(text).find(wanted), std::string::npos)
-        << "wanted: " << wanted << "\nsaid:   " << Says(text);
+    EXPECT_NE(ErrorOf(text).find(wanted), std::string::npos)
+        << "wanted: " << wanted << "\nsaid:   " << ErrorOf(text);
   }
 }
 
