--- a/src/settings/class_update_policy.cpp
+++ b/src/settings/class_update_policy.cpp
@@ -20,7 +20,7 @@
          a.inter_token_objective == b.inter_token_objective;
 }
 
-// Flattened settings: one "key=value" a line.
+// Flattened settings: the values of their "key=value" lines, by key.
 using Lines = std::map<std::string, std::string>;
 
 Lines ParseLines(const std::string& text) {
@@ -45,10 +45,10 @@
 
 struct ClassKey {
   std::size_t index = 0;
-  std::string name;
+  std::string name;  // of the key within the class
 };
 
-// "classes.3.deadline" -> class 3, key "deadline"; null for a key that is not a class's.
+// Splits "classes.3.deadline" into index 3 and name "deadline". Returns nullopt for any other kind of key.
 std::optional<ClassKey> ParseClassKey(const std::string& key) {
   constexpr std::string_view kPrefix = "classes.";
   if (!key.starts_with(kPrefix)) return std::nullopt;
@@ -61,7 +61,7 @@
   return result;
 }
 
-// Which keys there are, without their values.
+// The keys of some settings, without their values.
 struct KeySets {
   std::set<std::string> outside_classes;
   std::map<std::size_t, std::set<std::string>> by_class;
@@ -79,7 +79,7 @@
   return keys;
 }
 
-// Keys that every class has, and those that every class needs in any case.
+// The keys that all classes have in common, and those that a class must always have.
 std::set<std::string> RequiredClassKeys(const KeySets& keys) {
   std::set<std::string> required;
   for (auto it = keys.by_class.begin(); it != keys.by_class.end(); ++it) {
--- a/src/settings/config.cpp
+++ b/src/settings/config.cpp
@@ -15,7 +15,9 @@
 
 using nlohmann::json;
 
-std::string Plain(const json& value) {
+// A value as it stands in a line of flattened settings: spaces, commas and line ends, which separate values
+// there, become underscores.
+std::string FlatValue(const json& value) {
   if (value.is_null()) return "";
   std::string text = value.is_string() ? value.get<std::string>() : value.dump();
   for (char& c : text) {
@@ -24,13 +26,14 @@
   return text;
 }
 
+// Appends the lines of `value`, which stands at the dotted `path`.
 void Flatten(const std::string& path, const json& value, std::string& out) {
   if (value.is_object()) {
     for (const auto& [key, item] : value.items()) {
-      std::string at = path;
-      if (!at.empty()) at += ".";
-      at += key;
-      Flatten(at, item, out);
+      std::string item_path = path;
+      if (!item_path.empty()) item_path += ".";
+      item_path += key;
+      Flatten(item_path, item, out);
     }
     return;
   }
@@ -41,14 +44,15 @@
   }
   out += path + "=";
   if (value.is_array()) {
-    for (std::size_t i = 0; i < value.size(); ++i) out += (i > 0 ? "," : "") + Plain(value[i]);
+    for (std::size_t i = 0; i < value.size(); ++i) out += (i > 0 ? "," : "") + FlatValue(value[i]);
   } else {
-    out += Plain(value);
+    out += FlatValue(value);
   }
   out += "\n";
 }
 
-std::vector<std::string> Names(const json& settings, const char* key) {
+// The list of texts at `key`; empty if the settings have no such key.
+std::vector<std::string> ReadNames(const json& settings, const char* key) {
   std::vector<std::string> names;
   if (settings.contains(key)) {
     for (const json& name : settings.at(key)) names.push_back(name.get<std::string>());
@@ -56,13 +60,15 @@
   return names;
 }
 
-std::uint64_t Seed(const json& file) {
+// `seed` is a number, or a text of hexadecimal digits. Returns 0 if it is absent.
+std::uint64_t ReadSeed(const json& file) {
   if (!file.contains("seed")) return 0;
   if (file.at("seed").is_number_unsigned()) return file.at("seed").get<std::uint64_t>();
   const auto text = file.at("seed").get<std::string>();
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
-  if (error != std::errc() || end != text.data() + text.size()) throw ConfigError("seed is not hexadecimal");
+  if (error != std::errc() || end != text.data() + text.size())
+    throw ConfigError("seed is not hexadecimal: '" + text + "'");
   return seed;
 }
 
@@ -82,23 +88,24 @@
     config.listen = file.value("listen", "");
     config.discovery = file.value("discovery", "");
     config.management = file.value("management", "");
-    config.seed = Seed(file);
+    config.seed = ReadSeed(file);
     if (file.contains("limits")) {
       config.memory_mb = file.at("limits").value("memory_mb", config.memory_mb);
       config.sockets = file.at("limits").value("sockets", config.sockets);
     }
-    if (config.memory_mb < 16 || config.sockets < 64) throw ConfigError("limits are too small to run in");
+    if (config.memory_mb < 16 || config.sockets < 64)
+      throw ConfigError("limits are too small; memory_mb must be at least 16 and sockets at least 64");
     if (file.contains("known")) config.known_endpoints = file.at("known").dump();
-    if (!file.contains("settings")) throw ConfigError("settings are missing");
+    if (!file.contains("settings")) throw ConfigError("settings are missing; add the object `settings`");
     const json& settings = file.at("settings");
     config.settings_text = FlattenSettings(settings);
     config.settings = policy::wire::ReadSettings(config.settings_text);
     const std::string error = FindInvalidSetting(config.settings);
     if (!error.empty()) throw ConfigError("settings." + error);
     for (std::size_t i = 0; i < config.settings.classes.size(); ++i) config.active_classes.push_back(i);
-    config.zones = Names(settings, "localities");
-    config.replica_kinds = Names(settings, "shapes");
-    if (settings.contains("stats")) config.load_fields = Names(settings.at("stats"), "fields");
+    config.zones = ReadNames(settings, "localities");
+    config.replica_kinds = ReadNames(settings, "shapes");
+    if (settings.contains("stats")) config.load_fields = ReadNames(settings.at("stats"), "fields");
     if (settings.contains("limits"))
       config.idle_timeout = settings.at("limits").value("idle-close", config.idle_timeout);
     return config;
@@ -111,20 +118,21 @@
 
 namespace {
 
+// With `discovery_from_file`, the file's `discovery`, if it has one, takes precedence over EDGE_DISCOVERY.
 Config LoadFile(const std::string& path, bool discovery_from_file) {
   std::ifstream in(path, std::ios::binary);
   if (!in) throw ConfigError("cannot read " + path);
-  const std::string file{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
+  const std::string text{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
   Config config;
   try {
-    config = ReadConfig(file);
+    config = ReadConfig(text);
   } catch (const ConfigError& e) {
     throw ConfigError(path + ": " + e.what());
   }
   config.source_file = path;
   const auto override_from = [](const char* variable, std::string& value) {
-    const char* text = std::getenv(variable);
-    if (text != nullptr && *text != '\0') value = text;
+    const char* from_environment = std::getenv(variable);
+    if (from_environment != nullptr && *from_environment != '\0') value = from_environment;
   };
   override_from("EDGE_NAME", config.name);
   override_from("EDGE_LISTEN", config.listen);
@@ -145,9 +153,10 @@
 }  // namespace
 
 Config LoadConfig(const std::string& path) {
-  const char* named = path.empty() ? std::getenv("EDGE_CONFIG") : path.c_str();
-  if (named == nullptr || *named == '\0') throw ConfigError("EDGE_CONFIG is not set");
-  return LoadFile(named, false);
+  const char* file = path.empty() ? std::getenv("EDGE_CONFIG") : path.c_str();
+  if (file == nullptr || *file == '\0')
+    throw ConfigError("EDGE_CONFIG is not set; set it, or name the file with --config");
+  return LoadFile(file, false);
 }
 
 Config ReloadConfig(const Config& in_force) { return LoadFile(in_force.source_file, true); }
--- a/src/settings/edge_settings.cpp
+++ b/src/settings/edge_settings.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kKiB = 1024;
 constexpr std::size_t kMiB = 1024 * kKiB;
 
-// `class`: one of the configuration's, or empty.
+// Reads `class`: the name of a class in the configuration. Returns an empty text if the key is absent.
 std::string ReadClassName(TomlSection& section, const std::vector<std::string>& classes) {
   std::string name = section.Text("class", "");
   if (name.empty() || std::find(classes.begin(), classes.end(), name) != classes.end()) return name;
@@ -31,7 +31,7 @@
     if (!set.Add(network)) {
       section.Fail(
           key, "\"" + network +
-                   "\" is no network; give an address or address/length, with no bits set behind the length");
+                   "\" is no network; give an address or address/length, with no bits set beyond the length");
     }
   }
   return networks;
@@ -42,7 +42,8 @@
   ModelSettings model;
   model.id = section.RequiredText("id", "the name by which clients ask for the model");
   for (const ModelSettings& other : earlier) {
-    if (other.id == model.id) section.Fail("id", "\"" + model.id + "\" comes twice; name each model once");
+    if (other.id == model.id)
+      section.Fail("id", "\"" + model.id + "\" is in two [[openai.model]] tables; name each model once");
   }
   model.upstream = section.Text("upstream", "");
   model.owned_by = section.Text("owned_by", "ryeglade");
@@ -60,7 +61,8 @@
   const bool known =
       std::any_of(models.begin(), models.end(), [&](const auto& model) { return model.id == route.model; });
   if (!route.model.empty() && !known)
-    section.Fail("model", "\"" + route.model + "\" is in no [[openai.model]]");
+    section.Fail("model",
+                 "\"" + route.model + "\" is in no [[openai.model]]; add it there or correct the name");
   route.key = section.Text("key", "");
   route.path = section.Text("path", "");
   if (!route.path.empty() && route.path != "/v1/chat/completions" && route.path != "/v1/completions") {
@@ -97,7 +99,7 @@
     settings.models.push_back(ReadModel(model, settings.models, classes));
   }
   if (settings.models.empty())
-    section.Fail("model", "is missing; name each model that is served in an [[openai.model]]");
+    section.Fail("model", "is missing; add an [[openai.model]] table for each model that is served");
   for (TomlSection& route : section.Tables("route")) {
     settings.routes.push_back(ReadRoute(route, settings.models, classes));
   }
@@ -105,19 +107,21 @@
   return settings;
 }
 
-std::string CheckAddress(TomlSection& s, const std::string& key, const std::string& text) {
+// Returns `text`, which is an ip:port or empty; anything else is an error.
+std::string CheckAddress(TomlSection& section, const std::string& key, const std::string& text) {
   sockaddr_storage address{};
-  if (!text.empty() && !ParseAddress(text, &address)) s.Fail(key, "is not an ip:port: \"" + text + "\"");
+  if (!text.empty() && !ParseAddress(text, &address))
+    section.Fail(key, "is not an ip:port: \"" + text + "\"");
   return text;
 }
 
-// Text that goes into messages and tables: visible characters only.
+// Checks a text that stands in messages and tables: it may hold visible characters only.
 void CheckWord(const TomlSection& section, const char* key, const std::string& text, std::size_t min_length,
                std::size_t max_length) {
   const bool visible = std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c != 0x7f; });
   if (text.size() >= min_length && text.size() <= max_length && visible) return;
   section.Fail(key, "must be a word of " + std::to_string(min_length) + " to " + std::to_string(max_length) +
-                        " letters without spaces");
+                        " characters without spaces");
 }
 
 MembershipSettings ReadMembership(TomlSection section) {
@@ -130,7 +134,8 @@
   const std::string host = settings.listen.substr(0, settings.listen.rfind(':'));
   if (settings.advertise.empty() && (host == "0.0.0.0" || host == "[::]"))
     section.Fail("advertise",
-                 "is missing; `listen` names no one address, so give the ip:port at which others reach it");
+                 "is missing; `listen` stands for all addresses, so give the ip:port at which other nodes "
+                 "reach this one");
   settings.cluster = section.Text("cluster", settings.cluster);
   settings.zone = section.Text("zone", "");
   CheckWord(section, "cluster", settings.cluster, 1, 64);
@@ -138,7 +143,7 @@
   settings.status_address = CheckAddress(section, "status", section.Text("status", ""));
   settings.seeds = section.Texts("seeds");
   for (const std::string& seed : settings.seeds) CheckAddress(section, "seeds", seed);
-  if (settings.seeds.size() > 64) section.Fail("seeds", "names more than 64; a few suffice");
+  if (settings.seeds.size() > 64) section.Fail("seeds", "names more than 64 nodes; a few suffice");
   settings.networks = ReadNetworks(section, "networks");
   if (settings.networks.empty())
     section.Fail("networks",
@@ -166,8 +171,7 @@
   if (!section.present()) return settings;
   if (!has_membership)
     section.Fail("",
-                 "needs [membership]: what the nodes tell each other goes on its messages; set it up or take "
-                 "this out");
+                 "needs [membership], whose messages carry the gossip; add that table or remove this one");
   settings.enabled = true;
   settings.traffic_shares = section.Flag("parts", settings.traffic_shares);
   settings.outlier_reports = section.Flag("evidence", settings.outlier_reports);
@@ -190,13 +194,13 @@
   settings.ring_bytes = section.Bytes("ring", 64 * kKiB, 1024 * kMiB, settings.ring_bytes);
   settings.dump_directory = section.Text("dump_directory", settings.directory);
   if (settings.ring_bytes > 0 && settings.dump_directory.empty())
-    section.Fail("ring", "needs `dump_directory`, where SIGUSR2 writes it, or `directory`");
+    section.Fail("ring", "needs `dump_directory`, where SIGUSR2 writes it; set that or `directory`");
   settings.bytes_per_second =
       section.Bytes("bytes_per_second", 16 * kKiB, 1024 * kMiB, settings.bytes_per_second);
   settings.record_reasons = section.Flag("reasons", settings.record_reasons);
   settings.detect_anomalies = section.Flag("watch", settings.detect_anomalies);
   if (settings.total_bytes < 2 * settings.segment_bytes)
-    section.Fail("total", "must be at least twice `segment`, or nothing older is kept");
+    section.Fail("total", "must be at least twice `segment`, or no completed segment could be kept");
   section.RejectUnknownKeys();
   return settings;
 }
@@ -213,7 +217,7 @@
   settings->upstream_dialect = section.Choice("dialect", {"platform", "openai"}, settings->upstream_dialect);
   settings->upstream_key_file = section.Text("key_file", "");
   if (!settings->upstream_key_file.empty() && settings->upstream_dialect != "openai") {
-    section.Fail("key_file", "is of use only with dialect = \"openai\"; take it out or change the dialect");
+    section.Fail("key_file", "has no effect unless dialect = \"openai\"; remove it or change the dialect");
   }
   section.RejectUnknownKeys();
 }
--- a/src/settings/edge_settings.h
+++ b/src/settings/edge_settings.h
@@ -1,6 +1,6 @@
-// The settings file in TOML: everything that is not in the platform's JSON. What an absent file or table
-// would turn on is off. The file's keys are older than the fields' names here; ReadEdgeSettings maps them.
-// All times and durations are in microseconds; the ranges are those that the reader accepts.
+// The settings file in TOML: everything that is not in the platform's JSON. Without the file or a table, the
+// features that it configures are off. The file's keys differ from the field names here; ReadEdgeSettings
+// maps them. All times and durations are in microseconds; the ranges are those that the reader accepts.
 #pragma once
 
 #include <cstddef>
@@ -17,35 +17,35 @@
 
 // [[openai.model]]
 struct ModelSettings {
-  std::string id;        // as clients name it
-  std::string upstream;  // as replicas name it; empty: the same
-  std::string owned_by;
-  std::int64_t created = 0;            // Unix time in seconds
-  std::string class_name;              // of its requests, unless a route says otherwise
+  std::string id;            // name of the model in clients' requests
+  std::string upstream;      // name of the model in requests to replicas; empty: the same as `id`
+  std::string owned_by;      // shown in the list of models
+  std::int64_t created = 0;  // Unix time in seconds
+  std::string class_name;    // class of its requests, unless the key or a route sets one; empty: the first
   double default_output_tokens = 512;  // reserved where a request sets no max_tokens; 1 to 1e6
 };
 
-// [[openai.route]]: the first that matches a request applies; an empty condition matches all.
+// [[openai.route]]: the first route that matches a request applies. An empty condition matches every request.
 struct RouteSettings {
-  std::string model, key, path;
-  std::string class_name;
-  Time time_budget = 0;  // 10 ms to 1 h; 0: the class's own
+  std::string model, key, path;  // conditions: model id, key id or name, URL path
+  std::string class_name;        // class of the requests; empty: that of the key or the model
+  Time time_budget = 0;          // 10 ms to 1 h; 0: that of the class
 };
 
 // [openai]: the OpenAI-style API.
 struct OpenAiSettings {
   bool enabled = false;
   std::string listen;                              // ip:port
-  std::vector<std::string> networks;               // that may connect; empty: all
-  std::vector<std::string> metrics_networks;       // that may read /metrics; empty: none
-  std::string keys_file;                           // empty: no key is asked for
-  std::size_t max_body = std::size_t{256} * 1024;  // bytes of a request's body; 1 KiB to 16 MiB
+  std::vector<std::string> networks;               // networks that may connect; empty: all
+  std::vector<std::string> metrics_networks;       // networks that may read /metrics; empty: none
+  std::string keys_file;                           // path; empty: clients need no key
+  std::size_t max_body = std::size_t{256} * 1024;  // most bytes of a request body; 1 KiB to 16 MiB
   std::size_t max_answer =
-      std::size_t{1024} * 1024;       // bytes of a response that is not streamed; 16 KiB to 64 MiB
-  Time read_timeout = 10'000'000;     // for a whole request; 0.1 s to 10 min
-  std::string ledger_directory;       // empty: the ledger is not written to disk
-  Time ledger_interval = 60'000'000;  // 1 s to 1 h
-  limits::KeyLimits default_limits;   // of a key that has none of its own
+      std::size_t{1024} * 1024;       // most bytes of a response that is not streamed; 16 KiB to 64 MiB
+  Time read_timeout = 10'000'000;     // within which a request must arrive completely; 0.1 s to 10 min
+  std::string ledger_directory;       // path; empty: the ledger is not written to disk
+  Time ledger_interval = 60'000'000;  // between two writes; 1 s to 1 h
+  limits::KeyLimits default_limits;   // of keys that set no limits of their own
   std::vector<ModelSettings> models;
   std::vector<RouteSettings> routes;
 };
@@ -53,57 +53,57 @@
 // [timeline]: the flight recorder.
 struct TimelineSettings {
   bool enabled() const { return !directory.empty() || ring_bytes > 0; }
-  std::string directory;       // of the flight record; empty: none is kept on disk
-  std::size_t ring_bytes = 0;  // of the newest records, in memory; 64 KiB to 1 GiB; 0: none
-  std::string dump_directory;  // where SIGUSR2 writes the ring
-  std::size_t bytes_per_second = std::size_t{2} * 1024 * 1024;  // 16 KiB to 1 GiB
-  bool record_reasons = false;
+  std::string directory;       // path of the flight record; empty: none is written to disk
+  std::size_t ring_bytes = 0;  // of the newest records, kept in memory; 64 KiB to 1 GiB; 0: off
+  std::string dump_directory;  // path where SIGUSR2 writes the ring
+  std::size_t bytes_per_second = std::size_t{2} * 1024 * 1024;  // write limit; 16 KiB to 1 GiB
+  bool record_reasons = false;  // of decisions; otherwise a replay determines them
   bool detect_anomalies = true;
-  std::size_t block_bytes = std::size_t{64} * 1024;           // 4 KiB to 1 MiB
-  Time block_interval = 1'000'000;                            // after which a part-filled block is written
-  std::size_t segment_bytes = std::size_t{16} * 1024 * 1024;  // of one file; 64 KiB to 1 GiB
-  std::size_t total_bytes = std::size_t{256} * 1024 * 1024;   // of all files; at least two segments
+  std::size_t block_bytes = std::size_t{64} * 1024;  // 4 KiB to 1 MiB
+  Time block_interval = 1'000'000;  // after which a partly filled block is written; 50 ms to 1 min
+  std::size_t segment_bytes = std::size_t{16} * 1024 * 1024;  // size of one file; 64 KiB to 1 GiB
+  std::size_t total_bytes = std::size_t{256} * 1024 * 1024;   // size of all files; at least two segments
 };
 
-// [membership] among the nodes; off without `listen`.
+// [membership]: how the nodes find and watch each other. Off without the table.
 struct MembershipSettings {
   bool enabled() const { return !listen.empty(); }
-  std::string listen;                 // ip:port, datagrams and connections
-  std::string advertise;              // ip:port where other nodes reach it; empty: as bound
-  std::string cluster = "ryeglade";   // nodes of another cluster are ignored; 1 to 64 letters
-  std::string zone;                   // up to 32 letters
-  std::string status_address;         // ip:port; empty: none
-  std::vector<std::string> seeds;     // ip:port, up to 64
-  std::vector<std::string> networks;  // that the other nodes are in
+  std::string listen;     // ip:port, for datagrams and connections
+  std::string advertise;  // ip:port at which other nodes reach this one; empty: as `listen` is bound
+  std::string cluster = "ryeglade";   // messages of other clusters are ignored; 1 to 64 characters
+  std::string zone;                   // up to 32 characters; may be empty
+  std::string status_address;         // ip:port where the status is served; empty: nowhere
+  std::vector<std::string> seeds;     // ip:port of nodes to join through; up to 64
+  std::vector<std::string> networks;  // networks of the other nodes; at least one
   Time probe_interval = 1'000'000;    // 20 ms to 1 min
   double suspicion_multiplier =
-      5;  // probe intervals, times log10 of the nodes where that is over 1; 2 to 100
-  Time push_pull_interval = 15'000'000;  // between full exchanges; at least a probe interval
-  Time forget_dead_after = 600'000'000;  // at least ten probe intervals
-  Time shrink_after = 30'000'000;        // a settled view with fewer nodes is believed after so long
+      5;  // suspicion timeout in probe intervals, times log10 of the node count if over 1; 2 to 100
+  Time push_pull_interval = 15'000'000;  // between push-pull exchanges; a probe interval to 1 h
+  Time forget_dead_after = 600'000'000;  // ten probe intervals to 24 h
+  Time shrink_after = 30'000'000;        // until a settled view with fewer nodes is applied; 0 to 24 h
   std::size_t max_members = 1024;        // 2 to 4096
-  std::uint32_t protocol_version = 2;    // that is sent; 1 or 2
-  bool update_node_count = true;         // the decision module learns the number of nodes
+  std::uint32_t protocol_version = 2;    // version in which messages are sent; 1 or 2
+  bool update_node_count = true;         // the decision module is told the number of nodes
 };
 
-// [tier]: what the nodes do with what they gossip about replicas and traffic; off without the table.
+// [tier]: how nodes use what other nodes gossip about replicas and traffic. Off without the table.
 struct GossipSettings {
   bool enabled = false;
-  bool traffic_shares = true;         // each node goes by its own share of the traffic, not by an equal one
-  bool outlier_reports = true;        // what other nodes found failing or slow counts
-  bool prefix_shares = true;          // traffic shares of prompt prefixes are counted over all nodes
-  bool dead_in_flight = true;         // what dead nodes had in flight counts until it must have ended
-  std::size_t min_reporters = 2;      // nodes that must report an outlier; 2 to 16
-  double max_ejected_fraction = 0.2;  // of the replicas, on other nodes' reports; 0 to 0.5
+  bool traffic_shares = true;     // a node uses its measured share of the traffic, not an equal one
+  bool outlier_reports = true;    // reports of other nodes about failing or slow replicas count
+  bool prefix_shares = true;      // traffic shares of shared prefixes are computed over all nodes
+  bool dead_in_flight = true;     // requests in flight at nodes that died count until they must have ended
+  std::size_t min_reporters = 2;  // nodes that must report a replica before it is ejected; 2 to 16
+  double max_ejected_fraction = 0.2;  // of all replicas, by reports of other nodes; 0 to 0.5
 };
 
 struct EdgeSettings {
-  std::string source_file;
+  std::string source_file;                    // path; empty: there is no settings file
   std::string log_format = "logfmt";          // or "json"
   std::string log_level = "info";             // debug, info, warn, error
-  int log_lines_per_second = 300;             // at most; 1 to 100,000
+  int log_lines_per_second = 300;             // most lines that are logged; 1 to 100,000
   std::string upstream_dialect = "platform";  // or "openai"
-  std::string upstream_key_file;              // its first line is sent to upstream hosts as a bearer token
+  std::string upstream_key_file;              // path; its first line is the bearer token for upstream hosts
   OpenAiSettings openai;
   TimelineSettings timeline;
   MembershipSettings membership;
@@ -111,12 +111,13 @@
 };
 
 class TomlSection;
-// The three limits of a table; an absent one is 0, which means no limit.
+// Reads the three limits of a table. An absent limit is 0.
 limits::KeyLimits ReadKeyLimits(TomlSection& section);
+// The names of all classes, by index.
 std::vector<std::string> ClassNames(const policy::Settings& settings);
 
-// `classes` are the class names in the platform's JSON. Both throw SettingsError, which names file, line, key
-// and remedy.
+// `classes` are the class names in the platform's JSON. `file` is the name to use in errors. Both throw
+// SettingsError, which names file, line, key and remedy.
 EdgeSettings ReadEdgeSettings(const std::string& file, const std::string& text,
                               const std::vector<std::string>& classes);
 EdgeSettings LoadEdgeSettings(const std::string& path, const std::vector<std::string>& classes);
--- a/src/settings/settings_check_model.cpp
+++ b/src/settings/settings_check_model.cpp
@@ -14,13 +14,14 @@
 }
 
 std::string AmountError(const std::string& key, double value) {
-  return std::isfinite(value) && value >= 0 ? "" : key + " is no amount; give a number of 0 or more";
+  return std::isfinite(value) && value >= 0 ? ""
+                                            : key + " is negative or not finite; give a number of 0 or more";
 }
 
 std::string FindClassError(const std::string& key, const policy::ClassSettings& c) {
   if (c.name.empty()) return key + ".name is empty; give the class's name";
   if (c.time_budget <= 0)
-    return key + ".deadline is not positive; give the client's patience in microseconds";
+    return key + ".deadline is not positive; give the time budget of its requests in microseconds";
   for (const std::string& error :
        {TimeError(key + ".promise", c.latency_objective), TimeError(key + ".window", c.dedup_window),
         AmountError(key + ".worth", c.priority_weight),
@@ -39,10 +40,11 @@
     const policy::ClassSettings& class_settings = settings.classes[i];
     if (std::string error = FindClassError(key, class_settings); !error.empty()) return error;
     if (!names.insert(class_settings.name).second)
-      return key + ".name is that of another class; give each its own";
+      return key + ".name is that of another class; give each class a name of its own";
   }
   if (settings.connect_timeout <= 0) {
-    return "limits.connect-timeout is not positive: no connection could come up in it; give microseconds";
+    return "limits.connect-timeout is not positive: no connection could be established in it; give "
+           "microseconds";
   }
   for (const std::string& error : {TimeError("limits.max-retry-after", settings.max_retry_after),
                                    TimeError("obligations.drain-grace", settings.drain_grace),
--- a/src/settings/toml_reader.h
+++ b/src/settings/toml_reader.h
@@ -1,5 +1,5 @@
-// Reads settings in TOML so that each error names file, line, key, what is wrong and what is allowed. Keys
-// that nobody asked for are errors too, with the nearest known one.
+// Reads settings in TOML so that each error names file, line, key, what is wrong and what is allowed. An
+// unknown key is an error too, which suggests the most similar known key.
 #pragma once
 
 #include <toml++/toml.h>
@@ -20,13 +20,18 @@
   using std::runtime_error::runtime_error;
 };
 
-// Throws SettingsError if the file can't be read or is not TOML.
+// Parses the text of a file, whose name is used in errors. Throws SettingsError if it is not TOML.
 toml::table ParseToml(const std::string& file, const std::string& text);
-std::string ReadWholeFile(const std::string& path);  // throws SettingsError
+// Throws SettingsError if the file can't be read.
+std::string ReadWholeFile(const std::string& path);
 
-// One table of the file. RejectUnknownKeys() when all its keys have been asked for.
+// One table of the file. Each method that reads a key returns `fallback` (or an empty result) if the key is
+// absent, and throws SettingsError if its value has another type or is out of range. Call RejectUnknownKeys()
+// after all known keys have been read.
 class TomlSection {
  public:
+  // `path` is the dotted name of the table, empty for the whole file. `table` is null if the file does not
+  // have it.
   TomlSection(std::string file, std::string path, const toml::table* table)
       : file_(std::move(file)), path_(std::move(path)), table_(table) {}
 
@@ -34,32 +39,36 @@
   bool Has(const std::string& key);
 
   std::string Text(const std::string& key, const std::string& fallback);
-  std::string RequiredText(const std::string& key, const std::string& what);  // text that must be there
+  // Throws if the text is absent or empty. `description` tells in the error what to give.
+  std::string RequiredText(const std::string& key, const std::string& description);
   std::string Choice(const std::string& key, const std::vector<std::string>& allowed,
                      const std::string& fallback);
-  double Number(const std::string& key, double least, double most, double fallback);
-  std::size_t Integer(const std::string& key, std::size_t least, std::size_t most, std::size_t fallback);
+  double Number(const std::string& key, double min, double max, double fallback);
+  std::size_t Integer(const std::string& key, std::size_t min, std::size_t max, std::size_t fallback);
   bool Flag(const std::string& key, bool fallback);
-  // "250ms", "7.5s", "2m", "1h"; microseconds. A bare number is an error: its unit would be a guess.
-  policy::Time Duration(const std::string& key, policy::Time least, policy::Time most, policy::Time fallback);
-  // "256KiB", "4MiB"; bytes.
-  std::size_t Bytes(const std::string& key, std::size_t least, std::size_t most, std::size_t fallback);
-  // "1800/s", "60/m"; a second. A bare number is an error here too.
-  double Rate(const std::string& key, double least, double most, double fallback);
+  // Reads a duration such as "250ms", "7.5s", "2m" or "1h", in microseconds. A number without a unit is an
+  // error.
+  policy::Time Duration(const std::string& key, policy::Time min, policy::Time max, policy::Time fallback);
+  // Reads a size such as "512B", "256KiB" or "4MiB", in bytes. A number without a unit is an error.
+  std::size_t Bytes(const std::string& key, std::size_t min, std::size_t max, std::size_t fallback);
+  // Reads a rate such as "1800/s" or "60/m", per second. A number without a unit is an error.
+  double Rate(const std::string& key, double min, double max, double fallback);
   std::vector<std::string> Texts(const std::string& key);
-  TomlSection Table(const std::string& key);                // absent: not present()
+  TomlSection Table(const std::string& key);                // present() is false if it is absent
   std::vector<TomlSection> Tables(const std::string& key);  // [[key]]
 
-  [[noreturn]] void Fail(const std::string& key, const std::string& what) const;
-  void RejectUnknownKeys() const;  // throws for a key that nobody asked for
+  // Throws SettingsError with the location of the key before `error`.
+  [[noreturn]] void Fail(const std::string& key, const std::string& error) const;
+  // Throws SettingsError if the table has a key that no method was called with.
+  void RejectUnknownKeys() const;
 
  private:
   const toml::node* Find(const std::string& key);
-  std::string At(const std::string& key) const;
+  std::string Location(const std::string& key) const;  // "file:line: table.key"
 
   std::string file_, path_;
   const toml::table* table_;
-  std::vector<std::string> known_;
+  std::vector<std::string> known_;  // keys that methods were called with
 };
 
 }  // namespace ryeglade
--- a/tests/class_update_test.cpp
+++ b/tests/class_update_test.cpp
@@ -1,4 +1,5 @@
-// Retuning: which files are turned down whole, and how a class table keeps the meaning of its indices.
+// Updates of the classes while a node serves: which settings are rejected as a whole, and that an index of
+// the class table keeps its meaning.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -13,6 +14,7 @@
     "classes.0.effect=free\nclasses.1.name=agent\nclasses.1.deadline=7500000\nclasses.1.promise=1500000\n"
     "classes.1.effect=free\nlimits.max-attempts=6\nlimits.idle-close=5000000\n";
 
+// Returns `text` with the first `from` replaced by `to`.
 std::string Replaced(std::string text, const std::string& from, const std::string& to) {
   const std::size_t at = text.find(from);
   if (at != std::string::npos) text.replace(at, from.size(), to);
@@ -46,10 +48,10 @@
 }
 
 policy::ClassSettings Class(const std::string& name,
-                            policy::Idempotency effect = policy::Idempotency::kIdempotent) {
+                            policy::Idempotency idempotency = policy::Idempotency::kIdempotent) {
   policy::ClassSettings c;
   c.name = name;
-  c.idempotency = effect;
+  c.idempotency = idempotency;
   return c;
 }
 
@@ -58,11 +60,11 @@
   ASSERT_TRUE(UpdateClasses(table, {Class("agent"), Class("desk")}));  // docs dropped, desk added
   EXPECT_EQ(table.classes.size(), 3U);
   EXPECT_EQ(table.active, (std::vector<std::size_t>{1, 2}));
-  ASSERT_TRUE(
-      UpdateClasses(table, {Class("agent", policy::Idempotency::kNotIdempotent)}));  // changed: a new index
+  // A changed class gets a new index; the old one keeps the settings that open requests started with.
+  ASSERT_TRUE(UpdateClasses(table, {Class("agent", policy::Idempotency::kNotIdempotent)}));
   EXPECT_EQ(table.classes.size(), 4U);
   EXPECT_EQ(table.active, (std::vector<std::size_t>{3}));
-  EXPECT_EQ(table.classes[1].idempotency, policy::Idempotency::kIdempotent);  // what open requests came with
+  EXPECT_EQ(table.classes[1].idempotency, policy::Idempotency::kIdempotent);
 }
 
 TEST(ClassUpdate, BoundsTheTable) {
--- a/tests/edge_settings_test.cpp
+++ b/tests/edge_settings_test.cpp
@@ -32,6 +32,7 @@
 deadline = "2m"
 )";
 
+// Returns the error for the settings in `text`; empty if there is none.
 std::string ErrorOf(const std::string& text) {
   try {
     ReadEdgeSettings("edge.toml", text, kClasses);
@@ -41,6 +42,7 @@
   return "";
 }
 
+// Returns kValid with the first `from` replaced by `to`.
 std::string Replaced(const std::string& from, const std::string& to) {
   std::string text = kValid;
   text.replace(text.find(from), from.size(), to);
@@ -48,12 +50,12 @@
 }
 
 TEST(EdgeSettings, AcceptsValidSettings) {
-  const EdgeSettings e = ReadEdgeSettings("edge.toml", kValid, kClasses);
-  EXPECT_TRUE(e.openai.enabled);
-  EXPECT_EQ(e.openai.max_body, 128U * 1024);
-  EXPECT_EQ(e.openai.read_timeout, 7'500'000);
-  EXPECT_EQ(e.openai.routes.at(0).time_budget, 120'000'000);
-  EXPECT_EQ(e.openai.default_limits.tokens_per_min, 1e6);
+  const EdgeSettings settings = ReadEdgeSettings("edge.toml", kValid, kClasses);
+  EXPECT_TRUE(settings.openai.enabled);
+  EXPECT_EQ(settings.openai.max_body, 128U * 1024);
+  EXPECT_EQ(settings.openai.read_timeout, 7'500'000);
+  EXPECT_EQ(settings.openai.routes.at(0).time_budget, 120'000'000);
+  EXPECT_EQ(settings.openai.default_limits.tokens_per_min, 1e6);
   EXPECT_FALSE(ReadEdgeSettings("edge.toml", "", kClasses).openai.enabled);
 }
 
@@ -81,9 +83,9 @@
       {Replaced("[[openai.route]]", "[openai.route]"), "openai.route: must be written as [[openai.route]]"},
       {Replaced("\"openai\"", "\"platform\"\nkey_file = \"x\""), "edge.toml:5: upstream.key_file"},
   };
-  for (const auto& [text, wanted] : cases) {
-    EXPECT_NE(ErrorOf(text).find(wanted), std::string::npos)
-        << "wanted: " << wanted << "\nsaid:   " << ErrorOf(text);
+  for (const auto& [text, expected] : cases) {
+    EXPECT_NE(ErrorOf(text).find(expected), std::string::npos)
+        << "expected: " << expected << "\nactual:   " << ErrorOf(text);
   }
 }
 
