--- a/src/app/config_reload.cpp
+++ b/src/app/config_reload.cpp
@@ -10,7 +10,7 @@
   if (!error.empty()) throw ConfigError("settings." + error);
   ClassTable table{in_force.settings.classes, in_force.active_classes};
   if (!UpdateClasses(table, loaded.settings.classes)) {
-    throw ConfigError("settings.classes: changed too often to keep them all; restart the node");
+    throw ConfigError("settings.classes: too many versions since the start of the process; restart the node");
   }
   return table;
 }
--- a/src/app/config_reload.h
+++ b/src/app/config_reload.h
@@ -1,5 +1,5 @@
-// Reads the configuration again (SIGHUP) and validates all of it before any of it is applied, so that a file
-// that is missing or wrong leaves the node serving with what is in force.
+// Reads the configuration again (SIGHUP) and validates all of it before any of it is applied. If a file is
+// missing or invalid, the node keeps serving with the configuration in force.
 #pragma once
 
 #include <string>
@@ -13,15 +13,15 @@
 struct ConfigUpdate {
   Config loaded;
   bool settings_changed = false;
-  ClassTable class_table;  // the classes with those that open requests came with; of use if settings_changed
-  std::string needs_restart;  // what differs but takes effect only at a start; empty: nothing
+  ClassTable class_table;     // with the versions that open requests use; empty unless settings_changed
+  std::string needs_restart;  // changed fields that take effect only at a start; empty: none
 };
 
-// `edge_settings_file` is only checked, so that an error shows now and not at the next start; empty: there is
-// none. Throws ConfigError or SettingsError, saying what is wrong.
+// `edge_settings_file` is only validated, so that an error is reported now and not at the next start. It is
+// empty if there is no such file. Throws ConfigError or SettingsError, which say what is wrong.
 ConfigUpdate LoadConfigUpdate(const Config& in_force, const std::string& edge_settings_file);
 
-// Takes the update's settings, and nothing else of it, into `in_force`.
+// Copies the settings of the update, and nothing else of it, to `in_force`.
 void ApplySettings(const ConfigUpdate& update, Config* in_force);
 
 // The classes that new requests may name.
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -22,42 +22,44 @@
 using ryeglade::Config;
 using ryeglade::EdgeSettings;
 
+// Returns the exit code for a misused command line.
 int Misused(const std::string& what) {
   std::fprintf(stderr, "ryeglade: %s; see ryeglade --help\n", what.c_str());
   return 2;
 }
 
-// CLI11 tells misuse in several lines; here it is one.
-int Explain(const CLI::ParseError& e, const CLI::App& app, const std::vector<std::string>& words) {
+// Reports a misused command line in one line; CLI11's own messages have several.
+int ReportMisuse(const CLI::ParseError& e, const CLI::App& app, const std::vector<std::string>& arguments) {
   if (dynamic_cast<const CLI::ExtrasError*>(&e) != nullptr) {
-    for (const std::string& word : words) {
-      if (word.size() > 1 && word.front() == '-' && word != "--config" && word != "--settings" &&
-          word != "--file") {
-        return Misused("the option '" + word + "' is unknown here");
+    for (const std::string& argument : arguments) {
+      if (argument.size() > 1 && argument.front() == '-' && argument != "--config" &&
+          argument != "--settings" && argument != "--file") {
+        return Misused("the option '" + argument + "' is unknown here");
       }
     }
-    if (app.get_subcommands().empty()) return Misused("unknown command '" + words.front() + "'");
-    return Misused("too many words: '" + words.back() + "'");
+    if (app.get_subcommands().empty()) return Misused("unknown command '" + arguments.front() + "'");
+    return Misused("too many arguments: '" + arguments.back() + "'");
   }
-  if (words.empty()) return Misused("no command given");
-  if (app.get_subcommands().empty() && words.front().front() != '-') {
-    return Misused("unknown command '" + words.front() + "'");
+  if (arguments.empty()) return Misused("no command given");
+  if (app.get_subcommands().empty() && arguments.front().front() != '-') {
+    return Misused("unknown command '" + arguments.front() + "'");
   }
-  std::string what = e.what();
-  for (char& c : what) {
+  std::string message = e.what();
+  for (char& c : message) {
     if (c == '\n') c = ' ';
   }
-  return Misused(what);
+  return Misused(message);
 }
 
-EdgeSettings Settings(const std::string& path, const Config& config) {
+// The defaults, with every feature off, if `path` is empty.
+EdgeSettings ReadSettings(const std::string& path, const Config& config) {
   if (path.empty()) return {};
   return ryeglade::LoadEdgeSettings(path, ryeglade::ClassNames(config.settings));
 }
 
 int CheckConfig(const std::string& config_path, const std::string& settings_path) {
   const Config config = ryeglade::LoadConfig(config_path);
-  const EdgeSettings settings = Settings(settings_path, config);
+  const EdgeSettings settings = ReadSettings(settings_path, config);
   std::printf("ok: %zu classes, listen %s, discovery %s", config.settings.classes.size(),
               config.listen.c_str(), config.discovery.c_str());
   if (settings.openai.enabled) {
@@ -73,72 +75,74 @@
 
 struct KeyOptions {
   std::string file, name, id, class_name;
-  double requests = 0, tokens = 0;
-  int streams = 0;
+  double requests = 0, tokens = 0;  // per minute; 0: the limit of the settings
+  int streams = 0;                  // concurrent; 0: the limit of the settings
 };
 
+// An empty key ring if the file can't be opened.
 ryeglade::keys::Keyring LoadOrEmpty(const std::string& path) {
-  std::FILE* there = std::fopen(path.c_str(), "r");
-  if (there == nullptr) return {};
-  std::fclose(there);
+  std::FILE* file = std::fopen(path.c_str(), "r");
+  if (file == nullptr) return {};
+  std::fclose(file);
   return ryeglade::keys::Keyring::Load(path);
 }
 
-int KeyNew(const KeyOptions& o) {
-  ryeglade::keys::Keyring ring = LoadOrEmpty(o.file);
-  ryeglade::keys::NewKey made = ryeglade::keys::MakeKey(o.name);
-  made.key.class_name = o.class_name;
-  made.key.limits = {o.requests, o.tokens, o.streams};
-  ring.Add(made.key);
-  ring.Save(o.file);
-  std::printf("%s\n", made.presented.c_str());
-  std::fprintf(
-      stderr, "ryeglade: key %s added to %s; it is shown this once. Send SIGHUP to the node to take it up.\n",
-      made.key.id.c_str(), o.file.c_str());
+int CreateKey(const KeyOptions& options) {
+  ryeglade::keys::Keyring ring = LoadOrEmpty(options.file);
+  ryeglade::keys::NewKey created = ryeglade::keys::MakeKey(options.name);
+  created.key.class_name = options.class_name;
+  created.key.limits = {options.requests, options.tokens, options.streams};
+  ring.Add(created.key);
+  ring.Save(options.file);
+  std::printf("%s\n", created.presented.c_str());
+  std::fprintf(stderr,
+               "ryeglade: key %s added to %s; it is shown only once. Send SIGHUP to the node to load it.\n",
+               created.key.id.c_str(), options.file.c_str());
   return 0;
 }
 
-int KeyList(const KeyOptions& o) {
-  const ryeglade::keys::Keyring ring = ryeglade::keys::Keyring::Load(o.file);
+int ListKeys(const KeyOptions& options) {
+  const ryeglade::keys::Keyring ring = ryeglade::keys::Keyring::Load(options.file);
   std::printf("%-10s %-20s %-12s %-10s %14s %14s %8s\n", "id", "name", "created", "class", "requests/min",
               "tokens/min", "streams");
-  const auto number = [](double v) {
-    return v > 0 ? std::to_string(static_cast<long long>(v)) : std::string("-");
+  const auto limit = [](double value) {
+    return value > 0 ? std::to_string(static_cast<long long>(value)) : std::string("-");
   };
   for (const std::string& id : ring.ids()) {
     const ryeglade::keys::Key& k = *ring.Find(id);
     std::printf("%-10s %-20.20s %-12s %-10s %14s %14s %8s\n", id.c_str(),
                 k.name.empty() ? "-" : k.name.c_str(), k.created.empty() ? "-" : k.created.c_str(),
-                k.class_name.empty() ? "-" : k.class_name.c_str(), number(k.limits.requests_per_min).c_str(),
-                number(k.limits.tokens_per_min).c_str(), number(k.limits.streams).c_str());
+                k.class_name.empty() ? "-" : k.class_name.c_str(), limit(k.limits.requests_per_min).c_str(),
+                limit(k.limits.tokens_per_min).c_str(), limit(k.limits.streams).c_str());
   }
   return 0;
 }
 
-int KeyRevoke(const KeyOptions& o) {
-  ryeglade::keys::Keyring ring = ryeglade::keys::Keyring::Load(o.file);
-  if (!ring.Remove(o.id)) {
-    std::fprintf(stderr, "ryeglade: %s holds no key with the id '%s'\n", o.file.c_str(), o.id.c_str());
+int RevokeKey(const KeyOptions& options) {
+  ryeglade::keys::Keyring ring = ryeglade::keys::Keyring::Load(options.file);
+  if (!ring.Remove(options.id)) {
+    std::fprintf(stderr, "ryeglade: %s holds no key with the id '%s'\n", options.file.c_str(),
+                 options.id.c_str());
     return 1;
   }
-  ring.Save(o.file);
-  std::printf("revoked %s; send SIGHUP to the node to end its streams\n", o.id.c_str());
+  ring.Save(options.file);
+  std::printf("revoked %s; send SIGHUP to the node to end its streams\n", options.id.c_str());
   return 0;
 }
 
-int LedgerTable(const std::vector<std::string>& files) {
-  std::map<ryeglade::ledger::Ledger::Id, ryeglade::ledger::Row> all;
+int PrintLedgers(const std::vector<std::string>& files) {
+  std::map<ryeglade::ledger::Ledger::Id, ryeglade::ledger::Row> sums;
   for (const std::string& file : files) {
     try {
       for (const auto& [id, row] : ryeglade::ledger::RowsFromJson(ryeglade::ReadWholeFile(file)))
-        all[id].Add(row);
+        sums[id].Add(row);
     } catch (const ryeglade::SettingsError&) {
       throw;
     } catch (const std::exception& e) {
       throw std::runtime_error(file + ": " + e.what());
     }
   }
-  std::fputs(ryeglade::ledger::FormatTable(all).c_str(), stdout);
+  std::fputs(ryeglade::ledger::FormatTable(sums).c_str(), stdout);
   return 0;
 }
 
@@ -147,44 +151,46 @@
   app.require_subcommand(1);
   app.footer(
       "The configuration is the platform's JSON, in the file that --config or EDGE_CONFIG names; EDGE_NAME,\n"
-      "EDGE_LISTEN and EDGE_DISCOVERY, where set, come before what it says. --settings names our own TOML "
-      "file.");
+      "EDGE_LISTEN, EDGE_DISCOVERY and EDGE_MANAGEMENT, where set, override it. --settings names the TOML "
+      "file\nof all other settings.");
   std::string config;
   std::string settings;
   const auto files = [&](CLI::App* command) {
     command->add_option("-c,--config", config, "the platform's configuration, JSON");
-    command->add_option("-s,--settings", settings, "our own settings, TOML; without it nothing new is on");
+    command->add_option("-s,--settings", settings,
+                        "all other settings, TOML; without it the features that it configures are off");
   };
   CLI::App* serve = app.add_subcommand("serve", "serve clients until SIGTERM");
-  CLI::App* check = app.add_subcommand("check-config", "read both files and say whether they can be served");
+  CLI::App* check = app.add_subcommand("check-config", "validate both files without serving");
   files(serve);
   files(check);
   CLI::App* version = app.add_subcommand("version", "print the version");
   bool compat = false;
-  version->add_flag("--compat", compat, "what this program speaks with others, as JSON");
+  version->add_flag("--compat", compat, "the versions of all protocols and stored formats, as JSON");
 
   KeyOptions key;
-  CLI::App* keys = app.add_subcommand("key", "make, list and revoke the keys of clients");
+  CLI::App* keys = app.add_subcommand("key", "create, list and revoke client keys");
   keys->require_subcommand(1);
   const auto key_command = [&](const char* name, const char* what) {
     CLI::App* command = keys->add_subcommand(name, what);
     command->add_option("-f,--file", key.file, "the key file")->required();
     return command;
   };
-  CLI::App* key_new = key_command("new", "make a key and print it; the file gets only its salted hash");
-  key_new->add_option("--name", key.name, "whose it is");
+  CLI::App* key_new = key_command("new", "create a key and print it; the file gets only its salted hash");
+  key_new->add_option("--name", key.name, "the name of its owner");
   key_new->add_option("--class", key.class_name, "the class of its requests");
-  key_new->add_option("--requests-per-min", key.requests, "0: as the settings say")
+  key_new->add_option("--requests-per-min", key.requests, "0: the limit of the settings")
       ->check(CLI::Range(0.0, 1e9));
-  key_new->add_option("--tokens-per-min", key.tokens, "0: as the settings say")->check(CLI::Range(0.0, 1e12));
-  key_new->add_option("--streams", key.streams, "at once; 0: as the settings say")
+  key_new->add_option("--tokens-per-min", key.tokens, "0: the limit of the settings")
+      ->check(CLI::Range(0.0, 1e12));
+  key_new->add_option("--streams", key.streams, "concurrent streams; 0: the limit of the settings")
       ->check(CLI::Range(0, 1'000'000));
   CLI::App* key_list = key_command("list", "list the keys of a file");
-  CLI::App* key_revoke = key_command("revoke", "take a key out of a file");
-  key_revoke->add_option("id", key.id, "the key's eight digits")->required();
+  CLI::App* key_revoke = key_command("revoke", "remove a key from a file");
+  key_revoke->add_option("id", key.id, "the key id, eight hexadecimal digits")->required();
 
   std::vector<std::string> ledgers;
-  CLI::App* ledger = app.add_subcommand("ledger", "print ledgers that nodes wrote, added up");
+  CLI::App* ledger = app.add_subcommand("ledger", "print the sum of the ledgers that nodes wrote");
   ledger->add_option("file", ledgers, "ledger files")->required();
 
   ryeglade::TimelineOptions timeline_options;
@@ -196,7 +202,7 @@
   ryeglade::RolloutOptions rollout_options;
   ryeglade::RolloutCommand rollout(app, &rollout_options);
 
-  const std::vector<std::string> words(argv + 1, argv + argc);
+  const std::vector<std::string> arguments(argv + 1, argv + argc);
   try {
     app.parse(argc, argv);
   } catch (const CLI::CallForHelp&) {
@@ -204,21 +210,21 @@
     for (const CLI::App* sub : app.get_subcommands()) help = sub->help();
     return std::printf("usage: ryeglade COMMAND [OPTIONS]\n%s", help.c_str()) < 0 ? 1 : 0;
   } catch (const CLI::ParseError& e) {
-    return Explain(e, app, words);
+    return ReportMisuse(e, app, arguments);
   }
   if (*version && compat) return std::puts(ryeglade::CompatText().c_str()) < 0 ? 1 : 0;
   if (*version) return std::puts("ryeglade " RYEGLADE_VERSION) < 0 ? 1 : 0;
   if (*check) return CheckConfig(config, settings);
-  if (*key_new) return KeyNew(key);
-  if (*key_list) return KeyList(key);
-  if (*key_revoke) return KeyRevoke(key);
+  if (*key_new) return CreateKey(key);
+  if (*key_list) return ListKeys(key);
+  if (*key_revoke) return RevokeKey(key);
   if (timeline.chosen()) return timeline.Run();
   if (nodes.chosen()) return nodes.Run();
   if (rollout.chosen()) return rollout.Run();
-  if (*ledger) return LedgerTable(ledgers);
-  ryeglade::BlockSignals();  // Serve releases them
+  if (*ledger) return PrintLedgers(ledgers);
+  ryeglade::BlockSignals();  // Serve unblocks them
   const Config loaded = ryeglade::LoadConfig(config);
-  ryeglade::Serve(loaded, Settings(settings, loaded));
+  ryeglade::Serve(loaded, ReadSettings(settings, loaded));
   return 0;
 }
 
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -43,18 +43,18 @@
 namespace ryeglade {
 namespace {
 
-// A new process waits so long, in microseconds, for its first endpoint list from discovery.
+// How long, in microseconds, a new process waits for its first endpoint list from discovery.
 constexpr Time kFirstListTimeout = 2'500'000;
-constexpr unsigned kDisabledReplicasWatchMs = 100;
-constexpr std::size_t kMaxAdminRequest = 4096;  // bytes
+constexpr unsigned kDisabledReplicasWatchMs = 100;  // between two checks of the file
+constexpr std::size_t kMaxAdminRequest = 4096;      // bytes
 
-// What is read from files before there is an event loop, so that a file that can't be used leaves nothing
-// open.
+// Read before the event loop is set up, so that a file that can't be used is reported while nothing is open.
 struct LoadedFiles {
   std::unique_ptr<Dialect> dialect;
   keys::Keyring keys;
 };
 
+// Half of the memory limit is for buffers.
 std::size_t BufferBytes(const Config& config) { return config.memory_mb * 1024 * 1024 / 2; }
 
 Downstream::Options ClientListenerOptions(const Config& config, const EdgeSettings& settings) {
@@ -164,7 +164,7 @@
     Log(Level::kInfo, "stopped", {{"after_ms", shutdown_.elapsed() / 1000}});
   }
 
-  // ---- HotRestartPort: hot_restart/hot_restart_policy.h decides when each comes ----
+  // ---- HotRestartPort: hot_restart/hot_restart_policy.h decides when each is called ----
 
   void StartServing() override {
     if (accepts_clients_ || start_began_ || !start_error_.empty()) return;
@@ -175,13 +175,13 @@
     }
     discovery_.LoadCachedList(config_.known_endpoints);
     try {
-      listener_.CheckListen();  // so that an address that can't be used shows at once
+      listener_.CheckListen();  // so that an address that can't be used is reported immediately
     } catch (const std::runtime_error& e) {
       return FailStart(e.what());
     }
-    // The configured list may be old, and where lists are pushed what has changed counts as known from the
-    // first moment on: no client is accepted before discovery has sent its list, can't be reached, or has let
-    // the timeout pass.
+    // The configured list may be outdated, but the node is expected to know a pushed list as soon as it
+    // serves. So it accepts clients only after discovery has sent its list, was found unreachable, or has not
+    // answered within the timeout.
     discovery_.OnFirstResult([this] { deadlines_.Set(Now(), [this] { AcceptClients(); }); });
     deadlines_.Set(Now() + kFirstListTimeout, [this] { AcceptClients(); });
     WatchEndpoints();
@@ -189,7 +189,7 @@
 
   void RestoreState(hot_restart::HandoverState state) override {
     // Generations can be compared only among lists of one discovery service. The other process may have been
-    // cut off from it for some time: of the two lists the newer one counts.
+    // disconnected from it for some time, so the newer of the two lists is used.
     const std::string& configured = config_.known_endpoints;
     const bool same_discovery = state.discovery == discovery_.address();
     const bool use_restored =
@@ -242,7 +242,7 @@
   }
 
   std::size_t UsedSockets() const override {
-    // After a hand-over an upstream connection may be needed for each client that still waits.
+    // After a hand-over, each waiting client may still need an upstream connection.
     const std::size_t upstream =
         hot_restart_.handed_over() ? std::max(upstream_.size(), connections()) : upstream_.size();
     return connections() + upstream + ReservedSockets();
@@ -291,7 +291,7 @@
     return &loop_;
   }
 
-  // Takes addresses only: most of what it names is constructed after it.
+  // Only takes addresses: most of these members are constructed after `core_`.
   Core MakeCore() {
     Core core;
     core.loop = &loop_;
@@ -356,7 +356,7 @@
     }
   }
 
-  // Run throws with `why` once the loop has ended; the loop's handles must be closed before it can.
+  // Makes Run throw `why`. The handles must be closed first, so that the loop can end.
   void FailStart(const std::string& why) {
     start_error_ = why;
     CloseAll();
@@ -382,7 +382,7 @@
       Log(Level::kError, "reload-failed",
           {{"file", config_.source_file},
            {"why", e.what()},
-           {"remedy", "mend the file and send SIGHUP again; nothing was taken"}});
+           {"remedy", "correct the file and send SIGHUP again; no change was applied"}});
     }
   }
 
@@ -402,12 +402,12 @@
       return;
     }
     const Time began_at = Now();
-    if (cluster_ != nullptr) cluster_->Leave();  // the other nodes know before the listener closes
+    if (cluster_ != nullptr) cluster_->Leave();  // so that the other nodes know before the listener closes
     hot_restart_.Terminate();
     shutdown_.Begin(began_at, ClassesInForce(config_));
   }
 
-  // Closes every handle of the loop, which then ends.
+  // Closes all handles of the loop, so that it ends.
   void CloseAll() {
     if (cluster_ != nullptr) cluster_->Close();
     disabled_replicas_file_.Close();
@@ -421,7 +421,7 @@
     for (SignalWatcher* watcher : {&sigterm_, &sigint_, &sighup_, &sigusr2_}) watcher->Close();
   }
 
-  // Of clients, at all listeners.
+  // The number of client connections at all listeners.
   std::size_t connections() const {
     return listener_.size() + (openai_ != nullptr ? openai_->listener().size() : 0);
   }
@@ -435,7 +435,7 @@
             .listener = listener_};
   }
 
-  // A file that is corrupt, of another node or of another kind changes nothing, and is logged.
+  // A file that is corrupt, or that another node wrote, is logged and ignored.
   void ApplyDisabledReplicas(const std::string& text, bool at_start) {
     std::string why;
     const std::optional<DisabledReplicas> replicas = DecodeDisabledReplicas(text, config_.name, &why);
@@ -449,10 +449,10 @@
   }
 
   EdgeSettings settings_;
-  Config config_;  // as in force: a SIGHUP changes it
+  Config config_;  // in force; changed by SIGHUP
   NodeCounters counters_;
-  bool start_began_ = false;
-  bool accepts_clients_ = false;
+  bool start_began_ = false;      // StartServing has been called
+  bool accepts_clients_ = false;  // the listeners have been opened; stays true during a shutdown
   uv_loop_t loop_{};
   BufferPool buffers_;
   Deadlines deadlines_;
@@ -465,14 +465,14 @@
   PlatformFront front_;
   Downstream listener_;
   AdminFront admin_front_;
-  std::unique_ptr<Downstream> admin_listener_;  // null: the configuration names no management address
-  StateFile disabled_replicas_file_;            // that another process of this node may write
+  std::unique_ptr<Downstream> admin_listener_;  // null if the configuration names no management address
+  StateFile disabled_replicas_file_;            // may be written by another process of this node
   hot_restart::HotRestart hot_restart_;
   ShutdownSequence shutdown_;
-  std::string start_error_;  // why the node can't start; empty: it can
-  bool state_restored_ = false;
-  bool sibling_has_in_flight_ = false;
-  // Null where the settings don't ask for it.
+  std::string start_error_;             // why the node can't start; empty if no error has occurred
+  bool state_restored_ = false;         // from a sibling process
+  bool sibling_has_in_flight_ = false;  // as last reported
+  // Each is null if the settings do not enable it.
   std::unique_ptr<OpenAiService> openai_;
   std::unique_ptr<timeline::FlightRecorder> flight_recorder_;
   std::unique_ptr<ClusterService> cluster_;
@@ -486,7 +486,7 @@
   std::string key;
   if (!settings.upstream_key_file.empty()) {
     key = ReadWholeFile(settings.upstream_key_file);
-    key = key.substr(0, key.find_first_of("\r\n"));
+    key = key.substr(0, key.find_first_of("\r\n"));  // the first line
   }
   return std::make_unique<OpenAiDialect>(std::move(key));
 }
@@ -503,12 +503,15 @@
   return options;
 }
 
-// Membership messages carry the node's name.
+// Membership messages contain the node's name: at most 64 characters, none of them a space or control
+// character.
 void CheckNameForMembership(const std::string& name) {
-  const bool fits = name.size() <= 64 &&
-                    std::all_of(name.begin(), name.end(), [](char c) { return c > 0x20 && c != 0x7f; });
-  if (fits) return;
-  throw ConfigError("name: other nodes can't be told \"" + name + "\"; give a word of at most 64 letters");
+  const bool valid = name.size() <= 64 &&
+                     std::all_of(name.begin(), name.end(), [](char c) { return c > 0x20 && c != 0x7f; });
+  if (valid) return;
+  throw ConfigError(
+      "name: \"" + name +
+      "\" can't be used with [membership]; give a word of at most 64 characters without spaces");
 }
 
 }  // namespace
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -1,4 +1,4 @@
-// One node: the modules put together on one loop, and its orderly end at SIGTERM.
+// A node: all modules on one event loop, from the start to the graceful shutdown at SIGTERM.
 #pragma once
 
 #include "settings/config.h"
@@ -6,7 +6,8 @@
 
 namespace ryeglade {
 
-// Serves until SIGTERM or SIGINT has been obeyed. Throws std::runtime_error if it cannot start.
+// Returns after the graceful shutdown that SIGTERM or SIGINT causes. Throws std::runtime_error if the node
+// can't start.
 void Serve(const Config& config, const EdgeSettings& settings = {});
 
 }  // namespace ryeglade
--- a/src/app/node_report.h
+++ b/src/app/node_report.h
@@ -1,5 +1,5 @@
-// What a node reports about itself on the management address: its counters, and the metrics by which a
-// rollout compares nodes.
+// The reports that a node serves on the management address: its counters, and the metrics that a rollout
+// compares.
 #pragma once
 
 #include <cstddef>
@@ -13,19 +13,19 @@
 
 namespace ryeglade {
 
-// Where the figures come from.
+// The modules that the reports are made from.
 struct ReportSources {
   const Config& config;
   const NodeCounters& counters;
   const Streams& streams;
   const Discovery& discovery;
   const Decisions& decisions;
-  const Downstream& listener;  // the platform's, not the OpenAI-style API's
+  const Downstream& listener;  // for the platform's clients, not that of the OpenAI-style API
 };
 
-// In the Prometheus text format.
+// Returns the counters in the Prometheus text format.
 std::string CountersReport(const ReportSources& sources);
-// As JSON. `used_sockets`: descriptors in use now.
+// Returns the metrics as JSON. `used_sockets` is the number of descriptors in use.
 std::string RolloutMetricsReport(const ReportSources& sources, std::size_t used_sockets);
 
 }  // namespace ryeglade
--- a/src/app/openai_service.h
+++ b/src/app/openai_service.h
@@ -1,5 +1,5 @@
-// The OpenAI-style API of a node: its front, its listener, and the ledger of what clients used, written to
-// disk at intervals.
+// The OpenAI-style API of a node: its front, its listener, and the ledger of usage by key, which is written
+// to disk at intervals.
 #pragma once
 
 #include <string>
@@ -16,13 +16,13 @@
 
 class OpenAiService {
  public:
-  // `core`, `streams` and `settings` must outlive this object. `sockets`: the most connections of clients.
+  // `core`, `streams` and `settings` must outlive this object. `sockets` is the most client connections.
   OpenAiService(Core* core, Streams* streams, const OpenAiSettings* settings, keys::Keyring keyring,
                 std::size_t sockets);
   // Begins to accept clients and to write the ledger. Throws std::runtime_error if the address can't be used.
   void Start();
   void ReloadKeys() { front_.ReloadKeys(); }
-  void WriteLedgerNow();  // waits for the disk; for the program's end
+  void WriteLedgerNow();  // blocks until the file is written; for the end of the process
   Downstream& listener() { return listener_; }
   const Downstream& listener() const { return listener_; }
 
@@ -34,7 +34,7 @@
 
   Core* core_;
   const OpenAiSettings* settings_;
-  limits::Networks networks_;  // that may connect
+  limits::Networks networks_;  // from which clients may connect; empty: all
   OpenAiFront front_;
   Downstream listener_;
   ledger::LedgerFile ledger_file_;
--- a/src/app/shared_paths.cpp
+++ b/src/app/shared_paths.cpp
@@ -7,7 +7,7 @@
 namespace ryeglade {
 namespace {
 
-// `text` with everything replaced that is neither a letter nor a digit nor in `allowed`.
+// Replaces each character of `text` that is no letter, no digit and not in `allowed` by an underscore.
 std::string FileNamePart(std::string text, std::string_view allowed) {
   for (char& c : text) {
     const bool keep =
--- a/src/app/shared_paths.h
+++ b/src/app/shared_paths.h
@@ -1,5 +1,5 @@
-// Names of the files in $TMPDIR that two processes of one node share during a hot restart. $TMPDIR is the
-// same for both and is not emptied between them.
+// Paths of the files in $TMPDIR that two processes of one node share during a hot restart. Both processes
+// must have the same $TMPDIR, and it must not be emptied in between.
 #pragma once
 
 #include <string>
@@ -8,10 +8,11 @@
 
 namespace ryeglade {
 
-// Of the node of this name. `kind` says what is in the file.
+// The path of a file that belongs to the node name. `kind` says what the file contains.
 std::string NodeFilePath(const std::string& kind, const Config& config);
-// Of the node of this name at this listen address: nodes of one name need not be one node. Empty where the
-// kernel chooses the port, as no later process can have the same address then.
+// The path of a file that belongs to the node name and the listen address, since several nodes may have the
+// same name. Returns an empty string if the kernel chooses the port, as no later process can know the address
+// then.
 std::string AddressFilePath(const std::string& kind, const Config& config);
 
 }  // namespace ryeglade
--- a/src/app/shutdown_sequence.cpp
+++ b/src/app/shutdown_sequence.cpp
@@ -7,9 +7,10 @@
 namespace ryeglade {
 namespace {
 
-constexpr Time kInterval = 50'000;  // microseconds between two steps
+// Both in microseconds.
+constexpr Time kAdvanceInterval = 50'000;  // between two steps
 constexpr Time kLastResponseTime =
-    200'000;  // a last response has this long to be read before the process ends
+    200'000;  // for the client to read the last response before the process exits
 
 }  // namespace
 
@@ -43,28 +44,28 @@
   streams_->BeginShutdown(began_at_ + plan_.respond_by, began_at_ + plan_.accept_requests_until);
 }
 
-// Two dangers. Closing too early loses what was accepted: requests come on old and new connections for a
-// while after SIGTERM, and one in the kernel's queue counts as accepted when the listener closes. Closing too
-// late means SIGKILL: as long as connections are accepted or kept, one more request may be under way when it
-// comes.
+// Closing too early loses accepted requests: they arrive on old and new connections for a while after
+// SIGTERM, and a connection in the kernel's queue counts as accepted when the listener closes. Closing too
+// late risks SIGKILL: as long as connections are accepted or kept open, another request may be in progress
+// when it comes.
 void ShutdownSequence::Advance() {
-  const Time since = Now() - began_at_;
-  const bool replaced = hot_restart_->handed_over();
-  const bool stop_listening = since >= plan_.listen_until || replaced;
-  if (since >= plan_.close_idle_from || replaced) {
+  const Time since_begin = Now() - began_at_;
+  const bool handed_over = hot_restart_->handed_over();
+  const bool stop_listening = since_begin >= plan_.listen_until || handed_over;
+  if (since_begin >= plan_.close_idle_from || handed_over) {
     for (Downstream* listener : listeners_) listener->CloseIdle();
   }
   if (stop_listening) {
     for (Downstream* listener : listeners_) listener->StopAccepting();
   }
-  if (since >= plan_.respond_by) {
+  if (since_begin >= plan_.respond_by) {
     for (Downstream* listener : listeners_) listener->EndIncomplete();
   }
   if (stop_listening && streams_->size() == 0) {
-    const Time quiet = since >= plan_.exit_by ? 0 : kLastResponseTime;
+    const Time quiet = since_begin >= plan_.exit_by ? 0 : kLastResponseTime;
     if (ListenersSettled(quiet)) return finished_();
   }
-  deadlines_->Set(Now() + kInterval, [this] { Advance(); });
+  deadlines_->Set(Now() + kAdvanceInterval, [this] { Advance(); });
 }
 
 bool ShutdownSequence::ListenersSettled(Time quiet) const {
--- a/src/app/shutdown_sequence.h
+++ b/src/app/shutdown_sequence.h
@@ -1,5 +1,5 @@
-// The graceful shutdown of a node after SIGTERM: carries out the termination plan on the client listeners and
-// the streams, step by step, until nothing is owed to any client.
+// The graceful shutdown of a node after SIGTERM: applies the termination plan to the client listeners and the
+// streams until every accepted request has its response.
 #pragma once
 
 #include <cstddef>
@@ -16,21 +16,23 @@
 
 class ShutdownSequence {
  public:
-  // All must outlive this object. `finished` is called once, when the process can end.
+  // All pointers must outlive this object. `finished` is called once, when the process can exit.
   ShutdownSequence(Deadlines* deadlines, Streams* streams, const hot_restart::HotRestart* hot_restart,
                    std::function<void()> finished);
   void AddListener(Downstream* listener) { listeners_.push_back(listener); }
 
-  // `began_at`: when the process was told to end. `classes` are those in force.
+  // `began_at` is the time of the signal. `classes` are those in force.
   void Begin(Time began_at, const std::vector<policy::ClassSettings>& classes);
-  // Settings that come during the shutdown may bring its end forward. No effect before Begin.
+  // Settings that change during the shutdown may shorten it. No effect before Begin.
   void UpdateClasses(const std::vector<policy::ClassSettings>& classes);
   bool began() const { return began_at_ != 0; }
-  Time elapsed() const;  // microseconds since the shutdown began; 0: it has not
+  Time elapsed() const;  // microseconds since the shutdown began; 0 if it has not
 
  private:
   void Advance();
   void SetStreamDeadlines();
+  // Whether no client waits for a response and every last response was sent at least `quiet` microseconds
+  // ago.
   bool ListenersSettled(Time quiet) const;
   std::size_t connections() const;
 
@@ -38,8 +40,8 @@
   Streams* streams_;
   const hot_restart::HotRestart* hot_restart_;
   std::function<void()> finished_;
-  std::vector<Downstream*> listeners_;  // clients'
-  Time began_at_ = 0;
+  std::vector<Downstream*> listeners_;  // for clients, without the admin listener
+  Time began_at_ = 0;                   // 0: the shutdown has not begun
   TerminationPlan plan_;
 };
 
--- a/src/app/signal_watcher.h
+++ b/src/app/signal_watcher.h
@@ -1,4 +1,4 @@
-// Calls a function on the event loop when the process gets a signal.
+// Calls a function on the event loop when the process receives a signal.
 #pragma once
 
 #include <uv.h>
@@ -7,7 +7,7 @@
 
 namespace ryeglade {
 
-// Must live until the loop has ended after Close.
+// After Close, the object must live until the loop has ended.
 class SignalWatcher {
  public:
   SignalWatcher() = default;
--- a/src/app/socket_budget.h
+++ b/src/app/socket_budget.h
@@ -1,5 +1,5 @@
-// How a node divides the descriptors that its configuration allows it: some for itself, the rest between
-// clients and upstream connections.
+// How a node divides the descriptors that its configuration allows: a reserve for its own use, and the rest
+// between client connections and upstream connections.
 #pragma once
 
 #include <cstddef>
@@ -8,13 +8,14 @@
 
 namespace ryeglade {
 
-// Descriptors that are neither a client's nor an upstream connection's: the event loop's, listeners, standard
-// streams, discovery, callers of the management address, some spare.
+// The number of descriptors that serve neither clients nor upstream connections: the event loop, listeners,
+// standard streams, discovery, connections to the management address, and some spare.
 std::size_t ReservedSockets();
-// What is left of `limit` for clients and upstream connections.
+// What remains of `limit` for client and upstream connections; never less than a small minimum.
 std::size_t TrafficSockets(std::size_t limit);
+// The share of upstream connections.
 std::size_t UpstreamSockets(std::size_t traffic_sockets);
-// For one client listener; with two each has half of what clients get.
+// The share of one client listener. If the OpenAI-style API is on, there are two, each with half.
 std::size_t ListenerSockets(std::size_t traffic_sockets, const EdgeSettings& settings);
 
 }  // namespace ryeglade
--- a/src/app/termination_policy.cpp
+++ b/src/app/termination_policy.cpp
@@ -7,14 +7,15 @@
 
 using policy::Time;
 
-// Microseconds.
-constexpr Time kMaxCountedBudget = 3'000'000;  // longer time budgets count as this one
-constexpr Time kKillAfterBudget = 700'000;     // from there to SIGKILL
-constexpr Time kAcceptRequests = 600'000;      // 0.1 s less than what may be under way at SIGKILL
-constexpr Time kKeepIdle = 450'000;            // new connections keep coming for 0.2 to 0.4 s
-constexpr Time kListen = 1'000'000;            // and a little longer, should this process be held up
-constexpr Time kExitBeforeKill = 100'000;      // a request must not be under way when SIGKILL comes
-constexpr Time kRespondBeforeKill = 400'000;   // for a last response to reach its client, where there is time
+// All in microseconds.
+constexpr Time kMaxCountedBudget = 3'000'000;  // a longer time budget counts as this
+constexpr Time kKillAfterBudget = 700'000;     // from the end of that time budget to SIGKILL
+constexpr Time kAcceptRequests =
+    600'000;  // 0.1 s less than the time in which a request may still be in progress at SIGKILL
+constexpr Time kKeepIdle = 450'000;        // clients keep opening connections for 0.2 to 0.4 s after SIGTERM
+constexpr Time kListen = 1'000'000;        // longer than that, in case this process is delayed
+constexpr Time kExitBeforeKill = 100'000;  // no request may be in progress at SIGKILL
+constexpr Time kRespondBeforeKill = 400'000;  // so that the last response can reach its client
 
 }  // namespace
 
--- a/src/app/termination_policy.h
+++ b/src/app/termination_policy.h
@@ -1,5 +1,5 @@
-// The times of a graceful shutdown (SIGTERM): when a node stops doing what, so that nothing that it has
-// accepted is lost at SIGKILL.
+// The schedule of a graceful shutdown (SIGTERM): when a node stops accepting connections and requests and
+// when it exits, so that no accepted request is lost at SIGKILL.
 #pragma once
 
 #include <vector>
@@ -8,22 +8,22 @@
 
 namespace ryeglade {
 
-// Times from SIGTERM on, in microseconds.
+// Times since SIGTERM, in microseconds.
 struct TerminationPlan {
-  policy::Time accept_requests_until = 0;  // a request that comes later is rejected at once
-  policy::Time close_idle_from = 0;        // from here on connections without a request are closed
-  policy::Time listen_until = 0;           // until then new connections are accepted, and none after it
-  policy::Time respond_by = 0;             // a stream that has not begun its response by then is rejected
-  policy::Time exit_by = 0;        // the process ends by itself, unless a response is still being forwarded
-  policy::Time earliest_kill = 0;  // SIGKILL comes no sooner
+  policy::Time accept_requests_until = 0;  // a request that arrives later is rejected immediately
+  policy::Time close_idle_from = 0;        // from then on, connections without a request are closed
+  policy::Time listen_until = 0;           // new connections are accepted until then
+  policy::Time respond_by = 0;             // a stream whose response has not begun by then is rejected
+  policy::Time exit_by = 0;        // the process exits then, unless a response is still being forwarded
+  policy::Time earliest_kill = 0;  // SIGKILL does not come earlier
 };
 
-// `classes` are those in force. SIGKILL comes as early as the longest time budget, counted as 3 s where it is
-// longer, plus 0.7 s; a request that came within 0.7 s may still be under way then.
+// `classes` are those in force. The earliest SIGKILL is after the longest time budget (at most 3 s count)
+// plus 0.7 s. A request that arrives within the first 0.7 s may still be in progress then.
 TerminationPlan PlanTermination(const std::vector<policy::ClassSettings>& classes);
 
-// Each time the earlier of the two: for settings that change during the shutdown, as it is not known by which
-// of them SIGKILL comes.
+// Takes the earlier of each time. Used if the settings change during the shutdown, as it is not known which
+// of them determine SIGKILL.
 TerminationPlan EarlierOf(const TerminationPlan& a, const TerminationPlan& b);
 
 }  // namespace ryeglade
