--- a/fuzz/body_fuzz.cpp
+++ b/fuzz/body_fuzz.cpp
@@ -11,9 +11,10 @@
   for (const auto endpoint : {ryeglade::openai::Endpoint::kChat, ryeglade::openai::Endpoint::kCompletions}) {
     for (const bool strict : {true, false}) {
       const auto read = ryeglade::openai::ReadBody(text, endpoint, strict);
-      if (read.body.has_value() == !read.fault.message.empty()) std::abort();
+      if (read.body.has_value() == !read.error.message.empty()) std::abort();
       if (!read.body) continue;
-      const auto out = nlohmann::json::parse(ryeglade::openai::ForReplica(text, read, "m"), nullptr, false);
+      const auto out =
+          nlohmann::json::parse(ryeglade::openai::RewriteForReplica(text, read, "m"), nullptr, false);
       if (!out.is_object() || out.at("stream") != true ||
           out.at("stream_options").at("include_usage") != true)
         std::abort();
--- a/lab/fake_replica.cpp
+++ b/lab/fake_replica.cpp
@@ -61,7 +61,7 @@
   job.prompt = PromptKey(body);
   job.chat = chat;
   job.usage = options_.speech == Speech::kPlatform || read.body->include_usage;
-  job.prompt_tokens = read.body->prompt_chars / kBytesPerToken + 1;
+  job.prompt_tokens = read.body->prompt_bytes / kBytesPerToken + 1;
   job.tokens = options_.tokens;
   if (read.body->max_tokens) {
     job.max_tokens = *read.body->max_tokens;
@@ -154,8 +154,8 @@
                 job.chat ? "chatcmpl" : "cmpl", job.prompt,
                 job.chat ? "chat.completion.chunk" : "text_completion");
   const std::string piece = job.chat || options_.speech == Speech::kPlatform
-                                ? fmt::format("\"delta\":{{\"content\":{}}}", openai::Quoted(text))
-                                : fmt::format("\"text\":{}", openai::Quoted(text));
+                                ? fmt::format("\"delta\":{{\"content\":{}}}", openai::QuoteJson(text))
+                                : fmt::format("\"text\":{}", openai::QuoteJson(text));
   return fmt::format("data: {{{}\"choices\":[{{\"index\":0,{},\"finish_reason\":{}}}]}}\n\n", head, piece,
                      last ? "\"stop\"" : "null");
 }
--- a/lab/replay.cpp
+++ b/lab/replay.cpp
@@ -48,7 +48,7 @@
       "{{\"model\":\"{}-model\",\"stream\":true,\"max_tokens\":{},\"messages\":[{{\"role\":\"system\","
       "\"content\":{}}},"
       "{{\"role\":\"user\",\"content\":{}}}]}}",
-      line.cls, line.max_tokens, openai::Quoted(line.system), openai::Quoted(user));
+      line.cls, line.max_tokens, openai::QuoteJson(line.system), openai::QuoteJson(user));
 }
 
 End Judge(const TraceLine& line, const Reply& reply) {
--- a/src/admin/admin_front.cpp
+++ b/src/admin/admin_front.cpp
@@ -10,13 +10,13 @@
 }  // namespace
 
 void AdminFront::Reply(Handle connection, int status, std::string_view body, const char* type) {
-  downstream_->CloseAfter(connection);
+  downstream_->CloseAfterResponse(connection);
   downstream_->Reply(connection, status, std::string("Content-Type: ") + type + "\r\n", body);
 }
 
 bool AdminFront::CheckMethod(Handle connection, const HttpRequest& request, std::string_view method) {
   if (request.method == method) return true;
-  downstream_->CloseAfter(connection);
+  downstream_->CloseAfterResponse(connection);
   downstream_->Reply(connection, 405, "Allow: " + std::string(method) + "\r\n", "method\n");
   return false;
 }
--- a/src/app/openai_service.cpp
+++ b/src/app/openai_service.cpp
@@ -15,7 +15,7 @@
       listener_(core, &front_, ListenerOptions(*settings, sockets, &networks_)),
       ledger_file_(core->loop, settings->ledger_directory, core->config->name) {
   for (const std::string& network : settings->networks) networks_.Add(network);
-  front_.Use(&listener_);
+  front_.SetDownstream(&listener_);
 }
 
 Downstream::Options OpenAiService::ListenerOptions(const OpenAiSettings& settings, std::size_t sockets,
--- a/src/dialects/openai/openai_dialect.cpp
+++ b/src/dialects/openai/openai_dialect.cpp
@@ -144,7 +144,7 @@
                                         : openai::Endpoint::kChat;
   const openai::BodyResult read = openai::ReadBody(text, endpoint, false);
   if (!read.body) return;  // an invalid body is left to the replica to reject
-  const std::string changed = openai::ForReplica(text, read);
+  const std::string changed = openai::RewriteForReplica(text, read);
   request.body.Clear();
   request.body.Append(changed);
   request.content_type = "application/json";
--- a/src/fronts/openai/api_error.cpp
+++ b/src/fronts/openai/api_error.cpp
@@ -7,9 +7,11 @@
 namespace ryeglade {
 
 std::string ErrorJson(const ApiError& e) {
-  const auto text = [](const std::string& s) { return s.empty() ? std::string("null") : openai::Quoted(s); };
+  const auto text = [](const std::string& s) {
+    return s.empty() ? std::string("null") : openai::QuoteJson(s);
+  };
   return fmt::format("{{\"error\":{{\"message\":{},\"type\":{},\"param\":{},\"code\":{}}}}}",
-                     openai::Quoted(e.message), openai::Quoted(e.type), text(e.param), text(e.code));
+                     openai::QuoteJson(e.message), openai::QuoteJson(e.type), text(e.param), text(e.code));
 }
 
 std::string RetryHeaders(policy::Time after) {
@@ -18,13 +20,13 @@
                      (after + 999) / 1000);
 }
 
-ApiError WithoutRepeat(ApiError error) {
+ApiError WithoutRetry(ApiError error) {
   if (error.status == 429 || error.status == 503) error.status = 502;
   error.retry_after = 0;
   return error;
 }
 
-ApiError ErrorOfStatus(int status) {
+ApiError ErrorForStatus(int status) {
   switch (status) {
     case 405:
       return {405, "invalid_request_error", "method_not_allowed", "This method is not allowed here.", "", 0};
--- a/src/fronts/openai/api_error.h
+++ b/src/fronts/openai/api_error.h
@@ -19,11 +19,11 @@
 std::string ErrorJson(const ApiError& error);
 // The same error for a client that must not be told to ask again, as its request may have run: no refusal by
 // status, and no time after which to come back.
-ApiError WithoutRepeat(ApiError error);
+ApiError WithoutRetry(ApiError error);
 // Official clients ask again by themselves after any 5xx unless this is there.
-inline constexpr const char* kNoRepeatHeader = "x-should-retry: false\r\n";
+inline constexpr const char* kNoRetryHeader = "x-should-retry: false\r\n";
 // `Retry-After` in whole seconds, rounded up, and `retry-after-ms`; empty if none is told.
 std::string RetryHeaders(policy::Time retry_after);
-ApiError ErrorOfStatus(int status);  // for what HTTP itself found wrong
+ApiError ErrorForStatus(int status);  // for what HTTP itself found wrong
 
 }  // namespace ryeglade
--- a/src/fronts/openai/openai_front.cpp
+++ b/src/fronts/openai/openai_front.cpp
@@ -43,7 +43,7 @@
 
 std::string ModelJson(const ModelSettings& model) {
   return fmt::format("{{\"id\":{},\"object\":\"model\",\"created\":{},\"owned_by\":{}}}",
-                     openai::Quoted(model.id), model.created, openai::Quoted(model.owned_by));
+                     openai::QuoteJson(model.id), model.created, openai::QuoteJson(model.owned_by));
 }
 
 ApiError UnknownModel(const std::string& id) {
@@ -100,7 +100,7 @@
 // ---- Responses by this node ----
 
 void OpenAiFront::FormatError(int status, std::string& headers, std::string& body) {
-  const ApiError error = ErrorOfStatus(status);
+  const ApiError error = ErrorForStatus(status);
   headers = RequestIdHeader(NewRequestId()) + kJsonType + RetryHeaders(error.retry_after);
   body = ErrorJson(error);
   ledger_.CountRejection(error.code);
@@ -157,7 +157,7 @@
   streams_->OnClientDisconnected(open.stream);
   if (!open.response_begun) {
     if (safe_to_retry) return ReplyError(connection, error, open.response_headers);
-    return ReplyError(connection, WithoutRepeat(error), open.response_headers + kNoRepeatHeader);
+    return ReplyError(connection, WithoutRetry(error), open.response_headers + kNoRetryHeader);
   }
   Log(Level::kWarn, "stream-ended", {{"why", error.code}, {"id", open.request_id}});
   downstream_->Chunk(connection, "event: error\ndata: " + ErrorJson(error) + "\n\n");
@@ -169,7 +169,7 @@
 void OpenAiFront::OnRequest(Handle connection, HttpRequest request) {
   const std::string_view path = request.Path();
   if (path == "/health" || path == "/metrics") {
-    if (request.method != "GET") return ReplyError(connection, ErrorOfStatus(405), "Allow: GET\r\n");
+    if (request.method != "GET") return ReplyError(connection, ErrorForStatus(405), "Allow: GET\r\n");
     return path == "/metrics" ? ServeMetrics(connection) : ServeHealth(connection);
   }
   const bool chat = path == kChatPath;
@@ -180,7 +180,7 @@
   }
   if (request.method != (models ? "GET" : "POST")) {
     ledger_.CountRejection("method_not_allowed");
-    return ReplyError(connection, ErrorOfStatus(405), models ? "Allow: GET\r\n" : "Allow: POST\r\n");
+    return ReplyError(connection, ErrorForStatus(405), models ? "Allow: GET\r\n" : "Allow: POST\r\n");
   }
   if (models) return ServeModels(connection, request, path);
   ServeCompletion(connection, request, chat ? openai::Endpoint::kChat : openai::Endpoint::kCompletions);
@@ -283,8 +283,8 @@
                                                        const ModelSettings& model) const {
   const double bytes_per_token = token_sizes_.BytesPerToken(model.id);
   TokenEstimate estimate;
-  estimate.prompt = std::ceil(static_cast<double>(body.prompt_chars) / bytes_per_token);
-  estimate.prefix = std::ceil(static_cast<double>(body.prefix_chars) / bytes_per_token);
+  estimate.prompt = std::ceil(static_cast<double>(body.prompt_bytes) / bytes_per_token);
+  estimate.prefix = std::ceil(static_cast<double>(body.prefix_bytes) / bytes_per_token);
   estimate.output = body.max_tokens.value_or(model.default_output_tokens);
   return estimate;
 }
@@ -296,12 +296,12 @@
   const openai::BodyResult read = openai::ReadBody(text, endpoint);
   if (!read.body) {
     return Reject(connection,
-                  {400, "invalid_request_error", read.fault.code, read.fault.message, read.fault.param, 0});
+                  {400, "invalid_request_error", read.error.code, read.error.message, read.error.param, 0});
   }
   const openai::Body& body = *read.body;
   const ModelSettings* model = FindModel(body.model);
   if (model == nullptr) return Reject(connection, UnknownModel(body.model));
-  if (core_->buffers->NearlyExhausted()) return Reject(connection, ErrorOfStatus(503));
+  if (core_->buffers->NearlyExhausted()) return Reject(connection, ErrorForStatus(503));
 
   const TokenEstimate tokens = EstimateTokens(body, *model);
   const limits::KeyLimits limits = LimitsOf(*key);
@@ -311,11 +311,11 @@
   }
 
   StreamRequest stream{{}, {}, {}, {}, BufferChain(core_->buffers), {}, 0, true};
-  const std::string for_replica = openai::ForReplica(text, read, RenamedModel(*model));
+  const std::string for_replica = openai::RewriteForReplica(text, read, RenamedModel(*model));
   request.body.Clear();
   if (!stream.body.Append(for_replica)) {
     limiter_.Settle(Now(), key->id, limits, tokens.total(), 0, false);
-    return Reject(connection, ErrorOfStatus(503));
+    return Reject(connection, ErrorForStatus(503));
   }
   stream.method = "POST";
   stream.target = endpoint == openai::Endpoint::kChat ? kChatPath : kCompletionsPath;
@@ -342,7 +342,7 @@
   open.has_max_tokens = body.max_tokens.has_value();
   open.streamed = body.stream;
   open.response_headers = RequestIdHeader(open.request_id) + RateLimitHeaders(admission.remaining);
-  open.observer.seen().prompt_bytes = body.prompt_chars;
+  open.observer.seen().prompt_bytes = body.prompt_bytes;
   open.observer.seen().max_tokens = body.max_tokens;
   ledger_.RecordAdmission(open.key, open.model);
   open_requests_.insert_or_assign(connection, std::move(open));
@@ -459,7 +459,7 @@
   if (!open_requests_.contains(connection)) return;
   const OpenRequest open = Settle(connection, Outcome::kFailed);
   // A failure, not a rejection: an attempt may have run, and a retry is not known to be harmless.
-  const std::string headers = open.response_headers + kNoRepeatHeader;
+  const std::string headers = open.response_headers + kNoRetryHeader;
   if (last == policy::Outcome::kTimeout) {
     return ReplyError(
         connection, {504, "server_error", "upstream_timeout", "No model answered in time.", "", 0}, headers);
--- a/src/fronts/openai/openai_front.h
+++ b/src/fronts/openai/openai_front.h
@@ -26,7 +26,7 @@
  public:
   // `keyring`: the key file's. `settings` must outlive the front.
   OpenAiFront(Core* core, Streams* streams, const OpenAiSettings* settings, keys::Keyring keyring);
-  void Use(Downstream* downstream) { downstream_ = downstream; }
+  void SetDownstream(Downstream* downstream) { downstream_ = downstream; }
 
   // Ends the streams of keys that were revoked. Throws SettingsError and changes nothing if the file is
   // wrong.
--- a/src/fronts/platform/platform_front.cpp
+++ b/src/fronts/platform/platform_front.cpp
@@ -62,7 +62,7 @@
   StreamRequest stream{{}, {}, {}, {}, BufferChain(core_->buffers), {}, 0};
   if (const char* malformed = ReadHeaders(request, stream)) {
     // Guards against reading on behind a request of which it is not sure what it says.
-    if (std::string_view(malformed) != "X-Call-Class") downstream_->CloseAfter(connection);
+    if (std::string_view(malformed) != "X-Call-Class") downstream_->CloseAfterResponse(connection);
     return ReplyLocally(connection, 400, malformed);
   }
   // Two upstream requests under one id would be two attempts out at once.
--- a/src/http/downstream.cpp
+++ b/src/http/downstream.cpp
@@ -417,7 +417,7 @@
   OnResponseComplete(handle);
 }
 
-void Downstream::CloseAfter(Handle handle) {
+void Downstream::CloseAfterResponse(Handle handle) {
   if (Client* c = clients_.Get(handle)) c->keep_alive = false;
 }
 
--- a/src/http/downstream.h
+++ b/src/http/downstream.h
@@ -61,7 +61,7 @@
   void EndChunks(Handle connection);
   void Abort(Handle connection);                     // closes the connection at once, without the last chunk
   void EndTruncated(Handle connection);              // the same, once all that was written has gone out
-  void CloseAfter(Handle connection);                // no further request is taken on it
+  void CloseAfterResponse(Handle connection);        // no further request is taken on it
   sockaddr_storage PeerOf(Handle connection) const;  // all zero: not known
   // False: the client has closed it, whether or not that has been read yet.
   bool Connected(Handle connection) const;
--- a/src/membership/status_front.cpp
+++ b/src/membership/status_front.cpp
@@ -145,7 +145,7 @@
 
 void StatusFront::OnRequest(Handle connection, HttpRequest request) {
   const std::string path(request.Path());
-  downstream_->CloseAfter(connection);  // one request per connection
+  downstream_->CloseAfterResponse(connection);  // one request per connection
   const auto reply = [&](int status, const std::string& body, const char* type) {
     downstream_->Reply(connection, status, std::string("Content-Type: ") + type + "\r\n", body);
   };
--- a/src/openai/body.cpp
+++ b/src/openai/body.cpp
@@ -40,7 +40,7 @@
   bool OnValue(const JsonValue& v) override {
     if (v.depth == 0) {
       if (v.kind != JsonKind::kObject) return Fault("", "the body must be a JSON object", "invalid_type");
-      result_.object_begin = v.to;
+      result_.object_begin = v.end;
       return true;
     }
     if (v.depth == 1) {
@@ -66,7 +66,7 @@
   }
 
   void Finish() {
-    if (!result_.fault.message.empty()) return;
+    if (!result_.error.message.empty()) return;
     if (strict_ && !Whole()) return;
     if (body_.session_hint.empty()) {
       body_.session = opening_ended_ ? opening_.Value() : 0;
@@ -75,9 +75,9 @@
       hint.Add(body_.session_hint);
       body_.session = hint.Value();
     }
-    if (leading_chars_ > 0) {
+    if (leading_bytes_ > 0) {
       body_.prefix = leading_.Value();
-      body_.prefix_chars = leading_chars_;
+      body_.prefix_bytes = leading_bytes_;
     }
     result_.body = std::move(body_);
   }
@@ -87,7 +87,7 @@
 
   bool Fault(const std::string& param, const std::string& message, const std::string& code) {
     if (!strict_ && !param.empty()) return true;
-    if (result_.fault.message.empty()) result_.fault = {message, param, code};
+    if (result_.error.message.empty()) result_.error = {message, param, code};
     return false;
   }
   bool Needs(bool ok, const std::string& param, const std::string& what) {
@@ -102,19 +102,19 @@
     const bool text = v.kind == JsonKind::kString;
     const bool whole = v.kind == JsonKind::kInteger;
     if (v.key == "model") {
-      result_.model = {v.from, v.to};
+      result_.model = {v.begin, v.end};
       body_.model = v.text;
       return Needs(text && !v.text.empty(), "model", "a string that names a model");
     }
     if (v.key == "stream") {
-      result_.stream = {v.from, v.to};
+      result_.stream = {v.begin, v.end};
       body_.stream = v.kind == JsonKind::kBool && v.number != 0;
       return Needs(v.kind == JsonKind::kBool || null, "stream", "true, false or null");
     }
     if (v.key == "stream_options") {
-      result_.stream_options = {v.from, v.to};
+      result_.stream_options = {v.begin, v.end};
       options_ = v.kind == JsonKind::kObject;
-      if (options_) result_.options_begin = v.to;
+      if (options_) result_.stream_options_begin = v.end;
       return Needs(options_ || null, "stream_options", "an object or null");
     }
     if (v.key == "n" || v.key == "best_of") {
@@ -151,10 +151,10 @@
 
   bool StreamOption(const JsonValue& v) {
     if (v.depth != 2) return true;
-    result_.options_empty = false;
+    result_.stream_options_empty = false;
     usage_option_ = v.key == "include_usage";
     if (v.key != "include_usage") return true;
-    result_.include_usage = {v.from, v.to};
+    result_.include_usage = {v.begin, v.end};
     body_.include_usage = v.kind == JsonKind::kBool && v.number != 0;
     return Needs(v.kind == JsonKind::kBool || v.kind == JsonKind::kNull, "stream_options.include_usage",
                  "true or false");
@@ -164,7 +164,7 @@
   bool Message(const JsonValue& v) {
     if (v.depth == 2) {
       message_ = Hash();
-      message_chars_ = 0;
+      message_bytes_ = 0;
       role_.clear();
       ++count_;
       return Needs(v.kind == JsonKind::kObject, "messages", "an array of objects");
@@ -181,7 +181,7 @@
     message_.Add(v.key);
     if (v.kind == JsonKind::kString) {
       message_.Add(v.text);
-      message_chars_ += v.text.size();
+      message_bytes_ += v.text.size();
     } else {
       message_.Add(std::to_string(static_cast<int>(v.kind)) + std::to_string(v.number));
     }
@@ -190,12 +190,12 @@
 
   bool MessageEnd() {
     if (!Needs(!role_.empty(), "messages.role", "given in every message")) return false;
-    body_.prompt_chars += message_chars_;
+    body_.prompt_bytes += message_bytes_;
     const std::string digest = std::to_string(message_.Value());
     const bool leads = role_ == "system" || role_ == "developer";
     if (leading_now_ && leads) {
       leading_.Add(digest);
-      leading_chars_ += message_chars_;
+      leading_bytes_ += message_bytes_;
     }
     leading_now_ = leading_now_ && leads;
     // A conversation is known by its opening: all up to and with the first message that does not lead.
@@ -213,7 +213,7 @@
       strings_ = true;
       CountPrompt(v.text);
     } else {
-      body_.prompt_chars += 4;  // a token by its number
+      body_.prompt_bytes += 4;  // a token by its number
     }
     const bool one = v.kind == JsonKind::kInteger || (v.kind == JsonKind::kString && prompts_ == 1);
     return CantKeep(one && !(strings_ && prompts_ > 1), "prompt",
@@ -222,7 +222,7 @@
 
   void CountPrompt(std::string_view text) {
     constexpr std::size_t kOpening = 1024;  // bytes by which a conversation without a hint is known
-    body_.prompt_chars += text.size();
+    body_.prompt_bytes += text.size();
     if (text.size() < kOpening) return;
     opening_.Add(text.substr(0, kOpening));
     opening_ended_ = true;
@@ -251,7 +251,7 @@
   bool options_ = false, prompt_ = false, audio_ = false, strings_ = false;
   std::size_t count_ = 0, prompts_ = 0;
   Hash message_, leading_, opening_;
-  std::size_t message_chars_ = 0, leading_chars_ = 0;
+  std::size_t message_bytes_ = 0, leading_bytes_ = 0;
   std::string role_;
   bool leading_now_ = true, opening_ended_ = false;
 };
@@ -262,14 +262,14 @@
   BodyResult result;
   BodyReader reader(endpoint, strict, result);
   const std::string wrong = ReadJson(text, reader);
-  if (!wrong.empty() && result.fault.message.empty()) {
-    result.fault = {"We could not read the body of your request as JSON: " + wrong + ".", "", "invalid_json"};
+  if (!wrong.empty() && result.error.message.empty()) {
+    result.error = {"We could not read the body of your request as JSON: " + wrong + ".", "", "invalid_json"};
   }
   reader.Finish();
   return result;
 }
 
-std::string ForReplica(std::string_view text, const BodyResult& read, const std::string& model) {
+std::string RewriteForReplica(std::string_view text, const BodyResult& read, const std::string& model) {
   struct Edit {
     std::size_t from, to;
     std::string by;
@@ -288,16 +288,16 @@
   }
   if (absent(read.stream_options)) {
     add("\"stream_options\":{\"include_usage\":true}");
-  } else if (read.options_begin == 0) {
+  } else if (read.stream_options_begin == 0) {
     edits.push_back({read.stream_options.first, read.stream_options.second, "{\"include_usage\":true}"});
   } else if (absent(read.include_usage)) {
-    edits.push_back({read.options_begin, read.options_begin,
-                     std::string("\"include_usage\":true") + (read.options_empty ? "" : ",")});
+    edits.push_back({read.stream_options_begin, read.stream_options_begin,
+                     std::string("\"include_usage\":true") + (read.stream_options_empty ? "" : ",")});
   } else {
     edits.push_back({read.include_usage.first, read.include_usage.second, "true"});
   }
   if (!model.empty() && !absent(read.model)) {
-    edits.push_back({read.model.first, read.model.second, Quoted(model)});
+    edits.push_back({read.model.first, read.model.second, QuoteJson(model)});
   }
   if (!added.empty()) {
     edits.push_back({read.object_begin, read.object_begin, added + (read.object_empty ? "" : ",")});
--- a/src/openai/body.h
+++ b/src/openai/body.h
@@ -14,7 +14,7 @@
 enum class Endpoint : std::uint8_t { kChat, kCompletions };
 
 // What is wrong with a request, as the API tells it: `param` names the field, empty if none is to blame.
-struct BodyFault {
+struct BodyError {
   std::string message, param, code;
 };
 
@@ -25,19 +25,19 @@
   bool include_usage = false;        // the client wants the usage chunk of a stream
   std::optional<double> max_tokens;  // of the answer; the smaller of the two fields that say so
   std::string session_hint;          // prompt_cache_key, else user; empty: none
-  std::size_t prompt_chars = 0;      // of all text in messages or prompt, in bytes of UTF-8
+  std::size_t prompt_bytes = 0;      // of all text in messages or prompt, in bytes of UTF-8
   std::uint64_t prefix = 0;          // hash of the leading system and developer messages; 0: none
-  std::size_t prefix_chars = 0;      // in bytes
+  std::size_t prefix_bytes = 0;      // in bytes
   std::uint64_t session = 0;         // hash of the conversation's opening, or of the hint; 0: none
 };
 
 struct BodyResult {
-  std::optional<Body> body;  // absent: `fault` says why
-  BodyFault fault;
+  std::optional<Body> body;  // absent: `error` says why
+  BodyError error;
   // Where the fields that a replica gets otherwise stand in the text: from, to; {0, 0}: absent.
   std::pair<std::size_t, std::size_t> stream, stream_options, include_usage, model;
-  std::size_t options_begin = 0;  // behind the brace of stream_options, if it is an object
-  bool options_empty = true;
+  std::size_t stream_options_begin = 0;  // behind the brace of stream_options, if it is an object
+  bool stream_options_empty = true;
   std::size_t object_begin = 0;  // behind the first brace
   bool object_empty = true;
 };
@@ -48,6 +48,6 @@
 
 // The same text with `stream` true and usage asked for, and another model's name if one is given. All else
 // stays byte for byte.
-std::string ForReplica(std::string_view text, const BodyResult& read, const std::string& model = "");
+std::string RewriteForReplica(std::string_view text, const BodyResult& read, const std::string& model = "");
 
 }  // namespace ryeglade::openai
--- a/src/openai/strict_json.cpp
+++ b/src/openai/strict_json.cpp
@@ -36,8 +36,8 @@
     JsonValue v{kind, depth(), {}, string, number, 0, 0};
     const bool in_object = !levels.empty() && levels.back().object;
     if (in_object) v.key = key;
-    v.to = bytes.Tell();
-    v.from = in_object ? value_from : v.to;
+    v.end = bytes.Tell();
+    v.begin = in_object ? value_from : v.end;
     return handler.OnValue(v) || Stop();
   }
   bool Stop() {
@@ -46,8 +46,8 @@
   }
   bool Open(bool object) {
     if (!Value(object ? JsonKind::kObject : JsonKind::kArray)) return false;
-    if (depth() >= kMostDepth) {
-      why = "nested deeper than " + std::to_string(kMostDepth) + " levels";
+    if (depth() >= kMaxJsonDepth) {
+      why = "nested deeper than " + std::to_string(kMaxJsonDepth) + " levels";
       return false;
     }
     levels.push_back({object, {}});
@@ -103,7 +103,7 @@
 }
 
 // `text` as a JSON string, quotes included.
-std::string Quoted(std::string_view text) {
+std::string QuoteJson(std::string_view text) {
   std::string out = "\"";
   for (const char c : text) {
     if (c == '"' || c == '\\') {
--- a/src/openai/strict_json.h
+++ b/src/openai/strict_json.h
@@ -10,7 +10,7 @@
 
 namespace ryeglade::openai {
 
-inline constexpr int kMostDepth = 64;
+inline constexpr int kMaxJsonDepth = 64;
 
 enum class JsonKind : std::uint8_t { kNull, kBool, kInteger, kNumber, kString, kObject, kArray };
 
@@ -21,8 +21,8 @@
   std::string_view key;   // within the object at hand; empty in an array
   std::string_view text;  // of a string, decoded
   double number = 0;      // of a number; 0 or 1 of a bool
-  std::size_t from = 0,
-              to = 0;  // its bytes in the text; of an object or array `to` is behind its first brace
+  std::size_t begin = 0,
+              end = 0;  // its bytes in the text; of an object or array `end` is behind its first brace
 };
 
 class JsonHandler {
@@ -36,6 +36,6 @@
 std::string ReadJson(std::string_view text, JsonHandler& handler);
 
 // `text` as a JSON string, quotes included.
-std::string Quoted(std::string_view text);
+std::string QuoteJson(std::string_view text);
 
 }  // namespace ryeglade::openai
--- a/src/rollout/supervisor.cpp
+++ b/src/rollout/supervisor.cpp
@@ -129,7 +129,7 @@
 
   // Front: requests to the control address.
   void OnRequest(Handle connection, HttpRequest request) override {
-    control_.CloseAfter(connection);
+    control_.CloseAfterResponse(connection);
     const std::string_view path = request.Path();
     if (path == "/keeper" && request.method == "GET") {
       Respond(connection, 200, EncodeStatus(Status()));
--- a/tests/openai_body_test.cpp
+++ b/tests/openai_body_test.cpp
@@ -18,22 +18,22 @@
   return R"({"model":"m")" + more + R"(,"messages":)" + kTurn + "}";
 }
 
-BodyFault Wrong(const std::string& text, Endpoint endpoint = Endpoint::kChat) {
+BodyError Wrong(const std::string& text, Endpoint endpoint = Endpoint::kChat) {
   const BodyResult r = ReadBody(text, endpoint);
   EXPECT_FALSE(r.body.has_value()) << text.substr(0, 200);
-  EXPECT_FALSE(r.fault.message.empty());
-  return r.fault;
+  EXPECT_FALSE(r.error.message.empty());
+  return r.error;
 }
 
 TEST(Body, FindsWhatTheModuleNeeds) {
   const BodyResult r = ReadBody(Chat(R"(,"max_tokens":80,"max_completion_tokens":60,"user":"u","stream":true,
       "stream_options":{"include_usage":true})"),
                                 Endpoint::kChat);
-  ASSERT_TRUE(r.body.has_value()) << r.fault.message;
+  ASSERT_TRUE(r.body.has_value()) << r.error.message;
   EXPECT_EQ(r.body->max_tokens, 60);
   EXPECT_TRUE(r.body->stream && r.body->include_usage);
   EXPECT_EQ(r.body->session_hint, "u");
-  EXPECT_EQ(r.body->prefix_chars, std::string("systemYou know the rules.").size());
+  EXPECT_EQ(r.body->prefix_bytes, std::string("systemYou know the rules.").size());
   EXPECT_NE(r.body->prefix, 0U);
 }
 
@@ -89,14 +89,14 @@
 TEST(Body, ChangesOnlyWhatItMust) {
   const std::string text =
       Chat(R"(, "temperature" : 1.0e0, "stream_options":{"include_obfuscation":false}, "stream" :true)");
-  const std::string out = ForReplica(text, ReadBody(text, Endpoint::kChat), "real\"name");
+  const std::string out = RewriteForReplica(text, ReadBody(text, Endpoint::kChat), "real\"name");
   EXPECT_EQ(
       out,
       R"({"model":"real\"name", "temperature" : 1.0e0, "stream_options":{"include_usage":true,"include_obfuscation":false}, "stream" :true,"messages":)" +
           kTurn + "}");
   const std::string plain = Chat();
   EXPECT_EQ(
-      ForReplica(plain, ReadBody(plain, Endpoint::kChat)),
+      RewriteForReplica(plain, ReadBody(plain, Endpoint::kChat)),
       R"({"stream":true,"stream_options":{"include_usage":true},"model":"m","messages":)" + kTurn + "}");
 }
 
@@ -120,7 +120,7 @@
   const std::string text = body.dump(*rc::gen::inRange(-1, 3));
   const BodyResult read = ReadBody(text, Endpoint::kChat);
   RC_ASSERT(read.body.has_value());
-  nlohmann::json out = nlohmann::json::parse(ForReplica(text, read));
+  nlohmann::json out = nlohmann::json::parse(RewriteForReplica(text, read));
   RC_ASSERT(out.at("stream") == true);
   RC_ASSERT(out.at("stream_options").at("include_usage") == true);
   out.at("stream_options").erase("include_usage");
