--- a/src/app/nodes_command.cpp
+++ b/src/app/nodes_command.cpp
@@ -18,136 +18,150 @@
 
 using Json = nlohmann::json;
 
-constexpr int kPatienceMs = 5000;
+constexpr int kTimeoutMs = 5000;
 
-HttpResponse Get(const std::string& at, const std::string& path) {
-  sockaddr_storage to{};
-  if (!ParseAddress(at, &to)) throw std::runtime_error("nodes: --at takes ip:port, not '" + at + "'");
-  return BlockingHttpCall("nodes: the status address", at, "GET", path, "", kPatienceMs);
+HttpResponse Get(const std::string& address, const std::string& path) {
+  sockaddr_storage parsed{};
+  if (!ParseAddress(address, &parsed))
+    throw std::runtime_error("nodes: --at takes ip:port, not '" + address + "'");
+  return BlockingHttpCall("nodes: the status address", address, "GET", path, "", kTimeoutMs);
 }
 
-Json Nodes(const std::string& at) {
-  const HttpResponse a = Get(at, "/nodes");
-  Json j = Json::parse(a.body, nullptr, false);
-  if (a.status != 200 || !j.is_object())
-    throw std::runtime_error("nodes: " + at + " is no status address of a node");
-  return j;
+[[noreturn]] void FailNoStatus(const std::string& address) {
+  throw std::runtime_error(
+      "nodes: " + address +
+      " is not the status address of a node; give `status` of its [membership] with --at");
 }
 
-std::string Ago(const Json& ms) {
+Json GetNodes(const std::string& address) {
+  const HttpResponse response = Get(address, "/nodes");
+  Json nodes = Json::parse(response.body, nullptr, false);
+  if (response.status != 200 || !nodes.is_object()) FailNoStatus(address);
+  return nodes;
+}
+
+// A duration in milliseconds as text; null is "never".
+std::string DurationText(const Json& ms) {
   if (!ms.is_number()) return "never";
-  const double s = ms.get<double>() / 1000;
-  if (s < 120) return fmt::format("{:.1f} s", s);
-  return s < 7200 ? fmt::format("{:.0f} min", s / 60) : fmt::format("{:.1f} h", s / 3600);
+  const double seconds = ms.get<double>() / 1000;
+  if (seconds < 120) return fmt::format("{:.1f} s", seconds);
+  return seconds < 7200 ? fmt::format("{:.0f} min", seconds / 60) : fmt::format("{:.1f} h", seconds / 3600);
 }
 
-std::string List(const Json& names) {
-  std::string all;
-  for (const Json& n : names) all += (all.empty() ? "" : ",") + n.get<std::string>();
-  return all.empty() ? "-" : all;
+std::string JoinNames(const Json& names) {
+  std::string joined;
+  for (const Json& name : names) joined += (joined.empty() ? "" : ",") + name.get<std::string>();
+  return joined.empty() ? "-" : joined;
 }
 
-std::string Table(const Json& j) {
+std::string MembersTable(const Json& j) {
   std::string out;
   const std::string phase = j.value("phase", "");
-  out += fmt::format("{} {} {}, wire {}, the decision module goes by {} nodes\n", j.value("name", ""),
+  out += fmt::format("{} {} {}, wire {}, the decision module uses a count of {} nodes\n", j.value("name", ""),
                      j.value("address", ""), phase, j.value("wire", 0), j.value("nodes_told", 0));
-  if (!j.contains("members")) return out + "waits for the process before it to yield the address\n";
+  if (!j.contains("members")) return out + "waits for the previous process to release the address\n";
   std::string state = j.value("refused", false)    ? "REFUSED: another node has this name"
                       : !j.value("joined", false)  ? "joining"
-                      : j.value("in_doubt", false) ? "IN DOUBT: absent members may live"
+                      : j.value("in_doubt", false) ? "IN DOUBT: members that it can't reach may be alive"
                       : j.value("settled", false)  ? "settled"
                                                    : "changing";
-  out += fmt::format("cluster {}, view {} with {} nodes: {}; health {} (0 is well)\n", j.value("cluster", ""),
+  out += fmt::format("cluster {}, view {} with {} nodes: {}; health {} (0 is best)\n", j.value("cluster", ""),
                      j.value("view", 0), j.value("live", 0), state, j.value("health", 0));
-  out += fmt::format("{:<20} {:<22} {:<10} {:<9} {:>9} {:>10}  {}\n", "name", "address", "zone", "standing",
-                     "for", "reached", "accused by / vouched for by");
+  out += fmt::format("{:<20} {:<22} {:<10} {:<9} {:>9} {:>10}  {}\n", "name", "address", "zone", "state",
+                     "for", "reached", "suspected by / reached by");
   for (const Json& m : j["members"]) {
     out += fmt::format("{:<20} {:<22} {:<10} {:<9} {:>9} {:>10}  {} / {}\n", m.value("name", ""),
                        m.value("address", ""), m.value("zone", "").empty() ? "-" : m.value("zone", ""),
-                       m.value("standing", ""), Ago(m["since_ms_ago"]), Ago(m["reached_ms_ago"]),
-                       List(m["accusers"]), List(m["vouchers"]));
+                       m.value("standing", ""), DurationText(m["since_ms_ago"]),
+                       DurationText(m["reached_ms_ago"]), JoinNames(m["accusers"]), JoinNames(m["vouchers"]));
   }
   return out;
 }
 
-// A reason word in words.
-const char* Meaning(const std::string& what) {
-  static const std::map<std::string, const char*> all = {
-      {"member-alive", "was reached there and back for the first time"},
-      {"member-suspect", "could not be reached, said"},
-      {"member-refuted", "said otherwise with a higher incarnation, heard from"},
-      {"member-cleared", "nobody accuses it any more"},
-      {"member-dead", "is taken for dead, decided or told by"},
-      {"member-left", "left in order, heard from"},
-      {"member-leaving", "says that it will leave, heard from"},
-      {"member-returned", "came back and was reached"},
-      {"member-restarted", "is a new process under the same name, heard from"}};
-  const auto it = all.find(what);
-  return it == all.end() ? "" : it->second;
+// Describes an entry of a member's history, before the name of the node that it came from. Returns an empty
+// text if the event is unknown.
+const char* EventDescription(const std::string& event) {
+  static const std::map<std::string, const char*> descriptions = {
+      {"member-alive", "was reached in both directions for the first time"},
+      {"member-suspect", "could not be reached, reported by"},
+      {"member-refuted", "refuted the suspicion with a higher incarnation, received from"},
+      {"member-cleared", "is no longer suspected by any node"},
+      {"member-dead", "is considered dead, decided or reported by"},
+      {"member-left", "left the cluster, received from"},
+      {"member-leaving", "announced that it will leave, received from"},
+      {"member-returned", "returned and was reached"},
+      {"member-restarted", "is a new process with the same name, received from"}};
+  const auto it = descriptions.find(event);
+  return it == descriptions.end() ? "" : it->second;
 }
 
-// What a node does with what the others tell it.
+// How a node uses what the other nodes gossip about traffic and replicas.
 std::string TierTable(const Json& j) {
   static const std::map<std::string, const char*> states = {
-      {"shares", "worked out from what the nodes tell"},
-      {"held", "held: the view is in doubt"},
-      {"stepping-back", "going back to the equal part: the view has been in doubt for long"},
-      {"equal", "the equal part: nothing is known"}};
-  static const std::map<std::string, const char*> whys = {
-      {"left-alone", "left alone on their word"},
-      {"too-few-accusers", "used: too few accuse it"},
-      {"answers-here", "used: it answers here"},
-      {"answered-since", "used: it has answered since"},
-      {"tries", "this node goes on trying it for all"},
-      {"too-many-out", "used: as many as may are left alone already"}};
-  const auto words = [](const auto& all, const std::string& key) {
-    const auto at = all.find(key);
-    return at == all.end() ? key : std::string(at->second);
+      {"shares", "computed from the reports of the nodes"},
+      {"held", "kept unchanged: the view is in doubt"},
+      {"stepping-back", "returning to the equal share: the view has been in doubt for long"},
+      {"equal", "the equal share: nothing is known"}};
+  static const std::map<std::string, const char*> reasons = {
+      {"left-alone", "ejected because of their reports"},
+      {"too-few-accusers", "used: too few nodes report it"},
+      {"answers-here", "used: it answers this node"},
+      {"answered-since", "used: it has answered since the reports"},
+      {"tries", "used: this node keeps trying it for all nodes"},
+      {"too-many-out", "used: the limit of ejected replicas is reached"}};
+  const auto describe = [](const auto& descriptions, const std::string& key) {
+    const auto it = descriptions.find(key);
+    return it == descriptions.end() ? key : std::string(it->second);
   };
-  std::string out = fmt::format("{}: part {:.4f} of the tier's traffic, {}{}\n", j.value("name", ""),
-                                j.value("part", 0.0), words(states, j.value("state", "")),
-                                j.value("doubts_itself", false) ? "; it doubts its own sight" : "");
-  out += fmt::format("{:<20} {:>10} {:>8}\n", "node", "requests/s", "part");
+  std::string out =
+      fmt::format("{}: share {:.4f} of the cluster's traffic, {}{}\n", j.value("name", ""),
+                  j.value("part", 0.0), describe(states, j.value("state", "")),
+                  j.value("doubts_itself", false) ? "; it doubts its own view of the replicas" : "");
+  out += fmt::format("{:<20} {:>10} {:>8}\n", "node", "requests/s", "share");
   for (const Json& n : j["nodes"]) {
     out += fmt::format("{:<20} {:>10.2f} {:>8.4f}{}\n", n.value("name", ""), n.value("rate", 0.0),
                        n.value("part", 0.0),
-                       !n.value("told", false)   ? "  has told nothing: the mean"
-                       : n.value("stale", false) ? "  old"
+                       !n.value("told", false)   ? "  no report yet: the mean of the others"
+                       : n.value("stale", false) ? "  outdated report"
                                                  : "");
   }
   for (const Json& r : j["replicas"]) {
-    out += fmt::format("{}: {}; accused by {}{}\n", r.value("host", ""), words(whys, r.value("why", "")),
-                       List(r["accusers"]),
-                       r.value("answered", "").empty() ? "" : "; answered " + r.value("answered", ""));
+    out += fmt::format("{}: {}; reported by {}{}\n", r.value("host", ""),
+                       describe(reasons, r.value("why", "")), JoinNames(r["accusers"]),
+                       r.value("answered", "").empty() ? "" : "; answers " + r.value("answered", ""));
   }
   return out;
 }
 
 }  // namespace
 
-NodesCommand::NodesCommand(CLI::App& app, NodesOptions* options) : o_(options) {
-  group_ = app.add_subcommand("nodes", "what a node thinks of the other nodes");
+NodesCommand::NodesCommand(CLI::App& app, NodesOptions* options) : options_(options) {
+  group_ = app.add_subcommand("nodes", "a node's view of the other nodes");
   group_->require_subcommand(1);
   const auto add = [&](const char* name, const char* what) {
     CLI::App* command = group_->add_subcommand(name, what);
-    command->add_option("--at", o_->at, "the node's status address, ip:port");
+    command->add_option("--at", options_->status_address, "the node's status address, ip:port");
     return command;
   };
-  show_ = add("show", "all members, as they stand in its view");
-  show_->add_flag("--json", o_->json, "as the status address gives it");
-  watch_ = add("watch", "the same again and again, and a line for each change");
-  watch_->add_option("--every", o_->every, "seconds")->check(CLI::Range(0.1, 3600.0));
-  watch_->add_option("--times", o_->times, "looks; 0: until Ctrl-C")->check(CLI::Range(0, 1'000'000));
-  explain_ = add("explain", "what happened to one member: who accused it, who vouched, what refuted it");
-  explain_->add_option("name", o_->name, "the member")->required();
+  show_ = add("show", "all members and their states in its view");
+  show_->add_flag("--json", options_->json, "print the JSON of the status address unchanged");
+  watch_ = add("watch", "print all members, then a line for each change");
+  watch_->add_option("--every", options_->interval, "seconds between two polls")
+      ->check(CLI::Range(0.1, 3600.0));
+  watch_->add_option("--times", options_->polls, "number of polls; 0: until Ctrl-C")
+      ->check(CLI::Range(0, 1'000'000));
+  explain_ =
+      add("explain",
+          "the history of one member: which nodes suspected it, which reached it, what refuted a suspicion");
+  explain_->add_option("name", options_->member, "the member's name")->required();
   tier_ = add("tier",
-              "this node's part of the tier's traffic, what each node tells, which replicas are left alone");
-  tier_->add_flag("--json", o_->json, "as the status address gives it");
-  check_ =
-      add("check",
-          "exit with 0 where the view is settled, 1 where it is in doubt, refused or not joined, 2 where "
-          "it changes");
+              "this node's share of the traffic, the rate of each node, and the replicas that nodes report "
+              "as failing");
+  tier_->add_flag("--json", options_->json, "print the JSON of the status address unchanged");
+  check_ = add(
+      "check",
+      "exit with 0 if the view is settled, 1 if it is in doubt or the node is refused or has not joined, 2 "
+      "if the view is changing");
 }
 
 bool NodesCommand::chosen() const { return group_->parsed(); }
@@ -156,82 +170,89 @@
   if (*show_) return Show();
   if (*watch_) return Watch();
   if (*explain_) return Explain();
-  if (*tier_) return Tier();
+  if (*tier_) return ShowTier();
   return Check();
 }
 
 int NodesCommand::Show() {
-  if (o_->json) return std::fputs(Get(o_->at, "/nodes").body.c_str(), stdout) < 0 ? 1 : 0;
-  return std::fputs(Table(Nodes(o_->at)).c_str(), stdout) < 0 ? 1 : 0;
+  if (options_->json)
+    return std::fputs(Get(options_->status_address, "/nodes").body.c_str(), stdout) < 0 ? 1 : 0;
+  return std::fputs(MembersTable(GetNodes(options_->status_address)).c_str(), stdout) < 0 ? 1 : 0;
 }
 
 int NodesCommand::Watch() {
-  std::map<std::string, std::string> last;
-  std::string last_state;
-  for (int i = 0; o_->times == 0 || i < o_->times; ++i) {
-    if (i > 0) std::this_thread::sleep_for(std::chrono::duration<double>(o_->every));
-    const Json j = Nodes(o_->at);
-    if (i == 0) std::fputs(Table(j).c_str(), stdout);
-    std::map<std::string, std::string> now;
+  std::map<std::string, std::string> last_states;  // by member
+  std::string last_view_state;
+  for (int i = 0; options_->polls == 0 || i < options_->polls; ++i) {
+    if (i > 0) std::this_thread::sleep_for(std::chrono::duration<double>(options_->interval));
+    const Json j = GetNodes(options_->status_address);
+    if (i == 0) std::fputs(MembersTable(j).c_str(), stdout);
+    std::map<std::string, std::string> states;
     for (const Json& m : j.value("members", Json::array()))
-      now[m.value("name", "")] = m.value("standing", "");
-    const std::string state = j.value("in_doubt", false)  ? "in doubt"
-                              : j.value("settled", false) ? "settled"
-                                                          : "changing";
+      states[m.value("name", "")] = m.value("standing", "");
+    const std::string view_state = j.value("in_doubt", false)  ? "in doubt"
+                                   : j.value("settled", false) ? "settled"
+                                                               : "changing";
     if (i > 0) {
-      for (const auto& [name, standing] : now) {
-        const std::string before = last.contains(name) ? last[name] : "unknown";
-        if (before != standing) std::printf("%s: %s -> %s\n", name.c_str(), before.c_str(), standing.c_str());
+      for (const auto& [name, state] : states) {
+        const std::string before = last_states.contains(name) ? last_states[name] : "unknown";
+        if (before != state) std::printf("%s: %s -> %s\n", name.c_str(), before.c_str(), state.c_str());
       }
-      for (const auto& [name, standing] : last) {
-        if (!now.contains(name)) std::printf("%s: %s -> forgotten\n", name.c_str(), standing.c_str());
+      for (const auto& [name, state] : last_states) {
+        if (!states.contains(name)) std::printf("%s: %s -> forgotten\n", name.c_str(), state.c_str());
       }
-      if (state != last_state)
-        std::printf("the view: %s -> %s, %d nodes\n", last_state.c_str(), state.c_str(), j.value("live", 0));
+      if (view_state != last_view_state)
+        std::printf("the view: %s -> %s, %d nodes\n", last_view_state.c_str(), view_state.c_str(),
+                    j.value("live", 0));
     }
     std::fflush(stdout);
-    last = std::move(now);
-    last_state = state;
+    last_states = std::move(states);
+    last_view_state = view_state;
   }
   return 0;
 }
 
 int NodesCommand::Explain() {
-  const HttpResponse a = Get(o_->at, "/nodes/" + o_->name);
-  if (a.status == 404) {
-    std::fprintf(stderr, "ryeglade: %s knows no node '%s'\n", o_->at.c_str(), o_->name.c_str());
+  const HttpResponse response = Get(options_->status_address, "/nodes/" + options_->member);
+  if (response.status == 404) {
+    std::fprintf(stderr, "ryeglade: %s knows no node '%s'\n", options_->status_address.c_str(),
+                 options_->member.c_str());
     return 1;
   }
-  const Json m = Json::parse(a.body, nullptr, false);
-  if (!m.is_object()) throw std::runtime_error("nodes: " + o_->at + " is no status address of a node");
-  std::printf("%s at %s is %s for %s (incarnation %llu); last reached from here %s%s\n", o_->name.c_str(),
-              m.value("address", "").c_str(), m.value("standing", "").c_str(), Ago(m["since_ms_ago"]).c_str(),
+  const Json m = Json::parse(response.body, nullptr, false);
+  if (!m.is_object()) FailNoStatus(options_->status_address);
+  std::printf("%s at %s is %s for %s (incarnation %llu); last reached from here %s%s\n",
+              options_->member.c_str(), m.value("address", "").c_str(), m.value("standing", "").c_str(),
+              DurationText(m["since_ms_ago"]).c_str(),
               static_cast<unsigned long long>(m.value("incarnation", std::uint64_t{0})),
-              Ago(m["reached_ms_ago"]).c_str(), m["reached_ms_ago"].is_number() ? " ago" : "");
-  std::printf("accused by %s; vouched for by %s\n", List(m["accusers"]).c_str(), List(m["vouchers"]).c_str());
+              DurationText(m["reached_ms_ago"]).c_str(), m["reached_ms_ago"].is_number() ? " ago" : "");
+  std::printf("suspected by %s; reached by %s\n", JoinNames(m["accusers"]).c_str(),
+              JoinNames(m["vouchers"]).c_str());
   for (const Json& line : m["history"]) {
-    const std::string what = line.value("what", "");
+    const std::string event = line.value("what", "");
     const std::string by = line.value("by", "");
-    std::printf("  %10s ago  %-17s %s%s%s\n", Ago(line["ms_ago"]).c_str(), what.c_str(), Meaning(what),
-                by.empty() ? "" : " ", by.c_str());
+    std::printf("  %10s ago  %-17s %s%s%s\n", DurationText(line["ms_ago"]).c_str(), event.c_str(),
+                EventDescription(event), by.empty() ? "" : " ", by.c_str());
   }
   return 0;
 }
 
-int NodesCommand::Tier() {
-  const HttpResponse a = Get(o_->at, "/tier");
-  const Json j = Json::parse(a.body, nullptr, false);
-  if (a.status == 404 || !j.is_object()) {
-    std::fprintf(stderr, "ryeglade: the node at %s has no [tier] in its settings\n", o_->at.c_str());
+int NodesCommand::ShowTier() {
+  const HttpResponse response = Get(options_->status_address, "/tier");
+  const Json j = Json::parse(response.body, nullptr, false);
+  if (response.status == 404 || !j.is_object()) {
+    std::fprintf(stderr,
+                 "ryeglade: the node at %s has no [tier] in its settings; add that table and restart it\n",
+                 options_->status_address.c_str());
     return 1;
   }
-  if (o_->json) return std::fputs(a.body.c_str(), stdout) < 0 ? 1 : 0;
+  if (options_->json) return std::fputs(response.body.c_str(), stdout) < 0 ? 1 : 0;
   std::fputs(TierTable(j).c_str(), stdout);
   return 0;
 }
 
 int NodesCommand::Check() {
-  const Json j = Nodes(o_->at);
+  const Json j = GetNodes(options_->status_address);
   const bool joined = j.value("joined", false);
   const bool doubt = j.value("in_doubt", true);
   const bool refused = j.value("refused", false);
--- a/src/app/nodes_command.h
+++ b/src/app/nodes_command.h
@@ -1,4 +1,4 @@
-// `ryeglade nodes`: what a node thinks of the others, read from the status address of its membership.
+// `ryeglade nodes`: a node's view of the other nodes, read from the status address of its membership.
 #pragma once
 
 #include <string>
@@ -10,27 +10,28 @@
 namespace ryeglade {
 
 struct NodesOptions {
-  std::string at = "127.0.0.1:7947", name;
-  double every = 1;  // seconds, of `watch`
-  int times = 0;     // looks of `watch`; 0: until Ctrl-C
-  bool json = false;
+  std::string status_address = "127.0.0.1:7947";  // ip:port
+  std::string member;                             // for `explain`: its name
+  double interval = 1;                            // for `watch`: seconds between two polls
+  int polls = 0;                                  // for `watch`; 0: until Ctrl-C
+  bool json = false;                              // print the response unchanged
 };
 
 class NodesCommand {
  public:
-  // Adds the sub-commands; `options` must live as long as the app.
+  // Adds the sub-commands. `options` must outlive the app, which fills it.
   NodesCommand(CLI::App& app, NodesOptions* options);
   bool chosen() const;
-  int Run();  // its exit code; throws std::runtime_error
+  int Run();  // returns the exit code; throws std::runtime_error
 
  private:
   int Show();
   int Watch();
   int Explain();
-  int Tier();
+  int ShowTier();
   int Check();
 
-  NodesOptions* o_;
+  NodesOptions* options_;
   CLI::App *group_, *show_, *watch_, *explain_, *tier_, *check_;
 };
 
--- a/src/app/timeline_command.cpp
+++ b/src/app/timeline_command.cpp
@@ -33,17 +33,22 @@
 namespace fs = std::filesystem;
 using namespace timeline;
 
-// On a terminal only; a line that is written over.
-std::function<void(std::size_t, std::size_t)> Progress() {
+// The most bins of a summary as text, of a table and of a plot.
+constexpr std::uint32_t kTextBins = 1800;
+constexpr std::uint32_t kTableBins = 100'000;
+constexpr std::uint32_t kPlotBins = 500;
+
+// Shows the progress in a line that is overwritten. Returns null if stderr is no terminal.
+std::function<void(std::size_t, std::size_t)> MakeProgress() {
   if (isatty(STDERR_FILENO) == 0) return nullptr;
-  return [](std::size_t file, std::size_t of) {
-    std::fprintf(stderr, "\r%zu of %zu files%s", file, of, file == of ? "\n" : "");
+  return [](std::size_t done, std::size_t total) {
+    std::fprintf(stderr, "\r%zu of %zu files%s", done, total, done == total ? "\n" : "");
     std::fflush(stderr);
   };
 }
 
 LoadOptions LoadOptionsFor(const TimelineOptions& options, std::uint32_t max_bins) {
-  return {options.span, max_bins, options.again, Progress()};
+  return {options.span, max_bins, options.again, MakeProgress()};
 }
 
 std::string Lower(std::string text) {
@@ -51,39 +56,40 @@
   return text;
 }
 
+// Throws an error that lists replicas with similar names if there is none of this name or id.
 const ReplicaTimeline& FindReplica(const ReplicaTimelines& timelines, const std::string& name) {
   const std::string wanted = Lower(name);
-  std::string near;
+  std::string similar;
   for (const auto& [id, replica] : timelines.replicas()) {
     if (Lower(replica.name) == wanted || fmt::format("{:08x}", id) == wanted) return replica;
-    if (Lower(replica.Title()).find(wanted) != std::string::npos && near.size() < 200)
-      near += " " + replica.Title();
+    if (Lower(replica.Title()).find(wanted) != std::string::npos && similar.size() < 200)
+      similar += " " + replica.Title();
   }
-  throw std::runtime_error("--replica: no '" + name + "' in this record" +
-                           (near.empty() ? "" : "; there is" + near));
+  throw std::runtime_error("--replica: no replica '" + name + "' in this record" +
+                           (similar.empty() ? "" : "; similar names are:" + similar));
 }
 
-// Names of requests stand between a space and a space, a point or a comma.
-bool Mentions(const std::string& words, const std::string& name) {
-  for (std::size_t at = words.find(" " + name); at != std::string::npos;
-       at = words.find(" " + name, at + 1)) {
+// Whether the text of a record names a request: after a space, and before a space, a full stop, a comma or
+// the end.
+bool MentionsRequest(const std::string& text, const std::string& name) {
+  for (std::size_t at = text.find(" " + name); at != std::string::npos; at = text.find(" " + name, at + 1)) {
     const std::size_t end = at + 1 + name.size();
-    if (end == words.size() || words[end] == ' ' || words[end] == '.' || words[end] == ',') return true;
+    if (end == text.size() || text[end] == ' ' || text[end] == '.' || text[end] == ',') return true;
   }
   return false;
 }
 
 void WriteFile(const std::string& path, const std::string& text) {
-  const FileError fault = ReplaceFile(path, text, 0644);
-  if (fault.error != 0)
-    throw std::runtime_error(fmt::format("{}: {}: {}", path, fault.what, std::strerror(fault.error)));
+  const FileError error = ReplaceFile(path, text, 0644);
+  if (error.error != 0)
+    throw std::runtime_error(fmt::format("{}: {}: {}", path, error.what, std::strerror(error.error)));
 }
 
 }  // namespace
 
 TimelineCommand::TimelineCommand(CLI::App& app, TimelineOptions* options) : options_(options) {
   group_ =
-      app.add_subcommand("timeline", "read flight records: what the decision module was told and decided");
+      app.add_subcommand("timeline", "read flight records: the inputs and decisions of the decision module");
   group_->require_subcommand(1);
   const auto add = [&](const char* name, const char* what) {
     CLI::App* c = group_->add_subcommand(name, what);
@@ -92,34 +98,36 @@
   };
   const auto span = [&](CLI::App* c) {
     c->add_option("--span", options_->span,
-                  "only from, and to: Unix milliseconds, or +SECONDS since the begin")
+                  "only from this time, and to this one: Unix milliseconds, or +SECONDS since the begin")
         ->expected(1, 2)
         ->delimiter(',');
   };
-  verify_ = add("verify", "run the record again and compare each decision");
-  show_ = add("show", "the fleet, or with --replica one replica, in words");
-  show_->add_option("--replica", options_->replica, "its name, or its eight digits");
+  verify_ = add("verify", "replay the record and compare each decision");
+  show_ = add("show", "the fleet, or with --replica one replica, as text");
+  show_->add_option("--replica", options_->replica, "its name, or its id of eight hexadecimal digits");
   show_->add_option("--request", options_->request, "only records that name this request");
-  show_->add_flag("--records", options_->records, "each record by itself");
+  show_->add_flag("--records", options_->records, "print single records instead of a summary");
   span(show_);
-  events_ = add("events", "what departed from the usual");
-  events_->add_flag("--again", options_->again, "look anew instead of reading what the node noticed");
+  events_ = add("events", "anomalies of replicas and of the fleet");
+  events_->add_flag("--again", options_->again,
+                    "detect them anew instead of reading those that the node recorded");
   span(events_);
-  why_ = group_->add_subcommand("why", "one request's whole story, with reasons");
+  why_ = group_->add_subcommand("why", "everything about one request, with the reasons of its decisions");
   why_->add_option("request", options_->request,
-                   "what its client calls it, x-request-id, or the module's number")
+                   "the client's id, x-request-id, or the decision module's number")
       ->required();
   why_->add_option("path", options_->paths, "flight files, or directories of them")->required();
-  merge_ = add("merge", "several nodes' records as one line per replica; each path is one node");
-  merge_->add_option("--replica", options_->replica, "one replica in words");
-  merge_->add_option("--plot", options_->out, "draw it too: a name ending in .svg or .png");
+  merge_ =
+      add("merge", "merge the records of several nodes, with one line per replica; each path is one node");
+  merge_->add_option("--replica", options_->replica, "one replica, as text");
+  merge_->add_option("--plot", options_->out, "also plot to this file, whose name ends in .svg or .png");
   span(merge_);
-  export_ = add("export", "write tables: CSV files, or one columnar file; more paths are more nodes");
-  export_->add_option("--csv", options_->csv, "a directory for one file each table");
+  export_ = add("export", "write tables as CSV files or as one HDF5 file; each path is one node");
+  export_->add_option("--csv", options_->csv, "a directory, which gets one file per table");
   export_->add_option("--hdf5", options_->hdf5, "an HDF5 file");
   span(export_);
-  plot_ = add("plot", "draw a lane for each replica; more paths are more nodes");
-  plot_->add_option("-o,--out", options_->out, "a name ending in .svg or .png")->required();
+  plot_ = add("plot", "plot one row per replica; each path is one node");
+  plot_->add_option("-o,--out", options_->out, "the file, whose name ends in .svg or .png")->required();
   plot_->add_option("--title", options_->title);
   plot_->add_option("--width", options_->width, "pixels")->check(CLI::Range(600, 8000));
   span(plot_);
@@ -131,7 +139,7 @@
   if (*verify_) return Verify();
   if (*show_) return Show();
   if (*events_) return Events();
-  if (*why_) return Why();
+  if (*why_) return ExplainRequest();
   if (*merge_) return MergeNodes();
   if (*export_) return Export();
   return Plot();
@@ -140,7 +148,7 @@
 int TimelineCommand::Verify() {
   Verifier verifier;
   const ReadTotals totals = ReadFlight(
-      FlightFiles(options_->paths), [&](const Record& r) { verifier.AddRecord(r); }, Progress());
+      FlightFiles(options_->paths), [&](const Record& r) { verifier.AddRecord(r); }, MakeProgress());
   Print(fmt::format("{} blocks, {} starts; {} of {} decisions reproduced, {} could not be compared\n",
                     totals.report.blocks, verifier.starts(), verifier.matched(), verifier.decisions(),
                     verifier.skipped()));
@@ -151,7 +159,7 @@
 
 int TimelineCommand::Show() {
   if (!options_->records && options_->request.empty()) {
-    const LoadedTimelines loaded = LoadTimelines(options_->paths, LoadOptionsFor(*options_, 1800));
+    const LoadedTimelines loaded = LoadTimelines(options_->paths, LoadOptionsFor(*options_, kTextBins));
     if (options_->replica.empty()) {
       PrintFleet(loaded.timelines);
     } else {
@@ -162,40 +170,43 @@
   }
   const std::vector<std::string> files = FlightFiles(options_->paths);
   const timeline::ReplicaTimelineOptions bounds = BoundsOf(LoadOptionsFor(*options_, 1), files);
-  std::string digits = Lower(options_->replica);
+  // The name until the record that tells its id has been read; the text of a record contains the id.
+  std::string replica_id = Lower(options_->replica);
   const ReadTotals totals = ReadFlight(files, [&](const Record& r) {
     const Time at = RecordTime(r);
-    if (const auto* m = std::get_if<EndpointRecord>(&r); m != nullptr && Lower(m->name) == digits)
-      digits = fmt::format("{:08x}", m->id);
+    if (const auto* endpoint = std::get_if<EndpointRecord>(&r);
+        endpoint != nullptr && Lower(endpoint->name) == replica_id)
+      replica_id = fmt::format("{:08x}", endpoint->id);
     if (at != 0 && ((bounds.from != 0 && at < bounds.from) || (bounds.to != 0 && at > bounds.to))) return;
-    const std::string words = ToText(r);
-    if (!digits.empty() && words.find(digits) == std::string::npos) return;
-    if (!options_->request.empty() && !Mentions(words, options_->request)) return;
-    Print(words + "\n");
+    const std::string text = ToText(r);
+    if (!replica_id.empty() && text.find(replica_id) == std::string::npos) return;
+    if (!options_->request.empty() && !MentionsRequest(text, options_->request)) return;
+    Print(text + "\n");
   });
   Print(totals.Losses());
   return 0;
 }
 
 int TimelineCommand::Events() {
-  const LoadedTimelines loaded = LoadTimelines(options_->paths, LoadOptionsFor(*options_, 1800));
-  for (const Anomaly& u : loaded.timelines.anomalies()) Print(AnomalyLine(loaded.timelines, u));
+  const LoadedTimelines loaded = LoadTimelines(options_->paths, LoadOptionsFor(*options_, kTextBins));
+  for (const Anomaly& anomaly : loaded.timelines.anomalies()) Print(AnomalyLine(loaded.timelines, anomaly));
   std::size_t begun = 0;
-  for (const Anomaly& u : loaded.timelines.anomalies()) begun += u.begins ? 1 : 0;
-  Print(fmt::format("{} unusual events in {:.0f} s\n", begun,
+  for (const Anomaly& anomaly : loaded.timelines.anomalies()) begun += anomaly.begins ? 1 : 0;
+  Print(fmt::format("{} anomalies in {:.0f} s\n", begun,
                     static_cast<double>(loaded.timelines.end() - loaded.timelines.begin()) / 1e6));
   Print(loaded.totals.Losses());
   return 0;
 }
 
-int TimelineCommand::Why() {
-  RequestTrace story(options_->request);
+int TimelineCommand::ExplainRequest() {
+  RequestTrace trace(options_->request);
   const ReadTotals totals = ReadWithReasons(
-      FlightFiles(options_->paths), [&](const Record& r) { story.AddRecord(r); }, Progress());
-  for (const std::string& line : story.Lines()) Print(line + "\n");
+      FlightFiles(options_->paths), [&](const Record& r) { trace.AddRecord(r); }, MakeProgress());
+  for (const std::string& line : trace.Lines()) Print(line + "\n");
   Print(totals.Losses());
-  if (story.found() > 0) return 0;
-  std::fprintf(stderr, "ryeglade: no request '%s' in this record; its times may be rotated away\n",
+  if (trace.found() > 0) return 0;
+  std::fprintf(stderr,
+               "ryeglade: no request '%s' in this record; the files of its time may have been deleted\n",
                options_->request.c_str());
   return 1;
 }
@@ -203,16 +214,16 @@
 int TimelineCommand::MergeNodes() {
   std::string losses;
   const std::vector<ReplicaTimelines> nodes =
-      LoadNodes(options_->paths, LoadOptionsFor(*options_, 1800), &losses);
+      LoadNodes(options_->paths, LoadOptionsFor(*options_, kTextBins), &losses);
   const TimelineMerge merge(nodes);
   for (const MergedNode& n : merge.nodes()) {
     Print(n.common_generations > 0
-              ? fmt::format("{}: clock {:+.3f} s, from {} generations told to both, within {:.3f} s\n",
+              ? fmt::format("{}: clock {:+.3f} s, from {} generations that both received, within {:.3f} s\n",
                             n.name, static_cast<double>(n.offset) / 1e6, n.common_generations,
                             static_cast<double>(n.offset_spread) / 1e6)
           : &n == &merge.nodes().front()
-              ? fmt::format("{}: its clock counts\n", n.name)
-              : fmt::format("{}: no generation in common; its clock is taken as it is\n", n.name));
+              ? fmt::format("{}: reference clock\n", n.name)
+              : fmt::format("{}: no generation in common; its clock is not corrected\n", n.name));
   }
   if (options_->replica.empty()) {
     PrintFleet(merge.timelines());
@@ -232,29 +243,30 @@
   if (options_->csv.empty() == options_->hdf5.empty())
     throw std::runtime_error("give one of --csv DIRECTORY and --hdf5 FILE");
   if (!options_->hdf5.empty()) {
-    // The library for it is not loaded into the node: a program of its own beside this one writes the file.
-    const fs::path beside = fs::read_symlink("/proc/self/exe").parent_path() / "ryeglade-export";
-    std::vector<std::string> words{beside.string(), "--out", options_->hdf5};
+    // A separate program in the same directory writes the file, so that the node need not load the HDF5
+    // library.
+    const fs::path exporter = fs::read_symlink("/proc/self/exe").parent_path() / "ryeglade-export";
+    std::vector<std::string> arguments{exporter.string(), "--out", options_->hdf5};
     if (!options_->span.empty())
-      words.push_back("--span=" + options_->span[0] +
-                      (options_->span.size() > 1 ? "," + options_->span[1] : ""));
-    words.insert(words.end(), options_->paths.begin(), options_->paths.end());
+      arguments.push_back("--span=" + options_->span[0] +
+                          (options_->span.size() > 1 ? "," + options_->span[1] : ""));
+    arguments.insert(arguments.end(), options_->paths.begin(), options_->paths.end());
     std::vector<char*> argv;
-    argv.reserve(words.size() + 1);
-    for (std::string& w : words) argv.push_back(w.data());
+    argv.reserve(arguments.size() + 1);
+    for (std::string& argument : arguments) argv.push_back(argument.data());
     argv.push_back(nullptr);
-    execv(words[0].c_str(), argv.data());
-    throw std::runtime_error(words[0] + " is not there; build with libhdf5-dev installed, or use --csv");
+    execv(arguments[0].c_str(), argv.data());
+    throw std::runtime_error(arguments[0] + " can't be run; build with libhdf5-dev installed, or use --csv");
   }
   std::string losses;
   const std::vector<ReplicaTimelines> nodes =
-      LoadNodes(options_->paths, LoadOptionsFor(*options_, 100'000), &losses);
+      LoadNodes(options_->paths, LoadOptionsFor(*options_, kTableBins), &losses);
   const TimelineMerge merge(nodes);
   fs::create_directories(options_->csv);
-  for (const TextTable& sheet : TimelineTables(nodes.size() == 1 ? nodes.front() : merge.timelines())) {
-    const std::string path = (fs::path(options_->csv) / (sheet.name + ".csv")).string();
-    WriteFile(path, Csv(sheet));
-    Print(fmt::format("{}: {} rows\n", path, sheet.rows()));
+  for (const TextTable& table : TimelineTables(nodes.size() == 1 ? nodes.front() : merge.timelines())) {
+    const std::string path = (fs::path(options_->csv) / (table.name + ".csv")).string();
+    WriteFile(path, Csv(table));
+    Print(fmt::format("{}: {} rows\n", path, table.rows()));
   }
   Print(losses);
   return 0;
@@ -263,7 +275,7 @@
 int TimelineCommand::Plot() {
   std::string losses;
   const std::vector<ReplicaTimelines> nodes =
-      LoadNodes(options_->paths, LoadOptionsFor(*options_, 500), &losses);
+      LoadNodes(options_->paths, LoadOptionsFor(*options_, kPlotBins), &losses);
   const TimelineMerge merge(nodes);
   RunGnuplot(TimelinePlotScript(nodes.size() == 1 ? nodes.front() : merge.timelines(),
                                 {options_->out, options_->title, options_->width}));
--- a/src/app/timeline_command.h
+++ b/src/app/timeline_command.h
@@ -14,27 +14,28 @@
 
 struct TimelineOptions {
   std::vector<std::string> paths;  // flight files, or directories of them
-  std::string replica;             // its name, or its eight digits
-  std::string request;             // the module's number, or what its client calls it
+  std::string replica;             // name, or id of eight hexadecimal digits; empty: all
+  std::string request;             // the client's id, or the decision module's number; empty: all
   std::vector<std::string> span;   // from and to: Unix time in milliseconds, or "+SECONDS" since the begin
-  bool records = false;            // one by one, instead of a summary
-  bool again = false;              // look for the unusual anew
-  std::string out, title, csv, hdf5;
-  int width = 1400;
+  bool records = false;            // print single records instead of a summary
+  bool again = false;              // detect anomalies anew instead of reading the recorded ones
+  std::string out, csv, hdf5;      // output paths; empty: none
+  std::string title;               // of the plot
+  int width = 1400;                // of the plot, in pixels
 };
 
 class TimelineCommand {
  public:
-  // Adds the sub-commands; `options` must live as long as the app.
+  // Adds the sub-commands. `options` must outlive the app, which fills it.
   TimelineCommand(CLI::App& app, TimelineOptions* options);
   bool chosen() const;
-  int Run();  // its exit code; throws std::runtime_error
+  int Run();  // returns the exit code; throws std::runtime_error
 
  private:
   int Verify();
   int Show();
   int Events();
-  int Why();
+  int ExplainRequest();
   int MergeNodes();
   int Export();
   int Plot();
--- a/src/app/timeline_output.cpp
+++ b/src/app/timeline_output.cpp
@@ -15,8 +15,8 @@
 namespace ryeglade::timeline {
 namespace {
 
-constexpr std::uint32_t kMaxBinLines = 30;
-constexpr std::size_t kMaxFleetAnnotations = 60;
+constexpr std::uint32_t kMaxBinLines = 30;        // of one replica
+constexpr std::size_t kMaxFleetAnnotations = 60;  // the newest are printed
 
 double Seconds(Time span) { return static_cast<double>(span) / 1e6; }
 
@@ -29,14 +29,14 @@
 }
 
 std::string EjectionText(const EjectionSpan& ejection) {
-  return fmt::format("gets nothing new for {:.0f} ms: {}, {} failures in a row",
+  return fmt::format("ejected for {:.0f} ms: {}, {} failures in a row",
                      static_cast<double>(ejection.until - ejection.from) / 1000,
                      ryeglade::Name(ejection.outcome), ejection.consecutive_failures);
 }
 
 std::string AnomalyText(const Anomaly& anomaly) {
-  return fmt::format("unusual #{} {}: {}{}; {:.4g} before, {:.4g} while it lasts, {:.4g} elsewhere",
-                     anomaly.number, anomaly.begins ? "begins" : "ends", Name(anomaly.kind),
+  return fmt::format("anomaly #{} {}: {}{}; {:.4g} before, {:.4g} during, {:.4g} on peers", anomaly.number,
+                     anomaly.begins ? "begins" : "ends", Name(anomaly.kind),
                      anomaly.fleet ? " of the fleet" : "", anomaly.baseline, anomaly.during, anomaly.peers);
 }
 
@@ -45,12 +45,12 @@
 }
 
 std::string LoadText(const ReplicaBin& bin) {
-  if (bin.load < 0) return "not told";
+  if (bin.load < 0) return "unknown";
   if (bin.load_age >= 0) return fmt::format("{:g} ({:.0f}s)", bin.load, bin.load_age);
   return fmt::format("{:g}", bin.load);
 }
 
-// What happened to the replica, in the order of time.
+// Prints what happened to the replica, in the order of time.
 void PrintEvents(const ReplicaTimelines& timelines, const ReplicaTimeline& replica) {
   std::vector<std::pair<Time, std::string>> lines;
   for (const StateSpan& span : replica.spans) lines.emplace_back(span.from, SpanText(span));
@@ -67,10 +67,10 @@
   for (const auto& [at, text] : lines) Print(fmt::format("  {}  {}\n", ClockText(at), text));
 }
 
-// In at most kMaxBinLines lines.
+// Prints the bins, combined into at most kMaxBinLines lines.
 void PrintBins(const ReplicaTimelines& timelines, const ReplicaTimeline& replica) {
   Print(fmt::format("\n  {:<12} {:>6} {:>6} {:>6} {:>6} {:>9} {:>9} {:>9} {:>10}\n", "from", "sent", "served",
-                    "failed", "full", "in flight", "first ms", "most ms", "load"));
+                    "failed", "full", "in flight", "first ms", "max ms", "load"));
   const std::uint32_t step = std::max(1U, (timelines.bins() + kMaxBinLines - 1) / kMaxBinLines);
   for (std::uint32_t n = 0; n < timelines.bins(); n += step) {
     ReplicaBin sum;
@@ -101,7 +101,7 @@
     seconds_by_state[Name(span.state)] += Seconds(span.to - span.from);
   std::string states;
   for (const auto& [name, seconds] : seconds_by_state) states += fmt::format(" {} {:.0f}s", name, seconds);
-  Print(fmt::format("{:<24} {:<22} {:>8} {:>8} {:>7} {:>7} {:>9} {:>6} {:>7} {}\n", replica.Title(),
+  Print(fmt::format("{:<24} {:<22} {:>8} {:>8} {:>7} {:>7} {:>9} {:>8} {:>9} {}\n", replica.Title(),
                     StateAtEnd(replica), sum.sent, sum.served, sum.failed, sum.at_capacity,
                     MeanFirstToken(sum), replica.ejections.size(), anomalies, states));
 }
@@ -110,8 +110,8 @@
   FleetBin sum;
   for (const auto& [n, bin] : timelines.fleet()) sum.Add(bin);
   Print(fmt::format(
-      "requests: {} arrived, {} served, {} refused, {} failed, {} left by their clients; {} decisions "
-      "counted, not kept\n",
+      "requests: {} arrived, {} served, {} rejected, {} failed, {} abandoned by their clients; {} coalesced "
+      "decisions\n",
       sum.arrived, sum.served, sum.rejected, sum.failed, sum.disconnected, sum.coalesced));
   std::string reasons;
   for (std::size_t reason = 0; reason < timelines.conclusions().size(); ++reason) {
@@ -119,10 +119,10 @@
     if (count > 0)
       reasons += fmt::format(" {}={}", ryeglade::Name(static_cast<policy::ConclusionReason>(reason)), count);
   }
-  if (!reasons.empty()) Print("refusals and failures by reason:" + reasons + "\n");
+  if (!reasons.empty()) Print("rejections and failures by reason:" + reasons + "\n");
 }
 
-// What happened to the node itself, and among the nodes: the newest.
+// Prints the newest annotations of the node itself and of the cluster.
 void PrintFleetAnnotations(const ReplicaTimelines& timelines) {
   const auto& annotations = timelines.annotations();
   const std::size_t first =
@@ -151,23 +151,23 @@
 
 void PrintReplica(const ReplicaTimelines& timelines, const ReplicaTimeline& replica) {
   Print(fmt::format("replica {} ({:08x}) at {}, {} to {} UTC\n", replica.Title(), replica.id,
-                    replica.address.empty() ? "an address that the record does not hold" : replica.address,
+                    replica.address.empty() ? "an unknown address" : replica.address,
                     ClockText(timelines.begin()), ClockText(timelines.end())));
   PrintEvents(timelines, replica);
   PrintBins(timelines, replica);
   if (replica.dropped_items > 0)
-    Print(
-        fmt::format("  {} states, rests and marks beyond the bounds are left out\n", replica.dropped_items));
+    Print(fmt::format("  {} states, ejections and annotations are omitted, as the timeline is full\n",
+                      replica.dropped_items));
 }
 
 void PrintFleet(const ReplicaTimelines& timelines) {
   Print(fmt::format("{}: {} to {} UTC, {} replicas\n", timelines.node(), ClockText(timelines.begin()),
                     ClockText(timelines.end()), timelines.replicas().size()));
-  Print(fmt::format("{:<24} {:<22} {:>8} {:>8} {:>7} {:>7} {:>9} {:>6} {:>7}  {}\n", "replica", "at its end",
-                    "sent", "served", "failed", "full", "first ms", "rests", "unusual", "states"));
+  Print(fmt::format("{:<24} {:<22} {:>8} {:>8} {:>7} {:>7} {:>9} {:>8} {:>9}  {}\n", "replica", "last state",
+                    "sent", "served", "failed", "full", "first ms", "ejected", "anomalies", "states"));
   for (const auto& [id, replica] : timelines.replicas()) PrintReplicaLine(timelines, replica);
   PrintFleetTotals(timelines);
-  if (timelines.dropped_replicas() > 0) Print("more replicas than lanes: some are left out\n");
+  if (timelines.dropped_replicas() > 0) Print("some replicas are omitted, as the timeline is full\n");
   PrintFleetAnnotations(timelines);
 }
 
--- a/src/app/timeline_output.h
+++ b/src/app/timeline_output.h
@@ -9,14 +9,14 @@
 
 void Print(const std::string& text);
 
-// Time of day in UTC, with milliseconds.
+// Returns the time of day in UTC, with milliseconds. `at` is Unix time in microseconds.
 std::string ClockText(Time at);
-// One line, with its end.
+// Returns one line, with the line end.
 std::string AnomalyLine(const ReplicaTimelines& timelines, const Anomaly& anomaly);
 
-// One replica over the record: its states, ejections, annotations and anomalies, then its bins.
+// Prints the states, ejections, annotations and anomalies of one replica in the order of time, then its bins.
 void PrintReplica(const ReplicaTimelines& timelines, const ReplicaTimeline& replica);
-// One line for each replica, then the fleet's totals.
+// Prints one line for each replica, then the totals of the fleet.
 void PrintFleet(const ReplicaTimelines& timelines);
 
 }  // namespace ryeglade::timeline
