--- a/src/app/rollout_client.cpp
+++ b/src/app/rollout_client.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr double kMinTimeoutMs = 50, kMaxTimeoutMs = 2000;
-constexpr int kCheckTimeoutMs = 25'000;  // it runs programs at the node
+constexpr int kCheckTimeoutMs = 25'000;  // a check runs programs at the node
 
-// A round must be over well within the supervisors' lease, however many of them do not answer.
+// A round must end well within the supervisors' lease, however many of them do not answer.
 int TimeoutMs(double lease_seconds) {
   return static_cast<int>(std::clamp(lease_seconds * 1000 / 4, kMinTimeoutMs, kMaxTimeoutMs));
 }
@@ -35,7 +35,7 @@
     threads.emplace_back([&call, i] {
       try {
         call(i);
-      } catch (const std::exception&) {  // no result says so
+      } catch (const std::exception&) {  // the empty result tells the caller
       }
     });
   }
--- a/src/app/rollout_client.h
+++ b/src/app/rollout_client.h
@@ -1,5 +1,5 @@
-// Calls to the supervisors and status addresses of a plan. Each blocks, for little more than its time limit:
-// the calls to all nodes run in parallel.
+// Calls the supervisors and status addresses of a plan. Each function calls all nodes in parallel and blocks
+// for little more than the timeout of one call.
 #pragma once
 
 #include <cstddef>
@@ -17,24 +17,25 @@
 
 class RolloutClient {
  public:
-  // By node name; null: no answer, or none that can be read.
+  // By node name. nullopt: the supervisor did not answer, or not with a valid response.
   using Statuses = std::map<std::string, std::optional<SupervisorStatus>>;
   using Replies = std::map<std::string, std::optional<CommandReply>>;
 
-  // `lease`: the supervisors', in seconds; a call's time limit follows from it. `plan` must outlive this.
-  // `source_address`: to call from; empty: the machine's choice.
+  // `lease` is that of the supervisors, in seconds; it determines the timeout of a call. `plan` must outlive
+  // this object. `source_address` is the local address to connect from; if empty, the system chooses it.
   RolloutClient(const Plan& plan, double lease, std::string source_address);
 
   Statuses PollStatuses() const;
-  // At most one command for a node.
+  // `commands` may hold at most one command for each node.
   Replies Send(const std::vector<NodeCommand>& commands) const;
-  // What the nodes at the plan's status addresses say of the cluster, merged.
+  // Merges the views of the cluster that the nodes at the plan's status addresses report.
   ClusterView PollClusterView() const;
-  // Whether a node could run a release. Empty: it could; else the reason why not.
+  // Asks a supervisor whether its node could run a release. Returns the reason why not; empty if it could.
   std::string CheckRelease(const PlanNode& node, const Release& release) const;
 
  private:
-  // Calls `call(i)` for 0 to n - 1, each on a thread of its own; one that throws has no result.
+  // Runs `call(i)` for each i below `n`, each on its own thread. Exceptions are ignored: such a call leaves
+  // its result empty.
   static void InParallel(std::size_t n, const std::function<void(std::size_t)>& call);
 
   const Plan& plan_;
@@ -42,7 +43,7 @@
   std::string source_address_;
 };
 
-// The highest epoch that any supervisor knows; 0: none answers, or none has been claimed.
+// Returns the highest epoch that any supervisor reports; 0 if none answers or none has been claimed.
 std::uint64_t HighestEpoch(const RolloutClient::Statuses& statuses);
 
 }  // namespace ryeglade::rollout
--- a/src/app/rollout_command.h
+++ b/src/app/rollout_command.h
@@ -11,27 +11,32 @@
 namespace ryeglade {
 
 struct RolloutOptions {
-  // keep
-  std::string node, zone, directory, control, program, config, settings, release_id = "first";
+  // Of `keep`:
+  std::string node, zone;  // names
+  std::string directory;   // path of the supervisor's files
+  std::string control;     // ip:port at which the supervisor listens
+  // The release of the first start: paths and id.
+  std::string program, config, settings, release_id = "first";
   double ready_timeout = 10, stop_timeout = 15;  // seconds
-  // both
-  double lease = 10;  // seconds
-  // rollout
+  // Of both:
+  double lease = 10;  // of the supervisors, in seconds
+  // Of `rollout`:
   std::string plan;                // path
-  std::string reason;              // of a directive
-  std::string driver;              // empty: one is made up
-  std::string source_address;      // to call supervisors from; empty: the machine's choice
+  std::string reason;              // of a directive; empty: a default text
+  std::string driver;              // name of this driver; empty: one is generated
+  std::string source_address;      // local address to call supervisors from; empty: the system chooses it
   std::string record, chart, csv;  // paths; empty: none
   double round_interval = 0.5;     // seconds
-  bool follow = false;
+  bool follow = false;             // repeat `status` until the rollout has ended
 };
 
 class RolloutCommand {
  public:
-  // Both must outlive this; the options are filled when the application parses its command line.
+  // Adds the sub-commands. Both must outlive this object; the app fills the options when it parses its
+  // command line.
   RolloutCommand(CLI::App& app, RolloutOptions* options);
   bool chosen() const;
-  // The exit code. Throws std::runtime_error.
+  // Returns the exit code. Throws std::runtime_error.
   int Run();
 
  private:
@@ -47,8 +52,8 @@
            *abort_ = nullptr, *back_ = nullptr, *report_ = nullptr;
 };
 
-// The versions of every protocol and stored form that this program speaks, as JSON: `ryeglade version
-// --compat`.
+// Returns the versions of all protocols and stored formats that this program supports, as JSON. Printed by
+// `ryeglade version --compat`.
 std::string CompatText();
 
 }  // namespace ryeglade
--- a/src/app/rollout_output.cpp
+++ b/src/app/rollout_output.cpp
@@ -11,10 +11,12 @@
 namespace ryeglade::rollout {
 namespace {
 
+// What an operator should know beyond the columns: a pending release, a failed one, crashes; otherwise the
+// reason of the last directive.
 std::string Note(const SupervisorStatus& status) {
   std::string note;
   const auto add = [&](const std::string& text) { note += (note.empty() ? "" : "; ") + text; };
-  if (!status.pending.empty()) add("tries " + status.pending);
+  if (!status.pending.empty()) add("changing to " + status.pending);
   if (!status.failed_release.empty()) add(status.failed_release + ": " + status.failure_reason);
   if (status.crashes > 0) add(fmt::format("crashed {} times", status.crashes));
   return note.empty() ? status.directive_reason : note;
@@ -23,15 +25,15 @@
 }  // namespace
 
 std::string StatusTable(const Plan& plan, const RolloutClient::Statuses& statuses) {
-  std::string table = fmt::format("{:<16} {:<8} {:<10} {:<16} {:<16} {:<8} {:<8} {}\n", "node", "zone",
-                                  "phase", "runs", "last good", "epoch", "mark", "note");
+  std::string table = fmt::format("{:<16} {:<8} {:<10} {:<16} {:<16} {:<8} {:<9} {}\n", "node", "zone",
+                                  "phase", "runs", "last good", "epoch", "directive", "note");
   for (const PlanNode& node : plan.nodes) {
     const auto& status = statuses.at(node.name);
     if (!status) {
       table += fmt::format("{:<16} {:<8} {:<10}\n", node.name, node.zone, "no answer");
       continue;
     }
-    table += fmt::format("{:<16} {:<8} {:<10} {:<16} {:<16} {:<8} {:<8} {}\n", node.name, node.zone,
+    table += fmt::format("{:<16} {:<8} {:<10} {:<16} {:<16} {:<8} {:<9} {}\n", node.name, node.zone,
                          Name(status->phase), status->active.id, status->last_good.id, status->epoch,
                          status->directive.empty() ? "-" : status->directive, Note(*status));
   }
@@ -39,7 +41,7 @@
 }
 
 std::string ComparisonTable(const CanaryResult& result) {
-  std::string table = fmt::format("{:<12} {:<12} {:>10} {:>10} {:>11} {:>11} {:>22}  {}\n", "class", "what",
+  std::string table = fmt::format("{:<12} {:<12} {:>10} {:>10} {:>11} {:>11} {:>22}  {}\n", "class", "metric",
                                   "new n", "old n", "new", "old", "difference", "verdict");
   for (const CohortComparison& c : result.comparisons) {
     const std::string half_width = c.known() ? fmt::format("+- {:.4f}", c.half_width) : "+- ?";
--- a/src/app/rollout_output.h
+++ b/src/app/rollout_output.h
@@ -1,4 +1,4 @@
-// What `ryeglade rollout` prints for operators, as text.
+// The text that `ryeglade rollout` prints.
 #pragma once
 
 #include <optional>
@@ -11,16 +11,17 @@
 
 namespace ryeglade::rollout {
 
-// A line for each node of the plan, as its supervisor reports it.
+// One line for each node of the plan, as its supervisor reports it.
 std::string StatusTable(const Plan& plan, const RolloutClient::Statuses& statuses);
+// One line for each comparison of the canary analysis.
 std::string ComparisonTable(const CanaryResult& result);
-// `event=` lines, without their time.
+// These return an event as "event=NAME key=value ...", without the time.
 std::string ClusterViewEvent(const Plan& plan, const ClusterView& view);
 std::string StateEvent(const Driver& driver);
-// Members that the plan does not name: they keep what they run, and belong to no cohort.
+// Returns the members that the plan does not name. They keep their release and belong to no cohort.
 std::vector<std::string> MembersNotInPlan(const Plan& plan, const ClusterView& view);
 
-// Prints an event at once, behind the time: Unix time in seconds.
+// Prints the current time as Unix time in seconds, then the event, and flushes stdout.
 void PrintEvent(const std::string& event);
 
 }  // namespace ryeglade::rollout
--- a/src/app/rollout_record_file.cpp
+++ b/src/app/rollout_record_file.cpp
@@ -7,14 +7,15 @@
 namespace {
 
 constexpr long kMaxBytes = 64L << 20;
-constexpr double kMaxInterval = 5;  // seconds between two lines
+constexpr double kMaxIntervalSeconds = 5;  // between two lines
 
 }  // namespace
 
 RecordFile::RecordFile(const std::string& path) {
   if (path.empty()) return;
   file_ = std::fopen(path.c_str(), "ae");
-  if (file_ == nullptr) throw std::runtime_error("rollout: cannot write " + path);
+  if (file_ == nullptr)
+    throw std::runtime_error("rollout: cannot write " + path + "; name another file with --record");
   std::fseek(file_, 0, SEEK_END);
   size_ = std::ftell(file_);
 }
@@ -27,18 +28,18 @@
   if (file_ == nullptr) return;
   std::string key = round.state + std::to_string(round.stage) + std::to_string(round.changing_nodes);
   for (const RecordedNode& node : round.nodes) key += node.state;
-  if (key == last_key_ && round.at - last_at_ < kMaxInterval) return;
+  if (key == last_key_ && round.at - last_at_ < kMaxIntervalSeconds) return;
   last_key_ = key;
   last_at_ = round.at;
   const std::string line = EncodeRound(round);
   size_ += static_cast<long>(line.size());
-  if (size_ > kMaxBytes) return CloseWith("the record is full");
+  if (size_ > kMaxBytes) return CloseWith("the record has reached 64 MiB and is closed");
   const bool written = std::fwrite(line.data(), 1, line.size(), file_) == line.size();
-  if (!written || std::fflush(file_) != 0) CloseWith("the record can't be written");
+  if (!written || std::fflush(file_) != 0) CloseWith("the record can't be written and is closed");
 }
 
 void RecordFile::CloseWith(const char* message) {
-  std::fprintf(stderr, "ryeglade: rollout: %s; the rollout goes on\n", message);
+  std::fprintf(stderr, "ryeglade: rollout: %s; the rollout continues\n", message);
   std::fclose(std::exchange(file_, nullptr));
 }
 
--- a/src/app/rollout_record_file.h
+++ b/src/app/rollout_record_file.h
@@ -1,4 +1,4 @@
-// The record of a rollout's rounds as a file, for `rollout report`.
+// The file that a rollout's rounds are recorded in, for `rollout report`.
 #pragma once
 
 #include <cstdio>
@@ -8,11 +8,11 @@
 
 namespace ryeglade::rollout {
 
-// Appends a line for each round in which something has changed, and every 5 s; bounded. A file that can't be
-// written costs the record, never the rollout: it says so on stderr and goes on without.
+// Appends a line for each round in which something has changed, and at least every 5 s, up to 64 MiB. If the
+// file can't be written, recording ends with a message on stderr and the rollout continues.
 class RecordFile {
  public:
-  // Empty path: nothing is recorded. Throws std::runtime_error where the file can't be opened.
+  // Records nothing if the path is empty. Throws std::runtime_error if the file can't be opened.
   explicit RecordFile(const std::string& path);
   ~RecordFile();
   RecordFile(const RecordFile&) = delete;
@@ -23,10 +23,10 @@
  private:
   void CloseWith(const char* message);
 
-  std::FILE* file_ = nullptr;  // null: nothing is recorded (any more)
+  std::FILE* file_ = nullptr;  // null: nothing is recorded, or recording has ended
   long size_ = 0;              // bytes
-  std::string last_key_;       // what was worth a line the last time
-  double last_at_ = 0;         // seconds, Unix time
+  std::string last_key_;       // the state of the last recorded round
+  double last_at_ = 0;         // of the last recorded round; Unix time in seconds
 };
 
 }  // namespace ryeglade::rollout
--- a/src/app/rollout_run.cpp
+++ b/src/app/rollout_run.cpp
@@ -27,10 +27,11 @@
 namespace ryeglade::rollout {
 namespace {
 
-// The driver's view of the lease is longer than the supervisors': clocks differ, and commands are in transit.
-constexpr double kLeaseMargin = 1.2;
+// The driver counts the lease as longer than the supervisors do: clocks differ, and commands take time to
+// arrive.
+constexpr double kLeaseFactor = 1.2;
 
-volatile std::sig_atomic_t interrupted = 0;
+volatile std::sig_atomic_t interrupted = 0;  // set by a signal
 
 RolloutClient ClientFor(const Plan& plan, const RolloutOptions& options) {
   return {plan, options.lease, options.source_address};
@@ -61,7 +62,7 @@
   std::printf("\n");
 }
 
-// Whether the node can take the release.
+// Returns whether the node could run the release.
 bool PrintPlannedNode(const PlanNode& node, const std::optional<SupervisorStatus>& status,
                       const Release& release, const RolloutClient& client) {
   if (!status) {
@@ -77,18 +78,19 @@
 }
 
 void PrintMembership(const Plan& plan, const ClusterView& view) {
-  std::printf("membership: %zu of %zu status addresses answer, %zu are sure of their views\n", view.answers,
-              view.polled, view.confident);
+  std::printf("membership: %zu of %zu status addresses answer, %zu are confident of their views\n",
+              view.answers, view.polled, view.confident);
   for (const std::string& name : view.suspect)
-    std::printf("  %-16s is suspect: it would be left alone\n", name.c_str());
+    std::printf("  %-16s is suspect: it would be deferred\n", name.c_str());
   for (const std::string& name : view.dead)
-    std::printf("  %-16s is dead: it would be passed over\n", name.c_str());
+    std::printf("  %-16s is dead: it would be skipped\n", name.c_str());
   for (const std::string& name : MembersNotInPlan(plan, view))
-    std::printf("  %-16s is a member and not in the plan: it keeps what it runs\n", name.c_str());
+    std::printf("  %-16s is a member and not in the plan: it keeps its release\n", name.c_str());
 }
 
 // ---- start ----
 
+// The state of a node in the record: these names are stored.
 std::string NodeStateName(const Plan& plan, const Driver& driver, const std::string& node,
                           const std::map<std::string, SupervisorResponse>& responses) {
   const auto response = responses.find(node);
@@ -117,7 +119,7 @@
   return round;
 }
 
-// Prints events that repeat from round to round only where they have changed.
+// Prints an event only if it differs from the previous one.
 class ChangedEvents {
  public:
   void Print(const std::string& event) {
@@ -129,7 +131,7 @@
   std::string last_;
 };
 
-// Claims every supervisor; the answers tell what they run.
+// Sends the round's claim to every supervisor. Returns the responses of those that answered.
 std::map<std::string, SupervisorResponse> ClaimAll(const Plan& plan, const RolloutClient& client,
                                                    Driver& driver) {
   std::vector<NodeCommand> claims;
@@ -151,7 +153,7 @@
   }
 }
 
-// Directives first: what was decided is stored before it is acted on.
+// Sends directives first, so that a decision is stored before it is acted on.
 void SendCommands(std::vector<NodeCommand> commands, const RolloutClient& client, Driver& driver) {
   const auto is_directive = [](const NodeCommand& c) { return c.command.kind == CommandKind::kSetDirective; };
   const auto first_action = std::stable_partition(commands.begin(), commands.end(), is_directive);
@@ -223,8 +225,8 @@
   int unable = 0;
   for (std::size_t s = 0; s < plan.stages.size(); ++s) {
     const Stage& stage = plan.stages[s];
-    std::printf("stage %zu: %zu nodes, %zu at once, soak %.0f s, verdict from %llu requests\n", s + 1,
-                stage.nodes.size(), stage.max_concurrent, static_cast<double>(stage.soak) / 1e6,
+    std::printf("stage %zu: %zu nodes, %zu at a time, soak %.0f s, at least %llu requests for a verdict\n",
+                s + 1, stage.nodes.size(), stage.max_concurrent, static_cast<double>(stage.soak) / 1e6,
                 static_cast<unsigned long long>(stage.min_requests));
     for (const std::string& name : stage.nodes) {
       const auto node = std::find_if(plan.nodes.begin(), plan.nodes.end(),
@@ -233,7 +235,8 @@
     }
   }
   if (!plan.status_addresses.empty()) PrintMembership(plan, client.PollClusterView());
-  if (unable > 0) std::printf("%d nodes can't take it: mend that, or take them out of the plan\n", unable);
+  if (unable > 0)
+    std::printf("%d nodes can't run the release: fix that, or remove them from the plan\n", unable);
   return unable > 0 ? 1 : 0;
 }
 
@@ -242,7 +245,7 @@
   const RolloutClient client = ClientFor(plan, options);
   const std::uint64_t epoch = HighestEpoch(client.PollStatuses()) + 1;
   const std::string name = DriverName(options);
-  Driver driver(plan, epoch, name, static_cast<Time>(options.lease * kLeaseMargin * 1e6));
+  Driver driver(plan, epoch, name, static_cast<Time>(options.lease * kLeaseFactor * 1e6));
   PrintEvent(fmt::format("event=rollout plan={} release={} epoch={} driver={}", plan.name, plan.release.id,
                          epoch, name));
   RecordFile record(options.record);
@@ -250,7 +253,7 @@
   ChangedEvents view_events;
   while (!driver.ended() && interrupted == 0) {
     const auto began = std::chrono::steady_clock::now();
-    // Beside the claims: a round has to be over well within the lease.
+    // In parallel with the claims, as a round must end well within the lease.
     std::future<ClusterView> polled_view;
     if (!plan.status_addresses.empty())
       polled_view = std::async(std::launch::async, [&] { return client.PollClusterView(); });
@@ -282,14 +285,15 @@
   command.plan = plan.text;
   const std::size_t claimed = CountAccepted(SendToAll(plan, command, client));
   if (claimed <= half) {
-    std::printf("%zu of %zu keepers answer: nothing is said\n", claimed, plan.nodes.size());
+    std::printf("%zu of %zu keepers accept the claim, which is no majority: no directive is set\n", claimed,
+                plan.nodes.size());
     return 1;
   }
   command.kind = CommandKind::kSetDirective;
   command.directive = directive;
   command.directive_reason = options.reason.empty() ? "said by an operator" : options.reason;
   const std::size_t stored = CountAccepted(SendToAll(plan, command, client));
-  std::printf("%s: %zu of %zu keepers know\n", directive.c_str(), stored, plan.nodes.size());
+  std::printf("%s: %zu of %zu keepers have stored it\n", directive.c_str(), stored, plan.nodes.size());
   return stored > half ? 0 : 1;
 }
 
@@ -313,7 +317,7 @@
   std::size_t skipped = 0;
   const auto rounds = DecodeRecord(ReadWholeFile(options.record), &skipped);
   std::fputs(ReportTable(rounds).c_str(), stdout);
-  if (skipped > 0) std::printf("%zu lines could not be read\n", skipped);
+  if (skipped > 0) std::printf("%zu lines could not be decoded and are left out\n", skipped);
   if (!options.csv.empty()) WriteFile(options.csv, Csv(ComparisonColumns(rounds)));
   if (!options.chart.empty()) RunGnuplot(ReportChart(rounds, options.chart));
   return rounds.empty() ? 1 : 0;
--- a/src/app/rollout_run.h
+++ b/src/app/rollout_run.h
@@ -1,5 +1,5 @@
-// What the sub-commands of `ryeglade rollout` do. Each prints to stdout, returns the process's exit code, and
-// throws std::runtime_error for what can't be read or written.
+// The sub-commands of `ryeglade rollout`. Each prints to stdout, returns the exit code of the process, and
+// throws std::runtime_error if a file can't be read or written.
 #pragma once
 
 #include <string>
@@ -9,28 +9,31 @@
 
 namespace ryeglade::rollout {
 
-// From here on SIGINT and SIGTERM end DriveRollout and ShowStatus after the step at hand.
+// After this call, SIGINT and SIGTERM end DriveRollout and ShowStatus after the current step.
 void HandleInterrupts();
 
-// Fills the digests of what changes, so that every supervisor starts the very same files; a path that is not
-// on this machine is left to each supervisor.
+// Sets the digests of the release's files, so that every supervisor starts identical files. A file that can't
+// be read on this machine gets no digest.
 void AddDigests(Release& release);
 
-// What would change, and whether each node could run it. 0: it can be started.
+// Prints what would change and whether each node could run the release. Returns 0 if all can, otherwise 1.
 int ShowPlan(const Plan& plan, const RolloutOptions& options);
 
-// Runs the driver until it has ended, is superseded or is interrupted (which leaves all as it is; another
-// `start` continues). 0: completed; 3: rolled back; 4: superseded; 5: interrupted.
+// Runs the driver until the rollout has ended or the driver is superseded or interrupted. An interruption
+// leaves the rollout in its state, and another `start` continues it. Returns 0 if completed, 3 if rolled
+// back, 4 if superseded, 5 if interrupted.
 int DriveRollout(Plan plan, const RolloutOptions& options);
 
-// Stores an operator's directive at the supervisors under an epoch of its own: whoever drives reads it there.
-// The driver that ran is superseded by it; `start` continues. 0: a majority has stored it.
+// Stores an operator's directive at the supervisors, where the next driver reads it. It claims a new epoch
+// for that, which supersedes a running driver; `start` continues the rollout. Returns 0 if a majority has
+// stored the directive, otherwise 1.
 int SetDirective(const Plan& plan, const std::string& directive, const RolloutOptions& options);
 
-// What the supervisors report; with `follow` again each second, until all are done.
+// Prints what the supervisors report; with `follow` each second, until all are done. Returns 0.
 int ShowStatus(const Plan& plan, const RolloutOptions& options);
 
-// A record as a table, and as a chart or a file of columns where the options ask for it. 0: it has rounds.
+// Prints a record as a table, and writes the chart and the CSV file that the options name. Returns 1 if the
+// record has no rounds, otherwise 0.
 int ShowReport(const RolloutOptions& options);
 
 }  // namespace ryeglade::rollout
--- a/src/app/timeline_output.cpp
+++ b/src/app/timeline_output.cpp
@@ -25,7 +25,7 @@
   if (span.state == ReplicaState::kUnknown)
     return fmt::format("unknown for {:.1f} s, last known {}: {}", seconds, Name(span.last_known),
                        span.reason);
-  return fmt::format("{} for {:.1f} s, says {}", Name(span.state), seconds, span.reason);
+  return fmt::format("{} for {:.1f} s, source: {}", Name(span.state), seconds, span.reason);
 }
 
 std::string EjectionText(const EjectionSpan& ejection) {
