--- a/lab/cluster/baselines.cpp
+++ b/lab/cluster/baselines.cpp
@@ -14,7 +14,8 @@
 // SWIM with suspicion and round-robin probing (sections 4.2 and 4.3 of the paper), news on its messages only.
 class Swim : public Baseline {
  public:
-  explicit Swim(BaselineSetup s) : s_(std::move(s)), random_(s_.seed, emulator::Concern::kPolicy, s_.me) {
+  explicit Swim(BaselineSetup s)
+      : s_(std::move(s)), random_(s_.seed, emulator::RandomPurpose::kPolicy, s_.me) {
     members_.resize(s_.nodes);
     for (std::size_t i = 0; i < s_.nodes; ++i) {
       if (i == s_.me || !s_.present[i]) continue;
@@ -170,7 +171,7 @@
   }
 
   BaselineSetup s_;
-  emulator::Stream random_;
+  emulator::RandomStream random_;
   std::vector<Member> members_;
   std::vector<std::size_t> round_;
   std::map<std::size_t, Item> news_;
@@ -186,7 +187,7 @@
 class Heartbeat : public Baseline {
  public:
   Heartbeat(BaselineSetup s, bool phi)
-      : s_(std::move(s)), phi_(phi), random_(s_.seed, emulator::Concern::kPolicy, s_.me) {
+      : s_(std::move(s)), phi_(phi), random_(s_.seed, emulator::RandomPurpose::kPolicy, s_.me) {
     members_.resize(s_.nodes);
     next_ = s_.now + static_cast<Time>(random_.Unit() * static_cast<double>(s_.period));
     for (std::size_t i = 0; i < s_.nodes; ++i) {
@@ -244,7 +245,7 @@
   }
   BaselineSetup s_;
   bool phi_;
-  emulator::Stream random_;
+  emulator::RandomStream random_;
   std::vector<Member> members_;
   Time next_ = 0;
 };
--- a/lab/cluster/emulated.cpp
+++ b/lab/cluster/emulated.cpp
@@ -151,8 +151,8 @@
       self.address = AddressOf(i);
       self.zone = s_.ZoneOf(i);
       self.incarnation = incarnation;
-      auto stream =
-          std::make_shared<emulator::Stream>(o_.seed, emulator::Concern::kPolicy, i * 1000 + n.life);
+      auto stream = std::make_shared<emulator::RandomStream>(o_.seed, emulator::RandomPurpose::kPolicy,
+                                                             i * 1000 + n.life);
       const auto draw = [stream] { return (stream->Below(1ULL << 32) << 32) | stream->Below(1ULL << 32); };
       self.uid = (incarnation << 20) | (draw() & 0xfffff);
       n.model = std::make_unique<membership::MembershipModel>(o, self, now_, draw);
--- a/lab/cluster/explorer.cpp
+++ b/lab/cluster/explorer.cpp
@@ -146,7 +146,7 @@
   };
   struct Node {
     std::optional<MembershipModel> model;
-    std::shared_ptr<emulator::Stream> random;
+    std::shared_ptr<emulator::RandomStream> random;
     bool up = false, stopped = false;
     std::map<std::size_t, Last> seen;  // by member, what it was last: kept outside of the model
     std::deque<std::pair<std::size_t, std::shared_ptr<const Message>>> waiting;
@@ -160,7 +160,7 @@
 
   membership::RandomBits DrawOf(std::size_t i) {
     // A stream of its own for each copy of the world, going on from where the original's stood.
-    if (nodes_[i].random) nodes_[i].random = std::make_shared<emulator::Stream>(*nodes_[i].random);
+    if (nodes_[i].random) nodes_[i].random = std::make_shared<emulator::RandomStream>(*nodes_[i].random);
     auto stream = nodes_[i].random;
     return [stream] { return (stream->Below(1ULL << 32) << 32) | stream->Below(1ULL << 32); };
   }
@@ -171,7 +171,8 @@
     n.stopped = false;
     n.seen.clear();
     n.waiting.clear();
-    n.random = std::make_shared<emulator::Stream>(o_.seed, emulator::Concern::kPolicy, i * 100 + ++lives_);
+    n.random = std::make_shared<emulator::RandomStream>(o_.seed, emulator::RandomPurpose::kPolicy,
+                                                        i * 100 + ++lives_);
     membership::MembershipOptions o;
     o.cluster = "x";
     o.probe_interval = kPeriod;
--- a/lab/cluster/link_model.h
+++ b/lab/cluster/link_model.h
@@ -35,7 +35,7 @@
 
 class Link {
  public:
-  Link(std::uint64_t seed, std::uint64_t number) : stream_(seed, emulator::Concern::kNetwork, number) {}
+  Link(std::uint64_t seed, std::uint64_t number) : stream_(seed, emulator::RandomPurpose::kNetwork, number) {}
   // When a datagram of `bytes` sent at `now` arrives: never, once, or twice.
   std::vector<Delivery> Datagram(Time now, std::size_t bytes, const LinkState& state);
   // The same for a piece of a connection, in order and never lost; a cut holds it (max: it waits).
@@ -45,7 +45,7 @@
 
  private:
   Time Through(Time now, std::size_t bytes, const LinkState& state);
-  emulator::Stream stream_;
+  emulator::RandomStream stream_;
   Time free_at_ = 0, last_piece_ = 0;
 };
 
--- a/lab/cluster/relay.cpp
+++ b/lab/cluster/relay.cpp
@@ -52,7 +52,7 @@
       real_(std::move(real)),
       state_(std::move(state)),
       sent_(real_.size()),
-      noise_(seed, emulator::Concern::kFailures) {
+      noise_(seed, emulator::RandomPurpose::kFailures) {
   for (std::size_t i = 0; i < 65'536; ++i) random_ += static_cast<char>(noise_.Below(256));
   const std::size_t n = real_.size();
   for (std::size_t i = 0; i < n * n; ++i) links_.emplace_back(seed, i);
--- a/lab/cluster/relay.h
+++ b/lab/cluster/relay.h
@@ -80,7 +80,7 @@
   std::vector<Link> links_;
   SlotTable<Side> sides_;
   std::vector<Counts> sent_;
-  emulator::Stream noise_;
+  emulator::RandomStream noise_;
   std::string random_;  // bytes, of which noise is made
   uv_udp_t* stranger_ = nullptr;
   bool closed_ = false;
--- a/lab/emulator/command.cpp
+++ b/lab/emulator/command.cpp
@@ -37,7 +37,7 @@
       r.kept_share, static_cast<unsigned long long>(r.preempted));
   const auto [least, most] = std::minmax_element(r.served_by_replica.begin(), r.served_by_replica.end());
   std::printf("  served by a replica: %.0f to %.0f\n", *least, *most);
-  std::printf("  rules: %s\n", r.breaks.Words().c_str());
+  std::printf("  rules: %s\n", r.violations.Describe().c_str());
   std::printf(
       "  %llu events, %llu decisions in %.2f s: %.0f requests/s of wall time, policy %.2f s of CPU (%.1f us "
       "a try)\n",
@@ -87,8 +87,8 @@
 
 // An empty text: the value is taken; else what is wrong with it.
 std::string IsGossipValue(const std::string& value) {
-  const RoutingTierSpec spec{.talk = value};
-  return spec.Known() ? "" : fmt::format("'{}' must be {}", value, kGossipValues);
+  const RoutingTierSpec spec{.gossip_mode = value};
+  return spec.IsValid() ? "" : fmt::format("'{}' must be {}", value, kGossipValues);
 }
 
 }  // namespace
@@ -122,11 +122,11 @@
   c->add_option("--zones", spec_.fleet.zones)->check(CLI::Range(1, 64));
   c->add_option("--rate", spec_.clients.per_second, "requests a second")->check(CLI::Range(0.0, 1e7));
   c->add_option("--seconds", spec_.seconds)->check(CLI::Range(1.0, 1e6));
-  c->add_option("--warm", spec_.warm, "seconds at the begin that are not counted");
+  c->add_option("--warm", spec_.warm_up_s, "seconds at the begin that are not counted");
   c->add_option("--seed", spec_.seed);
   c->add_option("--skew", spec_.fleet.skew, "sigma of the logarithm of each node's part of the traffic")
       ->check(CLI::Range(0.0, 3.0));
-  c->add_option("--talk", spec_.fleet.tier.talk,
+  c->add_option("--talk", spec_.fleet.tier.gossip_mode,
                 "nodes gossip on what comes to them: " + std::string(kGossipValues))
       ->check(IsGossipValue);
   c->add_option("--talk-loss", spec_.fleet.tier.loss, "share of those words that is lost")
@@ -137,7 +137,7 @@
   c->add_option("--cold-from", cold_from_, "the share of its speed that it starts with")
       ->check(CLI::Range(0.01, 1.0));
   c->add_option("--wave", spec_.clients.wave, "amplitude of a sine in the rate")->check(CLI::Range(0.0, 1.0));
-  c->add_option("--honours", spec_.clients.honours, "share of clients that wait as they are told")
+  c->add_option("--honours", spec_.clients.honors_retry_after, "share of clients that wait as they are told")
       ->check(CLI::Range(0.0, 1.0));
 }
 
@@ -147,8 +147,8 @@
   ScenarioSpec day = spec_;
   for (const std::string& text : faults_) day.faults.push_back(ReadFault(text));
   for (KindSpec& k : day.fleet.kinds) {
-    k.replica.cold_span = static_cast<Time>(cold_s_ * 1e6);
-    if (cold_s_ > 0) k.replica.cold_from = cold_from_;
+    k.replica.slow_start_window = static_cast<Time>(cold_s_ * 1e6);
+    if (cold_s_ > 0) k.replica.slow_start_min_share = cold_from_;
   }
   return day;
 }
@@ -162,18 +162,18 @@
     ScenarioOptions options;
     options.measure_policy = true;
     if (progress) options.progress = [&](double done) { progress(std::min(1.0, done)); };
-    const ScenarioResult r = PlayScenario(day, options);
+    const ScenarioResult r = RunScenario(day, options);
     if (!series_) {
       Say(day, r, WallNow() - began);
     } else {
       std::printf("second,arrived,worth_asked,worth,refused,held,caps,busy\n");
       for (std::size_t s = 0; s < r.seconds.size(); ++s) {
-        const Second& x = r.seconds[s];
+        const SecondStats& x = r.seconds[s];
         std::printf("%zu,%.0f,%.1f,%.1f,%.0f,%.0f,%.1f,%.0f\n", s, x.arrived, x.worth_asked, x.worth,
                     x.refused, x.held, x.caps, x.busy);
       }
     }
-    return r.breaks.all() == 0 ? 0 : 1;
+    return r.violations.all() == 0 ? 0 : 1;
   }
   if (results_.size() == 1) throw std::runtime_error("compare: give two results files, or none");
   if (results_.size() == 2) return compare_files_(results_[0], results_[1]);
@@ -194,9 +194,9 @@
   if (!chart_.empty()) {
     RunGnuplot(CompareChart(rows, chart_, title_));
   }
-  std::uint64_t breaks = 0;
-  for (const CompareRow& r : rows) breaks += r.breaks;
-  return breaks == 0 ? 0 : 1;
+  std::uint64_t violations = 0;
+  for (const CompareRow& r : rows) violations += r.violations;
+  return violations == 0 ? 0 : 1;
 }
 
 }  // namespace ryeglade::emulator
--- a/lab/emulator/compare.cpp
+++ b/lab/emulator/compare.cpp
@@ -52,7 +52,7 @@
       day.clients.per_second *= row.load;
       day.seed = o.day.seed + seed;
       try {
-        row.days[seed] = PlayScenario(day);
+        row.days[seed] = RunScenario(day);
       } catch (...) {
         const std::lock_guard lock(mutex);
         if (!failed) failed = std::current_exception();
@@ -84,7 +84,7 @@
       refused.push_back(static_cast<double>(d.refused + d.failed + d.broken + d.lost) /
                         static_cast<double>(std::max<std::uint64_t>(1, d.requests)));
       kept.push_back(d.kept_share);
-      row.breaks += d.breaks.all();
+      row.violations += d.violations.all();
     }
     row.share = IntervalOf(share);
     row.against = IntervalOf(against);
@@ -116,7 +116,7 @@
         "{:<16} {:>5.2f}  {:.4f} +-{:.4f}  {:+.4f} +-{:.4f} {:<7} {:>9.0f} {:>9.0f}  {:>9.4f}  {:>6.3f}  "
         "{:>6}\n",
         r.policy, r.load, r.share.mean, r.share.half, r.against.mean, r.against.half, Verdict(r), r.p50.mean,
-        r.p99.mean, r.refused.mean, r.kept.mean, r.breaks);
+        r.p99.mean, r.refused.mean, r.kept.mean, r.violations);
   }
   return out;
 }
--- a/lab/emulator/compare.h
+++ b/lab/emulator/compare.h
@@ -32,7 +32,7 @@
   Interval p50, p99;  // first token, ms
   Interval refused;   // share of requests that were refused, failed, broken or lost
   Interval kept;      // share of prompt tokens found in memory
-  std::uint64_t breaks = 0;
+  std::uint64_t violations = 0;
   std::vector<ScenarioResult> days;
 };
 
--- a/lab/emulator/gossip_simulation.cpp
+++ b/lab/emulator/gossip_simulation.cpp
@@ -44,8 +44,8 @@
 
 }  // namespace
 
-GossipSimulationResult PlayGossipSimulation(const GossipSimulationSpec& spec) {
-  Stream random(spec.seed, Concern::kNetwork, 11);
+GossipSimulationResult RunGossipSimulation(const GossipSimulationSpec& spec) {
+  RandomStream random(spec.seed, RandomPurpose::kNetwork, 11);
   std::vector<std::string> names;
   for (std::size_t i = 0; i < spec.nodes; ++i) names.push_back(fmt::format("node-{:03}", i));
   std::vector<gossip::OutlierConsensusModel::Peer> members;
@@ -99,10 +99,11 @@
       for (std::size_t k = 0; k < kChats && n.gossip.has_pending(); ++k) {
         const std::size_t to = random.Below(spec.nodes);
         if (to == i) continue;
-        const std::vector<std::string> words = n.gossip.TakeMessages(now, kDatagram - spec.head, kOverhead);
+        const std::vector<std::string> words =
+            n.gossip.TakeMessages(now, kDatagram - spec.header_bytes, kOverhead);
         if (words.empty()) break;
         ++messages;
-        bytes += static_cast<double>(spec.head);
+        bytes += static_cast<double>(spec.header_bytes);
         for (const std::string& w : words) bytes += static_cast<double>(w.size() + kOverhead);
         if (random.Chance(spec.loss) || (to < spec.one_way && i % 2 == 0)) continue;
         for (const std::string& w : words) {
@@ -130,13 +131,13 @@
   }
   result.age_p50 = At(ages, 0.5);
   result.age_p99 = At(ages, 0.99);
-  result.unheard = pairs > 0 ? unheard / pairs : 0;
+  result.unknown_share = pairs > 0 ? unheard / pairs : 0;
   std::vector<double> alone;
   for (const TalkingNode& n : nodes) {
     for (const Time t : n.alone) alone.push_back(static_cast<double>((t > 0 ? t : end) - kFailsAt) / 1e6);
   }
-  result.alone_p50 = At(alone, 0.5);
-  result.alone_last = At(alone, 1);
+  result.ejection_p50 = At(alone, 0.5);
+  result.ejection_last = At(alone, 1);
   const double each = static_cast<double>(spec.nodes) * spec.seconds;
   result.bytes = bytes / each;
   result.messages = messages / each;
--- a/lab/emulator/gossip_simulation.h
+++ b/lab/emulator/gossip_simulation.h
@@ -15,18 +15,19 @@
   std::size_t one_way = 0;  // so many nodes hear only every other node directly
   double seconds = 60;
   std::uint64_t seed = 1;
-  std::size_t head = 220;  // bytes of a message without words
+  std::size_t header_bytes = 220;  // bytes of a message without words
 };
 
 struct GossipSimulationResult {
-  double age_p50 = 0, age_p99 = 0;       // seconds: of what a node knows of another, in the second half
-  double unheard = 0;                    // share of pairs of which one knows nothing of the other then
-  double alone_p50 = 0, alone_last = 0;  // seconds from the failure until nodes leave the replicas alone
-  double bytes = 0;                      // a node and second, heads of the messages that it takes among them
-  double messages = 0;                   // the same
-  double cpu_share = 0;  // of a core, a node: words, gossip and judging; not the same on every run
+  double age_p50 = 0, age_p99 = 0;  // seconds: of what a node knows of another, in the second half
+  double unknown_share = 0;         // share of pairs of which one knows nothing of the other then
+  double ejection_p50 = 0,
+         ejection_last = 0;  // seconds from the failure until nodes leave the replicas alone
+  double bytes = 0;          // a node and second, heads of the messages that it takes among them
+  double messages = 0;       // the same
+  double cpu_share = 0;      // of a core, a node: words, gossip and judging; not the same on every run
 };
 
-GossipSimulationResult PlayGossipSimulation(const GossipSimulationSpec& spec);
+GossipSimulationResult RunGossipSimulation(const GossipSimulationSpec& spec);
 
 }  // namespace ryeglade::emulator
--- a/lab/emulator/policies.cpp
+++ b/lab/emulator/policies.cpp
@@ -37,7 +37,7 @@
     bool ready = false;
   };
   Plain(const Settings& settings, std::uint64_t seed)
-      : settings_(settings), random_(seed, Concern::kPolicy) {}
+      : settings_(settings), random_(seed, RandomPurpose::kPolicy) {}
 
   void Handle(Time, const Event& event, std::vector<Action>& actions) override {
     if (const auto* list = std::get_if<EndpointList>(&event)) return Take(*list);
@@ -59,7 +59,7 @@
  protected:
   // One of `options`, which are ready and not tried yet; never empty.
   virtual const Known& Choose(const RequestArrived& request, const std::vector<const Known*>& options) = 0;
-  Stream& random() { return random_; }
+  RandomStream& random() { return random_; }
 
  private:
   struct Open {
@@ -124,7 +124,7 @@
   }
 
   Settings settings_;
-  Stream random_;
+  RandomStream random_;
   std::vector<Known> fleet_;  // by id
   std::unordered_map<RequestId, Open> open_;
   std::vector<const Known*> ready_, options_;  // in the order of ids
--- a/lab/emulator/random.h
+++ b/lab/emulator/random.h
@@ -1,4 +1,4 @@
-// Random numbers of the emulator: a stream of its own for each concern and each thing that draws, so that one
+// Random numbers of the emulator: a stream of its own for each purpose and each thing that draws, so that one
 // changed setting does not reshuffle the rest. pcg64 (O'Neill 2014) chooses its stream by a second number;
 // the distributions are Boost's, which are the same on every machine.
 #pragma once
@@ -12,7 +12,7 @@
 
 namespace ryeglade::emulator {
 
-enum class Concern : std::uint64_t {
+enum class RandomPurpose : std::uint64_t {
   kArrivals = 1,
   kSessions,
   kSizes,
@@ -25,10 +25,10 @@
   kPolicy
 };
 
-class Stream {
+class RandomStream {
  public:
-  Stream(std::uint64_t seed, Concern concern, std::uint64_t index = 0)
-      : rng_(seed, (static_cast<std::uint64_t>(concern) << 40) | index) {}
+  RandomStream(std::uint64_t seed, RandomPurpose purpose, std::uint64_t index = 0)
+      : rng_(seed, (static_cast<std::uint64_t>(purpose) << 40) | index) {}
 
   double Unit() { return boost::random::uniform_01<double>()(rng_); }  // [0, 1)
   double Exponential(double mean) { return mean * boost::random::exponential_distribution<double>(1)(rng_); }
--- a/lab/emulator/replica_model.cpp
+++ b/lab/emulator/replica_model.cpp
@@ -20,10 +20,10 @@
 }
 
 double Replica::Speed(Time now) const {
-  if (spec_.cold_span <= 0 || now >= started_ + spec_.cold_span) return spec_.speed;
+  if (spec_.slow_start_window <= 0 || now >= started_ + spec_.slow_start_window) return spec_.speed;
   const double age =
-      static_cast<double>(std::max<Time>(0, now - started_)) / static_cast<double>(spec_.cold_span);
-  return spec_.speed * (spec_.cold_from + (1 - spec_.cold_from) * age);
+      static_cast<double>(std::max<Time>(0, now - started_)) / static_cast<double>(spec_.slow_start_window);
+  return spec_.speed * (spec_.slow_start_min_share + (1 - spec_.slow_start_min_share) * age);
 }
 
 double Replica::Kept(const Job& job) {
@@ -55,7 +55,7 @@
 }
 
 void Replica::MakeRoom(double wanted) {
-  while (!kept_.empty() && context_ + kept_tokens_ + wanted > spec_.memory) {
+  while (!kept_.empty() && context_ + kept_tokens_ + wanted > spec_.memory_tokens) {
     kept_tokens_ -= kept_.back().tokens;
     kept_by_key_.erase(kept_.back().key);
     kept_.pop_back();
@@ -63,7 +63,7 @@
 }
 
 bool Replica::Offer(Time now, const Job& job) {
-  if (static_cast<int>(waiting_.size()) >= spec_.queue || job.prompt + job.answer > spec_.memory)
+  if (static_cast<int>(waiting_.size()) >= spec_.queue || job.prompt + job.answer > spec_.memory_tokens)
     return false;
   Part part;
   part.job = job;
@@ -227,7 +227,7 @@
     const double kept = p.given > 0 ? 0 : Kept(p.job);
     const double need = p.job.prompt + p.given;
     // Room for its prompt and a little to go on with; else it waits, and so does all behind it.
-    if (context_ + need + busy() + 1 > spec_.memory && busy() > 0) return;
+    if (context_ + need + busy() + 1 > spec_.memory_tokens && busy() > 0) return;
     MakeRoom(need - kept);
     if (p.given == 0) p.kept = kept;
     unread_ -= kept;
@@ -291,18 +291,18 @@
   };
   read = reads();
   // For a stretch of steps at once: room that is made step by step would make each step an event of its own.
-  MakeRoom(std::min(0.05 * spec_.memory, kStretch * (running_ + read)));
-  while (context_ + running_ + read > spec_.memory && busy() > 1) {
+  MakeRoom(std::min(0.05 * spec_.memory_tokens, kStretch * (running_ + read)));
+  while (context_ + running_ + read > spec_.memory_tokens && busy() > 1) {
     PutBack(Latest());
     read = reads();
   }
   const double speed = Speed(now);
   plan_.start = now;
   plan_.read = read;
-  plan_.first =
-      (spec_.base + spec_.per_running * running_ + spec_.per_context * context_ + spec_.per_read * read) /
-      speed;
-  plan_.growth = spec_.per_context * (running_ + read) / speed;
+  plan_.first = (spec_.base_us + spec_.per_running_us * running_ + spec_.per_context_us * context_ +
+                 spec_.per_read_us * read) /
+                speed;
+  plan_.growth = spec_.per_context_us * (running_ + read) / speed;
   double steps = 1e9;
   if (read > 0) {
     // As long as the prompt at the head fills the chunk, steps are alike; the one that ends it is its own.
@@ -322,7 +322,8 @@
   // Until memory runs out, and no further than its speed holds.
   const double grows = running_ + read;
   if (grows > 0)
-    steps = std::min(steps, std::max(1.0, std::floor((spec_.memory - context_ - kept_tokens_) / grows)));
+    steps =
+        std::min(steps, std::max(1.0, std::floor((spec_.memory_tokens - context_ - kept_tokens_) / grows)));
   if (speed != spec_.speed) steps = std::min(steps, std::max(1.0, std::floor(plan_.StepsIn(kColdStretch))));
   plan_.steps = static_cast<std::uint64_t>(steps);
   plan_end_ = now + std::max<Time>(1, static_cast<Time>(plan_.Length(steps)));
--- a/lab/emulator/replica_model.h
+++ b/lab/emulator/replica_model.h
@@ -31,18 +31,18 @@
 using policy::Time;
 
 struct ReplicaSpec {
-  double base = 6000;          // microseconds a step
-  double per_running = 40;     // and request
-  double per_context = 0.004;  // and token in memory
-  double per_read = 22;        // and prompt token read
-  int chunk = 512;             // prompt tokens a step reads at most
-  int slots = 64;              // requests reading or running
-  int queue = 64;              // more waiting are turned away
-  double memory = 160'000;     // tokens
+  double base_us = 6000;           // microseconds a step
+  double per_running_us = 40;      // and request
+  double per_context_us = 0.004;   // and token in memory
+  double per_read_us = 22;         // and prompt token read
+  int chunk = 512;                 // prompt tokens a step reads at most
+  int slots = 64;                  // requests reading or running
+  int queue = 64;                  // more waiting are turned away
+  double memory_tokens = 160'000;  // tokens
   double speed = 1;
   bool shortest_first = false;  // what has least left of its answer goes first, before what runs
-  Time cold_span = 0;           // from its start; 0: warm at once
-  double cold_from = 1;
+  Time slow_start_window = 0;   // from its start; 0: warm at once
+  double slow_start_min_share = 1;
 };
 
 struct Job {
--- a/lab/emulator/routing_tier.cpp
+++ b/lab/emulator/routing_tier.cpp
@@ -19,7 +19,7 @@
       zones_(zones),
       weights_(std::move(weights)),
       nodes_(weights_.size()),
-      random_(seed, Concern::kNetwork, 7) {
+      random_(seed, RandomPurpose::kNetwork, 7) {
   limits_.traffic_share.report_interval_per_node = kTellEach;
   names_.reserve(nodes_.size());
   for (std::size_t i = 0; i < nodes_.size(); ++i) names_.push_back(fmt::format("n{}", i));
@@ -30,7 +30,9 @@
   node.up = true;
   node.tier = std::make_unique<gossip::SharedStateModel>(
       names_[n], ++node.life, now,
-      gossip::GossipFeatures{spec_.parts(), spec_.evidence(), spec_.beginnings()}, limits_);
+      gossip::GossipFeatures{spec_.shares_traffic(), spec_.shares_outlier_reports(),
+                             spec_.shares_prefix_traffic()},
+      limits_);
   node.lost.assign(nodes_.size(), -1);
   node.view.assign(nodes_.size(), false);
   node.size = 0;
@@ -38,10 +40,10 @@
   node.told = 0;
 }
 
-bool RoutingTierSpec::Known() const {
-  if (talk.empty()) return true;
-  const std::string what = talk.substr(0, talk.find('-'));
-  const std::string_view use = std::string_view(talk).substr(what.size());
+bool RoutingTierSpec::IsValid() const {
+  if (gossip_mode.empty()) return true;
+  const std::string what = gossip_mode.substr(0, gossip_mode.find('-'));
+  const std::string_view use = std::string_view(gossip_mode).substr(what.size());
   return (what == "talk" || what == "oracle") &&
          (use.empty() || use == "-parts" || use == "-evidence" || use == "-beginnings");
 }
@@ -86,7 +88,7 @@
 }
 
 void RoutingTier::Spread(std::size_t from, Time now, gossip::NodeReport word) {
-  if (static_cast<int>(from) == spec_.liar) {
+  if (static_cast<int>(from) == spec_.byzantine_node) {
     word.rate *= kLie;
     word.outlier_reports.clear();
     for (const policy::ReplicaView& v : fleet_) {
@@ -108,7 +110,7 @@
   if (spec_.oracle()) {
     double whole = 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i) whole += nodes_[i].up ? weights_[i] : 0;
-    for (std::size_t i = 0; i < nodes_.size() && spec_.parts(); ++i) {
+    for (std::size_t i = 0; i < nodes_.size() && spec_.shares_traffic(); ++i) {
       const double share = whole > 0 ? weights_[i] / whole : 1;
       if (!nodes_[i].up || std::abs(share - nodes_[i].told) < 1e-9) continue;
       nodes_[i].told = share;
@@ -125,7 +127,7 @@
     Node& node = nodes_[i];
     if (!node.up) continue;
     Look(i, now);
-    if (spec_.evidence()) {
+    if (spec_.shares_outlier_reports()) {
       fleet_.clear();
       sight(i, &fleet_);
       node.tier->ObserveReplicas(now, fleet_, false);
--- a/lab/emulator/routing_tier.h
+++ b/lab/emulator/routing_tier.h
@@ -27,21 +27,22 @@
 struct RoutingTierSpec {
   // "": none. "talk": as the program does; "oracle": each node knows the truth at once. Either with "-parts",
   // "-evidence" or "-beginnings" behind it has that use alone.
-  std::string talk;
-  bool oracle() const { return talk.starts_with("oracle"); }
-  bool parts() const { return Uses("-parts"); }
-  bool evidence() const { return Uses("-evidence"); }
-  bool beginnings() const { return Uses("-beginnings"); }
-  bool Known() const;
-  double loss = 0;     // of words
-  double detect = 10;  // seconds until a death, or the other side of a cut, is out of a view
-  double settles = 5;  // and until a view is settled
-  double delay = 1;    // mean until a word has reached a node; it goes from one to the next
-  int liar = -1;       // a node that says a thousand times what comes to it, and that all replicas fail
+  std::string gossip_mode;
+  bool oracle() const { return gossip_mode.starts_with("oracle"); }
+  bool shares_traffic() const { return Uses("-parts"); }
+  bool shares_outlier_reports() const { return Uses("-evidence"); }
+  bool shares_prefix_traffic() const { return Uses("-beginnings"); }
+  bool IsValid() const;
+  double loss = 0;          // of words
+  double detect = 10;       // seconds until a death, or the other side of a cut, is out of a view
+  double settles = 5;       // and until a view is settled
+  double delay = 1;         // mean until a word has reached a node; it goes from one to the next
+  int byzantine_node = -1;  // a node that says a thousand times what comes to it, and that all replicas fail
 
  private:
   bool Uses(std::string_view what) const {
-    return !talk.empty() && (talk.find('-') == std::string::npos || talk.ends_with(what));
+    return !gossip_mode.empty() &&
+           (gossip_mode.find('-') == std::string::npos || gossip_mode.ends_with(what));
   }
 };
 
@@ -93,7 +94,7 @@
   std::vector<double> weights_;
   std::vector<Node> nodes_;
   std::vector<std::string> names_;
-  Stream random_;
+  RandomStream random_;
   std::size_t cut_ = 0;
   std::priority_queue<OnItsWay> way_;
   std::uint64_t order_ = 0;
--- a/lab/emulator/simulation.cpp
+++ b/lab/emulator/simulation.cpp
@@ -40,14 +40,14 @@
   Simulation(const ScenarioSpec& day, const ScenarioOptions& options)
       : day_(day),
         options_(options),
-        arrivals_(day.seed, Concern::kArrivals),
-        sessions_(day.seed, Concern::kSessions),
-        sizes_(day.seed, Concern::kSizes),
-        network_(day.seed, Concern::kNetwork),
-        balancing_(day.seed, Concern::kBalancing),
-        retries_(day.seed, Concern::kRetries),
-        discovery_(day.seed, Concern::kDiscovery),
-        failures_(day.seed, Concern::kFailures) {
+        arrivals_(day.seed, RandomPurpose::kArrivals),
+        sessions_(day.seed, RandomPurpose::kSessions),
+        sizes_(day.seed, RandomPurpose::kSizes),
+        network_(day.seed, RandomPurpose::kNetwork),
+        balancing_(day.seed, RandomPurpose::kBalancing),
+        retries_(day.seed, RandomPurpose::kRetries),
+        discovery_(day.seed, RandomPurpose::kDiscovery),
+        failures_(day.seed, RandomPurpose::kFailures) {
     Check();
     Build();
   }
@@ -81,7 +81,7 @@
       }
       now_ = e.at;
       ++result_.events;
-      if ((result_.events & 0xffffU) == 0 && options_.stop && options_.stop()) throw Abandoned{};
+      if ((result_.events & 0xffffU) == 0 && options_.stop && options_.stop()) throw SimulationStopped{};
       Do(e);
       if (now_ > end_ && open_calls_ == 0) break;
       if (options_.progress && (result_.events & 0xfffffU) == 0)
@@ -127,7 +127,7 @@
     double prompt = 0, answer = 0, prefix_tokens = 0;
     Time born = 0, gives_up = 0;
     int tries = 0, turns_left = 0;
-    bool honours = true, counted = false;
+    bool honors_retry_after = true, counted = false;
     std::uint64_t tried = 0;  // the try that is out; 0: none
     Time first = 0;
   };
@@ -149,8 +149,8 @@
     Time sent = 0;
     bool at_replica = false, made = false;  // a replica has it; has made all of it
     bool started = false;
-    bool over = false;     // the node has been told its end, or has died
-    Time first_there = 0;  // when the first token is at the node: the end can't overtake it
+    bool over = false;             // the node has been told its end, or has died
+    Time first_token_at_node = 0;  // when the first token is at the node: the end can't overtake it
     double kept = 0;
   };
   struct Node {
@@ -177,14 +177,14 @@
       if (!good) throw std::runtime_error(what);
     };
     need(day_.seconds > 0 && day_.seconds < 1e7, "seconds: must be between 0 and 1e7");
-    need(day_.warm >= 0 && day_.warm < day_.seconds, "warm: must be less than `seconds`");
+    need(day_.warm_up_s >= 0 && day_.warm_up_s < day_.seconds, "warm: must be less than `seconds`");
     need(!day_.classes.empty(), "classes: at least one is needed");
     need(day_.fleet.nodes > 0 && day_.fleet.nodes <= 4096, "fleet.nodes: must be 1 to 4096");
     need(day_.fleet.replicas > 0 && day_.fleet.replicas <= 100'000, "fleet.replicas: must be 1 to 100000");
     need(day_.fleet.zones > 0 && day_.fleet.racks > 0, "fleet.zones, fleet.racks: must be 1 or more");
     need(day_.fleet.skew >= 0 && day_.fleet.skew <= 3, "fleet.skew: must be 0 to 3");
     const std::string talk_error = "fleet.talk: must be " + std::string(kGossipValues);
-    need(day_.fleet.tier.Known(), talk_error.c_str());
+    need(day_.fleet.tier.IsValid(), talk_error.c_str());
     need(!day_.fleet.kinds.empty(), "fleet.kinds: at least one is needed");
     need(day_.clients.per_second >= 0, "clients.per_second: must not be negative");
     need(day_.clients.session_turns >= 1, "clients.session_turns: must be 1 or more");
@@ -199,7 +199,7 @@
     now_ = kBegin;
     end_ = kBegin + Micros(day_.seconds);
     result_.first_token = lab::NewLatencies();
-    Stream speeds(day_.seed, Concern::kSpeeds);
+    RandomStream speeds(day_.seed, RandomPurpose::kSpeeds);
     double shares = 0;
     for (const KindSpec& k : day_.fleet.kinds) shares += k.share;
     for (int i = 0; i < day_.fleet.replicas; ++i) {
@@ -229,8 +229,8 @@
   }
 
   void BuildTier() {
-    if (day_.fleet.skew <= 0 && day_.fleet.tier.talk.empty()) return;
-    Stream random(day_.seed, Concern::kBalancing, 1);
+    if (day_.fleet.skew <= 0 && day_.fleet.tier.gossip_mode.empty()) return;
+    RandomStream random(day_.seed, RandomPurpose::kBalancing, 1);
     std::vector<double> weights;
     double whole = 0;
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
@@ -240,7 +240,7 @@
     for (double& w : weights) w /= whole;
     for (const double w : weights)
       traffic_upto_.push_back((traffic_upto_.empty() ? 0 : traffic_upto_.back()) + w);
-    if (!day_.fleet.tier.talk.empty())
+    if (!day_.fleet.tier.gossip_mode.empty())
       tier_ = std::make_unique<RoutingTier>(day_.fleet.tier, std::move(weights), day_.fleet.zones, day_.seed);
     parts_.assign(nodes_.size(), 1.0 / static_cast<double>(nodes_.size()));
   }
@@ -259,7 +259,7 @@
     if (day_.fleet.tier.oracle()) TellTruth();
     double all = 0;
     for (std::size_t n = 0; n < nodes_.size(); ++n) all += nodes_[n].up ? parts_[n] : 0;
-    if (now_ >= kBegin + Micros(day_.warm)) result_.joint_shares = std::max(result_.joint_shares, all);
+    if (now_ >= kBegin + Micros(day_.warm_up_s)) result_.joint_shares = std::max(result_.joint_shares, all);
     if (now_ < end_) Push(now_ + RoutingTier::kEvery, What::kTier, 0, 0, 0);
   }
 
@@ -279,8 +279,8 @@
     for (const auto& [key, use] : prefix_use_)
       keys.shares.emplace_back(key, all > 0 ? use.ValueAt(now_, kPrefixMemory) / all : 0);
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
-      if (t.evidence()) Give(n, truth);
-      if (t.beginnings()) Give(n, keys);
+      if (t.shares_outlier_reports()) Give(n, truth);
+      if (t.shares_prefix_traffic()) Give(n, keys);
     }
   }
 
@@ -342,8 +342,8 @@
     node.policy = options_.policy ? options_.policy(static_cast<int>(n), settings, now_)
                                   : MakePolicy(day_.policy, settings, seed, now_, [this](ReplicaId id) {
                                       const Host& h = hosts_[id];
-                                      return (h.replica->unread() * h.spec.per_read +
-                                              (h.replica->busy() + h.replica->waiting()) * h.spec.base) *
+                                      return (h.replica->unread() * h.spec.per_read_us +
+                                              (h.replica->busy() + h.replica->waiting()) * h.spec.base_us) *
                                              h.slow / h.replica->Speed(now_);
                                     });
   }
@@ -357,7 +357,8 @@
     node.policy->Handle(now_, event, actions);
     if (options_.measure_policy) result_.policy_cpu_s += CpuNow() - before;
     ++result_.decisions;
-    if (options_.watch != nullptr) options_.watch->OnDecision(static_cast<int>(n), now_, event, actions);
+    if (options_.observer != nullptr)
+      options_.observer->OnDecision(static_cast<int>(n), now_, event, actions);
     for (const Action& a : actions) {
       if (const auto* send = std::get_if<SendAttempt>(&a)) {
         Send(n, *send);
@@ -377,10 +378,10 @@
     Try* t = tries_.Get(send.id);
     if (t == nullptr || t->node != n || send.replica >= hosts_.size()) return;
     ++result_.attempts;
-    if (t->out > 0) ++result_.breaks.two_attempts;
+    if (t->out > 0) ++result_.violations.two_attempts;
     Node& node = nodes_[n];
     const Time drained = node.drained[send.replica];
-    if (drained != 0 && now_ - drained > day_.drain_grace) ++result_.breaks.after_drain;
+    if (drained != 0 && now_ - drained > day_.drain_grace) ++result_.violations.after_drain;
     Attempt a;
     a.tried = send.id;
     a.node = static_cast<std::uint32_t>(n);
@@ -436,7 +437,7 @@
       return Push(now_ + Delay(h.entry.zone, zone), What::kEnded, 0,
                   static_cast<std::uint32_t>(Outcome::kServed), handle);
     if (h.silent)
-      return Push(now_ + Micros(day_.fleet.silence), What::kEnded, 0,
+      return Push(now_ + Micros(day_.fleet.silence_timeout_s), What::kEnded, 0,
                   static_cast<std::uint32_t>(Outcome::kReset), handle);
     if (!h.up) {
       return Push(now_ + Delay(h.entry.zone, zone), What::kEnded, 0,
@@ -470,11 +471,11 @@
       if (e.kind == JobEvent::Kind::kFirst) {
         a->kept = e.kept;
         if (lost) {
-          Push(now_ + Micros(day_.fleet.silence), What::kEnded, 0,
+          Push(now_ + Micros(day_.fleet.silence_timeout_s), What::kEnded, 0,
                static_cast<std::uint32_t>(Outcome::kReset), e.id);
         } else {
-          a->first_there = now_ + Delay(h.entry.zone, zone);
-          Push(a->first_there, What::kFirst, replica, 0, e.id);
+          a->first_token_at_node = now_ + Delay(h.entry.zone, zone);
+          Push(a->first_token_at_node, What::kFirst, replica, 0, e.id);
         }
         continue;
       }
@@ -483,10 +484,10 @@
       CountShare(replica);
       // What is lost on its way leaves the node waiting, until it has waited too long.
       if (lost) {
-        Push(now_ + Micros(day_.fleet.silence), What::kEnded, 0, static_cast<std::uint32_t>(Outcome::kReset),
-             e.id);
+        Push(now_ + Micros(day_.fleet.silence_timeout_s), What::kEnded, 0,
+             static_cast<std::uint32_t>(Outcome::kReset), e.id);
       } else {
-        Push(std::max(a->first_there, now_ + Delay(h.entry.zone, zone)), What::kEnded, 0,
+        Push(std::max(a->first_token_at_node, now_ + Delay(h.entry.zone, zone)), What::kEnded, 0,
              static_cast<std::uint32_t>(Outcome::kServed), e.id);
       }
     }
@@ -494,8 +495,8 @@
   }
 
   void CountShare(std::uint32_t replica) {
-    if (day_.share_every <= 0) return;
-    const auto n = static_cast<std::size_t>(Seconds(now_ - kBegin) / day_.share_every);
+    if (day_.replica_series_interval_s <= 0) return;
+    const auto n = static_cast<std::size_t>(Seconds(now_ - kBegin) / day_.replica_series_interval_s);
     while (result_.served_in.size() <= n) result_.served_in.emplace_back(hosts_.size());
     ++result_.served_in[n][replica];
   }
@@ -508,7 +509,8 @@
     for (const std::uint64_t handle : here) {
       const Attempt* a = attempts_.Get(handle);
       if (a == nullptr || a->over) continue;
-      const Time after = silent ? Micros(day_.fleet.silence) : Delay(h.entry.zone, nodes_[a->node].zone);
+      const Time after =
+          silent ? Micros(day_.fleet.silence_timeout_s) : Delay(h.entry.zone, nodes_[a->node].zone);
       Push(now_ + after, What::kEnded, 0, static_cast<std::uint32_t>(Outcome::kReset), handle);
     }
     result_.preempted += h.replica->preempted();
@@ -549,10 +551,10 @@
       e.load_report = {static_cast<double>(h.replica->busy() + h.replica->waiting())};
     const std::uint64_t tried = ended.tried;
     if (outcome == Outcome::kServed) {
-      if (!ended.made) ++result_.breaks.not_made;
+      if (!ended.made) ++result_.violations.not_made;
       if (t != nullptr) {
         const bool again = t->final && calls_.Get(t->call) != nullptr;
-        if (again) ++result_.breaks.two_answers;
+        if (again) ++result_.violations.two_answers;
         t->final = true;
         if (Call* c = calls_.Get(t->call)) {
           kept_ += ended.kept;
@@ -618,7 +620,7 @@
     c.prefix = 0x9e3779b97f4a7c15ULL * (1 + sessions_.Zipf(day_.clients.prefixes, day_.clients.prefix_power));
     c.prefix_tokens = day_.clients.prefix_tokens;
     c.session = 0xc2b2ae3d27d4eb4fULL * ++conversations_;
-    c.honours = retries_.Chance(day_.clients.honours);
+    c.honors_retry_after = retries_.Chance(day_.clients.honors_retry_after);
     c.turns_left = 0;
     while (sessions_.Unit() > 1 / day_.clients.session_turns) ++c.turns_left;
     c.prompt = c.prefix_tokens;
@@ -626,9 +628,9 @@
   }
 
   void OnTraced(std::uint64_t n) {
-    const std::vector<TracedCall>& trace = *options_.trace;
+    const std::vector<TracedRequest>& trace = *options_.trace;
     if (n + 1 < trace.size()) Push(kBegin + trace[n + 1].at, What::kTraced, 0, 0, n + 1);
-    const TracedCall& t = trace[n];
+    const TracedRequest& t = trace[n];
     Call c;
     c.cls = std::clamp(t.cls, 0, static_cast<int>(day_.classes.size()) - 1);
     c.prefix = t.prefix;
@@ -642,7 +644,7 @@
   void Ask(Call c) {
     const ClassSpec& k = day_.classes[static_cast<std::size_t>(c.cls)];
     c.prompt = std::min(30'000.0, c.prompt + std::ceil(sizes_.Lognormal(k.prompt, k.prompt_sigma)));
-    c.answer = std::clamp(std::ceil(sizes_.Lognormal(k.answer, k.answer_sigma)), 1.0, k.most_answer);
+    c.answer = std::clamp(std::ceil(sizes_.Lognormal(k.answer, k.answer_sigma)), 1.0, k.max_answer);
     Begin(c);
   }
 
@@ -653,7 +655,7 @@
     c.tries = 0;
     c.first = 0;
     c.tried = 0;
-    c.counted = now_ >= kBegin + Micros(day_.warm) && now_ < end_;
+    c.counted = now_ >= kBegin + Micros(day_.warm_up_s) && now_ < end_;
     if (c.counted) {
       ++result_.requests;
       result_.worth_asked += k.worth;
@@ -700,7 +702,7 @@
     r.prefix = c->prefix;
     r.prompt_tokens = c->prompt;
     r.prefix_tokens = std::min(c->prefix_tokens, c->prompt);
-    r.max_answer_tokens = day_.classes[static_cast<std::size_t>(c->cls)].most_answer;
+    r.max_answer_tokens = day_.classes[static_cast<std::size_t>(c->cls)].max_answer;
     r.time_budget = std::max<Time>(0, c->gives_up - now_);
     r.client_retry = c->tries > 1;
     // What the real node's upstream does: an attempt without a first token ends when time is nearly up.
@@ -723,7 +725,7 @@
     Try* t = tries_.Get(tried);
     if (t == nullptr) return;
     if (t->final) {
-      ++result_.breaks.two_answers;
+      ++result_.violations.two_answers;
       return;
     }
     t->final = true;
@@ -734,10 +736,10 @@
     c->tried = 0;
     const Time back = ClientDelay();
     const ClientSpec& k = day_.clients;
-    const double gap = k.retry_gap * std::pow(2.0, c->tries - 1) * (0.5 + retries_.Unit());
-    const Time wait = back + (c->honours && retry_after > 0 ? retry_after + Micros(0.2 * gap) : Micros(gap));
-    if (c->tries < k.most_tries && now_ + wait < c->gives_up)
-      return Push(now_ + wait, What::kTry, 0, 0, call);
+    const double gap = k.retry_backoff_s * std::pow(2.0, c->tries - 1) * (0.5 + retries_.Unit());
+    const Time wait =
+        back + (c->honors_retry_after && retry_after > 0 ? retry_after + Micros(0.2 * gap) : Micros(gap));
+    if (c->tries < k.max_tries && now_ + wait < c->gives_up) return Push(now_ + wait, What::kTry, 0, 0, call);
     if (c->counted) ++(failed ? result_.failed : result_.refused);
     SecondNow().refused += 1;
     Over(call);
@@ -746,7 +748,7 @@
   void Served(std::uint64_t call, const Call& c) {
     const ClassSpec& k = day_.classes[static_cast<std::size_t>(c.cls)];
     const Time first = c.first - c.born;
-    const bool in_time = first <= k.aim;
+    const bool in_time = first <= k.latency_objective;
     const double worth = in_time ? k.worth : first <= k.deadline ? k.worth * k.late_worth : 0;
     if (c.counted) {
       ++(in_time ? result_.in_time : result_.late);
@@ -783,7 +785,7 @@
     const std::uint64_t tried = c->tried;
     Try* t = tries_.Get(tried);
     if (t != nullptr && t->started) return;
-    if (t != nullptr && t->at_node && nodes_[t->node].up) ++result_.breaks.no_answer;
+    if (t != nullptr && t->at_node && nodes_[t->node].up) ++result_.violations.no_answer;
     if (c->counted) ++result_.lost;
     if (t != nullptr) {
       t->final = true;
@@ -812,7 +814,7 @@
     for (const std::uint32_t r : changed) pending_[generation_].push_back(hosts_[r].entry);
     if (dark_) return;
     for (std::size_t n = 0; n < nodes_.size(); ++n)
-      Push(now_ + Micros(discovery_.Exponential(day_.fleet.told_within * late_)), What::kList,
+      Push(now_ + Micros(discovery_.Exponential(day_.fleet.discovery_delay_s * late_)), What::kList,
            static_cast<std::uint32_t>(n), generation_, kDeltaList);
     if (pending_.size() > 64) pending_.erase(pending_.begin());
   }
@@ -946,7 +948,7 @@
     } else if (f.what == "dark") {
       dark_ = begins;
       for (std::size_t n = 0; n < nodes_.size(); ++n) {
-        Push(now_ + (begins ? kDarkNoticed : Micros(discovery_.Exponential(day_.fleet.told_within))),
+        Push(now_ + (begins ? kDarkNoticed : Micros(discovery_.Exponential(day_.fleet.discovery_delay_s))),
              What::kList, static_cast<std::uint32_t>(n), generation_, begins ? kFailedList : kFullList);
       }
     } else if (f.what == "invent") {
@@ -1008,20 +1010,20 @@
 
   void NodeReturns(std::size_t n) {
     StartNode(n);
-    Push(now_ + Micros(discovery_.Exponential(day_.fleet.told_within)), What::kList,
+    Push(now_ + Micros(discovery_.Exponential(day_.fleet.discovery_delay_s)), What::kList,
          static_cast<std::uint32_t>(n), generation_, kFullList);
   }
 
   // ---- The day ----
 
-  Second& SecondNow() {
+  SecondStats& SecondNow() {
     const auto n = static_cast<std::size_t>((now_ - kBegin) / 1'000'000);
     if (result_.seconds.size() <= n) result_.seconds.resize(n + 1);
     return result_.seconds[n];
   }
 
   void OnSecond() {
-    Second& s = SecondNow();
+    SecondStats& s = SecondNow();
     for (const Node& n : nodes_) {
       if (!n.up) continue;
       s.held += static_cast<double>(n.policy->held());
@@ -1036,10 +1038,10 @@
       slots += h.spec.slots;
       const double speed = h.replica->Speed(now_);
       if (speed < h.spec.speed && h.up && !h.silent && h.slow == 1 &&
-          h.replica->unread() * h.spec.per_read / speed > day_.cold_backlog * 1e6)
-        ++result_.breaks.cold_pushed;
+          h.replica->unread() * h.spec.per_read_us / speed > day_.cold_backlog_s * 1e6)
+        ++result_.violations.cold_pushed;
     }
-    if (all > 0 && now_ >= kBegin + Micros(day_.warm)) {
+    if (all > 0 && now_ >= kBegin + Micros(day_.warm_up_s)) {
       crowds_ += most * static_cast<double>(hosts_.size()) / all;
       ++crowded_;
     }
@@ -1117,12 +1119,12 @@
       trouble = std::min(trouble, f.at);
       calm = std::max(calm, f.at + f.lasts);
     }
-    result_.back = BackAfter(result_.seconds, day_.seconds, day_.warm, trouble, calm);
+    result_.recovery_s = TimeToRecovery(result_.seconds, day_.seconds, day_.warm_up_s, trouble, calm);
   }
 
   ScenarioSpec day_;
   const ScenarioOptions& options_;
-  Stream arrivals_, sessions_, sizes_, network_, balancing_, retries_, discovery_, failures_;
+  RandomStream arrivals_, sessions_, sizes_, network_, balancing_, retries_, discovery_, failures_;
   Time now_ = 0, end_ = 0;
   std::priority_queue<Event_> queue_;
   std::map<Time, std::vector<Event_>> far_;  // by time over kFar
@@ -1148,7 +1150,8 @@
 
 }  // namespace
 
-double BackAfter(const std::vector<Second>& day, double length, double warm, double trouble, double calm) {
+double TimeToRecovery(const std::vector<SecondStats>& day, double length, double warm, double trouble,
+                      double calm) {
   // What is served of what is asked for from `from` on; more than all where a backlog is worked off.
   const auto share = [&](double from, double upto) {
     double worth = 0, asked = 0;
@@ -1171,7 +1174,7 @@
           "contradict", "node-dies", "load",   "replace", "invent", "talk-cut", "fails", "hangs"};
 }
 
-std::string Breaks::Words() const {
+std::string RuleViolations::Describe() const {
   return fmt::format(
       "no answer {}, two answers {}, two attempts at once {}, sent after a drain {}, cold pushed over {}, "
       "not made {}",
@@ -1185,7 +1188,7 @@
   for (const ClassSpec& c : day.classes) {
     ClassSettings k;
     k.name = c.name;
-    k.latency_objective = c.aim;
+    k.latency_objective = c.latency_objective;
     k.time_budget = c.deadline;
     k.priority_weight = c.worth;
     k.late_weight_share = c.late_worth;
@@ -1204,14 +1207,14 @@
   s.response_grace = 16'000;
   s.drain_grace = day.drain_grace;
   for (const KindSpec& k : day.fleet.kinds) {
-    s.slow_start_window = std::max(s.slow_start_window, k.replica.cold_span);
-    s.slow_start_min_share = std::min(s.slow_start_min_share, k.replica.cold_from);
+    s.slow_start_window = std::max(s.slow_start_window, k.replica.slow_start_window);
+    s.slow_start_min_share = std::min(s.slow_start_min_share, k.replica.slow_start_min_share);
   }
   if (day.fleet.zones > 1) s.cross_zone_penalty = 0.02;
   return s;
 }
 
-ScenarioResult PlayScenario(const ScenarioSpec& day, const ScenarioOptions& options) {
+ScenarioResult RunScenario(const ScenarioSpec& day, const ScenarioOptions& options) {
   return Simulation(day, options).Play();
 }
 
--- a/lab/emulator/simulation.h
+++ b/lab/emulator/simulation.h
@@ -20,11 +20,11 @@
 struct ClassSpec {
   std::string name = "docs";
   double share = 1;  // of the requests
-  Time aim = 2'000'000, deadline = 10'000'000;
+  Time latency_objective = 2'000'000, deadline = 10'000'000;
   double worth = 1, late_worth = 0.3;       // late: between aim and deadline
   double prompt = 700, prompt_sigma = 0.8;  // tokens: median, and standard deviation of the logarithm
   double answer = 120, answer_sigma = 0.6;
-  double most_answer = 2000;
+  double max_answer = 2000;
 };
 
 struct ClientSpec {
@@ -34,9 +34,10 @@
   std::uint64_t prefixes = 64;  // shared beginnings, drawn by Zipf
   double prefix_power = 1.0;
   double prefix_tokens = 400;
-  double honours = 0.8;  // share of clients that wait as Retry-After says; the others come back at once
-  int most_tries = 4;
-  double retry_gap = 0.1;                            // seconds, of those that do not wait, doubling
+  double honors_retry_after =
+      0.8;  // share of clients that wait as Retry-After says; the others come back at once
+  int max_tries = 4;
+  double retry_backoff_s = 0.1;                      // seconds, of those that do not wait, doubling
   double wave = 0, wave_every = 600;                 // amplitude (share) and period (s) of a sine in the rate
   double burst = 1, burst_every = 0, burst_for = 0;  // the rate times that, for so long, so often (s)
 };
@@ -52,11 +53,11 @@
   double speed_sigma = 0.05;                                     // of the logarithm of each replica's speed
   double same_zone_us = 150, cross_zone_us = 700, jitter = 0.3;  // one way; the jitter's sigma
   double client_us = 400;                                        // between a client and its node, one way
-  double told_within = 0.05;  // seconds, mean, until a node hears of a change
+  double discovery_delay_s = 0.05;  // seconds, mean, until a node hears of a change
   double connect_timeout = 0.25;
   double skew = 0;  // sigma of the logarithm of the traffic that each node gets
   RoutingTierSpec tier;
-  double silence = 4;  // seconds without a byte after which a node calls an attempt broken
+  double silence_timeout_s = 4;  // seconds without a byte after which a node calls an attempt broken
 };
 
 // What goes wrong, each with its time (s from the begin) and how long it lasts.
@@ -78,20 +79,20 @@
 struct ScenarioSpec {
   std::uint64_t seed = 1;
   std::string policy = "router";
-  double seconds = 120, warm = 20;  // what comes in the first `warm` seconds is not counted
+  double seconds = 120, warm_up_s = 20;  // what comes in the first `warm` seconds is not counted
   std::vector<ClassSpec> classes{ClassSpec{}};
   ClientSpec clients;
   FleetSpec fleet;
   std::vector<FaultSpec> faults;
   int max_attempts = 3;
   Time drain_grace = 750'000;
-  double cold_backlog = 2.0;  // seconds of unread prompts at which a cold replica counts as pushed over
-  double series_every = 0;    // seconds; what results keep of the day's course. 0: nothing
-  double share_every = 0;     // seconds; what each replica served, counted so often. 0: not at all
+  double cold_backlog_s = 2.0;   // seconds of unread prompts at which a cold replica counts as pushed over
+  double series_interval_s = 0;  // seconds; what results keep of the day's course. 0: nothing
+  double replica_series_interval_s = 0;  // seconds; what each replica served, counted so often. 0: not at all
 };
 
 // The rules, each counted; a day that keeps them has nothing but zeros.
-struct Breaks {
+struct RuleViolations {
   std::uint64_t no_answer = 0;     // a request that its live node let run out of time
   std::uint64_t two_answers = 0;   // a second final answer
   std::uint64_t two_attempts = 0;  // two at once
@@ -101,12 +102,12 @@
   std::uint64_t all() const {
     return no_answer + two_answers + two_attempts + after_drain + cold_pushed + not_made;
   }
-  std::string Words() const;
+  std::string Describe() const;
 };
 
 using Histogram = lab::Latencies;
 
-struct Second {  // of the day
+struct SecondStats {  // of the day
   double arrived = 0, worth = 0, worth_asked = 0, refused = 0, held = 0, caps = 0, busy = 0;
 };
 
@@ -124,9 +125,10 @@
   Histogram first_token;       // ms
   std::vector<double> served_by_replica;
   std::vector<std::vector<std::uint32_t>> served_in;  // by span of share_every, then replica
-  std::vector<Second> seconds;
-  Breaks breaks;
-  double back = 0;  // seconds from the end of the last fault until BackAfter; 0 where there are no faults
+  std::vector<SecondStats> seconds;
+  RuleViolations violations;
+  double recovery_s =
+      0;  // seconds from the end of the last fault until TimeToRecovery; 0 where there are no faults
   double policy_cpu_s = 0;          // only where measured
   double Quantile(double q) const;  // of first tokens, ms
   double Share() const { return worth_asked > 0 ? worth / worth_asked : 0; }
@@ -136,18 +138,19 @@
 // share of the worth asked for, between `warm` and `trouble` (the first fault's begin), in two stretches of 5
 // s in a row. Never: all that is left of the day. For days that stay down after what brought them down is
 // over.
-double BackAfter(const std::vector<Second>& day, double length, double warm, double trouble, double calm);
+double TimeToRecovery(const std::vector<SecondStats>& day, double length, double warm, double trouble,
+                      double calm);
 
 // Sees all that nodes are told and decide; for tests and records. May be null.
-class ScenarioWatch {
+class ScenarioObserver {
  public:
-  virtual ~ScenarioWatch() = default;
+  virtual ~ScenarioObserver() = default;
   virtual void OnDecision(int node, Time now, const policy::Event& event,
                           const std::vector<policy::Action>& actions) = 0;
 };
 
 // A request as a trace tells it, instead of the clients' model.
-struct TracedCall {
+struct TracedRequest {
   Time at = 0;  // since the day's begin
   int cls = 0;
   std::uint64_t session = 0, prefix = 0;
@@ -155,9 +158,9 @@
 };
 
 struct ScenarioOptions {
-  const std::vector<TracedCall>* trace = nullptr;  // ordered by time; then no clients come of themselves
+  const std::vector<TracedRequest>* trace = nullptr;  // ordered by time; then no clients come of themselves
   bool measure_policy = false;  // its CPU time: the result is then not the same on every run
-  ScenarioWatch* watch = nullptr;
+  ScenarioObserver* observer = nullptr;
   std::function<void(double done)> progress;
   std::function<bool()> stop;  // asked now and then; true: the day ends with Abandoned
   // Instead of a policy by name: for tests that break a rule on purpose.
@@ -165,12 +168,12 @@
 };
 
 // Thrown where ScenarioOptions.stop said so.
-struct Abandoned {};
+struct SimulationStopped {};
 
 // The settings that a Router in such a day is given.
 policy::Settings SettingsOf(const ScenarioSpec& day, int node);
 // Throws std::runtime_error for a day that makes no sense, naming the field, and for one whose time stands
 // still because a policy sets timers of no length without end.
-ScenarioResult PlayScenario(const ScenarioSpec& day, const ScenarioOptions& options = {});
+ScenarioResult RunScenario(const ScenarioSpec& day, const ScenarioOptions& options = {});
 
 }  // namespace ryeglade::emulator
--- a/lab/experiment/command.cpp
+++ b/lab/experiment/command.cpp
@@ -43,15 +43,18 @@
     throw std::runtime_error(path + ": " + fault.what + ": " + std::strerror(fault.error));
 }
 
-const std::vector<std::pair<std::string, std::uint64_t emulator::Breaks::*>>& Rules() {
-  static const std::vector<std::pair<std::string, std::uint64_t emulator::Breaks::*>> all = {
-      {"no-answer", &emulator::Breaks::no_answer},       {"two-answers", &emulator::Breaks::two_answers},
-      {"two-attempts", &emulator::Breaks::two_attempts}, {"after-drain", &emulator::Breaks::after_drain},
-      {"cold-pushed", &emulator::Breaks::cold_pushed},   {"not-made", &emulator::Breaks::not_made}};
+const std::vector<std::pair<std::string, std::uint64_t emulator::RuleViolations::*>>& Rules() {
+  static const std::vector<std::pair<std::string, std::uint64_t emulator::RuleViolations::*>> all = {
+      {"no-answer", &emulator::RuleViolations::no_answer},
+      {"two-answers", &emulator::RuleViolations::two_answers},
+      {"two-attempts", &emulator::RuleViolations::two_attempts},
+      {"after-drain", &emulator::RuleViolations::after_drain},
+      {"cold-pushed", &emulator::RuleViolations::cold_pushed},
+      {"not-made", &emulator::RuleViolations::not_made}};
   return all;
 }
 
-std::uint64_t Broken(const emulator::Breaks& b, const std::string& rule) {
+std::uint64_t Broken(const emulator::RuleViolations& b, const std::string& rule) {
   if (rule == "any") return b.all();
   for (const auto& [name, count] : Rules()) {
     if (name == rule) return b.*count;
@@ -104,7 +107,7 @@
   RunOptions o;
   o.out = out_.empty() ? e.name + ".h5" : out_;
   o.workers = workers_ > 0 ? workers_ : static_cast<int>(std::max(1U, std::thread::hardware_concurrency()));
-  o.anew = anew_;
+  o.rerun = anew_;
   WatchSignals();
   o.stop = [] { return interrupted != 0; };
   if (const auto bar = lab::ProgressLine()) {
@@ -114,14 +117,14 @@
   }
   const RunOutcome r = RunExperiment(e, o);
   std::printf("%s: %zu days played, %zu found, %zu left; rules broken: %llu\n", o.out.c_str(), r.played,
-              r.found, r.left, static_cast<unsigned long long>(r.breaks));
+              r.found, r.left, static_cast<unsigned long long>(r.violations));
   if (r.not_saved > 0)
     std::printf("the file could not be saved %zu times on the way: %s\n", r.not_saved, r.why_not.c_str());
   if (r.left > 0) {
     std::printf("run it again to go on\n");
     return 130;
   }
-  return r.breaks == 0 ? 0 : 1;
+  return r.violations == 0 ? 0 : 1;
 }
 
 int Commands::RunReport() {
@@ -152,23 +155,23 @@
   emulator::ScenarioOptions options;
   options.stop = [] { return interrupted != 0; };
   const auto wrong = [&](const ScenarioSpec& d) {
-    const ScenarioResult r = emulator::PlayScenario(d, options);
-    if (!breaks_.empty()) return Broken(r.breaks, breaks_) > 0;
+    const ScenarioResult r = emulator::RunScenario(d, options);
+    if (!breaks_.empty()) return Broken(r.violations, breaks_) > 0;
     if (r.requests < 20) return false;  // too few to say anything by
     ScenarioSpec other = d;
     other.policy = behind_;
-    return emulator::PlayScenario(other, options).Share() - r.Share() >= by_;
+    return emulator::RunScenario(other, options).Share() - r.Share() >= by_;
   };
   ShrinkOptions so;
-  so.most_plays = plays_;
+  so.max_runs = plays_;
   if (const auto bar = lab::ProgressLine())
     so.progress = [&, bar](std::size_t n, double) {
       bar(static_cast<double>(n) / static_cast<double>(plays_));
     };
-  Shrunk s;
+  ShrinkResult s;
   try {
     s = Shrink(day, wrong, so);
-  } catch (const emulator::Abandoned&) {
+  } catch (const emulator::SimulationStopped&) {
     throw std::runtime_error("interrupted; nothing was written");
   }
   const std::string what = breaks_.empty()
--- a/lab/experiment/measures.cpp
+++ b/lab/experiment/measures.cpp
@@ -58,9 +58,9 @@
       {"errors", "errors, silences and failed connections, a thousand requests", -1, 2,
        [](const ScenarioResult& d, double) { return 1000 * Per(Whole(d.errors), d.calls); }},
       {"back_s", "seconds after the last fault until 95% of the steady worth", -1, 1,
-       [](const ScenarioResult& d, double) { return d.back; }},
+       [](const ScenarioResult& d, double) { return d.recovery_s; }},
       {"cold_pushed", "seconds that cold replicas had too much to read", -1, 1,
-       [](const ScenarioResult& d, double) { return Whole(d.breaks.cold_pushed); }},
+       [](const ScenarioResult& d, double) { return Whole(d.violations.cold_pushed); }},
       {"worst_replica", "most served by one replica to the mean", -1, 2,
        [](const ScenarioResult& d, double) {
          double sum = 0, most = 0;
@@ -71,7 +71,7 @@
          return sum > 0 ? most * static_cast<double>(d.served_by_replica.size()) / sum : 0;
        }},
       {"breaks", "rules broken", -1, 0,
-       [](const ScenarioResult& d, double) { return Whole(d.breaks.all()); }},
+       [](const ScenarioResult& d, double) { return Whole(d.violations.all()); }},
   };
   return all;
 }
--- a/lab/experiment/report.cpp
+++ b/lab/experiment/report.cpp
@@ -231,7 +231,7 @@
   for (std::size_t p = 0; p < n; ++p) {
     const ScenarioRow* row = r.Find((cell * n + p) * e.seeds);
     std::string lines;
-    const double every = e.cells[cell].day.share_every;
+    const double every = e.cells[cell].day.replica_series_interval_s;
     for (std::size_t t = 0; row != nullptr && t < row->served_in.size(); ++t) {
       if (static_cast<double>(t) * every >= e.cells[cell].day.seconds) break;
       const auto& list = row->served_in[t];
--- a/lab/experiment/results.cpp
+++ b/lab/experiment/results.cpp
@@ -29,12 +29,12 @@
           {"attempts", n(d.attempts)},
           {"decisions", n(d.decisions)},
           {"events", n(d.events)},
-          {"break_no_answer", n(d.breaks.no_answer)},
-          {"break_two_answers", n(d.breaks.two_answers)},
-          {"break_two_attempts", n(d.breaks.two_attempts)},
-          {"break_after_drain", n(d.breaks.after_drain)},
-          {"break_cold_pushed", n(d.breaks.cold_pushed)},
-          {"break_not_made", n(d.breaks.not_made)}};
+          {"break_no_answer", n(d.violations.no_answer)},
+          {"break_two_answers", n(d.violations.two_answers)},
+          {"break_two_attempts", n(d.violations.two_attempts)},
+          {"break_after_drain", n(d.violations.after_drain)},
+          {"break_cold_pushed", n(d.violations.cold_pushed)},
+          {"break_not_made", n(d.violations.not_made)}};
 }
 
 std::vector<Point> CourseOf(const ScenarioResult& d, double every) {
@@ -47,7 +47,7 @@
       out.resize(n + 1);
       in.resize(n + 1);
     }
-    const emulator::Second& x = d.seconds[s];
+    const emulator::SecondStats& x = d.seconds[s];
     Point& p = out[n];
     ++in[n];
     p.arrived += x.arrived;
@@ -95,12 +95,12 @@
 ScenarioRow RowOf(std::size_t day, const emulator::ScenarioSpec& spec, const ScenarioResult& result) {
   ScenarioRow row;
   row.day = day;
-  for (const Measure& m : Measures()) row.measures[m.name] = m.of(result, spec.seconds - spec.warm);
+  for (const Measure& m : Measures()) row.measures[m.name] = m.of(result, spec.seconds - spec.warm_up_s);
   row.counts = CountsOf(result);
   for (const auto& bin : boost::histogram::indexed(result.first_token, boost::histogram::coverage::all)) {
     if (*bin > 0) row.first_token.emplace_back(std::max(0.0, bin.bin().lower()), *bin);
   }
-  row.course = CourseOf(result, spec.series_every);
+  row.course = CourseOf(result, spec.series_interval_s);
   row.served_in = result.served_in;
   return row;
 }
@@ -231,7 +231,7 @@
   }
 }
 
-std::string BuildWords() {
+std::string BuildDescription() {
 #if defined(__clang__)
   const std::string compiler = fmt::format("clang {}.{}", __clang_major__, __clang_minor__);
 #else
--- a/lab/experiment/results.h
+++ b/lab/experiment/results.h
@@ -46,6 +46,6 @@
 Results ReadResults(const std::string& path);
 
 // Compiler and version of this program.
-std::string BuildWords();
+std::string BuildDescription();
 
 }  // namespace ryeglade::experiment
--- a/lab/experiment/run.cpp
+++ b/lab/experiment/run.cpp
@@ -20,14 +20,14 @@
 
 // What a file of this name already has of it.
 std::vector<ScenarioRow> Found(const Experiment& e, const RunOptions& o) {
-  if (o.anew || !std::filesystem::exists(o.out)) return {};
+  if (o.rerun || !std::filesystem::exists(o.out)) return {};
   Results before = ReadResults(o.out);
   if (before.experiment.mark != e.mark) {
     throw std::runtime_error(o.out + ": holds other days than '" + e.name +
                              "' asks for; give another --out, or --anew to put these in their place");
   }
-  if (before.build != BuildWords()) {
-    throw std::runtime_error(o.out + ": was made by " + before.build + ", this is " + BuildWords() +
+  if (before.build != BuildDescription()) {
+    throw std::runtime_error(o.out + ": was made by " + before.build + ", this is " + BuildDescription() +
                              "; days of two builds do not mix: give another --out, or --anew");
   }
   return std::move(before.rows);
@@ -39,7 +39,7 @@
   RunOutcome outcome;
   Results results;
   results.experiment = e;
-  results.build = BuildWords();
+  results.build = BuildDescription();
   results.rows = Found(e, o);
   outcome.found = results.rows.size();
   std::vector<std::size_t> todo;
@@ -62,8 +62,8 @@
       try {
         emulator::ScenarioOptions options;
         options.stop = stop;
-        row = RowOf(n, day, emulator::PlayScenario(day, options));
-      } catch (const emulator::Abandoned&) {
+        row = RowOf(n, day, emulator::RunScenario(day, options));
+      } catch (const emulator::SimulationStopped&) {
         return;
       } catch (const std::exception& wrong) {
         const std::lock_guard lock(mutex);
@@ -101,7 +101,7 @@
   outcome.left = e.days() - results.rows.size();
   for (const ScenarioRow& row : results.rows) {
     for (const auto& [name, n] : row.counts) {
-      if (name.rfind("break_", 0) == 0) outcome.breaks += static_cast<std::uint64_t>(n);
+      if (name.rfind("break_", 0) == 0) outcome.violations += static_cast<std::uint64_t>(n);
     }
   }
   if (outcome.played > 0 || outcome.found == 0) WriteColumns(o.out, ToFile(results));
--- a/lab/experiment/shrink.cpp
+++ b/lab/experiment/shrink.cpp
@@ -22,8 +22,8 @@
            const ShrinkOptions& options)
       : best_(day), wrong_(wrong), options_(options) {}
 
-  Shrunk Run() {
-    Shrunk out;
+  ShrinkResult Run() {
+    ShrinkResult out;
     out.size_before = SizeOf(best_);
     if (!Ask(best_)) throw std::runtime_error("the day given does not go wrong that way; nothing to shrink");
     for (bool gave = true; gave && !Spent();) {
@@ -44,7 +44,7 @@
   }
 
  private:
-  bool Spent() const { return plays_ >= options_.most_plays; }
+  bool Spent() const { return plays_ >= options_.max_runs; }
 
   bool Ask(const ScenarioSpec& day) {
     if (Spent()) return false;
@@ -142,9 +142,9 @@
   }
 
   bool Length() {
-    bool gave =
-        Bisect(0, best_.warm, false, [](ScenarioSpec& d, double v) { d.warm = std::round(v * 10) / 10; });
-    const double least = std::max(1.0, best_.warm + 1);
+    bool gave = Bisect(0, best_.warm_up_s, false,
+                       [](ScenarioSpec& d, double v) { d.warm_up_s = std::round(v * 10) / 10; });
+    const double least = std::max(1.0, best_.warm_up_s + 1);
     gave |= Bisect(least, best_.seconds, false,
                    [](ScenarioSpec& d, double v) { d.seconds = std::ceil(v * 10) / 10; });
     return gave;
@@ -178,8 +178,8 @@
                    [](ScenarioSpec& d, double v) { d.clients.prefixes = static_cast<std::uint64_t>(v); });
     gave |= Bisect(1, best_.clients.session_turns, false,
                    [](ScenarioSpec& d, double v) { d.clients.session_turns = v; });
-    gave |= Bisect(1, best_.clients.most_tries, true,
-                   [](ScenarioSpec& d, double v) { d.clients.most_tries = static_cast<int>(v); });
+    gave |= Bisect(1, best_.clients.max_tries, true,
+                   [](ScenarioSpec& d, double v) { d.clients.max_tries = static_cast<int>(v); });
     return gave;
   }
 
@@ -263,8 +263,8 @@
 
 }  // namespace
 
-Shrunk Shrink(const ScenarioSpec& day, const std::function<bool(const ScenarioSpec&)>& wrong,
-              const ShrinkOptions& options) {
+ShrinkResult Shrink(const ScenarioSpec& day, const std::function<bool(const ScenarioSpec&)>& wrong,
+                    const ShrinkOptions& options) {
   return Shrinker(day, wrong, options).Run();
 }
 
--- a/lab/experiment/shrink.h
+++ b/lab/experiment/shrink.h
@@ -11,12 +11,12 @@
 namespace ryeglade::experiment {
 
 struct ShrinkOptions {
-  std::size_t most_plays = 400;
+  std::size_t max_runs = 400;
   // Called after each play: how many there were, and what a play of the best day so far costs (its size).
   std::function<void(std::size_t plays, double size)> progress;
 };
 
-struct Shrunk {
+struct ShrinkResult {
   emulator::ScenarioSpec day;
   std::size_t plays = 0;
   double size_before = 0, size = 0;  // requests and replica-seconds of the day, roughly
@@ -27,8 +27,8 @@
 // the day's length, its fleet, its clients and its faults' times and counts become as small as they can, each
 // by bisection; then what is left takes its ordinary value where it may. Over again until nothing gives.
 // Throws std::runtime_error if the day given does not go wrong.
-Shrunk Shrink(const emulator::ScenarioSpec& day,
-              const std::function<bool(const emulator::ScenarioSpec&)>& wrong,
-              const ShrinkOptions& options = {});
+ShrinkResult Shrink(const emulator::ScenarioSpec& day,
+                    const std::function<bool(const emulator::ScenarioSpec&)>& wrong,
+                    const ShrinkOptions& options = {});
 
 }  // namespace ryeglade::experiment
--- a/lab/experiment/spec.cpp
+++ b/lab/experiment/spec.cpp
@@ -96,7 +96,7 @@
 // What a table has instead of what the emulator takes where nothing is said.
 ScenarioSpec Usual() {
   ScenarioSpec d;
-  d.series_every = 1;
+  d.series_interval_s = 1;
   return d;
 }
 
@@ -136,9 +136,10 @@
     Fill(t, f, [](auto& v, auto& x) { VisitFault(v, x); });
     d.faults.push_back(f);
   }
-  if (d.warm >= d.seconds) root.Fail("day", "warm must be shorter than length, or nothing is counted");
+  if (d.warm_up_s >= d.seconds) root.Fail("day", "warm must be shorter than length, or nothing is counted");
   for (const ClassSpec& c : d.classes) {
-    if (c.aim > c.deadline) root.Fail("class", "'" + c.name + "': its aim is later than its deadline");
+    if (c.latency_objective > c.deadline)
+      root.Fail("class", "'" + c.name + "': its aim is later than its deadline");
   }
   return d;
 }
--- a/lab/fake_replica.cpp
+++ b/lab/fake_replica.cpp
@@ -20,7 +20,7 @@
     : run_(run),
       witness_(witness),
       options_(options),
-      chance_(options.seed, emulator::Concern::kFailures, options.number),
+      chance_(options.seed, emulator::RandomPurpose::kFailures, options.number),
       server_(
           run, this,
           {.listen = "127.0.0.1:0", .max_connections = 4096, .request_timeout = 60'000'000, .admits = {}}) {}
--- a/lab/fake_replica.h
+++ b/lab/fake_replica.h
@@ -95,7 +95,7 @@
   const Runtime* run_;
   Witness* witness_;
   FakeReplicaOptions options_;
-  emulator::Stream chance_;
+  emulator::RandomStream chance_;
   Downstream server_;
   std::map<Handle, Job> jobs_;
   std::deque<Handle> waiting_;
--- a/lab/load/agreement.cpp
+++ b/lab/load/agreement.cpp
@@ -21,7 +21,7 @@
   plan.seed = o.seed;
   plan.most_tokens = kMostTokens;
   LoadClass c;
-  c.aim = kAim;
+  c.latency_objective = kAim;
   c.deadline = kDeadline;
   c.late_worth = 0;  // as the fleet's configuration tells the node
   plan.classes = {c};
@@ -80,34 +80,34 @@
 Side EmulatedSide(const AgreementOptions& o, const LoadPlan& plan, double step_ms) {
   emulator::ScenarioSpec day;
   day.seconds = o.seconds;
-  day.warm = 0;
+  day.warm_up_s = 0;
   day.seed = o.seed;
   day.max_attempts = 4;
   emulator::ClassSpec c;
-  c.aim = kAim;
+  c.latency_objective = kAim;
   c.deadline = kDeadline;
   c.worth = plan.classes.front().worth;
   c.late_worth = plan.classes.front().late_worth;
-  c.most_answer = kMostTokens + 1;
+  c.max_answer = kMostTokens + 1;
   day.classes = {c};
-  day.clients.most_tries = 1;
+  day.clients.max_tries = 1;
   day.fleet.nodes = 1;
   day.fleet.replicas = o.replicas;
   day.fleet.speed_sigma = 0;
   day.fleet.same_zone_us = 50;
   day.fleet.client_us = 50;
-  day.fleet.told_within = 0.01;
+  day.fleet.discovery_delay_s = 0.01;
   day.fleet.connect_timeout = 2;
   emulator::ReplicaSpec& r = day.fleet.kinds.front().replica;
-  r.base = step_ms * 1000;
-  r.per_running = r.per_context = r.per_read = 0;
+  r.base_us = step_ms * 1000;
+  r.per_running_us = r.per_context_us = r.per_read_us = 0;
   r.chunk = 1 << 20;
   r.slots = o.batch;
   r.queue = o.queue;
-  r.memory = 1e9;
-  std::vector<emulator::TracedCall> trace;
+  r.memory_tokens = 1e9;
+  std::vector<emulator::TracedRequest> trace;
   for (const Due& d : Arrivals(plan)) {
-    emulator::TracedCall t;
+    emulator::TracedRequest t;
     t.at = d.at;
     t.session = 0x9e3779b97f4a7c15ULL * (trace.size() + 1);
     t.prefix = 0xc2b2ae3d27d4eb4fULL * (d.beginning + 1);
@@ -118,7 +118,7 @@
   }
   emulator::ScenarioOptions options;
   options.trace = &trace;
-  const emulator::ScenarioResult result = emulator::PlayScenario(day, options);
+  const emulator::ScenarioResult result = emulator::RunScenario(day, options);
   Side s;
   s.p50_ms = result.Quantile(0.5);
   s.p90_ms = result.Quantile(0.9);
--- a/lab/load/command.cpp
+++ b/lab/load/command.cpp
@@ -39,10 +39,11 @@
                              "' will not do; the form is NAME[:SHARE[:AIM_S[:DEADLINE_S[:WORTH]]]]");
   };
   c.share = number(1, 1e-6, 1);
-  c.aim = static_cast<Time>(number(2, 0.001, static_cast<double>(c.aim) / 1e6) * 1e6);
+  c.latency_objective =
+      static_cast<Time>(number(2, 0.001, static_cast<double>(c.latency_objective) / 1e6) * 1e6);
   c.deadline = static_cast<Time>(number(3, 0.001, static_cast<double>(c.deadline) / 1e6) * 1e6);
   c.worth = number(4, 0, c.worth);
-  if (c.aim > c.deadline)
+  if (c.latency_objective > c.deadline)
     throw std::runtime_error("--class " + text + ": its aim is later than its deadline");
   return c;
 }
--- a/lab/load/load_model.cpp
+++ b/lab/load/load_model.cpp
@@ -67,10 +67,10 @@
 }
 
 std::vector<Due> Arrivals(const LoadPlan& plan) {
-  using emulator::Concern;
-  using emulator::Stream;
-  Stream arrivals(plan.seed, Concern::kArrivals), sizes(plan.seed, Concern::kSizes),
-      sessions(plan.seed, Concern::kSessions), connections(plan.seed, Concern::kNetwork);
+  using emulator::RandomPurpose;
+  using emulator::RandomStream;
+  RandomStream arrivals(plan.seed, RandomPurpose::kArrivals), sizes(plan.seed, RandomPurpose::kSizes),
+      sessions(plan.seed, RandomPurpose::kSessions), connections(plan.seed, RandomPurpose::kNetwork);
   double shares = 0;
   for (const LoadClass& c : plan.classes) shares += c.share;
   std::vector<Due> all;
@@ -129,8 +129,8 @@
   c.tokens += static_cast<double>(due.tokens);
   c.answering_ms += ms(a.ended - a.first);
   ++s.served;
-  if (first <= k.aim) ++c.in_time;
-  if (first <= k.deadline) c.worth += first <= k.aim ? k.worth : k.worth * k.late_worth;
+  if (first <= k.latency_objective) ++c.in_time;
+  if (first <= k.deadline) c.worth += first <= k.latency_objective ? k.worth : k.worth * k.late_worth;
 }
 
 std::string Tally::Table() const {
--- a/lab/load/load_model.h
+++ b/lab/load/load_model.h
@@ -28,7 +28,7 @@
 struct LoadClass {
   std::string name = "docs";  // "docs" or "agent": which model is asked
   double share = 1;
-  Time aim = 2'000'000, deadline = 10'000'000;
+  Time latency_objective = 2'000'000, deadline = 10'000'000;
   double worth = 3, late_worth = 0.3;
 };
 
--- a/lab/rollout/real.cpp
+++ b/lab/rollout/real.cpp
@@ -54,7 +54,7 @@
   const auto second = tier.served();
   r.before = (second.worth - first.worth) / std::max(1.0, second.worth_asked - first.worth_asked);
 
-  emulator::Stream random(t.seed, emulator::Concern::kFailures);
+  emulator::RandomStream random(t.seed, emulator::RandomPurpose::kFailures);
   const std::string copy = tier.root() + "/ryeglade-2";
   std::filesystem::copy_file(t.program, copy);
   Time look = 0;
--- a/lab/rollout/simulation.cpp
+++ b/lab/rollout/simulation.cpp
@@ -21,8 +21,8 @@
 namespace {
 
 using namespace rollout;
-using emulator::Concern;
-using emulator::Stream;
+using emulator::RandomPurpose;
+using emulator::RandomStream;
 
 constexpr Time kSecond = 1'000'000, kTick = 100'000, kRound = 500'000;
 constexpr Time kLease = 3 * kSecond;
@@ -49,9 +49,9 @@
  public:
   explicit World(const WorldSpec& s)
       : s_(s),
-        traffic_(s.seed, Concern::kArrivals),
-        chance_(s.seed, Concern::kFailures),
-        size_(s.seed, Concern::kSizes),
+        traffic_(s.seed, RandomPurpose::kArrivals),
+        chance_(s.seed, RandomPurpose::kFailures),
+        size_(s.seed, RandomPurpose::kSizes),
         machine_(RulesOf(s_)) {
     std::string text = fmt::format(
         "name = \"trial\"\nunreached_after = \"20s\"\nmost_passed_over = 2\nask_after = \"600s\"\n"
@@ -462,7 +462,7 @@
 
   WorldSpec s_;
   Plan plan_;
-  Stream traffic_, chance_, size_;
+  RandomStream traffic_, chance_, size_;
   Machine machine_;
   Time now_ = 0, begin_ = 0;
   std::vector<std::unique_ptr<Site>> sites_;
--- a/lab/soak/clients.cpp
+++ b/lab/soak/clients.cpp
@@ -29,7 +29,10 @@
   for (std::size_t node = 0; node < plan.nodes; ++node) {
     for (std::size_t n = 0; n < plan.clients; ++n) {
       clients_.push_back(
-          {node, 0, emulator::Stream(plan.seed, emulator::Concern::kArrivals, clients_.size()), {}});
+          {node,
+           0,
+           emulator::RandomStream(plan.seed, emulator::RandomPurpose::kArrivals, clients_.size()),
+           {}});
     }
   }
 }
--- a/lab/soak/clients.h
+++ b/lab/soak/clients.h
@@ -46,7 +46,7 @@
   struct Client {
     std::size_t node = 0;
     Handle link = 0;
-    emulator::Stream random;
+    emulator::RandomStream random;
     std::vector<std::size_t> resend;  // records of requests that crossed a connection's end: sent once more
   };
   struct Link {
--- a/lab/soak/plan.cpp
+++ b/lab/soak/plan.cpp
@@ -13,7 +13,7 @@
 namespace ryeglade::soak {
 namespace {
 
-using emulator::Stream;
+using emulator::RandomStream;
 using nlohmann::json;
 using policy::DedupScope;
 using policy::Idempotency;
@@ -38,12 +38,12 @@
   throw std::runtime_error(fmt::format("plan: '{}' is no {}", word, what));
 }
 
-Time UniformTime(Stream& random, Time low, Time high) {
+Time UniformTime(RandomStream& random, Time low, Time high) {
   return low + static_cast<Time>(random.Unit() * static_cast<double>(high - low));
 }
 
 // One class for each way in which repeats can be harmless or not, some seeds with short deadlines only.
-ClassTable MakeClasses(Stream& random) {
+ClassTable MakeClasses(RandomStream& random) {
   struct Row {
     const char* name;
     Idempotency effect;
@@ -68,7 +68,7 @@
 }
 
 // The same classes with other deadlines; one of the others' effects is another one.
-ClassTable VaryClasses(const ClassTable& classes, Stream& random) {
+ClassTable VaryClasses(const ClassTable& classes, RandomStream& random) {
   ClassTable other = classes;
   for (auto& [name, c] : other) c.deadline = UniformTime(random, 500 * kMillisecond, 6 * kSecond);
   ClassRules& changed =
@@ -79,7 +79,7 @@
 
 class FaultScheduler {
  public:
-  FaultScheduler(Plan* plan, Stream* random) : plan_(*plan), random_(*random) {}
+  FaultScheduler(Plan* plan, RandomStream* random) : plan_(*plan), random_(*random) {}
 
   // Nodes end one after another, as in a release, mostly while replicas hang; and everything else beside it.
   void AddAll() {
@@ -210,7 +210,7 @@
   }
 
   Plan& plan_;
-  Stream& random_;
+  RandomStream& random_;
 };
 
 // ---- The file ----
@@ -258,7 +258,7 @@
   Plan plan;
   plan.seed = seed;
   plan.length = length;
-  Stream random(seed, emulator::Concern::kFailures);
+  RandomStream random(seed, emulator::RandomPurpose::kFailures);
   plan.nodes = 1 + random.Below(6);
   plan.zones = 1 + static_cast<int>(random.Below(3));
   plan.push = random.Chance(0.5);
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -25,7 +25,7 @@
 double MeanStay(const ReplicaSpec& spec, double per_second, double mean_tokens, int customers,
                 std::uint64_t seed) {
   Replica r(spec, 0);
-  Stream arrivals(seed, Concern::kArrivals), sizes(seed, Concern::kSizes);
+  RandomStream arrivals(seed, RandomPurpose::kArrivals), sizes(seed, RandomPurpose::kSizes);
   std::map<std::uint64_t, Time> came;
   std::vector<JobEvent> events;
   double all = 0;
@@ -61,11 +61,11 @@
 
 ReplicaSpec Server(int slots) {
   ReplicaSpec s;
-  s.base = 1000;
-  s.per_running = s.per_context = s.per_read = 0;
+  s.base_us = 1000;
+  s.per_running_us = s.per_context_us = s.per_read_us = 0;
   s.slots = slots;
   s.queue = 1 << 30;
-  s.memory = 1e12;
+  s.memory_tokens = 1e12;
   s.chunk = 1 << 20;
   return s;
 }
@@ -93,8 +93,8 @@
 // sizes' distribution but on their mean alone.
 TEST(Theory, StepsThatGrowWithTheBatchAreProcessorSharing) {
   ReplicaSpec s = Server(1 << 20);
-  s.base = 0;
-  s.per_running = 1000;
+  s.base_us = 0;
+  s.per_running_us = 1000;
   const double rate = 1.2, service = 0.5;
   EXPECT_NEAR(MeanStay(s, rate, 500, 300'000, 5) / (service / (1 - rate * service)), 1, 0.02);
 }
@@ -123,12 +123,12 @@
 RC_GTEST_PROP(ReplicaProperty, PokingChangesNothing, ()) {
   ReplicaSpec spec;
   spec.slots = 6;
-  spec.memory = 6000;
+  spec.memory_tokens = 6000;
   spec.chunk = 128;
   const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1'000'000);
   const auto play = [&](bool poke) {
     Replica r(spec, 0);
-    Stream s(seed, Concern::kSizes), pokes(seed, Concern::kFailures);
+    RandomStream s(seed, RandomPurpose::kSizes), pokes(seed, RandomPurpose::kFailures);
     std::map<std::uint64_t, Time> done;
     std::vector<JobEvent> events;
     Time next = 0;
@@ -174,7 +174,7 @@
   ReplicaSpec spec;
   spec.slots = 4;
   spec.queue = 5;
-  spec.memory = 3000;
+  spec.memory_tokens = 3000;
   Replica r(spec, 0);
   Time now = 0;
   std::vector<JobEvent> events;
@@ -201,7 +201,7 @@
               100};
       if (r.Offer(now, job)) here[job.id] = true;
     }
-    RC_ASSERT(r.used() + r.kept() <= spec.memory + 1e-6 || r.busy() <= 1);
+    RC_ASSERT(r.used() + r.kept() <= spec.memory_tokens + 1e-6 || r.busy() <= 1);
   }
   while (r.Next() != Replica::kNever) {
     events.clear();
@@ -219,7 +219,7 @@
 ScenarioSpec Small() {
   ScenarioSpec d;
   d.seconds = 40;
-  d.warm = 10;
+  d.warm_up_s = 10;
   d.fleet.nodes = 2;
   d.fleet.replicas = 6;
   d.clients.per_second = 60;
@@ -237,13 +237,13 @@
   for (const std::string& policy : PolicyNames()) {
     ScenarioSpec d = Small();
     d.policy = policy;
-    const ScenarioResult a = PlayScenario(d), b = PlayScenario(d);
+    const ScenarioResult a = RunScenario(d), b = RunScenario(d);
     EXPECT_EQ(Summary(a), Summary(b)) << policy;
     EXPECT_EQ(a.requests, a.in_time + a.late + a.refused + a.failed + a.broken + a.lost) << policy;
-    EXPECT_EQ(a.breaks.all(), 0U) << policy << a.breaks.Words();
+    EXPECT_EQ(a.violations.all(), 0U) << policy << a.violations.Describe();
     EXPECT_GT(a.Share(), 0.9) << policy;
     d.seed = 2;
-    EXPECT_NE(Summary(a), Summary(PlayScenario(d)));
+    EXPECT_NE(Summary(a), Summary(RunScenario(d)));
   }
 }
 
@@ -261,7 +261,7 @@
 TEST(Day, NobodyComes) {
   ScenarioSpec d = Small();
   d.clients.per_second = 0;
-  const ScenarioResult r = PlayScenario(d);
+  const ScenarioResult r = RunScenario(d);
   EXPECT_EQ(r.requests, 0U);
   EXPECT_EQ(r.Share(), 0);
   EXPECT_EQ(r.Quantile(0.5), 0);
@@ -272,14 +272,14 @@
     ScenarioSpec d = Small();
     change(d);
     try {
-      PlayScenario(d);
+      RunScenario(d);
     } catch (const std::runtime_error& e) {
       return std::string(e.what());
     }
     return std::string("taken");
   };
   EXPECT_NE(said([](ScenarioSpec& d) { d.fleet.nodes = 0; }).find("fleet.nodes"), std::string::npos);
-  EXPECT_NE(said([](ScenarioSpec& d) { d.warm = 99; }).find("warm"), std::string::npos);
+  EXPECT_NE(said([](ScenarioSpec& d) { d.warm_up_s = 99; }).find("warm"), std::string::npos);
   EXPECT_NE(said([](ScenarioSpec& d) { d.faults.push_back({"drian"}); }).find("drian"), std::string::npos);
   EXPECT_NE(said([](ScenarioSpec& d) { d.policy = "rooter"; }).find("round-robin"), std::string::npos);
 }
@@ -293,8 +293,8 @@
     d.fleet.zones = 2;
     d.fleet.replicas = 12;
     d.fleet.nodes = 4;
-    d.fleet.kinds.front().replica.cold_span = 20'000'000;
-    d.fleet.kinds.front().replica.cold_from = 0.2;
+    d.fleet.kinds.front().replica.slow_start_window = 20'000'000;
+    d.fleet.kinds.front().replica.slow_start_min_share = 0.2;
     FaultSpec f;
     f.what = what;
     f.at = 20;
@@ -305,8 +305,8 @@
     d.faults.push_back(f);
     if (what == "dark") d.faults.push_back({"restart", 22, 5, 0, 2});
     if (what == "contradict") d.faults.push_back({"drain", 21, 10, 0, 2});
-    const ScenarioResult r = PlayScenario(d);
-    EXPECT_EQ(r.breaks.all(), 0U) << what << ": " << r.breaks.Words();
+    const ScenarioResult r = RunScenario(d);
+    EXPECT_EQ(r.violations.all(), 0U) << what << ": " << r.violations.Describe();
     EXPECT_EQ(r.requests, r.in_time + r.late + r.refused + r.failed + r.broken + r.lost) << what;
     EXPECT_GT(r.Share(), 0.5) << what;
   }
@@ -317,11 +317,11 @@
   d.clients.prefixes = 4;
   d.clients.prefix_tokens = 3000;
   d.policy = "affinity";
-  const double kept = PlayScenario(d).kept_share;
+  const double kept = RunScenario(d).kept_share;
   d.policy = "random";
-  d.fleet.kinds.front().replica.memory = 12'000;  // nothing can be kept for long
+  d.fleet.kinds.front().replica.memory_tokens = 12'000;  // nothing can be kept for long
   EXPECT_GT(kept, 0.5);
-  EXPECT_LT(PlayScenario(d).kept_share, kept);
+  EXPECT_LT(RunScenario(d).kept_share, kept);
 }
 
 // ---- Each checker is caught out by a policy that breaks its rule ----
@@ -360,10 +360,10 @@
   std::unique_ptr<NodePolicy> inner_;
 };
 
-Breaks PlayBroken(Broken::How how, ScenarioSpec d = Small()) {
+RuleViolations PlayBroken(Broken::How how, ScenarioSpec d = Small()) {
   ScenarioOptions o;
   o.policy = [&](int, const Settings& s, Time now) { return std::make_unique<Broken>(how, s, now); };
-  return PlayScenario(d, o).breaks;
+  return RunScenario(d, o).violations;
 }
 
 TEST(Checkers, EachIsCaughtOut) {
@@ -374,13 +374,13 @@
   drained.faults.push_back({"drain", 15, 15, 0, 1});
   EXPECT_GT(PlayBroken(Broken::How::kAfterDrain, drained).after_drain, 10U);
   ScenarioSpec cold = Small();
-  cold.fleet.kinds.front().replica.cold_span = 20'000'000;
-  cold.fleet.kinds.front().replica.cold_from = 0.1;
+  cold.fleet.kinds.front().replica.slow_start_window = 20'000'000;
+  cold.fleet.kinds.front().replica.slow_start_min_share = 0.1;
   cold.faults.push_back({"restart", 12, 2, 0, 1});
   EXPECT_GT(PlayBroken(Broken::How::kFlood, cold).cold_pushed, 0U);
   ScenarioSpec invented = Small();
   invented.faults.push_back({"invent", 15, 5, 0, 1});
-  EXPECT_GT(PlayScenario(invented).breaks.not_made, 0U);
+  EXPECT_GT(RunScenario(invented).violations.not_made, 0U);
 }
 
 TEST(Compare, IntervalsAreStudents) {
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -23,7 +23,7 @@
 namespace {
 
 using emulator::FaultSpec;
-using emulator::PlayScenario;
+using emulator::RunScenario;
 using emulator::ScenarioOptions;
 using emulator::ScenarioSpec;
 using policy::Time;
@@ -117,21 +117,21 @@
 RC_GTEST_PROP(SpecProperty, ADayThatIsWrittenIsReadAsItWas, ()) {
   ScenarioSpec d;
   d.seconds = *rc::gen::inRange(20, 500) / 4.0;
-  d.warm = *rc::gen::inRange(0, 40) / 10.0;
+  d.warm_up_s = *rc::gen::inRange(0, 40) / 10.0;
   d.seed = *rc::gen::inRange<std::uint64_t>(0, 1 << 30);
-  d.series_every = *rc::gen::element(0.0, 0.5, 1.0, 5.0);
+  d.series_interval_s = *rc::gen::element(0.0, 0.5, 1.0, 5.0);
   d.clients.per_second = *rc::gen::inRange(0, 100'000) / 7.0;
-  d.clients.honours = *rc::gen::inRange(0, 1000) / 1000.0;
-  d.clients.most_tries = *rc::gen::inRange(1, 9);
+  d.clients.honors_retry_after = *rc::gen::inRange(0, 1000) / 1000.0;
+  d.clients.max_tries = *rc::gen::inRange(1, 9);
   d.fleet.nodes = *rc::gen::inRange(1, 64);
   d.fleet.replicas = *rc::gen::inRange(1, 1000);
-  d.fleet.told_within = *rc::gen::inRange(0, 1'000'000) / 1e6;
+  d.fleet.discovery_delay_s = *rc::gen::inRange(0, 1'000'000) / 1e6;
   d.fleet.kinds.resize(*rc::gen::inRange<std::size_t>(1, 4));
   d.fleet.kinds.back().replica.speed = *rc::gen::inRange(1, 400) / 64.0;
-  d.fleet.kinds.back().replica.cold_span = *rc::gen::inRange<Time>(0, 60'000'000);
+  d.fleet.kinds.back().replica.slow_start_window = *rc::gen::inRange<Time>(0, 60'000'000);
   d.classes.front().name = *rc::gen::string<std::string>();
   for (char& c : d.classes.front().name) c = static_cast<char>(' ' + static_cast<unsigned char>(c) % 94);
-  d.classes.front().aim = *rc::gen::inRange<Time>(1'000, 9'000'000);
+  d.classes.front().latency_objective = *rc::gen::inRange<Time>(1'000, 9'000'000);
   d.classes.resize(*rc::gen::inRange<std::size_t>(1, 3), d.classes.front());
   for (int n = *rc::gen::inRange(0, 4); n > 0; --n) {
     FaultSpec f;
@@ -150,7 +150,8 @@
   RC_ASSERT(WriteExperiment("n", "t", read) == text);
   RC_ASSERT(read.seconds == d.seconds && read.clients.per_second == d.clients.per_second);
   RC_ASSERT(read.faults.size() == d.faults.size() && read.classes.size() == d.classes.size());
-  RC_ASSERT(read.fleet.kinds.back().replica.cold_span == d.fleet.kinds.back().replica.cold_span);
+  RC_ASSERT(read.fleet.kinds.back().replica.slow_start_window ==
+            d.fleet.kinds.back().replica.slow_start_window);
   RC_ASSERT(read.classes.front().name == d.classes.front().name);
 }
 
@@ -168,7 +169,7 @@
     o.workers = workers;
     const RunOutcome r = RunExperiment(e, o);
     EXPECT_EQ(r.played, 12U);
-    EXPECT_EQ(r.breaks, 0U);
+    EXPECT_EQ(r.violations, 0U);
   }
   EXPECT_GT(Bytes(at / "1").size(), 1000U);
   EXPECT_TRUE(Bytes(at / "1") == Bytes(at / "4"));
@@ -211,7 +212,7 @@
   } catch (const std::runtime_error& e) {
     EXPECT_NE(std::string(e.what()).find("other days"), std::string::npos) << e.what();
   }
-  o.anew = true;
+  o.rerun = true;
   EXPECT_EQ(RunExperiment(ParseExperiment("other.toml", other), o).played, 12U);
 }
 
@@ -276,7 +277,7 @@
   RunExperiment(e, o);
   const Results r = ReadResults(o.out);
   ASSERT_EQ(r.rows.size(), 12U);
-  const emulator::ScenarioResult d = PlayScenario(e.Day(7));
+  const emulator::ScenarioResult d = RunScenario(e.Day(7));
   const ScenarioRow fresh = RowOf(7, e.Day(7), d);
   EXPECT_EQ(r.rows[7].measures, fresh.measures);
   EXPECT_EQ(r.rows[7].counts, fresh.counts);
@@ -317,7 +318,7 @@
   Results a;
   a.experiment = ParseExperiment("a", text);
   for (std::size_t n = 0; n < a.experiment.days(); ++n)
-    a.rows.push_back(RowOf(n, a.experiment.Day(n), PlayScenario(a.experiment.Day(n))));
+    a.rows.push_back(RowOf(n, a.experiment.Day(n), RunScenario(a.experiment.Day(n))));
   Results b = a;
   for (ScenarioRow& row : b.rows) row.measures["share"] -= 0.1 + 0.001 * static_cast<double>(row.day % 3);
   std::size_t differs = 0;
@@ -332,7 +333,7 @@
 TEST(Shrinking, FindsTheLeastThatIsStillWrong) {
   ScenarioSpec d;
   d.seconds = 300;
-  d.warm = 30;
+  d.warm_up_s = 30;
   d.clients.per_second = 4'000;
   d.fleet.replicas = 500;
   d.fleet.nodes = 16;
@@ -349,7 +350,7 @@
     for (const FaultSpec& f : x.faults) needed += f.what == "slow" || f.what == "vanish" ? 1 : 0;
     return needed == 2 && x.fleet.replicas >= 3 && x.clients.per_second >= 20 && x.seconds >= 12;
   };
-  const Shrunk s = Shrink(d, wrong);
+  const ShrinkResult s = Shrink(d, wrong);
   EXPECT_TRUE(s.done);
   EXPECT_TRUE(wrong(s.day));
   EXPECT_EQ(s.day.faults.size(), 2U);
@@ -361,8 +362,8 @@
   EXPECT_LT(s.size, 0.001 * s.size_before);
   EXPECT_THROW(Shrink(d, [](const ScenarioSpec&) { return false; }), std::runtime_error);
   ShrinkOptions few;
-  few.most_plays = 5;
-  const Shrunk short_of = Shrink(d, wrong, few);
+  few.max_runs = 5;
+  const ShrinkResult short_of = Shrink(d, wrong, few);
   EXPECT_FALSE(short_of.done);
   EXPECT_EQ(short_of.plays, 5U);
   EXPECT_TRUE(wrong(short_of.day));
@@ -382,8 +383,8 @@
     if (node == 1) return std::make_unique<Mute>();
     return emulator::MakePolicy("two-choices", s, 1, now, {});
   };
-  const auto wrong = [&](const ScenarioSpec& d) { return PlayScenario(d, options).breaks.no_answer > 0; };
-  const Shrunk s = Shrink(e.cells[1].day, wrong);
+  const auto wrong = [&](const ScenarioSpec& d) { return RunScenario(d, options).violations.no_answer > 0; };
+  const ShrinkResult s = Shrink(e.cells[1].day, wrong);
   EXPECT_TRUE(s.done);
   EXPECT_EQ(s.day.faults.size(), 0U);
   EXPECT_EQ(s.day.fleet.nodes, 2);  // one node alone is not the mute one
@@ -398,9 +399,9 @@
   for (const auto& file : std::filesystem::directory_iterator(RYEGLADE_SCENARIOS)) {
     const Experiment e = ReadExperiment(file.path().string());
     emulator::ScenarioSpec day = e.Day(0);
-    EXPECT_GT(PlayScenario(day).breaks.all(), 0U) << file.path();
+    EXPECT_GT(RunScenario(day).violations.all(), 0U) << file.path();
     day.policy = "router";
-    EXPECT_EQ(PlayScenario(day).breaks.Words(), emulator::Breaks().Words()) << file.path();
+    EXPECT_EQ(RunScenario(day).violations.Describe(), emulator::RuleViolations().Describe()) << file.path();
     ++played;
   }
   EXPECT_GT(played, 0U);
@@ -417,11 +418,11 @@
 TEST(Day, TimeThatStandsStillIsAnErrorThatSaysWhere) {
   ScenarioSpec d;
   d.seconds = 5;
-  d.warm = 1;
+  d.warm_up_s = 1;
   ScenarioOptions options;
   options.policy = [](int, const policy::Settings&, Time) { return std::make_unique<Restless>(); };
   try {
-    PlayScenario(d, options);
+    RunScenario(d, options);
     FAIL() << "ended";
   } catch (const std::runtime_error& e) {
     EXPECT_NE(std::string(e.what()).find("time stands still"), std::string::npos) << e.what();
--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -551,18 +551,18 @@
   spec.rate = 20;
   spec.loss = 0.3;
   spec.one_way = 6;
-  const auto result = emulator::PlayGossipSimulation(spec);
-  EXPECT_EQ(result.unheard, 0);
+  const auto result = emulator::RunGossipSimulation(spec);
+  EXPECT_EQ(result.unknown_share, 0);
   EXPECT_LT(result.age_p99, 20);
-  EXPECT_GT(result.alone_p50, 0);
-  EXPECT_LT(result.alone_last, 45);  // every node ejected every failing replica before the end
+  EXPECT_GT(result.ejection_p50, 0);
+  EXPECT_LT(result.ejection_last, 45);  // every node ejected every failing replica before the end
   EXPECT_LT(result.bytes, 20'000);
 }
 
 emulator::ScenarioSpec BaseScenario() {
   emulator::ScenarioSpec scenario;
   scenario.seconds = 60;
-  scenario.warm = 20;
+  scenario.warm_up_s = 20;
   scenario.fleet.nodes = 8;
   scenario.fleet.replicas = 24;
   scenario.fleet.skew = 0.8;
@@ -572,48 +572,49 @@
 
 TEST(GossipScenario, SameSeedGivesTheSameRunAndSharesAddUp) {
   emulator::ScenarioSpec scenario = BaseScenario();
-  scenario.fleet.tier.talk = "talk-parts";
+  scenario.fleet.tier.gossip_mode = "talk-parts";
   scenario.fleet.tier.loss = 0.3;
-  const auto a = emulator::PlayScenario(scenario), b = emulator::PlayScenario(scenario);
+  const auto a = emulator::RunScenario(scenario), b = emulator::RunScenario(scenario);
   EXPECT_EQ(a.worth, b.worth);
   EXPECT_EQ(a.joint_shares, b.joint_shares);
-  EXPECT_EQ(a.breaks.all(), 0U) << a.breaks.Words();
+  EXPECT_EQ(a.violations.all(), 0U) << a.violations.Describe();
   EXPECT_LE(a.joint_shares, 1.1);
 }
 
 TEST(GossipScenario, SharesOfPartitionedHalvesStayWithinTheBound) {
   emulator::ScenarioSpec scenario = BaseScenario();
-  scenario.fleet.tier.talk = "talk-parts";
+  scenario.fleet.tier.gossip_mode = "talk-parts";
   scenario.faults = {{"talk-cut", 25, 25, 0, 3}};  // three of eight are cut off; the five remove them
-  const auto result = emulator::PlayScenario(scenario);
-  EXPECT_EQ(result.breaks.all(), 0U) << result.breaks.Words();
+  const auto result = emulator::RunScenario(scenario);
+  EXPECT_EQ(result.violations.all(), 0U) << result.violations.Describe();
   EXPECT_LE(result.joint_shares, 2.0);
   scenario.faults = {{"talk-cut", 25, 25, 0, 4}};  // even halves: neither side removes the other
-  EXPECT_LE(emulator::PlayScenario(scenario).joint_shares, 1.1);
+  EXPECT_LE(emulator::RunScenario(scenario).joint_shares, 1.1);
 }
 
 TEST(GossipScenario, NodesThatDieAndReturnBreakNoInvariant) {
   emulator::ScenarioSpec scenario = BaseScenario();
-  scenario.fleet.tier.talk = "talk-parts";
+  scenario.fleet.tier.gossip_mode = "talk-parts";
   scenario.faults = {{"node-dies", 25, 15, 0, 5}};
-  const auto result = emulator::PlayScenario(scenario);
-  EXPECT_EQ(result.breaks.all(), 0U) << result.breaks.Words();
+  const auto result = emulator::RunScenario(scenario);
+  EXPECT_EQ(result.violations.all(), 0U) << result.violations.Describe();
 }
 
-// BackAfter returns how long it took until the worth per second was back to its level from before a fault.
+// TimeToRecovery returns how long it took until the worth per second was back to its level from before a
+// fault.
 TEST(GossipScenario, RecoveryTimeIsFoundAlsoIfThereIsNoRecovery) {
-  std::vector<emulator::Second> seconds(60);
+  std::vector<emulator::SecondStats> seconds(60);
   for (std::size_t s = 0; s < seconds.size(); ++s) {
     seconds[s].worth_asked = 10;
     seconds[s].worth = s < 20 ? 9 : s < 33 ? 2 : 9;
   }
-  EXPECT_NEAR(emulator::BackAfter(seconds, 60, 5, 20, 25), 8, 0.01);
+  EXPECT_NEAR(emulator::TimeToRecovery(seconds, 60, 5, 20, 25), 8, 0.01);
   for (std::size_t s = 33; s < seconds.size(); ++s) seconds[s].worth = 5;
-  EXPECT_NEAR(emulator::BackAfter(seconds, 60, 5, 20, 25), 35, 0.01);
+  EXPECT_NEAR(emulator::TimeToRecovery(seconds, 60, 5, 20, 25), 35, 0.01);
   for (std::size_t s = 25; s < seconds.size(); ++s) seconds[s].worth = 8.6;  // 95.6 % of the level before
-  EXPECT_NEAR(emulator::BackAfter(seconds, 60, 5, 20, 25), 0, 0.01);
+  EXPECT_NEAR(emulator::TimeToRecovery(seconds, 60, 5, 20, 25), 0, 0.01);
   seconds[31].worth = 0;  // a recovery must last
-  EXPECT_GT(emulator::BackAfter(seconds, 60, 5, 20, 25), 5);
+  EXPECT_GT(emulator::TimeToRecovery(seconds, 60, 5, 20, 25), 5);
 }
 
 // A new node knows its own rate after a second, but its share rises only after the others have had time to
@@ -647,20 +648,20 @@
   fault.lasts = 20;
   fault.count = 3;
   scenario.faults = {fault};
-  const auto without_gossip = emulator::PlayScenario(scenario);
-  scenario.fleet.tier.talk = "talk-evidence";
+  const auto without_gossip = emulator::RunScenario(scenario);
+  scenario.fleet.tier.gossip_mode = "talk-evidence";
   scenario.fleet.tier.loss = 0.3;
-  const auto with_gossip = emulator::PlayScenario(scenario);
-  EXPECT_EQ(with_gossip.breaks.all(), 0U) << with_gossip.breaks.Words();
+  const auto with_gossip = emulator::RunScenario(scenario);
+  EXPECT_EQ(with_gossip.violations.all(), 0U) << with_gossip.violations.Describe();
   EXPECT_LT(with_gossip.errors, without_gossip.errors * 2 / 3);
   EXPECT_GE(with_gossip.Share(), without_gossip.Share() - 0.02);
   // No replica fails, but one node reports that all do.
   scenario.faults.clear();
-  const auto without_liar = emulator::PlayScenario(scenario);
-  scenario.fleet.tier.liar = 5;
-  const auto with_liar = emulator::PlayScenario(scenario);
+  const auto without_liar = emulator::RunScenario(scenario);
+  scenario.fleet.tier.byzantine_node = 5;
+  const auto with_liar = emulator::RunScenario(scenario);
   EXPECT_GE(with_liar.Share(), without_liar.Share() - 0.01);
-  EXPECT_EQ(with_liar.breaks.all(), 0U);
+  EXPECT_EQ(with_liar.violations.all(), 0U);
 }
 
 }  // namespace
