--- a/src/http/acceptor.cpp
+++ b/src/http/acceptor.cpp
@@ -9,9 +9,9 @@
 namespace ryeglade {
 namespace {
 
-constexpr int kAcceptsAtOnce = 64;  // in one turn of the loop, so that the others get theirs
-constexpr Time kAcceptRetryDelay = 20'000;
-constexpr Time kHandshakeTime = 60'000;  // from the call for a connection until it is up
+constexpr int kMaxAcceptsPerTurn = 64;      // per loop iteration, so that other sockets get their turn
+constexpr Time kAcceptRetryDelay = 20'000;  // microseconds
+constexpr Time kHandshakeTime = 60'000;     // microseconds from a client's SYN to the established connection
 
 }  // namespace
 
@@ -25,21 +25,21 @@
 }
 
 void Acceptor::AcceptSome() {
-  for (int n = 0; n < kAcceptsAtOnce && listener_.listening(); ++n) {
+  for (int n = 0; n < kMaxAcceptsPerTurn && listener_.listening(); ++n) {
     if (!callbacks_.make_capacity()) return AcceptLater("no-room");
     if (!AcceptOne()) return;
   }
 }
 
-// Guards against a connection that is never taken, and against a loop that spins on what can't be accepted:
-// clients that become idle close nothing themselves, and a machine that is short of something tells no one
-// when it has it again.
+// Retries after a delay, because nothing signals that accepting is possible again: idle clients do not close
+// their connections by themselves, and the system does not report when a scarce resource is available again.
+// Pausing the listener meanwhile keeps the loop from spinning.
 void Acceptor::AcceptLater(const char* reason) {
   listener_.Pause();
-  if (!waiting_) {
+  if (!deferred_) {
     Log(Level::kWarn, "accept-deferred", {{"clients", callbacks_.connections()}, {"why", reason}});
   }
-  waiting_ = true;
+  deferred_ = true;
   runtime_->deadlines->Set(Now() + kAcceptRetryDelay, [this] {
     if (!listener_.listening()) return;
     listener_.Resume();
@@ -47,12 +47,12 @@
   });
 }
 
-// False: nothing more can be accepted now.
+// Returns false if nothing more can be accepted now.
 bool Acceptor::AcceptOne() {
   int error = 0;
   const int fd = listener_.Accept(&error);
   if (fd >= 0) {
-    waiting_ = false;
+    deferred_ = false;
     callbacks_.on_connection(fd);
     return true;
   }
@@ -77,13 +77,14 @@
   stopping_ = false;
   if (!listener_.listening()) return;
   AcceptWaiting();
-  waiting_ = false;
+  deferred_ = false;
   listener_.Close();
   Log(Level::kInfo, "listener-closed", {{"clients", callbacks_.connections()}});
 }
 
-// Guards against resets: a connection that the kernel has set up and nobody has taken goes with the listener.
-// The loop would take them only on its next turn, and more come until then.
+// Connections that the kernel has established and that have not been accepted are reset when the listener
+// closes. They are therefore accepted here and not in the next loop iteration, before which more could
+// arrive.
 void Acceptor::AcceptWaiting() {
   while (listener_.listening() && callbacks_.has_capacity() && AcceptOne()) {
   }
--- a/src/http/acceptor.h
+++ b/src/http/acceptor.h
@@ -1,5 +1,5 @@
-// Accepts clients' connections from a listener as long as its owner can take them, waits while it can't, and
-// closes the listener without losing a connection that has come up.
+// Accepts client connections from a listener while its owner has capacity, and defers accepting while it has
+// none. Closes the listener without losing connections that are already established.
 #pragma once
 
 #include <cstddef>
@@ -11,29 +11,30 @@
 
 namespace ryeglade {
 
-// Owns the listener; connections are the owner's from on_connection on.
+// Owns the listener. Ownership of a connection passes to the owner with on_connection.
 class Acceptor {
  public:
-  // What the owner is asked. All are called on the loop.
+  // Implemented by the owner. All are called on the loop.
   struct Callbacks {
-    std::function<bool()> has_capacity;         // for one more connection
-    std::function<bool()> make_capacity;        // the same, after closing what another connection may replace
-    std::function<void(int fd)> on_connection;  // an accepted connection's descriptor, now the owner's
-    std::function<std::size_t()> connections;   // how many there are, for the log
+    std::function<bool()> has_capacity;  // returns whether there is capacity for one more connection
+    // The same, but closes an existing connection that may be replaced if that is needed.
+    std::function<bool()> make_capacity;
+    std::function<void(int fd)> on_connection;  // takes over the descriptor of an accepted connection
+    std::function<std::size_t()> connections;   // returns the number of open connections, for the log
   };
   // `runtime` is not owned.
   Acceptor(const Runtime* runtime, Callbacks callbacks);
 
-  // As in Listener; throws std::runtime_error.
+  // See Listener::Listen; throws std::runtime_error.
   std::string Listen(const std::string& address, bool share_port);
   bool listening() const { return listener_.listening(); }
 
-  // No new connection comes up from here on; those that come up before are taken, then the listener closes.
-  // In two steps: connections that were called for before the first one are up before the second one.
+  // Stops admitting new connections at once, and closes the listener after a short delay, once the waiting
+  // connections have been accepted. The delay lets handshakes that have already begun complete.
   void Stop();
-  // The same in one step, for when another process listens at the address.
+  // The same without the delay, for when another process listens on the same address.
   void StopNow();
-  void Close();  // the listener, at once; connections that still wait are reset
+  void Close();  // closes the listener at once; connections that have not been accepted are reset
 
  private:
   void AcceptSome();
@@ -45,8 +46,8 @@
   const Runtime* runtime_;
   Callbacks callbacks_;
   Listener listener_;
-  bool waiting_ = false;  // connections wait to be accepted, for want of capacity or of what the system lacks
-  bool stopping_ = false;  // no new connection comes up, and the listener closes soon
+  bool deferred_ = false;  // accepting is deferred for lack of capacity or of a system resource
+  bool stopping_ = false;  // Stop was called and the listener is not closed yet
 };
 
 }  // namespace ryeglade
--- a/src/http/arrival_log.h
+++ b/src/http/arrival_log.h
@@ -1,5 +1,6 @@
-// When the bytes that wait to be parsed were read, so that a request that waited behind another one counts
-// from its own arrival. Bounded: of many small reads the later ones count from the first of them.
+// Records when the bytes that wait to be parsed were read, so that the time of a pipelined request counts
+// from its own arrival. The number of entries is bounded: reads beyond the bound are added to the last entry
+// and get its time.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +11,7 @@
 
 namespace ryeglade {
 
-// A queue of reads: how many bytes, and when.
+// A queue of reads, each with its number of bytes and its time.
 class ArrivalLog {
  public:
   static constexpr std::size_t kMaxEntries = 64;
@@ -23,7 +24,7 @@
     }
   }
 
-  // The next so many bytes are parsed.
+  // Removes the first `bytes` bytes, because they have been parsed.
   void Consume(std::size_t bytes) {
     while (bytes > 0 && !reads_.empty()) {
       const std::size_t n = std::min(bytes, reads_.front().bytes);
@@ -33,11 +34,11 @@
     }
   }
 
-  // When the next byte came; `now` if none waits.
+  // Returns when the next byte was read, or `now` if none is waiting.
   Time First(Time now) const { return reads_.empty() ? now : reads_.front().at; }
 
  private:
-  // Some bytes that came at the same time.
+  // Bytes that were read at the same time.
   struct Read {
     std::size_t bytes = 0;
     Time at = 0;
--- a/src/http/blocking_client.cpp
+++ b/src/http/blocking_client.cpp
@@ -16,7 +16,7 @@
 namespace ryeglade {
 namespace {
 
-constexpr std::size_t kMaxBody = std::size_t{16} << 20;
+constexpr std::size_t kMaxResponseBody = std::size_t{16} << 20;  // bytes
 
 struct Parsed {
   HttpResponse response;
@@ -32,11 +32,11 @@
 
 HttpResponse BlockingHttpCall(const std::string& server, const std::string& address,
                               const std::string& method, const std::string& path, const std::string& body,
-                              int timeout_ms, const std::string& from) {
+                              int timeout_ms, const std::string& source_ip) {
   sockaddr_storage to{};
   if (!ParseAddress(address, &to)) throw std::runtime_error(server + " " + address + " is not an ip:port");
   const auto error_at = [&](const char* step, int error) {
-    return std::runtime_error(server + " " + address + " gave no answer: " + step + ": " +
+    return std::runtime_error(server + " " + address + " did not answer: " + step + ": " +
                               std::strerror(error));
   };
   const auto started_at = std::chrono::steady_clock::now();
@@ -46,8 +46,8 @@
   setsockopt(s.fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   setsockopt(s.fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
   sockaddr_storage source{};
-  if (!from.empty()) {
-    if (!ParseAddress(from + ":0", &source)) throw std::runtime_error(from + " is not an address");
+  if (!source_ip.empty()) {
+    if (!ParseAddress(source_ip + ":0", &source)) throw std::runtime_error(source_ip + " is not an address");
     const auto* own = reinterpret_cast<const sockaddr*>(&source);
     if (bind(s.fd, own, SockaddrLength(own)) != 0) throw error_at("bind", errno);
   }
@@ -70,7 +70,7 @@
   callbacks.on_body = [](http_parser* p, const char* bytes, std::size_t n) {
     std::string& text = static_cast<Parsed*>(p->data)->response.body;
     text.append(bytes, n);
-    return text.size() > kMaxBody ? 1 : 0;
+    return text.size() > kMaxResponseBody ? 1 : 0;
   };
   callbacks.on_message_complete = [](http_parser* p) {
     static_cast<Parsed*>(p->data)->complete = true;
@@ -85,7 +85,8 @@
     if (std::chrono::steady_clock::now() - started_at > std::chrono::milliseconds(2 * timeout_ms))
       throw error_at("read", ETIMEDOUT);
   }
-  if (!parsed.complete) throw std::runtime_error(server + " " + address + " is none of a node");
+  if (!parsed.complete)
+    throw std::runtime_error(server + " " + address + " did not send a complete HTTP response");
   parsed.response.status = parser.status_code;
   return parsed.response;
 }
--- a/src/http/close_reason.h
+++ b/src/http/close_reason.h
@@ -1,4 +1,4 @@
-// Why the node closed a client's connection, for its log and its counters.
+// Why the node closed a client's connection, for the log and the counters.
 #pragma once
 
 #include <array>
@@ -7,24 +7,24 @@
 
 namespace ryeglade {
 
-// Counted by reason; in the order of the counters' labels.
+// Closed connections are counted by reason. The order is that of the names below.
 enum class CloseReason : std::uint8_t {
-  kClientEnded,     // the client closed it, or it broke
-  kIdle,            // nothing was owed, and the process ends or hands over
-  kRequestTimeout,  // no request came in the time that a connection has
-  kEvicted,         // another connection needed its socket
-  kResponseSent,    // its last response has been given
-  kAborted,         // a stream broke: the client sees an end without the last chunk
+  kClientEnded,     // the client closed the connection, or it broke
+  kIdle,            // no response was due, and the process is shutting down or in a hot restart
+  kRequestTimeout,  // no complete request arrived in time
+  kEvicted,         // closed in favor of a new connection
+  kResponseSent,    // the connection's last response has been sent
+  kAborted,         // the response broke off; the client gets no last chunk
   kWriteFailed,     // a response could not be written
-  kWriteTimeout,    // the client took nothing for too long
-  kNotAdmitted,     // its address is not allowed
-  kProcessEnds,     // everything is closed
+  kWriteTimeout,    // the client read nothing for too long
+  kNotAdmitted,     // the client's address is not allowed
+  kProcessEnds,     // the process closed all connections
   kCount
 };
 
 using CloseCounts = std::array<std::uint64_t, static_cast<std::size_t>(CloseReason::kCount)>;
 
-// The name of a reason in logs and counters, where it stays.
+// The name of a reason in logs and counters. The names are stable, whatever the enumerators are called.
 constexpr const char* Name(CloseReason reason) {
   constexpr std::array<const char*, static_cast<std::size_t>(CloseReason::kCount)> kNames = {
       "client-ended", "idle",         "silent",       "made-room",    "answered",
--- a/src/http/downstream.cpp
+++ b/src/http/downstream.cpp
@@ -10,18 +10,22 @@
 namespace ryeglade {
 namespace {
 
+// Sizes in bytes.
 constexpr std::uint32_t kMaxHead = 16 * 1024;
-constexpr std::size_t kMaxUnparsed = std::size_t{16} * 1024;  // behind a request that is being answered
-constexpr std::size_t kMaxUnsent = std::size_t{128} * 1024;   // bytes at which the source is asked to stop
-constexpr Time kIdleTimeout = 60'000'000;  // a connection that was used and says nothing more
-constexpr Time kEvictableAfter = 500'000;  // without a complete request for this long, another may replace it
-constexpr Time kWriteTimeout = 10'000'000;  // a congested client that takes nothing for this long is gone
-constexpr Time kLingerTimeout = 1'000'000;  // for a last response to arrive before the socket goes
+constexpr std::size_t kMaxUnparsed = std::size_t{16} * 1024;  // read during a response; then reading stops
+constexpr std::size_t kMaxUnsent =
+    std::size_t{128} * 1024;  // from here on the front is asked to stop sending
+// Times in microseconds.
+constexpr Time kIdleTimeout = 60'000'000;   // for the next request of a connection that has had one
+constexpr Time kEvictableAfter = 500'000;   // without a complete request for this long, it may be evicted
+constexpr Time kWriteTimeout = 10'000'000;  // a congested client that reads nothing for this long is dropped
+constexpr Time kLingerTimeout =
+    1'000'000;  // for the client to get the last response and close the connection
 constexpr Time kIdleSweepInterval = 50'000;
-constexpr Time kIdleAfter = 200'000;        // what a request may take to follow its connection
-constexpr Time kEndCheckInterval = 50'000;  // at a client whose bytes are not read for now
-constexpr int kMaxEvictionAttempts = 4;     // for each connection that comes
-constexpr Time kReadGrace = 10'000;  // for the loop to read what waits at a connection that has expired
+constexpr Time kIdleAfter = 200'000;        // a client's request may follow its connection this late
+constexpr Time kEndCheckInterval = 50'000;  // of connections that are not being read
+constexpr Time kReadGrace = 10'000;         // for the loop to read input that waits when a deadline passes
+constexpr int kMaxEvictionAttempts = 4;     // per new connection
 
 }  // namespace
 
@@ -42,9 +46,9 @@
   return options_.listen;
 }
 
-// ---- Connections and their bound ----
+// ---- Connections and their limit ----
 
-// `fd`: a connection already accepted.
+// `fd` is the descriptor of an accepted connection.
 void Downstream::AddClient(int fd) {
   const bool excess = clients_.size() >= max_served_;
   const Handle handle = clients_.Add(Client(runtime_->buffers, options_.max_body));
@@ -66,16 +70,17 @@
   max_excess_ = max_connections - max_served_;
 }
 
-// Guards against closing a connection on which a request is on its way: one that is new, or has just had its
-// response, is not idle yet, nor is one whose next request has reached this machine and waits to be read.
+// A request may be on its way on a connection that is new or has just had its response, so such a connection
+// is not idle yet. The callers also check that no input is waiting to be read before they close one.
 bool Downstream::IsIdle(const Client& c) {
   return c.state == State::kIdle && Now() - c.idle_since >= kIdleAfter && c.tcp->unsent() == 0;
 }
 
-// Guards against running out of descriptors. First goes who has had a last response and lingers, then who has
-// been idle longest after a response, which it may at any time between requests; then who has sent no
-// complete request for long: usual clients send theirs as soon as they are connected. False: all that are
-// served are needed.
+// Keeps the process from running out of descriptors. Closes, in this order of preference: a lingering
+// connection whose last response is sent; the connection that has been idle longest after a response, since
+// HTTP allows closing between requests; a connection without a complete request for long, since most clients
+// send theirs as soon as they are connected. Returns false if there is no capacity for another served
+// connection.
 bool Downstream::EvictConnection() {
   if (clients_.size() < max_served_) return true;
   for (int attempt = 0; attempt < kMaxEvictionAttempts; ++attempt) {
@@ -86,12 +91,12 @@
       CloseConnection(handle, CloseReason::kEvicted);
       return true;
     }
-    c->idle_since = Now();  // more of its request waits to be read
+    c->idle_since = Now();  // input is waiting to be read, so the connection is not idle
   }
   return false;
 }
 
-// 0: every connection is needed.
+// Returns 0 if no connection may be closed.
 Handle Downstream::EvictionCandidate() const {
   Handle first = 0;
   EvictionRank lowest;
@@ -126,7 +131,7 @@
   clients_.Remove(handle);
 }
 
-// The client left or its connection broke. Told to the front if a response is owed.
+// The client has disconnected or its connection broke. Notifies the front if a response was due.
 void Downstream::LoseClient(Handle handle, CloseReason reason) {
   const Client* c = clients_.Get(handle);
   if (c == nullptr) return;
@@ -137,9 +142,9 @@
 
 void Downstream::OnDisconnected(Handle handle) { LoseClient(handle, CloseReason::kClientEnded); }
 
-// Ends an idle connection in order: the client gets the end behind every byte of its last response, and
-// closes. A request that crosses the end stays unread, so that its client may send it again on another
-// connection; read and left without a response it would be lost.
+// Closes an idle connection gracefully: shuts down writing, so that the client gets the FIN after its last
+// response, and waits for the client to close. A request that arrives meanwhile is not read, so that its
+// client may safely send it again on another connection; if it were read and not answered, it would be lost.
 void Downstream::CloseInOrder(Handle handle, CloseReason reason) {
   Client& c = *clients_.Get(handle);
   c.state = State::kLingering;
@@ -160,8 +165,8 @@
       Now() + timeout, [this, handle] { CloseConnection(handle, clients_.Get(handle)->close_reason); });
 }
 
-// Guards against work for a client that has gone: while its bytes are not read, its end does not show in
-// them.
+// While reading is paused, the end of the connection is not noticed. Checks for it at intervals, so that no
+// work is done for a client that has disconnected.
 void Downstream::WatchForEndWhilePaused(Handle handle) {
   runtime_->deadlines->Set(Now() + kEndCheckInterval, [this, handle] {
     const Client* c = clients_.Get(handle);
@@ -171,7 +176,7 @@
   });
 }
 
-// The same for a connection that was ended while idle: it goes as soon as its client has closed it too.
+// Closes a connection that was shut down while idle as soon as its client has closed it too.
 void Downstream::WatchForEndWhileClosing(Handle handle) {
   runtime_->deadlines->Set(Now() + kEndCheckInterval, [this, handle] {
     const Client* c = clients_.Get(handle);
@@ -186,14 +191,14 @@
 void Downstream::HandOver() {
   handed_over_ = true;
   draining_ = true;
-  // At once: the other process at this address takes what comes, and a call that is dropped here would come
-  // again only after a second.
+  // Without the delay of Stop: the other process already accepts connections at this address, and a SYN that
+  // is dropped here would be sent again only after a second.
   acceptor_.StopNow();
   CloseIdle();
   SweepIdle();
 }
 
-// What becomes idle later goes too: nothing new is taken on it.
+// Closes the connections that have become idle, and repeats this until none is left.
 void Downstream::SweepIdle() {
   if (!handed_over_) return;
   CloseIdle();
@@ -232,8 +237,8 @@
   const Time now = Now();
   for (const Handle handle : clients_.All()) {
     const Client& c = *clients_.Get(handle);
-    const bool answered = c.state == State::kLingering && c.tcp->unsent() == 0;
-    if (!answered || now - c.idle_since < quiet) return false;
+    const bool response_sent = c.state == State::kLingering && c.tcp->unsent() == 0;
+    if (!response_sent || now - c.idle_since < quiet) return false;
   }
   return true;
 }
@@ -246,8 +251,9 @@
 
 // ---- Requests ----
 
-// Guards against a connection that holds a socket and says nothing, or not all: it gets an error if it has
-// begun to speak, and is closed. Used connections have longer, as their clients may come back.
+// Closes connections that occupy a socket without sending a complete request in time; one that has sent part
+// of a request gets an error first. Used connections get more time, as their clients may send another
+// request.
 void Downstream::SetRequestDeadline(Handle handle, Time at) {
   Client& c = *clients_.Get(handle);
   runtime_->deadlines->Cancel(c.deadline);
@@ -263,7 +269,7 @@
   CloseInOrder(handle, CloseReason::kRequestTimeout);
 }
 
-// The last response of a connection whose request is not complete.
+// Answers a request that is not complete; this response is the connection's last.
 void Downstream::RejectIncomplete(Handle handle, int status, const char* reason) {
   Client& c = *clients_.Get(handle);
   runtime_->deadlines->Cancel(c.deadline);
@@ -284,7 +290,8 @@
   WatchForEndWhilePaused(handle);
 }
 
-// Parses what was read, up to the end of one request; and the next if the first is answered meanwhile.
+// Parses the bytes that were read up to the end of a request, and goes on with the next request if the first
+// one has been answered meanwhile.
 void Downstream::ParseInput(Handle handle) {
   Client* c = clients_.Get(handle);
   if (c == nullptr || c->parsing) return;
@@ -300,7 +307,7 @@
   if (c.state == State::kIdle) {
     c.state = State::kReading;
     c.parser.request().first_byte = c.arrivals.First(Now());
-    // The first request has its time from the connection's start on.
+    // The time of the first request started with the connection.
     if (c.used) SetRequestDeadline(handle, Now() + options_.request_timeout);
   }
   const std::string bytes = std::exchange(c.unparsed, {});
@@ -341,7 +348,7 @@
 void Downstream::Reply(Handle handle, int status, const std::string& headers, std::string_view body) {
   Client* c = clients_.Get(handle);
   if (c == nullptr || c->state != State::kResponding) return;
-  // What was read behind this request is answered too before the connection goes.
+  // Requests that were already read behind this one are answered before the connection closes.
   if (draining_ && c->unparsed.empty()) c->keep_alive = false;
   const std::string head = "HTTP/1.1 " + std::to_string(status) + " " + ReasonPhrase(status) + "\r\n" +
                            headers + (c->keep_alive ? "" : "Connection: close\r\n") +
@@ -360,7 +367,7 @@
 void Downstream::BeginChunks(Handle handle, const std::string& headers) {
   Client* c = clients_.Get(handle);
   if (c == nullptr || c->state != State::kResponding) return;
-  // What was read behind this request is answered too before the connection goes.
+  // Requests that were already read behind this one are answered before the connection closes.
   if (draining_ && c->unparsed.empty()) c->keep_alive = false;
   const std::string head = "HTTP/1.1 200 OK\r\n" + headers + (c->keep_alive ? "" : "Connection: close\r\n") +
                            "Transfer-Encoding: chunked\r\n\r\n";
@@ -375,7 +382,8 @@
   OnWritten(handle, c->tcp->Write({{size, static_cast<std::size_t>(length)}, bytes, "\r\n"}));
 }
 
-// A write that fails is acted on a turn later: the caller may be in the middle of passing events on.
+// A failed write is handled in the next loop iteration, as the caller may be in the middle of forwarding
+// events.
 void Downstream::OnWritten(Handle handle, bool written) {
   Client& c = *clients_.Get(handle);
   if (!written) {
@@ -431,8 +439,8 @@
   return c != nullptr && !c->tcp->PeerClosed();
 }
 
-// The response is given. The connection goes on, or ends in an orderly way: closing a socket with bytes
-// unread would reset it and could take the response with it.
+// The response is complete. The connection stays open or is shut down gracefully: closing a socket with
+// unread input would reset the connection, and the client might lose the response.
 void Downstream::OnResponseComplete(Handle handle) {
   Client& c = *clients_.Get(handle);
   c.idle_since = Now();
--- a/src/http/downstream.h
+++ b/src/http/downstream.h
@@ -1,6 +1,5 @@
-// Downstream: the clients' connections at one address. It speaks HTTP/1.1, one request at a time on a
-// connection, bounds how many there are and how long they may take, and knows nothing of what the requests
-// mean: a Front does.
+// Downstream: the client connections at one listening address. It serves HTTP/1.1, one request at a time per
+// connection, and bounds the number of connections and their duration. A Front interprets the requests.
 #pragma once
 
 #include <cstddef>
@@ -19,83 +18,87 @@
 
 namespace ryeglade {
 
-// What requests mean: one protocol over HTTP. Called on the loop.
+// Implements one protocol over HTTP. All functions are called on the loop.
 class Front {
  public:
   virtual ~Front() = default;
   virtual void OnRequest(Handle connection, HttpRequest request) = 0;
-  virtual void OnClientDisconnected(Handle connection) = 0;  // while a response was owed
-  // What HTTP itself found wrong is answered without asking; the front may give that response its own form.
+  virtual void OnClientDisconnected(Handle connection) = 0;  // called only while a response is due
+  // Downstream itself sends the responses to HTTP-level errors; the front may set their headers and body
+  // here.
   virtual void FormatError(int /*status*/, std::string& /*headers*/, std::string& /*body*/) {}
-  // The client leaves unread what it is sent, or reads again.
+  // `congested` is true when the client does not read what it is sent, false when it reads again.
   virtual void OnBackpressure(Handle connection, bool congested) = 0;
 };
 
 // Owns the connections and the listener.
 class Downstream : public TcpOwner {
  public:
-  // Fixed for the life of a Downstream, but for the number of connections.
+  // Only the maximum number of connections can be changed later.
   struct Options {
-    std::string listen;  // ip:port; port 0: the kernel chooses
+    std::string listen;  // ip:port; with port 0 the kernel chooses the port
     // SO_REUSEPORT, so that a new process can listen beside this one during a hot restart.
     bool share_port = false;
-    // A tenth of these is for clients that get an answer and no service.
+    // A tenth of these is reserved for excess clients, which get only an error response.
     std::size_t max_connections = 0;
     std::size_t max_body = std::size_t{256} * 1024;  // bytes
-    // For a complete request, from its first byte or the connection's start.
+    // How long a client may take to send a complete request, in microseconds: the first request from the
+    // connection's start, later ones from their first byte.
     Time request_timeout = 2'700'000;
-    // Whether to serve a client at this address at all; absent: any.
+    // Returns whether a client at this address is served. If it is empty, all are.
     std::function<bool(const sockaddr_storage&)> admits;
   };
   // Neither `runtime` nor `front` is owned.
   Downstream(const Runtime* runtime, Front* front, Options options);
 
-  std::string Listen();  // the address in use; throws std::runtime_error
-  void CheckListen() const { Listener::Check(options_.listen, options_.share_port); }  // throws the same
+  std::string Listen();  // returns the address in use; throws std::runtime_error
+  // Throws std::runtime_error if Listen would fail.
+  void CheckListen() const { Listener::Check(options_.listen, options_.share_port); }
 
-  // The response to the current request, complete or in chunks. For a connection that is gone, or to which
-  // nothing is owed, these do nothing.
+  // Send the response to the current request, complete or in chunks. They do nothing if the connection is
+  // closed or no response is due.
   void Reply(Handle connection, int status, const std::string& headers, std::string_view body);
   void BeginChunks(Handle connection, const std::string& headers);
   void Chunk(Handle connection, std::string_view bytes);
   void EndChunks(Handle connection);
-  void Abort(Handle connection);                     // closes the connection at once, without the last chunk
-  void EndTruncated(Handle connection);              // the same, once all that was written has gone out
-  void CloseAfterResponse(Handle connection);        // no further request is taken on it
-  sockaddr_storage PeerOf(Handle connection) const;  // all zero: not known
-  // False: the client has closed it, whether or not that has been read yet.
+  void Abort(Handle connection);         // closes the connection at once, without the last chunk
+  void EndTruncated(Handle connection);  // the same, but sends first what has been written
+  // Makes the current response the connection's last one.
+  void CloseAfterResponse(Handle connection);
+  sockaddr_storage PeerOf(Handle connection) const;  // all zero if unknown
+  // Returns false if the client has closed the connection, even if that has not been read yet.
   bool Connected(Handle connection) const;
 
-  // Another process takes clients at this address from here on: what waits in the kernel is taken still, then
-  // the listener closes, and connections are closed as they become idle.
+  // Hot restart: another process accepts clients at this address from now on. Accepts the connections that
+  // are already established, closes the listener, and closes connections as they become idle.
   void HandOver();
-  void Resume();  // after HandOver: listens again; throws std::runtime_error
+  void Resume();  // reverts HandOver: listens again; throws std::runtime_error
   void SetMaxConnections(std::size_t max_connections);
 
   // Graceful shutdown, in steps.
-  void Drain();          // from here on every response closes its connection
-  void StopAccepting();  // no new connection is taken; those that the kernel has accepted are
-  void CloseIdle();      // connections on which nothing is owed and nothing has begun
-  void EndIncomplete();  // a request that has begun to come and is not complete gets a 503
-  // Nothing is owed to any client, and every last response has been out for at least `quiet` microseconds.
+  void Drain();          // from now on connections are closed after their response
+  void StopAccepting();  // accepts only connections that are already being opened, then stops listening
+  void CloseIdle();      // closes connections without a pending request or response
+  void EndIncomplete();  // answers requests that have been received only in part with a 503
+  // Returns whether the listener is closed, no response is due, and every connection's last response was sent
+  // at least `quiet` microseconds ago.
   bool Settled(Time quiet) const;
-  void Close();  // all, and the listener
+  void Close();  // closes all connections and the listener
   bool draining() const { return draining_; }
   std::size_t size() const { return clients_.size(); }
-  const CloseCounts& closed() const { return closed_; }  // connections closed so far, by reason
+  const CloseCounts& closed() const { return closed_; }  // number of connections closed so far, by reason
 
-  // From the sockets.
+  // TcpOwner:
   void OnRead(Handle connection, std::string_view bytes) override;
   void OnDisconnected(Handle connection) override;
   void OnDrained(Handle connection) override;
 
  private:
-  // Where a connection is between two requests.
   enum class State : std::uint8_t {
     kIdle,        // between requests
-    kReading,     // a request has begun to come
-    kResponding,  // a response is owed, or under way
-    kLingering,   // the last response is written; the client has not closed yet
+    kReading,     // part of a request has been received
+    kResponding,  // a response is due or being sent
+    kLingering,   // the last response is written; the client has not closed the connection yet
   };
 
   // One connection.
@@ -104,26 +107,26 @@
     Tcp* tcp = nullptr;
     State state = State::kIdle;
     RequestParser parser;
-    std::string unparsed;  // read and not parsed yet; behind the current request
-    ArrivalLog arrivals;   // of the bytes of `unparsed`
-    bool parsing = false;  // guards against parsing within parsing
-    bool keep_alive = true;
-    bool used = false;       // a complete request has come
-    bool excess = false;     // over the bound of connections: gets an answer, no service
-    bool congested = false;  // the front was told to stop
-    Time idle_since = 0;     // or when it last made progress
-    CloseReason close_reason = CloseReason::kResponseSent;  // of a lingering connection
-    DeadlineId deadline;
+    std::string unparsed;    // bytes that have been read but not parsed; they follow the current request
+    ArrivalLog arrivals;     // when the bytes of `unparsed` were read
+    bool parsing = false;    // ParseInput is running; prevents recursion
+    bool keep_alive = true;  // whether the connection stays open after the current response
+    bool used = false;       // a complete request has been received
+    bool excess = false;     // accepted above the number of served connections: gets only an error response
+    bool congested = false;  // the front was told to stop sending
+    Time idle_since = 0;     // when the connection was opened, last sent a response or had input waiting
+    CloseReason close_reason = CloseReason::kResponseSent;  // used while the connection lingers
+    DeadlineId deadline;                                    // of the current state
   };
 
-  // How soon a connection may be closed for another: the lowest first, by the longest wait.
+  // The order in which connections may be closed in favor of new ones: lowest first.
   struct EvictionRank {
-    int group = 3;  // 3: it is needed
-    Time since = 0;
+    int group = 3;   // 0 to 2; 3 if the connection must not be closed
+    Time since = 0;  // within a group the connection that has waited longest comes first
     auto operator<=>(const EvictionRank&) const = default;
   };
 
-  // Connections and their bound.
+  // Connections and their limit.
   void AddClient(int fd);
   bool HasCapacity() const { return clients_.size() < max_served_ + max_excess_; }
   bool EvictConnection();
@@ -152,8 +155,8 @@
   const Runtime* runtime_;
   Front* front_;
   Options options_;
-  std::size_t max_served_;
-  std::size_t max_excess_;  // beyond those: for clients that get an answer and no service
+  std::size_t max_served_;  // connections whose requests are passed to the front
+  std::size_t max_excess_;  // further connections, which get only an error response
   Acceptor acceptor_;
   bool draining_ = false;
   bool handed_over_ = false;
--- a/src/http/end_to_end_fields_model.cpp
+++ b/src/http/end_to_end_fields_model.cpp
@@ -7,8 +7,8 @@
 namespace ryeglade {
 namespace {
 
-// Fields of one connection, or made anew for each: framing, the host's name, and what is asked of the next
-// hop.
+// Fields that concern one connection only, or that the proxy writes anew for each hop: framing, the host's
+// name, and `Expect`.
 constexpr std::array<std::string_view, 12> kHopByHop = {"connection",
                                                         "keep-alive",
                                                         "proxy-authenticate",
@@ -34,7 +34,7 @@
          std::string_view("!#$%&'*+-.^_`|~").find(static_cast<char>(c)) != std::string_view::npos;
 }
 
-// The parser takes names with blanks in them, which the next server may read as another name.
+// The HTTP parser accepts field names that contain blanks; the next server might read them as other names.
 bool IsToken(std::string_view name) {
   return !name.empty() && std::all_of(name.begin(), name.end(), IsTokenCharacter);
 }
@@ -44,7 +44,7 @@
                       [](unsigned char c) { return (c < 0x20 && c != '\t') || c == 0x7f; });
 }
 
-// Names that the Connection fields declare to be of this connection.
+// Returns the field names, in lower case, that the Connection fields declare as hop-by-hop.
 std::vector<std::string> ConnectionOptions(const HeaderFields& request) {
   std::vector<std::string> names;
   for (const auto& [name, value] : request) {
--- a/src/http/end_to_end_fields_model.h
+++ b/src/http/end_to_end_fields_model.h
@@ -1,5 +1,6 @@
-// Which header fields of a request go on to the next server: all but those that concern one connection only,
-// that the proxy writes itself, or that can't be written safely (RFC 9110, section 7.6.1). No I/O.
+// Selects the header fields of a request that are forwarded to the replica: all except those that concern one
+// connection only (RFC 9110, section 7.6.1), those that the proxy writes itself, and those that can't be
+// written safely. Performs no I/O.
 #pragma once
 
 #include <string>
@@ -11,11 +12,11 @@
 
 using HeaderFields = std::vector<std::pair<std::string, std::string>>;
 
-// The fields of `request` that go on, in their order and unchanged. `own` are names, in lower case, that the
-// proxy reads or writes itself.
+// Returns the fields of `request` that are forwarded, unchanged and in their order. `own` holds the names, in
+// lower case, of the fields that the proxy reads or writes itself.
 HeaderFields EndToEndFields(const HeaderFields& request, const std::vector<std::string_view>& own);
 
-// As lines of a head, each with its line end.
+// Returns the fields as header lines, each ended by CRLF.
 std::string FieldLines(const HeaderFields& fields);
 
 }  // namespace ryeglade
--- a/src/http/event_stream.cpp
+++ b/src/http/event_stream.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::string_view kByteOrderMark = "\xEF\xBB\xBF";
 
-// The first CR or LF at or after `from`; npos: none.
+// Returns the offset of the first CR or LF at or after `from`, or npos if there is none.
 std::size_t LineEnd(std::string_view text, std::size_t from) {
   if (from >= text.size()) return std::string_view::npos;
   const void* lf = std::memchr(text.data() + from, '\n', text.size() - from);
@@ -28,7 +28,8 @@
   id_ = {};
 }
 
-// Remembers where it is, so that a block which comes byte by byte is searched once.
+// Returns whether `block`, which starts with the current block, contains its end; if so, fills in `event`.
+// The position is kept between calls, so that a block that arrives byte by byte is searched only once.
 bool EventStream::NextBlock(std::string_view block, Event* event) {
   while (true) {
     if (skip_lf_ && line_ < block.size()) {
@@ -56,7 +57,7 @@
       ReadLine(block, start, end);
       continue;
     }
-    // With CRLF the LF of the empty line is taken along if it is there already.
+    // If the empty line ends with CRLF, its LF is part of this block if it has already arrived.
     if (skip_lf_ && line_ < block.size()) {
       skip_lf_ = false;
       if (block[line_] == '\n') ++line_;
--- a/src/http/event_stream.h
+++ b/src/http/event_stream.h
@@ -1,6 +1,6 @@
-// Server-sent events, read from bytes as they come, wherever they are cut. Line ends may be LF, CRLF or CR
-// and a byte order mark may stand in front (WHATWG HTML, section 9.2.6). Knows nothing of what the events
-// say.
+// Incremental parser of server-sent events (WHATWG HTML, section 9.2.6). The input may be cut at any byte.
+// Lines may end with LF, CRLF or CR, and the stream may start with a byte order mark. The content of the
+// events is not interpreted.
 #pragma once
 
 #include <cstddef>
@@ -11,25 +11,27 @@
 
 namespace ryeglade {
 
-// Keeps only the block that has not ended yet.
+// Buffers only the block that is not complete yet.
 class EventStream {
  public:
-  // One block of lines, ended by an empty one. The views hold until the callback returns.
+  // A block of lines that is ended by an empty line. The views are valid until the callback returns.
   struct Event {
-    // The bytes as they came, the empty line included; all raws in a row are the stream.
+    // The unchanged bytes of the block, including the empty line. The concatenated `raw` of all blocks is the
+    // stream.
     std::string_view raw;
-    std::string_view data;  // of the `data` lines, joined by LF
-    std::string_view type;  // of the last `event` line; empty: none
-    std::string_view id;    // of the last `id` line
-    // False: comments, an empty line, or fields without data: no event by the standard.
+    std::string_view data;  // the values of the `data` lines, joined by LF
+    std::string_view type;  // the value of the last `event` line; empty if there is none
+    std::string_view id;    // the value of the last `id` line; empty if there is none
+    // Whether there is a `data` line. A block without one (comments, an empty line, other fields only) is not
+    // an event by the standard.
     bool has_data = false;
   };
 
-  // `max_block` bounds one block, in bytes.
+  // `max_block` is the greatest number of bytes that an incomplete block may have.
   explicit EventStream(std::size_t max_block) : max_block_(max_block) {}
 
-  // Calls `sink(const Event&)` for each block that ends in `bytes`; a sink that returns false stops the feed.
-  // False: stopped, or a block is over the bound. The rest of the stream must not be fed after that.
+  // Calls `sink(const Event&)` for each block that ends in `bytes`. Returns false if the sink returned false
+  // or a block exceeds the bound; after that the rest of the stream must not be fed.
   template <class Sink>
   bool Feed(std::string_view bytes, Sink&& sink) {
     if (!pending_.empty()) {
@@ -53,7 +55,7 @@
     return true;
   }
 
-  // Bytes of a block that has not ended.
+  // The bytes of the block that is not complete yet.
   std::string_view unfinished() const { return pending_; }
 
  private:
@@ -61,16 +63,16 @@
   void ReadLine(std::string_view block, std::size_t from, std::size_t to);
   void BeginBlock();
 
-  using Range = std::pair<std::size_t, std::size_t>;  // from, length; from the block's start
+  using Range = std::pair<std::size_t, std::size_t>;  // offset from the block's start, and length
   std::size_t max_block_;
-  std::string pending_;       // the current block, as far as it has come
-  std::size_t line_ = 0;      // where the current line starts
-  std::size_t searched_ = 0;  // no line end before this
-  std::vector<Range> data_;
+  std::string pending_;       // the part of the current block that has been received
+  std::size_t line_ = 0;      // offset of the current line's start
+  std::size_t searched_ = 0;  // from the current line's start to this offset there is no line end
+  std::vector<Range> data_;   // the values of the block's `data` lines
   Range type_, id_;
-  std::string joined_;
-  bool first_line_ = true;  // of the whole stream: a byte order mark may stand there
-  bool skip_lf_ = false;    // the last line ended with CR: an LF next belongs to it
+  std::string joined_;      // storage for Event::data of a block with several `data` lines
+  bool first_line_ = true;  // the current line is the stream's first, which may start with a byte order mark
+  bool skip_lf_ = false;    // the last line ended with CR, so that an LF that follows belongs to its end
 };
 
 }  // namespace ryeglade
--- a/src/http/request_parser.cpp
+++ b/src/http/request_parser.cpp
@@ -84,7 +84,7 @@
   const bool has_length = (parser_.flags & F_CONTENTLENGTH) != 0;
   if (has_length && parser_.content_length > max_body_) limit_status_ = 413;
   if (limit_status_ != 0) return -1;
-  parser_.upgrade = 0;  // offers to change the protocol are passed over
+  parser_.upgrade = 0;  // requests to upgrade the protocol are ignored
   const std::string* expect = request_.Header("expect");
   expects_continue_ = expect != nullptr && strcasecmp(expect->c_str(), "100-continue") == 0;
   return 0;
@@ -101,7 +101,7 @@
 
 int RequestParser::OnMessageComplete() {
   complete_ = true;
-  http_parser_pause(&parser_, 1);  // one request at a time
+  http_parser_pause(&parser_, 1);  // stops before a pipelined request
   return 0;
 }
 
--- a/src/http/request_parser.h
+++ b/src/http/request_parser.h
@@ -1,4 +1,4 @@
-// Parses one HTTP/1.1 request of a client, with bounds on its head and body. Knows nothing of what it means.
+// Parses the HTTP/1.1 requests of one client connection, with bounds on head and body.
 #pragma once
 
 #include <http_parser.h>
@@ -14,44 +14,43 @@
 
 namespace ryeglade {
 
-// A request; what a front gets is complete.
+// Fronts get only complete requests.
 struct HttpRequest {
   explicit HttpRequest(BufferPool* pool) : body(pool) {}
   std::string method, target;
-  std::vector<std::pair<std::string, std::string>> headers;  // in the order that they came in
+  std::vector<std::pair<std::string, std::string>> headers;  // in the order in which they were sent
   BufferChain body;
-  Time first_byte = 0;  // when it came
-  bool http11 = true;   // or a later 1.x
+  Time first_byte = 0;  // when the first byte was read
+  bool http11 = true;   // HTTP/1.1 or a later 1.x
 
   std::string_view Path() const { return std::string_view(target).substr(0, target.find('?')); }
-  const std::string* Header(std::string_view name) const;  // whatever its case; null: absent
+  // Returns the value of the first field with this name, in any case; null if there is none.
+  const std::string* Header(std::string_view name) const;
 };
 
-// One a connection, reset for each request.
+// One per connection; reset before each request.
 class RequestParser {
  public:
-  // `pool` is not owned; `max_body` in bytes.
+  // `pool` is not owned; `max_body` is in bytes.
   RequestParser(BufferPool* pool, std::size_t max_body) : pool_(pool), max_body_(max_body), request_(pool) {
     Reset();
   }
-  // Bounds the head of every request of the process.
+  // Sets the greatest size of a request's head, for all parsers of the process.
   static void SetMaxHead(std::uint32_t bytes) { http_parser_set_max_header_size(bytes); }
 
-  // Before the next request on the same connection.
+  // Prepares for the next request on the same connection.
   void Reset();
 
-  // How far the request has come.
   enum class Result { kIncomplete, kComplete, kInvalid };
-  // Parses up to the end of the request. `consumed`: how many of the bytes belong to it.
+  // Parses at most to the end of the request. Sets `*consumed` to the number of bytes that belong to it.
   Result Parse(std::string_view bytes, std::size_t* consumed);
 
-  HttpRequest& request() { return request_; }  // as far as it has come
-  bool keep_alive() const {
-    return keep_alive_;
-  }  // of a complete request: the client leaves the connection open
-  // Once: the client waits for "100 Continue" before it sends the body.
+  HttpRequest& request() { return request_; }  // the part that has been parsed so far
+  // Whether the client wants the connection to stay open; valid once the request is complete.
+  bool keep_alive() const { return keep_alive_; }
+  // Returns true, once per request, if the client waits for "100 Continue" before it sends the body.
   bool TakeExpectsContinue() { return std::exchange(expects_continue_, false); }
-  // Of an invalid request: the status to answer, and why.
+  // For an invalid request: the status of the response, and the reason for the log.
   int error_status() const;
   const char* error_reason() const;
 
@@ -68,11 +67,13 @@
   std::size_t max_body_;
   http_parser parser_{};
   HttpRequest request_;
-  bool value_begun_ = false;  // the next piece of a field's name begins another field
+  bool value_begun_ = false;  // part of a field's value was parsed, so that a name now starts another field
   bool complete_ = false;
   bool keep_alive_ = true;
   bool expects_continue_ = false;
-  int limit_status_ = 0;  // the status for a bound that the request is over; 0: it is over none
+  // The status of the response if the request is not accepted although it is valid HTTP (a bound is exceeded,
+  // memory is short, or the method is CONNECT); 0 otherwise.
+  int limit_status_ = 0;
 };
 
 }  // namespace ryeglade
