--- a/src/fronts/openai/api_error.h
+++ b/src/fronts/openai/api_error.h
@@ -1,4 +1,4 @@
-// Errors in the API's own shape, and the reason words that logs, metrics and pages use for them.
+// Errors in the format of the API. Their codes are also the reasons in logs and metrics.
 #pragma once
 
 #include <string>
@@ -10,20 +10,22 @@
 struct ApiError {
   int status = 500;
   std::string type;              // "invalid_request_error", "rate_limit_error", "server_error", ...
-  std::string code;              // the reason word; empty: null
-  std::string message;           // for people
-  std::string param;             // the field to blame; empty: null
-  policy::Time retry_after = 0;  // 0: not told
+  std::string code;              // the reason, for programs; null in JSON if empty
+  std::string message;           // the reason, for people
+  std::string param;             // the request's invalid field; null in JSON if empty
+  policy::Time retry_after = 0;  // microseconds; 0 if the response names no time
 };
 
 std::string ErrorJson(const ApiError& error);
-// The same error for a client that must not be told to ask again, as its request may have run: no refusal by
-// status, and no time after which to come back.
+// Returns the error as it is sent to a client that must not retry because its request may have run: statuses
+// that invite a retry (429 and 503) become 502, and no time for a retry is named.
 ApiError WithoutRetry(ApiError error);
-// Official clients ask again by themselves after any 5xx unless this is there.
+// Official clients retry by themselves after any 5xx unless the response has this header.
 inline constexpr const char* kNoRetryHeader = "x-should-retry: false\r\n";
-// `Retry-After` in whole seconds, rounded up, and `retry-after-ms`; empty if none is told.
+// Returns the header lines `Retry-After`, in whole seconds rounded up, and `retry-after-ms`; empty if
+// `retry_after` is 0.
 std::string RetryHeaders(policy::Time retry_after);
-ApiError ErrorForStatus(int status);  // for what HTTP itself found wrong
+// Returns the error for an HTTP-level failure with this status, such as a request that can't be parsed.
+ApiError ErrorForStatus(int status);
 
 }  // namespace ryeglade
--- a/src/fronts/openai/metrics.h
+++ b/src/fronts/openai/metrics.h
@@ -1,4 +1,4 @@
-// The ledger and the front's present state as Prometheus text, on prometheus-cpp.
+// The ledger and the front's current state in the Prometheus text format.
 #pragma once
 
 #include <cstddef>
@@ -8,7 +8,9 @@
 
 namespace ryeglade {
 
-// `open`: requests that are being answered; `assembling`: bytes held for whole answers.
-std::string MetricsText(const ledger::Ledger& ledger, std::size_t open, std::size_t assembling);
+// `open_requests` is the number of requests in progress, `assembling_bytes` the size of the responses that
+// are being assembled.
+std::string MetricsText(const ledger::Ledger& ledger, std::size_t open_requests,
+                        std::size_t assembling_bytes);
 
 }  // namespace ryeglade
--- a/src/fronts/openai/openai_front.cpp
+++ b/src/fronts/openai/openai_front.cpp
@@ -24,12 +24,13 @@
 constexpr const char* kCompletionsPath = "/v1/completions";
 constexpr const char* kModelsPath = "/v1/models";
 constexpr std::string_view kModelPrefix = "/v1/models/";
-constexpr Time kSecond = 1'000'000;
-constexpr Time kTruncatedRetry = 1 * kSecond;
-constexpr double kMinGrowth = 64;  // tokens that are reserved at once for an output that has outgrown its own
+constexpr Time kSecond = 1'000'000;                 // microseconds
+constexpr Time kRetryAfterTruncated = 1 * kSecond;  // sent to a client whose response broke off
+constexpr double kMinExtraTokens =
+    64;  // least number to reserve at once for an output that exceeds its reservation
 constexpr const char* kJsonType = "Content-Type: application/json\r\n";
 
-// A positive number below 1e9; 0: the header is absent or anything else.
+// Returns the header's value if it is a positive number below 1e9; otherwise, or if there is none, 0.
 double NumberInHeader(const HttpRequest& request, std::string_view name) {
   const std::string* text = request.Header(name);
   if (text == nullptr) return 0;
@@ -55,8 +56,8 @@
           0};
 }
 
-// The model's name as replicas know it, where it differs; else empty.
-std::string RenamedModel(const ModelSettings& model) {
+// Returns the name under which replicas know the model, or an empty string if it is the same.
+std::string ReplicaModelName(const ModelSettings& model) {
   return model.upstream == model.id ? "" : model.upstream;
 }
 
@@ -70,8 +71,9 @@
       id_seed_(core->config->seed) {
   anonymous_key_.id = "-";
   for (const std::string& network : settings_->metrics_networks) metrics_networks_.Add(network);
-  std::uint64_t fresh = 0;  // ids must differ from those before a restart too
-  if (RAND_bytes(reinterpret_cast<unsigned char*>(&fresh), sizeof fresh) == 1) id_seed_ ^= fresh;
+  std::uint64_t random_bits = 0;  // makes the request ids differ from those of the process before a restart
+  if (RAND_bytes(reinterpret_cast<unsigned char*>(&random_bits), sizeof random_bits) == 1)
+    id_seed_ ^= random_bits;
 }
 
 void OpenAiFront::ReloadKeys() {
@@ -119,7 +121,7 @@
   ReplyError(connection, error, headers);
 }
 
-// The one way out of `open_requests_`.
+// Nothing else removes a request from `open_requests_`, so that each is settled exactly once.
 OpenAiFront::OpenRequest OpenAiFront::Settle(Handle connection, Outcome outcome) {
   const auto it = open_requests_.find(connection);
   OpenRequest open = std::move(it->second);
@@ -137,7 +139,7 @@
     result = ledger::CheckUsage(open.observer.usage_text(), usage_times, seen);
     reported = result.usage.has_value();
     used = reported ? *result.usage : token_sizes_.Estimate(open.model, seen);
-    // A response that was cut off owes no usage; one that came all the same is checked like any other.
+    // A response that broke off may lack usage figures without a fault; if it has some, they are checked.
     if (!reported && (outcome == Outcome::kServed || usage_times > 0)) fault = &result.fault;
     if (reported) token_sizes_.Learn(open.model, seen.prompt_bytes, used.prompt);
   }
@@ -147,8 +149,8 @@
   return open;
 }
 
-// Whatever has been forwarded, the client gets one clear end: an error response, or an error event and no
-// [DONE].
+// The client always gets one unambiguous end: an error response if nothing has been forwarded, otherwise an
+// error event without a [DONE].
 void OpenAiFront::Abort(Handle connection, const ApiError& error, Outcome outcome) {
   const auto it = open_requests_.find(connection);
   if (it == open_requests_.end()) return;
@@ -268,12 +270,12 @@
   return core_->config->settings.classes[static_cast<std::size_t>(arrival.class_index)].time_budget;
 }
 
-// A client may ask for less time than its route gives, never for more.
+// A client may ask for less time than the settings give its request, but not for more.
 Time OpenAiFront::TimeBudgetFor(const HttpRequest& request, Time configured) const {
   Time time_budget = configured;
   const double ms = NumberInHeader(request, "x-deadline-ms");
   if (ms > 0) time_budget = std::min(time_budget, static_cast<Time>(ms * 1e3));
-  // What official clients send.
+  // Official clients send their time-out in this header.
   const double seconds = NumberInHeader(request, "x-stainless-read-timeout");
   if (seconds > 0) time_budget = std::min(time_budget, static_cast<Time>(seconds * 1e6));
   return time_budget;
@@ -311,7 +313,7 @@
   }
 
   StreamRequest stream{{}, {}, {}, {}, BufferChain(core_->buffers), {}, 0, true};
-  const std::string for_replica = openai::RewriteForReplica(text, read, RenamedModel(*model));
+  const std::string for_replica = openai::RewriteForReplica(text, read, ReplicaModelName(*model));
   request.body.Clear();
   if (!stream.body.Append(for_replica)) {
     limiter_.Settle(Now(), key->id, limits, tokens.total(), 0, false);
@@ -347,7 +349,7 @@
   ledger_.RecordAdmission(open.key, open.model);
   open_requests_.insert_or_assign(connection, std::move(open));
   const Handle handle = streams_->Open(std::move(stream), this, connection);
-  // The response may have been sent already, and the connection be on to its next request.
+  // The request may have been answered already, and the connection may serve its next request by now.
   if (streams_->Find(handle) == nullptr) return;
   if (const auto it = open_requests_.find(connection); it != open_requests_.end()) it->second.stream = handle;
 }
@@ -371,7 +373,7 @@
 }
 
 bool OpenAiFront::ReserveAssembly(OpenRequest& open, std::size_t bytes) {
-  // All together have a quarter of what buffers may take, which is half of the memory.
+  // The buffers may use half of the memory; all responses being assembled together may use a quarter of that.
   const std::size_t limit = core_->config->memory_mb * 1024 * 1024 / 8;
   assembled_bytes_ += bytes;
   return open.assembler.ReserveBytes(bytes) && assembled_bytes_ <= limit;
@@ -381,7 +383,7 @@
   if (open.has_max_tokens) return true;
   const double output = token_sizes_.Estimate(open.model, open.observer.seen()).output;
   if (output <= open.reserved_output_tokens) return true;
-  const double more = std::max(output - open.reserved_output_tokens, kMinGrowth);
+  const double more = std::max(output - open.reserved_output_tokens, kMinExtraTokens);
   if (!limiter_.ReserveMore(Now(), open.key, open.limits, more)) return false;
   open.reserved_tokens += more;
   open.reserved_output_tokens += more;
@@ -412,12 +414,12 @@
       open.streamed ? open.observer.Feed(events, chunk_) : open.observer.Feed(events, open.assembler);
   unfinished_bytes_ += open.observer.unfinished();
   unfinished_bytes_ -= std::min(unfinished_bytes_, unfinished_before);
-  // Guards against replicas that begin many long events and end none.
+  // Bounds the memory that replicas can occupy with long events that never end.
   const std::size_t max_unfinished = core_->config->memory_mb * 1024 * 1024 / 16;
   if (!readable || unfinished_bytes_ > max_unfinished) {
     return Abort(connection,
                  {502, "server_error", "upstream_unreadable", "The model's answer could not be read.", "",
-                  kTruncatedRetry},
+                  kRetryAfterTruncated},
                  Outcome::kTruncated);
   }
   if (open.streamed) ForwardChunk(connection, open);
@@ -442,7 +444,7 @@
 
 void OpenAiFront::OnTruncated(Handle connection) {
   Abort(connection,
-        {502, "server_error", "upstream_broken", "The model's answer broke off.", "", kTruncatedRetry},
+        {502, "server_error", "upstream_broken", "The model's answer broke off.", "", kRetryAfterTruncated},
         Outcome::kTruncated);
 }
 
@@ -458,7 +460,7 @@
 void OpenAiFront::OnFailed(Handle connection, policy::Outcome last) {
   if (!open_requests_.contains(connection)) return;
   const OpenRequest open = Settle(connection, Outcome::kFailed);
-  // A failure, not a rejection: an attempt may have run, and a retry is not known to be harmless.
+  // This is a failure and not a rejection: an attempt may have run, so that a retry may not be safe.
   const std::string headers = open.response_headers + kNoRetryHeader;
   if (last == policy::Outcome::kTimeout) {
     return ReplyError(
@@ -467,7 +469,7 @@
   ReplyError(connection, {502, "server_error", "upstream_failed", "No model could answer.", "", 0}, headers);
 }
 
-// The replica's own body is forwarded once, in the API's form whatever the replica spoke.
+// Forwards the replica's body if it is a JSON object; otherwise sends an error in the API's format.
 void OpenAiFront::OnInvalidRequest(Handle connection, int status, const std::string& body) {
   if (!open_requests_.contains(connection)) return;
   const OpenRequest open = Settle(connection, Outcome::kRejectedByReplica);
--- a/src/fronts/openai/openai_front.h
+++ b/src/fronts/openai/openai_front.h
@@ -1,7 +1,7 @@
-// The OpenAI-style API as clients speak it: chat completions, completions and models, streamed or complete.
-// It reads from a request what the decision module needs, opens streams like any other front, and enforces
-// keys and rate limits. Every request that it admits ends in one response, one settlement of the rate limiter
-// and one outcome in the ledger.
+// The front for the OpenAI-style API: chat completions, completions and models, streamed or complete. It
+// reads from a request what the decision module needs, opens streams like any other front, and enforces keys
+// and rate limits. Every admitted request ends with exactly one response (unless the client has
+// disconnected), one settlement in the rate limiter and one outcome in the ledger.
 #pragma once
 
 #include <memory>
@@ -24,12 +24,12 @@
 
 class OpenAiFront : public Front, public StreamSink {
  public:
-  // `keyring`: the key file's. `settings` must outlive the front.
+  // `keyring` holds the keys of the key file. `settings` must outlive the front.
   OpenAiFront(Core* core, Streams* streams, const OpenAiSettings* settings, keys::Keyring keyring);
   void SetDownstream(Downstream* downstream) { downstream_ = downstream; }
 
-  // Ends the streams of keys that were revoked. Throws SettingsError and changes nothing if the file is
-  // wrong.
+  // Reads the key file again and ends the open requests of revoked keys. Throws SettingsError and changes
+  // nothing if the file is invalid.
   void ReloadKeys();
   const ledger::Ledger& ledger() const { return ledger_; }
   const limits::RateLimiter& limits() const { return limiter_; }
@@ -48,26 +48,26 @@
   void OnInvalidRequest(Handle connection, int status, const std::string& body) override;
 
  private:
-  // An admitted request until its end.
+  // An admitted request that has not ended.
   struct OpenRequest {
-    OpenRequest(openai::Endpoint endpoint, bool usage_wanted, std::size_t max_answer)
-        : observer(usage_wanted), assembler(endpoint, max_answer) {}
-    Handle stream = 0;
+    OpenRequest(openai::Endpoint endpoint, bool usage_wanted, std::size_t max_response_bytes)
+        : observer(usage_wanted), assembler(endpoint, max_response_bytes) {}
+    Handle stream = 0;  // 0 if it is not open yet or has already been concluded
     std::string request_id, key, model;
     limits::KeyLimits limits;
-    double reserved_tokens = 0;         // prompt and output
-    double reserved_output_tokens = 0;  // of them for the output
-    bool has_max_tokens = false;        // then the output can't outgrow its reservation
-    bool streamed = false;              // else the response is sent when it is complete
-    bool response_begun = false;
-    std::string response_headers;
+    double reserved_tokens = 0;         // reserved for prompt and output together
+    double reserved_output_tokens = 0;  // the part reserved for the output
+    bool has_max_tokens = false;        // if true, the output can't exceed its reservation
+    bool streamed = false;              // if false, the response is sent once it is complete
+    bool response_begun = false;        // the head of a streamed response has been sent
+    std::string response_headers;       // header lines of every response to this request
     ResponseObserver observer;
-    ResponseAssembler assembler;
+    ResponseAssembler assembler;  // used only if the response is not streamed
   };
-  // How many tokens a request may use, by which it is admitted.
+  // The number of tokens that a request may use. The rate limiter admits the request for their total.
   struct TokenEstimate {
     double prompt = 0;
-    double prefix = 0;  // of the prompt, its leading system messages
+    double prefix = 0;  // the part of the prompt that is its leading system messages
     double output = 0;
     double total() const { return prompt + output; }
   };
@@ -76,26 +76,28 @@
   void ServeModels(Handle connection, const HttpRequest& request, std::string_view path);
   void ServeMetrics(Handle connection);
   void ServeCompletion(Handle connection, HttpRequest& request, openai::Endpoint endpoint);
-  // The key that the request shows; null: it was answered with an error.
+  // Returns the request's key, or nullptr after having sent an error (or scheduled one, to slow down
+  // guessing).
   const keys::Key* Authorize(Handle connection, const HttpRequest& request);
-  const ModelSettings* FindModel(const std::string& id) const;  // null: there is none
+  const ModelSettings* FindModel(const std::string& id) const;  // nullptr if unknown
   TokenEstimate EstimateTokens(const openai::Body& body, const ModelSettings& model) const;
-  // Sets the class; the result is the time budget that the settings give.
+  // Sets the request's class in `arrival` and returns the time budget from the settings.
   Time ApplyRoute(const std::string& path, const keys::Key& key, const ModelSettings& model,
                   policy::RequestArrived& arrival) const;
   Time TimeBudgetFor(const HttpRequest& request, Time configured) const;
   limits::KeyLimits LimitsOf(const keys::Key& key) const;
 
-  // A response by this node, counted as a rejection before admission.
+  // Sends an error and counts it as a rejection before admission.
   void Reject(Handle connection, const ApiError& error, const std::string& headers = "");
   void ReplyError(Handle connection, const ApiError& error, const std::string& headers = "");
-  // Ends an open request by decision of this node.
+  // Ends an open request with an error from this node.
   void Abort(Handle connection, const ApiError& error, ledger::Outcome outcome);
-  // Removes an open request, settles its reservation and enters it in the ledger.
+  // Removes an open request, settles its token reservation and records its outcome in the ledger.
   OpenRequest Settle(Handle connection, ledger::Outcome outcome);
-  // Whether what complete responses take up leaves space for `bytes` more of this one.
+  // Counts `bytes` more of a response that is being assembled. Returns false if this response, or all of them
+  // together, exceed their limit.
   bool ReserveAssembly(OpenRequest& open, std::size_t bytes);
-  // Reserves tokens for an output that has outgrown its reservation; false: the key has none left.
+  // Reserves more tokens if the output exceeds its reservation. Returns false if the key has none left.
   bool ReserveForGrowth(OpenRequest& open);
   void ForwardChunk(Handle connection, OpenRequest& open);
   void BeginStream(Handle connection, const OpenRequest& open);
@@ -106,18 +108,18 @@
   const OpenAiSettings* settings_;
   Downstream* downstream_ = nullptr;
   keys::Keyring keyring_;
-  keys::Key anonymous_key_;  // where no key is asked for
+  keys::Key anonymous_key_;  // used for all requests if no key file is set
   limits::RateLimiter limiter_;
   limits::InvalidKeyThrottle invalid_key_throttle_;
   limits::Networks metrics_networks_;
   ledger::Ledger ledger_;
   ledger::TokenSizeEstimator token_sizes_;
   std::unordered_map<Handle, OpenRequest> open_requests_;  // by connection
-  std::size_t assembled_bytes_ = 0;   // of responses that are not complete yet and not streamed
-  std::size_t unfinished_bytes_ = 0;  // of events that have not ended, of all streams
-  std::uint64_t id_seed_;
-  std::uint64_t ids_ = 0;
-  std::string chunk_;  // reused for each piece that is forwarded
+  std::size_t assembled_bytes_ = 0;                        // of all responses that are being assembled
+  std::size_t unfinished_bytes_ = 0;  // buffered bytes of incomplete events, of all open requests
+  std::uint64_t id_seed_;             // request ids are hashes of a counter with this seed
+  std::uint64_t ids_ = 0;             // number of request ids created
+  std::string chunk_;                 // buffer for the events to forward, reused to save allocations
 };
 
 }  // namespace ryeglade
--- a/src/fronts/openai/rate_limit_response.cpp
+++ b/src/fronts/openai/rate_limit_response.cpp
@@ -7,7 +7,7 @@
 namespace ryeglade {
 namespace {
 
-constexpr limits::Time kMinStreamsRetry = 1'000'000;  // microseconds
+constexpr limits::Time kMinRetryAfterOverStreams = 1'000'000;  // microseconds
 
 std::string Seconds(limits::Time time) { return fmt::format("{:.3f}s", static_cast<double>(time) / 1e6); }
 
@@ -41,7 +41,7 @@
       break;
     case limits::Admission::kOverStreams:
       error.message = "Your key has as many requests open as it may.";
-      error.retry_after = std::max(error.retry_after, kMinStreamsRetry);
+      error.retry_after = std::max(error.retry_after, kMinRetryAfterOverStreams);
       break;
     case limits::Admission::kAdmitted:
     case limits::Admission::kRequestTooLarge:
--- a/src/fronts/openai/rate_limit_response.h
+++ b/src/fronts/openai/rate_limit_response.h
@@ -1,4 +1,4 @@
-// How the OpenAI-style API tells a client about its rate limits: the x-ratelimit headers and the 429 errors.
+// The parts of an OpenAI-style response that concern rate limits: the x-ratelimit headers and the 429 errors.
 #pragma once
 
 #include <string>
@@ -8,9 +8,9 @@
 
 namespace ryeglade {
 
-// Header lines, each with its line end; empty where the key has no limit.
+// Returns header lines, each ended by CRLF, for the limits that the key has; empty if it has none.
 std::string RateLimitHeaders(const limits::RemainingQuota& quota);
-// `result` must not be kAdmitted.
+// `result` must not be kAdmitted: it is the reason why the request is rejected.
 ApiError RateLimitError(const limits::AdmissionResult& result);
 
 }  // namespace ryeglade
--- a/src/fronts/openai/response_translation.cpp
+++ b/src/fronts/openai/response_translation.cpp
@@ -8,20 +8,21 @@
 
 using nlohmann::json;
 
-constexpr int kMaxDepth = 64;
+constexpr int kMaxDepth = 64;  // of nested JSON
 constexpr std::size_t kMaxToolCalls = 256;
 
-std::size_t SkipSpace(std::string_view text, std::size_t at) {
+// Returns the offset of the value that follows a key: past blanks and the colon.
+std::size_t SkipToValue(std::string_view text, std::size_t at) {
   while (at < text.size() && (text[at] == ' ' || text[at] == ':')) ++at;
   return at;
 }
 
-// Whether the event's `choices` is an empty list, as in the last chunk that only brings usage.
+// Returns whether `choices` is empty or absent, as in the last chunk, which contains only usage.
 bool HasNoChoices(std::string_view data) {
   static constexpr std::string_view kName = "\"choices\"";
   const std::size_t at = data.find(kName);
   if (at == std::string_view::npos) return true;
-  std::size_t next = SkipSpace(data, at + kName.size());
+  std::size_t next = SkipToValue(data, at + kName.size());
   if (next >= data.size() || data[next] != '[') return false;
   for (++next; next < data.size() && data[next] == ' ';) ++next;
   return next < data.size() && data[next] == ']';
@@ -34,7 +35,7 @@
                                                               "reasoning", "refusal", "reasoning_content"};
   std::size_t bytes = 0;
   for (std::size_t at = data.find('"'); at != std::string_view::npos;) {
-    // A string: a key, or a value whose key we know.
+    // Here a string starts, usually a key: the values of keys are skipped below.
     std::size_t end = at + 1;
     std::size_t escapes = 0;
     while (end < data.size() && data[end] != '"') {
@@ -49,7 +50,7 @@
     at = end + 1;
     while (at < data.size() && data[at] == ' ') ++at;
     if (at < data.size() && data[at] == ':') {
-      const std::size_t value = SkipSpace(data, at);
+      const std::size_t value = SkipToValue(data, at);
       if (value < data.size() && data[value] == '"' &&
           std::find(kFields.begin(), kFields.end(), key) != kFields.end()) {
         escapes = 0;
@@ -62,7 +63,7 @@
         at = end + 1;
       } else {
         at = value;
-        if (value < data.size() && data[value] == '"') {  // past the value of another key
+        if (value < data.size() && data[value] == '"') {  // skips the value of another key
           for (end = value + 1; end < data.size() && data[end] != '"'; ++end) {
             if (data[end] == '\\') ++end;
           }
@@ -89,10 +90,10 @@
   static constexpr std::string_view kUsage = "\"usage\"";
   const std::size_t usage = e.data.rfind(kUsage);
   if (usage == std::string_view::npos) return true;
-  const std::size_t value = SkipSpace(e.data, usage + kUsage.size());
+  const std::size_t value = SkipToValue(e.data, usage + kUsage.size());
   if (e.data.substr(value, 4) == "null") return true;
   if (!HasNoChoices(e.data)) {
-    running_usage_.assign(e.data);  // so far; the last one counts if no final one comes
+    running_usage_.assign(e.data);  // a running total; used if no final usage is received
     return true;
   }
   usage_.assign(e.data);
@@ -133,18 +134,18 @@
       false);
   try {
     return !deep && chunk.is_object() && AddChunk(chunk);
-  } catch (const json::exception&) {  // a field of another kind than the API's
+  } catch (const json::exception&) {  // a field has another type than in the API
     return false;
   }
 }
 
-// Pieces of text are joined, lists too; objects are merged; tool calls go by their index; of all else the
-// last counts.
+// Concatenates strings and arrays, merges objects, and merges tool calls by their index. For all other values
+// the last one is kept.
 void ResponseAssembler::Merge(json& into, const json& piece) {
   for (const auto& [key, value] : piece.items()) {
     json& have = into[key];
     if (value.is_null()) continue;
-    // What names a thing comes once, or the same again.
+    // Identifiers are not sent in pieces; if one is sent again, the last one is kept.
     const bool name = key == "id" || key == "type" || key == "role" || key == "object" || key == "model";
     if (key == "tool_calls" && value.is_array()) {
       if (!have.is_array()) have = json::array();
--- a/src/fronts/platform/platform_front.cpp
+++ b/src/fronts/platform/platform_front.cpp
@@ -19,9 +19,9 @@
 constexpr const char* kCompletionsPath = "/v1/chat/completions";
 constexpr const char* kHealthPath = "/_health";
 constexpr double kMaxBudgetSeconds = 3600;
-constexpr double kCharsPerToken = 4;
+constexpr double kBytesPerToken = 4;
 
-// Fields that this front reads or whose value the node writes anew.
+// Names of the header fields that this front reads, or whose value the node writes itself.
 const std::vector<std::string_view>& FieldsReadHere() {
   static const std::vector<std::string_view> names = {"x-call-id", "x-call-class", "x-route-hash",
                                                       "x-budget",  "x-call-info",  "x-call-cost",
@@ -35,7 +35,7 @@
   return error == std::errc() && end == text.data() + text.size();
 }
 
-// A key that is not a hexadecimal number is as good a key.
+// Returns the value of a hexadecimal number of up to 16 digits; any other text is hashed.
 std::uint64_t KeyOf(std::string_view text) {
   std::uint64_t value = 0;
   if (ParseHex(text, &value)) return value;
@@ -44,7 +44,7 @@
   return value;
 }
 
-// False: not a number from 0 to `max`.
+// Returns false if the text is not a number from 0 to `max`.
 bool ParseAmount(std::string_view text, double max, double* value) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), *value);
   return error == std::errc() && end == text.data() + text.size() && *value >= 0 && *value <= max;
@@ -61,24 +61,26 @@
 
   StreamRequest stream{{}, {}, {}, {}, BufferChain(core_->buffers), {}, 0};
   if (const char* malformed = ReadHeaders(request, stream)) {
-    // Guards against reading on behind a request of which it is not sure what it says.
+    // Closes the connection, as it is not certain how a malformed request is to be understood. An unknown
+    // class leaves no such doubt.
     if (std::string_view(malformed) != "X-Call-Class") downstream_->CloseAfterResponse(connection);
     return ReplyLocally(connection, 400, malformed);
   }
-  // Two upstream requests under one id would be two attempts out at once.
+  // Two streams with the same id could send two attempts of one call at the same time.
   if (call_ids_.contains(stream.call_id)) return ReplyLocally(connection, 409, "open-id");
   if (core_->buffers->NearlyExhausted()) return ReplyLocally(connection, 503, "memory", "Retry-After: 1\r\n");
   stream.method = request.method;
   stream.target = request.target;
   if (const std::string* type = request.Header("content-type")) stream.content_type = *type;
   stream.body = std::move(request.body);
-  // Guarded classes' replicas know repeats by a header of the client's, whose name no page tells.
+  // Replicas of guarded classes recognize retries by a header that the client sends. Its name is not
+  // specified, so all end-to-end headers are forwarded.
   stream.forwarded_headers = FieldLines(EndToEndFields(request.headers, FieldsReadHere()));
   stream.received_at = request.first_byte;
   call_ids_.insert(stream.call_id);
   requests_[connection] = {0, stream.call_id, false};
   const Handle handle = streams_->Open(std::move(stream), this, connection);
-  // It may be answered already, and the connection on to its next request.
+  // The request may have been answered already, and the connection may serve its next request by now.
   if (streams_->Find(handle) != nullptr) requests_[connection].stream = handle;
 }
 
@@ -88,7 +90,7 @@
     const std::string* value = request.Header(name);
     return value == nullptr ? std::string_view() : std::string_view(*value);
   };
-  // Guards against two readings of one request: the host might take the other of two.
+  // A repeated header is ambiguous: the replica might use a different one of the values than this node.
   for (std::size_t n = 0; n < request.headers.size(); ++n) {
     const std::string& name = request.headers[n].first;
     if (name.size() < 2 || strncasecmp(name.c_str(), "x-", 2) != 0) continue;
@@ -108,7 +110,7 @@
   a.time_budget = static_cast<Time>(std::llround(budget * 1e6));
 
   if (!text("x-route-hash").empty()) a.session = KeyOf(text("x-route-hash"));
-  a.prompt_tokens = static_cast<double>(request.body.size()) / kCharsPerToken;
+  a.prompt_tokens = static_cast<double>(request.body.size()) / kBytesPerToken;
   std::string_view info = text("x-call-info");
   while (!info.empty()) {
     std::string_view item = info.substr(0, info.find(','));
--- a/src/fronts/platform/platform_front.h
+++ b/src/fronts/platform/platform_front.h
@@ -1,5 +1,6 @@
-// The platform's protocol: its paths, headers, health and statuses. It turns an HTTP request into a stream
-// and the stream's answer back; everything behind it is the same for any other front.
+// The front for the platform's protocol: its paths, headers, health check and statuses. It turns an HTTP
+// request into a stream, and the stream's result into the HTTP response. What follows is the same for every
+// front.
 #pragma once
 
 #include <string>
@@ -12,7 +13,7 @@
 
 namespace ryeglade {
 
-// One request a connection at a time, each a stream.
+// At most one request per connection at a time, each with its own stream.
 class PlatformFront : public Front, public StreamSink {
  public:
   PlatformFront(Core* core, Streams* streams) : core_(core), streams_(streams) {}
@@ -33,22 +34,23 @@
  private:
   // A request whose response is not complete.
   struct Request {
-    Handle stream = 0;  // 0: not open yet, or concluded already
+    Handle stream = 0;  // 0 if it is not open yet or has already been concluded
     std::string call_id;
-    bool response_begun = false;
+    bool response_begun = false;  // the response head has been sent
   };
 
   void ReplyHealth(Handle connection, const HttpRequest& request);
   void ReplyLocally(Handle connection, int status, const char* reason, const std::string& headers = "");
-  // Fills in what the headers say; the name of a header that is malformed, or null.
+  // Fills `stream` from the request's headers. Returns nullptr, or the reason why they are invalid: the name
+  // of the malformed header, or "repeated".
   const char* ReadHeaders(const HttpRequest& request, StreamRequest& stream) const;
   void Forget(Handle connection);
 
   Core* core_;
   Streams* streams_;
   Downstream* downstream_ = nullptr;
-  std::unordered_map<Handle, Request> requests_;  // that are open now, by connection
-  std::unordered_set<std::string> call_ids_;      // of these
+  std::unordered_map<Handle, Request> requests_;  // open requests, by connection
+  std::unordered_set<std::string> call_ids_;      // the ids of these requests
 };
 
 }  // namespace ryeglade
--- a/src/openai/body.h
+++ b/src/openai/body.h
@@ -1,5 +1,5 @@
-// The body of an OpenAI-style chat or completions request: what a router needs to know of it, and the same
-// body as it goes to a replica. Shared by the front and by the dialect; no I/O.
+// The body of an OpenAI-style chat or completions request: reads what a router needs from it, and rewrites it
+// for a replica. Used by the front and by the dialect. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,8 @@
 
 enum class Endpoint : std::uint8_t { kChat, kCompletions };
 
-// What is wrong with a request, as the API tells it: `param` names the field, empty if none is to blame.
+// Why a request is invalid, as in the API's error responses. `param` names the invalid field and is empty if
+// the error concerns no single field.
 struct BodyError {
   std::string message, param, code;
 };
@@ -22,32 +23,33 @@
   Endpoint endpoint = Endpoint::kChat;
   std::string model;
   bool stream = false;
-  bool include_usage = false;        // the client wants the usage chunk of a stream
-  std::optional<double> max_tokens;  // of the answer; the smaller of the two fields that say so
-  std::string session_hint;          // prompt_cache_key, else user; empty: none
-  std::size_t prompt_bytes = 0;      // of all text in messages or prompt, in bytes of UTF-8
-  std::uint64_t prefix = 0;          // hash of the leading system and developer messages; 0: none
-  std::size_t prefix_bytes = 0;      // in bytes
-  std::uint64_t session = 0;         // hash of the conversation's opening, or of the hint; 0: none
+  bool include_usage = false;        // the client asks for the usage chunk of a stream
+  std::optional<double> max_tokens;  // the smaller of max_tokens and max_completion_tokens
+  std::string session_hint;          // prompt_cache_key, otherwise user; empty if both are absent
+  std::size_t prompt_bytes = 0;      // UTF-8 size of all strings in messages or prompt; 4 per token id
+  std::uint64_t prefix = 0;          // hash of the leading system and developer messages; 0 if there are none
+  std::size_t prefix_bytes = 0;      // UTF-8 size of all strings in these messages, roles included
+  std::uint64_t session = 0;  // hash of session_hint, otherwise of the conversation's opening; 0 if none
 };
 
 struct BodyResult {
-  std::optional<Body> body;  // absent: `error` says why
+  std::optional<Body> body;  // absent if the request is invalid; `error` then tells why
   BodyError error;
-  // Where the fields that a replica gets otherwise stand in the text: from, to; {0, 0}: absent.
+  // Where the text has the values of the fields that RewriteForReplica may change: the offsets of the begin
+  // and the end; {0, 0} if the field is absent.
   std::pair<std::size_t, std::size_t> stream, stream_options, include_usage, model;
-  std::size_t stream_options_begin = 0;  // behind the brace of stream_options, if it is an object
+  std::size_t stream_options_begin = 0;  // offset after the opening brace; 0 if it is not an object
   bool stream_options_empty = true;
-  std::size_t object_begin = 0;  // behind the first brace
+  std::size_t object_begin = 0;  // offset after the body's opening brace
   bool object_empty = true;
 };
 
-// `strict` refuses what a router can't keep (n above 1 and the like) and what contradicts itself; without it
-// only the places matter, and `body` is present if the text is an object at all.
+// With `strict`, requests that the router can't fulfil (such as `n` above 1) or that contradict themselves
+// are invalid. Without it only the offsets matter, and `body` is present if the text is a JSON object.
 BodyResult ReadBody(std::string_view text, Endpoint endpoint, bool strict = true);
 
-// The same text with `stream` true and usage asked for, and another model's name if one is given. All else
-// stays byte for byte.
+// Returns the text with `stream` set to true, with usage requested, and with `model` as the model's name
+// unless it is empty. Everything else is the same, byte for byte.
 std::string RewriteForReplica(std::string_view text, const BodyResult& read, const std::string& model = "");
 
 }  // namespace ryeglade::openai
--- a/src/openai/strict_json.cpp
+++ b/src/openai/strict_json.cpp
@@ -14,18 +14,19 @@
 
 using Bytes = rapidjson::MemoryStream;
 
-struct Sax {
+// RapidJSON's handler, which checks what the parser does not and passes the values on to `handler`.
+struct SaxHandler {
   std::string_view text;
   Bytes& bytes;
   JsonHandler& handler;
-  std::string why;
+  std::string error;  // empty as long as there is none
   struct Level {
-    bool object;
-    std::unordered_set<std::string> keys;
+    bool is_object;
+    std::unordered_set<std::string> keys;  // that have occurred
   };
-  std::vector<Level> levels;
-  std::string key;
-  std::size_t value_from = 0;  // of the value to come
+  std::vector<Level> levels;    // the objects and arrays that enclose the current position
+  std::string key;              // of the value that follows
+  std::size_t value_begin = 0;  // offset of the value that follows the key
 
   int depth() const { return static_cast<int>(levels.size()); }
   std::size_t SkipSpace(std::size_t at) const {
@@ -34,28 +35,28 @@
   }
   bool Value(JsonKind kind, double number = 0, std::string_view string = {}) {
     JsonValue v{kind, depth(), {}, string, number, 0, 0};
-    const bool in_object = !levels.empty() && levels.back().object;
+    const bool in_object = !levels.empty() && levels.back().is_object;
     if (in_object) v.key = key;
     v.end = bytes.Tell();
-    v.begin = in_object ? value_from : v.end;
+    v.begin = in_object ? value_begin : v.end;
     return handler.OnValue(v) || Stop();
   }
   bool Stop() {
-    if (why.empty()) why = "stopped";
+    if (error.empty()) error = "stopped";
     return false;
   }
-  bool Open(bool object) {
-    if (!Value(object ? JsonKind::kObject : JsonKind::kArray)) return false;
+  bool BeginLevel(bool is_object) {
+    if (!Value(is_object ? JsonKind::kObject : JsonKind::kArray)) return false;
     if (depth() >= kMaxJsonDepth) {
-      why = "nested deeper than " + std::to_string(kMaxJsonDepth) + " levels";
+      error = "nested deeper than " + std::to_string(kMaxJsonDepth) + " levels";
       return false;
     }
-    levels.push_back({object, {}});
+    levels.push_back({is_object, {}});
     return true;
   }
-  bool Shut(bool object) {
+  bool EndLevel(bool is_object) {
     levels.pop_back();
-    return handler.OnEnd(object ? JsonKind::kObject : JsonKind::kArray, depth(), bytes.Tell()) || Stop();
+    return handler.OnEnd(is_object ? JsonKind::kObject : JsonKind::kArray, depth(), bytes.Tell()) || Stop();
   }
 
   bool Null() { return Value(JsonKind::kNull); }
@@ -67,18 +68,18 @@
   bool Double(double d) { return Value(JsonKind::kNumber, d); }
   bool RawNumber(const char*, rapidjson::SizeType, bool) { return Stop(); }
   bool String(const char* s, rapidjson::SizeType n, bool) { return Value(JsonKind::kString, 0, {s, n}); }
-  bool StartObject() { return Open(true); }
-  bool EndObject(rapidjson::SizeType) { return Shut(true); }
-  bool StartArray() { return Open(false); }
-  bool EndArray(rapidjson::SizeType) { return Shut(false); }
+  bool StartObject() { return BeginLevel(true); }
+  bool EndObject(rapidjson::SizeType) { return EndLevel(true); }
+  bool StartArray() { return BeginLevel(false); }
+  bool EndArray(rapidjson::SizeType) { return EndLevel(false); }
   bool Key(const char* s, rapidjson::SizeType n, bool) {
     key.assign(s, n);
     if (!levels.back().keys.insert(key).second) {
-      why = "the key '" + key.substr(0, 60) + "' comes twice in one object";
+      error = "the key '" + key.substr(0, 60) + "' comes twice in one object";
       return false;
     }
-    value_from = SkipSpace(bytes.Tell());
-    if (value_from < text.size()) value_from = SkipSpace(value_from + 1);  // past the colon
+    value_begin = SkipSpace(bytes.Tell());
+    if (value_begin < text.size()) value_begin = SkipSpace(value_begin + 1);  // past the colon
     return true;
   }
 };
@@ -86,23 +87,22 @@
 }  // namespace
 
 std::string ReadJson(std::string_view text, JsonHandler& handler) {
-  // Guards against a text that goes on behind a NUL, where the parser sees its end.
+  // The parser takes a NUL byte for the end of the text and would ignore what follows.
   if (std::memchr(text.data(), '\0', text.size()) != nullptr) return "holds a NUL byte";
-  // And against a byte order mark, or half of one, which the parser passes over.
+  // The parser skips a byte order mark, even a part of one.
   if (!text.empty() && static_cast<unsigned char>(text.front()) >= 0x80) return "does not start with JSON";
   Bytes bytes(text.data(), text.size());
   rapidjson::EncodedInputStream<rapidjson::UTF8<>, Bytes> decoded(bytes);
-  Sax sax{text, bytes, handler, {}, {}, {}, 0};
+  SaxHandler sax{text, bytes, handler, {}, {}, {}, 0};
   rapidjson::Reader reader;
   constexpr unsigned kFlags = rapidjson::kParseValidateEncodingFlag | rapidjson::kParseFullPrecisionFlag;
   const rapidjson::ParseResult result = reader.Parse<kFlags>(decoded, sax);
   if (!result.IsError()) return "";
-  if (!sax.why.empty()) return sax.why;
+  if (!sax.error.empty()) return sax.error;
   return std::string(rapidjson::GetParseError_En(result.Code())) + " (byte " +
          std::to_string(result.Offset()) + ")";
 }
 
-// `text` as a JSON string, quotes included.
 std::string QuoteJson(std::string_view text) {
   std::string out = "\"";
   for (const char c : text) {
--- a/src/openai/strict_json.h
+++ b/src/openai/strict_json.h
@@ -1,7 +1,7 @@
-// A reader of JSON texts from strangers, on RapidJSON: UTF-8 is checked, numbers must fit a double, nesting
-// is bounded, no object may hold a key twice and nothing may follow the text. One pass, memory in proportion
-// to the text. The caller's handler is told each value with its place: depth, and key within the object at
-// hand.
+// Reads JSON texts from untrusted sources, with RapidJSON. UTF-8 is validated, numbers must fit into a
+// double, nesting is bounded, no object may contain a key twice, and nothing may follow the value. Takes one
+// pass, and memory proportional to the size of the text. The caller's handler is called for each value, with
+// its depth and its key.
 #pragma once
 
 #include <cstdint>
@@ -14,28 +14,31 @@
 
 enum class JsonKind : std::uint8_t { kNull, kBool, kInteger, kNumber, kString, kObject, kArray };
 
-// A value met. For an object or array it comes at its start; OnEnd follows.
+// A value in the text. Objects and arrays are reported at their start, and with OnEnd at their end.
 struct JsonValue {
   JsonKind kind = JsonKind::kNull;
-  int depth = 0;          // of the value: 0 is the text itself
-  std::string_view key;   // within the object at hand; empty in an array
-  std::string_view text;  // of a string, decoded
-  double number = 0;      // of a number; 0 or 1 of a bool
-  std::size_t begin = 0,
-              end = 0;  // its bytes in the text; of an object or array `end` is behind its first brace
+  int depth = 0;          // 0 for the outermost value
+  std::string_view key;   // in the enclosing object; empty in an array
+  std::string_view text;  // the decoded string, if the value is one
+  double number = 0;      // the value of a number; 0 or 1 for a bool
+  // Offsets of the value in the text. Only the values of an object's fields have a `begin`; for others it
+  // equals `end`. For an object or array `end` is the offset after its opening brace or bracket.
+  std::size_t begin = 0, end = 0;
 };
 
 class JsonHandler {
  public:
   virtual ~JsonHandler() = default;
-  virtual bool OnValue(const JsonValue& value) = 0;  // false: stops the reading
-  virtual bool OnEnd(JsonKind /*kind*/, int /*depth*/, std::size_t /*to*/) { return true; }
+  // Both return false to stop reading. `end` is the offset after the closing brace or bracket.
+  virtual bool OnValue(const JsonValue& value) = 0;
+  virtual bool OnEnd(JsonKind /*kind*/, int /*depth*/, std::size_t /*end*/) { return true; }
 };
 
-// Empty: read to its end. Else what is wrong with it, in words; "stopped" if the handler did not go on.
+// Returns an empty string if the whole text was read, "stopped" if the handler stopped, and otherwise a
+// description of the error.
 std::string ReadJson(std::string_view text, JsonHandler& handler);
 
-// `text` as a JSON string, quotes included.
+// Returns `text` as a JSON string, including the quotes.
 std::string QuoteJson(std::string_view text);
 
 }  // namespace ryeglade::openai
