--- a/src/http/downstream.cpp
+++ b/src/http/downstream.cpp
@@ -348,7 +348,7 @@
 void Downstream::Reply(Handle handle, int status, const std::string& headers, std::string_view body) {
   Client* c = clients_.Get(handle);
   if (c == nullptr || c->state != State::kResponding) return;
-  // Requests that were already read behind this one are answered before the connection closes.
+  // Requests that were already read after this one are answered before the connection closes.
   if (draining_ && c->unparsed.empty()) c->keep_alive = false;
   const std::string head = "HTTP/1.1 " + std::to_string(status) + " " + ReasonPhrase(status) + "\r\n" +
                            headers + (c->keep_alive ? "" : "Connection: close\r\n") +
@@ -367,7 +367,7 @@
 void Downstream::BeginChunks(Handle handle, const std::string& headers) {
   Client* c = clients_.Get(handle);
   if (c == nullptr || c->state != State::kResponding) return;
-  // Requests that were already read behind this one are answered before the connection closes.
+  // Requests that were already read after this one are answered before the connection closes.
   if (draining_ && c->unparsed.empty()) c->keep_alive = false;
   const std::string head = "HTTP/1.1 200 OK\r\n" + headers + (c->keep_alive ? "" : "Connection: close\r\n") +
                            "Transfer-Encoding: chunked\r\n\r\n";
--- a/tests/event_stream_test.cpp
+++ b/tests/event_stream_test.cpp
@@ -1,4 +1,4 @@
-// Server-sent events: however the bytes are cut and whatever ends the lines, the events are the same.
+// Tests that parsing server-sent events does not depend on how the bytes are cut or which line ends are used.
 #include "http/event_stream.h"
 
 #include <gtest/gtest.h>
@@ -10,34 +10,35 @@
 namespace ryeglade {
 namespace {
 
-struct Seen {
+struct ParsedEvent {
   std::string data, type, id;
   bool has_data;
-  bool operator==(const Seen&) const = default;
+  bool operator==(const ParsedEvent&) const = default;
 };
 
-struct Taken {
-  std::vector<Seen> events;
+struct ParseResult {
+  std::vector<ParsedEvent> events;
   std::string raw;
-  bool good = true;
+  bool ok = true;
 };
 
-Taken Feed(const std::vector<std::string>& pieces, std::size_t most = 1 << 20) {
-  EventStream stream(most);
-  Taken taken;
+ParseResult Feed(const std::vector<std::string>& pieces, std::size_t max_block = 1 << 20) {
+  EventStream stream(max_block);
+  ParseResult result;
   for (const std::string& piece : pieces) {
-    taken.good = taken.good && stream.Feed(piece, [&](const EventStream::Event& e) {
-      taken.raw += e.raw;
+    result.ok = result.ok && stream.Feed(piece, [&](const EventStream::Event& e) {
+      result.raw += e.raw;
       if (e.has_data)
-        taken.events.push_back({std::string(e.data), std::string(e.type), std::string(e.id), true});
+        result.events.push_back({std::string(e.data), std::string(e.type), std::string(e.id), true});
       return true;
     });
   }
-  taken.raw += stream.unfinished();
-  return taken;
+  result.raw += stream.unfinished();
+  return result;
 }
 
-std::string With(std::string text, const std::string& end) {
+// Returns `text` with `end` in place of each LF.
+std::string WithLineEnds(std::string text, const std::string& end) {
   std::string out;
   for (const char c : text) out += c == '\n' ? end : std::string(1, c);
   return out;
@@ -46,31 +47,31 @@
 const std::string kText =
     ": a comment\n\nevent: error\nid: 7\ndata: one\n\ndata: two\ndata:three\ndata\n\nretry: 5\n\ndata:  "
     "spaced\n\n";
-const std::vector<Seen> kEvents = {
+const std::vector<ParsedEvent> kEvents = {
     {"one", "error", "7", true}, {"two\nthree\n", "", "", true}, {" spaced", "", "", true}};
 
-TEST(EventStream, EveryCutGivesTheSame) {
+TEST(EventStream, ParsesTheSameEventsWhereverTheInputIsCut) {
   for (const std::string end : {"\n", "\r\n", "\r"}) {
     for (const std::string mark : {"", "\xEF\xBB\xBF"}) {
-      const std::string text = mark + With(kText, end);
+      const std::string text = mark + WithLineEnds(kText, end);
       for (std::size_t cut = 0; cut <= text.size(); ++cut) {
-        const Taken taken = Feed({text.substr(0, cut), text.substr(cut)});
-        EXPECT_EQ(taken.events, kEvents) << cut;
-        EXPECT_EQ(taken.raw, text) << cut;
+        const ParseResult result = Feed({text.substr(0, cut), text.substr(cut)});
+        EXPECT_EQ(result.events, kEvents) << cut;
+        EXPECT_EQ(result.raw, text) << cut;
       }
     }
   }
 }
 
-TEST(EventStream, ByteByByte) {
+TEST(EventStream, ParsesInputThatArrivesByteByByte) {
   std::vector<std::string> bytes;
-  for (const char c : With(kText, "\r\n")) bytes.emplace_back(1, c);
+  for (const char c : WithLineEnds(kText, "\r\n")) bytes.emplace_back(1, c);
   EXPECT_EQ(Feed(bytes).events, kEvents);
 }
 
-TEST(EventStream, ABlockOverTheBoundStops) {
-  EXPECT_TRUE(Feed({"data: " + std::string(90, 'x')}, 100).good);
-  EXPECT_FALSE(Feed({"data: " + std::string(90, 'x'), "yyyyyyyy"}, 100).good);
+TEST(EventStream, ABlockThatExceedsTheBoundIsRejected) {
+  EXPECT_TRUE(Feed({"data: " + std::string(90, 'x')}, 100).ok);
+  EXPECT_FALSE(Feed({"data: " + std::string(90, 'x'), "yyyyyyyy"}, 100).ok);
 }
 
 RC_GTEST_PROP(EventStreamProperty, CutsAndLineEndsDoNotMatter, ()) {
@@ -81,9 +82,9 @@
     for (const std::string& line : lines) all += line + "\n";
     return all + "\n\n";
   }();
-  const Taken wanted = Feed({text});
+  const ParseResult expected = Feed({text});
   for (const std::string end : {"\n", "\r\n", "\r"}) {
-    std::string rest = With(text, end);
+    std::string rest = WithLineEnds(text, end);
     const std::string whole = rest;
     std::vector<std::string> pieces;
     while (!rest.empty()) {
@@ -91,9 +92,9 @@
       pieces.push_back(rest.substr(0, n));
       rest.erase(0, n);
     }
-    const Taken taken = Feed(pieces);
-    RC_ASSERT(taken.events == wanted.events);
-    RC_ASSERT(taken.raw == whole);
+    const ParseResult result = Feed(pieces);
+    RC_ASSERT(result.events == expected.events);
+    RC_ASSERT(result.raw == whole);
   }
 }
 
--- a/tests/official_client/run.sh
+++ b/tests/official_client/run.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Installs the official client as its lock file says, and plays it against the lab program given.
+# Installs the official client as pinned in its lock file, and runs its tests against the given ryeglade-lab
+# program.
 set -eu
 lab=$(readlink -f "$1")
 cd "$(dirname "$0")"
--- a/tests/official_client/test.mjs
+++ b/tests/official_client/test.mjs
@@ -1,4 +1,5 @@
-// The official client, with nothing changed but its base URL and key, against `ryeglade-lab demo`.
+// Tests the official OpenAI client against `ryeglade-lab demo`. Only its base URL and its key are set, and its
+// retries are off.
 import { spawn } from 'node:child_process';
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
@@ -23,14 +24,14 @@
 });
 
 const client = (apiKey = 'a-key') => new OpenAI({ baseURL: base, apiKey, maxRetries: 0 });
-const ask = (content, more = {}) => ({ model: 'docs-model', messages: [{ role: 'user', content }], max_tokens: 12, ...more });
+const request = (content, extra = {}) => ({ model: 'docs-model', messages: [{ role: 'user', content }], max_tokens: 12, ...extra });
 
-test('whole and streamed answers hold the same text', async () => {
-  const whole = await client().chat.completions.create(ask('hello'));
-  assert.equal(whole.choices[0].finish_reason, 'stop');
-  assert.equal(whole.usage.completion_tokens, 12);
-  assert.match(whole._request_id, /^req_[0-9a-f]{16}$/);
-  const stream = await client().chat.completions.create(ask('hello', { stream: true, stream_options: { include_usage: true } }));
+test('complete and streamed responses succeed', async () => {
+  const complete = await client().chat.completions.create(request('hello'));
+  assert.equal(complete.choices[0].finish_reason, 'stop');
+  assert.equal(complete.usage.completion_tokens, 12);
+  assert.match(complete._request_id, /^req_[0-9a-f]{16}$/);
+  const stream = await client().chat.completions.create(request('hello', { stream: true, stream_options: { include_usage: true } }));
   let text = '', usage;
   for await (const chunk of stream) {
     text += chunk.choices[0]?.delta?.content ?? '';
@@ -47,29 +48,29 @@
   assert.equal((await client().models.retrieve('docs-model')).object, 'model');
 });
 
-test('errors arrive as the classes that programs catch', async () => {
+test('errors are raised as the exception classes of the client', async () => {
   await assert.rejects(client('wrong').models.list(), OpenAI.AuthenticationError);
   await assert.rejects(client().models.retrieve('none'), OpenAI.NotFoundError);
-  await assert.rejects(client().chat.completions.create(ask('x', { n: 2 })), (e) => {
+  await assert.rejects(client().chat.completions.create(request('x', { n: 2 })), (e) => {
     assert.ok(e instanceof OpenAI.BadRequestError);
     assert.equal(e.param, 'n');
     return true;
   });
-  await assert.rejects(client().chat.completions.create(ask('#fault=bad-request')), OpenAI.BadRequestError);
-  await assert.rejects(client().chat.completions.create(ask('#fault=break')), OpenAI.InternalServerError);
+  await assert.rejects(client().chat.completions.create(request('#fault=bad-request')), OpenAI.BadRequestError);
+  await assert.rejects(client().chat.completions.create(request('#fault=break')), OpenAI.InternalServerError);
 });
 
-test('a stream that breaks throws after its first pieces', async () => {
-  const stream = await client().chat.completions.create(ask('#fault=break', { stream: true }));
-  let pieces = 0;
+test('a stream that breaks off throws after its first chunks', async () => {
+  const stream = await client().chat.completions.create(request('#fault=break', { stream: true }));
+  let choices = 0;
   await assert.rejects(async () => {
-    for await (const chunk of stream) pieces += chunk.choices.length;
+    for await (const chunk of stream) choices += chunk.choices.length;
   }, OpenAI.APIError);
-  assert.ok(pieces > 0);
+  assert.ok(choices > 0);
 });
 
-test('a client that stops reading leaves in order', async () => {
-  const stream = await client().chat.completions.create(ask('bye', { stream: true }));
+test('a client can stop reading a stream', async () => {
+  const stream = await client().chat.completions.create(request('bye', { stream: true }));
   for await (const chunk of stream) {
     assert.ok(chunk.choices);
     break;
