--- a/src/fronts/openai/openai_front.cpp
+++ b/src/fronts/openai/openai_front.cpp
@@ -26,8 +26,8 @@
 constexpr std::string_view kModelPrefix = "/v1/models/";
 constexpr Time kSecond = 1'000'000;                 // microseconds
 constexpr Time kRetryAfterTruncated = 1 * kSecond;  // sent to a client whose response broke off
-constexpr double kMinExtraTokens =
-    64;  // least number to reserve at once for an output that exceeds its reservation
+// The least number of tokens to reserve at once for an output that exceeds its reservation.
+constexpr double kMinExtraTokens = 64;
 constexpr const char* kJsonType = "Content-Type: application/json\r\n";
 
 // Returns the header's value if it is a positive number below 1e9; otherwise, or if there is none, 0.
--- a/src/fronts/openai/response_translation.cpp
+++ b/src/fronts/openai/response_translation.cpp
@@ -35,7 +35,8 @@
                                                               "reasoning", "refusal", "reasoning_content"};
   std::size_t bytes = 0;
   for (std::size_t at = data.find('"'); at != std::string_view::npos;) {
-    // Here a string starts, usually a key: the values of keys are skipped below.
+    // A string starts here: a key, or an entry of an array. Strings that are values of keys are skipped
+    // below.
     std::size_t end = at + 1;
     std::size_t escapes = 0;
     while (end < data.size() && data[end] != '"') {
--- a/src/fronts/openai/response_translation.h
+++ b/src/fronts/openai/response_translation.h
@@ -29,7 +29,8 @@
   bool ReserveBytes(std::size_t bytes);
   // Adds the data of one event. Returns false if it can't be parsed.
   bool AddEvent(std::string_view data);
-  // The arguments are used for the fields that the replica did not send; `created` is in seconds.
+  // The arguments are used for the fields that the replica did not send; `created` is the Unix time in
+  // seconds.
   std::string CompleteResponse(const std::string& id, const std::string& model, std::int64_t created) const;
   std::size_t bytes() const { return bytes_; }
 
