--- a/src/http/downstream.cpp
+++ b/src/http/downstream.cpp
@@ -13,16 +13,14 @@
 // Sizes in bytes.
 constexpr std::uint32_t kMaxHead = 16 * 1024;
 constexpr std::size_t kMaxUnparsed = std::size_t{16} * 1024;  // read during a response; then reading stops
-constexpr std::size_t kMaxUnsent =
-    std::size_t{128} * 1024;  // from here on the front is asked to stop sending
+constexpr std::size_t kMaxUnsent = std::size_t{128} * 1024;   // with more the front is asked to stop
 // Times in microseconds.
 constexpr Time kIdleTimeout = 60'000'000;   // for the next request of a connection that has had one
 constexpr Time kEvictableAfter = 500'000;   // without a complete request for this long, it may be evicted
 constexpr Time kWriteTimeout = 10'000'000;  // a congested client that reads nothing for this long is dropped
-constexpr Time kLingerTimeout =
-    1'000'000;  // for the client to get the last response and close the connection
+constexpr Time kLingerTimeout = 1'000'000;  // from a connection's last response to its closing
 constexpr Time kIdleSweepInterval = 50'000;
-constexpr Time kIdleAfter = 200'000;        // a client's request may follow its connection this late
+constexpr Time kIdleAfter = 200'000;        // a client may send its request this long after connecting
 constexpr Time kEndCheckInterval = 50'000;  // of connections that are not being read
 constexpr Time kReadGrace = 10'000;         // for the loop to read input that waits when a deadline passes
 constexpr int kMaxEvictionAttempts = 4;     // per new connection
@@ -79,7 +77,7 @@
 // Keeps the process from running out of descriptors. Closes, in this order of preference: a lingering
 // connection whose last response is sent; the connection that has been idle longest after a response, since
 // HTTP allows closing between requests; a connection without a complete request for long, since most clients
-// send theirs as soon as they are connected. Returns false if there is no capacity for another served
+// send theirs at once. Returns false if there is no capacity for another served
 // connection.
 bool Downstream::EvictConnection() {
   if (clients_.size() < max_served_) return true;
--- a/src/http/downstream.h
+++ b/src/http/downstream.h
@@ -62,7 +62,7 @@
   void Chunk(Handle connection, std::string_view bytes);
   void EndChunks(Handle connection);
   void Abort(Handle connection);         // closes the connection at once, without the last chunk
-  void EndTruncated(Handle connection);  // the same, but sends first what has been written
+  void EndTruncated(Handle connection);  // the same, after everything that was written has been sent
   // Makes the current response the connection's last one.
   void CloseAfterResponse(Handle connection);
   sockaddr_storage PeerOf(Handle connection) const;  // all zero if unknown
