--- a/lab/soak/clients.h
+++ b/lab/soak/clients.h
@@ -47,7 +47,7 @@
   struct Client {
     std::size_t node = 0;
     Handle link = 0;
-    emulator::Stream random;
+    emulator::RandomStream random;
     // Records of requests whose connection closed before the node read them; they are sent once more.
     std::vector<std::size_t> resend;
   };
--- a/lab/soak/plan.cpp
+++ b/lab/soak/plan.cpp
@@ -13,7 +13,7 @@
 namespace ryeglade::soak {
 namespace {
 
-using emulator::Stream;
+using emulator::RandomStream;
 using nlohmann::json;
 using policy::DedupScope;
 using policy::Idempotency;
@@ -38,13 +38,13 @@
   throw std::runtime_error(fmt::format("plan: '{}' is not a known {}", word, what));
 }
 
-Time UniformTime(Stream& random, Time low, Time high) {
+Time UniformTime(RandomStream& random, Time low, Time high) {
   return low + static_cast<Time>(random.Unit() * static_cast<double>(high - low));
 }
 
 // Makes one class for each combination of effect and scope that decides whether a repeat is harmless. Some
 // seeds have short deadlines only.
-ClassTable MakeClasses(Stream& random) {
+ClassTable MakeClasses(RandomStream& random) {
   struct Row {
     const char* name;
     Idempotency effect;
@@ -69,7 +69,7 @@
 }
 
 // Makes the same classes with other deadlines; the effect of one class is drawn anew.
-ClassTable VaryClasses(const ClassTable& classes, Stream& random) {
+ClassTable VaryClasses(const ClassTable& classes, RandomStream& random) {
   ClassTable other = classes;
   for (auto& [name, c] : other) c.deadline = UniformTime(random, 500 * kMillisecond, 6 * kSecond);
   ClassRules& changed =
@@ -80,7 +80,7 @@
 
 class FaultScheduler {
  public:
-  FaultScheduler(Plan* plan, Stream* random) : plan_(*plan), random_(*random) {}
+  FaultScheduler(Plan* plan, RandomStream* random) : plan_(*plan), random_(*random) {}
 
   // Restarts the nodes one after another, as a release does, mostly while replicas hang, and adds other
   // faults at random times.
@@ -212,7 +212,7 @@
   }
 
   Plan& plan_;
-  Stream& random_;
+  RandomStream& random_;
 };
 
 // ---- The plan as JSON ----
@@ -261,7 +261,7 @@
   Plan plan;
   plan.seed = seed;
   plan.length = length;
-  Stream random(seed, emulator::Concern::kFailures);
+  RandomStream random(seed, emulator::RandomPurpose::kFailures);
   plan.nodes = 1 + random.Below(6);
   plan.zones = 1 + static_cast<int>(random.Below(3));
   plan.push = random.Chance(0.5);
