--- a/tests/planted_fault_library.cpp
+++ b/tests/planted_fault_library.cpp
@@ -1,8 +1,8 @@
-// Preloaded into a node under test: a fault planted into a program that is right, to see that the soak finds
-// it. RYEGLADE_PLANTED names it:
-//   resend  now and then an attempt's bytes go out a second time, on a connection of their own
-//   drop    now and then an answer's last piece is not written to its client
-//   delay   now and then an answer's piece is written 0.4 s late, with everything else behind it
+// A library that is preloaded into a node under test and plants a fault into it, to test that the soak finds
+// the fault. RYEGLADE_PLANTED names the fault; each happens at one in kOneIn of the writes that it concerns:
+//   resend  sends an attempt's bytes a second time, on a connection of their own
+//   drop    does not write the last piece of an answer to its client
+//   delay   writes a piece of an answer 0.4 s late, which delays everything else that the process writes
 #include <dlfcn.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr unsigned kOneIn = 25;  // of the writes that a fault is about
-constexpr useconds_t kDelay = 400'000;
+constexpr unsigned kOneIn = 25;         // one in so many of the writes that a fault concerns
+constexpr useconds_t kDelay = 400'000;  // microseconds
 
 std::string Planted() {
   const char* text = std::getenv("RYEGLADE_PLANTED");
@@ -45,7 +45,7 @@
   return real;
 }
 
-// The same bytes to the same peer, on a connection that stays open.
+// Sends the same bytes to the same peer on a new connection, which stays open.
 void SendAgain(int fd, const std::string& bytes) {
   sockaddr_storage peer{};
   socklen_t length = sizeof peer;
@@ -55,7 +55,7 @@
   [[maybe_unused]] const ssize_t written = send(again, bytes.data(), bytes.size(), MSG_NOSIGNAL);
 }
 
-// The head of an attempt goes out alone, its body behind it.
+// The head of the attempt that this thread wrote last; the node writes the body in a separate call.
 thread_local std::string head;
 
 ssize_t Write(int fd, const iovec* pieces, int count) {
@@ -80,7 +80,7 @@
 
 extern "C" ssize_t writev(int fd, const iovec* pieces, int count) { return Write(fd, pieces, count); }
 
-// libuv writes a single piece with write.
+// libuv uses write instead of writev for a single piece.
 extern "C" ssize_t write(int fd, const void* bytes, size_t size) {
   static const auto real = reinterpret_cast<ssize_t (*)(int, const void*, size_t)>(dlsym(RTLD_NEXT, "write"));
   sockaddr_storage peer{};
--- a/tests/preloaded.h
+++ b/tests/preloaded.h
@@ -1,4 +1,4 @@
-// A system call that fails or is held up in the nodes under test, by a preloaded library (fault_library.cpp).
+// Makes a system call fail or take long in the nodes under test, by a preloaded library (fault_library.cpp).
 #pragma once
 #undef NDEBUG
 
@@ -12,9 +12,10 @@
 
 namespace scripted {
 
-inline std::string library;  // its path, from the command line
+inline std::string library;  // path of the library, from the command line
 
-// Nodes that start while one of these lives have the fault, in the words of fault_library.cpp.
+// While an object of this class exists, every node that is started has the fault, written as
+// fault_library.cpp says.
 class Preloaded {
  public:
   explicit Preloaded(const std::string& fault) {
@@ -30,7 +31,7 @@
       unsetenv(name);
     std::remove(counts_);
   }
-  // Calls that have failed or been held up so far.
+  // Number of calls that have failed or been delayed so far.
   int failures() const {
     std::ifstream in(counts_);
     int n = 0;
--- a/tests/shell.h
+++ b/tests/shell.h
@@ -1,5 +1,5 @@
-// Runs a command and gives back what it printed, both streams; "failed: " stands in front if it exits
-// otherwise than 0.
+// Runs a command and returns what it wrote to standard output and standard error. If the command does not
+// exit with 0, the result begins with "failed: ".
 #pragma once
 
 #include <cstdio>
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -1,4 +1,4 @@
-// The soak's checker, by histories that keep or break one rule each, and its plans.
+// Tests of the soak's checker, with histories that keep every rule or break some, and of the soak's plans.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -30,8 +30,8 @@
           {"cell", rules(Idempotency::kIdempotencyKey, DedupScope::kCell)}};
 }
 
-// One node, three replicas (the first two share a zone, the first and the last a cell), one request at a
-// time.
+// Builds the history of one node with three replicas: the first two share a zone, the first and the last a
+// cell. Requests come one at a time; each attempt belongs to the latest request.
 struct HistoryBuilder {
   HistoryBuilder() {
     h.begin = kSec;
@@ -67,7 +67,7 @@
     a.end = end;
     return h.attempts.emplace_back(a);
   }
-  // Answered by the attempt that was sent last, in `pieces` 10 ms apart.
+  // Lets the latest attempt answer the latest request completely, in `pieces` events 10 ms apart.
   void ServeByLastAttempt(int pieces = 3) {
     Attempt& a = h.attempts.back();
     ClientRequest& r = h.requests.back();
@@ -97,15 +97,15 @@
   EXPECT_EQ(s.BrokenRules(), wanted) << name;
 }
 
-TEST(SoakChecker, ServedRefusedUnsentAndRepeatedWhereAllowedKeepEveryRule) {
+TEST(SoakChecker, AllowedOutcomesBreakNoRule) {
   ExpectBroken("served", {}, [](HistoryBuilder& s) {
     s.AddRequest("single"), s.AddAttempt(0, 10 * kSec), s.ServeByLastAttempt();
   });
   ExpectBroken("refused, never sent", {}, [](HistoryBuilder& s) { s.AddRequest("single"); });
-  ExpectBroken("refused, turned away", {}, [](HistoryBuilder& s) {
+  ExpectBroken("refused, rejected by the replica", {}, [](HistoryBuilder& s) {
     s.AddRequest("single"), s.AddAttempt(0, 10 * kSec, AttemptEnd::kRejected);
   });
-  ExpectBroken("refused, never whole", {},
+  ExpectBroken("refused, never received whole by a replica", {},
                [](HistoryBuilder& s) { s.AddRequest("single"), s.AddAttempt(0, 10 * kSec).received = 0; });
   for (const char* cls : {"free", "all"}) {
     ExpectBroken(cls, {}, [&](HistoryBuilder& s) { s.AddRequest(cls), s.AddAttempt(0, 10 * kSec); });
@@ -124,7 +124,7 @@
   });
 }
 
-TEST(SoakChecker, ARefusalOfWhatMayHaveRunIsSaidForEachEffect) {
+TEST(SoakChecker, ReportsARefusalAfterAnAttemptThatMayHaveRun) {
   for (const char* cls : {"single", "zone", "cell"}) {
     for (const AttemptEnd end :
          {AttemptEnd::kReset, AttemptEnd::kNodeClosed, AttemptEnd::kError, AttemptEnd::kUnfinished}) {
@@ -132,19 +132,20 @@
                    [&](HistoryBuilder& s) { s.AddRequest(cls), s.AddAttempt(0, 10 * kSec, end); });
     }
   }
-  ExpectBroken("handed back", {Rule::kAnswer, Rule::kRefusal}, [](HistoryBuilder& s) {
-    ClientRequest& r = s.AddRequest("single");
-    r.end = ClientEnd::kNoAnswer, r.reused = true;
-    s.AddAttempt(0, 10 * kSec);
-  });
-  // Settings that change about then: it may have been taken by either.
-  ExpectBroken("free before", {}, [](HistoryBuilder& s) {
+  ExpectBroken("closed unanswered on a reused connection", {Rule::kAnswer, Rule::kRefusal},
+               [](HistoryBuilder& s) {
+                 ClientRequest& r = s.AddRequest("single");
+                 r.end = ClientEnd::kNoAnswer, r.reused = true;
+                 s.AddAttempt(0, 10 * kSec);
+               });
+  // If the settings change at about that time, the node may have used either class table.
+  ExpectBroken("idempotent by settings 0.9 s earlier", {}, [](HistoryBuilder& s) {
     ClassTable other = MakeClassTable();
     other["single"].effect = Idempotency::kIdempotent;
     s.h.settings.push_back({0, 10 * kSec - 900 * kMs, other});
     s.AddRequest("single"), s.AddAttempt(0, 10 * kSec);
   });
-  ExpectBroken("long after", {Rule::kRefusal}, [](HistoryBuilder& s) {
+  ExpectBroken("idempotent only by settings 2 s later", {Rule::kRefusal}, [](HistoryBuilder& s) {
     ClassTable other = MakeClassTable();
     other["single"].effect = Idempotency::kIdempotent;
     s.h.settings.push_back({0, 12 * kSec, other});
@@ -152,7 +153,7 @@
   });
 }
 
-TEST(SoakChecker, ARepeatOutsideEffectScopeOrWindowIsSaid) {
+TEST(SoakChecker, ReportsARepeatOutsideEffectScopeOrWindow) {
   const auto twice = [](const char* cls, std::size_t next, Time after) {
     return [=](HistoryBuilder& s) {
       s.AddRequest(cls), s.AddAttempt(0, 10 * kSec), s.AddAttempt(next, 10 * kSec + after),
@@ -162,49 +163,49 @@
   ExpectBroken("single", {Rule::kRepeat}, twice("single", 0, kSec));
   ExpectBroken("other zone", {Rule::kRepeat}, twice("zone", 2, kSec));
   ExpectBroken("other cell", {Rule::kRepeat}, twice("cell", 1, kSec));
-  ExpectBroken("at the window's end", {}, twice("all", 1, 2 * kSec + 190 * kMs));
-  ExpectBroken("behind it", {Rule::kRepeat}, twice("all", 1, 2 * kSec + 210 * kMs));
+  ExpectBroken("within the window and its tolerance", {}, twice("all", 1, 2 * kSec + 190 * kMs));
+  ExpectBroken("after the window", {Rule::kRepeat}, twice("all", 1, 2 * kSec + 210 * kMs));
 }
 
-TEST(SoakChecker, TwoAtOnceIsSaidAndOneRightAfterTheOtherIsNot) {
+TEST(SoakChecker, ReportsConcurrentAttemptsButNotConsecutiveOnes) {
   const auto over = [](Time overlap) {
     return [=](HistoryBuilder& s) {
       s.AddRequest("free"), s.AddAttempt(0, 10 * kSec, AttemptEnd::kNodeClosed, kSec);
       s.AddAttempt(1, 11 * kSec - overlap), s.ServeByLastAttempt();
     };
   };
-  ExpectBroken("in turn", {}, over(0));
-  ExpectBroken("within the order of reading", {}, over(90 * kMs));
-  ExpectBroken("at once", {Rule::kTwoAtOnce}, over(110 * kMs));
+  ExpectBroken("one after the other", {}, over(0));
+  ExpectBroken("overlap within the tolerance for the order of reading", {}, over(90 * kMs));
+  ExpectBroken("overlap beyond the tolerance", {Rule::kTwoAtOnce}, over(110 * kMs));
 }
 
-TEST(SoakChecker, AnAnswerHasToComeInTimeAndAtAll) {
+TEST(SoakChecker, ReportsALateOrMissingAnswer) {
   const auto late = [](Time by) {
     return [=](HistoryBuilder& s) { s.AddRequest("free").ended = 15 * kSec + by; };
   };
-  ExpectBroken("half a second late", {}, late(540 * kMs));
-  ExpectBroken("later", {Rule::kAnswer}, late(560 * kMs));
-  ExpectBroken("never", {Rule::kAnswer}, [](HistoryBuilder& s) {
+  ExpectBroken("0.5 s late plus the tolerance", {}, late(540 * kMs));
+  ExpectBroken("over 0.5 s late", {Rule::kAnswer}, late(560 * kMs));
+  ExpectBroken("no answer", {Rule::kAnswer}, [](HistoryBuilder& s) {
     ClientRequest& r = s.AddRequest("free");
     r.end = ClientEnd::kTimedOut, r.ended = 17 * kSec;
   });
   ExpectBroken("closed on a new connection", {Rule::kAnswer},
                [](HistoryBuilder& s) { s.AddRequest("free").end = ClientEnd::kNoAnswer; });
-  ExpectBroken("crossed a kept one's end", {}, [](HistoryBuilder& s) {
+  ExpectBroken("closed on a reused connection before the request was read", {}, [](HistoryBuilder& s) {
     ClientRequest& r = s.AddRequest("free");
     r.end = ClientEnd::kNoAnswer, r.reused = true;
   });
-  ExpectBroken("stopped meanwhile", {}, [](HistoryBuilder& s) {
+  ExpectBroken("late, but the node was paused for 2 s", {}, [](HistoryBuilder& s) {
     s.AddRequest("free").ended = 17 * kSec;
     s.h.processes[0].pauses = {{11 * kSec, 13 * kSec}};
   });
-  ExpectBroken("held up for a moment only", {Rule::kAnswer}, [](HistoryBuilder& s) {
+  ExpectBroken("late, and the node was paused for 0.15 s only", {Rule::kAnswer}, [](HistoryBuilder& s) {
     s.AddRequest("free").ended = 15 * kSec + 600 * kMs;
     s.h.processes[0].pauses = {{11 * kSec, 11 * kSec + 150 * kMs}};
   });
 }
 
-TEST(SoakChecker, WhatSigkillFindsIsJudgedByWhenItCame) {
+TEST(SoakChecker, JudgesRequestsUnansweredAtSigkillByWhenTheyWereSent) {
   const auto killed = [](Time sent) {
     return [=](HistoryBuilder& s) {
       Process& p = s.h.processes[0];
@@ -213,11 +214,11 @@
       r.end = ClientEnd::kNoAnswer, r.ended = p.killed;
     };
   };
-  ExpectBroken("taken in time", {Rule::kProcess}, killed(600 * kMs));
-  ExpectBroken("taken late", {Rule::kAnswer, Rule::kProcess}, killed(3'600 * kMs));
+  ExpectBroken("sent 0.6 s after SIGTERM", {Rule::kProcess}, killed(600 * kMs));
+  ExpectBroken("sent 3.6 s after SIGTERM", {Rule::kAnswer, Rule::kProcess}, killed(3'600 * kMs));
 }
 
-TEST(SoakChecker, AttemptsForAClientThatHasGoneAndTimeThatItHasNotAreSaid) {
+TEST(SoakChecker, ReportsAttemptsAfterTheClientDisconnectedAndTooLargeBudgets) {
   const auto gone = [](Time after) {
     return [=](HistoryBuilder& s) {
       ClientRequest& r = s.AddRequest("free");
@@ -225,17 +226,17 @@
       s.AddAttempt(0, 11 * kSec + after);
     };
   };
-  ExpectBroken("within 0.1 s", {}, gone(140 * kMs));
-  ExpectBroken("later", {Rule::kClientGone}, gone(160 * kMs));
+  ExpectBroken("within 0.1 s of the disconnect plus the tolerance", {}, gone(140 * kMs));
+  ExpectBroken("over 0.1 s after the disconnect", {Rule::kClientGone}, gone(160 * kMs));
   const auto told = [](Time more) {
     return
         [=](HistoryBuilder& s) { s.AddRequest("free"), s.AddAttempt(0, 12 * kSec).budget = 3 * kSec + more; };
   };
-  ExpectBroken("0.15 s too much", {}, told(190 * kMs));
-  ExpectBroken("more", {Rule::kBudget}, told(210 * kMs));
+  ExpectBroken("budget 0.15 s too large plus the tolerance", {}, told(190 * kMs));
+  ExpectBroken("budget over 0.15 s too large", {Rule::kBudget}, told(210 * kMs));
 }
 
-TEST(SoakChecker, WhatIsSentToADrainingReplicaIsSaidOnceItsNodeWasToldLongEnough) {
+TEST(SoakChecker, ReportsRequestsToADrainingReplicaAfterTheGrace) {
   const auto drained = [](Time after, Time stop) {
     return [=](HistoryBuilder& s) {
       s.h.discovery_changes = {{0, 0, 9 * kSec, 10 * kSec - after, false}};
@@ -243,54 +244,55 @@
       s.AddRequest("free"), s.AddAttempt(0, 10 * kSec), s.ServeByLastAttempt();
     };
   };
-  ExpectBroken("in the grace", {}, drained(790 * kMs, 0));
-  ExpectBroken("after it", {Rule::kDrain}, drained(810 * kMs, 0));
-  ExpectBroken("the grace covers 0.15 s", {Rule::kDrain}, drained(810 * kMs, 150 * kMs));
-  ExpectBroken("stopped as it was told", {}, drained(900 * kMs, 300 * kMs));
-  ExpectBroken("there again", {}, [](HistoryBuilder& s) {
+  ExpectBroken("within the grace", {}, drained(790 * kMs, 0));
+  ExpectBroken("after the grace", {Rule::kDrain}, drained(810 * kMs, 0));
+  ExpectBroken("a pause of 0.15 s does not extend the grace", {Rule::kDrain}, drained(810 * kMs, 150 * kMs));
+  ExpectBroken("paused for 0.3 s when it was told", {}, drained(900 * kMs, 300 * kMs));
+  ExpectBroken("active again", {}, [](HistoryBuilder& s) {
     s.h.discovery_changes = {{0, 0, 2 * kSec, 2 * kSec, false}, {0, 0, 8 * kSec, 8 * kSec, true}};
     s.AddRequest("free"), s.AddAttempt(0, 10 * kSec), s.ServeByLastAttempt();
   });
 }
 
-TEST(SoakChecker, WhatIsServedIsWhatOneReplicaMade) {
+TEST(SoakChecker, ReportsAnswersThatDifferFromWhatOneReplicaSent) {
   const auto served = [](const BuildHistory& change) {
     return [=](HistoryBuilder& s) {
       s.AddRequest("free"), s.AddAttempt(0, 10 * kSec), s.ServeByLastAttempt(), change(s);
     };
   };
-  ExpectBroken("changed", {Rule::kContent},
+  ExpectBroken("changed bytes", {Rule::kContent},
                served([](HistoryBuilder& s) { s.h.requests[0].events[1].bytes[6] ^= 1; }));
-  ExpectBroken("out of order", {Rule::kContent}, served([](HistoryBuilder& s) {
+  ExpectBroken("events out of order", {Rule::kContent}, served([](HistoryBuilder& s) {
                  std::swap(s.h.requests[0].events[0].bytes, s.h.requests[0].events[1].bytes);
                }));
-  ExpectBroken("ended early with the last chunk", {Rule::kContent},
+  ExpectBroken("an event is missing before the last chunk", {Rule::kContent},
                served([](HistoryBuilder& s) { s.h.requests[0].events.pop_back(); }));
-  ExpectBroken("of a stream that broke", {Rule::kContent},
+  ExpectBroken("served whole although the replica's stream broke", {Rule::kContent},
                served([](HistoryBuilder& s) { s.h.attempts[0].end = AttemptEnd::kReset; }));
-  ExpectBroken("made by nobody", {Rule::kContent}, served([](HistoryBuilder& s) { s.h.attempts.clear(); }));
-  ExpectBroken("cut where the replica broke", {}, served([](HistoryBuilder& s) {
+  ExpectBroken("sent by no replica", {Rule::kContent},
+               served([](HistoryBuilder& s) { s.h.attempts.clear(); }));
+  ExpectBroken("truncated where the replica's stream broke", {}, served([](HistoryBuilder& s) {
                  s.h.attempts[0].end = AttemptEnd::kReset;
                  s.h.requests[0].end = ClientEnd::kTruncated;
                }));
-  ExpectBroken("cut although it was whole", {Rule::kForward},
+  ExpectBroken("truncated although the replica finished", {Rule::kForward},
                served([](HistoryBuilder& s) { s.h.requests[0].end = ClientEnd::kTruncated; }));
-  ExpectBroken("cut 5 s late", {Rule::kForward}, served([](HistoryBuilder& s) {
+  ExpectBroken("truncated 5.1 s after the last event", {Rule::kForward}, served([](HistoryBuilder& s) {
                  s.h.attempts[0].end = AttemptEnd::kReset;
                  s.h.requests[0].end = ClientEnd::kTruncated, s.h.requests[0].ended += 5'100 * kMs;
                }));
-  ExpectBroken("cut by the node", {Rule::kAnswer}, served([](HistoryBuilder& s) {
+  ExpectBroken("truncated by the node", {Rule::kAnswer}, served([](HistoryBuilder& s) {
                  s.h.attempts[0].end = AttemptEnd::kNodeClosed;
                  s.h.requests[0].end = ClientEnd::kTruncated;
                }));
-  ExpectBroken("moved where clients ask for the rest", {}, served([](HistoryBuilder& s) {
+  ExpectBroken("truncated by the node where clients may resume", {}, served([](HistoryBuilder& s) {
                  s.h.resume = true;
                  s.h.attempts[0].end = AttemptEnd::kNodeClosed;
                  s.h.requests[0].end = ClientEnd::kTruncated;
                }));
 }
 
-TEST(SoakChecker, EventsHeldBackAreSaidBeyondOneStreamInTen) {
+TEST(SoakChecker, ReportsDelayedEventsInMoreThanOneStreamInTen) {
   const auto held = [](int late) {
     return [=](HistoryBuilder& s) {
       for (int n = 0; n < 40; ++n) {
@@ -300,40 +302,41 @@
       }
     };
   };
-  ExpectBroken("one in ten", {}, held(4));
-  ExpectBroken("more", {Rule::kInTime}, held(5));
+  ExpectBroken("delays in one stream in ten", {}, held(4));
+  ExpectBroken("delays in more than one stream in ten", {Rule::kInTime}, held(5));
 }
 
-TEST(SoakChecker, AProcessEndsByItselfInTimeAndDoesNotCrashOrGrow) {
+TEST(SoakChecker, ReportsProcessesThatCrashGrowOrDoNotExitInTime) {
   const auto process = [](const std::function<void(Process&)>& change) {
     return [=](HistoryBuilder& s) { change(s.h.processes[0]); };
   };
   ExpectBroken("crashed", {Rule::kProcess}, process([](Process& p) { p.sigterm_at = 0, p.status = 139; }));
-  ExpectBroken("failed at its end", {Rule::kProcess}, process([](Process& p) { p.status = 1; }));
-  ExpectBroken("killed at its end", {Rule::kProcess},
+  ExpectBroken("exited with an error after SIGTERM", {Rule::kProcess},
+               process([](Process& p) { p.status = 1; }));
+  ExpectBroken("still running when SIGKILL was due", {Rule::kProcess},
                process([](Process& p) { p.killed = p.ended = p.sigkill_due; }));
-  ExpectBroken("shot by the plan", {},
+  ExpectBroken("killed by the plan", {},
                process([](Process& p) { p.sigterm_at = 0, p.killed_by_plan = true, p.status = 137; }));
-  ExpectBroken("grown", {Rule::kProcess},
+  ExpectBroken("180 more descriptors", {Rule::kProcess},
                process([](Process& p) { p.first_descriptors = 20, p.last_descriptors = 200; }));
-  ExpectBroken("fat", {Rule::kProcess},
+  ExpectBroken("79 MiB more memory", {Rule::kProcess},
                process([](Process& p) { p.first_memory = 1 << 20, p.last_memory = 80 << 20; }));
-  ExpectBroken("a stream under way", {}, [](HistoryBuilder& s) {
+  ExpectBroken("a stream in progress at SIGKILL", {}, [](HistoryBuilder& s) {
     Process& p = s.h.processes[0];
     p.killed = p.ended = p.sigkill_due, p.status = 137;
     s.AddRequest("free", p.sigterm_at), s.AddAttempt(0, p.sigterm_at), s.ServeByLastAttempt();
     s.h.requests[0].end = ClientEnd::kTruncated, s.h.requests[0].ended = p.killed;
   });
-  ExpectBroken("a bad client waits", {Rule::kBadClient}, [](HistoryBuilder& s) {
+  ExpectBroken("a bad client waited 3.1 s", {Rule::kBadClient}, [](HistoryBuilder& s) {
     s.h.bad_clients = {{0, 10 * kSec, 13'100 * kMs, true}};
   });
-  ExpectBroken("and not for too long", {}, [](HistoryBuilder& s) {
+  ExpectBroken("a bad client waited 3 s", {}, [](HistoryBuilder& s) {
     s.h.bad_clients = {{0, 10 * kSec, 13 * kSec, false}};
   });
 }
 
-TEST(SoakChecker, WhatTheLabItselfSawLateIsNotHeldAgainstANode) {
-  ExpectBroken("lag", {}, [](HistoryBuilder& s) {
+TEST(SoakChecker, DoesNotBlameANodeForALagOfTheLab) {
+  ExpectBroken("the lab lagged by 0.3 s", {}, [](HistoryBuilder& s) {
     s.h.lab_lags = {{11 * kSec, 11'300 * kMs}};
     ClientRequest& r = s.AddRequest("free");
     r.end = ClientEnd::kClientClosed, r.client_closed = r.ended = 11 * kSec;
@@ -341,7 +344,7 @@
   });
 }
 
-// Whatever it is given: it ends, and every request is counted once.
+// The checker terminates for any history and counts every request once.
 RC_GTEST_PROP(SoakChecker, AnyHistoryIsJudged, ()) {
   HistoryBuilder s;
   const auto time = [] { return *rc::gen::inRange<Time>(0, 100 * kSec); };
@@ -367,7 +370,7 @@
   RC_ASSERT(v.served + v.refused + v.failed <= requests);
 }
 
-TEST(SoakPlan, ASeedGivesOnePlanAndItsTextReadsBack) {
+TEST(SoakPlan, ASeedDeterminesThePlanAndItsTextReadsBack) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     const std::string text = PlanToJson(MakePlan(seed, 40 * kSec));
     EXPECT_EQ(text, PlanToJson(MakePlan(seed, 40 * kSec)));
@@ -389,14 +392,14 @@
   for (std::size_t n = 0; n < seen.size(); ++n) EXPECT_GT(seen[n], 0) << Name(static_cast<FaultKind>(n));
 }
 
-TEST(SoakPlan, WhatIsWrongWithAPlanIsNamed) {
+TEST(SoakPlan, ErrorsNameTheFaultyKey) {
   const std::string good = PlanToJson(MakePlan(3, 20 * kSec));
   const auto refused = [&](const std::string& from, const std::string& to, const std::string& named) {
     std::string text = good;
     text.replace(text.find(from), from.size(), to);
     try {
       ParsePlan(text);
-      ADD_FAILURE() << "taken: " << to;
+      ADD_FAILURE() << "accepted: " << to;
     } catch (const std::runtime_error& e) {
       EXPECT_NE(std::string(e.what()).find(named), std::string::npos) << e.what();
     }
--- a/tests/soak_tool.sh
+++ b/tests/soak_tool.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# What an operator of the soak types wrong is one line and a failure; an interrupted soak leaves no process behind.
+# A wrong option of the soak gives a failure and an error of one line that names the fault; an interrupted soak fails and
+# leaves no process behind.
 # `soak_tool.sh LAB`
 set -euo pipefail
 
@@ -10,9 +11,9 @@
 refused() {
   local named=$1 out
   shift
-  if out=$("$lab" soak "$@" 2>&1); then echo "taken: $*"; exit 1; fi
-  [ "$(grep -c . <<< "$out")" -le 2 ] || { echo "more than a line for $*: $out"; exit 1; }
-  grep -q -- "$named" <<< "$out" || { echo "'$named' is not named for $*: $out"; exit 1; }
+  if out=$("$lab" soak "$@" 2>&1); then echo "accepted: $*"; exit 1; fi
+  [ "$(grep -c . <<< "$out")" -le 2 ] || { echo "the error is longer than one line for $*: $out"; exit 1; }
+  grep -q -- "$named" <<< "$out" || { echo "the error does not name '$named' for $*: $out"; exit 1; }
 }
 
 refused "abc" --seeds abc
@@ -24,7 +25,7 @@
 sed 's/"nodes": [0-9]*/"nodes": 99/' "$dir/plan.json" > "$dir/bad.json"
 refused "nodes" --plan "$dir/bad.json"
 
-# Its nodes' files lie in a directory of its own, which their command lines name.
+# The soak keeps its nodes' files under TMPDIR, and the nodes' command lines name them: that finds the nodes in /proc.
 mkdir "$dir/tmp"
 TMPDIR=$dir/tmp "$lab" soak --seeds 1-2 --jobs 2 --seconds 20 > "$dir/out" 2>&1 &
 soak=$!
@@ -34,11 +35,11 @@
 done
 sleep 1
 kill -INT "$soak"
-if wait "$soak"; then echo "an interrupted soak says that all is well"; exit 1; fi
+if wait "$soak"; then echo "an interrupted soak exited with 0"; exit 1; fi
 for _ in $(seq 100); do
   left=$(grep -lz "$dir/tmp" /proc/[0-9]*/cmdline 2> /dev/null || true)
   [ -n "$left" ] || break
   sleep 0.1
 done
-[ -z "$left" ] || { echo "left behind: $left"; exit 1; }
+[ -z "$left" ] || { echo "processes left behind: $left"; exit 1; }
 echo ok
