--- a/tests/fault_injection.cpp
+++ b/tests/fault_injection.cpp
@@ -25,24 +25,24 @@
 // served.
 void AcceptFails() {
   for (const int error : {ENOMEM, ENOBUFS, ENFILE, EMFILE}) {
-    const Preloaded fault("accept4:" + std::to_string(error) + ":500");
+    const PreloadedFault fault("accept4:" + std::to_string(error) + ":500");
     const ScriptedServer host;
     const Node node(program, ListOf(host), kNobody);
     Connection client = node.Connect();
     ServeOne(host, client);
-    assert(fault.failures() > 0 && fault.failures() < 200);
+    assert(fault.affected_calls() > 0 && fault.affected_calls() < 200);
   }
 }
 
 // The same for errors that belong to one connection: the next is taken at once.
 void AcceptAborts() {
   for (const int error : {ECONNABORTED, EPROTO, ENETUNREACH}) {
-    const Preloaded fault("accept4:" + std::to_string(error) + ":2");
+    const PreloadedFault fault("accept4:" + std::to_string(error) + ":2");
     const ScriptedServer host;
     const Node node(program, ListOf(host), kNobody);
     Connection client = node.Connect();
     ServeOne(host, client);
-    assert(fault.failures() > 0 && !Contains(node.Log(), "accept-deferred"));
+    assert(fault.affected_calls() > 0 && !Contains(node.Log(), "accept-deferred"));
   }
 }
 
@@ -51,18 +51,19 @@
 void ConnectFailsHere() {
   for (const int error : {EADDRNOTAVAIL, ENOBUFS, ENOMEM}) {
     const ScriptedServer host;
-    const Preloaded fault("connect:" + std::to_string(error) + ":200:" + std::to_string(host.port()));
+    const PreloadedFault fault("connect:" + std::to_string(error) + ":200:" + std::to_string(host.port()));
     const Node node(program, ListOf(host), kNobody);
     Connection client = node.Connect();
     ServeOne(host, client);
-    assert(fault.failures() > 0 && !Contains(node.Log(), "attempt-ended"));
+    assert(fault.affected_calls() > 0 && !Contains(node.Log(), "attempt-ended"));
   }
 }
 
 // The host can't be reached: that is evidence on the host.
 void ConnectFailsThere() {
   const ScriptedServer host;
-  const Preloaded fault("connect:" + std::to_string(EHOSTUNREACH) + ":100:" + std::to_string(host.port()));
+  const PreloadedFault fault("connect:" + std::to_string(EHOSTUNREACH) +
+                             ":100:" + std::to_string(host.port()));
   const Node node(program, ListOf(host), kNobody);
   Connection client = node.Connect();
   client.Send(RequestText("1"));
@@ -346,7 +347,7 @@
   signal(SIGPIPE, SIG_IGN);
   assert(argc == 4 && all.contains(argv[3]));
   program = argv[1];
-  library = argv[2];
+  fault_library_path = argv[2];
   all.at(argv[3])();
   std::printf("ok %s\n", argv[3]);
 }
--- a/tests/preloaded.h
+++ b/tests/preloaded.h
@@ -12,27 +12,27 @@
 
 namespace scripted {
 
-inline std::string library;  // path of the library, from the command line
+inline std::string fault_library_path;  // path of the library, from the command line
 
 // While an object of this class exists, every node that is started has the fault, written as
 // fault_library.cpp says.
-class Preloaded {
+class PreloadedFault {
  public:
-  explicit Preloaded(const std::string& fault) {
+  explicit PreloadedFault(const std::string& fault) {
     assert(close(mkstemp(counts_)) == 0);
-    setenv("LD_PRELOAD", library.c_str(), 1);
+    setenv("LD_PRELOAD", fault_library_path.c_str(), 1);
     setenv("RYEGLADE_TEST_FAULT", fault.c_str(), 1);
     setenv("RYEGLADE_TEST_FAULT_COUNT", counts_, 1);
   }
-  Preloaded(const Preloaded&) = delete;
-  Preloaded& operator=(const Preloaded&) = delete;
-  ~Preloaded() {
+  PreloadedFault(const PreloadedFault&) = delete;
+  PreloadedFault& operator=(const PreloadedFault&) = delete;
+  ~PreloadedFault() {
     for (const char* name : {"LD_PRELOAD", "RYEGLADE_TEST_FAULT", "RYEGLADE_TEST_FAULT_COUNT"})
       unsetenv(name);
     std::remove(counts_);
   }
   // Number of calls that have failed or been delayed so far.
-  int failures() const {
+  int affected_calls() const {
     std::ifstream in(counts_);
     int n = 0;
     in >> n;
--- a/tests/races.cpp
+++ b/tests/races.cpp
@@ -39,13 +39,13 @@
 // A request reaches a resting connection while the node, held up, ends it: the client sees an end in order
 // and may send the request again. A close over unread bytes would reset the connection.
 void RequestCrossesIdleClose() {
-  const Preloaded hold("end:0:300");
+  const PreloadedFault hold("end:0:300");
   const ScriptedServer host;
   Node node(program, ListOf(host), kNobody);
   Connection client = node.Connect();
   ServeOne(host, client);
   node.SendSigterm();
-  for (int waited_ms = 0; hold.failures() == 0; ++waited_ms) {
+  for (int waited_ms = 0; hold.affected_calls() == 0; ++waited_ms) {
     assert(waited_ms < kTimeoutMs);
     usleep(1'000);
   }
@@ -251,7 +251,7 @@
   signal(SIGPIPE, SIG_IGN);
   assert(argc == 4 && all.contains(argv[3]));
   program = argv[1];
-  library = argv[2];
+  fault_library_path = argv[2];
   all.at(argv[3])();
   std::printf("ok %s\n", argv[3]);
 }
