--- a/tests/soak_finds.sh
+++ b/tests/soak_finds.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# The soak must find a fault that LIBRARY plants into the node within the first ten seeds, by the rule that the fault breaks.
+# The soak must find a fault that LIBRARY plants into the node, within the first ten seeds and by the rule that the fault
+# breaks.
 # `soak_finds.sh LAB NODE LIBRARY FAULT RULES`: the soak must report one of RULES (joined by |).
 set -euo pipefail
 
