--- a/lab/cluster/baselines.cpp
+++ b/lab/cluster/baselines.cpp
@@ -15,61 +15,62 @@
 class Swim : public Baseline {
  public:
   explicit Swim(BaselineSetup s)
-      : s_(std::move(s)), random_(s_.seed, emulator::RandomPurpose::kPolicy, s_.me) {
-    members_.resize(s_.nodes);
-    for (std::size_t i = 0; i < s_.nodes; ++i) {
-      if (i == s_.me || !s_.present[i]) continue;
+      : setup_(std::move(s)), random_(setup_.seed, emulator::RandomPurpose::kPolicy, setup_.self) {
+    members_.resize(setup_.nodes);
+    for (std::size_t i = 0; i < setup_.nodes; ++i) {
+      if (i == setup_.self || !setup_.present[i]) continue;
       members_[i].known = true;
-      s_.says("member-alive", i);
+      setup_.report("member-alive", i);
     }
-    incarnation_ = s_.incarnation;
-    next_ = s_.now + static_cast<Time>(random_.Unit() * static_cast<double>(s_.period));
-    Spread(s_.me, kAlive, incarnation_);
+    incarnation_ = setup_.incarnation;
+    next_probe_ = setup_.now + static_cast<Time>(random_.Unit() * static_cast<double>(setup_.period));
+    QueueUpdate(setup_.self, kAlive, incarnation_);
   }
 
   void Tick(Time now) override {
-    if (probing_ != kNobody && !asked_ && now >= probe_began_ + s_.period * 4 / 10) {
-      asked_ = true;
+    if (probed_ != kNobody && !ping_requested_ && now >= probe_began_ + setup_.period * 4 / 10) {
+      ping_requested_ = true;
       for (int i = 0; i < 3; ++i) {
-        const std::size_t helper = Draw();
-        if (helper == kNobody || helper == probing_) continue;
-        Plain ask{Plain::Kind::kAsk, seq_, probing_, incarnation_, {}};
-        Post(helper, std::move(ask));
+        const std::size_t helper = RandomMember();
+        if (helper == kNobody || helper == probed_) continue;
+        BaselineMessage ask{BaselineMessage::Kind::kPingRequest, seq_, probed_, incarnation_, {}};
+        SendWithUpdates(helper, std::move(ask));
       }
     }
-    if (now >= next_) {
-      next_ += s_.period;
-      if (probing_ != kNobody) Suspect(now, probing_, members_[probing_].incarnation);
+    if (now >= next_probe_) {
+      next_probe_ += setup_.period;
+      if (probed_ != kNobody) Suspect(now, probed_, members_[probed_].incarnation);
       Probe(now);
     }
-    const double n = std::max(1.0, std::log10(static_cast<double>(live_ + 1)));
+    const double n = std::max(1.0, std::log10(static_cast<double>(live_members_ + 1)));
     for (std::size_t i = 0; i < members_.size(); ++i) {
       Member& m = members_[i];
       if (!m.known || m.state != kSuspect) continue;
-      if (static_cast<double>(now - m.since) < kSuspicionPeriods * n * static_cast<double>(s_.period))
+      if (static_cast<double>(now - m.since) < kSuspicionPeriods * n * static_cast<double>(setup_.period))
         continue;
       m.state = kDead;
-      Spread(i, kDead, m.incarnation);
-      s_.says("member-dead", i);
+      QueueUpdate(i, kDead, m.incarnation);
+      setup_.report("member-dead", i);
     }
   }
 
-  void Receive(Time now, std::size_t from, const Plain& p) override {
-    for (const Plain::Word& w : p.words) Learn(now, w);
-    Learn(now, {from, p.incarnation, kAlive});
-    if (p.kind == Plain::Kind::kPing) {
-      Post(from, {Plain::Kind::kAck, p.seq, 0, incarnation_, {}});
-    } else if (p.kind == Plain::Kind::kAsk) {
-      const std::uint64_t seq = (static_cast<std::uint64_t>(s_.me) << 32) | ++relay_;
-      relays_[seq] = {from, p.seq};
-      if (relays_.size() > 64) relays_.erase(relays_.begin());
-      Post(p.target, {Plain::Kind::kPing, seq, 0, incarnation_, {}});
-    } else if (p.kind == Plain::Kind::kAck) {
-      if (const auto it = relays_.find(p.seq); it != relays_.end()) {
-        Post(it->second.first, {Plain::Kind::kAck, it->second.second, 0, incarnation_, {}});
-        relays_.erase(it);
+  void Receive(Time now, std::size_t from, const BaselineMessage& p) override {
+    for (const BaselineMessage::Update& w : p.updates) ApplyUpdate(now, w);
+    ApplyUpdate(now, {from, p.incarnation, kAlive});
+    if (p.kind == BaselineMessage::Kind::kPing) {
+      SendWithUpdates(from, {BaselineMessage::Kind::kAck, p.seq, 0, incarnation_, {}});
+    } else if (p.kind == BaselineMessage::Kind::kPingRequest) {
+      const std::uint64_t seq = (static_cast<std::uint64_t>(setup_.self) << 32) | ++last_seq_;
+      relayed_pings_[seq] = {from, p.seq};
+      if (relayed_pings_.size() > 64) relayed_pings_.erase(relayed_pings_.begin());
+      SendWithUpdates(p.target, {BaselineMessage::Kind::kPing, seq, 0, incarnation_, {}});
+    } else if (p.kind == BaselineMessage::Kind::kAck) {
+      if (const auto it = relayed_pings_.find(p.seq); it != relayed_pings_.end()) {
+        SendWithUpdates(it->second.first,
+                        {BaselineMessage::Kind::kAck, it->second.second, 0, incarnation_, {}});
+        relayed_pings_.erase(it);
       } else if (p.seq == seq_) {
-        probing_ = kNobody;
+        probed_ = kNobody;
       }
     }
   }
@@ -82,38 +83,39 @@
     std::uint64_t incarnation = 0;
     Time since = 0;
   };
-  struct Item {
-    Plain::Word word;
+  struct QueuedUpdate {
+    BaselineMessage::Update update;
     int sent = 0;
   };
 
-  std::size_t Draw() {
+  std::size_t RandomMember() {
     for (int tries = 0; tries < 64; ++tries) {
-      const std::size_t i = random_.Below(s_.nodes);
-      if (i != s_.me && members_[i].known && members_[i].state != kDead) return i;
+      const std::size_t i = random_.Below(setup_.nodes);
+      if (i != setup_.self && members_[i].known && members_[i].state != kDead) return i;
     }
     return kNobody;
   }
   void Probe(Time now) {
-    probing_ = kNobody;
-    asked_ = false;
-    if (round_.empty()) {
-      live_ = 0;
-      for (std::size_t i = 0; i < s_.nodes; ++i) {
-        if (i == s_.me || !members_[i].known || members_[i].state == kDead) continue;
-        round_.push_back(i);
-        ++live_;
+    probed_ = kNobody;
+    ping_requested_ = false;
+    if (probe_round_.empty()) {
+      live_members_ = 0;
+      for (std::size_t i = 0; i < setup_.nodes; ++i) {
+        if (i == setup_.self || !members_[i].known || members_[i].state == kDead) continue;
+        probe_round_.push_back(i);
+        ++live_members_;
       }
-      for (std::size_t i = round_.size(); i > 1; --i) std::swap(round_[i - 1], round_[random_.Below(i)]);
+      for (std::size_t i = probe_round_.size(); i > 1; --i)
+        std::swap(probe_round_[i - 1], probe_round_[random_.Below(i)]);
     }
-    while (!round_.empty()) {
-      const std::size_t i = round_.back();
-      round_.pop_back();
+    while (!probe_round_.empty()) {
+      const std::size_t i = probe_round_.back();
+      probe_round_.pop_back();
       if (members_[i].state == kDead) continue;
-      probing_ = i;
+      probed_ = i;
       probe_began_ = now;
-      seq_ = (static_cast<std::uint64_t>(s_.me) << 32) | ++relay_;
-      Post(i, {Plain::Kind::kPing, seq_, 0, incarnation_, {}});
+      seq_ = (static_cast<std::uint64_t>(setup_.self) << 32) | ++last_seq_;
+      SendWithUpdates(i, {BaselineMessage::Kind::kPing, seq_, 0, incarnation_, {}});
       return;
     }
   }
@@ -122,14 +124,14 @@
     if (m.state != kAlive || incarnation != m.incarnation) return;
     m.state = kSuspect;
     m.since = now;
-    Spread(i, kSuspect, incarnation);
-    s_.says("member-suspect", i);
+    QueueUpdate(i, kSuspect, incarnation);
+    setup_.report("member-suspect", i);
   }
-  void Learn(Time now, const Plain::Word& w) {
-    if (w.member == s_.me) {
+  void ApplyUpdate(Time now, const BaselineMessage::Update& w) {
+    if (w.member == setup_.self) {
       if (w.state != kAlive && w.incarnation >= incarnation_) {
         incarnation_ = w.incarnation + 1;
-        Spread(s_.me, kAlive, incarnation_);
+        QueueUpdate(setup_.self, kAlive, incarnation_);
       }
       return;
     }
@@ -143,43 +145,47 @@
     m.incarnation = w.incarnation;
     m.state = w.state;
     m.since = now;
-    Spread(w.member, w.state, w.incarnation);
+    QueueUpdate(w.member, w.state, w.incarnation);
     if (before == w.state && known) return;
     if (w.state == kAlive)
-      s_.says(!known ? "member-alive" : before == kDead ? "member-returned" : "member-refuted", w.member);
-    if (w.state == kSuspect) s_.says("member-suspect", w.member);
-    if (w.state == kDead) s_.says("member-dead", w.member);
+      setup_.report(!known            ? "member-alive"
+                    : before == kDead ? "member-returned"
+                                      : "member-refuted",
+                    w.member);
+    if (w.state == kSuspect) setup_.report("member-suspect", w.member);
+    if (w.state == kDead) setup_.report("member-dead", w.member);
   }
-  void Spread(std::size_t i, std::uint8_t state, std::uint64_t incarnation) {
-    news_[i] = {{i, incarnation, state}, 0};
+  void QueueUpdate(std::size_t i, std::uint8_t state, std::uint64_t incarnation) {
+    updates_[i] = {{i, incarnation, state}, 0};
   }
-  void Post(std::size_t to, Plain p) {
+  void SendWithUpdates(std::size_t to, BaselineMessage p) {
     std::vector<std::pair<int, std::size_t>> order;
-    for (const auto& [i, item] : news_) order.emplace_back(item.sent, i);
+    for (const auto& [i, item] : updates_) order.emplace_back(item.sent, i);
     const std::size_t most = std::min<std::size_t>(order.size(), 20);
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(most), order.end());
-    const int enough = 3 * (1 + static_cast<int>(std::ceil(std::log2(static_cast<double>(live_ + 2)))));
+    const int enough =
+        3 * (1 + static_cast<int>(std::ceil(std::log2(static_cast<double>(live_members_ + 2)))));
     if (to < members_.size() && members_[to].known && members_[to].state != kAlive)
-      p.words.push_back({to, members_[to].incarnation, members_[to].state});  // so that it can refute
+      p.updates.push_back({to, members_[to].incarnation, members_[to].state});  // so that it can refute
     for (std::size_t k = 0; k < most; ++k) {
-      Item& item = news_[order[k].second];
-      p.words.push_back(item.word);
-      if (++item.sent >= enough) news_.erase(order[k].second);
+      QueuedUpdate& item = updates_[order[k].second];
+      p.updates.push_back(item.update);
+      if (++item.sent >= enough) updates_.erase(order[k].second);
     }
-    const std::size_t bytes = 100 + 60 * p.words.size();  // as large as ours for the same fields
-    s_.send(to, std::move(p), bytes);
+    const std::size_t bytes = 100 + 60 * p.updates.size();  // as large as ours for the same fields
+    setup_.send(to, std::move(p), bytes);
   }
 
-  BaselineSetup s_;
+  BaselineSetup setup_;
   emulator::RandomStream random_;
   std::vector<Member> members_;
-  std::vector<std::size_t> round_;
-  std::map<std::size_t, Item> news_;
-  std::map<std::uint64_t, std::pair<std::size_t, std::uint64_t>> relays_;
-  std::uint64_t incarnation_ = 1, seq_ = 0, relay_ = 0;
-  std::size_t probing_ = kNobody, live_ = 1;
-  bool asked_ = false;
-  Time probe_began_ = 0, next_ = 0;
+  std::vector<std::size_t> probe_round_;
+  std::map<std::size_t, QueuedUpdate> updates_;
+  std::map<std::uint64_t, std::pair<std::size_t, std::uint64_t>> relayed_pings_;
+  std::uint64_t incarnation_ = 1, seq_ = 0, last_seq_ = 0;
+  std::size_t probed_ = kNobody, live_members_ = 1;
+  bool ping_requested_ = false;
+  Time probe_began_ = 0, next_probe_ = 0;
 };
 
 // Each node to each other, once a period. Dead after a fixed silence of five periods, or, by phi, once the
@@ -187,35 +193,36 @@
 class Heartbeat : public Baseline {
  public:
   Heartbeat(BaselineSetup s, bool phi)
-      : s_(std::move(s)), phi_(phi), random_(s_.seed, emulator::RandomPurpose::kPolicy, s_.me) {
-    members_.resize(s_.nodes);
-    next_ = s_.now + static_cast<Time>(random_.Unit() * static_cast<double>(s_.period));
-    for (std::size_t i = 0; i < s_.nodes; ++i) {
-      if (i == s_.me || !s_.present[i]) continue;
+      : setup_(std::move(s)), phi_(phi), random_(setup_.seed, emulator::RandomPurpose::kPolicy, setup_.self) {
+    members_.resize(setup_.nodes);
+    next_probe_ = setup_.now + static_cast<Time>(random_.Unit() * static_cast<double>(setup_.period));
+    for (std::size_t i = 0; i < setup_.nodes; ++i) {
+      if (i == setup_.self || !setup_.present[i]) continue;
       members_[i].known = true;
-      members_[i].last = s_.now;
-      s_.says("member-alive", i);
+      members_[i].last = setup_.now;
+      setup_.report("member-alive", i);
     }
   }
   void Tick(Time now) override {
-    if (now >= next_) {
-      next_ += s_.period;
-      for (std::size_t i = 0; i < s_.nodes; ++i) {
-        if (i != s_.me) s_.send(i, {Plain::Kind::kBeat, 0, 0, s_.incarnation, {}}, 100);
+    if (now >= next_probe_) {
+      next_probe_ += setup_.period;
+      for (std::size_t i = 0; i < setup_.nodes; ++i) {
+        if (i != setup_.self)
+          setup_.send(i, {BaselineMessage::Kind::kHeartbeat, 0, 0, setup_.incarnation, {}}, 100);
       }
     }
     for (std::size_t i = 0; i < members_.size(); ++i) {
       Member& m = members_[i];
       if (!m.known || m.dead) continue;
-      if (!Silent(m, now)) continue;
+      if (!IsSilent(m, now)) continue;
       m.dead = true;
-      s_.says("member-dead", i);
+      setup_.report("member-dead", i);
     }
   }
-  void Receive(Time now, std::size_t from, const Plain&) override {
+  void Receive(Time now, std::size_t from, const BaselineMessage&) override {
     Member& m = members_[from];
-    if (!m.known) s_.says("member-alive", from);
-    if (m.dead) s_.says("member-returned", from);
+    if (!m.known) setup_.report("member-alive", from);
+    if (m.dead) setup_.report("member-returned", from);
     if (m.known && !m.dead) {
       m.gaps.push_back(static_cast<double>(now - m.last));
       if (m.gaps.size() > 100) m.gaps.pop_front();
@@ -231,23 +238,23 @@
     Time last = 0;
     std::deque<double> gaps;
   };
-  bool Silent(const Member& m, Time now) const {
+  bool IsSilent(const Member& m, Time now) const {
     const double silent = static_cast<double>(now - m.last);
-    if (!phi_ || m.gaps.size() < 5) return silent > 5.0 * static_cast<double>(s_.period);
+    if (!phi_ || m.gaps.size() < 5) return silent > 5.0 * static_cast<double>(setup_.period);
     double mean = 0, square = 0;
     for (const double g : m.gaps) mean += g;
     mean /= static_cast<double>(m.gaps.size());
     for (const double g : m.gaps) square += (g - mean) * (g - mean);
-    const double sigma = std::max(0.1 * static_cast<double>(s_.period),
+    const double sigma = std::max(0.1 * static_cast<double>(setup_.period),
                                   std::sqrt(square / static_cast<double>(m.gaps.size())));
     const double later = 0.5 * std::erfc((silent - mean) / (sigma * std::sqrt(2.0)));
     return later < 1e-8;
   }
-  BaselineSetup s_;
+  BaselineSetup setup_;
   bool phi_;
   emulator::RandomStream random_;
   std::vector<Member> members_;
-  Time next_ = 0;
+  Time next_probe_ = 0;
 };
 
 }  // namespace
--- a/lab/cluster/baselines.h
+++ b/lab/cluster/baselines.h
@@ -15,36 +15,36 @@
 using policy::Time;
 
 // What baselines send: small fixed fields, members by number.
-struct Plain {
-  enum class Kind : std::uint8_t { kPing, kAsk, kAck, kBeat } kind = Kind::kBeat;
+struct BaselineMessage {
+  enum class Kind : std::uint8_t { kPing, kPingRequest, kAck, kHeartbeat } kind = Kind::kHeartbeat;
   std::uint64_t seq = 0;
   std::size_t target = 0;  // of an ask
   std::uint64_t incarnation = 0;
-  struct Word {
+  struct Update {
     std::size_t member = 0;
     std::uint64_t incarnation = 0;
     std::uint8_t state = 0;  // 0 alive, 1 suspect, 2 dead
   };
-  std::vector<Word> words;
+  std::vector<Update> updates;
 };
 
 class Baseline {
  public:
-  using SendTo = std::function<void(std::size_t to, Plain message, std::size_t bytes)>;
-  using Says = std::function<void(const char* what, std::size_t member)>;
+  using SendTo = std::function<void(std::size_t to, BaselineMessage message, std::size_t bytes)>;
+  using ReportEvent = std::function<void(const char* what, std::size_t member)>;
   virtual ~Baseline() = default;
   virtual void Tick(Time now) = 0;
-  virtual void Receive(Time now, std::size_t from, const Plain& message) = 0;
+  virtual void Receive(Time now, std::size_t from, const BaselineMessage& message) = 0;
 };
 
 struct BaselineSetup {
-  std::size_t me = 0, nodes = 0;
+  std::size_t self = 0, nodes = 0;
   std::vector<bool> present;  // that run at the start; they know of each other, so that joining costs nothing
   std::uint64_t incarnation = 1;
   Time period = 1'000'000, now = 0;
   std::uint64_t seed = 1;
   Baseline::SendTo send;
-  Baseline::Says says;
+  Baseline::ReportEvent report;
 };
 
 std::unique_ptr<Baseline> MakeSwim(BaselineSetup setup);
--- a/lab/cluster/command.cpp
+++ b/lab/cluster/command.cpp
@@ -24,7 +24,7 @@
 namespace ryeglade::cluster {
 namespace {
 
-std::string Figure(double v, const char* form = "{:.2f}") {
+std::string FormatFigure(double v, const char* form = "{:.2f}") {
   return std::isnan(v) ? "-" : fmt::format(fmt::runtime(form), v);
 }
 
@@ -38,7 +38,7 @@
   }
   double mean() const { return n == 0 ? std::nan("") : sum / static_cast<double>(n); }
   // Half of the 95% interval of the mean.
-  double half() const {
+  double half_interval() const {
     if (n < 2) return std::nan("");
     const double k = static_cast<double>(n);
     return 1.96 * std::sqrt(std::max(0.0, (square - sum * sum / k) / (k - 1)) / k);
@@ -46,7 +46,7 @@
 };
 
 // `text` with the value of a top-level key replaced, or the key added.
-std::string With(std::string text, const std::string& key, const std::string& value) {
+std::string ReplaceTopLevelKey(std::string text, const std::string& key, const std::string& value) {
   const std::string mark = "\n" + key + " = ";
   const std::size_t at = text.find(mark), head = text.find("\n[");
   if (at != std::string::npos && (head == std::string::npos || at < head)) {
@@ -93,7 +93,7 @@
                        "instead of the scenario's own, such as 200ms; with real processes");
   cluster_->add_option("--old-program", old_program_, "of the nodes that a scenario calls old_build");
   cluster_->add_option("--logs", logs_, "a directory that gets each process's log");
-  cluster_->add_flag("--said", said_, "print all that was said (of the last run)");
+  cluster_->add_flag("--said", print_events_, "print all that was said (of the last run)");
 }
 
 bool Commands::chosen() const { return cluster_->parsed(); }
@@ -115,25 +115,26 @@
   if (files_.empty())
     throw std::runtime_error("cluster: name a scenario file; --list tells which are shipped");
   if (emulate_) return Emulate(files_);
-  return Play(files_, node_program);
+  return PlayReal(files_, node_program);
 }
 
-void Commands::Write(const Scenario& scenario, const std::string& how, std::vector<Seen> said) const {
-  if (said_) {
-    for (const Seen& s : said)
+void Commands::WriteEvents(const Scenario& scenario, const std::string& how,
+                           std::vector<NodeEvent> events) const {
+  if (print_events_) {
+    for (const NodeEvent& s : events)
       std::printf("  %9.2f %-5s %-16s %-6s by %-6s %llu\n", s.at, scenario.NodeName(s.observer).c_str(),
                   s.what.c_str(), s.member.c_str(), s.by.c_str(), static_cast<unsigned long long>(s.value));
   }
   if (out_.empty()) return;
-  Witness w(scenario);
-  for (Seen& s : said) w.Said(std::move(s));
+  InvariantChecker w(scenario);
+  for (NodeEvent& s : events) w.AddEvent(std::move(s));
   ColumnarFile file;
   file.attributes = {{"scenario", scenario.text}, {"how", how}};
   file.tables.push_back(w.Table());
   WriteColumns(out_, file);
 }
 
-int Commands::Play(const std::vector<std::string>& files, const std::string& node_program) {
+int Commands::PlayReal(const std::vector<std::string>& files, const std::string& node_program) {
   std::printf("%-20s %5s %5s | %7s %7s | %7s %7s | %8s %7s | %8s %8s %6s | %s\n", "scenario", "nodes", "good",
               "deaths", "false", "p50", "p99", "one view", "returns", "messages", "bytes", "cpu",
               "served of asked");
@@ -141,7 +142,7 @@
   for (const std::string& file : files) {
     Scenario scenario = ReadScenario(file);
     if (!period_.empty())
-      scenario = ParseScenario(file, With(scenario.text, "period", "\"" + period_ + "\""));
+      scenario = ParseScenario(file, ReplaceTopLevelKey(scenario.text, "period", "\"" + period_ + "\""));
     for (int run = 0; run < seeds_; ++run) {
       RealOptions o;
       o.program = node_program;
@@ -149,19 +150,19 @@
       o.keep_logs = logs_;
       o.chart = chart_;
       o.progress = lab::ProgressLine();
-      std::vector<Seen> said;
-      o.said = &said;
-      const RealResult r = PlayReal(scenario, o);
+      std::vector<NodeEvent> events;
+      o.events = &events;
+      const RealResult r = cluster::PlayReal(scenario, o);
       const Figures& f = r.verdict.figures;
       all_good = all_good && r.verdict.good();
       std::printf("%-20s %5zu %5s | %7zu %7zu | %7s %7s | %8.2f %7zu | %8.2f %8.0f %5.2f%% | %llu of %llu\n",
                   scenario.name.c_str(), scenario.nodes, r.verdict.good() ? "yes" : "NO", f.deaths,
-                  f.false_deaths, Figure(Quantile(f.detection, 0.5)).c_str(),
-                  Figure(Quantile(f.detection, 0.99)).c_str(), f.one_view, f.most_returns, r.messages,
+                  f.false_deaths, FormatFigure(Quantile(f.detection, 0.5)).c_str(),
+                  FormatFigure(Quantile(f.detection, 0.99)).c_str(), f.one_view, f.most_returns, r.messages,
                   r.bytes, 100 * r.cpu_share, static_cast<unsigned long long>(r.served),
                   static_cast<unsigned long long>(r.asked));
-      for (const std::string& line : r.verdict.broken) std::printf("  %s\n", line.c_str());
-      Write(scenario, "real processes", std::move(said));
+      for (const std::string& line : r.verdict.violations) std::printf("  %s\n", line.c_str());
+      WriteEvents(scenario, "real processes", std::move(events));
       std::fflush(stdout);
       ++scenario.seed;
     }
@@ -188,12 +189,12 @@
   for (const auto& [name, n] : e.by_invariant)
     std::printf("broken: %s, %llu schedules\n", name.c_str(), static_cast<unsigned long long>(n));
   std::map<std::string, int> shown;
-  for (std::size_t i = 0; i < e.breaches.size(); ++i) {
-    if (++shown[e.breaches[i].invariant] > 4) continue;
-    std::printf("  %s: %s: %s\n", e.breaches[i].invariant.c_str(), e.breaches[i].schedule.c_str(),
-                e.breaches[i].what.c_str());
+  for (std::size_t i = 0; i < e.violations.size(); ++i) {
+    if (++shown[e.violations[i].invariant] > 4) continue;
+    std::printf("  %s: %s: %s\n", e.violations[i].invariant.c_str(), e.violations[i].schedule.c_str(),
+                e.violations[i].what.c_str());
   }
-  return e.breaches.empty() ? 0 : 1;
+  return e.violations.empty() ? 0 : 1;
 }
 
 int Commands::Emulate(const std::vector<std::string>& files) {
@@ -203,13 +204,16 @@
   bool all_good = true;
   for (const std::string& file : files) {
     Scenario scenario = ReadScenario(file);
-    if (nodes_ > 0) scenario = ParseScenario(file, With(scenario.text, "nodes", std::to_string(nodes_)));
+    if (nodes_ > 0)
+      scenario = ParseScenario(file, ReplaceTopLevelKey(scenario.text, "nodes", std::to_string(nodes_)));
     if (warm_up_ > 0)
-      scenario = ParseScenario(file, With(scenario.text, "warm_up", fmt::format("{}", warm_up_)));
-    if (loss_ > 0) scenario = ParseScenario(file, With(scenario.text, "loss", fmt::format("{}", loss_)));
+      scenario =
+          ParseScenario(file, ReplaceTopLevelKey(scenario.text, "warm_up", fmt::format("{}", warm_up_)));
+    if (loss_ > 0)
+      scenario = ParseScenario(file, ReplaceTopLevelKey(scenario.text, "loss", fmt::format("{}", loss_)));
     for (const std::string& detector : detectors_) {
       std::vector<EmulatedResult> results(static_cast<std::size_t>(seeds_));
-      std::vector<Seen> said;
+      std::vector<NodeEvent> events;
       std::atomic<std::size_t> next{0};
       const auto work = [&] {
         for (std::size_t i = next++; i < results.size(); i = next++) {
@@ -218,7 +222,7 @@
           o.seed = scenario.seed + i;
           if (i + 1 == results.size()) {
             o.chart = chart_;
-            o.said = &said;
+            o.events = &events;
           }
           results[i] = PlayEmulated(scenario, o);
         }
@@ -228,41 +232,43 @@
       std::vector<std::thread> threads;
       for (unsigned i = 0; i < std::min<std::size_t>(cores, results.size()); ++i) threads.emplace_back(work);
       for (std::thread& t : threads) t.join();
-      Mean deaths, wrong, messages, bytes, view, missed, news;
+      Mean deaths, false_deaths, messages, bytes, view, missed, to_all;
       std::vector<double> detection;
       std::size_t good = 0, returns = 0;
       for (const EmulatedResult& r : results) {
         const Figures& f = r.verdict.figures;
         good += r.verdict.good() ? 1 : 0;
         deaths.Add(static_cast<double>(f.deaths));
-        wrong.Add(static_cast<double>(f.false_deaths));
+        false_deaths.Add(static_cast<double>(f.false_deaths));
         messages.Add(r.messages);
         bytes.Add(r.bytes);
         missed.Add(f.missed);
-        if (r.news_to_all >= 0) news.Add(r.news_to_all);
+        if (r.periods_to_all >= 0) to_all.Add(r.periods_to_all);
         if (f.one_view >= 0) view.Add(f.one_view);
         returns = std::max(returns, f.most_returns);
         detection.insert(detection.end(), f.detection.begin(), f.detection.end());
       }
-      std::string tail = results.size() > 1 ? fmt::format("false +-{}", Figure(wrong.half())) : "";
-      if (news.n > 0) tail += fmt::format(" news to all {}", Figure(news.mean()));
+      std::string tail =
+          results.size() > 1 ? fmt::format("false +-{}", FormatFigure(false_deaths.half_interval())) : "";
+      if (to_all.n > 0) tail += fmt::format(" news to all {}", FormatFigure(to_all.mean()));
       std::printf("%-20s %-13s %5zu %2zu/%-3zu | %7s %7s | %7s %7s %7s | %8s %7zu | %8s %8s | %s\n",
                   scenario.name.c_str(), detector.c_str(), scenario.nodes, good, results.size(),
-                  Figure(deaths.mean()).c_str(), Figure(wrong.mean()).c_str(),
-                  Figure(Quantile(detection, 0.5)).c_str(), Figure(Quantile(detection, 0.99)).c_str(),
-                  Figure(missed.mean()).c_str(), Figure(view.mean()).c_str(), returns,
-                  Figure(messages.mean()).c_str(), Figure(bytes.mean(), "{:.0f}").c_str(), tail.c_str());
+                  FormatFigure(deaths.mean()).c_str(), FormatFigure(false_deaths.mean()).c_str(),
+                  FormatFigure(Quantile(detection, 0.5)).c_str(),
+                  FormatFigure(Quantile(detection, 0.99)).c_str(), FormatFigure(missed.mean()).c_str(),
+                  FormatFigure(view.mean()).c_str(), returns, FormatFigure(messages.mean()).c_str(),
+                  FormatFigure(bytes.mean(), "{:.0f}").c_str(), tail.c_str());
       if (detector == "ryeglade" && good < results.size()) {
         all_good = false;
         std::size_t told = 0;
         for (std::size_t i = 0; i < results.size(); ++i) {
-          for (const std::string& line : results[i].verdict.broken) {
+          for (const std::string& line : results[i].verdict.violations) {
             if (++told <= 6)
               std::printf("  seed %s: %s\n", std::to_string(scenario.seed + i).c_str(), line.c_str());
           }
         }
       }
-      Write(scenario, detector, std::move(said));
+      WriteEvents(scenario, detector, std::move(events));
       std::fflush(stdout);
     }
   }
--- a/lab/cluster/command.h
+++ b/lab/cluster/command.h
@@ -22,13 +22,13 @@
  private:
   int RunExplorer();
   int Emulate(const std::vector<std::string>& files);
-  int Play(const std::vector<std::string>& files, const std::string& node_program);
-  void Write(const Scenario& scenario, const std::string& how, std::vector<Seen> said) const;
+  int PlayReal(const std::vector<std::string>& files, const std::string& node_program);
+  void WriteEvents(const Scenario& scenario, const std::string& how, std::vector<NodeEvent> events) const;
 
   CLI::App* cluster_;
   std::vector<std::string> files_, detectors_{"ryeglade"};
   std::string out_, chart_, old_program_, logs_, period_, directory_ = "examples/cluster";
-  bool list_ = false, emulate_ = false, explore_ = false, said_ = false;
+  bool list_ = false, emulate_ = false, explore_ = false, print_events_ = false;
   int seeds_ = 1, workers_ = 0, depth_ = 2;
   std::string variant_;
   std::uint64_t nodes_ = 0;
--- a/lab/cluster/emulated.h
+++ b/lab/cluster/emulated.h
@@ -21,8 +21,8 @@
 struct EmulatedResult {
   Verdict verdict;
   double messages = 0, bytes = 0;  // a node and period, mean
-  double most_bytes = 0;           // of the busiest node
-  double news_to_all = -1;         // periods until all had heard of the last newcomer; -1: there was none
+  double max_node_bytes = 0;       // of the busiest node
+  double periods_to_all = -1;      // periods until all had heard of the last newcomer; -1: there was none
   std::uint64_t events = 0;
 };
 
@@ -30,7 +30,7 @@
   std::string detector = "ryeglade";
   std::uint64_t seed = 1;
   std::string chart;  // an .svg or .png; empty: none
-  std::vector<Seen>* said = nullptr;
+  std::vector<NodeEvent>* events = nullptr;
 };
 
 EmulatedResult PlayEmulated(const Scenario& scenario, const EmulatedOptions& options);
--- a/lab/cluster/explorer.h
+++ b/lab/cluster/explorer.h
@@ -19,7 +19,7 @@
   std::size_t stop_at = 10;  // broken schedules, then the rest is left out
 };
 
-struct Breach {
+struct Violation {
   std::string invariant, schedule, what;
 };
 
@@ -27,7 +27,7 @@
   std::uint64_t schedules = 0, ticks = 0;
   std::uint64_t states = 0;  // different ones, as far as who thinks what of whom
   std::uint64_t deaths = 0, returns = 0, doubts = 0;
-  std::vector<Breach> breaches;
+  std::vector<Violation> violations;
   std::map<std::string, std::uint64_t> by_invariant;
 };
 
--- a/lab/cluster/invariant_checker.cpp
+++ b/lab/cluster/invariant_checker.cpp
@@ -13,15 +13,15 @@
 
 bool In(const Nodes& nodes, std::size_t node) { return std::binary_search(nodes.begin(), nodes.end(), node); }
 
-enum class Turn : std::uint8_t { kNone, kIn, kOut, kSuspect };
+enum class ViewChange : std::uint8_t { kNone, kAdds, kRemoves, kSuspects };
 
 // What an event means for who is in the observer's view.
-Turn TurnOf(const std::string& what) {
+ViewChange ViewChangeOf(const std::string& what) {
   if (what == "member-alive" || what == "member-returned" || what == "member-refuted" ||
       what == "member-cleared" || what == "member-restarted" || what == "member-leaving")
-    return Turn::kIn;
-  if (what == "member-dead" || what == "member-left") return Turn::kOut;
-  return what == "member-suspect" ? Turn::kSuspect : Turn::kNone;
+    return ViewChange::kAdds;
+  if (what == "member-dead" || what == "member-left") return ViewChange::kRemoves;
+  return what == "member-suspect" ? ViewChange::kSuspects : ViewChange::kNone;
 }
 
 }  // namespace
@@ -33,45 +33,48 @@
   return values[std::min(at, values.size() - 1)];
 }
 
-Witness::Witness(const Scenario& scenario) : scenario_(scenario), up_(scenario.nodes) {
-  for (std::size_t i = 0; i < scenario.nodes; ++i) named_[scenario.NodeName(i)].push_back(i);
+InvariantChecker::InvariantChecker(const Scenario& scenario)
+    : scenario_(scenario), process_spans_(scenario.nodes) {
+  for (std::size_t i = 0; i < scenario.nodes; ++i) nodes_by_name_[scenario.NodeName(i)].push_back(i);
 }
 
-void Witness::Said(Seen seen) { seen_.push_back(std::move(seen)); }
+void InvariantChecker::AddEvent(NodeEvent event) { events_.push_back(std::move(event)); }
 
-void Witness::Up(double at, std::size_t node) { up_[node].push_back({at}); }
+void InvariantChecker::ProcessStarted(double at, std::size_t node) { process_spans_[node].push_back({at}); }
 
-void Witness::Down(double at, std::size_t node) {
-  if (!up_[node].empty()) up_[node].back().to = std::min(up_[node].back().to, at);
+void InvariantChecker::ProcessEnded(double at, std::size_t node) {
+  if (!process_spans_[node].empty())
+    process_spans_[node].back().to = std::min(process_spans_[node].back().to, at);
 }
 
-bool Witness::RunsAt(std::size_t node, double at) const {
-  return std::any_of(up_[node].begin(), up_[node].end(),
-                     [&](const Span& s) { return at >= s.from && at < s.to; });
+bool InvariantChecker::RunsAt(std::size_t node, double at) const {
+  return std::any_of(process_spans_[node].begin(), process_spans_[node].end(),
+                     [&](const TimeSpan& s) { return at >= s.from && at < s.to; });
 }
 
-bool Witness::Takes(std::size_t node) const {
+bool InvariantChecker::BelongsToCluster(std::size_t node) const {
   return !In(scenario_.other_cluster, node) && !In(scenario_.expect.refused, node);
 }
 
-const std::vector<std::size_t>& Witness::Named(const std::string& member) const {
+const std::vector<std::size_t>& InvariantChecker::NodesNamed(const std::string& member) const {
   static const std::vector<std::size_t> kNone;
-  const auto it = named_.find(member);
-  return it == named_.end() ? kNone : it->second;
+  const auto it = nodes_by_name_.find(member);
+  return it == nodes_by_name_.end() ? kNone : it->second;
 }
 
-Verdict Witness::Judge(double end) const {
+Verdict InvariantChecker::Check(double end) const {
   Verdict v;
   Figures& f = v.figures;
-  std::vector<Seen> all = seen_;
-  std::stable_sort(all.begin(), all.end(), [](const Seen& a, const Seen& b) { return a.at < b.at; });
-  const double calm = scenario_.CalmAt();
+  std::vector<NodeEvent> all = events_;
+  std::stable_sort(all.begin(), all.end(),
+                   [](const NodeEvent& a, const NodeEvent& b) { return a.at < b.at; });
+  const double faults_end = scenario_.FaultsEndAt();
 
   std::map<std::pair<std::size_t, std::string>, std::size_t> returns;
-  std::set<std::size_t> doubted, refused, made_up;
+  std::set<std::size_t> doubted, refused, invented;
   std::map<std::pair<std::size_t, std::string>, double> told;  // the first death after it ended
   std::vector<std::set<std::string>> views(scenario_.nodes);
-  for (const Seen& s : all) {
+  for (const NodeEvent& s : all) {
     if (s.what == "view-in-doubt") {
       if (s.at >= 0) ++f.doubts, doubted.insert(s.observer);
     } else if (s.what == "name-taken") {
@@ -84,7 +87,7 @@
       ++returns[{s.observer, s.member}];
     } else if (s.what == "member-dead") {
       ++f.deaths;
-      const auto& who = Named(s.member);
+      const auto& who = NodesNamed(s.member);
       bool lives = false, allowed = who.empty();
       for (const std::size_t n : who) {
         lives = lives || RunsAt(n, s.at);
@@ -94,7 +97,8 @@
       told.emplace(std::pair{s.observer, s.member}, s.at);
       if (s.at >= 0) told[{s.observer, s.member}] = std::min(told[{s.observer, s.member}], s.at);
     }
-    if (TurnOf(s.what) == Turn::kIn && Named(s.member).empty()) made_up.insert(s.observer);
+    if (ViewChangeOf(s.what) == ViewChange::kAdds && NodesNamed(s.member).empty())
+      invented.insert(s.observer);
   }
   for (const auto& [pair, n] : returns) f.most_returns = std::max(f.most_returns, n);
 
@@ -102,7 +106,7 @@
   std::size_t pairs = 0, missed = 0;
   for (const std::size_t gone : scenario_.expect.removed) {
     double since = std::numeric_limits<double>::quiet_NaN();
-    for (const Span& s : up_[gone]) {
+    for (const TimeSpan& s : process_spans_[gone]) {
       if (s.to < 1e17 && std::isnan(since)) since = s.to;
     }
     if (std::isnan(since)) {  // cut off, or stopped
@@ -113,16 +117,16 @@
     }
     for (std::size_t o = 0; o < scenario_.nodes; ++o) {
       const double until = std::isnan(since) ? end : std::min(end, since + scenario_.expect.removed_within);
-      if (o == gone || In(scenario_.expect.removed, o) || In(scenario_.expect.in_doubt, o) || !Takes(o) ||
-          !RunsAt(o, since) || !RunsAt(o, until - 0.01))
+      if (o == gone || In(scenario_.expect.removed, o) || In(scenario_.expect.in_doubt, o) ||
+          !BelongsToCluster(o) || !RunsAt(o, since) || !RunsAt(o, until - 0.01))
         continue;
       ++pairs;
       const auto it = told.find({o, scenario_.NodeName(gone)});
       if (it == told.end() || it->second > until) {
         ++missed;
-        v.broken.push_back(fmt::format("{} did not say within {} periods that {} is dead",
-                                       scenario_.NodeName(o), scenario_.expect.removed_within,
-                                       scenario_.NodeName(gone)));
+        v.violations.push_back(fmt::format("{} did not say within {} periods that {} is dead",
+                                           scenario_.NodeName(o), scenario_.expect.removed_within,
+                                           scenario_.NodeName(gone)));
       } else {
         f.detection.push_back(it->second - since);
       }
@@ -133,26 +137,26 @@
   // One view: from when on every running node's view is the running nodes.
   std::set<std::string> running;
   for (std::size_t i = 0; i < scenario_.nodes; ++i) {
-    if (RunsAt(i, end) && Takes(i)) running.insert(scenario_.NodeName(i));
+    if (RunsAt(i, end) && BelongsToCluster(i)) running.insert(scenario_.NodeName(i));
   }
   // Kept up as things are said: by how many names each view that counts is wrong, and how many views are.
-  struct Standing {
+  struct ViewState {
     bool counts = false, in_doubt = false;
     std::size_t wrong = 0;
     bool good() const { return !counts || (wrong == 0 && !in_doubt); }
   };
-  std::vector<Standing> standing(scenario_.nodes);
+  std::vector<ViewState> view_states(scenario_.nodes);
   std::size_t bad = 0;
   for (std::size_t i = 0; i < scenario_.nodes; ++i) {
-    standing[i].counts = RunsAt(i, end) && Takes(i);
-    standing[i].wrong = running.size() - running.count(scenario_.NodeName(i));
-    bad += standing[i].good() ? 0 : 1;
+    view_states[i].counts = RunsAt(i, end) && BelongsToCluster(i);
+    view_states[i].wrong = running.size() - running.count(scenario_.NodeName(i));
+    bad += view_states[i].good() ? 0 : 1;
   }
   double since = -1;
   bool one = false;
   std::size_t next = 0;
-  const auto apply = [&](const Seen& s) {
-    Standing& of = standing[s.observer];
+  const auto apply = [&](const NodeEvent& s) {
+    ViewState& of = view_states[s.observer];
     bad -= of.good() ? 0 : 1;
     if (s.what == "started") {
       views[s.observer].clear();
@@ -161,78 +165,81 @@
     }
     if (s.what == "view-in-doubt") of.in_doubt = true;
     if (s.what == "view-sure") of.in_doubt = false;
-    const Turn turn = TurnOf(s.what);
+    const ViewChange change = ViewChangeOf(s.what);
     const bool changed = s.member != scenario_.NodeName(s.observer) &&
-                         (turn == Turn::kIn    ? views[s.observer].insert(s.member).second
-                          : turn == Turn::kOut ? views[s.observer].erase(s.member) > 0
-                                               : false);
-    if (changed) of.wrong = running.contains(s.member) == (turn == Turn::kIn) ? of.wrong - 1 : of.wrong + 1;
+                         (change == ViewChange::kAdds      ? views[s.observer].insert(s.member).second
+                          : change == ViewChange::kRemoves ? views[s.observer].erase(s.member) > 0
+                                                           : false);
+    if (changed)
+      of.wrong = running.contains(s.member) == (change == ViewChange::kAdds) ? of.wrong - 1 : of.wrong + 1;
     bad += of.good() ? 0 : 1;
   };
-  while (next < all.size() && all[next].at <= calm) apply(all[next++]);
+  while (next < all.size() && all[next].at <= faults_end) apply(all[next++]);
   one = bad == 0;
-  since = calm;
+  since = faults_end;
   for (; next < all.size(); ++next) {
     apply(all[next]);
     const bool now = bad == 0;
     if (now && !one) since = all[next].at;
     one = now;
   }
-  f.one_view = one ? std::max(0.0, since - calm) : -1;
+  f.one_view = one ? std::max(0.0, since - faults_end) : -1;
   if (!one) {
     std::string which;
     for (std::size_t i = 0; i < scenario_.nodes; ++i) {
-      if (!RunsAt(i, end) || !Takes(i)) continue;
+      if (!RunsAt(i, end) || !BelongsToCluster(i)) continue;
       std::set<std::string> view = views[i];
       view.insert(scenario_.NodeName(i));
-      if (standing[i].good()) continue;
+      if (view_states[i].good()) continue;
       std::string lacks, extra;
       for (const auto& name : running) lacks += view.contains(name) ? "" : " " + name;
       for (const auto& name : view) extra += running.contains(name) ? "" : " " + name;
-      which += fmt::format("; {}{}{}{}{}{}", scenario_.NodeName(i), standing[i].in_doubt ? " in doubt" : "",
-                           lacks.empty() ? "" : " lacks", lacks, extra.empty() ? "" : " still has", extra);
+      which +=
+          fmt::format("; {}{}{}{}{}{}", scenario_.NodeName(i), view_states[i].in_doubt ? " in doubt" : "",
+                      lacks.empty() ? "" : " lacks", lacks, extra.empty() ? "" : " still has", extra);
       if (which.size() > 400) break;
     }
-    v.broken.push_back(fmt::format("in the end the views are not one{}", which));
+    v.violations.push_back(fmt::format("in the end the views are not one{}", which));
   } else if (f.one_view > scenario_.expect.one_view_within) {
-    v.broken.push_back(fmt::format("one view only after {:.1f} periods, not {}", f.one_view,
-                                   scenario_.expect.one_view_within));
+    v.violations.push_back(fmt::format("one view only after {:.1f} periods, not {}", f.one_view,
+                                       scenario_.expect.one_view_within));
   }
   if (f.false_deaths > scenario_.expect.most_false)
-    v.broken.push_back(fmt::format("{} deaths told of members that lived and could be reached, over {}",
-                                   f.false_deaths, scenario_.expect.most_false));
+    v.violations.push_back(fmt::format("{} deaths told of members that lived and could be reached, over {}",
+                                       f.false_deaths, scenario_.expect.most_false));
   if (f.most_returns > scenario_.expect.most_returns)
-    v.broken.push_back(fmt::format("a member came back {} times in one view, over {}", f.most_returns,
-                                   scenario_.expect.most_returns));
+    v.violations.push_back(fmt::format("a member came back {} times in one view, over {}", f.most_returns,
+                                       scenario_.expect.most_returns));
   for (const std::size_t n : scenario_.expect.in_doubt) {
     if (!doubted.contains(n))
-      v.broken.push_back(fmt::format("{} never said that its view is in doubt", scenario_.NodeName(n)));
+      v.violations.push_back(fmt::format("{} never said that its view is in doubt", scenario_.NodeName(n)));
   }
   for (const std::size_t n : scenario_.expect.refused) {
     if (!refused.contains(n))
-      v.broken.push_back(
+      v.violations.push_back(
           fmt::format("node {} was not told that its name {} is taken", n, scenario_.NodeName(n)));
   }
   if (scenario_.expect.no_doubt && !doubted.empty())
-    v.broken.push_back(fmt::format("{} nodes said that their views are in doubt", doubted.size()));
-  if (!made_up.empty())
-    v.broken.push_back(fmt::format("{} nodes took members that nobody started", made_up.size()));
-  if (v.broken.size() > 12) v.broken.resize(12);
+    v.violations.push_back(fmt::format("{} nodes said that their views are in doubt", doubted.size()));
+  if (!invented.empty())
+    v.violations.push_back(fmt::format("{} nodes took members that nobody started", invented.size()));
+  if (v.violations.size() > 12) v.violations.resize(12);
   return v;
 }
 
-TextTable Witness::Table() const {
+TextTable InvariantChecker::Table() const {
   TableBuilder rows("said", {{"at_periods", Numbers{}},
                              {"observer", Strings{}},
                              {"what", Strings{}},
                              {"member", Strings{}},
                              {"by", Strings{}},
                              {"value", Integers{}}});
-  for (const Seen& s : seen_) rows.Add(s.at, scenario_.NodeName(s.observer), s.what, s.member, s.by, s.value);
+  for (const NodeEvent& s : events_)
+    rows.Add(s.at, scenario_.NodeName(s.observer), s.what, s.member, s.by, s.value);
   return rows.Take();
 }
 
-std::string Witness::Chart(const std::string& out, double end) const {
+std::string InvariantChecker::Chart(const std::string& out, double end) const {
   const std::size_t n = scenario_.nodes;
   const double rows = static_cast<double>(n * n);
   std::string script = GnuplotHead(out, 1200, std::clamp(rows * 5 + 120, 300.0, 2400.0), 9);
@@ -269,16 +276,18 @@
     box(it->second.first, at, y + 0.1, y + 0.9, it->second.second);
     open.erase(it);
   };
-  for (const Seen& s : seen_) {
+  for (const NodeEvent& s : events_) {
     if (s.what == "started") {
       for (std::size_t m = 0; m < n; ++m) close(s.observer, m, s.at);
       continue;
     }
     const auto it = number.find(s.member);
-    const Turn turn = TurnOf(s.what);
-    if (it == number.end() || turn == Turn::kNone) continue;
+    const ViewChange change = ViewChangeOf(s.what);
+    if (it == number.end() || change == ViewChange::kNone) continue;
     close(s.observer, it->second, s.at);
-    open[{s.observer, it->second}] = {s.at, turn == Turn::kIn ? alive : turn == Turn::kOut ? gone : suspect};
+    open[{s.observer, it->second}] = {s.at, change == ViewChange::kAdds      ? alive
+                                            : change == ViewChange::kRemoves ? gone
+                                                                             : suspect};
   }
   const auto left = open;
   for (const auto& [pair, what] : left) close(pair.first, pair.second, end);
--- a/lab/cluster/invariant_checker.h
+++ b/lab/cluster/invariant_checker.h
@@ -15,7 +15,7 @@
 namespace ryeglade::cluster {
 
 // One thing that a node said. Times are periods after the warm-up; before it they are negative.
-struct Seen {
+struct NodeEvent {
   double at = 0;
   std::size_t observer = 0;
   std::string what;  // the event's word, as in the log
@@ -33,37 +33,37 @@
 };
 
 struct Verdict {
-  std::vector<std::string> broken;  // what was expected and not so; empty: good
+  std::vector<std::string> violations;  // what was expected and not so; empty: good
   Figures figures;
-  bool good() const { return broken.empty(); }
+  bool good() const { return violations.empty(); }
 };
 
-class Witness {
+class InvariantChecker {
  public:
-  explicit Witness(const Scenario& scenario);
+  explicit InvariantChecker(const Scenario& scenario);
   // In the order of time, a little disorder between observers aside.
-  void Said(Seen seen);
-  void Up(double at, std::size_t node);    // the process has started
-  void Down(double at, std::size_t node);  // or has ended
-  Verdict Judge(double end) const;
+  void AddEvent(NodeEvent event);
+  void ProcessStarted(double at, std::size_t node);  // the process has started
+  void ProcessEnded(double at, std::size_t node);    // or has ended
+  Verdict Check(double end) const;
 
-  const std::vector<Seen>& all() const { return seen_; }
+  const std::vector<NodeEvent>& events() const { return events_; }
   TextTable Table() const;
   // A gnuplot script: a row an observer and member, colours their standing, faults as shading.
   std::string Chart(const std::string& out, double end) const;
 
  private:
-  struct Span {
+  struct TimeSpan {
     double from = 0, to = 1e18;
   };
   bool RunsAt(std::size_t node, double at) const;
-  bool Takes(std::size_t node) const;  // belongs in the one view in the end
-  const std::vector<std::size_t>& Named(const std::string& member) const;
+  bool BelongsToCluster(std::size_t node) const;  // belongs in the one view in the end
+  const std::vector<std::size_t>& NodesNamed(const std::string& member) const;
 
   Scenario scenario_;
-  std::vector<Seen> seen_;
-  std::vector<std::vector<Span>> up_;
-  std::map<std::string, std::vector<std::size_t>> named_;  // two nodes may hold one name
+  std::vector<NodeEvent> events_;
+  std::vector<std::vector<TimeSpan>> process_spans_;
+  std::map<std::string, std::vector<std::size_t>> nodes_by_name_;  // two nodes may hold one name
 };
 
 double Quantile(std::vector<double> values, double q);  // NaN for none
--- a/lab/cluster/link_model.cpp
+++ b/lab/cluster/link_model.cpp
@@ -21,12 +21,12 @@
 }
 
 // The place in the queue of a bounded link, and the way.
-Time Link::Through(Time now, std::size_t bytes, const LinkState& s) {
+Time Link::TransitTime(Time now, std::size_t bytes, const LinkState& s) {
   Time at = now;
   if (s.bytes_per_second > 0) {
-    free_at_ =
-        std::max(free_at_, now) + static_cast<Time>(static_cast<double>(bytes) / s.bytes_per_second * 1e6);
-    at = free_at_;
+    link_free_at_ = std::max(link_free_at_, now) +
+                    static_cast<Time>(static_cast<double>(bytes) / s.bytes_per_second * 1e6);
+    at = link_free_at_;
   }
   at += s.delay;
   if (s.jitter > 0) at += static_cast<Time>(stream_.Exponential(static_cast<double>(s.jitter)));
@@ -35,20 +35,20 @@
 
 std::vector<Delivery> Link::Datagram(Time now, std::size_t bytes, const LinkState& s) {
   if (s.cut || stream_.Chance(s.drop)) return {};
-  const Time at = Through(now, bytes, s);
+  const Time at = TransitTime(now, bytes, s);
   if (s.bytes_per_second > 0 && at - now > 2'000'000 + s.delay) return {};  // its queue is full
   std::vector<Delivery> all{{at + (stream_.Chance(s.reorder) ? s.reorder_by : 0), stream_.Chance(s.corrupt)}};
-  if (stream_.Chance(s.duplicate)) all.push_back({Through(now, bytes, s), stream_.Chance(s.corrupt)});
+  if (stream_.Chance(s.duplicate)) all.push_back({TransitTime(now, bytes, s), stream_.Chance(s.corrupt)});
   return all;
 }
 
-Time Link::Piece(Time now, std::size_t bytes, const LinkState& s) {
+Time Link::StreamBytes(Time now, std::size_t bytes, const LinkState& s) {
   if (s.cut) return std::numeric_limits<Time>::max();
-  Time at = Through(now, bytes, s);
+  Time at = TransitTime(now, bytes, s);
   // What is lost on the way is sent again: that costs time, never bytes.
   while (stream_.Chance(std::min(s.drop, 0.9))) at += std::max<Time>(200'000, 2 * s.delay);
-  last_piece_ = std::max(last_piece_, at);
-  return last_piece_;
+  last_stream_at_ = std::max(last_stream_at_, at);
+  return last_stream_at_;
 }
 
 void Link::Corrupt(std::string& bytes) {
--- a/lab/cluster/link_model.h
+++ b/lab/cluster/link_model.h
@@ -39,14 +39,14 @@
   // When a datagram of `bytes` sent at `now` arrives: never, once, or twice.
   std::vector<Delivery> Datagram(Time now, std::size_t bytes, const LinkState& state);
   // The same for a piece of a connection, in order and never lost; a cut holds it (max: it waits).
-  Time Piece(Time now, std::size_t bytes, const LinkState& state);
+  Time StreamBytes(Time now, std::size_t bytes, const LinkState& state);
   // Flips one bit.
   void Corrupt(std::string& bytes);
 
  private:
-  Time Through(Time now, std::size_t bytes, const LinkState& state);
+  Time TransitTime(Time now, std::size_t bytes, const LinkState& state);
   emulator::RandomStream stream_;
-  Time free_at_ = 0, last_piece_ = 0;
+  Time link_free_at_ = 0, last_stream_at_ = 0;
 };
 
 }  // namespace ryeglade::cluster
--- a/lab/cluster/relay.cpp
+++ b/lab/cluster/relay.cpp
@@ -14,86 +14,88 @@
 namespace ryeglade::cluster {
 namespace {
 
-constexpr Time kLookAgain = 50'000;  // at a cut, for what it holds
+constexpr Time kCutRetryInterval = 50'000;  // at a cut, for what it holds
 
-std::string Words(const sockaddr_storage& address) {
+std::string FormatAddress(const sockaddr_storage& address) {
   char host[64] = {};
   const auto& in4 = reinterpret_cast<const sockaddr_in&>(address);
   uv_ip4_name(&in4, host, sizeof host);
   return std::string(host) + ":" + std::to_string(ntohs(in4.sin_port));
 }
 
-sockaddr_storage Parse(const std::string& address) {
+sockaddr_storage ParseOrThrow(const std::string& address) {
   sockaddr_storage out{};
   if (!ParseAddress(address, &out)) throw std::runtime_error("no address: " + address);
   return out;
 }
 
-void Check(int error, const std::string& what) {
+void ThrowOnError(int error, const std::string& what) {
   if (error != 0) throw std::runtime_error(what + ": " + uv_strerror(error));
 }
 
 }  // namespace
 
 std::string FreeAddress(const std::string& ip) {
-  sockaddr_storage address = Parse(ip + ":0");
+  sockaddr_storage address = ParseOrThrow(ip + ":0");
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   socklen_t length = sizeof(sockaddr_in);
   const bool good = fd >= 0 && bind(fd, reinterpret_cast<sockaddr*>(&address), length) == 0 &&
                     getsockname(fd, reinterpret_cast<sockaddr*>(&address), &length) == 0;
   if (fd >= 0) close(fd);
   if (!good) throw std::runtime_error("no port is to be had on " + ip);
-  return Words(address);
+  return FormatAddress(address);
 }
 
-Network::Network(const Runtime* run, std::uint64_t seed, std::vector<std::string> real,
-                 const std::vector<std::string>& faces, StateOf state)
+Network::Network(const Runtime* run, std::uint64_t seed, std::vector<std::string> node_addresses,
+                 const std::vector<std::string>& proxy_ips, LinkStateOf link_state)
     : run_(run),
-      real_(std::move(real)),
-      state_(std::move(state)),
-      sent_(real_.size()),
-      noise_(seed, emulator::RandomPurpose::kFailures) {
-  for (std::size_t i = 0; i < 65'536; ++i) random_ += static_cast<char>(noise_.Below(256));
-  const std::size_t n = real_.size();
+      node_addresses_(std::move(node_addresses)),
+      link_state_(std::move(link_state)),
+      sent_(node_addresses_.size()),
+      noise_random_(seed, emulator::RandomPurpose::kFailures) {
+  for (std::size_t i = 0; i < 65'536; ++i) noise_bytes_ += static_cast<char>(noise_random_.Below(256));
+  const std::size_t n = node_addresses_.size();
   for (std::size_t i = 0; i < n * n; ++i) links_.emplace_back(seed, i);
-  for (const std::string& address : real_) addresses_.push_back(Parse(address));
+  for (const std::string& address : node_addresses_) addresses_.push_back(ParseOrThrow(address));
   for (std::size_t i = 0; i < n; ++i) {
-    faces_.push_back(std::make_unique<Face>());
-    Face& f = *faces_.back();
-    f.network = this;
-    f.node = i;
-    f.ip = Parse(faces[i] + ":0");
-    f.udp = new uv_udp_t;
-    f.listener = new uv_tcp_t;
-    uv_udp_init(run_->loop, f.udp);
-    uv_tcp_init(run_->loop, f.listener);
-    f.udp->data = f.listener->data = &f;
-    Check(uv_udp_bind(f.udp, reinterpret_cast<const sockaddr*>(&f.ip), 0), "a face on " + faces[i]);
+    proxies_.push_back(std::make_unique<Proxy>());
+    Proxy& p = *proxies_.back();
+    p.network = this;
+    p.node = i;
+    p.ip = ParseOrThrow(proxy_ips[i] + ":0");
+    p.udp = new uv_udp_t;
+    p.listener = new uv_tcp_t;
+    uv_udp_init(run_->loop, p.udp);
+    uv_tcp_init(run_->loop, p.listener);
+    p.udp->data = p.listener->data = &p;
+    ThrowOnError(uv_udp_bind(p.udp, reinterpret_cast<const sockaddr*>(&p.ip), 0),
+                 "a face on " + proxy_ips[i]);
     sockaddr_storage bound{};
     int length = sizeof bound;
-    uv_udp_getsockname(f.udp, reinterpret_cast<sockaddr*>(&bound), &length);
-    f.address = Words(bound);
-    Check(uv_tcp_bind(f.listener, reinterpret_cast<const sockaddr*>(&bound), 0), "a face's connections");
-    Check(uv_listen(reinterpret_cast<uv_stream_t*>(f.listener), 64,
-                    [](uv_stream_t* s, int status) {
-                      Face* face = static_cast<Face*>(s->data);
-                      if (status == 0) face->network->Accept(*face);
-                    }),
-          "a face's connections");
+    uv_udp_getsockname(p.udp, reinterpret_cast<sockaddr*>(&bound), &length);
+    p.address = FormatAddress(bound);
+    ThrowOnError(uv_tcp_bind(p.listener, reinterpret_cast<const sockaddr*>(&bound), 0),
+                 "a face's connections");
+    ThrowOnError(uv_listen(reinterpret_cast<uv_stream_t*>(p.listener), 64,
+                           [](uv_stream_t* s, int status) {
+                             Proxy* proxy = static_cast<Proxy*>(s->data);
+                             if (status == 0) proxy->network->Accept(*proxy);
+                           }),
+                 "a face's connections");
     uv_udp_recv_start(
-        f.udp,
+        p.udp,
         [](uv_handle_t*, std::size_t, uv_buf_t* buf) {
           static std::array<char, 4096> room;
           *buf = uv_buf_init(room.data(), static_cast<unsigned>(room.size()));
         },
         [](uv_udp_t* u, ssize_t size, const uv_buf_t* buf, const sockaddr* from, unsigned) {
-          Face* face = static_cast<Face*>(u->data);
+          Proxy* proxy = static_cast<Proxy*>(u->data);
           if (size > 0 && from != nullptr)
-            face->network->Datagram(*face, {buf->base, static_cast<std::size_t>(size)}, from);
+            proxy->network->ForwardDatagram(*proxy, {buf->base, static_cast<std::size_t>(size)}, from);
         });
   }
-  stranger_ = new uv_udp_t;
-  uv_udp_init(run_->loop, stranger_);
+  noise_socket_ = new uv_udp_t;
+  uv_udp_init(run_->loop, noise_socket_);
 }
 
 Network::~Network() { Close(); }
@@ -101,13 +103,13 @@
 void Network::Close() {
   if (std::exchange(closed_, true)) return;
   for (const Handle side : sides_.All()) Drop(side);
-  for (const auto& f : faces_) {
-    uv_close(reinterpret_cast<uv_handle_t*>(f->udp),
+  for (const auto& p : proxies_) {
+    uv_close(reinterpret_cast<uv_handle_t*>(p->udp),
              [](uv_handle_t* h) { delete reinterpret_cast<uv_udp_t*>(h); });
-    uv_close(reinterpret_cast<uv_handle_t*>(f->listener),
+    uv_close(reinterpret_cast<uv_handle_t*>(p->listener),
              [](uv_handle_t* h) { delete reinterpret_cast<uv_tcp_t*>(h); });
   }
-  uv_close(reinterpret_cast<uv_handle_t*>(stranger_),
+  uv_close(reinterpret_cast<uv_handle_t*>(noise_socket_),
            [](uv_handle_t* h) { delete reinterpret_cast<uv_udp_t*>(h); });
 }
 
@@ -119,16 +121,17 @@
   return SIZE_MAX;
 }
 
-void Network::Datagram(Face& face, std::string_view bytes, const sockaddr* from_address) {
-  const std::size_t from = NodeAt(from_address), to = face.node;
+void Network::ForwardDatagram(Proxy& proxy, std::string_view bytes, const sockaddr* from_address) {
+  const std::size_t from = NodeAt(from_address), to = proxy.node;
   if (from == SIZE_MAX) return;
   sent_[from].bytes += bytes.size();
-  const std::vector<Delivery> all = Between(from, to).Datagram(Now(), bytes.size(), state_(from, to));
+  const std::vector<Delivery> all =
+      LinkBetween(from, to).Datagram(Now(), bytes.size(), link_state_(from, to));
   if (all.empty()) ++sent_[from].lost;
   for (const Delivery& d : all) {
     ++sent_[from].passed;
     std::string copy(bytes);
-    if (d.corrupt) Between(from, to).Corrupt(copy);
+    if (d.corrupt) LinkBetween(from, to).Corrupt(copy);
     if (d.at <= Now()) {
       Deliver(from, to, copy);
     } else {
@@ -140,44 +143,44 @@
 void Network::Deliver(std::size_t from, std::size_t to, const std::string& bytes) {
   if (closed_) return;
   const uv_buf_t buf = uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
-  uv_udp_try_send(faces_[from]->udp, &buf, 1, reinterpret_cast<const sockaddr*>(&addresses_[to]));
+  uv_udp_try_send(proxies_[from]->udp, &buf, 1, reinterpret_cast<const sockaddr*>(&addresses_[to]));
 }
 
-void Network::Flood(std::size_t node, std::size_t datagrams) {
+void Network::SendNoise(std::size_t node, std::size_t datagrams) {
   for (std::size_t i = 0; i < datagrams; ++i) {
     // Pieces of what was drawn once: a draw for each byte kept the lab from relaying in time, with the
     // sanitizers.
-    const std::size_t n = noise_.Below(1600);
-    std::string bytes = random_.substr(noise_.Below(random_.size() - n), n);
-    if (noise_.Chance(0.5)) {  // what looks right until it is read
+    const std::size_t n = noise_random_.Below(1600);
+    std::string bytes = noise_bytes_.substr(noise_random_.Below(noise_bytes_.size() - n), n);
+    if (noise_random_.Chance(0.5)) {  // what looks right until it is read
       membership::Message m;
       m.cluster = "lab";
       m.sender.name = "noise";
       m.sender.address = "127.0.0.1:1";
       for (int k = 0; k < 8; ++k) {
         membership::Update update;
-        update.record.name = "made-up-" + std::to_string(noise_.Below(100'000));
-        update.record.address = "127.0.0.1:" + std::to_string(1 + noise_.Below(60'000));
-        update.record.incarnation = noise_.Below(1ULL << 60);
+        update.record.name = "made-up-" + std::to_string(noise_random_.Below(100'000));
+        update.record.address = "127.0.0.1:" + std::to_string(1 + noise_random_.Below(60'000));
+        update.record.incarnation = noise_random_.Below(1ULL << 60);
         m.updates.push_back(update);
       }
       bytes = membership::Encode(m);
-      if (noise_.Chance(0.5)) bytes[noise_.Below(bytes.size())] ^= 0x20;
+      if (noise_random_.Chance(0.5)) bytes[noise_random_.Below(bytes.size())] ^= 0x20;
     }
     const uv_buf_t buf = uv_buf_init(bytes.data(), static_cast<unsigned>(bytes.size()));
-    uv_udp_try_send(stranger_, &buf, 1, reinterpret_cast<const sockaddr*>(&addresses_[node]));
+    uv_udp_try_send(noise_socket_, &buf, 1, reinterpret_cast<const sockaddr*>(&addresses_[node]));
   }
 }
 
 // ---- Connections ----
 
-void Network::Accept(Face& face) {
+void Network::Accept(Proxy& proxy) {
   const Handle in = sides_.Add({});
   Side* a = sides_.Get(in);
   a->tcp = Tcp::New(run_->loop, run_->buffers, this, in);
-  if (!a->tcp->Accept(reinterpret_cast<uv_stream_t*>(face.listener))) return Drop(in);
+  if (!a->tcp->Accept(reinterpret_cast<uv_stream_t*>(proxy.listener))) return Drop(in);
   const sockaddr_storage peer = a->tcp->PeerAddress();
-  const std::size_t from = NodeAt(reinterpret_cast<const sockaddr*>(&peer)), to = face.node;
+  const std::size_t from = NodeAt(reinterpret_cast<const sockaddr*>(&peer)), to = proxy.node;
   if (from == SIZE_MAX) return Drop(in);
   ++sent_[from].connections;
   a->from = from;
@@ -191,7 +194,7 @@
   b->to = from;
   a->other = out;
   b->other = in;
-  if (b->tcp->Bind(faces_[from]->ip) != 0 || b->tcp->Connect(addresses_[to]) != 0) return Drop(in);
+  if (b->tcp->Bind(proxies_[from]->ip) != 0 || b->tcp->Connect(addresses_[to]) != 0) return Drop(in);
   a->tcp->StartReading();
 }
 
@@ -201,40 +204,40 @@
   if (status != 0) return Drop(side);
   b->connected = true;
   b->tcp->StartReading();
-  Move(b->other);
+  Forward(b->other);
 }
 
 void Network::OnRead(Handle side, std::string_view bytes) {
   Side* a = sides_.Get(side);
   if (a == nullptr) return;
-  a->held.emplace_back(bytes);
-  Move(side);
+  a->queued.emplace_back(bytes);
+  Forward(side);
 }
 
 // The next piece goes over the link; the others wait behind it.
-void Network::Move(Handle side) {
+void Network::Forward(Handle side) {
   Side* a = sides_.Get(side);
-  if (a == nullptr || a->moving) return;
+  if (a == nullptr || a->forward_scheduled) return;
   const Side* b = sides_.Get(a->other);
   if (b == nullptr || !b->connected) return;
-  if (a->held.empty()) {
+  if (a->queued.empty()) {
     if (a->ended) Drop(side);
     return;
   }
-  const LinkState state = state_(a->from, a->to);
-  const Time at = Between(a->from, a->to).Piece(Now(), a->held.front().size(), state);
+  const LinkState state = link_state_(a->from, a->to);
+  const Time at = LinkBetween(a->from, a->to).StreamBytes(Now(), a->queued.front().size(), state);
   const bool cut = at == std::numeric_limits<Time>::max();
-  a->moving = true;
-  run_->deadlines->Set(cut ? Now() + kLookAgain : at, [this, side, cut] {
+  a->forward_scheduled = true;
+  run_->deadlines->Set(cut ? Now() + kCutRetryInterval : at, [this, side, cut] {
     Side* s = sides_.Get(side);
     if (s == nullptr) return;
-    s->moving = false;
+    s->forward_scheduled = false;
     const Side* o = sides_.Get(s->other);
     if (!cut && o != nullptr) {
-      if (!o->tcp->Write(s->held.front())) return Drop(side);
-      s->held.pop_front();
+      if (!o->tcp->Write(s->queued.front())) return Drop(side);
+      s->queued.pop_front();
     }
-    Move(side);
+    Forward(side);
   });
 }
 
@@ -242,7 +245,7 @@
   Side* a = sides_.Get(side);
   if (a == nullptr) return;
   a->ended = true;
-  if (a->held.empty()) Drop(side);
+  if (a->queued.empty()) Drop(side);
 }
 
 // Both sides end together, once all that was read has gone over.
--- a/lab/cluster/relay.h
+++ b/lab/cluster/relay.h
@@ -24,17 +24,17 @@
 
 class Network : public TcpOwner {
  public:
-  using StateOf = std::function<LinkState(std::size_t from, std::size_t to)>;  // now
+  using LinkStateOf = std::function<LinkState(std::size_t from, std::size_t to)>;  // now
 
   // `real`: where each node listens; `faces`: ip of each face. Throws std::runtime_error.
-  Network(const Runtime* run, std::uint64_t seed, std::vector<std::string> real,
-          const std::vector<std::string>& faces, StateOf state);
+  Network(const Runtime* run, std::uint64_t seed, std::vector<std::string> node_addresses,
+          const std::vector<std::string>& proxy_ips, LinkStateOf link_state);
   ~Network() override;
   Network(const Network&) = delete;
   Network& operator=(const Network&) = delete;
-  const std::string& face(std::size_t node) const { return faces_[node]->address; }
+  const std::string& proxy_address(std::size_t node) const { return proxies_[node]->address; }
   // Noise to a node's own port, as from a stranger.
-  void Flood(std::size_t node, std::size_t datagrams);
+  void SendNoise(std::size_t node, std::size_t datagrams);
   void Close();
 
   struct Counts {
@@ -48,7 +48,7 @@
   void OnDisconnected(Handle side) override;
 
  private:
-  struct Face {
+  struct Proxy {
     Network* network = nullptr;
     std::size_t node = 0;
     std::string address;
@@ -60,29 +60,29 @@
     Tcp* tcp = nullptr;
     Handle other = 0;
     std::size_t from = 0, to = 0;
-    std::deque<std::string> held;  // read here, and not yet written there
-    bool connected = false, ended = false, moving = false;
+    std::deque<std::string> queued;  // read here, and not yet written there
+    bool connected = false, ended = false, forward_scheduled = false;
   };
 
   std::size_t NodeAt(const sockaddr* address) const;  // by ip; SIZE_MAX: none
-  void Datagram(Face& face, std::string_view bytes, const sockaddr* from);
+  void ForwardDatagram(Proxy& proxy, std::string_view bytes, const sockaddr* from);
   void Deliver(std::size_t from, std::size_t to, const std::string& bytes);
-  void Accept(Face& face);
-  void Move(Handle side);
+  void Accept(Proxy& proxy);
+  void Forward(Handle side);
   void Drop(Handle side);
-  Link& Between(std::size_t from, std::size_t to) { return links_[from * real_.size() + to]; }
+  Link& LinkBetween(std::size_t from, std::size_t to) { return links_[from * node_addresses_.size() + to]; }
 
   const Runtime* run_;
-  std::vector<std::string> real_;
+  std::vector<std::string> node_addresses_;
   std::vector<sockaddr_storage> addresses_;
-  StateOf state_;
-  std::vector<std::unique_ptr<Face>> faces_;
+  LinkStateOf link_state_;
+  std::vector<std::unique_ptr<Proxy>> proxies_;
   std::vector<Link> links_;
   SlotTable<Side> sides_;
   std::vector<Counts> sent_;
-  emulator::RandomStream noise_;
-  std::string random_;  // bytes, of which noise is made
-  uv_udp_t* stranger_ = nullptr;
+  emulator::RandomStream noise_random_;
+  std::string noise_bytes_;  // bytes, of which noise is made
+  uv_udp_t* noise_socket_ = nullptr;
   bool closed_ = false;
 };
 
--- a/lab/cluster/scenario.cpp
+++ b/lab/cluster/scenario.cpp
@@ -11,7 +11,7 @@
 namespace ryeglade::cluster {
 namespace {
 
-constexpr double kEver = 1e9;
+constexpr double kNoEnd = 1e9;
 
 bool Number(std::string_view text, std::size_t* out) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), *out);
@@ -19,7 +19,8 @@
 }
 
 // "all", "3", "2-5", "zone:1", "not:3": one word or several with commas.
-Nodes NodesOf(TomlSection& s, const std::string& key, const Scenario& scenario, const std::string& fallback) {
+Nodes ParseNodes(TomlSection& s, const std::string& key, const Scenario& scenario,
+                 const std::string& fallback) {
   const std::string text = s.Text(key, fallback);
   std::vector<bool> in(scenario.nodes, false);
   std::string_view rest = text;
@@ -55,7 +56,7 @@
   return nodes;
 }
 
-Fault FaultOf(TomlSection& s, const Scenario& scenario) {
+Fault ParseFault(TomlSection& s, const Scenario& scenario) {
   Fault f;
   const std::string what = s.Choice("what",
                                     {"cut", "loss", "delay", "duplicate", "reorder", "corrupt", "throttle",
@@ -78,7 +79,7 @@
     if (what == word) f.what = kind;
   }
   if (f.what != Fault::What::kLink) {
-    f.nodes = NodesOf(s, "nodes", scenario, "");
+    f.nodes = ParseNodes(s, "nodes", scenario, "");
     if (f.nodes.empty()) s.Fail("nodes", "is missing; name the nodes that it happens to");
     if (f.what == Fault::What::kStarve) {
       f.share = s.Number("share", 0.01, 0.99, f.share);
@@ -90,8 +91,8 @@
     s.RejectUnknownKeys();
     return f;
   }
-  f.from = NodesOf(s, "from", scenario, "all");
-  f.to = NodesOf(s, "to", scenario, "all");
+  f.from = ParseNodes(s, "from", scenario, "all");
+  f.to = ParseNodes(s, "to", scenario, "all");
   f.both = s.Flag("both", false);
   const double share = s.Number("share", 0, 1, 0.1);
   if (what == "cut") f.link.cut = true;
@@ -113,8 +114,8 @@
 
 bool In(const Nodes& nodes, std::size_t node) { return std::binary_search(nodes.begin(), nodes.end(), node); }
 
-std::vector<std::size_t> Numbers(TomlSection& s, const std::string& key, const Scenario& scenario) {
-  return NodesOf(s, key, scenario, "");
+std::vector<std::size_t> ParseNodeNumbers(TomlSection& s, const std::string& key, const Scenario& scenario) {
+  return ParseNodes(s, key, scenario, "");
 }
 
 }  // namespace
@@ -137,7 +138,7 @@
     if (!hit) continue;
     for (int i = 0; i < f.times; ++i) {
       const double begin = f.at + i * f.again_after;
-      if (at >= begin && at < begin + (f.lasts > 0 ? f.lasts : kEver)) {
+      if (at >= begin && at < begin + (f.lasts > 0 ? f.lasts : kNoEnd)) {
         state.Add(f.link);
         break;
       }
@@ -146,14 +147,14 @@
   return state;
 }
 
-double Scenario::CalmAt() const {
-  double calm = 0;
+double Scenario::FaultsEndAt() const {
+  double last_end = 0;
   for (const Fault& f : faults) {
     const double last = f.at + (f.times - 1) * f.again_after + f.lasts;
     // What never ends is part of the scenery; what happens at once is over at once.
-    calm = std::max(calm, last);
+    last_end = std::max(last_end, last);
   }
-  return calm;
+  return last_end;
 }
 
 Scenario ParseScenario(const std::string& file, const std::string& text) {
@@ -173,21 +174,21 @@
   s.seed = top.Integer("seed", 0, 1'000'000'000, 1);
   s.rate = top.Rate("rate", 0, 10'000, 0);
   s.replicas = top.Integer("replicas", 1, 64, s.replicas);
-  s.old_wire = Numbers(top, "old_wire", s);
-  s.other_cluster = Numbers(top, "other_cluster", s);
-  s.old_build = Numbers(top, "old_build", s);
-  if (const Nodes twins = NodesOf(top, "same_name", s, ""); !twins.empty()) {
+  s.old_wire = ParseNodeNumbers(top, "old_wire", s);
+  s.other_cluster = ParseNodeNumbers(top, "other_cluster", s);
+  s.old_build = ParseNodeNumbers(top, "old_build", s);
+  if (const Nodes twins = ParseNodes(top, "same_name", s, ""); !twins.empty()) {
     if (twins.size() != 2) top.Fail("same_name", "names two nodes: the second is given the first's name");
     s.same_name.emplace_back(twins[0], twins[1]);
   }
   s.tier = top.Flag("tier", false);
-  for (TomlSection& f : top.Tables("fault")) s.faults.push_back(FaultOf(f, s));
+  for (TomlSection& f : top.Tables("fault")) s.faults.push_back(ParseFault(f, s));
   for (TomlSection& r : top.Tables("replica")) {
     ReplicaFault f;
     f.how = r.Choice("how", {"error", "silent", "unreachable"}, "error");
     f.first = r.Integer("first", 0, s.replicas - 1, 0);
     f.count = r.Integer("count", 1, s.replicas - f.first, 1);
-    f.nodes = NodesOf(r, "nodes", s, "all");
+    f.nodes = ParseNodes(r, "nodes", s, "all");
     f.at = r.Number("at", 0, 1e6, 0);
     f.lasts = r.Number("lasts", 0, 1e6, 0);
     if (f.nodes.size() < s.nodes && f.how != "unreachable")
@@ -196,10 +197,10 @@
     s.replica_faults.push_back(std::move(f));
   }
   TomlSection e = top.Table("expect");
-  s.expect.removed = NodesOf(e, "removed", s, "");
-  s.expect.may_remove = NodesOf(e, "may_remove", s, "");
-  s.expect.in_doubt = NodesOf(e, "in_doubt", s, "");
-  s.expect.refused = NodesOf(e, "refused", s, "");
+  s.expect.removed = ParseNodes(e, "removed", s, "");
+  s.expect.may_remove = ParseNodes(e, "may_remove", s, "");
+  s.expect.in_doubt = ParseNodes(e, "in_doubt", s, "");
+  s.expect.refused = ParseNodes(e, "refused", s, "");
   s.expect.no_doubt = e.Flag("no_doubt", false);
   s.expect.most_false = e.Integer("most_false", 0, 1'000'000, 0);
   s.expect.most_returns = e.Integer("most_returns", 0, 1000, s.expect.most_returns);
@@ -213,7 +214,7 @@
 
 Scenario ReadScenario(const std::string& path) { return ParseScenario(path, ReadWholeFile(path)); }
 
-std::vector<Step> StepsOf(const Scenario& s) {
+std::vector<Step> ProcessSteps(const Scenario& s) {
   std::vector<Step> steps;
   for (const Fault& f : s.faults) {
     for (int i = 0; i < f.times; ++i) {
@@ -237,7 +238,7 @@
             }
             break;
           case Fault::What::kHandOver:
-            steps.push_back({at, Step::Do::kBeside, n});
+            steps.push_back({at, Step::Do::kHotRestart, n});
             break;
           case Fault::What::kAbsent:
             steps.push_back({end, Step::Do::kStart, n});
--- a/lab/cluster/scenario.h
+++ b/lab/cluster/scenario.h
@@ -80,7 +80,7 @@
   // What the link does at `at` (periods after the warm-up).
   LinkState LinkAt(std::size_t from, std::size_t to, double at) const;
   // When the last fault is over, periods after the warm-up.
-  double CalmAt() const;
+  double FaultsEndAt() const;
 };
 
 // Throws SettingsError naming file, line, key and remedy.
@@ -90,9 +90,17 @@
 // Process faults as single steps in the order of their time (periods after the warm-up).
 struct Step {
   double at = 0;
-  enum class Do : std::uint8_t { kKill, kStart, kStop, kContinue, kTerm, kBeside, kFlood } act = Do::kKill;
+  enum class Do : std::uint8_t {
+    kKill,
+    kStart,
+    kStop,
+    kContinue,
+    kTerm,
+    kHotRestart,
+    kFlood
+  } act = Do::kKill;
   std::size_t node = 0;
 };
-std::vector<Step> StepsOf(const Scenario& scenario);
+std::vector<Step> ProcessSteps(const Scenario& scenario);
 
 }  // namespace ryeglade::cluster
--- a/lab/rollout/local_tier.cpp
+++ b/lab/rollout/local_tier.cpp
@@ -321,7 +321,7 @@
   text += "[release]\n" + release + "\n";
   for (std::size_t i = 0; i < nodes_.size(); ++i)
     text += fmt::format("[[node]]\nname = \"n{}\"\nkeeper = \"{}\"\nzone = \"{}\"\n", i,
-                        network_->face(i + 1), i % 2 == 0 ? "a" : "b");
+                        network_->proxy_address(i + 1), i % 2 == 0 ? "a" : "b");
   text += stages;
   if (rest.find("most_passed_over") == std::string::npos) text += rest;
   if (o_.membership) {
--- a/tests/gossip_nodes_test.cpp
+++ b/tests/gossip_nodes_test.cpp
@@ -18,7 +18,7 @@
   const Scenario scenario = ParseScenario("a test", text);
   options.program = std::getenv("RYEGLADE_PROGRAM");
   const RealResult result = PlayReal(scenario, options);
-  for (const std::string& line : result.verdict.broken) ADD_FAILURE() << line;
+  for (const std::string& line : result.verdict.violations) ADD_FAILURE() << line;
   EXPECT_EQ(result.two_at_once, 0U);
   return result;
 }
@@ -32,16 +32,16 @@
 // The replicas that were ejected by consensus, and the number of nodes that ejected each.
 std::map<std::string, int> EjectionsByReplica(const RealResult& result) {
   std::map<std::string, int> all;
-  for (const auto& node : result.left_alone) {
+  for (const auto& node : result.peer_ejections) {
     for (const auto& [host, n] : node) ++all[host];
   }
   return all;
 }
 
 // The sum of all nodes' traffic shares.
-double Sum(const std::vector<RealResult::Part>& shares) {
+double Sum(const std::vector<RealResult::TrafficShare>& shares) {
   return std::accumulate(shares.begin(), shares.end(), 0.0,
-                         [](double sum, const auto& node) { return sum + node.part; });
+                         [](double sum, const auto& node) { return sum + node.share; });
 }
 
 TEST(GossipNodes, AFailingReplicaIsEjectedByConsensusDespiteLosses) {
@@ -69,7 +69,7 @@
 
 TEST(GossipNodes, NodesThatReachNoReplicaCauseNoEjections) {
   RealOptions options;
-  options.look_at = {40};
+  options.query_shares_at = {40};
   const RealResult result =
       RunScenario(ScenarioHead(6, "rate = \"60/s\"\nlength = 60\n") +
                       "[[replica]]\nhow = \"unreachable\"\nfirst = 0\ncount = 10\nnodes = \"0,1\"\nat = 2\n"
@@ -82,9 +82,9 @@
 
 TEST(GossipNodes, OneNodeWithFalseReportsTakesNeitherSharesNorReplicas) {
   RealOptions options;
-  options.look_at = {50};
+  options.query_shares_at = {50};
   std::uint64_t sequence = 0;
-  options.liar = [&sequence](const std::string& name) {
+  options.false_reporter = [&sequence](const std::string& name) {
     std::vector<std::string> messages;
     gossip::NodeReport report;
     report.incarnation = 1;
@@ -106,18 +106,18 @@
   };
   const RealResult result = RunScenario(ScenarioHead(6, "rate = \"60/s\"\nlength = 60\n"), options);
   EXPECT_TRUE(EjectionsByReplica(result).empty());
-  ASSERT_EQ(result.looks.size(), 1U);
-  ASSERT_EQ(result.looks[0].size(), 6U);
+  ASSERT_EQ(result.shares.size(), 1U);
+  ASSERT_EQ(result.shares[0].size(), 6U);
   // The six nodes keep the shares that the bound on one node's rate leaves them, and in total not more
   // than 1.
-  EXPECT_GE(Sum(result.looks[0]), 0.3);
-  EXPECT_LE(Sum(result.looks[0]), 1.1);
+  EXPECT_GE(Sum(result.shares[0]), 0.3);
+  EXPECT_LE(Sum(result.shares[0]), 1.1);
   EXPECT_GE(result.served_all * 100, result.asked_all * 99);
 }
 
 TEST(GossipNodes, SharesAddUpThroughDeathsAndAPartition) {
   RealOptions options;
-  options.look_at = {20, 27, 52, 68, 108};
+  options.query_shares_at = {20, 27, 52, 68, 108};
   const RealResult result = RunScenario(
       ScenarioHead(7, "rate = \"70/s\"\nlength = 110\n") +
           "[[fault]]\nwhat = \"kill\"\nnodes = \"5-6\"\nat = 22\n"
@@ -125,19 +125,19 @@
           "[expect]\nremoved = \"5-6\"\nmay_remove = \"0-1\"\nin_doubt = \"0-1\"\nserved = 0.97\n"
           "one_view_within = 60\n",
       options);
-  ASSERT_EQ(result.looks.size(), 5U);
-  for (const auto& shares : result.looks) EXPECT_LE(Sum(shares), 2.0);
+  ASSERT_EQ(result.shares.size(), 5U);
+  for (const auto& shares : result.shares) EXPECT_LE(Sum(shares), 2.0);
   // All seven nodes, with equal traffic.
-  EXPECT_EQ(result.looks[0].size(), 7U);
-  EXPECT_NEAR(Sum(result.looks[0]), 1, 0.15);
+  EXPECT_EQ(result.shares[0].size(), 7U);
+  EXPECT_NEAR(Sum(result.shares[0]), 1, 0.15);
   // Two nodes are dead, and the clients of a node do not move to others: the remaining shares add up again
   // once the view is stable.
-  EXPECT_EQ(result.looks[2].size(), 5U);
-  EXPECT_GE(Sum(result.looks[2]), 0.7);
-  EXPECT_LE(Sum(result.looks[2]), 1.15);
+  EXPECT_EQ(result.shares[2].size(), 5U);
+  EXPECT_GE(Sum(result.shares[2]), 0.7);
+  EXPECT_LE(Sum(result.shares[2]), 1.15);
   // During the cut the two keep their shares, while the shares of the three rise up to 1 in total.
-  EXPECT_LE(Sum(result.looks[3]), 1.7);
-  EXPECT_NEAR(Sum(result.looks[4]), 1, 0.2);
+  EXPECT_LE(Sum(result.shares[3]), 1.7);
+  EXPECT_NEAR(Sum(result.shares[4]), 1, 0.2);
 }
 
 TEST(GossipNodes, WorksAmongOldNodesAndIsOffWithoutItsTable) {
@@ -149,11 +149,11 @@
   std::string off = ScenarioHead(5, "rate = \"50/s\"\nlength = 40\n");
   off.replace(off.find("tier = true"), 11, "tier = false");
   RealOptions options;
-  options.look_at = {30};
+  options.query_shares_at = {30};
   const RealResult off_result =
       RunScenario(off + "[[replica]]\nhow = \"error\"\nfirst = 1\nat = 4\n", options);
   EXPECT_TRUE(EjectionsByReplica(off_result).empty());
-  EXPECT_TRUE(off_result.looks[0].empty());
+  EXPECT_TRUE(off_result.shares[0].empty());
 }
 
 }  // namespace
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -31,7 +31,7 @@
 
 std::string Violations(const Verdict& verdict) {
   std::string all;
-  for (const std::string& line : verdict.broken) all += line + "\n";
+  for (const std::string& line : verdict.violations) all += line + "\n";
   return all;
 }
 
@@ -99,12 +99,12 @@
 }
 
 TEST(EmulatedCluster, SameSeedGivesTheSameRun) {
-  std::vector<Seen> first, second;
+  std::vector<NodeEvent> first, second;
   EmulatedOptions options;
   options.seed = 7;
-  options.said = &first;
+  options.events = &first;
   PlayEmulated(ReadExample("loss-50"), options);
-  options.said = &second;
+  options.events = &second;
   PlayEmulated(ReadExample("loss-50"), options);
   ASSERT_EQ(first.size(), second.size());
   for (std::size_t i = 0; i < first.size(); ++i) {
@@ -145,8 +145,8 @@
     EXPECT_GT(exploration.states, 100U);
     EXPECT_GT(exploration.deaths, 0U);
     EXPECT_GT(exploration.returns, 0U);
-    for (const Breach& breach : exploration.breaches)
-      ADD_FAILURE() << breach.invariant << ": " << breach.schedule << ": " << breach.what;
+    for (const Violation& violation : exploration.violations)
+      ADD_FAILURE() << violation.invariant << ": " << violation.schedule << ": " << violation.what;
   }
 }
 
