--- a/bench/fronts_bench.cpp
+++ b/bench/fronts_bench.cpp
@@ -31,9 +31,9 @@
   std::map<std::string, double> total;
   std::map<std::string, std::size_t> bytes;
   for (auto _ : state) {
-    for (const Speech speech : {Speech::kPlatform, Speech::kOpenAi}) {
-      const auto fleet = MakeRig(speech, tokens);
-      const std::string dialect = speech == Speech::kPlatform ? "platform" : "openai";
+    for (const ReplicaDialect replica_dialect : {ReplicaDialect::kPlatform, ReplicaDialect::kOpenAi}) {
+      const auto fleet = MakeRig(replica_dialect, tokens);
+      const std::string dialect = replica_dialect == ReplicaDialect::kPlatform ? "platform" : "openai";
       for (const bool openai : {false, true}) Drive(*fleet, openai, requests / 4, body, tokens);
       for (int round = 0; round < kRounds; ++round) {  // by turns, so that a drift of the machine meets both
         for (const bool openai : {false, true}) {
@@ -61,14 +61,15 @@
 
 // The first byte of an answer: through the node against straight to the stand-in, by turns.
 void FirstToken(benchmark::State& state) {
-  const auto fleet = MakeRig(Speech::kOpenAi, 8);
-  FakeReplica straight(fleet->run(), &fleet->witness(), {.first_token = 0, .per_token = 0, .tokens = 8});
+  const auto fleet = MakeRig(ReplicaDialect::kOpenAi, 8);
+  FakeReplica straight(fleet->run(), &fleet->attempt_counts(),
+                       {.first_token = 0, .per_token = 0, .tokens = 8});
   const std::string direct = straight.Listen();
   std::vector<double> through_ms, straight_ms;
   for (auto _ : state) {
     for (std::size_t n = 0; n < 2000; ++n) {
-      const Reply a = fleet->Ask(fleet->openai(), Request(true, n, 1024, 8)),
-                  b = fleet->Ask(direct, Request(true, n, 1024, 8));
+      const Reply a = fleet->SendAndWait(fleet->openai(), Request(true, n, 1024, 8)),
+                  b = fleet->SendAndWait(direct, Request(true, n, 1024, 8));
       through_ms.push_back(static_cast<double>(a.first_byte - a.started) / 1000);
       straight_ms.push_back(static_cast<double>(b.first_byte - b.started) / 1000);
     }
@@ -87,12 +88,12 @@
 
 // Good clients' answers while a thousand connections keep showing bad keys.
 void BadKeys(benchmark::State& state) {
-  const auto fleet = MakeRig(Speech::kOpenAi, 8);
+  const auto fleet = MakeRig(ReplicaDialect::kOpenAi, 8);
   const std::string bad =
       Post("/v1/chat/completions",
            "Authorization: Bearer rg-00000000-" + std::string(64, '0') + "\r\nConnection: close\r\n", "{}");
   const auto good = [&](std::size_t n) {
-    const Reply r = fleet->Ask(fleet->openai(), Request(true, n, 1024, 8));
+    const Reply r = fleet->SendAndWait(fleet->openai(), Request(true, n, 1024, 8));
     if (r.status != 200) std::abort();
     return static_cast<double>(r.ended - r.started) / 1000;
   };
@@ -101,7 +102,7 @@
   bool on = false;
   std::function<void()> one = [&] {
     ++open;
-    fleet->client().Ask(fleet->openai(), bad, 30'000'000, [&](const Reply& r) {
+    fleet->client().Send(fleet->openai(), bad, 30'000'000, [&](const Reply& r) {
       --open;
       if (r.status == 401) ++answered;
       if (on) one();
--- a/bench/measure.h
+++ b/bench/measure.h
@@ -53,14 +53,15 @@
               body);
 }
 
-inline std::unique_ptr<LocalFleet> MakeRig(Speech speech, std::size_t tokens, const std::string& more = "",
-                                           Fault fault = Fault::kNone, std::size_t replicas = 2) {
+inline std::unique_ptr<LocalFleet> MakeRig(ReplicaDialect dialect, std::size_t tokens,
+                                           const std::string& more = "", Fault fault = Fault::kNone,
+                                           std::size_t replicas = 2) {
   LocalFleetOptions o;
   o.program = Program();
   o.key = "k";
-  o.more_settings = more;
+  o.extra_settings = more;
   FakeReplicaOptions replica;
-  replica.speech = speech;
+  replica.dialect = dialect;
   replica.first_token = 0;
   replica.per_token = 0;
   replica.tokens = tokens;
@@ -89,17 +90,17 @@
       [&] {
         while (asked < requests && asked - done < kAtOnce) {
           ++asked;
-          fleet.client().Ask(openai_front ? fleet.openai() : fleet.platform(),
-                             Request(openai_front, ++number, body, tokens), 30'000'000, [&](const Reply& r) {
-                               ++done;
-                               if (!any_status && (r.status != 200 || !r.whole)) {
-                                 std::fprintf(stderr, "answered %d, whole %d; the node says:\n%s", r.status,
-                                              r.whole, fleet.node().Log().c_str());
-                                 std::abort();
-                               }
-                               spent.bytes += r.body.size();
-                               spent.ms.push_back(static_cast<double>(r.ended - r.started) / 1000);
-                             });
+          fleet.client().Send(openai_front ? fleet.openai() : fleet.platform(),
+                              Request(openai_front, ++number, body, tokens), 30'000'000, [&](const Reply& r) {
+                                ++done;
+                                if (!any_status && (r.status != 200 || !r.complete)) {
+                                  std::fprintf(stderr, "answered %d, whole %d; the node says:\n%s", r.status,
+                                               r.complete, fleet.node().Log().c_str());
+                                  std::abort();
+                                }
+                                spent.bytes += r.body.size();
+                                spent.ms.push_back(static_cast<double>(r.ended - r.started) / 1000);
+                              });
         }
         return done == requests;
       },
--- a/bench/timeline_bench.cpp
+++ b/bench/timeline_bench.cpp
@@ -28,7 +28,8 @@
   constexpr std::size_t kTokens = 16;
   std::map<bool, std::unique_ptr<LocalFleet>> rigs;
   for (const bool on : {false, true}) {
-    rigs[on] = MakeRig(Speech::kPlatform, kTokens, on ? more : "", burst ? Fault::kError : Fault::kNone, 8);
+    rigs[on] =
+        MakeRig(ReplicaDialect::kPlatform, kTokens, on ? more : "", burst ? Fault::kError : Fault::kNone, 8);
   }
   std::map<bool, Cpu> total;
   std::map<bool, std::vector<double>> ms;
@@ -94,8 +95,8 @@
   FaultScenarioOptions o;
   o.seconds = static_cast<double>(state.range(0)) * 60;
   o.replicas = 24;
-  o.per_second = 400;
-  o.reasons = true;
+  o.requests_per_second = 400;
+  o.record_reasons = true;
   std::uint64_t records = 0;
   const std::string file = (directory / "long-1.flight").string(), plain = (directory / "raw").string();
   for (auto _ : state) {
--- a/lab/client.cpp
+++ b/lab/client.cpp
@@ -20,7 +20,7 @@
          body;
 }
 
-void Client::Ask(const std::string& to, std::string request, Time most, Done done) {
+void Client::Send(const std::string& to, std::string request, Time most, Done done) {
   const Handle handle = calls_.Add({});
   Call& c = *calls_.Get(handle);
   c.tcp = Tcp::New(run_->loop, run_->buffers, this, handle);
@@ -75,7 +75,7 @@
       return 0;
     };
     s.on_message_complete = [](http_parser* p) {
-      static_cast<Call*>(p->data)->reply.whole = true;
+      static_cast<Call*>(p->data)->reply.complete = true;
       http_parser_pause(p, 1);
       return 0;
     };
--- a/lab/client.h
+++ b/lab/client.h
@@ -16,7 +16,7 @@
   int status = 0;       // 0: nothing that could be read
   std::string headers;  // name: value lines, names in lower case
   std::string body;
-  bool whole = false;  // the last chunk, or all of its length, has come
+  bool complete = false;  // the last chunk, or all of its length, has come
   Time started = 0, first_byte = 0, ended = 0;
   std::string Header(const std::string& name) const;
 };
@@ -28,7 +28,7 @@
 
   // Sends `request` (its bytes as they are) to ip:port. `most` bounds the wait; what has come by then is
   // reported.
-  void Ask(const std::string& to, std::string request, Time most, Done done);
+  void Send(const std::string& to, std::string request, Time most, Done done);
   std::size_t open() const { return calls_.size(); }
 
   void OnConnected(Handle call, int status) override;
--- a/lab/cluster/real.cpp
+++ b/lab/cluster/real.cpp
@@ -19,7 +19,7 @@
 #include "base/gnuplot.h"
 #include "base/log.h"
 #include "http/blocking_client.h"
-#include "lab/directory.h"
+#include "lab/fake_discovery.h"
 #include "lab/fake_replica.h"
 #include "lab/load/load_client.h"
 #include "lab/node_process.h"
@@ -109,7 +109,7 @@
         [this](std::size_t a, std::size_t b) { return scenario_.LinkAt(a, b, Periods(Now())); });
     for (std::size_t i = 0; i < scenario_.replicas; ++i) {
       replicas_.push_back(std::make_unique<lab::FakeReplica>(
-          &run_, &rules_, lab::FakeReplicaOptions{.speech = lab::Speech::kPlatform}));
+          &run_, &rules_, lab::FakeReplicaOptions{.dialect = lab::ReplicaDialect::kPlatform}));
       const std::string at = replicas_.back()->Listen();
       replica_addresses_.push_back(at);
       directory_.Set(fmt::format("stand-in-{}", i), at);
@@ -394,7 +394,7 @@
       for (std::size_t k = 0; k < n.processes.size(); ++k) {
         lab::NodeProcess& p = *n.processes[k];
         const double cpu = p.pid() > 0 ? CpuOf(p.pid()) : 0;
-        const bool running = p.Running();
+        const bool running = p.IsRunning();
         ReadLog(i, k);
         if (running) continue;
         n.cpu += cpu;
@@ -473,9 +473,9 @@
         r.broken += of(load::Outcome::kBroken);
       }
     }
-    r.two_at_once = rules_.two_at_once;
+    r.two_at_once = rules_.overlapping_attempts;
     r.attempts = rules_.attempts;
-    r.spoilt = rules_.spoilt;
+    r.spoilt = rules_.faulty_attempts;
     r.peer_ejections = peer_ejections_;
     r.shares = shares_;
     if (scenario_.rate <= 0) return;
@@ -500,11 +500,11 @@
     const Time until = Now() + 15'000'000;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       for (const auto& p : nodes_[i].processes) {
-        while (p->Running() && Now() < until) {
+        while (p->IsRunning() && Now() < until) {
           deadlines_.Set(Now() + kPollInterval, [] {});
           uv_run(&loop_, UV_RUN_ONCE);
         }
-        if (p->Running()) {
+        if (p->IsRunning()) {
           p->Signal(SIGKILL);
           exits_.push_back(fmt::format("{} did not end on SIGTERM", scenario_.NodeName(i)));
         }
@@ -525,8 +525,8 @@
   BufferPool buffers_;
   Deadlines deadlines_;
   Runtime run_;
-  lab::Witness rules_;
-  lab::Directory directory_, other_directory_;  // the other's word is for nodes whose own way is at fault
+  lab::AttemptCounts rules_;
+  lab::FakeDiscovery directory_, other_directory_;  // the other's word is for nodes whose own way is at fault
   std::vector<std::unique_ptr<lab::FakeReplica>> replicas_;
   std::unique_ptr<Network> network_;
   InvariantChecker checker_;
--- a/lab/colon_parts.h
+++ b/lab/colon_parts.h
@@ -6,7 +6,7 @@
 
 namespace ryeglade::lab {
 
-inline std::vector<std::string> ColonParts(const std::string& text) {
+inline std::vector<std::string> SplitAtColons(const std::string& text) {
   std::vector<std::string> parts{""};
   for (const char c : text) {
     if (c == ':') {
--- a/lab/emulator/command.cpp
+++ b/lab/emulator/command.cpp
@@ -49,7 +49,7 @@
 }  // namespace
 
 FaultSpec ReadFault(const std::string& text) {
-  const std::vector<std::string> parts = lab::ColonParts(text);
+  const std::vector<std::string> parts = lab::SplitAtColons(text);
   const auto number = [&](std::size_t n, double fallback) {
     if (n >= parts.size()) return fallback;
     std::size_t used = 0;
--- a/lab/directory.cpp
+++ b/lab/fake_discovery.cpp
@@ -1,4 +1,4 @@
-#include "lab/directory.h"
+#include "lab/fake_discovery.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -8,7 +8,7 @@
 
 constexpr Time kBeat = 2'000'000;  // an empty line while nothing changes
 
-nlohmann::json Instance(const std::string& name, const std::string& host_port, const Listing& l) {
+nlohmann::json Instance(const std::string& name, const std::string& host_port, const DiscoveryEntry& l) {
   return {{"instanceId", name},
           {"hostPort", host_port},
           {"zone", l.zone},
@@ -21,10 +21,10 @@
 
 }  // namespace
 
-Directory::Directory(const Runtime* run)
+FakeDiscovery::FakeDiscovery(const Runtime* run)
     : run_(run), server_(run, this, {.listen = "127.0.0.1:0", .max_connections = 256, .admits = {}}) {}
 
-std::string Directory::Text(bool whole) const {
+std::string FakeDiscovery::Text(bool whole) const {
   nlohmann::json instances = nlohmann::json::array();
   for (const Entry& e : entries_) {
     if (whole && e.listing.lifecycle == "left") continue;
@@ -33,13 +33,14 @@
   return nlohmann::json({{"generation", generation_}, {"reset", whole}, {"instances", instances}}).dump();
 }
 
-void Directory::Set(const std::string& name, const std::string& host_port, const std::string& lifecycle) {
-  Listing listing;
+void FakeDiscovery::Set(const std::string& name, const std::string& host_port, const std::string& lifecycle) {
+  DiscoveryEntry listing;
   listing.lifecycle = lifecycle;
   Set(name, host_port, listing);
 }
 
-void Directory::Set(const std::string& name, const std::string& host_port, const Listing& listing) {
+void FakeDiscovery::Set(const std::string& name, const std::string& host_port,
+                        const DiscoveryEntry& listing) {
   const auto it =
       std::find_if(entries_.begin(), entries_.end(), [&](const Entry& e) { return e.name == name; });
   if (it == entries_.end()) {
@@ -52,17 +53,17 @@
       {"generation", generation_}, {"reset", false}, {"instances", {Instance(name, host_port, listing)}}};
   if (silent_ || watches_.empty()) return;
   for (const Handle watch : watches_) server_.Chunk(watch, change.dump() + "\n");
-  if (told_) told_(name, listing.lifecycle);
+  if (listed_callback_) listed_callback_(name, listing.lifecycle);
 }
 
-void Directory::SetDark(bool dark) {
+void FakeDiscovery::SetUnavailable(bool dark) {
   dark_ = dark;
   const std::set<Handle> watches = watches_;
   watches_.clear();
   for (const Handle watch : watches) server_.Abort(watch);
 }
 
-void Directory::OnRequest(Handle connection, HttpRequest request) {
+void FakeDiscovery::OnRequest(Handle connection, HttpRequest request) {
   if (dark_) return server_.Abort(connection);
   if (!request.target.starts_with("/catalog/members")) return server_.Reply(connection, 404, "", "");
   if (silent_) return;
@@ -71,25 +72,25 @@
   run_->deadlines->Set(Now() + slow_by_, [this, connection, follow] { Answer(connection, follow); });
 }
 
-void Directory::Answer(Handle connection, bool follow) {
+void FakeDiscovery::Answer(Handle connection, bool follow) {
   if (dark_ || silent_ || !server_.Connected(connection)) return;
   if (!follow) {
     server_.Reply(connection, 200, "Content-Type: application/json\r\n", Text(true));
-    return TellAll();
+    return AnnounceAll();
   }
   watches_.insert(connection);
   server_.BeginChunks(connection, "Content-Type: application/json\r\n");
   server_.Chunk(connection, Text(true) + "\n");
-  TellAll();
+  AnnounceAll();
   if (!beating_) Beat();
 }
 
-void Directory::TellAll() {
-  if (!told_) return;
-  for (const Entry& e : entries_) told_(e.name, e.listing.lifecycle);
+void FakeDiscovery::AnnounceAll() {
+  if (!listed_callback_) return;
+  for (const Entry& e : entries_) listed_callback_(e.name, e.listing.lifecycle);
 }
 
-void Directory::Beat() {
+void FakeDiscovery::Beat() {
   beating_ = !watches_.empty();
   if (!beating_) return;
   run_->deadlines->Set(Now() + kBeat, [this] {
--- a/lab/directory.h
+++ b/lab/fake_discovery.h
@@ -14,30 +14,30 @@
 namespace ryeglade::lab {
 
 // What discovery tells of a replica beside its name and address.
-struct Listing {
+struct DiscoveryEntry {
   std::string lifecycle = "active";  // "active", "leaving" or "left"
   std::string zone = "z";
   int cell = 0;
   std::int64_t started_at_ms = 0;
 };
 
-class Directory : public Front {
+class FakeDiscovery : public Front {
  public:
-  explicit Directory(const Runtime* run);
+  explicit FakeDiscovery(const Runtime* run);
   std::string Listen() { return server_.Listen(); }
   void Close() { server_.Close(); }
   // Name and ip:port; lifecycle as discovery tells it: "active", "leaving" or "left".
   void Set(const std::string& name, const std::string& host_port, const std::string& lifecycle = "active");
-  void Set(const std::string& name, const std::string& host_port, const Listing& listing);
+  void Set(const std::string& name, const std::string& host_port, const DiscoveryEntry& listing);
   // Dark: watches are cut off without a word, and every call is closed unanswered.
-  void SetDark(bool dark);
+  void SetUnavailable(bool dark);
   // Silent: calls are taken and never answered, watches say nothing more.
   void SetSilent(bool silent) { silent_ = silent; }
   // Answers to calls come so much later, microseconds.
-  void SetSlow(Time by) { slow_by_ = by; }
+  void SetReplyDelay(Time by) { slow_by_ = by; }
   // Called with a name and its lifecycle each time that a caller is told of it.
-  void OnTold(std::function<void(const std::string& name, const std::string& lifecycle)> told) {
-    told_ = std::move(told);
+  void SetListedCallback(std::function<void(const std::string& name, const std::string& lifecycle)> told) {
+    listed_callback_ = std::move(told);
   }
   std::string Text(bool whole) const;  // the list as discovery sends it
 
@@ -48,10 +48,10 @@
  private:
   struct Entry {
     std::string name, host_port;
-    Listing listing;
+    DiscoveryEntry listing;
   };
   void Answer(Handle connection, bool follow);
-  void TellAll();
+  void AnnounceAll();
   void Beat();
 
   const Runtime* run_;
@@ -61,7 +61,7 @@
   int generation_ = 1;
   bool beating_ = false, dark_ = false, silent_ = false;
   Time slow_by_ = 0;
-  std::function<void(const std::string&, const std::string&)> told_;
+  std::function<void(const std::string&, const std::string&)> listed_callback_;
 };
 
 }  // namespace ryeglade::lab
--- a/lab/fake_replica.cpp
+++ b/lab/fake_replica.cpp
@@ -16,9 +16,9 @@
 
 }  // namespace
 
-FakeReplica::FakeReplica(const Runtime* run, Witness* witness, FakeReplicaOptions options)
+FakeReplica::FakeReplica(const Runtime* run, AttemptCounts* attempt_counts, FakeReplicaOptions options)
     : run_(run),
-      witness_(witness),
+      attempt_counts_(attempt_counts),
       options_(options),
       chance_(options.seed, emulator::RandomPurpose::kFailures, options.number),
       server_(
@@ -28,7 +28,7 @@
 std::string FakeReplica::Listen() { return server_.Listen(); }
 
 void FakeReplica::Turn(Handle connection, int status) {
-  if (options_.speech == Speech::kPlatform) {
+  if (options_.dialect == ReplicaDialect::kPlatform) {
     const bool away = status == 429;
     return server_.Reply(connection, away ? 503 : status, away ? "X-Rejected: 1\r\n" : "", "");
   }
@@ -60,26 +60,26 @@
   Job job;
   job.prompt = PromptKey(body);
   job.chat = chat;
-  job.usage = options_.speech == Speech::kPlatform || read.body->include_usage;
+  job.usage = options_.dialect == ReplicaDialect::kPlatform || read.body->include_usage;
   job.prompt_tokens = read.body->prompt_bytes / kBytesPerToken + 1;
   job.tokens = options_.tokens;
   if (read.body->max_tokens) {
     job.max_tokens = *read.body->max_tokens;
     job.tokens = std::min(job.tokens, static_cast<std::size_t>(job.max_tokens));
   }
-  job.fault = MarkIn(body);
+  job.fault = FaultInPrompt(body);
   if (job.fault == Fault::kNone && chance_.Chance(options_.fault_share)) job.fault = options_.fault;
-  if (options_.tap != nullptr) {
-    options_.tap->OnTaken(options_.number, connection, request, server_.PeerOf(connection));
+  if (options_.observer != nullptr) {
+    options_.observer->OnRequestReceived(options_.number, connection, request, server_.PeerOf(connection));
   }
-  ++witness_->attempts;
-  const int before = witness_->seen[job.prompt]++;
-  if (witness_->running[job.prompt]++ > 0) ++witness_->two_at_once;
+  ++attempt_counts_->attempts;
+  const int before = attempt_counts_->seen[job.prompt]++;
+  if (attempt_counts_->running[job.prompt]++ > 0) ++attempt_counts_->overlapping_attempts;
   const Fault once = job.fault;
   if (once == Fault::kResetOnce) job.fault = before == 0 ? Fault::kResetBefore : Fault::kNone;
   if (once == Fault::kBusyOnce) job.fault = before == 0 ? Fault::kBusy : Fault::kNone;
   if (once == Fault::kErrorOnce) job.fault = before == 0 ? Fault::kError : Fault::kNone;
-  if (job.fault != Fault::kNone) ++witness_->spoilt;
+  if (job.fault != Fault::kNone) ++attempt_counts_->faulty_attempts;
   const bool full = static_cast<int>(waiting_.size()) >= options_.queue;
   jobs_[connection] = job;
   if (job.fault == Fault::kBusy || full) {
@@ -99,19 +99,19 @@
   Next();
 }
 
-void FakeReplica::OnClientDisconnected(Handle connection) { End(connection, FakeAttemptEnd::kNodeClosed); }
+void FakeReplica::OnClientDisconnected(Handle connection) { End(connection, FakeAttemptEnd::kClosedByNode); }
 
 void FakeReplica::Send(Handle connection, const std::string& events) {
-  if (options_.tap != nullptr) options_.tap->OnEvents(options_.number, connection, events);
+  if (options_.observer != nullptr) options_.observer->OnResponseBytes(options_.number, connection, events);
   server_.Chunk(connection, events);
 }
 
 void FakeReplica::End(Handle connection, FakeAttemptEnd how) {
   const auto it = jobs_.find(connection);
   if (it == jobs_.end()) return;
-  if (options_.tap != nullptr) options_.tap->OnOver(options_.number, connection, how);
+  if (options_.observer != nullptr) options_.observer->OnAttemptEnded(options_.number, connection, how);
   run_->deadlines->Cancel(it->second.next);
-  --witness_->running[it->second.prompt];
+  --attempt_counts_->running[it->second.prompt];
   if (it->second.running) {
     --running_;
   } else {
@@ -136,10 +136,10 @@
   Job& job = jobs_.at(connection);
   job.begun = true;
   server_.BeginChunks(connection, "Content-Type: text/event-stream\r\n");
-  if (options_.speech == Speech::kOpenAi) Send(connection, ": stand-in\n\n");
+  if (options_.dialect == ReplicaDialect::kOpenAi) Send(connection, ": stand-in\n\n");
   if (job.fault == Fault::kErrorFirst) {
     Send(connection, "data: {\"error\":{\"message\":\"stand-in failed\",\"type\":\"stand_in\"}}\n\n");
-    End(connection, FakeAttemptEnd::kWhole);
+    End(connection, FakeAttemptEnd::kCompleted);
     return server_.EndChunks(connection);
   }
   Step(connection);
@@ -147,13 +147,13 @@
 
 std::string FakeReplica::Event(const Job& job, const std::string& text, bool last) const {
   const std::string head =
-      options_.speech == Speech::kPlatform
+      options_.dialect == ReplicaDialect::kPlatform
           ? ""
           : fmt::format(
                 "\"id\":\"{}-{:016x}\",\"object\":\"{}\",\"created\":1700000000,\"model\":\"stand-in\",",
                 job.chat ? "chatcmpl" : "cmpl", job.prompt,
                 job.chat ? "chat.completion.chunk" : "text_completion");
-  const std::string piece = job.chat || options_.speech == Speech::kPlatform
+  const std::string piece = job.chat || options_.dialect == ReplicaDialect::kPlatform
                                 ? fmt::format("\"delta\":{{\"content\":{}}}", openai::QuoteJson(text))
                                 : fmt::format("\"text\":{}", openai::QuoteJson(text));
   return fmt::format("data: {{{}\"choices\":[{{\"index\":0,{},\"finish_reason\":{}}}]}}\n\n", head, piece,
@@ -171,7 +171,7 @@
     if (job.fault == Fault::kStall) return;
     if (job.fault == Fault::kErrorEvent) {
       Send(connection, "data: {\"error\":{\"message\":\"stand-in failed\",\"type\":\"stand_in\"}}\n\n");
-      End(connection, FakeAttemptEnd::kWhole);
+      End(connection, FakeAttemptEnd::kCompleted);
       return server_.EndChunks(connection);
     }
   }
@@ -213,7 +213,7 @@
   const Job job = jobs_.at(connection);
   if (job.usage && job.fault != Fault::kNoUsage) Send(connection, Usage(job));
   if (job.fault != Fault::kNoDone) Send(connection, "data: [DONE]\n\n");
-  End(connection, FakeAttemptEnd::kWhole);
+  End(connection, FakeAttemptEnd::kCompleted);
   server_.EndChunks(connection);
 }
 
--- a/lab/fake_replica.h
+++ b/lab/fake_replica.h
@@ -17,49 +17,50 @@
 
 namespace ryeglade::lab {
 
-enum class Speech : std::uint8_t { kPlatform, kOpenAi };
+enum class ReplicaDialect : std::uint8_t { kPlatform, kOpenAi };
 
 // How an attempt at a stand-in was over.
-enum class FakeAttemptEnd : std::uint8_t { kWhole, kRejected, kError, kReset, kNodeClosed };
+enum class FakeAttemptEnd : std::uint8_t { kCompleted, kRejected, kError, kReset, kClosedByNode };
 
 // Sees every attempt at a stand-in, as it happens. Must not call back.
 class AttemptObserver {
  public:
   virtual ~AttemptObserver() = default;
   // The last byte of its request has come; `from` is where the connection comes from.
-  virtual void OnTaken(std::size_t replica, Handle connection, const HttpRequest& request,
-                       const sockaddr_storage& from) = 0;
-  virtual void OnEvents(std::size_t replica, Handle connection, std::string_view bytes) = 0;  // of its body
-  virtual void OnOver(std::size_t replica, Handle connection, FakeAttemptEnd how) = 0;
+  virtual void OnRequestReceived(std::size_t replica, Handle connection, const HttpRequest& request,
+                                 const sockaddr_storage& from) = 0;
+  virtual void OnResponseBytes(std::size_t replica, Handle connection,
+                               std::string_view bytes) = 0;  // of its body
+  virtual void OnAttemptEnded(std::size_t replica, Handle connection, FakeAttemptEnd how) = 0;
 };
 
 struct FakeReplicaOptions {
-  Speech speech = Speech::kOpenAi;
+  ReplicaDialect dialect = ReplicaDialect::kOpenAi;
   std::uint64_t seed = 1;
   Time first_token = 20'000;  // microseconds, once it is its turn
   Time per_token = 2'000;
   int tokens_per_event = 4;
-  int batch = 16;                  // answered side by side
-  int queue = 32;                  // waiting beyond that; more is turned away
-  Fault fault = Fault::kNone;      // of every request that has no mark of its own
-  std::size_t tokens = 64;         // of an answer whose request sets no max_tokens
-  double fault_share = 1;          // of the requests that `fault` befalls
-  std::size_t number = 0;          // by which the tap knows it
-  AttemptObserver* tap = nullptr;  // null: nobody listens
+  int batch = 16;                       // answered side by side
+  int queue = 32;                       // waiting beyond that; more is turned away
+  Fault fault = Fault::kNone;           // of every request that has no mark of its own
+  std::size_t tokens = 64;              // of an answer whose request sets no max_tokens
+  double fault_share = 1;               // of the requests that `fault` befalls
+  std::size_t number = 0;               // by which the tap knows it
+  AttemptObserver* observer = nullptr;  // null: nobody listens
 };
 
 // What all stand-ins of one test saw together, and the rules that they check.
-struct Witness {
+struct AttemptCounts {
   std::unordered_map<std::uint64_t, int> seen;     // attempts of each prompt
   std::unordered_map<std::uint64_t, int> running;  // of them out now
   std::uint64_t attempts = 0;
-  std::uint64_t two_at_once = 0;  // a broken rule
-  std::uint64_t spoilt = 0;       // attempts that were done wrong
+  std::uint64_t overlapping_attempts = 0;  // a broken rule
+  std::uint64_t faulty_attempts = 0;       // attempts that were done wrong
 };
 
 class FakeReplica : public Front {
  public:
-  FakeReplica(const Runtime* run, Witness* witness, FakeReplicaOptions options);
+  FakeReplica(const Runtime* run, AttemptCounts* attempt_counts, FakeReplicaOptions options);
   std::string Listen();  // its ip:port
   void Close() {
     if (!std::exchange(closed_, true)) server_.Close();
@@ -93,7 +94,7 @@
   std::string Usage(const Job& job) const;
 
   const Runtime* run_;
-  Witness* witness_;
+  AttemptCounts* attempt_counts_;
   FakeReplicaOptions options_;
   emulator::RandomStream chance_;
   Downstream server_;
--- a/lab/fault.h
+++ b/lab/fault.h
@@ -37,11 +37,11 @@
 };
 
 const char* Name(Fault fault);
-std::optional<Fault> FaultOf(std::string_view word);
-std::vector<std::string> FaultWords();
+std::optional<Fault> ParseFault(std::string_view word);
+std::vector<std::string> FaultNames();
 
 // The mark that a prompt holds: "#fault=WORD".
 inline constexpr std::string_view kFaultMark = "#fault=";
-Fault MarkIn(std::string_view body);
+Fault FaultInPrompt(std::string_view body);
 
 }  // namespace ryeglade::lab
--- a/lab/fault_scenarios.cpp
+++ b/lab/fault_scenarios.cpp
@@ -33,9 +33,9 @@
 using timeline::Record;
 using timeline::Start;
 
-constexpr const char* kWords[] = {"none",       "errors",       "slow", "full",     "cut-off", "loaded",
-                                  "fleet-slow", "fleet-errors", "dark", "replaced", "drained"};
-static_assert(std::size(kWords) == static_cast<std::size_t>(ScriptedFault::kCount));
+constexpr const char* kFaultNames[] = {"none",       "errors",       "slow", "full",     "cut-off", "loaded",
+                                       "fleet-slow", "fleet-errors", "dark", "replaced", "drained"};
+static_assert(std::size(kFaultNames) == static_cast<std::size_t>(ScriptedFault::kCount));
 
 const std::string kSettings =
     "classes.count=1\nclasses.0.name=docs\nclasses.0.promise=2000000\nclasses.0.deadline=8000000\n"
@@ -61,7 +61,7 @@
         failing_(o.seed, kFailing),
         router_(wire::ReadSettings(kSettings), o.seed, o.begin + o.clock),
         now_(o.begin) {
-    if (o.reasons) router_.SetObserver(this);
+    if (o.record_reasons) router_.SetObserver(this);
   }
 
   FaultScenarioResult Play() {
@@ -78,19 +78,19 @@
     }
     result_.victim = 0x1000U + static_cast<ReplicaId>(o_.seed % static_cast<std::uint64_t>(o_.replicas));
     List(EndpointListScope::kFull, "watch");
-    const Time from = o_.begin + static_cast<Time>(o_.at * 1e6),
-               to = from + static_cast<Time>(o_.lasts * 1e6);
-    result_.from = from + o_.clock;
-    result_.to = to + o_.clock;
+    const Time from = o_.start_time + static_cast<Time>(o_.fault_at * 1e6),
+               to = from + static_cast<Time>(o_.fault_seconds * 1e6);
+    result_.from = from + o_.clock_offset;
+    result_.to = to + o_.clock_offset;
     // The list changes a little now and then, so that generations pass.
     for (int k = 1; k * 30 < static_cast<int>(o_.seconds); ++k)
       After(static_cast<Time>(k) * 30'000'000, [this] { List(EndpointListScope::kDelta, "watch"); });
-    if (o_.thing != ScriptedFault::kNone) {
+    if (o_.fault != ScriptedFault::kNone) {
       At(from, [this] { Begin(); });
       At(to, [this] { End(); });
     }
     Arrive();
-    const Time end = o_.begin + static_cast<Time>(o_.seconds * 1e6);
+    const Time end = o_.start_time + static_cast<Time>(o_.seconds * 1e6);
     while (!queue_.empty() && queue_.top().at <= end) {
       const Item item = queue_.top();
       queue_.pop();
@@ -126,7 +126,7 @@
     bool operator<(const Item& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
   };
 
-  Time Clock() const { return now_ + o_.clock; }
+  Time Clock() const { return now_ + o_.clock_offset; }
   void At(Time when, std::function<void()> what) {
     queue_.push({std::max(when, now_), ++order_});
     todo_[order_] = std::move(what);
@@ -170,7 +170,7 @@
   }
 
   void Arrive() {
-    boost::random::exponential_distribution<double> gap(o_.per_second * rate_);
+    boost::random::exponential_distribution<double> gap(o_.requests_per_second * rate_);
     After(gap(arrivals_), [this] {
       boost::random::lognormal_distribution<double> prompt(std::log(700.0), 0.8), answer(std::log(60.0), 0.5);
       boost::random::uniform_int_distribution<int> rank(1, 36);
@@ -192,10 +192,10 @@
     });
   }
 
-  bool Bad(ReplicaId id, ScriptedFault thing) const {
-    return on_ && o_.thing == thing && id == result_.victim;
+  bool Bad(ReplicaId id, ScriptedFault fault) const {
+    return on_ && o_.fault == fault && id == result_.victim;
   }
-  bool AllBad(ScriptedFault thing) const { return on_ && o_.thing == thing; }
+  bool AllBad(ScriptedFault fault) const { return on_ && o_.fault == fault; }
 
   void Send(const SendAttempt& send) {
     const int attempt = attempts_[send.id]++;
@@ -257,7 +257,7 @@
 
   void Begin() {
     on_ = true;
-    if (o_.thing == ScriptedFault::kDark) {
+    if (o_.fault == ScriptedFault::kDark) {
       dark_ = true;
       sink_(EndpointListRecord{Clock(), "watch", generation_, "silent", false});
       Give(EndpointList{EndpointListScope::kFailed, 0, {}});
@@ -267,23 +267,23 @@
       for (const auto& [id, s] : servers_) {
         if (n++ % 2 == 0) gone.push_back(id);
       }
-      for (const ReplicaId id : gone) PutAnother(id);
-    } else if (o_.thing == ScriptedFault::kReplaced) {
-      PutAnother(result_.victim);
+      for (const ReplicaId id : gone) ReplaceReplica(id);
+    } else if (o_.fault == ScriptedFault::kReplaced) {
+      ReplaceReplica(result_.victim);
       List(EndpointListScope::kFull, "watch");
-    } else if (o_.thing == ScriptedFault::kDrained) {
+    } else if (o_.fault == ScriptedFault::kDrained) {
       rate_ = 2;
       servers_.at(result_.victim).entry.state = EndpointState::kDraining;
       List(EndpointListScope::kDelta, "watch");
     }
-    if (o_.burst_failures > 0) CoalescedDecisions();
+    if (o_.burst_failures_per_second > 0) CoalescedDecisions();
   }
 
   void End() {
     on_ = false;
     rate_ = 1;
     if (std::exchange(dark_, false)) List(EndpointListScope::kFull, "watch");
-    if (o_.thing == ScriptedFault::kDrained) {
+    if (o_.fault == ScriptedFault::kDrained) {
       servers_.at(result_.victim).entry.state = EndpointState::kReady;
       List(EndpointListScope::kDelta, "watch");
     }
@@ -291,7 +291,7 @@
 
   // What runs there is lost.
   // Another server starts in its place, under a number and a name of its own.
-  void PutAnother(ReplicaId id) {
+  void ReplaceReplica(ReplicaId id) {
     Server fresh = servers_.at(id);
     Kill(id);
     fresh.entry.id += 0x100000;
@@ -321,7 +321,7 @@
         Give(AttemptEnded{send.id, attempts_[send.id]++, send.replica, Outcome::kReset, 300, false, 0, {}});
       });
     }
-    After(100 / o_.burst_failures, [this] { CoalescedDecisions(); });
+    After(100 / o_.burst_failures_per_second, [this] { CoalescedDecisions(); });
   }
 
   FaultScenarioOptions o_;
@@ -344,9 +344,9 @@
 };
 
 // The event that a bad thing ought to raise.
-bool Fits(ScriptedFault thing, const Anomaly& u, ReplicaId victim) {
+bool Fits(ScriptedFault fault, const Anomaly& u, ReplicaId victim) {
   const bool victims = !u.fleet && u.replica == victim;
-  switch (thing) {
+  switch (fault) {
     case ScriptedFault::kErrors:
       return victims && u.kind == AnomalyKind::kErrors;
     case ScriptedFault::kSlow:
@@ -370,13 +370,13 @@
 
 }  // namespace
 
-const char* Name(ScriptedFault thing) { return kWords[static_cast<std::size_t>(thing)]; }
+const char* Name(ScriptedFault fault) { return kFaultNames[static_cast<std::size_t>(fault)]; }
 
-ScriptedFault BadThingOf(const std::string& word) {
+ScriptedFault ParseScriptedFault(const std::string& word) {
   std::string all;
-  for (std::size_t n = 0; n < std::size(kWords); ++n) {
-    if (word == kWords[n]) return static_cast<ScriptedFault>(n);
-    all += std::string(all.empty() ? "" : ", ") + kWords[n];
+  for (std::size_t n = 0; n < std::size(kFaultNames); ++n) {
+    if (word == kFaultNames[n]) return static_cast<ScriptedFault>(n);
+    all += std::string(all.empty() ? "" : ", ") + kFaultNames[n];
   }
   throw std::runtime_error("'" + word + "' is no bad thing; there are " + all);
 }
@@ -406,8 +406,8 @@
     file << timeline::MakeBlock(block, number++);
     block.clear();
     if (progress && number % 64 == 0)
-      progress(static_cast<double>(timeline::RecordTime(record) - options.clock - options.begin) / 1e6 /
-               options.seconds);
+      progress(static_cast<double>(timeline::RecordTime(record) - options.clock_offset - options.start_time) /
+               1e6 / options.seconds);
   });
   if (!block.empty()) file << timeline::MakeBlock(block, number);
   if (!file.flush()) throw std::runtime_error("cannot write " + path);
@@ -423,17 +423,17 @@
   std::vector<DetectionRow> rows;
   int done = 0;
   const int all = calm_hours + hours_each * (static_cast<int>(std::size(kThings)) - 1);
-  for (const ScriptedFault thing : kThings) {
+  for (const ScriptedFault fault : kThings) {
     DetectionRow row;
-    row.thing = thing;
-    const int hours = thing == ScriptedFault::kNone ? calm_hours : hours_each;
+    row.fault = fault;
+    const int hours = fault == ScriptedFault::kNone ? calm_hours : hours_each;
     for (int n = 0; n < hours; ++n) {
       FaultScenarioOptions o;
-      o.seed = 1000 + static_cast<std::uint64_t>(n) * 7 + static_cast<std::uint64_t>(thing) * 1000;
-      o.seconds = thing == ScriptedFault::kNone ? 3600 : 480;
-      o.at = 240;
-      o.thing = thing;
-      o.reasons = false;
+      o.seed = 1000 + static_cast<std::uint64_t>(n) * 7 + static_cast<std::uint64_t>(fault) * 1000;
+      o.seconds = fault == ScriptedFault::kNone ? 3600 : 480;
+      o.fault_at = 240;
+      o.fault = fault;
+      o.record_reasons = false;
       std::vector<Anomaly> events;
       timeline::AnomalyDetector watch([&](const Anomaly& u) {
         if (u.begins) events.push_back(u);
@@ -444,8 +444,8 @@
       for (const Anomaly& u : events) {
         // What follows from the bad thing while it lasts, and as the fleet settles behind it, is its doing.
         const bool its =
-            thing != ScriptedFault::kNone && u.now >= result.from && u.now < result.to + 30'000'000;
-        if (its && Fits(thing, u, result.victim) && first < 0)
+            fault != ScriptedFault::kNone && u.now >= result.from && u.now < result.to + 30'000'000;
+        if (its && Fits(fault, u, result.victim) && first < 0)
           first = static_cast<double>(u.now - result.from) / 1e6;
         if (!its) ++row.other;
       }
@@ -473,8 +473,8 @@
                        r.delays[static_cast<std::size_t>(q * static_cast<double>(r.delays.size() - 1))]);
     };
     out += fmt::format("{:<14} {:>6} {:>6} {:>10} {:>10} {:>10} {:>13}\n",
-                       r.thing == ScriptedFault::kNone ? "calm (3600 s)" : Name(r.thing), r.hours,
-                       r.thing == ScriptedFault::kNone ? std::string("-") : std::to_string(r.found), at(0.5),
+                       r.fault == ScriptedFault::kNone ? "calm (3600 s)" : Name(r.fault), r.hours,
+                       r.fault == ScriptedFault::kNone ? std::string("-") : std::to_string(r.found), at(0.5),
                        at(0.9), at(1), r.other);
   }
   return out;
--- a/lab/fault_scenarios.h
+++ b/lab/fault_scenarios.h
@@ -34,21 +34,21 @@
   kDrained,      // one replica drains in the middle of a burst of traffic
   kCount
 };
-const char* Name(ScriptedFault thing);
-ScriptedFault BadThingOf(const std::string& word);  // throws std::runtime_error listing the words
+const char* Name(ScriptedFault fault);
+ScriptedFault ParseScriptedFault(const std::string& word);  // throws std::runtime_error listing the words
 
 struct FaultScenarioOptions {
   std::uint64_t seed = 1;
   std::string node = "n0";
   double seconds = 600;
   int replicas = 12;
-  double per_second = 60;
-  ScriptedFault thing = ScriptedFault::kNone;
-  double at = 300, lasts = 60;  // seconds from the begin
-  Time clock = 0;               // microseconds that this node's clock is ahead
-  Time begin = 1'760'000'000'000'000;
-  double burst_failures = 0;  // attempts a second that fail at once while the bad thing lasts
-  bool reasons = true;
+  double requests_per_second = 60;
+  ScriptedFault fault = ScriptedFault::kNone;
+  double fault_at = 300, fault_seconds = 60;  // seconds from the begin
+  Time clock_offset = 0;                      // microseconds that this node's clock is ahead
+  Time start_time = 1'760'000'000'000'000;
+  double burst_failures_per_second = 0;  // attempts a second that fail at once while the bad thing lasts
+  bool record_reasons = true;
 };
 
 struct FaultScenarioResult {
@@ -68,7 +68,7 @@
 
 // Detection: what the watch makes of seeded hours, calm ones and ones with a bad thing.
 struct DetectionRow {
-  ScriptedFault thing = ScriptedFault::kNone;
+  ScriptedFault fault = ScriptedFault::kNone;
   int hours = 0, found = 0;
   std::vector<double> delays;  // seconds from its begin to the event, of those found
   int other = 0;               // events that are not its doing
--- a/lab/live_fault_scenario.cpp
+++ b/lab/live_fault_scenario.cpp
@@ -34,42 +34,42 @@
   replica.first_token = 30'000;
   replica.per_token = 2'000;
   options.replicas.assign(o.replicas, replica);
-  options.more_settings = "[timeline]\ndirectory = \"" + o.record + "\"\n" + o.more_timeline;
+  options.extra_settings = "[timeline]\ndirectory = \"" + o.record + "\"\n" + o.extra_timeline_settings;
   LocalFleet fleet(options);
   LiveFaultScenarioResult result;
   FakeReplica& victim = *fleet.replicas().front();
   const std::string name = "stand-in-0", address = fleet.address(0);
   if (o.name != "dark") result.victim = name;
 
-  double rate = o.per_second;
+  double rate = o.requests_per_second;
   const auto begin = [&] {
-    if (o.name == "dark") fleet.directory().SetDark(true);
+    if (o.name == "dark") fleet.discovery().SetUnavailable(true);
     if (o.name == "slow") victim.options().first_token = 600'000;
     if (o.name == "erroring") victim.options().fault = Fault::kError;
     if (o.name == "cut-off") victim.Close();
     if (o.name == "replaced") {
-      fleet.directory().Set(name, address, "left");
-      fleet.directory().Set(name + "-b", address);
+      fleet.discovery().Set(name, address, "left");
+      fleet.discovery().Set(name + "-b", address);
     }
     if (o.name == "drained") {
-      rate = 2 * o.per_second;
-      fleet.directory().Set(name, address, "leaving");
+      rate = 2 * o.requests_per_second;
+      fleet.discovery().Set(name, address, "leaving");
     }
   };
   const auto end = [&] {
     if (o.name == "dark") {
       // Half of the fleet goes by other names by then.
       for (std::size_t i = 0; i < o.replicas / 2; ++i) {
-        fleet.directory().Set(fmt::format("stand-in-{}", i), fleet.address(i), "left");
-        fleet.directory().Set(fmt::format("stand-in-{}-b", i), fleet.address(i));
+        fleet.discovery().Set(fmt::format("stand-in-{}", i), fleet.address(i), "left");
+        fleet.discovery().Set(fmt::format("stand-in-{}-b", i), fleet.address(i));
       }
-      fleet.directory().SetDark(false);
+      fleet.discovery().SetUnavailable(false);
     }
     if (o.name == "slow") victim.options().first_token = 30'000;
     if (o.name == "erroring") victim.options().fault = Fault::kNone;
     if (o.name == "drained") {
-      rate = o.per_second;
-      fleet.directory().Set(name, address);
+      rate = o.requests_per_second;
+      fleet.discovery().Set(name, address);
     }
   };
   const Time from = Now(), over = from + static_cast<Time>(o.seconds * 1e6);
@@ -88,12 +88,12 @@
     }
     while (now < over && next <= now) {
       next += static_cast<Time>(1e6 / rate);
-      fleet.client().Ask(fleet.openai(), Post("/v1/chat/completions", "", Prompt(result.asked++)), 20'000'000,
-                         [&](const Reply& r) {
-                           ++result.answered;
-                           ++result.statuses[r.status];
-                           if (r.status == 200 && !r.whole) ++result.broken;
-                         });
+      fleet.client().Send(fleet.openai(), Post("/v1/chat/completions", "", Prompt(result.asked++)),
+                          20'000'000, [&](const Reply& r) {
+                            ++result.answered;
+                            ++result.statuses[r.status];
+                            if (r.status == 200 && !r.complete) ++result.broken;
+                          });
     }
     if (o.progress && now - told > 1'000'000) {
       told = now;
@@ -102,9 +102,9 @@
     fleet.Until([] { return false; }, 5'000);
     if (now > over + 30'000'000) break;
   }
-  result.two_at_once = fleet.witness().two_at_once;
+  result.overlapping_attempts = fleet.attempt_counts().overlapping_attempts;
   fleet.node().Signal(15);
-  fleet.Until([&] { return !fleet.node().Running(); }, 20'000'000);
+  fleet.Until([&] { return !fleet.node().IsRunning(); }, 20'000'000);
   result.exit_code = fleet.node().Stop();
   result.log = fleet.node().Log();
   return result;
--- a/lab/live_fault_scenario.h
+++ b/lab/live_fault_scenario.h
@@ -21,9 +21,9 @@
   std::string name;     // one of LiveFaultScenarioNames(); throws std::runtime_error for others
   std::string record;   // directory for the flight record
   double seconds = 30;  // the bad thing begins after a third and ends after two
-  double per_second = 40;
+  double requests_per_second = 40;
   std::size_t replicas = 6;
-  std::string more_timeline;  // TOML of [timeline]
+  std::string extra_timeline_settings;  // TOML of [timeline]
   std::function<void(double done)> progress;
 };
 
@@ -31,9 +31,9 @@
   std::string victim;  // the replica that it happened to; empty: the roster
   std::map<int, std::uint64_t> statuses;
   std::uint64_t asked = 0, answered = 0, broken = 0;
-  std::uint64_t two_at_once = 0;  // a broken rule
-  int exit_code = 0;              // of the node
-  std::string log;                // the node's
+  std::uint64_t overlapping_attempts = 0;  // a broken rule
+  int exit_code = 0;                       // of the node
+  std::string log;                         // the node's
 };
 
 LiveFaultScenarioResult PlayLiveFaultScenario(const LiveFaultScenarioOptions& options);
--- a/lab/load/agreement.cpp
+++ b/lab/load/agreement.cpp
@@ -38,7 +38,7 @@
   ro.program = o.program;
   ro.key = "lab";
   lab::FakeReplicaOptions r;
-  r.speech = lab::Speech::kPlatform;
+  r.dialect = lab::ReplicaDialect::kPlatform;
   r.first_token = static_cast<Time>(o.token_ms * 1000);
   r.per_token = static_cast<Time>(o.token_ms * 1000);
   r.tokens_per_event = 1;
@@ -46,7 +46,7 @@
   r.queue = o.queue;
   r.tokens = kMostTokens;
   ro.replicas.assign(static_cast<std::size_t>(o.replicas), r);
-  ro.promise_ms = kAim / 1000;
+  ro.latency_objective_ms = kAim / 1000;
   ro.deadline_ms = kDeadline / 1000;
   lab::LocalFleet fleet(ro);
   LoadTarget target;
--- a/lab/load/command.cpp
+++ b/lab/load/command.cpp
@@ -21,7 +21,7 @@
 
 // "docs:0.7" or "agent:0.3:1.5:8:9": name, share, aim and deadline in seconds, worth.
 LoadClass ReadClass(const std::string& text) {
-  const std::vector<std::string> parts = lab::ColonParts(text);
+  const std::vector<std::string> parts = lab::SplitAtColons(text);
   LoadClass c;
   c.name = parts[0];
   if (c.name != "docs" && c.name != "agent")
--- a/lab/local_fleet.cpp
+++ b/lab/local_fleet.cpp
@@ -25,16 +25,17 @@
       deadlines_(Init(&loop_)),
       run_{&loop_, &deadlines_, &buffers_},
       client_(&run_),
-      directory_(&run_) {
+      discovery_(&run_) {
   for (std::size_t i = 0; i < options.replicas.size(); ++i) {
-    replicas_.push_back(std::make_unique<FakeReplica>(&run_, &witness_, options.replicas[i]));
+    replicas_.push_back(std::make_unique<FakeReplica>(&run_, &attempt_counts_, options.replicas[i]));
     addresses_.push_back(replicas_.back()->Listen());
-    directory_.Set("stand-in-" + std::to_string(i), addresses_.back());
+    discovery_.Set("stand-in-" + std::to_string(i), addresses_.back());
   }
   NodeFiles files;
-  files.config = ConfigJson("127.0.0.1:0", directory_.Listen(), directory_.Text(true), options.promise_ms,
-                            options.deadline_ms, options.effect);
-  const bool openai = !options.replicas.empty() && options.replicas.front().speech == Speech::kOpenAi;
+  files.config = ConfigJson("127.0.0.1:0", discovery_.Listen(), discovery_.Text(true),
+                            options.latency_objective_ms, options.deadline_ms, options.effect);
+  const bool openai =
+      !options.replicas.empty() && options.replicas.front().dialect == ReplicaDialect::kOpenAi;
   files.settings = fmt::format(
       "[upstream]\ndialect = \"{}\"\n\n[openai]\nlisten = \"{}\"\nmetrics_networks = [\"127.0.0.0/8\"]\n{}"
       "\n[openai.ledger]\ndirectory = \"@DIR@\"\n\n[openai.limits]\n{}\n"
@@ -42,7 +43,7 @@
       "\"agent-model\"\nclass = \"agent\"\n"
       "{}",
       openai ? "openai" : "platform", options.openai_listen, options.key.empty() ? "" : "keys = \"@KEYS@\"\n",
-      options.limits, options.more_settings);
+      options.limits, options.extra_settings);
   if (!options.key.empty()) {
     keys::Keyring ring;
     ring.Add(keys::KeyFromText("lab", options.key));
@@ -55,16 +56,17 @@
         openai_ = LoggedAddress("listening-openai");
         const bool listed = node_.Log().find("event=list ") != std::string::npos;
         deadlines_.Set(Now() + 20'000, [] {});
-        return !node_.Running() || (!platform_.empty() && !openai_.empty() && listed);
+        return !node_.IsRunning() || (!platform_.empty() && !openai_.empty() && listed);
       },
       kComeUpWithin);
-  if (!up || !node_.Running()) throw std::runtime_error("the node did not come up; it says: " + node_.Log());
+  if (!up || !node_.IsRunning())
+    throw std::runtime_error("the node did not come up; it says: " + node_.Log());
 }
 
 LocalFleet::~LocalFleet() {
   node_.Stop();
   for (const auto& replica : replicas_) replica->Close();
-  directory_.Close();
+  discovery_.Close();
   deadlines_.Close();
   for (int i = 0; i < 100 && uv_loop_alive(&loop_) != 0; ++i) uv_run(&loop_, UV_RUN_NOWAIT);
   uv_loop_close(&loop_);
@@ -78,10 +80,10 @@
   return to == std::string::npos ? "" : log.substr(from, to - from);
 }
 
-Reply LocalFleet::Ask(const std::string& to, const std::string& request, Time most) {
+Reply LocalFleet::SendAndWait(const std::string& to, const std::string& request, Time most) {
   Reply reply;
   bool done = false;
-  client_.Ask(to, request, most, [&](const Reply& r) {
+  client_.Send(to, request, most, [&](const Reply& r) {
     reply = r;
     done = true;
   });
@@ -94,7 +96,7 @@
   Until(
       [&] {
         deadlines_.Set(Now() + 20'000, [] {});
-        return !node_.Running();
+        return !node_.IsRunning();
       },
       kComeUpWithin);
   std::ifstream in(node_.directory() + "/ledger-lab.json", std::ios::binary);
--- a/lab/local_fleet.h
+++ b/lab/local_fleet.h
@@ -10,7 +10,7 @@
 #include "base/buffer_pool.h"
 #include "base/deadlines.h"
 #include "lab/client.h"
-#include "lab/directory.h"
+#include "lab/fake_discovery.h"
 #include "lab/fake_replica.h"
 #include "lab/node_process.h"
 
@@ -20,11 +20,11 @@
   std::string program;  // the node's
   std::vector<FakeReplicaOptions> replicas;
   std::string openai_listen = "127.0.0.1:0";
-  std::string key;                                         // that clients show; empty: no keys are asked for
-  std::string more_settings;                               // TOML put behind what the fleet writes
-  std::string limits;                                      // TOML of [openai.limits]
-  std::int64_t promise_ms = 20'000, deadline_ms = 30'000;  // of both classes
-  std::string effect = "free";                             // of both: free, single_shot or guarded
+  std::string key;             // that clients show; empty: no keys are asked for
+  std::string extra_settings;  // TOML put behind what the fleet writes
+  std::string limits;          // TOML of [openai.limits]
+  std::int64_t latency_objective_ms = 20'000, deadline_ms = 30'000;  // of both classes
+  std::string effect = "free";                                       // of both: free, single_shot or guarded
 };
 
 class LocalFleet {
@@ -38,8 +38,8 @@
   const Runtime* run() const { return &run_; }
   Client& client() { return client_; }
   NodeProcess& node() { return node_; }
-  Witness& witness() { return witness_; }
-  Directory& directory() { return directory_; }
+  AttemptCounts& attempt_counts() { return attempt_counts_; }
+  FakeDiscovery& discovery() { return discovery_; }
   std::vector<std::unique_ptr<FakeReplica>>& replicas() { return replicas_; }
   const std::string& address(std::size_t replica) const { return addresses_[replica]; }
   const std::string& platform() const { return platform_; }  // ip:port of the node's two fronts
@@ -56,7 +56,7 @@
     return done();
   }
   // One request, waited for.
-  Reply Ask(const std::string& to, const std::string& request, Time most = 60'000'000);
+  Reply SendAndWait(const std::string& to, const std::string& request, Time most = 60'000'000);
   std::string Ledger();  // stops the node, and the ledger it wrote
 
  private:
@@ -66,9 +66,9 @@
   BufferPool buffers_;
   Deadlines deadlines_;
   Runtime run_;
-  Witness witness_;
+  AttemptCounts attempt_counts_;
   Client client_;
-  Directory directory_;
+  FakeDiscovery discovery_;
   std::vector<std::unique_ptr<FakeReplica>> replicas_;
   NodeProcess node_;
   std::vector<std::string> addresses_;
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -59,7 +59,7 @@
   LocalFleet fleet(options);
   std::printf("ready base_url=http://%s/v1 key=%s\n", fleet.openai().c_str(), key.c_str());
   std::fflush(stdout);
-  while (interrupted == 0 && fleet.node().Running()) {
+  while (interrupted == 0 && fleet.node().IsRunning()) {
     fleet.Until([] { return interrupted != 0; }, 200'000);
   }
   if (interrupted == 0) {
@@ -73,9 +73,11 @@
   std::fprintf(stderr, "  %zu of %zu answered\n", done, all);
 }
 
-Speech SpeechOf(const std::string& word) { return word == "openai" ? Speech::kOpenAi : Speech::kPlatform; }
+ReplicaDialect DialectOf(const std::string& word) {
+  return word == "openai" ? ReplicaDialect::kOpenAi : ReplicaDialect::kPlatform;
+}
 
-int BadHour(const LiveFaultScenarioOptions& o) {
+int RunLiveFaultScenario(const LiveFaultScenarioOptions& o) {
   const LiveFaultScenarioResult r = PlayLiveFaultScenario(o);
   std::string statuses;
   for (const auto& [status, n] : r.statuses)
@@ -83,22 +85,22 @@
   std::printf("%s: %llu asked, %llu answered,%s, %llu broken, %llu overlapping attempts, node's exit %d\n",
               o.name.c_str(), static_cast<unsigned long long>(r.asked),
               static_cast<unsigned long long>(r.answered), statuses.c_str(),
-              static_cast<unsigned long long>(r.broken), static_cast<unsigned long long>(r.two_at_once),
-              r.exit_code);
+              static_cast<unsigned long long>(r.broken),
+              static_cast<unsigned long long>(r.overlapping_attempts), r.exit_code);
   std::printf(
       "recorded in %s%s; next:\n  ryeglade timeline show %s\n  ryeglade timeline plot --out hour.png %s\n",
       o.record.c_str(), r.victim.empty() ? "" : (", " + r.victim + " is the one that went bad").c_str(),
       o.record.c_str(), o.record.c_str());
-  return r.exit_code == 0 && r.two_at_once == 0 && r.answered == r.asked ? 0 : 1;
+  return r.exit_code == 0 && r.overlapping_attempts == 0 && r.answered == r.asked ? 0 : 1;
 }
 
 int ReplayOne(const std::vector<TraceLine>& trace, const std::string& program, const std::string& front,
               const std::string& dialect, const std::string& log) {
-  const ReplayResult result = Replay(trace, {program, SpeechOf(dialect), front == "openai", Progress});
+  const ReplayResult result = Replay(trace, {program, DialectOf(dialect), front == "openai", Progress});
   std::fputs(Table(trace, result).c_str(), stdout);
   if (!log.empty() && !(std::ofstream(log) << result.log).flush())
     throw std::runtime_error("cannot write " + log);
-  return result.two_at_once == 0 ? 0 : 1;
+  return result.overlapping_attempts == 0 ? 0 : 1;
 }
 
 // All four pairs of front and dialect must come to the same for each request.
@@ -108,14 +110,14 @@
     for (const char* dialect : {"platform", "openai"}) {
       const std::string name = std::string(front) + " front, " + dialect + " dialect";
       std::fprintf(stderr, "%s\n", name.c_str());
-      all.emplace_back(name,
-                       Replay(trace, {program, SpeechOf(dialect), std::string(front) == "openai", Progress}));
+      all.emplace_back(
+          name, Replay(trace, {program, DialectOf(dialect), std::string(front) == "openai", Progress}));
       std::printf("%s\n%s\n", name.c_str(), Table(trace, all.back().second).c_str());
     }
   }
   std::size_t differing = 0, overlaps = 0;
   for (const auto& [name, result] : all) {
-    overlaps += result.two_at_once;
+    overlaps += result.overlapping_attempts;
     for (std::size_t n = 0; n < trace.size(); ++n) {
       if (result.ends[n] == all.front().second.ends[n]) continue;
       if (++differing <= 10) {
@@ -150,21 +152,21 @@
       ->check(CLI::IsMember(LiveFaultScenarioNames()));
   demo->add_option("--record", bad.record, "the directory for its flight record");
   demo->add_option("--seconds", bad.seconds, "how long it takes")->check(CLI::Range(6.0, 3600.0));
-  demo->add_option("--rate", bad.per_second, "requests a second")->check(CLI::Range(1.0, 1000.0));
+  demo->add_option("--rate", bad.requests_per_second, "requests a second")->check(CLI::Range(1.0, 1000.0));
   demo->add_option("--replicas", bad.replicas)->check(CLI::Range(std::size_t{2}, std::size_t{64}));
 
   FaultScenarioOptions hour;
-  std::string thing = "none", out;
+  std::string fault = "none", out;
   double ahead = 0;
   CLI::App* hours = app.add_subcommand("hour", "write the flight record of a scripted hour in virtual time");
-  hours->add_option("--thing", thing,
+  hours->add_option("--thing", fault,
                     "what goes wrong: errors, slow, full, cut-off, loaded, fleet-slow, ...");
   hours->add_option("--out", out, "the .flight file")->required();
   hours->add_option("--seconds", hour.seconds)->check(CLI::Range(1.0, 1e6));
-  hours->add_option("--at", hour.at, "when it goes wrong, seconds");
-  hours->add_option("--lasts", hour.lasts, "for how long");
+  hours->add_option("--at", hour.fault_at, "when it goes wrong, seconds");
+  hours->add_option("--lasts", hour.fault_seconds, "for how long");
   hours->add_option("--replicas", hour.replicas)->check(CLI::Range(1, 4096));
-  hours->add_option("--per-second", hour.per_second, "requests")->check(CLI::Range(0.1, 1e5));
+  hours->add_option("--per-second", hour.requests_per_second, "requests")->check(CLI::Range(0.1, 1e5));
   hours->add_option("--seed", hour.seed);
   hours->add_option("--node", hour.node, "its name");
   hours->add_option("--ahead", ahead, "seconds that its clock is ahead");
@@ -213,8 +215,8 @@
   const bool with_node = !*hours && !*detection;
   const std::string node = with_node ? NodeProgram(program) : "";
   if (*hours) {
-    hour.thing = BadThingOf(thing);
-    hour.clock = static_cast<Time>(ahead * 1e6);
+    hour.fault = ParseScriptedFault(fault);
+    hour.clock_offset = static_cast<Time>(ahead * 1e6);
     const FaultScenarioResult r = WriteFaultScenario(hour, out, ProgressLine());
     std::printf("%s: %llu requests, %llu decisions\n", out.c_str(),
                 static_cast<unsigned long long>(r.requests), static_cast<unsigned long long>(r.decisions));
@@ -235,7 +237,7 @@
     std::filesystem::create_directories(bad.record);
     bad.program = node;
     bad.progress = ProgressLine();
-    return BadHour(bad);
+    return RunLiveFaultScenario(bad);
   }
   if (*demo) return Demo(node, port, key);
   if (*trace) return std::fputs(WriteTrace(MakeTrace(requests, seed, rate)).c_str(), stdout) < 0 ? 1 : 0;
--- a/lab/node_process.cpp
+++ b/lab/node_process.cpp
@@ -73,7 +73,7 @@
   return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
 }
 
-bool NodeProcess::Running() {
+bool NodeProcess::IsRunning() {
   if (pid_ <= 0) return false;
   if (waitpid(pid_, &status_, WNOHANG) != pid_) return true;
   pid_ = -1;
@@ -103,21 +103,21 @@
   std::filesystem::rename(directory_ + "/config.new", directory_ + "/config.json");
 }
 
-std::size_t NodeProcess::Resident() const {
+std::size_t NodeProcess::ResidentBytes() const {
   std::ifstream in("/proc/" + std::to_string(pid_) + "/statm");  // pages: all, resident
   std::size_t all = 0, resident = 0;
   in >> all >> resident;
   return resident * static_cast<std::size_t>(sysconf(_SC_PAGESIZE));
 }
 
-std::int64_t NodeProcess::WaitedForCore() const {
+std::int64_t NodeProcess::CpuWaitTime() const {
   std::ifstream in("/proc/" + std::to_string(pid_) + "/schedstat");  // nanoseconds: run, waited; then slices
   std::int64_t run = 0, waited = 0;
   in >> run >> waited;
   return waited / 1000;
 }
 
-std::size_t NodeProcess::Descriptors() const {
+std::size_t NodeProcess::OpenDescriptors() const {
   std::error_code error;
   const std::filesystem::directory_iterator all("/proc/" + std::to_string(pid_) + "/fd", error);
   return error ? 0 : static_cast<std::size_t>(std::distance(begin(all), end(all)));
@@ -130,10 +130,11 @@
 }
 
 std::string ConfigJson(const std::string& listen, const std::string& discovery, const std::string& known,
-                       std::int64_t promise_ms, std::int64_t deadline_ms, const std::string& effect) {
+                       std::int64_t latency_objective_ms, std::int64_t deadline_ms,
+                       const std::string& effect) {
   const auto cls = [&](const char* name, double worth) {
     return nlohmann::json{{"name", name},
-                          {"promise", promise_ms * 1000},
+                          {"promise", latency_objective_ms * 1000},
                           {"deadline", deadline_ms * 1000},
                           {"stream", true},
                           {"effect", effect},
--- a/lab/node_process.h
+++ b/lab/node_process.h
@@ -30,14 +30,14 @@
   std::string Log() const;
   std::string LogFrom(std::size_t offset) const;  // what was written behind so many bytes
   const std::string& directory() const { return directory_; }
-  bool Running();  // false: it has ended
+  bool IsRunning();  // false: it has ended
   void Signal(int number) const;
   int Stop();          // SIGTERM, and its exit code; 128 and more: it died of a signal
   int status() const;  // the same of one that has ended
   void Write(const std::string& config) const;  // the configuration that SIGHUP reads again
-  std::size_t Descriptors() const;              // open now
-  std::size_t Resident() const;                 // bytes of memory
-  std::int64_t WaitedForCore() const;           // microseconds for which it could have run and did not
+  std::size_t OpenDescriptors() const;          // open now
+  std::size_t ResidentBytes() const;            // bytes of memory
+  std::int64_t CpuWaitTime() const;             // microseconds for which it could have run and did not
   pid_t pid() const { return pid_; }
 
  private:
@@ -49,7 +49,7 @@
 // A minimal configuration of the platform's JSON: two classes, `docs` and `agent`, by default with generous
 // aims.
 std::string ConfigJson(const std::string& listen, const std::string& discovery, const std::string& known,
-                       std::int64_t promise_ms = 20'000, std::int64_t deadline_ms = 30'000,
+                       std::int64_t latency_objective_ms = 20'000, std::int64_t deadline_ms = 30'000,
                        const std::string& effect = "free");
 
 }  // namespace ryeglade::lab
--- a/lab/replay.cpp
+++ b/lab/replay.cpp
@@ -78,7 +78,7 @@
   });
   const std::string wanted = Text(PromptKey(BodyOf(line)), kSeed, std::min(kTokens, line.max_tokens));
   if (!good || !wanted.starts_with(text)) return End::kSpoilt;
-  if (!reply.whole || error) return done ? End::kSpoilt : End::kBroken;
+  if (!reply.complete || error) return done ? End::kSpoilt : End::kBroken;
   return done && text == wanted ? End::kServed : End::kSpoilt;
 }
 
@@ -160,7 +160,7 @@
       l.prompt = j.at("prompt").get<std::string>();
       l.max_tokens = j.at("max_tokens").get<std::size_t>();
       l.deadline_ms = j.at("deadline_ms").get<std::int64_t>();
-      const auto fault = FaultOf(j.at("fault").get<std::string>());
+      const auto fault = ParseFault(j.at("fault").get<std::string>());
       if (!fault) throw std::runtime_error("fault is unknown");
       if (l.cls != "docs" && l.cls != "agent") throw std::runtime_error("class is neither docs nor agent");
       l.fault = *fault;
@@ -177,7 +177,7 @@
   rig_options.program = options.program;
   rig_options.key = "lab";
   FakeReplicaOptions replica;
-  replica.speech = options.dialect;
+  replica.dialect = options.dialect;
   replica.seed = kSeed;
   replica.first_token = 3'000;
   replica.per_token = 300;
@@ -194,11 +194,11 @@
   const Time start = Now();
   for (std::size_t n = 0; n < trace.size(); ++n) {
     fleet.run()->deadlines->Set(start + trace[n].at_ms * 1000, [&, n] {
-      fleet.client().Ask(to, RequestOf(trace[n], n, options.openai_front, "lab"), kLongest,
-                         [&, n](const Reply& reply) {
-                           result.ends[n] = Judge(trace[n], reply);
-                           ++done;
-                         });
+      fleet.client().Send(to, RequestOf(trace[n], n, options.openai_front, "lab"), kLongest,
+                          [&, n](const Reply& reply) {
+                            result.ends[n] = Judge(trace[n], reply);
+                            ++done;
+                          });
     });
   }
   Time told = start;
@@ -219,8 +219,8 @@
   const std::string ledger = fleet.Ledger();
   result.log = fleet.node().Log();
   if (!ledger.empty()) result.ledger = ledger::RowsFromJson(ledger);
-  result.attempts = fleet.witness().attempts;
-  result.two_at_once = fleet.witness().two_at_once;
+  result.attempts = fleet.attempt_counts().attempts;
+  result.overlapping_attempts = fleet.attempt_counts().overlapping_attempts;
   return result;
 }
 
@@ -246,7 +246,7 @@
                          Worth(cls) * static_cast<double>(asked));
     }
   }
-  out += fmt::format("attempts {}, two at once {}, {:.1f} s\n", result.attempts, result.two_at_once,
+  out += fmt::format("attempts {}, two at once {}, {:.1f} s\n", result.attempts, result.overlapping_attempts,
                      result.seconds);
   if (!result.ledger.empty()) out += ledger::FormatTable(result.ledger);
   return out;
--- a/lab/replay.h
+++ b/lab/replay.h
@@ -38,7 +38,7 @@
 
 struct ReplayOptions {
   std::string program;
-  Speech dialect = Speech::kOpenAi;
+  ReplicaDialect dialect = ReplicaDialect::kOpenAi;
   bool openai_front = true;
   std::function<void(std::size_t done, std::size_t all)> progress;  // absent: none
 };
@@ -46,7 +46,7 @@
 struct ReplayResult {
   std::vector<End> ends;  // by line of the trace
   double worth = 0, worth_asked = 0;
-  std::uint64_t attempts = 0, two_at_once = 0;
+  std::uint64_t attempts = 0, overlapping_attempts = 0;
   std::map<ledger::Ledger::Id, ledger::Row> ledger;  // of the openai front
   std::string log;                                   // the node's
   double seconds = 0;
--- a/lab/rollout/local_tier.cpp
+++ b/lab/rollout/local_tier.cpp
@@ -102,7 +102,7 @@
   root_ = name;
   for (int i = 0; i < 3; ++i) {
     replicas_.push_back(std::make_unique<lab::FakeReplica>(
-        &run_, &rules_, lab::FakeReplicaOptions{.speech = lab::Speech::kPlatform}));
+        &run_, &rules_, lab::FakeReplicaOptions{.dialect = lab::ReplicaDialect::kPlatform}));
     directory_.Set(fmt::format("stand-in-{}", i), replicas_.back()->Listen());
   }
   const std::string discovery = directory_.Listen();
@@ -348,7 +348,7 @@
 
 RealTier::Served RealTier::served() const {
   Served s;
-  s.two_at_once = rules_.two_at_once;
+  s.two_at_once = rules_.overlapping_attempts;
   for (const auto& client : clients_) {
     for (const auto& c : client->tally().classes()) {
       const auto of = [&](load::Outcome o) { return c.outcomes[static_cast<std::size_t>(o)]; };
--- a/lab/rollout/local_tier.h
+++ b/lab/rollout/local_tier.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "lab/cluster/relay.h"
-#include "lab/directory.h"
+#include "lab/fake_discovery.h"
 #include "lab/fake_replica.h"
 #include "lab/load/load_client.h"
 #include "rollout/cluster_view_model.h"
@@ -92,7 +92,7 @@
   };
   Served served() const;
   std::vector<std::unique_ptr<lab::FakeReplica>>& replicas() { return replicas_; }
-  lab::Directory& directory() { return directory_; }
+  lab::FakeDiscovery& directory() { return directory_; }
   const std::string& root() const { return root_; }
 
  private:
@@ -110,8 +110,8 @@
   BufferPool buffers_;
   Deadlines deadlines_;
   Runtime run_;
-  lab::Directory directory_;
-  lab::Witness rules_;
+  lab::FakeDiscovery directory_;
+  lab::AttemptCounts rules_;
   std::string root_, driver_ip_;
   std::vector<Node> nodes_;
   std::vector<std::unique_ptr<lab::FakeReplica>> replicas_;
--- a/lab/soak/run.cpp
+++ b/lab/soak/run.cpp
@@ -17,7 +17,7 @@
 
 #include "http/blocking_client.h"
 #include "lab/cluster/relay.h"
-#include "lab/directory.h"
+#include "lab/fake_discovery.h"
 #include "lab/fake_replica.h"
 #include "lab/node_process.h"
 #include "lab/soak/clients.h"
@@ -148,8 +148,8 @@
 
   // ---- AttemptObserver ----
 
-  void OnTaken(std::size_t replica, Handle connection, const HttpRequest& request,
-               const sockaddr_storage& from) override {
+  void OnRequestReceived(std::size_t replica, Handle connection, const HttpRequest& request,
+                         const sockaddr_storage& from) override {
     const int port = ntohs(reinterpret_cast<const sockaddr_in&>(from).sin_port);
     Attempt a;
     if (const std::string* id = request.Header("x-call-id")) a.id = *id;
@@ -174,13 +174,13 @@
     history_.attempts.push_back(std::move(a));
   }
 
-  void OnEvents(std::size_t replica, Handle connection, std::string_view bytes) override {
+  void OnResponseBytes(std::size_t replica, Handle connection, std::string_view bytes) override {
     const auto it = by_connection_.find({replica, connection});
     if (it != by_connection_.end())
       history_.attempts[it->second].events.push_back({Now(), std::string(bytes)});
   }
 
-  void OnOver(std::size_t replica, Handle connection, lab::FakeAttemptEnd how) override {
+  void OnAttemptEnded(std::size_t replica, Handle connection, lab::FakeAttemptEnd how) override {
     const auto it = by_connection_.find({replica, connection});
     if (it == by_connection_.end()) return;
     Attempt& a = history_.attempts[it->second];
@@ -188,7 +188,7 @@
     if (a.ended != 0) return;
     a.ended = Now();
     switch (how) {
-      case lab::FakeAttemptEnd::kWhole:
+      case lab::FakeAttemptEnd::kCompleted:
         a.end = AttemptEnd::kComplete;
         break;
       case lab::FakeAttemptEnd::kRejected:
@@ -198,7 +198,7 @@
         a.end = AttemptEnd::kError;
         break;
       case lab::FakeAttemptEnd::kReset:
-      case lab::FakeAttemptEnd::kNodeClosed:
+      case lab::FakeAttemptEnd::kClosedByNode:
         // The link broke: OnNodeClosed has already recorded every connection that the node closed.
         a.end = AttemptEnd::kReset;
         break;
@@ -221,7 +221,7 @@
   };
   struct Node {
     std::string ip, listen, discovery, tmpdir;
-    std::unique_ptr<lab::Directory> directory;
+    std::unique_ptr<lab::FakeDiscovery> directory;
     std::unique_ptr<LinkRelay> links;
     std::vector<std::string> addresses;  // of its links, by replica
     std::vector<std::unique_ptr<ProcessRun>> process_runs;
@@ -266,13 +266,13 @@
     for (std::size_t n = 0; n < plan_.replicas.size(); ++n) {
       const PlannedReplica& p = plan_.replicas[n];
       lab::FakeReplicaOptions o;
-      o.speech = lab::Speech::kPlatform;
+      o.dialect = lab::ReplicaDialect::kPlatform;
       o.seed = plan_.seed * 64 + n;
       o.first_token = p.first_token;
       o.per_token = p.per_token;
       o.tokens = p.tokens;
       o.number = n;
-      o.tap = this;
+      o.observer = this;
       replicas_.push_back(std::make_unique<lab::FakeReplica>(&run_, &witness_, o));
       replica_addresses_.push_back(replicas_.back()->Listen());
       listings_.push_back({"active", ZoneName(p.zone), p.cell, 0});
@@ -288,8 +288,8 @@
     std::filesystem::create_directory(node.tmpdir);
     node.links = std::make_unique<LinkRelay>(&run_);
     node.links->OnClosed([this, n](std::size_t replica, int port) { OnNodeClosed(n, replica, port); });
-    node.directory = std::make_unique<lab::Directory>(&run_);
-    node.directory->OnTold([this, n](const std::string& name, const std::string& lifecycle) {
+    node.directory = std::make_unique<lab::FakeDiscovery>(&run_);
+    node.directory->SetListedCallback([this, n](const std::string& name, const std::string& lifecycle) {
       OnDirectoryTold(n, name, lifecycle);
     });
     for (std::size_t r = 0; r < replicas_.size(); ++r) {
@@ -370,10 +370,10 @@
     RecordCpuWait(run);
     if (p.ready == 0 && run.process.Log().find("event=listening addr=") != std::string::npos) {
       p.ready = Now();
-      p.first_descriptors = run.process.Descriptors();
-      p.first_memory = run.process.Resident();
+      p.first_descriptors = run.process.OpenDescriptors();
+      p.first_memory = run.process.ResidentBytes();
     }
-    if (run.process.Running()) return;
+    if (run.process.IsRunning()) return;
     run.ended = true;
     p.ended = Now();
     p.status = run.process.status();
@@ -389,7 +389,7 @@
   void RecordCpuWait(ProcessRun& run) {
     const Time now = Now();
     if (now - run.cpu_wait_read_at < kCpuWaitInterval) return;
-    const Time cpu_wait = run.process.WaitedForCore();
+    const Time cpu_wait = run.process.CpuWaitTime();
     std::vector<Interval>& pauses = run.record().pauses;
     if (run.cpu_wait_read_at != 0 && cpu_wait - run.cpu_wait > kMinCpuWait) {
       const bool goes_on = !pauses.empty() && pauses.back().to >= run.cpu_wait_read_at;
@@ -409,8 +409,8 @@
   void ReadProcessFigures(ProcessRun& run) {
     if (run.ended || run.process.pid() <= 0) return;
     Process& p = run.record();
-    p.last_descriptors = run.process.Descriptors();
-    p.last_memory = run.process.Resident();
+    p.last_descriptors = run.process.OpenDescriptors();
+    p.last_memory = run.process.ResidentBytes();
     try {
       p.counters =
           BlockingHttpCall("the node", run.management, "GET", "/control/counters", "", kCallTimeoutMs).body;
@@ -610,9 +610,9 @@
   void ApplyDiscoveryFault(const Fault& f) {
     const auto set = [this, kind = f.kind](bool on) {
       for (Node& node : nodes_) {
-        if (kind == FaultKind::kDark) node.directory->SetDark(on);
+        if (kind == FaultKind::kDark) node.directory->SetUnavailable(on);
         if (kind == FaultKind::kSilent) node.directory->SetSilent(on);
-        if (kind == FaultKind::kSlowList) node.directory->SetSlow(on ? kSecond : 0);
+        if (kind == FaultKind::kSlowList) node.directory->SetReplyDelay(on ? kSecond : 0);
       }
     };
     set(true);
@@ -668,10 +668,10 @@
   BufferPool buffers_;
   Deadlines deadlines_;
   Runtime run_;
-  lab::Witness witness_;
+  lab::AttemptCounts witness_;
   std::vector<std::unique_ptr<lab::FakeReplica>> replicas_;
   std::vector<std::string> replica_addresses_;
-  std::vector<lab::Listing> listings_;
+  std::vector<lab::DiscoveryEntry> listings_;
   std::vector<Node> nodes_;
   std::unique_ptr<SoakClients> clients_;
   History history_;
--- a/tests/export_test.cpp
+++ b/tests/export_test.cpp
@@ -20,9 +20,9 @@
       std::filesystem::temp_directory_path().string() + "/ryeglade-h5-" + std::to_string(getpid());
   lab::FaultScenarioOptions o;
   o.seconds = 90;
-  o.at = 30;
-  o.lasts = 20;
-  o.thing = lab::ScriptedFault::kCutOff;
+  o.fault_at = 30;
+  o.fault_seconds = 20;
+  o.fault = lab::ScriptedFault::kCutOff;
   lab::WriteFaultScenario(o, base + ".flight");
   const std::string command = std::string(std::getenv("RYEGLADE_PROGRAM")) + " timeline export --hdf5 " +
                               base + ".h5 " + base + ".flight >/dev/null";
--- a/tests/membership_nodes_test.cpp
+++ b/tests/membership_nodes_test.cpp
@@ -231,7 +231,7 @@
   EXPECT_LE(after.value("members", json::array()).size(), 1024U);
   EXPECT_EQ(after.value("live", 0), 2);
   EXPECT_EQ(StateOf(after, "n1"), "alive");
-  EXPECT_TRUE(cluster.node(0).Running());
+  EXPECT_TRUE(cluster.node(0).IsRunning());
   // Names that never answer are dropped, so that the table shrinks again.
   EXPECT_TRUE(cluster.WaitUntil(0, [](const json& status) {
     return status.value("members", json::array()).size() == 1;
@@ -275,7 +275,7 @@
   }));
   const std::string directory = cluster.node(0).directory();
   cluster.node(0).Signal(SIGTERM);
-  while (cluster.node(0).Running()) std::this_thread::sleep_for(std::chrono::milliseconds(20));
+  while (cluster.node(0).IsRunning()) std::this_thread::sleep_for(std::chrono::milliseconds(20));
   const CommandOutput show = RunCommand("timeline show " + directory);
   EXPECT_NE(show.text.find("member-dead n2"), std::string::npos) << show.text;
   const CommandOutput records = RunCommand("timeline show --records " + directory);
--- a/tests/openai_front_test.cpp
+++ b/tests/openai_front_test.cpp
@@ -41,7 +41,7 @@
     fleet = std::make_unique<LocalFleet>(o);
   }
   Reply Chat(const std::string& body, const std::string& headers = "Authorization: Bearer k\r\n") {
-    return fleet->Ask(fleet->openai(), Post("/v1/chat/completions", headers, body));
+    return fleet->SendAndWait(fleet->openai(), Post("/v1/chat/completions", headers, body));
   }
   // Stops the node and returns the sum of all rows of its ledger.
   ledger::Row Ledger() {
@@ -90,14 +90,14 @@
 }
 
 TEST(OpenAiFront, StreamedAndCompleteResponsesHaveTheSameText) {
-  for (const Speech speech : {Speech::kOpenAi, Speech::kPlatform}) {
+  for (const ReplicaDialect dialect : {ReplicaDialect::kOpenAi, ReplicaDialect::kPlatform}) {
     FakeReplicaOptions replica;
-    replica.speech = speech;
+    replica.dialect = dialect;
     TestNode s(replica);
     const std::string streamed = Body("hello", R"(,"stream":true)"), complete = Body("hello");
     const Reply one = s.Chat(streamed);
     EXPECT_EQ(one.status, 200);
-    EXPECT_TRUE(one.whole);
+    EXPECT_TRUE(one.complete);
     EXPECT_EQ(one.Header("x-request-id").substr(0, 4), "req_");
     const Events events = ReadEvents(one.body);
     EXPECT_TRUE(events.done && !events.usage && !events.error);
@@ -122,8 +122,9 @@
 TEST(OpenAiFront, ServesModelsAndRejectsInvalidPathsMethodsKeysAndBodies) {
   TestNode s;
   const auto get = [&](const std::string& path, const std::string& key = "k") {
-    return s.fleet->Ask(s.fleet->openai(),
-                        "GET " + path + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + key + "\r\n\r\n");
+    return s.fleet->SendAndWait(
+        s.fleet->openai(),
+        "GET " + path + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + key + "\r\n\r\n");
   };
   EXPECT_EQ(json::parse(get("/v1/models").body)["data"].size(), 2U);
   EXPECT_EQ(json::parse(get("/v1/models/docs-model").body)["id"], "docs-model");
@@ -141,11 +142,11 @@
   expect_error(s.Chat(Body("x", ",\"n\":2")), 400, "unsupported_value");
   expect_error(s.Chat("{"), 400, "invalid_json");
   expect_error(s.Chat(std::string(300 * 1024, ' ')), 413, "request_too_large");
-  expect_error(s.fleet->Ask(s.fleet->openai(), "no HTTP at all\r\n\r\n"), 400, "unreadable_request");
+  expect_error(s.fleet->SendAndWait(s.fleet->openai(), "no HTTP at all\r\n\r\n"), 400, "unreadable_request");
   EXPECT_EQ(get("/health").status, 200);
   EXPECT_NE(get("/metrics").body.find("ryeglade_api_turned_away_total{reason=\"invalid_json\"} 1"),
             std::string::npos);
-  EXPECT_EQ(s.fleet->witness().attempts, 0U);
+  EXPECT_EQ(s.fleet->attempt_counts().attempts, 0U);
 }
 
 // The client gets one `error` event, and the connection closes without [DONE] and without the last chunk. The
@@ -155,14 +156,14 @@
     TestNode s({}, "", 2);
     const Reply r = s.Chat(Body(std::string("#fault=") + fault, R"(,"stream":true)"));
     EXPECT_EQ(r.status, 200);
-    EXPECT_FALSE(r.whole) << fault;
+    EXPECT_FALSE(r.complete) << fault;
     const Events events = ReadEvents(r.body);
     EXPECT_TRUE(events.error && !events.done) << fault;
     EXPECT_FALSE(events.text.empty());
     const Reply complete = s.Chat(Body(std::string("#fault=") + fault));
     EXPECT_EQ(complete.status, 502) << fault;
     EXPECT_EQ(json::parse(complete.body)["error"]["code"], "upstream_broken");
-    EXPECT_EQ(s.fleet->witness().attempts, 2U) << fault;
+    EXPECT_EQ(s.fleet->attempt_counts().attempts, 2U) << fault;
     const ledger::Row row = s.Ledger();
     EXPECT_EQ(CountOf(row, ledger::Outcome::kTruncated), 2U) << fault;
     EXPECT_EQ(row.open(), 0U);
@@ -177,8 +178,8 @@
     const Reply r = s.Chat(body);
     EXPECT_EQ(r.status, 200) << fault;
     EXPECT_EQ(json::parse(r.body)["choices"][0]["message"]["content"], ExpectedText(body));
-    EXPECT_EQ(s.fleet->witness().attempts, 2U);
-    EXPECT_EQ(s.fleet->witness().two_at_once, 0U);
+    EXPECT_EQ(s.fleet->attempt_counts().attempts, 2U);
+    EXPECT_EQ(s.fleet->attempt_counts().overlapping_attempts, 0U);
   }
 }
 
@@ -190,7 +191,7 @@
     return json::parse(r.body)["error"]["message"].get<std::string>();
   };
   EXPECT_EQ(message("bad-request", 400), "stand-in says 400");
-  EXPECT_EQ(s.fleet->witness().attempts, 1U);  // no retry
+  EXPECT_EQ(s.fleet->attempt_counts().attempts, 1U);  // no retry
   message("error-first", 503);  // the decision module rejects the request once no replica is left to try
   const Reply rejected = s.Chat(Body("#fault=busy"));
   EXPECT_EQ(rejected.status, 503);
@@ -211,7 +212,7 @@
     EXPECT_TRUE(r.status == 502 || r.status == 504) << fault << r.status;
     EXPECT_EQ(r.Header("x-should-retry"), "false") << fault;
     EXPECT_EQ(r.Header("retry-after"), "") << fault;
-    EXPECT_EQ(s.fleet->witness().attempts, 1U) << fault;
+    EXPECT_EQ(s.fleet->attempt_counts().attempts, 1U) << fault;
   }
   // Rejected at admission: the request asks for more tokens than the key has in a minute.
   TestNode limited({}, "tokens_per_min = 100", 2, "single_shot");
@@ -252,14 +253,14 @@
   slow.per_token = 3'000'000;  // between two tokens no write could fail and reveal the disconnection
   TestNode s(slow);
   bool done = false;
-  s.fleet->client().Ask(
+  s.fleet->client().Send(
       s.fleet->openai(),
       Post("/v1/chat/completions", "Authorization: Bearer k\r\n", Body("x", R"(,"stream":true)")), 600'000,
       [&](const Reply&) { done = true; });
   EXPECT_TRUE(s.fleet->Until([&] { return done; }, 20'000'000));
   const auto running = [&] {
     int n = 0;
-    for (const auto& [prompt, count] : s.fleet->witness().running) n += count;
+    for (const auto& [prompt, count] : s.fleet->attempt_counts().running) n += count;
     return n;
   };
   EXPECT_TRUE(s.fleet->Until([&] { return running() == 0; }, 2'000'000));  // before the next token
@@ -294,7 +295,7 @@
   TestNode s(verbose, "tokens_per_min = 700");  // 512 are reserved for an answer without max_tokens
   const Reply r = s.Chat(Body("x", R"(,"stream":true)"));
   EXPECT_EQ(r.status, 200);
-  EXPECT_FALSE(r.whole);
+  EXPECT_FALSE(r.complete);
   const Events events = ReadEvents(r.body);
   EXPECT_TRUE(events.error && !events.done);
   EXPECT_NE(r.body.find("tokens_spent"), std::string::npos);
@@ -308,13 +309,13 @@
   Reply streamed, complete;
   int done = 0;
   const auto ask = [&](Reply& to, const std::string& extra) {
-    s.fleet->client().Ask(s.fleet->openai(),
-                          Post("/v1/chat/completions", "Authorization: Bearer k\r\n",
-                               Body("x" + std::to_string(extra.size()), extra)),
-                          30'000'000, [&](const Reply& r) {
-                            to = r;
-                            ++done;
-                          });
+    s.fleet->client().Send(s.fleet->openai(),
+                           Post("/v1/chat/completions", "Authorization: Bearer k\r\n",
+                                Body("x" + std::to_string(extra.size()), extra)),
+                           30'000'000, [&](const Reply& r) {
+                             to = r;
+                             ++done;
+                           });
   };
   ask(streamed, R"(,"stream":true)");
   ask(complete, "");
@@ -325,7 +326,7 @@
   s.fleet->node().Signal(SIGHUP);
   EXPECT_TRUE(s.fleet->Until([&] { return done == 2; }, 20'000'000));
   EXPECT_NE(streamed.body.find("key_revoked"), std::string::npos);
-  EXPECT_FALSE(streamed.whole);
+  EXPECT_FALSE(streamed.complete);
   EXPECT_EQ(complete.status, 401);
   EXPECT_EQ(s.Chat(Body("x")).status, 401);
   EXPECT_EQ(s.Chat(Body("y", R"(,"max_tokens":1)"), "Authorization: Bearer o\r\n").status, 200);
@@ -355,7 +356,7 @@
   const std::string body = Body("the same", R"(,"max_tokens":10)");
   std::vector<std::string> answers;
   for (const char* key : {"k", "other"}) {
-    fleet.client().Ask(
+    fleet.client().Send(
         fleet.openai(),
         Post("/v1/chat/completions", std::string("Authorization: Bearer ") + key + "\r\n", body), 30'000'000,
         [&](const Reply& r) { answers.push_back(json::parse(r.body)["choices"].dump()); });
@@ -373,7 +374,7 @@
   o.replicas.resize(1);
   o.openai_listen = "127.0.0.1:0\"\nnetworks = [\"10.0.0.0/8\"]\nread_within = \"5s";
   LocalFleet fleet(o);
-  EXPECT_EQ(fleet.Ask(fleet.openai(), "GET /health HTTP/1.1\r\nHost: x\r\n\r\n").status, 0);
+  EXPECT_EQ(fleet.SendAndWait(fleet.openai(), "GET /health HTTP/1.1\r\nHost: x\r\n\r\n").status, 0);
 }
 
 }  // namespace
--- a/tests/replica_timeline_test.cpp
+++ b/tests/replica_timeline_test.cpp
@@ -57,13 +57,13 @@
   return p;
 }
 
-FaultScenarioOptions Short(ScriptedFault thing, std::uint64_t seed = 5) {
+FaultScenarioOptions Short(ScriptedFault fault, std::uint64_t seed = 5) {
   FaultScenarioOptions o;
   o.seed = seed;
   o.seconds = 180;
-  o.at = 90;
-  o.lasts = 20;
-  o.thing = thing;
+  o.fault_at = 90;
+  o.fault_seconds = 20;
+  o.fault = fault;
   return o;
 }
 
@@ -81,7 +81,7 @@
 TEST(FaultScenario, TheSeedDeterminesTheRecord) {
   FaultScenarioOptions o = Short(ScriptedFault::kErrors);
   o.seconds = 20;
-  o.at = 5;
+  o.fault_at = 5;
   const std::string a = lab::EncodeFaultScenario(o);
   EXPECT_EQ(a, lab::EncodeFaultScenario(o));
   o.seed = 6;
@@ -92,12 +92,12 @@
   for (int n = 0; n < static_cast<int>(ScriptedFault::kCount); ++n) {
     FaultScenarioOptions o = Short(static_cast<ScriptedFault>(n));
     o.seconds = 60;
-    o.at = 20;
+    o.fault_at = 20;
     std::vector<Record> records;
     Decode(lab::EncodeFaultScenario(o), records);
     Verifier v;
     for (const Record& r : records) v.AddRecord(r);
-    EXPECT_TRUE(v.good()) << Name(o.thing) << v.first_difference();
+    EXPECT_TRUE(v.good()) << Name(o.fault) << v.first_difference();
     EXPECT_GT(v.decisions(), 5000U);
   }
 }
@@ -300,7 +300,7 @@
 // ---- Anomalies ----
 
 struct Expected {
-  ScriptedFault thing;
+  ScriptedFault fault;
   AnomalyKind kind;
   bool fleet;
 };
@@ -313,10 +313,10 @@
                            Expected{ScriptedFault::kFleetErrors, AnomalyKind::kErrors, true},
                            Expected{ScriptedFault::kFleetSlow, AnomalyKind::kFirstToken, true},
                            Expected{ScriptedFault::kDark, AnomalyKind::kEndpointListUnavailable, true}}) {
-    FaultScenarioOptions o = Short(e.thing);
+    FaultScenarioOptions o = Short(e.fault);
     o.seconds = 240;
-    o.at = 120;
-    o.lasts = 30;
+    o.fault_at = 120;
+    o.fault_seconds = 30;
     const PlayedScenario p = Play(o);
     const Anomaly* begins = nullptr;
     bool ends = false;
@@ -329,23 +329,23 @@
       ends = ends || (begins != nullptr && !anomaly.begins && anomaly.number == begins->number &&
                       anomaly.now > p.result.from);
     }
-    ASSERT_NE(begins, nullptr) << Name(e.thing);
-    EXPECT_TRUE(ends) << Name(e.thing);
+    ASSERT_NE(begins, nullptr) << Name(e.fault);
+    EXPECT_TRUE(ends) << Name(e.fault);
     if (e.kind != AnomalyKind::kEndpointListUnavailable) {
-      EXPECT_GT(begins->during, begins->baseline) << Name(e.thing);
+      EXPECT_GT(begins->during, begins->baseline) << Name(e.fault);
     }
   }
 }
 
 // A change of the whole fleet is one anomaly rather than one per replica.
 TEST(Anomaly, AChangeOfAllReplicasIsOneFleetAnomaly) {
-  for (const ScriptedFault thing : {ScriptedFault::kFleetErrors, ScriptedFault::kFleetSlow}) {
-    FaultScenarioOptions o = Short(thing);
+  for (const ScriptedFault fault : {ScriptedFault::kFleetErrors, ScriptedFault::kFleetSlow}) {
+    FaultScenarioOptions o = Short(fault);
     o.replicas = 20;
-    o.per_second = 100;
+    o.requests_per_second = 100;
     const PlayedScenario p = Play(o);
     const AnomalyKind kind =
-        thing == ScriptedFault::kFleetErrors ? AnomalyKind::kErrors : AnomalyKind::kFirstToken;
+        fault == ScriptedFault::kFleetErrors ? AnomalyKind::kErrors : AnomalyKind::kFirstToken;
     int fleet = 0, single = 0;
     for (const Anomaly& anomaly : p.anomalies) {
       if (!anomaly.begins || anomaly.kind != kind || anomaly.now < p.result.from ||
@@ -353,8 +353,8 @@
         continue;
       (anomaly.fleet ? fleet : single) += 1;
     }
-    EXPECT_EQ(fleet, 1) << Name(thing);
-    EXPECT_LE(single, 1) << Name(thing);
+    EXPECT_EQ(fleet, 1) << Name(fault);
+    EXPECT_LE(single, 1) << Name(fault);
   }
 }
 
@@ -622,7 +622,7 @@
   o.seconds = 120;
   std::vector<std::string> reasons[2];
   for (const bool recorded : {true, false}) {
-    o.reasons = recorded;
+    o.record_reasons = recorded;
     const std::string file = path + "/" + (recorded ? "with" : "without") + ".flight";
     lab::WriteFaultScenario(o, file);
     ReadWithReasons({file}, [&](const Record& r) {
@@ -680,11 +680,11 @@
   o.name = GetParam();
   o.record = directory;
   o.seconds = 18;
-  o.per_second = 40;
+  o.requests_per_second = 40;
   const lab::LiveFaultScenarioResult r = lab::PlayLiveFaultScenario(o);
   EXPECT_EQ(r.exit_code, 0) << r.log;
   EXPECT_EQ(r.answered, r.asked);
-  EXPECT_EQ(r.two_at_once, 0U);
+  EXPECT_EQ(r.overlapping_attempts, 0U);
   const std::string timeline = program + " timeline ";
   const std::string verified = Shell(timeline + "verify " + directory);
   EXPECT_EQ(verified.find("failed: "), std::string::npos) << verified;
@@ -716,14 +716,15 @@
   lab::LocalFleetOptions o;
   o.program = std::getenv("RYEGLADE_PROGRAM");
   o.replicas.resize(2);
-  o.more_settings =
+  o.extra_settings =
       "[timeline]\nring = \"64KiB\"\nblock = \"4KiB\"\ndump_directory = \"" + directory + "\"\n";
   lab::LocalFleet fleet(o);
   for (int i = 0; i < 300; ++i) {
-    fleet.Ask(fleet.openai(),
-              lab::Post("/v1/chat/completions", "",
-                        R"({"model":"docs-model","max_tokens":2,"messages":[{"role":"user","content":"q)" +
-                            std::to_string(i) + "\"}]}"));
+    fleet.SendAndWait(
+        fleet.openai(),
+        lab::Post("/v1/chat/completions", "",
+                  R"({"model":"docs-model","max_tokens":2,"messages":[{"role":"user","content":"q)" +
+                      std::to_string(i) + "\"}]}"));
   }
   fleet.node().Signal(SIGUSR2);
   EXPECT_TRUE(
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -189,7 +189,7 @@
     lab::LocalFleetOptions o;
     o.program = std::getenv("RYEGLADE_PROGRAM");
     o.replicas.resize(3);
-    o.more_settings = "[timeline]\ndirectory = \"" + directory + "\"\n" + more;
+    o.extra_settings = "[timeline]\ndirectory = \"" + directory + "\"\n" + more;
     fleet = std::make_unique<lab::LocalFleet>(o);
   }
   // Sends requests, some of them with a fault, and returns how many were served.
@@ -197,7 +197,7 @@
     static const char* kFaults[] = {"none", "reset-once", "error-once", "break", "busy-once", "none"};
     int served = 0;
     for (int i = 0; i < requests; ++i) {
-      const lab::Reply r = fleet->Ask(
+      const lab::Reply r = fleet->SendAndWait(
           fleet->openai(),
           lab::Post("/v1/chat/completions", "",
                     R"({"model":"docs-model","max_tokens":5,"messages":[{"role":"user","content":"q)" +
@@ -236,7 +236,7 @@
   RecordingFleet r("block_within = \"50ms\"\n");
   r.SendRequests(30);
   r.fleet->node().Signal(SIGKILL);
-  EXPECT_TRUE(r.fleet->Until([&] { return !r.fleet->node().Running(); }, 10'000'000));
+  EXPECT_TRUE(r.fleet->Until([&] { return !r.fleet->node().IsRunning(); }, 10'000'000));
   const std::string output = r.Command("verify");
   EXPECT_EQ(output.find("failed"), std::string::npos) << output;
   EXPECT_NE(output.find("decisions reproduced"), std::string::npos);
