--- a/lab/rollout/command.cpp
+++ b/lab/rollout/command.cpp
@@ -6,62 +6,62 @@
 #include <vector>
 
 #include "lab/rollout/explorer.h"
-#include "lab/rollout/real.h"
+#include "lab/rollout/local_tier_trial.h"
 #include "lab/rollout/simulation.h"
 
 namespace ryeglade::rollout_lab {
 namespace {
 
-void Head() {
+void PrintHeader() {
   std::printf("%-28s %-10s %5s %6s %6s %6s %7s | %7s %10s %9s | %7s %s\n", "release", "rule", "runs", "done",
               "stop", "other", "stage 1", "nodes", "requests", "lost", "seconds", "broken");
 }
 
-bool say_ends = false;
+bool print_ends = false;
 
-int Row(const std::string& name, const char* rule, const Set& s) {
+int PrintRow(const std::string& name, const char* rule, const SimulationTotals& s) {
   const double n = s.runs;
   std::printf("%-28s %-10s %5d %6d %6d %6d %7d | %7.2f %10.0f %8.4f%% | %7.0f %zu\n", name.c_str(), rule,
-              s.runs, s.done, s.stopped, s.other, s.first_stage, s.nodes / n, s.requests / n,
-              100 * s.lost / s.worth, s.seconds / n, s.broken.size());
-  for (std::size_t i = 0; i < std::min<std::size_t>(4, s.broken.size()); ++i)
-    std::printf("  %s\n", s.broken[i].c_str());
-  if (say_ends) {
+              s.runs, s.done, s.stopped, s.other, s.stopped_in_first_stage, s.exposed_nodes / n,
+              s.exposed_requests / n, 100 * s.worth_lost / s.worth, s.seconds / n, s.violations.size());
+  for (std::size_t i = 0; i < std::min<std::size_t>(4, s.violations.size()); ++i)
+    std::printf("  %s\n", s.violations[i].c_str());
+  if (print_ends) {
     for (const std::string& end : s.ends) std::printf("  %s\n", end.c_str());
   }
   std::fflush(stdout);
-  return s.broken.empty() ? 0 : 1;
+  return s.violations.empty() ? 0 : 1;
 }
 
-std::vector<std::pair<std::string, Harm>> Harms() {
-  std::vector<std::pair<std::string, Harm>> all(1, {"no worse (A/A)", {}});
+std::vector<std::pair<std::string, ReleaseDefects>> Harms() {
+  std::vector<std::pair<std::string, ReleaseDefects>> all(1, {"no worse (A/A)", {}});
   for (const int percent : {1, 2, 5, 20}) {
-    Harm h;
-    h.failed = percent / 100.0;
+    ReleaseDefects h;
+    h.failed_share = percent / 100.0;
     all.emplace_back("fails " + std::to_string(percent) + "% more", h);
   }
   for (const int percent : {10, 30, 100}) {
-    Harm h;
-    h.slower = percent / 100.0;
+    ReleaseDefects h;
+    h.first_token_slowdown = percent / 100.0;
     all.emplace_back("first token " + std::to_string(percent) + "% slower", h);
   }
-  Harm refuses;
-  refuses.refused = 0.5;
+  ReleaseDefects refuses;
+  refuses.rejected_share = 0.5;
   refuses.only_class = "agent";
   all.emplace_back("refuses half of `agent`", refuses);
-  Harm leaks;
-  leaks.leak = 100 * 1024;
+  ReleaseDefects leaks;
+  leaks.leak_bytes_per_second = 100 * 1024;
   all.emplace_back("leaks 100 KiB/s", leaks);
-  Harm crashes;
-  crashes.crash_at = 50;
+  ReleaseDefects crashes;
+  crashes.crash_at_request = 50;
   all.emplace_back("crashes at the 50th request", crashes);
-  for (const auto& [name, set] : std::vector<std::pair<std::string, void (*)(Harm&)>>{
-           {"does not start", [](Harm& h) { h.does_not_start = true; }},
-           {"never says ready", [](Harm& h) { h.never_ready = true; }},
-           {"gives no figures", [](Harm& h) { h.no_figures = true; }},
-           {"is deaf to SIGTERM", [](Harm& h) { h.deaf = true; }},
-           {"unreadable at one node", [](Harm& h) { h.unreadable_at = "n7"; }}}) {
-    Harm h;
+  for (const auto& [name, set] : std::vector<std::pair<std::string, void (*)(ReleaseDefects&)>>{
+           {"does not start", [](ReleaseDefects& h) { h.does_not_start = true; }},
+           {"never says ready", [](ReleaseDefects& h) { h.never_ready = true; }},
+           {"gives no figures", [](ReleaseDefects& h) { h.no_metrics = true; }},
+           {"is deaf to SIGTERM", [](ReleaseDefects& h) { h.ignores_sigterm = true; }},
+           {"unreadable at one node", [](ReleaseDefects& h) { h.unreadable_on_node = "n7"; }}}) {
+    ReleaseDefects h;
     set(h);
     all.emplace_back(name, h);
   }
@@ -104,117 +104,133 @@
   o.faults = faults_;
   o.workers = workers_;
   o.variant = variant_;
-  const RolloutExplored e = ExploreRollout(o);
+  const RolloutExploration e = ExploreRollout(o);
   const auto number = [](std::uint64_t n) { return static_cast<unsigned long long>(n); };
   std::printf("%d nodes, %d faults%s%s: %llu states, %llu steps, %llu courses to their end\n", o.nodes,
               o.faults, o.variant.empty() ? "" : ", variant ", o.variant.c_str(), number(e.states),
-              number(e.steps), number(e.courses));
+              number(e.steps), number(e.executions));
   for (const auto& [end, n] : e.ends) std::printf("  %-42s %llu\n", end.c_str(), number(n));
   for (const auto& [name, n] : e.by_invariant)
     std::printf("broken: %s, %llu courses\n", name.c_str(), number(n));
-  for (std::size_t i = 0; i < std::min<std::size_t>(5, e.breaches.size()); ++i)
-    std::printf("  %s: %s:%s\n", e.breaches[i].invariant.c_str(), e.breaches[i].what.c_str(),
-                e.breaches[i].course.c_str());
-  return e.breaches.empty() ? 0 : 1;
+  for (std::size_t i = 0; i < std::min<std::size_t>(5, e.violations.size()); ++i)
+    std::printf("  %s: %s:%s\n", e.violations[i].invariant.c_str(), e.violations[i].what.c_str(),
+                e.violations[i].trace.c_str());
+  return e.violations.empty() ? 0 : 1;
 }
 
 int Commands::Real(const std::string& node_program) const {
-  RealTrial t;
+  LocalTierTrial t;
   t.program = node_program;
   t.nodes = nodes_ > 0 ? static_cast<std::size_t>(nodes_) : 16;
   t.rate = rate_;
   t.kills = kills_;
   t.seed = static_cast<std::uint64_t>(seed_);
-  const RealTrialResult r = PlayReal(t);
+  const LocalTierTrialResult r = RunLocalTierTrial(t);
   std::printf(
       "%zu nodes, %.0f requests a second each: %d of %d rollouts done in %.1f s together, %d drivers killed, "
       "at most "
       "%zu nodes in change\n"
       "worth earned of worth asked for: %.4f before, %.4f during (ratio %.4f)\n"
       "%llu requests: %llu unheard, %llu failed or broken, %llu with two attempts at once\n",
-      t.nodes, t.rate, r.done, r.rollouts, r.seconds, r.killed, r.most_in_change, r.before, r.during,
-      r.during / std::max(1e-9, r.before), static_cast<unsigned long long>(r.asked),
-      static_cast<unsigned long long>(r.unheard), static_cast<unsigned long long>(r.other),
-      static_cast<unsigned long long>(r.two_at_once));
-  for (const std::string& b : r.broken) std::printf("broken: %s\n", b.c_str());
-  return r.broken.empty() ? 0 : 1;
+      t.nodes, t.rate, r.done, r.rollouts, r.seconds, r.drivers_killed, r.max_in_change, r.worth_share_before,
+      r.worth_share_during, r.worth_share_during / std::max(1e-9, r.worth_share_before),
+      static_cast<unsigned long long>(r.asked), static_cast<unsigned long long>(r.unanswered),
+      static_cast<unsigned long long>(r.other), static_cast<unsigned long long>(r.overlapping_attempts));
+  for (const std::string& b : r.violations) std::printf("broken: %s\n", b.c_str());
+  return r.violations.empty() ? 0 : 1;
 }
 
 int Commands::Run(const std::string& node_program) {
   if (explore_) return Explore();
   if (real_) return Real(node_program);
   int bad = 0;
-  say_ends = ends_;
-  Head();
+  print_ends = ends_;
+  PrintHeader();
   if (set_ == "harms") {
-    for (const auto& [name, harm] : Harms()) {
-      for (const auto& [word, rule] : {std::pair{"verdict", Rule::kVerdict},
-                                       {"threshold", Rule::kThreshold},
-                                       {"at-once", Rule::kAllAtOnce}}) {
-        WorldSpec s;
+    for (const auto& [name, defects] : Harms()) {
+      for (const auto& [word, rule] : {std::pair{"verdict", StopRule::kCanaryAnalysis},
+                                       {"threshold", StopRule::kThreshold},
+                                       {"at-once", StopRule::kAllAtOnce}}) {
+        SimulationSpec s;
         s.seed = static_cast<std::uint64_t>(seed_);
-        s.harm = harm;
+        s.defects = defects;
         s.rule = rule;
-        s.length = 900;
-        bad += Row(name, word, PlayAll(s, runs_, workers_));
+        s.max_seconds = 900;
+        bad += PrintRow(name, word, RunSimulations(s, runs_, workers_));
       }
     }
     return bad > 0 ? 1 : 0;
   }
-  std::vector<std::pair<std::string, WorldSpec>> rows;
-  WorldSpec base;
+  std::vector<std::pair<std::string, SimulationSpec>> rows;
+  SimulationSpec base;
   base.seed = static_cast<std::uint64_t>(seed_);
-  base.soak = 10;
+  base.soak_seconds = 10;
   base.requests = 100;
   base.nodes = 8;
   base.stages = {1, 2};
-  base.length = 1500;
+  base.max_seconds = 1500;
   const auto add = [&](const char* name, auto set) {
-    WorldSpec s = base;
+    SimulationSpec s = base;
     set(s);
     rows.emplace_back(name, s);
   };
   if (set_ == "faults") {
-    add("drivers die", [](WorldSpec& s) { s.kill_driver = 0.003; });
-    add("drivers die, 20% lost", [](WorldSpec& s) { s.kill_driver = 0.003, s.lost = 0.2; });
-    add("two drivers", [](WorldSpec& s) { s.two_drivers = true, s.lost = 0.1; });
-    add("drivers pause 30 s", [](WorldSpec& s) { s.pause_driver = 0.02, s.two_drivers = true; });
-    add("keepers die", [](WorldSpec& s) { s.kill_keeper = 0.01; });
-    add("keepers and drivers die",
-        [](WorldSpec& s) { s.kill_keeper = 0.005, s.kill_driver = 0.002, s.lost = 0.1; });
-    add("nodes die", [](WorldSpec& s) { s.kill_node = 0.0005; });
-    add("3 of 8 cut for 60 s",
-        [](WorldSpec& s) { s.cut_from = 5, s.cut_to = 7, s.cut_at = 15, s.cut_for = 60; });
-    add("5 of 8 cut for 60 s",
-        [](WorldSpec& s) { s.cut_from = 3, s.cut_to = 7, s.cut_at = 15, s.cut_for = 60; });
-    add("a machine vanishes", [](WorldSpec& s) { s.vanish = 4, s.vanish_at = 20; });
-    add("bad one, drivers die",
-        [](WorldSpec& s) { s.kill_driver = 0.003, s.lost = 0.1, s.harm.failed = 0.3; });
-    add("bad one, 3 cut", [](WorldSpec& s) {
-      s.harm.failed = 0.1, s.cut_from = 5, s.cut_to = 7, s.cut_at = 30, s.cut_for = 60;
+    add("drivers die", [](SimulationSpec& s) { s.driver_kill_probability = 0.003; });
+    add("drivers die, 20% lost",
+        [](SimulationSpec& s) { s.driver_kill_probability = 0.003, s.message_loss = 0.2; });
+    add("two drivers", [](SimulationSpec& s) { s.concurrent_drivers = true, s.message_loss = 0.1; });
+    add("drivers pause 30 s",
+        [](SimulationSpec& s) { s.driver_pause_probability = 0.02, s.concurrent_drivers = true; });
+    add("keepers die", [](SimulationSpec& s) { s.supervisor_kills_per_second = 0.01; });
+    add("keepers and drivers die", [](SimulationSpec& s) {
+      s.supervisor_kills_per_second = 0.005, s.driver_kill_probability = 0.002, s.message_loss = 0.1;
     });
-    add("3 requests a minute", [](WorldSpec& s) { s.rate = 0.05, s.length = 4000; });
+    add("nodes die", [](SimulationSpec& s) { s.node_kills_per_second = 0.0005; });
+    add("3 of 8 cut for 60 s", [](SimulationSpec& s) {
+      s.partition_first = 5, s.partition_last = 7, s.partition_at = 15, s.partition_seconds = 60;
+    });
+    add("5 of 8 cut for 60 s", [](SimulationSpec& s) {
+      s.partition_first = 3, s.partition_last = 7, s.partition_at = 15, s.partition_seconds = 60;
+    });
+    add("a machine vanishes", [](SimulationSpec& s) { s.lost_machine = 4, s.lost_machine_at = 20; });
+    add("bad one, drivers die", [](SimulationSpec& s) {
+      s.driver_kill_probability = 0.003, s.message_loss = 0.1, s.defects.failed_share = 0.3;
+    });
+    add("bad one, 3 cut", [](SimulationSpec& s) {
+      s.defects.failed_share = 0.1, s.partition_first = 5, s.partition_last = 7, s.partition_at = 30,
+      s.partition_seconds = 60;
+    });
+    add("3 requests a minute", [](SimulationSpec& s) { s.rate = 0.05, s.max_seconds = 4000; });
   } else if (set_ == "world") {
-    add("fleet fails 30%, 60 s",
-        [](WorldSpec& s) { s.world_at = 9, s.world_for = 60, s.world_failed = 0.3; });
-    add("fleet fails 10%, 60 s",
-        [](WorldSpec& s) { s.world_at = 9, s.world_for = 60, s.world_failed = 0.1; });
-    add("load doubled, 60 s", [](WorldSpec& s) { s.load_at = 9, s.load_for = 60, s.load_times = 2; });
-    add("and one that fails 10%",
-        [](WorldSpec& s) { s.world_at = 9, s.world_for = 60, s.world_failed = 0.1, s.harm.failed = 0.1; });
+    add("fleet fails 30%, 60 s", [](SimulationSpec& s) {
+      s.fleet_failure_at = 9, s.fleet_failure_seconds = 60, s.fleet_failure_share = 0.3;
+    });
+    add("fleet fails 10%, 60 s", [](SimulationSpec& s) {
+      s.fleet_failure_at = 9, s.fleet_failure_seconds = 60, s.fleet_failure_share = 0.1;
+    });
+    add("load doubled, 60 s",
+        [](SimulationSpec& s) { s.load_peak_at = 9, s.load_peak_seconds = 60, s.load_peak_factor = 2; });
+    add("and one that fails 10%", [](SimulationSpec& s) {
+      s.fleet_failure_at = 9, s.fleet_failure_seconds = 60, s.fleet_failure_share = 0.1,
+      s.defects.failed_share = 0.1;
+    });
   } else {
-    add("keepers take any epoch", [](WorldSpec& s) {
-      s.forge_epoch = true, s.two_drivers = true, s.lost = 0.1, s.pause_driver = 0.02;
+    add("keepers take any epoch", [](SimulationSpec& s) {
+      s.accepts_any_epoch = true, s.concurrent_drivers = true, s.message_loss = 0.1,
+      s.driver_pause_probability = 0.02;
+    });
+    add("no lease", [](SimulationSpec& s) {
+      s.no_lease = true, s.concurrent_drivers = true, s.driver_pause_probability = 0.05, s.message_loss = 0.3;
     });
-    add("no lease",
-        [](WorldSpec& s) { s.no_lease = true, s.two_drivers = true, s.pause_driver = 0.05, s.lost = 0.3; });
-    add("more at once", [](WorldSpec& s) { s.greedy = true; });
-    add("forgets its good release", [](WorldSpec& s) { s.forgetful = true, s.kill_keeper = 0.02; });
+    add("more at once", [](SimulationSpec& s) { s.ignores_max_concurrent = true; });
+    add("forgets its good release",
+        [](SimulationSpec& s) { s.forgets_last_good = true, s.supervisor_kills_per_second = 0.02; });
     int caught = 0;
-    for (const auto& [name, s] : rows) caught += Row(name, "verdict", PlayAll(s, runs_, workers_));
+    for (const auto& [name, s] : rows)
+      caught += PrintRow(name, "verdict", RunSimulations(s, runs_, workers_));
     return caught == static_cast<int>(rows.size()) ? 0 : 1;
   }
-  for (const auto& [name, s] : rows) bad += Row(name, "verdict", PlayAll(s, runs_, workers_));
+  for (const auto& [name, s] : rows) bad += PrintRow(name, "verdict", RunSimulations(s, runs_, workers_));
   return bad > 0 ? 1 : 0;
 }
 
--- a/lab/rollout/explorer.cpp
+++ b/lab/rollout/explorer.cpp
@@ -24,183 +24,191 @@
 
 constexpr Time kSecond = 1'000'000;
 constexpr Time kLease = 2 * kSecond;
-constexpr Time kWaits = kLease * 12 / 10;  // of a new driver, before its first act
-constexpr int kKeeperBack = 2;             // rounds
+constexpr Time kDriverWait = kLease * 12 / 10;  // of a new driver, before its first act
+constexpr int kSupervisorRestartRounds = 2;     // rounds
 
-enum class Fate : std::uint8_t { kCome, kLost, kUnheard, kLate1, kLate3, kLate5 };
-constexpr std::array<const char*, 6> kFates{"", "lost", "answer-lost", "late-1", "late-3", "late-5"};
+enum class Delivery : std::uint8_t { kDelivered, kLost, kReplyLost, kDelayed1, kDelayed3, kDelayed5 };
+constexpr std::array<const char*, 6> kDeliveryNames{"", "lost", "answer-lost", "late-1", "late-3", "late-5"};
 
 // What may happen to a driver instead of its next message, or at the begin of a round.
-enum class Mishap : std::uint8_t {
+enum class FaultKind : std::uint8_t {
   kDriverDies,
   kDriverPauses2,
   kDriverPauses6,
-  kStop,  // it decides to go back
-  kKeeperDies,
+  kStopRequested,  // it decides to go back
+  kSupervisorDies,
   kNodeDies,
   kNewDriver,  // somebody starts one beside
   kNewPlan     // and with another release
 };
-constexpr std::array<const char*, 8> kMishaps{"dies",        "pauses-2",  "pauses-6",   "stops",
-                                              "keeper-dies", "node-dies", "new-driver", "new-plan"};
+constexpr std::array<const char*, 8> kFaultNames{"dies",        "pauses-2",  "pauses-6",   "stops",
+                                                 "keeper-dies", "node-dies", "new-driver", "new-plan"};
 
-struct Pilot {
+struct DriverRun {
   Driver driver;
   int number = 0;
-  bool fresh_plan = false;  // it drives the second plan
-  bool over = false;        // ended or dead
-  int paused = 0;           // rounds still
-  bool round_done = false;  // waits for the next round
-  std::size_t claims = 0;   // sent in this round
-  std::map<std::string, SupervisorResponse> seen;
-  std::vector<NodeCommand> orders;  // still to be sent, from the front
-  bool acting = false;              // its claims are through
+  bool second_plan = false;     // it drives the second plan
+  bool finished = false;        // ended or dead
+  int paused = 0;               // rounds still
+  bool round_done = false;      // waits for the next round
+  std::size_t claims_sent = 0;  // sent in this round
+  std::map<std::string, SupervisorResponse> responses;
+  std::vector<NodeCommand> commands;  // still to be sent, from the front
+  bool claims_done = false;           // its claims are through
 };
 
-struct Letter {
+struct DelayedCommand {
   int rounds = 0;
   std::size_t to = 0;
   SupervisorCommand command;
 };
 
-class Course {
+class Execution {
  public:
-  explicit Course(const RolloutExploreOptions& o) : o_(&o), machine_(RulesOf(o)), left_(o.faults) {
-    machine_.now = kSecond;
+  explicit Execution(const RolloutExploreOptions& o)
+      : o_(&o), node_simulator_(RulesOf(o)), faults_left_(o.faults) {
+    node_simulator_.now = kSecond;
     for (int i = 0; i < o.nodes; ++i) {
-      KeptNode n;
+      SupervisedNode n;
       n.name = fmt::format("n{}", i);
-      n.disk.active = n.disk.last_good = {"old", "/old", "", "", "", "", ""};
+      n.saved_state.active = n.saved_state.last_good = {"old", "/old", "", "", "", "", ""};
       nodes_.push_back(std::move(n));
     }
-    for (KeptNode& n : nodes_) machine_.Boot(n);
-    Settle();
-    Settle();
+    for (SupervisedNode& n : nodes_) node_simulator_.StartSupervisor(n);
+    AdvanceOneSecond();
+    AdvanceOneSecond();
     NewDriver(false);
   }
 
   // What may come next: one word for each way to go on, told apart by number. The first is the way without a
   // fault.
-  struct Way {
-    std::size_t pilot = 0;
-    std::optional<Mishap> mishap;
-    Fate fate = Fate::kCome;
+  struct Step {
+    std::size_t driver_run = 0;
+    std::optional<FaultKind> fault;
+    Delivery delivery = Delivery::kDelivered;
     std::size_t node = 0;
-    bool round = false;  // the round begins
+    bool begins_round = false;  // the round begins
   };
-  std::vector<Way> Ways() const {
-    std::vector<Way> all;
-    bool moves = false;
-    for (std::size_t i = 0; i < pilots_.size(); ++i) {
-      const Pilot& p = pilots_[i];
-      if (p.over || p.paused > 0 || p.round_done) continue;
-      moves = true;
-      all.push_back({i, std::nullopt, Fate::kCome, 0, false});
-      if (left_ == 0) continue;
-      for (const Fate f : {Fate::kLost, Fate::kUnheard}) all.push_back({i, std::nullopt, f, 0, false});
+  std::vector<Step> NextSteps() const {
+    std::vector<Step> all;
+    bool driver_can_act = false;
+    for (std::size_t i = 0; i < driver_runs_.size(); ++i) {
+      const DriverRun& p = driver_runs_[i];
+      if (p.finished || p.paused > 0 || p.round_done) continue;
+      driver_can_act = true;
+      all.push_back({i, std::nullopt, Delivery::kDelivered, 0, false});
+      if (faults_left_ == 0) continue;
+      for (const Delivery f : {Delivery::kLost, Delivery::kReplyLost})
+        all.push_back({i, std::nullopt, f, 0, false});
       // A claim that comes late is as good as lost: its answer is not waited for. A command is not.
-      if (p.acting) {
-        for (const Fate f : {Fate::kLate1, Fate::kLate3, Fate::kLate5})
+      if (p.claims_done) {
+        for (const Delivery f : {Delivery::kDelayed1, Delivery::kDelayed3, Delivery::kDelayed5})
           all.push_back({i, std::nullopt, f, 0, false});
       }
-      for (const Mishap m : {Mishap::kDriverDies, Mishap::kDriverPauses2, Mishap::kDriverPauses6})
-        all.push_back({i, m, Fate::kCome, 0, false});
+      for (const FaultKind m : {FaultKind::kDriverDies, FaultKind::kDriverPauses2, FaultKind::kDriverPauses6})
+        all.push_back({i, m, Delivery::kDelivered, 0, false});
     }
-    if (moves) return all;
-    all.push_back({0, std::nullopt, Fate::kCome, 0, true});
-    if (left_ == 0) return all;
+    if (driver_can_act) return all;
+    all.push_back({0, std::nullopt, Delivery::kDelivered, 0, true});
+    if (faults_left_ == 0) return all;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      if (!nodes_[i].keeper_down) all.push_back({0, Mishap::kKeeperDies, Fate::kCome, i, true});
-      if (!nodes_[i].processes.empty()) all.push_back({0, Mishap::kNodeDies, Fate::kCome, i, true});
+      if (!nodes_[i].supervisor_down)
+        all.push_back({0, FaultKind::kSupervisorDies, Delivery::kDelivered, i, true});
+      if (!nodes_[i].processes.empty())
+        all.push_back({0, FaultKind::kNodeDies, Delivery::kDelivered, i, true});
     }
-    bool drives = false;
-    for (std::size_t i = 0; i < pilots_.size(); ++i) {
-      const Pilot& p = pilots_[i];
-      drives = drives || !p.over;
-      if (!p.over && p.paused == 0) all.push_back({i, Mishap::kStop, Fate::kCome, 0, true});
+    bool driver_is_running = false;
+    for (std::size_t i = 0; i < driver_runs_.size(); ++i) {
+      const DriverRun& p = driver_runs_[i];
+      driver_is_running = driver_is_running || !p.finished;
+      if (!p.finished && p.paused == 0)
+        all.push_back({i, FaultKind::kStopRequested, Delivery::kDelivered, 0, true});
     }
-    if (drives && pilots_.size() < 6) {
-      all.push_back({0, Mishap::kNewDriver, Fate::kCome, 0, true});
-      if (!second_plan_) all.push_back({0, Mishap::kNewPlan, Fate::kCome, 0, true});
+    if (driver_is_running && driver_runs_.size() < 6) {
+      all.push_back({0, FaultKind::kNewDriver, Delivery::kDelivered, 0, true});
+      if (!second_plan_) all.push_back({0, FaultKind::kNewPlan, Delivery::kDelivered, 0, true});
     }
     return all;
   }
 
-  void Go(const Way& way) {
-    if (way.mishap || way.fate != Fate::kCome) {
-      --left_;
-      told_ += fmt::format(" r{}:{}{}", round_,
-                           way.mishap ? kMishaps[static_cast<std::size_t>(*way.mishap)]
-                                      : kFates[static_cast<std::size_t>(way.fate)],
-                           Where(way));
+  void Apply(const Step& step) {
+    if (step.fault || step.delivery != Delivery::kDelivered) {
+      --faults_left_;
+      trace_ += fmt::format(" r{}:{}{}", round_,
+                            step.fault ? kFaultNames[static_cast<std::size_t>(*step.fault)]
+                                       : kDeliveryNames[static_cast<std::size_t>(step.delivery)],
+                            DescribeTarget(step));
     }
-    if (way.round) {
-      if (way.mishap) Happen(way);
-      Round();
-    } else if (way.mishap) {
-      Happen(way);
+    if (step.begins_round) {
+      if (step.fault) InjectFault(step);
+      BeginRound();
+    } else if (step.fault) {
+      InjectFault(step);
     } else {
-      Message(way.pilot, way.fate);
+      SendNext(step.driver_run, step.delivery);
     }
     Check();
   }
 
-  bool over() const { return !end_.empty() || breach_; }
-  const std::string& end() const { return end_; }
-  const std::optional<RolloutExplored::Breach>& breach() const { return breach_; }
+  bool finished() const { return !outcome_.empty() || violation_; }
+  const std::string& outcome() const { return outcome_; }
+  const std::optional<RolloutExploration::Violation>& violation() const { return violation_; }
 
   // Two courses of the same print go on alike. What decides is in it, with times as spans.
-  std::uint64_t Print() const {
-    std::string all = fmt::format("{} {} {} {} {}|", left_, acted_, idle_, second_plan_, killed_);
-    for (const KeptNode& n : nodes_) {
-      const SupervisorState& m = n.disk;
+  std::uint64_t Fingerprint() const {
+    std::string all = fmt::format("{} {} {} {} {}|", faults_left_, highest_executed_epoch_,
+                                  rounds_without_driver_, second_plan_, nodes_killed_);
+    for (const SupervisedNode& n : nodes_) {
+      const SupervisorState& m = n.saved_state;
       all += fmt::format("{} {} {} {} {} {} {} {} {} {} {} {} {}", m.epoch, m.driver, m.directive,
                          m.directive_number, m.active.id, m.last_good.id, m.pending ? m.pending->id : "-",
-                         m.failed_release, m.failure_reason, n.keeper_down ? n.keeper_back - machine_.now : 0,
-                         m.plan.size(), m.current.pid > 0, m.next.pid > 0);
-      if (!n.keeper_down) {
-        const SupervisorStatus s = n.keeper->Status();
+                         m.failed_release, m.failure_reason,
+                         n.supervisor_down ? n.supervisor_restart_at - node_simulator_.now : 0, m.plan.size(),
+                         m.current.pid > 0, m.next.pid > 0);
+      if (!n.supervisor_down) {
+        const SupervisorStatus s = n.supervisor->Status();
         all += fmt::format(" {} {} {}", static_cast<int>(s.phase), s.crashes,
-                           s.claimed_at == 0 ? -1 : std::min(machine_.now - s.claimed_at, 2 * kLease));
-        all += fmt::format(" {} {}", n.keeper->current(), n.keeper->next());
+                           s.claimed_at == 0 ? -1 : std::min(node_simulator_.now - s.claimed_at, 2 * kLease));
+        all += fmt::format(" {} {}", n.supervisor->current(), n.supervisor->next());
       }
       for (const auto& [number, p] : n.processes)
-        all += fmt::format(" {}:{}{}{}{}{}", number, p.release.id, p.ready, p.leaving,
-                           machine_.now - p.started, p.ends_at < 0 ? -1 : p.ends_at - machine_.now);
+        all += fmt::format(" {}:{}{}{}{}{}", number, p.release.id, p.ready, p.terminating,
+                           node_simulator_.now - p.started,
+                           p.ends_at < 0 ? -1 : p.ends_at - node_simulator_.now);
       all += ";";
     }
-    for (const Pilot& p : pilots_) {
-      if (p.over) continue;
-      all += fmt::format("p{} {} {} {} {} {} [", p.number, p.fresh_plan, p.paused, p.round_done, p.claims,
-                         p.acting);
-      for (const auto& [name, v] : p.seen)
+    for (const DriverRun& p : driver_runs_) {
+      if (p.finished) continue;
+      all += fmt::format("p{} {} {} {} {} {} [", p.number, p.second_plan, p.paused, p.round_done,
+                         p.claims_sent, p.claims_done);
+      for (const auto& [name, v] : p.responses)
         all += fmt::format("{} {} {} {},", name, v.claimed, v.status->active.id, v.status->pending);
-      for (const NodeCommand& o : p.orders)
+      for (const NodeCommand& o : p.commands)
         all += fmt::format("{} {} {},", o.node, static_cast<int>(o.command.kind),
-                           o.command.claimed_at > 0 ? machine_.now - o.command.claimed_at : -1);
-      all += "]" + p.driver.StateFingerprint(machine_.now) + ";";
+                           o.command.claimed_at > 0 ? node_simulator_.now - o.command.claimed_at : -1);
+      all += "]" + p.driver.StateFingerprint(node_simulator_.now) + ";";
     }
-    for (const Letter& l : late_)
+    for (const DelayedCommand& l : delayed_)
       all +=
           fmt::format("l{} {} {} {} {};", l.rounds, l.to, static_cast<int>(l.command.kind), l.command.epoch,
-                      l.command.claimed_at > 0 ? machine_.now - l.command.claimed_at : -1);
+                      l.command.claimed_at > 0 ? node_simulator_.now - l.command.claimed_at : -1);
     return XXH3_64bits(all.data(), all.size());
   }
   // It has come to where it was before, and no fault is left to lead elsewhere.
-  void Stuck() { Broken("ends", "the course goes round in a circle"); }
+  void ReportCycle() { AddViolation("ends", "the course goes round in a circle"); }
 
  private:
-  static Machine::Rules RulesOf(const RolloutExploreOptions& o) {
-    Machine::Rules r;
+  static NodeSimulator::Rules RulesOf(const RolloutExploreOptions& o) {
+    NodeSimulator::Rules r;
     r.limits.lease = o.variant == "no-lease" || o.variant == "hasty" ? Time{1} << 50 : kLease;
     r.limits.ready_timeout = 3 * kSecond;
     r.limits.stop_timeout = 3 * kSecond;
     r.limits.crash_window = 1000 * kSecond;
     r.limits.initial_backoff = kSecond;
-    r.ends_in = kSecond;
+    r.stop_duration = kSecond;
     return r;
   }
-  bool Is(const char* variant) const { return o_->variant == variant; }
+  bool HasVariant(const char* variant) const { return o_->variant == variant; }
 
   rollout::Plan PlanOf(bool second) const {
     rollout::Plan plan;
@@ -211,7 +219,7 @@
     plan.stages.push_back({{nodes_[0].name}, kSecond, 0, 1});
     plan.stages.push_back({{}, kSecond, 0, 1});
     for (std::size_t i = 1; i < nodes_.size(); ++i) plan.stages.back().nodes.push_back(nodes_[i].name);
-    if (Is("greedy")) plan.stages.back().max_concurrent = nodes_.size();
+    if (HasVariant("greedy")) plan.stages.back().max_concurrent = nodes_.size();
     plan.unreachable_after = 8 * kSecond;
     plan.max_skipped = nodes_.size() > 2 ? 1 : 0;
     return plan;
@@ -219,239 +227,245 @@
 
   void NewDriver(bool second) {
     std::uint64_t epoch = 0;
-    for (const KeptNode& n : nodes_) {
-      if (!n.keeper_down) epoch = std::max(epoch, n.keeper->Status().epoch);
+    for (const SupervisedNode& n : nodes_) {
+      if (!n.supervisor_down) epoch = std::max(epoch, n.supervisor->Status().epoch);
     }
-    const int number = ++drivers_;
-    pilots_.push_back({Driver(PlanOf(second), epoch + 1, fmt::format("d{}", number),
-                              Is("no-lease") || Is("hasty") ? 0 : kWaits),
-                       number,
-                       second,
-                       false,
-                       0,
-                       false,
-                       0,
-                       {},
-                       {},
-                       false});
+    const int number = ++driver_count_;
+    driver_runs_.push_back({Driver(PlanOf(second), epoch + 1, fmt::format("d{}", number),
+                                   HasVariant("no-lease") || HasVariant("hasty") ? 0 : kDriverWait),
+                            number,
+                            second,
+                            false,
+                            0,
+                            false,
+                            0,
+                            {},
+                            {},
+                            false});
   }
 
-  std::string Where(const Way& way) const {
-    if (way.round && way.mishap && (*way.mishap == Mishap::kKeeperDies || *way.mishap == Mishap::kNodeDies))
-      return "(n" + std::to_string(way.node) + ")";
-    const Pilot& p = pilots_[way.pilot];
-    if (way.round) return fmt::format("(d{})", p.number);
-    const std::string to =
-        !p.acting ? fmt::format("claim n{}", p.claims)
-        : p.orders.empty()
-            ? "-"
-            : fmt::format("{} {}", static_cast<int>(p.orders.front().command.kind), p.orders.front().node);
+  std::string DescribeTarget(const Step& step) const {
+    if (step.begins_round && step.fault &&
+        (*step.fault == FaultKind::kSupervisorDies || *step.fault == FaultKind::kNodeDies))
+      return "(n" + std::to_string(step.node) + ")";
+    const DriverRun& p = driver_runs_[step.driver_run];
+    if (step.begins_round) return fmt::format("(d{})", p.number);
+    const std::string to = !p.claims_done ? fmt::format("claim n{}", p.claims_sent)
+                           : p.commands.empty()
+                               ? "-"
+                               : fmt::format("{} {}", static_cast<int>(p.commands.front().command.kind),
+                                             p.commands.front().node);
     return fmt::format("(d{} {})", p.number, to);
   }
 
-  void Happen(const Way& way) {
-    switch (*way.mishap) {
-      case Mishap::kDriverDies:
-        pilots_[way.pilot].over = true;
+  void InjectFault(const Step& step) {
+    switch (*step.fault) {
+      case FaultKind::kDriverDies:
+        driver_runs_[step.driver_run].finished = true;
         break;
-      case Mishap::kDriverPauses2:
-        pilots_[way.pilot].paused = 2;
+      case FaultKind::kDriverPauses2:
+        driver_runs_[step.driver_run].paused = 2;
         break;
-      case Mishap::kDriverPauses6:
-        pilots_[way.pilot].paused = 6;
+      case FaultKind::kDriverPauses6:
+        driver_runs_[step.driver_run].paused = 6;
         break;
-      case Mishap::kStop:
-        pilots_[way.pilot].driver.SetDirective("back", "stopped");
+      case FaultKind::kStopRequested:
+        driver_runs_[step.driver_run].driver.SetDirective("back", "stopped");
         break;
-      case Mishap::kKeeperDies: {
-        KeptNode& n = nodes_[way.node];
-        n.keeper_down = true;
-        n.keeper_back = machine_.now + kKeeperBack * kSecond;
-        if (Is("forgetful")) n.disk.last_good = {};
+      case FaultKind::kSupervisorDies: {
+        SupervisedNode& n = nodes_[step.node];
+        n.supervisor_down = true;
+        n.supervisor_restart_at = node_simulator_.now + kSupervisorRestartRounds * kSecond;
+        if (HasVariant("forgetful")) n.saved_state.last_good = {};
         break;
       }
-      case Mishap::kNodeDies: {
-        KeptNode& n = nodes_[way.node];
+      case FaultKind::kNodeDies: {
+        SupervisedNode& n = nodes_[step.node];
         const auto at = std::find_if(n.processes.begin(), n.processes.end(),
-                                     [](const auto& p) { return p.second.ready && !p.second.leaving; });
+                                     [](const auto& p) { return p.second.ready && !p.second.terminating; });
         if (at == n.processes.end()) break;
         const int number = at->first;
         n.processes.erase(at);
-        killed_ |= 1U << way.node;
-        if (!n.keeper_down) machine_.End(n, number);
+        nodes_killed_ |= 1U << step.node;
+        if (!n.supervisor_down) node_simulator_.EndProcess(n, number);
         break;
       }
-      case Mishap::kNewDriver:
-      case Mishap::kNewPlan:
-        second_plan_ = second_plan_ || *way.mishap == Mishap::kNewPlan;
-        NewDriver(*way.mishap == Mishap::kNewPlan);
+      case FaultKind::kNewDriver:
+      case FaultKind::kNewPlan:
+        second_plan_ = second_plan_ || *step.fault == FaultKind::kNewPlan;
+        NewDriver(*step.fault == FaultKind::kNewPlan);
         break;
     }
   }
 
   // A driver's next message; behind its last claim it decides.
-  void Message(std::size_t number, Fate fate) {
-    Pilot& p = pilots_[number];
-    if (!p.acting) {
-      const std::size_t to = p.claims++;
+  void SendNext(std::size_t number, Delivery delivery) {
+    DriverRun& p = driver_runs_[number];
+    if (!p.claims_done) {
+      const std::size_t to = p.claims_sent++;
       NodeCommand claim{nodes_[to].name, p.driver.MakeClaim()};
-      if (const auto reply = Ask(to, claim.command, fate)) {
-        p.seen[claim.node] = {reply->status, reply->accepted};
+      if (const auto reply = Send(to, claim.command, delivery)) {
+        p.responses[claim.node] = {reply->status, reply->accepted};
         if (!reply->accepted) p.driver.OnRejected(reply->reason);
       }
-      if (p.claims < nodes_.size()) return;
-      p.acting = true;
+      if (p.claims_sent < nodes_.size()) return;
+      p.claims_done = true;
       if (!p.driver.ended()) {
-        p.orders = p.driver.RunRound(machine_.now, p.seen);
-        std::stable_partition(p.orders.begin(), p.orders.end(), [](const NodeCommand& o) {
+        p.commands = p.driver.RunRound(node_simulator_.now, p.responses);
+        std::stable_partition(p.commands.begin(), p.commands.end(), [](const NodeCommand& o) {
           return o.command.kind == CommandKind::kSetDirective;
         });
       }
     } else {
-      const NodeCommand order = p.orders.front();
-      p.orders.erase(p.orders.begin());
-      const std::size_t to = static_cast<std::size_t>(std::stoul(order.node.substr(1)));
-      const auto reply = Ask(to, order.command, fate);
+      const NodeCommand command = p.commands.front();
+      p.commands.erase(p.commands.begin());
+      const std::size_t to = static_cast<std::size_t>(std::stoul(command.node.substr(1)));
+      const auto reply = Send(to, command.command, delivery);
       if (reply && !reply->accepted) p.driver.OnRejected(reply->reason);
     }
     // What a round has decided is sent to its end, as the real driver does, also where one answer says stale.
-    if (!p.orders.empty()) return;
+    if (!p.commands.empty()) return;
     p.round_done = true;
     if (p.driver.state() == RolloutState::kSuperseded) {
-      p.over = true;
+      p.finished = true;
     } else if (p.driver.ended() || p.driver.state() == RolloutState::kPaused) {
       End(p);
     }
   }
 
-  std::optional<CommandReply> Ask(std::size_t to, const SupervisorCommand& command, Fate fate) {
-    switch (fate) {
-      case Fate::kLost:
+  std::optional<CommandReply> Send(std::size_t to, const SupervisorCommand& command, Delivery delivery) {
+    switch (delivery) {
+      case Delivery::kLost:
         return std::nullopt;
-      case Fate::kLate1:
-      case Fate::kLate3:
-      case Fate::kLate5:
-        late_.push_back({fate == Fate::kLate1 ? 1 : fate == Fate::kLate3 ? 3 : 5, to, command});
+      case Delivery::kDelayed1:
+      case Delivery::kDelayed3:
+      case Delivery::kDelayed5:
+        delayed_.push_back({delivery == Delivery::kDelayed1   ? 1
+                            : delivery == Delivery::kDelayed3 ? 3
+                                                              : 5,
+                            to, command});
         return std::nullopt;
-      case Fate::kUnheard:
-        Take(to, command);
+      case Delivery::kReplyLost:
+        Deliver(to, command);
         return std::nullopt;
-      case Fate::kCome:
+      case Delivery::kDelivered:
         break;
     }
-    return Take(to, command);
+    return Deliver(to, command);
   }
 
-  std::optional<CommandReply> Take(std::size_t to, const SupervisorCommand& command) {
-    KeptNode& n = nodes_[to];
-    if (n.keeper_down) return std::nullopt;
+  std::optional<CommandReply> Deliver(std::size_t to, const SupervisorCommand& command) {
+    SupervisedNode& n = nodes_[to];
+    if (n.supervisor_down) return std::nullopt;
     SupervisorCommand c = command;
-    if (Is("no-token") || Is("hasty")) c.claimed_at = 0;
-    if (Is("any-epoch")) {
-      const SupervisorStatus s = n.keeper->Status();
+    if (HasVariant("no-token") || HasVariant("hasty")) c.claimed_at = 0;
+    if (HasVariant("any-epoch")) {
+      const SupervisorStatus s = n.supervisor->Status();
       if (c.epoch < s.epoch) c.epoch = s.epoch;
       if (c.epoch == s.epoch && s.epoch > 0) c.driver = s.driver;
     }
-    std::vector<SupervisorEffect> acts;
-    CommandReply reply = n.keeper->HandleCommand(machine_.now, c, acts);
-    const bool acted = reply.accepted && !acts.empty() &&
+    std::vector<SupervisorEffect> effects;
+    CommandReply reply = n.supervisor->HandleCommand(node_simulator_.now, c, effects);
+    const bool acted = reply.accepted && !effects.empty() &&
                        (c.kind == CommandKind::kChange || c.kind == CommandKind::kRollBack);
-    machine_.Carry(n, std::move(acts));
+    node_simulator_.CarryOut(n, std::move(effects));
     if (acted) {
-      if (command.epoch < acted_)
-        Broken("one-driver",
-               fmt::format("epoch {} acted at {} behind epoch {}", command.epoch, n.name, acted_));
-      acted_ = std::max(acted_, command.epoch);
+      if (command.epoch < highest_executed_epoch_)
+        AddViolation("one-driver", fmt::format("epoch {} acted at {} behind epoch {}", command.epoch, n.name,
+                                               highest_executed_epoch_));
+      highest_executed_epoch_ = std::max(highest_executed_epoch_, command.epoch);
     }
     reply.status.metrics = NodeMetrics{};
     reply.status.metrics->pid = reply.status.pid;
-    reply.status.now = machine_.now;
-    if (Is("any-epoch")) reply.status.epoch = std::min(reply.status.epoch, command.epoch);
+    reply.status.now = node_simulator_.now;
+    if (HasVariant("any-epoch")) reply.status.epoch = std::min(reply.status.epoch, command.epoch);
     return reply;
   }
 
   // Processes and keepers come to where a second leads them.
-  void Settle() {
-    for (KeptNode& n : nodes_) {
-      if (n.keeper_down && machine_.now >= n.keeper_back) machine_.Boot(n);
+  void AdvanceOneSecond() {
+    for (SupervisedNode& n : nodes_) {
+      if (n.supervisor_down && node_simulator_.now >= n.supervisor_restart_at)
+        node_simulator_.StartSupervisor(n);
       std::vector<int> gone;
       for (const auto& [number, p] : n.processes) {
-        if (p.ends_at >= 0 && machine_.now >= p.ends_at) gone.push_back(number);
+        if (p.ends_at >= 0 && node_simulator_.now >= p.ends_at) gone.push_back(number);
       }
       for (const int number : gone) {
         n.processes.erase(number);
-        if (!n.keeper_down) machine_.End(n, number);
+        if (!n.supervisor_down) node_simulator_.EndProcess(n, number);
       }
-      if (n.keeper_down) continue;
+      if (n.supervisor_down) continue;
       for (auto& [number, p] : n.processes) {
-        if (p.ready || machine_.now - p.started < kSecond) continue;
+        if (p.ready || node_simulator_.now - p.started < kSecond) continue;
         p.ready = true;
-        std::vector<SupervisorEffect> acts;
-        n.keeper->OnProcessReady(machine_.now, number, acts);
-        machine_.Carry(n, std::move(acts));
+        std::vector<SupervisorEffect> effects;
+        n.supervisor->OnProcessReady(node_simulator_.now, number, effects);
+        node_simulator_.CarryOut(n, std::move(effects));
         break;
       }
-      machine_.Tick(n);
+      node_simulator_.TickSupervisor(n);
     }
-    machine_.EndUnstarted();
-    machine_.now += kSecond;
+    node_simulator_.EndUnstartedProcesses();
+    node_simulator_.now += kSecond;
   }
 
-  void Round() {
+  void BeginRound() {
     ++round_;
-    Settle();
-    std::vector<Letter> due;
-    for (Letter& l : late_) {
+    AdvanceOneSecond();
+    std::vector<DelayedCommand> due;
+    for (DelayedCommand& l : delayed_) {
       if (--l.rounds <= 0) due.push_back(l);
     }
-    std::erase_if(late_, [](const Letter& l) { return l.rounds <= 0; });
-    for (const Letter& l : due) Take(l.to, l.command);
-    bool drives = false;
-    for (Pilot& p : pilots_) {
-      if (p.over) continue;
+    std::erase_if(delayed_, [](const DelayedCommand& l) { return l.rounds <= 0; });
+    for (const DelayedCommand& l : due) Deliver(l.to, l.command);
+    bool driver_is_running = false;
+    for (DriverRun& p : driver_runs_) {
+      if (p.finished) continue;
       if (p.paused > 0) {
         --p.paused;
         continue;  // whoever waits for it starts another
       }
-      drives = true;
+      driver_is_running = true;
       if (!p.round_done) continue;
-      p.round_done = p.acting = false;
-      p.claims = 0;
-      p.seen.clear();
+      p.round_done = p.claims_done = false;
+      p.claims_sent = 0;
+      p.responses.clear();
     }
-    if (!drives && end_.empty()) {
-      if (++idle_ >= 2) {
-        idle_ = 0;
+    if (!driver_is_running && outcome_.empty()) {
+      if (++rounds_without_driver_ >= 2) {
+        rounds_without_driver_ = 0;
         NewDriver(second_plan_);
       }
     } else {
-      idle_ = 0;
+      rounds_without_driver_ = 0;
     }
-    if (round_ > o_->rounds) Broken("ends", "the course came to no end");
+    if (round_ > o_->rounds) AddViolation("ends", "the course came to no end");
   }
 
-  void End(Pilot& p) {
+  void End(DriverRun& p) {
     switch (p.driver.state()) {
       case RolloutState::kCompleted:
-        end_ = p.fresh_plan ? "second done" : "done";
-        for (const KeptNode& n : nodes_) {
-          if (n.disk.active.id != p.driver.plan().release.id && p.driver.skipped_nodes().empty())
-            Broken("all-changed", n.name + " runs " + n.disk.active.id + " and it is called done");
+        outcome_ = p.second_plan ? "second done" : "done";
+        for (const SupervisedNode& n : nodes_) {
+          if (n.saved_state.active.id != p.driver.plan().release.id && p.driver.skipped_nodes().empty())
+            AddViolation("all-changed",
+                         n.name + " runs " + n.saved_state.active.id + " and it is called done");
         }
         break;
       case RolloutState::kRolledBack:
-        end_ = "back";
-        for (const KeptNode& n : nodes_) {
-          if (n.keeper_down || n.disk.active.id != p.driver.plan().release.id) continue;
+        outcome_ = "back";
+        for (const SupervisedNode& n : nodes_) {
+          if (n.supervisor_down || n.saved_state.active.id != p.driver.plan().release.id) continue;
           const auto gone = p.driver.skipped_nodes();
-          if (n.disk.last_good.id != n.disk.active.id &&
+          if (n.saved_state.last_good.id != n.saved_state.active.id &&
               std::find(gone.begin(), gone.end(), n.name) == gone.end())
-            Broken("stop-reaches", "a stop did not reach " + n.name);
+            AddViolation("stop-reaches", "a stop did not reach " + n.name);
         }
         break;
       case RolloutState::kPaused:
         // An operator goes on with it: here that is where it ends, unless faults are still to come.
-        end_ = "paused: " + p.driver.reason();
+        outcome_ = "paused: " + p.driver.reason();
         break;
       default:
         break;
@@ -461,39 +475,41 @@
   void Check() {
     std::size_t changing = 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      const KeptNode& n = nodes_[i];
-      const SupervisorState& m = n.disk;
-      if (m.last_good.program.empty()) Broken("good-release", n.name + " has no good release");
-      if (m.active.program.empty()) Broken("good-release", n.name + " has no release");
+      const SupervisedNode& n = nodes_[i];
+      const SupervisorState& m = n.saved_state;
+      if (m.last_good.program.empty()) AddViolation("good-release", n.name + " has no good release");
+      if (m.active.program.empty()) AddViolation("good-release", n.name + " has no release");
       if (m.pending && *m.pending != m.last_good) ++changing;
       std::size_t living = 0, serving = 0;
       for (const auto& [number, p] : n.processes) {
-        living += p.leaving || (p.ends_at >= 0 && p.ends_at <= machine_.now) ? 0 : 1;  // a killed one is none
-        serving += p.ready && !p.leaving ? 1 : 0;
+        living += p.terminating || (p.ends_at >= 0 && p.ends_at <= node_simulator_.now)
+                      ? 0
+                      : 1;  // a killed one is none
+        serving += p.ready && !p.terminating ? 1 : 0;
       }
-      if (living > 2) Broken("two-processes", fmt::format("{} has {} processes", n.name, living));
-      if (serving == 0 && (killed_ >> i & 1U) == 0 && round_ > 0)
-        Broken("serves", n.name + " serves with no process though none was killed");
+      if (living > 2) AddViolation("two-processes", fmt::format("{} has {} processes", n.name, living));
+      if (serving == 0 && (nodes_killed_ >> i & 1U) == 0 && round_ > 0)
+        AddViolation("serves", n.name + " serves with no process though none was killed");
     }
-    if (changing > 1) Broken("at-once", fmt::format("{} nodes in change, 1 allowed", changing));
+    if (changing > 1) AddViolation("at-once", fmt::format("{} nodes in change, 1 allowed", changing));
   }
 
-  void Broken(const char* invariant, const std::string& what) {
-    if (!breach_) breach_ = RolloutExplored::Breach{invariant, what, told_};
+  void AddViolation(const char* invariant, const std::string& what) {
+    if (!violation_) violation_ = RolloutExploration::Violation{invariant, what, trace_};
   }
 
   const RolloutExploreOptions* o_;
-  Machine machine_;
-  int left_;
-  std::vector<KeptNode> nodes_;
-  std::vector<Pilot> pilots_;
-  std::vector<Letter> late_;
-  std::uint64_t acted_ = 0;
-  unsigned killed_ = 0;  // bits: nodes of which a process was killed by a fault
-  int round_ = 0, drivers_ = 0, idle_ = 0;
+  NodeSimulator node_simulator_;
+  int faults_left_;
+  std::vector<SupervisedNode> nodes_;
+  std::vector<DriverRun> driver_runs_;
+  std::vector<DelayedCommand> delayed_;
+  std::uint64_t highest_executed_epoch_ = 0;
+  unsigned nodes_killed_ = 0;  // bits: nodes of which a process was killed by a fault
+  int round_ = 0, driver_count_ = 0, rounds_without_driver_ = 0;
   bool second_plan_ = false;
-  std::string end_, told_;
-  std::optional<RolloutExplored::Breach> breach_;
+  std::string outcome_, trace_;
+  std::optional<RolloutExploration::Violation> violation_;
 };
 
 // Courses that are still to be gone on with, shared by the workers; each worker goes deep by itself and hands
@@ -502,120 +518,120 @@
  public:
   explicit Search(const RolloutExploreOptions& o) : o_(o) {}
 
-  RolloutExplored Run() {
-    open_.push_back(Course(o_));
+  RolloutExploration Run() {
+    pending_.push_back(Execution(o_));
     const int workers =
         o_.workers > 0 ? o_.workers : std::max(1, static_cast<int>(std::thread::hardware_concurrency()));
     std::vector<std::thread> threads;
     threads.reserve(static_cast<std::size_t>(workers));
-    for (int i = 0; i < workers; ++i) threads.emplace_back([this] { Work(); });
+    for (int i = 0; i < workers; ++i) threads.emplace_back([this] { RunWorker(); });
     for (std::thread& t : threads) t.join();
-    out_.states = 0;
-    for (const Shard& s : shards_) out_.states += s.seen.size();
-    return std::move(out_);
+    result_.states = 0;
+    for (const Shard& s : shards_) result_.states += s.fingerprints.size();
+    return std::move(result_);
   }
 
  private:
   struct Shard {
     std::mutex mutex;
-    std::unordered_set<std::uint64_t> seen;
+    std::unordered_set<std::uint64_t> fingerprints;
   };
 
-  bool New(std::uint64_t print) {
-    Shard& s = shards_[print % shards_.size()];
+  bool IsNewState(std::uint64_t fingerprint) {
+    Shard& s = shards_[fingerprint % shards_.size()];
     const std::lock_guard<std::mutex> lock(s.mutex);
-    return s.seen.insert(print).second;
+    return s.fingerprints.insert(fingerprint).second;
   }
 
-  void Work() {
+  void RunWorker() {
     while (true) {
       std::unique_lock<std::mutex> lock(mutex_);
-      wake_.wait(lock, [&] { return !open_.empty() || busy_ == 0; });
-      if (open_.empty()) {
-        wake_.notify_all();
+      changed_.wait(lock, [&] { return !pending_.empty() || busy_workers_ == 0; });
+      if (pending_.empty()) {
+        changed_.notify_all();
         return;
       }
-      Course c = std::move(open_.back());
-      open_.pop_back();
-      ++busy_;
+      Execution c = std::move(pending_.back());
+      pending_.pop_back();
+      ++busy_workers_;
       lock.unlock();
-      Tally t;
-      Deep(std::move(c), t);
+      Counts t;
+      ExploreFrom(std::move(c), t);
       lock.lock();
-      --busy_;
+      --busy_workers_;
       Merge(t);
-      wake_.notify_all();
+      changed_.notify_all();
     }
   }
 
-  struct Tally {
-    std::uint64_t steps = 0, courses = 0;
+  struct Counts {
+    std::uint64_t steps = 0, executions = 0;
     std::map<std::string, std::uint64_t> ends;
-    std::vector<RolloutExplored::Breach> breaches;
+    std::vector<RolloutExploration::Violation> violations;
   };
 
   // Along the way without a fault; what branches off is played from copies.
-  void Deep(Course c, Tally& t) {
+  void ExploreFrom(Execution c, Counts& t) {
     std::unordered_set<std::uint64_t> own;  // of this way on, which has no further fault in it
     while (true) {
-      if (c.over()) {
-        ++t.courses;
-        if (c.breach()) {
-          t.breaches.push_back(*c.breach());
+      if (c.finished()) {
+        ++t.executions;
+        if (c.violation()) {
+          t.violations.push_back(*c.violation());
         } else {
-          ++t.ends[c.end().substr(0, 40)];
+          ++t.ends[c.outcome().substr(0, 40)];
         }
         return;
       }
-      const std::uint64_t print = c.Print();
-      if (!own.insert(print).second) c.Stuck();
-      if (c.over()) continue;
-      if (!New(print)) return;
-      const std::vector<Course::Way> ways = c.Ways();
-      for (std::size_t i = 1; i < ways.size(); ++i) {
-        Course branch = c;
-        branch.Go(ways[i]);
+      const std::uint64_t fingerprint = c.Fingerprint();
+      if (!own.insert(fingerprint).second) c.ReportCycle();
+      if (c.finished()) continue;
+      if (!IsNewState(fingerprint)) return;
+      const std::vector<Execution::Step> steps_from_here = c.NextSteps();
+      for (std::size_t i = 1; i < steps_from_here.size(); ++i) {
+        Execution branch = c;
+        branch.Apply(steps_from_here[i]);
         ++t.steps;
-        if (Hungry()) {
+        if (QueueHasRoom()) {
           const std::lock_guard<std::mutex> lock(mutex_);
-          open_.push_back(std::move(branch));
-          wake_.notify_one();
+          pending_.push_back(std::move(branch));
+          changed_.notify_one();
         } else {
-          Deep(std::move(branch), t);
+          ExploreFrom(std::move(branch), t);
         }
       }
-      c.Go(ways.front());
+      c.Apply(steps_from_here.front());
       ++t.steps;
     }
   }
 
-  bool Hungry() {
+  bool QueueHasRoom() {
     const std::lock_guard<std::mutex> lock(mutex_);
-    return open_.size() < 64;
+    return pending_.size() < 64;
   }
 
-  void Merge(const Tally& t) {
-    out_.steps += t.steps;
-    out_.courses += t.courses;
-    for (const auto& [end, n] : t.ends) out_.ends[end] += n;
-    for (const auto& b : t.breaches) {
-      ++out_.by_invariant[b.invariant];
-      if (out_.breaches.size() < 200) out_.breaches.push_back(b);
+  void Merge(const Counts& t) {
+    result_.steps += t.steps;
+    result_.executions += t.executions;
+    for (const auto& [outcome, n] : t.ends) result_.ends[outcome] += n;
+    for (const auto& b : t.violations) {
+      ++result_.by_invariant[b.invariant];
+      if (result_.violations.size() < 200) result_.violations.push_back(b);
     }
   }
 
   const RolloutExploreOptions& o_;
   std::array<Shard, 64> shards_;
   std::mutex mutex_;
-  std::condition_variable wake_;
-  std::vector<Course> open_;
-  int busy_ = 0;
-  RolloutExplored out_;
+  std::condition_variable changed_;
+  std::vector<Execution> pending_;
+  int busy_workers_ = 0;
+  RolloutExploration result_;
 };
 
 }  // namespace
 
-RolloutExplored ExploreRollout(const RolloutExploreOptions& options) {
+RolloutExploration ExploreRollout(const RolloutExploreOptions& options) {
   static const std::set<std::string> known{"",       "any-epoch", "no-lease", "no-token",
                                            "greedy", "forgetful", "hasty"};
   if (!known.contains(options.variant))
--- a/lab/rollout/explorer.h
+++ b/lab/rollout/explorer.h
@@ -21,17 +21,17 @@
   std::string variant;
 };
 
-struct RolloutExplored {
-  std::uint64_t states = 0, steps = 0, courses = 0;  // different states; steps between them; ends reached
-  std::map<std::string, std::uint64_t> ends;         // how courses ended
-  struct Breach {
-    std::string invariant, what, course;
+struct RolloutExploration {
+  std::uint64_t states = 0, steps = 0, executions = 0;  // different states; steps between them; ends reached
+  std::map<std::string, std::uint64_t> ends;            // how courses ended
+  struct Violation {
+    std::string invariant, what, trace;
   };
-  std::vector<Breach> breaches;  // at most 200
+  std::vector<Violation> violations;  // at most 200
   std::map<std::string, std::uint64_t> by_invariant;
 };
 
 // Throws std::runtime_error for a variant that does not exist.
-RolloutExplored ExploreRollout(const RolloutExploreOptions& options);
+RolloutExploration ExploreRollout(const RolloutExploreOptions& options);
 
 }  // namespace ryeglade::rollout_lab
--- a/lab/rollout/local_tier.cpp
+++ b/lab/rollout/local_tier.cpp
@@ -22,10 +22,10 @@
 namespace ryeglade::rollout_lab {
 namespace {
 
-constexpr int kLookWithin = 1000;  // ms
-constexpr Time kPause = 20'000;
+constexpr int kReplyTimeoutMs = 1000;  // ms
+constexpr Time kPollInterval = 20'000;
 
-void Put(const std::string& path, const std::string& text) {
+void WriteFile(const std::string& path, const std::string& text) {
   std::ofstream out(path, std::ios::binary);
   out << text;
   if (!out.flush()) throw std::runtime_error("cannot write " + path);
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-Running::Running(const std::vector<std::string>& words, const std::string& log) : log_(log) {
+ChildProcess::ChildProcess(const std::vector<std::string>& words, const std::string& log) : log_(log) {
   std::vector<char*> argv;
   argv.reserve(words.size() + 1);
   for (const std::string& w : words) argv.push_back(const_cast<char*>(w.c_str()));
@@ -52,60 +52,60 @@
   }
 }
 
-bool Running::Alive() {
+bool ChildProcess::IsRunning() {
   if (pid_ <= 0) return false;
   if (waitpid(pid_, &status_, WNOHANG) != pid_) return true;
   pid_ = -1;
   return false;
 }
 
-void Running::Signal(int number) const {
+void ChildProcess::Signal(int number) const {
   if (pid_ > 0) kill(pid_, number);
 }
 
-int Running::Wait(Time most, const std::function<void()>& turn) {
-  const Time end = Now() + most;
-  while (Alive() && Now() < end) turn();
+int ChildProcess::Wait(Time timeout, const std::function<void()>& turn) {
+  const Time end = Now() + timeout;
+  while (IsRunning() && Now() < end) turn();
   if (pid_ > 0) return -1;
   return WIFEXITED(status_) ? WEXITSTATUS(status_) : 128 + WTERMSIG(status_);
 }
 
-std::string Running::Log() const { return ReadFileIfPresent(log_); }
+std::string ChildProcess::Log() const { return ReadFileIfPresent(log_); }
 
-Running::~Running() {
+ChildProcess::~ChildProcess() {
   if (pid_ <= 0) return;
   kill(pid_, SIGCONT);
   kill(pid_, SIGTERM);
-  for (int i = 0; i < 1000 && Alive(); ++i) usleep(20'000);
+  for (int i = 0; i < 1000 && IsRunning(); ++i) usleep(20'000);
   if (pid_ > 0) {
     kill(pid_, SIGKILL);
     waitpid(pid_, &status_, 0);
   }
 }
 
-uv_loop_t* RealTier::Init(uv_loop_t* loop) {
+uv_loop_t* LocalTier::Init(uv_loop_t* loop) {
   uv_loop_init(loop);
   return loop;
 }
 
-RealTier::RealTier(const TierOptions& options)
-    : o_(options),
+LocalTier::LocalTier(const LocalTierOptions& options)
+    : options_(options),
       buffers_(std::size_t{256} << 20),
       deadlines_(Init(&loop_)),
-      run_{&loop_, &deadlines_, &buffers_},
-      directory_(&run_),
+      runtime_{&loop_, &deadlines_, &buffers_},
+      discovery_(&runtime_),
       nodes_(options.nodes),
-      cut_(options.nodes, {false, false}) {
+      cut_links_(options.nodes, {false, false}) {
   std::signal(SIGPIPE, SIG_IGN);
   std::string name = std::filesystem::temp_directory_path().string() + "/ryeglade-rollout-XXXXXX";
   if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot make a directory " + name);
   root_ = name;
   for (int i = 0; i < 3; ++i) {
     replicas_.push_back(std::make_unique<lab::FakeReplica>(
-        &run_, &rules_, lab::FakeReplicaOptions{.dialect = lab::ReplicaDialect::kPlatform}));
-    directory_.Set(fmt::format("stand-in-{}", i), replicas_.back()->Listen());
+        &runtime_, &attempt_counts_, lab::FakeReplicaOptions{.dialect = lab::ReplicaDialect::kPlatform}));
+    discovery_.Set(fmt::format("stand-in-{}", i), replicas_.back()->Listen());
   }
-  const std::string discovery = directory_.Listen();
+  const std::string discovery = discovery_.Listen();
   // The driver is the first on the network, keepers follow.
   const auto pid = static_cast<unsigned>(getpid());
   driver_ip_ = fmt::format("127.{}.{}.250", 20 + pid % 60, pid / 60 % 250 + 1);
@@ -119,28 +119,30 @@
     n.directory = fmt::format("{}/k{}", root_, i);
     n.config = fmt::format("{}/n{}.json", root_, i);
     nlohmann::json config =
-        nlohmann::json::parse(lab::ConfigJson(n.client, discovery, directory_.Text(true)));
+        nlohmann::json::parse(lab::ConfigJson(n.client, discovery, discovery_.Text(true)));
     config["name"] = fmt::format("n{}", i);
     config["settings"]["balancers"] = nodes_.size();
-    if (o_.memory_mb > 0) config["limits"]["memory_mb"] = o_.memory_mb;
-    Put(n.config, config.dump());
+    if (options_.memory_mb > 0) config["limits"]["memory_mb"] = options_.memory_mb;
+    WriteFile(n.config, config.dump());
     real.push_back(n.control);
     faces.push_back(fmt::format("127.{}.{}.{}", 120 + pid % 60, pid / 60 % 250 + 1, i + 1));
   }
-  if (o_.membership) WriteMembership();
-  network_ = std::make_unique<cluster::Network>(&run_, o_.seed, real, faces,
+  if (options_.membership) WriteMembership();
+  network_ = std::make_unique<cluster::Network>(&runtime_, options_.seed, real, faces,
                                                 [this](std::size_t from, std::size_t to) {
                                                   cluster::LinkState state;
                                                   state.delay = delay_;
-                                                  if (from == 0 && to > 0) state.cut = cut_[to - 1].first;
-                                                  if (to == 0 && from > 0) state.cut = cut_[from - 1].second;
+                                                  if (from == 0 && to > 0)
+                                                    state.cut = cut_links_[to - 1].first;
+                                                  if (to == 0 && from > 0)
+                                                    state.cut = cut_links_[from - 1].second;
                                                   return state;
                                                 });
-  for (std::size_t i = 0; i < nodes_.size(); ++i) StartKeeper(i);
+  for (std::size_t i = 0; i < nodes_.size(); ++i) StartSupervisor(i);
 }
 
 // Straight from node to node: what fails here are the nodes themselves.
-void RealTier::WriteMembership() {
+void LocalTier::WriteMembership() {
   std::vector<std::string> listen;
   for (Node& n : nodes_) {
     listen.push_back(cluster::FreeAddress(n.ip));
@@ -148,7 +150,8 @@
   }
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     nodes_[i].settings = fmt::format("{}/n{}.toml", root_, i);
-    Put(nodes_[i].settings,
+    WriteFile(
+        nodes_[i].settings,
         fmt::format("[membership]\nlisten = \"{}\"\ncluster = \"tier\"\nzone = \"{}\"\nseeds = [\"{}\", "
                     "\"{}\"]\nnetworks = [\"127.0.0.0/8\"]\nstatus = \"{}\"\nperiod = \"200ms\"\nexchange = "
                     "\"3s\"\nshrink_after = \"2s\"\n",
@@ -156,18 +159,18 @@
   }
 }
 
-RealTier::~RealTier() {
+LocalTier::~LocalTier() {
   clients_.clear();
-  for (Node& n : nodes_) n.keeper.reset();
+  for (Node& n : nodes_) n.supervisor.reset();
   // Nodes of keepers that were killed: whatever runs with a file of this tier's own directory.
   try {
-    for (const pid_t pid : Ours("serve")) kill(pid, SIGKILL);
+    for (const pid_t pid : ProcessesWith("serve")) kill(pid, SIGKILL);
   } catch (const std::exception&) {  // a process that went while it was looked at: the next tier has its own
                                      // directory
   }
   network_->Close();
   for (const auto& r : replicas_) r->Close();
-  directory_.Close();
+  discovery_.Close();
   deadlines_.Close();
   for (int i = 0; i < 200 && uv_loop_alive(&loop_) != 0; ++i) uv_run(&loop_, UV_RUN_NOWAIT);
   uv_loop_close(&loop_);
@@ -175,96 +178,96 @@
   std::filesystem::remove_all(root_, ignored);
 }
 
-void RealTier::StartKeeper(std::size_t i) {
+void LocalTier::StartSupervisor(std::size_t i) {
   Node& n = nodes_[i];
-  n.keeper.reset();
-  std::vector<std::string> words{o_.program,       "keep",
+  n.supervisor.reset();
+  std::vector<std::string> words{options_.program, "keep",
                                  "--node",         fmt::format("n{}", i),
                                  "--zone",         i % 2 == 0 ? "a" : "b",
                                  "--directory",    n.directory,
                                  "--control",      n.control,
-                                 "--program",      o_.program,
+                                 "--program",      options_.program,
                                  "--config",       n.config,
                                  "--release",      "old",
-                                 "--lease",        o_.lease,
-                                 "--ready-within", o_.ready_within,
-                                 "--end-within",   o_.end_within};
+                                 "--lease",        options_.lease,
+                                 "--ready-within", options_.ready_within,
+                                 "--end-within",   options_.end_within};
   if (!n.settings.empty()) words.insert(words.end(), {"--settings", n.settings});
-  n.keeper = std::make_unique<Running>(words, fmt::format("{}/keeper-{}.log", root_, i));
+  n.supervisor = std::make_unique<ChildProcess>(words, fmt::format("{}/keeper-{}.log", root_, i));
 }
 
-void RealTier::KillKeeper(std::size_t i) {
-  nodes_[i].keeper->Signal(SIGKILL);
-  nodes_[i].keeper->Wait(5'000'000, [] { usleep(5000); });
+void LocalTier::KillSupervisor(std::size_t i) {
+  nodes_[i].supervisor->Signal(SIGKILL);
+  nodes_[i].supervisor->Wait(5'000'000, [] { usleep(5000); });
 }
 
-bool RealTier::Until(const std::function<bool()>& done, Time most) {
-  const Time end = Now() + most;
+bool LocalTier::Until(const std::function<bool()>& done, Time timeout) {
+  const Time end = Now() + timeout;
   while (!done()) {
     if (Now() >= end) return false;
-    DeadlineId wake = deadlines_.Set(Now() + kPause, [] {});
+    DeadlineId wake = deadlines_.Set(Now() + kPollInterval, [] {});
     uv_run(&loop_, UV_RUN_ONCE);
     deadlines_.Cancel(wake);
   }
   return true;
 }
 
-std::optional<rollout::SupervisorStatus> RealTier::Status(std::size_t i) const {
+std::optional<rollout::SupervisorStatus> LocalTier::Status(std::size_t i) const {
   try {
     return rollout::DecodeStatus(
-        BlockingHttpCall("the keeper at", nodes_[i].control, "GET", "/keeper", "", kLookWithin).body);
+        BlockingHttpCall("the keeper at", nodes_[i].control, "GET", "/keeper", "", kReplyTimeoutMs).body);
   } catch (const std::exception&) {
     return std::nullopt;
   }
 }
 
-std::string RealTier::KeeperLog(std::size_t i) const { return nodes_[i].keeper->Log(); }
+std::string LocalTier::SupervisorLog(std::size_t i) const { return nodes_[i].supervisor->Log(); }
 
-std::string RealTier::InForce(std::size_t i) const {
+std::string LocalTier::ActiveRelease(std::size_t i) const {
   const auto s = Status(i);
   return s ? s->active.id : "";
 }
 
-std::size_t RealTier::On(const std::string& release) const {
+std::size_t LocalTier::CountRunning(const std::string& release) const {
   std::size_t n = 0;
-  for (std::size_t i = 0; i < nodes_.size(); ++i) n += InForce(i) == release ? 1 : 0;
+  for (std::size_t i = 0; i < nodes_.size(); ++i) n += ActiveRelease(i) == release ? 1 : 0;
   return n;
 }
 
-pid_t RealTier::NodePid(std::size_t i) const {
+pid_t LocalTier::NodePid(std::size_t i) const {
   const auto s = Status(i);
   return s ? static_cast<pid_t>(s->pid) : -1;
 }
 
-void RealTier::SignalNode(std::size_t i, int number) const {
+void LocalTier::SignalNode(std::size_t i, int number) const {
   const pid_t pid = NodePid(i);
   if (pid > 0) kill(pid, number);
 }
 
-std::optional<rollout::NodeClusterView> RealTier::Said(std::size_t i) const {
+std::optional<rollout::NodeClusterView> LocalTier::ClusterView(std::size_t i) const {
   try {
     return rollout::DecodeNodeClusterView(
-        BlockingHttpCall("the status address", nodes_[i].status, "GET", "/nodes", "", kLookWithin).body);
+        BlockingHttpCall("the status address", nodes_[i].status, "GET", "/nodes", "", kReplyTimeoutMs).body);
   } catch (const std::exception&) {
     return std::nullopt;
   }
 }
 
-std::size_t RealTier::Alive(std::size_t i) const {
-  const auto said = Said(i);
+std::size_t LocalTier::AliveMembers(std::size_t i) const {
+  const auto said = ClusterView(i);
   if (!said || !said->joined || said->in_doubt || !said->settled) return 0;
   std::size_t n = 1;
   for (const auto& [name, standing] : said->member_states) n += standing == "alive" ? 1 : 0;
   return n;
 }
 
-bool RealTier::InDoubt(std::size_t i) const {
-  const auto said = Said(i);
+bool LocalTier::InDoubt(std::size_t i) const {
+  const auto said = ClusterView(i);
   return said && said->joined && said->in_doubt;
 }
 
 // The processes that name `word` and, within the tier's directory, `file`.
-std::vector<pid_t> RealTier::Ours(const std::string& word, const std::string& file) const {
+std::vector<pid_t> LocalTier::ProcessesWith(const std::string& word, const std::string& file) const {
   std::vector<pid_t> all;
   for (const auto& entry : std::filesystem::directory_iterator("/proc")) {
     const std::string name = entry.path().filename().string();
@@ -277,9 +280,11 @@
   return all;
 }
 
-std::size_t RealTier::NodesAlive(std::size_t i) const { return Ours("serve", nodes_[i].config).size(); }
+std::size_t LocalTier::CountNodeProcesses(std::size_t i) const {
+  return ProcessesWith("serve", nodes_[i].config).size();
+}
 
-bool RealTier::Up() {
+bool LocalTier::WaitUntilRunning() {
   return Until(
       [this] {
         for (std::size_t i = 0; i < nodes_.size(); ++i) {
@@ -291,31 +296,31 @@
       30'000'000);
 }
 
-void RealTier::StartClients() {
+void LocalTier::StartClients() {
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     load::LoadPlan plan;
-    plan.profile = {{o_.rate, o_.rate, o_.seconds}};
-    plan.seed = o_.seed * 1000 + i;
+    plan.profile = {{options_.rate, options_.rate, options_.seconds}};
+    plan.seed = options_.seed * 1000 + i;
     load::LoadTarget target;
     target.address = nodes_[i].client;
     target.openai = false;
     target.give_up = 15'000'000;
-    clients_.push_back(std::make_unique<load::LoadClient>(&run_, plan, target));
+    clients_.push_back(std::make_unique<load::LoadClient>(&runtime_, plan, target));
     clients_.back()->Start();
   }
 }
 
-void RealTier::Stop() {
+void LocalTier::StopClients() {
   for (const auto& c : clients_) c->Halt();
   Until(
       [this] {
         return std::all_of(clients_.begin(), clients_.end(), [](const auto& c) { return c->done(); });
       },
-      static_cast<Time>(o_.seconds * 1e6) + 20'000'000);
+      static_cast<Time>(options_.seconds * 1e6) + 20'000'000);
 }
 
-std::string RealTier::Plan(const std::string& name, const std::string& release, const std::string& stages,
-                           const std::string& rest) {
+std::string LocalTier::WritePlan(const std::string& name, const std::string& release,
+                                 const std::string& stages, const std::string& rest) {
   std::string text = fmt::format("name = \"{}\"\nunreached_after = \"6s\"\n", name);
   if (rest.find("most_passed_over") != std::string::npos) text += rest.substr(0, rest.find('\n') + 1);
   text += "[release]\n" + release + "\n";
@@ -324,31 +329,35 @@
                         network_->proxy_address(i + 1), i % 2 == 0 ? "a" : "b");
   text += stages;
   if (rest.find("most_passed_over") == std::string::npos) text += rest;
-  if (o_.membership) {
+  if (options_.membership) {
     text += "[membership]\nstatus = [";
     for (const Node& n : nodes_) text += fmt::format("\"{}\", ", n.status);
     text += "]\n";
   }
   std::string path = fmt::format("{}/{}.toml", root_, name);
-  Put(path, text);
+  WriteFile(path, text);
   return path;
 }
 
-std::unique_ptr<Running> RealTier::Rollout(const std::string& verb, const std::string& plan,
-                                           const std::string& driver, const std::vector<std::string>& more) {
-  std::vector<std::string> words{o_.program, "rollout", verb,     "--plan",  plan,
-                                 "--driver", driver,    "--from", driver_ip_};
-  if (verb != "plan" && verb != "pause") words.insert(words.end(), {"--round", "0.2", "--lease", o_.lease});
+std::unique_ptr<ChildProcess> LocalTier::StartRolloutCommand(const std::string& verb, const std::string& plan,
+                                                             const std::string& driver,
+                                                             const std::vector<std::string>& more) {
+  std::vector<std::string> words{options_.program, "rollout", verb,     "--plan",  plan,
+                                 "--driver",       driver,    "--from", driver_ip_};
+  if (verb != "plan" && verb != "pause")
+    words.insert(words.end(), {"--round", "0.2", "--lease", options_.lease});
   words.insert(words.end(), more.begin(), more.end());
-  return std::make_unique<Running>(words, fmt::format("{}/driver-{}.log", root_, logs_++));
+  return std::make_unique<ChildProcess>(words, fmt::format("{}/driver-{}.log", root_, driver_logs_++));
 }
 
-void RealTier::Cut(std::size_t i, bool to_keeper, bool from_keeper) { cut_[i] = {to_keeper, from_keeper}; }
-void RealTier::Delay(Time one_way) { delay_ = one_way; }
+void LocalTier::CutLink(std::size_t i, bool to_keeper, bool from_keeper) {
+  cut_links_[i] = {to_keeper, from_keeper};
+}
+void LocalTier::SetLinkDelay(Time one_way) { delay_ = one_way; }
 
-RealTier::Served RealTier::served() const {
-  Served s;
-  s.two_at_once = rules_.overlapping_attempts;
+LocalTier::RequestCounts LocalTier::request_counts() const {
+  RequestCounts s;
+  s.overlapping_attempts = attempt_counts_.overlapping_attempts;
   for (const auto& client : clients_) {
     for (const auto& c : client->tally().classes()) {
       const auto of = [&](load::Outcome o) { return c.outcomes[static_cast<std::size_t>(o)]; };
@@ -356,7 +365,7 @@
       s.worth += c.worth, s.worth_asked += c.worth_asked;
       s.served += of(load::Outcome::kServed);
       s.refused += of(load::Outcome::kRefused);
-      s.unheard += of(load::Outcome::kNothing) + of(load::Outcome::kNotSent);
+      s.unanswered += of(load::Outcome::kNothing) + of(load::Outcome::kNotSent);
       s.other += of(load::Outcome::kRejected) + of(load::Outcome::kFailed) + of(load::Outcome::kBroken);
     }
   }
--- a/lab/rollout/local_tier.h
+++ b/lab/rollout/local_tier.h
@@ -21,15 +21,15 @@
 namespace ryeglade::rollout_lab {
 
 // A program with its output in a file; it is told to end when this goes, and when the lab dies.
-class Running {
+class ChildProcess {
  public:
-  Running(const std::vector<std::string>& words, const std::string& log);
-  ~Running();
-  Running(const Running&) = delete;
-  Running& operator=(const Running&) = delete;
-  bool Alive();
+  ChildProcess(const std::vector<std::string>& words, const std::string& log);
+  ~ChildProcess();
+  ChildProcess(const ChildProcess&) = delete;
+  ChildProcess& operator=(const ChildProcess&) = delete;
+  bool IsRunning();
   void Signal(int number) const;
-  int Wait(Time most,
+  int Wait(Time timeout,
            const std::function<void()>& turn);  // its exit code; -1: it runs still; 128 and more: a signal
   std::string Log() const;
   pid_t pid() const { return pid_; }
@@ -40,7 +40,7 @@
   int status_ = 0;
 };
 
-struct TierOptions {
+struct LocalTierOptions {
   std::string program;
   std::size_t nodes = 4;
   double rate = 40;     // requests a second at each node
@@ -51,75 +51,76 @@
   bool membership = false;  // the nodes know of each other, and plans name their status addresses
 };
 
-class RealTier {
+class LocalTier {
  public:
-  explicit RealTier(const TierOptions& options);
-  ~RealTier();
-  RealTier(const RealTier&) = delete;
-  RealTier& operator=(const RealTier&) = delete;
+  explicit LocalTier(const LocalTierOptions& options);
+  ~LocalTier();
+  LocalTier(const LocalTier&) = delete;
+  LocalTier& operator=(const LocalTier&) = delete;
 
   // Turns the loop until `done` says so; false: `most` has passed first.
-  bool Until(const std::function<bool()>& done, Time most);
+  bool Until(const std::function<bool()>& done, Time timeout);
   // All nodes serve, as their keepers say. Clients begin.
-  bool Up();
+  bool WaitUntilRunning();
   void StartClients();
   // A plan for this tier: `release` is TOML within [release], `rest` follows the stages of which there is one
   // of one node, and one of the others.
-  std::string Plan(const std::string& name, const std::string& release, const std::string& stages,
-                   const std::string& rest = "");
-  std::unique_ptr<Running> Rollout(const std::string& verb, const std::string& plan,
-                                   const std::string& driver, const std::vector<std::string>& more = {});
+  std::string WritePlan(const std::string& name, const std::string& release, const std::string& stages,
+                        const std::string& rest = "");
+  std::unique_ptr<ChildProcess> StartRolloutCommand(const std::string& verb, const std::string& plan,
+                                                    const std::string& driver,
+                                                    const std::vector<std::string>& more = {});
   std::optional<rollout::SupervisorStatus> Status(std::size_t node) const;
-  std::string InForce(std::size_t node) const;
-  std::string KeeperLog(std::size_t node) const;
-  std::size_t On(const std::string& release) const;  // how many nodes run it
-  void KillKeeper(std::size_t node);                 // SIGKILL
-  void StartKeeper(std::size_t node);
+  std::string ActiveRelease(std::size_t node) const;
+  std::string SupervisorLog(std::size_t node) const;
+  std::size_t CountRunning(const std::string& release) const;  // how many nodes run it
+  void KillSupervisor(std::size_t node);                       // SIGKILL
+  void StartSupervisor(std::size_t node);
   pid_t NodePid(std::size_t node) const;
   void SignalNode(std::size_t node, int number) const;
   // Members alive in that node's settled view, itself among them; 0: it has none.
-  std::size_t Alive(std::size_t node) const;
-  bool InDoubt(std::size_t node) const;            // as it says itself
-  std::size_t NodesAlive(std::size_t node) const;  // processes of that node
+  std::size_t AliveMembers(std::size_t node) const;
+  bool InDoubt(std::size_t node) const;                    // as it says itself
+  std::size_t CountNodeProcesses(std::size_t node) const;  // processes of that node
   // What the links between the driver and a keeper do from now on.
-  void Cut(std::size_t node, bool to_keeper, bool from_keeper);
-  void Delay(Time one_way);
-  void Stop();  // clients; waits for what is out
+  void CutLink(std::size_t node, bool to_keeper, bool from_keeper);
+  void SetLinkDelay(Time one_way);
+  void StopClients();  // clients; waits for what is out
 
-  struct Served {
-    std::uint64_t asked = 0, served = 0, refused = 0, unheard = 0, other = 0, two_at_once = 0;
+  struct RequestCounts {
+    std::uint64_t asked = 0, served = 0, refused = 0, unanswered = 0, other = 0, overlapping_attempts = 0;
     double worth = 0, worth_asked = 0;
   };
-  Served served() const;
+  RequestCounts request_counts() const;
   std::vector<std::unique_ptr<lab::FakeReplica>>& replicas() { return replicas_; }
-  lab::FakeDiscovery& directory() { return directory_; }
+  lab::FakeDiscovery& discovery() { return discovery_; }
   const std::string& root() const { return root_; }
 
  private:
   struct Node {
     std::string ip, control, client, directory, config, settings, status;
-    std::unique_ptr<Running> keeper;
+    std::unique_ptr<ChildProcess> supervisor;
   };
   static uv_loop_t* Init(uv_loop_t* loop);
   void WriteMembership();
-  std::optional<rollout::NodeClusterView> Said(std::size_t node) const;
-  std::vector<pid_t> Ours(const std::string& word, const std::string& file = "") const;
+  std::optional<rollout::NodeClusterView> ClusterView(std::size_t node) const;
+  std::vector<pid_t> ProcessesWith(const std::string& word, const std::string& file = "") const;
 
-  TierOptions o_;
+  LocalTierOptions options_;
   uv_loop_t loop_{};
   BufferPool buffers_;
   Deadlines deadlines_;
-  Runtime run_;
-  lab::FakeDiscovery directory_;
-  lab::AttemptCounts rules_;
+  Runtime runtime_;
+  lab::FakeDiscovery discovery_;
+  lab::AttemptCounts attempt_counts_;
   std::string root_, driver_ip_;
   std::vector<Node> nodes_;
   std::vector<std::unique_ptr<lab::FakeReplica>> replicas_;
   std::vector<std::unique_ptr<load::LoadClient>> clients_;
   std::unique_ptr<cluster::Network> network_;
-  std::vector<std::pair<bool, bool>> cut_;  // by keeper: to it, from it
+  std::vector<std::pair<bool, bool>> cut_links_;  // by keeper: to it, from it
   Time delay_ = 0;
-  int logs_ = 0;
+  int driver_logs_ = 0;
 };
 
 }  // namespace ryeglade::rollout_lab
--- a/lab/rollout/real.h
+++ b/lab/rollout/local_tier_trial.h
@@ -11,24 +11,24 @@
 
 namespace ryeglade::rollout_lab {
 
-struct RealTrial {
+struct LocalTierTrial {
   std::string program;
   std::size_t nodes = 16;
   double rate = 20;  // requests a second at each node
-  std::size_t at_once = 2;
+  std::size_t max_concurrent = 2;
   int kills = 0;  // drivers killed, over as many rollouts as that takes; 0: one rollout whose driver lives
   std::uint64_t seed = 1;
 };
 
-struct RealTrialResult {
-  int rollouts = 0, done = 0, killed = 0;
-  double seconds = 0;             // of the rollouts together
-  double before = 0, during = 0;  // worth earned of the worth asked for
-  std::uint64_t asked = 0, unheard = 0, other = 0, two_at_once = 0;
-  std::size_t most_in_change = 0;
-  std::vector<std::string> broken;
+struct LocalTierTrialResult {
+  int rollouts = 0, done = 0, drivers_killed = 0;
+  double seconds = 0;                                     // of the rollouts together
+  double worth_share_before = 0, worth_share_during = 0;  // worth earned of the worth asked for
+  std::uint64_t asked = 0, unanswered = 0, other = 0, overlapping_attempts = 0;
+  std::size_t max_in_change = 0;
+  std::vector<std::string> violations;
 };
 
-RealTrialResult PlayReal(const RealTrial& trial);
+LocalTierTrialResult RunLocalTierTrial(const LocalTierTrial& trial);
 
 }  // namespace ryeglade::rollout_lab
--- a/lab/rollout/supervised_node.cpp
+++ b/lab/rollout/supervised_node.cpp
@@ -7,18 +7,18 @@
 using rollout::ProcessRecord;
 using rollout::SupervisorEffect;
 
-void Machine::Boot(KeptNode& node) {
-  node.keeper.emplace(node.name, node.zone, rules_.limits, node.disk);
-  node.keeper_down = false;
+void NodeSimulator::StartSupervisor(SupervisedNode& node) {
+  node.supervisor.emplace(node.name, node.zone, rules_.limits, node.saved_state);
+  node.supervisor_down = false;
   const auto lives = [&](const ProcessRecord& p) {
     return std::any_of(node.processes.begin(), node.processes.end(),
                        [&](const auto& x) { return x.second.pid == p.pid && p.pid > 0; });
   };
   // The adopted ones get the numbers that the keeper gives them.
-  std::map<int, Process> adopted;
-  for (const auto& [place, kept] : {std::pair<int, const ProcessRecord*>{1, &node.disk.current},
-                                    {2, &node.disk.next},
-                                    {3, &node.disk.stopping}}) {
+  std::map<int, SimulatedProcess> adopted;
+  for (const auto& [place, kept] : {std::pair<int, const ProcessRecord*>{1, &node.saved_state.current},
+                                    {2, &node.saved_state.next},
+                                    {3, &node.saved_state.stopping}}) {
     for (auto& [number, p] : node.processes) {
       if (p.pid == kept->pid && kept->pid > 0) {
         p.number = place;
@@ -26,51 +26,53 @@
       }
     }
   }
-  const bool current = lives(node.disk.current), next = lives(node.disk.next),
-             old = lives(node.disk.stopping);
+  const bool current = lives(node.saved_state.current), next = lives(node.saved_state.next),
+             old = lives(node.saved_state.stopping);
   node.processes = std::move(adopted);
-  std::vector<SupervisorEffect> acts;
-  node.keeper->Recover(now, current, next, old, acts);
-  Carry(node, std::move(acts));
-  for (const auto& [number, p] : std::map<int, Process>(node.processes)) {
+  std::vector<SupervisorEffect> effects;
+  node.supervisor->Recover(now, current, next, old, effects);
+  CarryOut(node, std::move(effects));
+  for (const auto& [number, p] : std::map<int, SimulatedProcess>(node.processes)) {
     if (!p.ready) continue;
     std::vector<SupervisorEffect> more;
-    node.keeper->OnProcessReady(now, number, more);
-    Carry(node, std::move(more));
+    node.supervisor->OnProcessReady(now, number, more);
+    CarryOut(node, std::move(more));
   }
 }
 
-void Machine::Carry(KeptNode& node, std::vector<SupervisorEffect> acts) {
-  for (std::size_t i = 0; i < acts.size(); ++i) {
-    const SupervisorEffect act = acts[i];
-    const auto at = node.processes.find(act.process);
-    switch (act.kind) {
+void NodeSimulator::CarryOut(SupervisedNode& node, std::vector<SupervisorEffect> effects) {
+  for (std::size_t i = 0; i < effects.size(); ++i) {
+    const SupervisorEffect effect = effects[i];
+    const auto at = node.processes.find(effect.process);
+    switch (effect.kind) {
       case SupervisorEffect::Kind::kSaveState:
-        node.disk = node.keeper->state();
+        node.saved_state = node.supervisor->state();
         break;
       case SupervisorEffect::Kind::kStartProcess: {
-        Process p;
-        p.number = act.process;
-        p.release = act.release;
+        SimulatedProcess p;
+        p.number = effect.process;
+        p.release = effect.release;
         p.pid = ++pids_;
         p.started = now;
-        p.figures.pid = p.pid;
-        p.figures.memory_limit_bytes = rules_.memory_limit;
-        p.figures.memory_bytes = std::uint64_t{8} << 20;
-        if (rules_.fails_to_start && rules_.fails_to_start(node, act.release)) {
-          unstarted_.emplace_back(&node, act.process);
+        p.metrics.pid = p.pid;
+        p.metrics.memory_limit_bytes = rules_.memory_limit;
+        p.metrics.memory_bytes = std::uint64_t{8} << 20;
+        if (rules_.fails_to_start && rules_.fails_to_start(node, effect.release)) {
+          unstarted_.emplace_back(&node, effect.process);
           break;
         }
-        node.processes[act.process] = p;
+        node.processes[effect.process] = p;
         std::vector<SupervisorEffect> more;
-        node.keeper->OnProcessStarted(act.process, {p.pid, 1, ""}, more);
-        acts.insert(acts.end(), more.begin(), more.end());
+        node.supervisor->OnProcessStarted(effect.process, {p.pid, 1, ""}, more);
+        effects.insert(effects.end(), more.begin(), more.end());
         break;
       }
       case SupervisorEffect::Kind::kTerminateProcess:
         if (at == node.processes.end()) break;
-        at->second.leaving = true;
-        at->second.ends_at = rules_.deaf && rules_.deaf(at->second.release) ? -1 : now + rules_.ends_in;
+        at->second.terminating = true;
+        at->second.ends_at = rules_.ignores_sigterm && rules_.ignores_sigterm(at->second.release)
+                                 ? -1
+                                 : now + rules_.stop_duration;
         break;
       case SupervisorEffect::Kind::kKillProcess:
         if (at != node.processes.end()) at->second.ends_at = now;
@@ -79,20 +81,20 @@
   }
 }
 
-void Machine::End(KeptNode& node, int number) {
-  std::vector<SupervisorEffect> acts;
-  node.keeper->OnProcessEnded(now, number, "exit 1", acts);
-  Carry(node, std::move(acts));
+void NodeSimulator::EndProcess(SupervisedNode& node, int number) {
+  std::vector<SupervisorEffect> effects;
+  node.supervisor->OnProcessEnded(now, number, "exit 1", effects);
+  CarryOut(node, std::move(effects));
 }
 
-void Machine::Tick(KeptNode& node) {
-  std::vector<SupervisorEffect> acts;
-  node.keeper->OnTick(now, acts);
-  Carry(node, std::move(acts));
+void NodeSimulator::TickSupervisor(SupervisedNode& node) {
+  std::vector<SupervisorEffect> effects;
+  node.supervisor->OnTick(now, effects);
+  CarryOut(node, std::move(effects));
 }
 
-void Machine::EndUnstarted() {
-  for (const auto& [node, number] : std::exchange(unstarted_, {})) End(*node, number);
+void NodeSimulator::EndUnstartedProcesses() {
+  for (const auto& [node, number] : std::exchange(unstarted_, {})) EndProcess(*node, number);
 }
 
 }  // namespace ryeglade::rollout_lab
--- a/lab/rollout/supervised_node.h
+++ b/lab/rollout/supervised_node.h
@@ -16,51 +16,51 @@
 
 using rollout::Time;
 
-struct Process {
+struct SimulatedProcess {
   int number = 0;
   rollout::Release release;
   std::int64_t pid = 0;
   Time started = 0;
-  bool ready = false, leaving = false;
+  bool ready = false, terminating = false;
   Time ends_at = -1;
-  rollout::NodeMetrics figures;
-  double asked = 0;
+  rollout::NodeMetrics metrics;
+  double requests = 0;
 };
 
-struct KeptNode {
+struct SupervisedNode {
   std::string name, zone;
-  std::optional<rollout::Supervisor> keeper;
-  std::map<int, Process> processes;
-  bool keeper_down = false;
-  Time keeper_back = 0;
-  rollout::SupervisorState disk;
+  std::optional<rollout::Supervisor> supervisor;
+  std::map<int, SimulatedProcess> processes;
+  bool supervisor_down = false;
+  Time supervisor_restart_at = 0;
+  rollout::SupervisorState saved_state;
 };
 
 // The machine of the nodes: its clock, and what releases do as processes.
-class Machine {
+class NodeSimulator {
  public:
   struct Rules {
     rollout::SupervisorLimits limits;
-    Time ends_in = 2'000'000;  // from SIGTERM
+    Time stop_duration = 2'000'000;  // from SIGTERM
     std::uint64_t memory_limit = 0;
-    std::function<bool(const KeptNode&, const rollout::Release&)> fails_to_start;  // null: none does
-    std::function<bool(const rollout::Release&)> deaf;                             // to SIGTERM; null: none
+    std::function<bool(const SupervisedNode&, const rollout::Release&)> fails_to_start;  // null: none does
+    std::function<bool(const rollout::Release&)> ignores_sigterm;  // to SIGTERM; null: none
   };
-  explicit Machine(Rules rules) : rules_(std::move(rules)) {}
+  explicit NodeSimulator(Rules rules) : rules_(std::move(rules)) {}
 
   Time now = 0;
   // A keeper begins, the first or one behind another.
-  void Boot(KeptNode& node);
-  void Carry(KeptNode& node, std::vector<rollout::SupervisorEffect> acts);
-  void End(KeptNode& node, int number);  // a process has ended, and its keeper runs
-  void Tick(KeptNode& node);
+  void StartSupervisor(SupervisedNode& node);
+  void CarryOut(SupervisedNode& node, std::vector<rollout::SupervisorEffect> effects);
+  void EndProcess(SupervisedNode& node, int number);  // a process has ended, and its keeper runs
+  void TickSupervisor(SupervisedNode& node);
   // Those that did not even start end now.
-  void EndUnstarted();
+  void EndUnstartedProcesses();
 
  private:
   Rules rules_;
   std::int64_t pids_ = 0;
-  std::vector<std::pair<KeptNode*, int>> unstarted_;
+  std::vector<std::pair<SupervisedNode*, int>> unstarted_;
 };
 
 }  // namespace ryeglade::rollout_lab
--- a/tests/rollout_nodes_test.cpp
+++ b/tests/rollout_nodes_test.cpp
@@ -35,11 +35,11 @@
 struct RolloutTest {
   explicit RolloutTest(double seconds = 40, std::size_t nodes = 4, bool membership = false)
       : tier(Options(seconds, nodes, membership)) {
-    EXPECT_TRUE(tier.Up());
+    EXPECT_TRUE(tier.WaitUntilRunning());
     tier.StartClients();
   }
-  static TierOptions Options(double seconds, std::size_t nodes, bool membership) {
-    TierOptions options;
+  static LocalTierOptions Options(double seconds, std::size_t nodes, bool membership) {
+    LocalTierOptions options;
     options.program = Program();
     options.nodes = nodes;
     options.seconds = seconds;
@@ -67,9 +67,9 @@
     std::filesystem::copy_file(Program(), path);
     return path;
   }
-  std::string Plan(const std::string& release) { return tier.Plan("p", release, kStages, kThresholds); }
+  std::string Plan(const std::string& release) { return tier.WritePlan("p", release, kStages, kThresholds); }
   int RunDriver(const std::string& plan, const std::string& driver, Time timeout = 60 * kSecond) {
-    auto process = tier.Rollout("start", plan, driver);
+    auto process = tier.StartRolloutCommand("start", plan, driver);
     const int code = Wait(*process, timeout);
     driver_log = process->Log();
     return code;
@@ -80,7 +80,7 @@
     return tier.Until(
         [&] {
           for (std::size_t i = 0; i < n; ++i) {
-            if (tier.Alive(i) != n) return false;
+            if (tier.AliveMembers(i) != n) return false;
           }
           return true;
         },
@@ -91,31 +91,31 @@
     tier.Until([] { return false; }, duration);
   }
   // Returns the exit code of `process`, or -1 if it still runs after `timeout`.
-  int Wait(Running& process, Time timeout = 60 * kSecond) {
+  int Wait(ChildProcess& process, Time timeout = 60 * kSecond) {
     return process.Wait(timeout, [this] { RunFor(50'000); });
   }
   // Ends the clients and checks what must hold whatever happened: nearly every request got an answer, and no
   // request had two attempts at the same time.
   void StopAndCheckRequests(std::uint64_t allowed_unanswered = 4) {
-    tier.Stop();
-    const RealTier::Served counts = tier.served();
+    tier.StopClients();
+    const LocalTier::RequestCounts counts = tier.request_counts();
     EXPECT_GT(counts.served, counts.asked / 2) << counts.asked;
     // One in fifty is allowed: on a busy machine, connections are lost in the backlog of a listener that
     // closes.
     if (!kSanitized) {
-      EXPECT_LE(counts.unheard, allowed_unanswered + counts.asked / 50) << counts.asked;
+      EXPECT_LE(counts.unanswered, allowed_unanswered + counts.asked / 50) << counts.asked;
     }
-    EXPECT_EQ(counts.two_at_once, 0U);
-    EXPECT_EQ(counts.asked, counts.served + counts.refused + counts.unheard + counts.other);
+    EXPECT_EQ(counts.overlapping_attempts, 0U);
+    EXPECT_EQ(counts.asked, counts.served + counts.refused + counts.unanswered + counts.other);
   }
-  RealTier tier;
+  LocalTier tier;
   std::string driver_log;  // of the last RunDriver
 };
 
 TEST(RolloutNodes, AGoodReleaseReachesAllInStages) {
   RolloutTest t(25);
   EXPECT_EQ(t.RunDriver(t.Plan(t.Release("new", t.CopyProgram("ryeglade-2"))), "d1"), 0) << t.driver_log;
-  EXPECT_EQ(t.tier.On("new"), 4U) << t.driver_log;
+  EXPECT_EQ(t.tier.CountRunning("new"), 4U) << t.driver_log;
   for (std::size_t i = 0; i < 4; ++i) {
     const auto status = t.tier.Status(i);
     ASSERT_TRUE(status);
@@ -124,15 +124,15 @@
   }
   t.StopAndCheckRequests();
   if (!kSanitized) {
-    EXPECT_EQ(t.tier.served().other, 0U);
+    EXPECT_EQ(t.tier.request_counts().other, 0U);
   }
-  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(t.tier.NodesAlive(i), 1U);
+  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(t.tier.CountNodeProcesses(i), 1U);
 }
 
 TEST(RolloutNodes, AReleaseThatBreaksStreamsIsRolledBackInItsFirstStage) {
   RolloutTest t;
   EXPECT_EQ(t.RunDriver(t.Plan(t.Release("bad", t.FaultyRelease("fails"))), "d1"), 3) << t.driver_log;
-  EXPECT_EQ(t.tier.On("old"), 4U);
+  EXPECT_EQ(t.tier.CountRunning("old"), 4U);
   EXPECT_EQ(t.driver_log.find("course=stage stage=2"), std::string::npos) << t.driver_log;
   EXPECT_NE(t.driver_log.find("failed"), std::string::npos) << t.driver_log;
   t.StopAndCheckRequests();
@@ -141,51 +141,52 @@
 TEST(RolloutNodes, AReleaseThatCrashesIsReplacedByTheLastGoodOne) {
   RolloutTest t;
   EXPECT_EQ(t.RunDriver(t.Plan(t.Release("bad", t.FaultyRelease("crashes"))), "d1"), 3) << t.driver_log;
-  EXPECT_EQ(t.tier.On("old"), 4U);
+  EXPECT_EQ(t.tier.CountRunning("old"), 4U);
   t.StopAndCheckRequests(60);  // requests that a crashing process had accepted are lost
 }
 
 TEST(RolloutNodes, AReleaseThatDoesNotStartOrRejectsItsSettingsNeverServes) {
   RolloutTest t(30);
   EXPECT_EQ(t.RunDriver(t.Plan(t.Release("bad", "/bin/false")), "d1"), 3) << t.driver_log;
-  EXPECT_EQ(t.tier.On("old"), 4U);
+  EXPECT_EQ(t.tier.CountRunning("old"), 4U);
   const std::string settings = t.tier.root() + "/bad.toml";
   std::ofstream(settings) << "[openai]\nlisten = 17\n";
   const std::string plan =
-      t.tier.Plan("p2", "id = \"bad2\"\nsettings = \"" + settings + "\"", kStages, kThresholds);
-  auto check = t.tier.Rollout("plan", plan, "d2");
+      t.tier.WritePlan("p2", "id = \"bad2\"\nsettings = \"" + settings + "\"", kStages, kThresholds);
+  auto check = t.tier.StartRolloutCommand("plan", plan, "d2");
   EXPECT_EQ(t.Wait(*check), 1);
   EXPECT_NE(check->Log().find("REFUSED"), std::string::npos) << check->Log();
   EXPECT_EQ(t.RunDriver(plan, "d3"), 3) << t.driver_log;
-  EXPECT_EQ(t.tier.On("old"), 4U);
+  EXPECT_EQ(t.tier.CountRunning("old"), 4U);
   t.StopAndCheckRequests(0);
-  EXPECT_EQ(t.tier.served().other, 0U);
+  EXPECT_EQ(t.tier.request_counts().other, 0U);
 }
 
 TEST(RolloutNodes, AReleaseThatReportsNoMetricsIsRolledBack) {
   RolloutTest t(45);
   EXPECT_EQ(t.RunDriver(t.Plan(t.Release("bad", t.FaultyRelease("mute"))), "d1"), 3) << t.driver_log;
-  EXPECT_EQ(t.tier.On("old"), 4U);
+  EXPECT_EQ(t.tier.CountRunning("old"), 4U);
   t.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, AMuchSlowerReleaseIsRolledBack) {
   RolloutTest t;
   EXPECT_EQ(t.RunDriver(t.Plan(t.Release("bad", t.FaultyRelease("slow"))), "d1"), 3) << t.driver_log;
-  EXPECT_EQ(t.tier.On("old"), 4U);
+  EXPECT_EQ(t.tier.CountRunning("old"), 4U);
   t.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, AReleaseThatIgnoresSigtermIsReplaced) {
   RolloutTest t(45, 3);
   EXPECT_EQ(t.RunDriver(t.Plan(t.Release("deaf", t.FaultyRelease("deaf"))), "d1"), 0) << t.driver_log;
-  EXPECT_EQ(t.RunDriver(
-                t.tier.Plan("p2", t.Release("new", t.CopyProgram("ryeglade-2")), kStages, kThresholds), "d2"),
-            0)
+  EXPECT_EQ(
+      t.RunDriver(t.tier.WritePlan("p2", t.Release("new", t.CopyProgram("ryeglade-2")), kStages, kThresholds),
+                  "d2"),
+      0)
       << t.driver_log;
-  EXPECT_EQ(t.tier.On("new"), 3U);
-  EXPECT_TRUE(
-      t.tier.Until([&] { return t.tier.NodesAlive(0) == 1 && t.tier.NodesAlive(1) == 1; }, 20 * kSecond));
+  EXPECT_EQ(t.tier.CountRunning("new"), 3U);
+  EXPECT_TRUE(t.tier.Until(
+      [&] { return t.tier.CountNodeProcesses(0) == 1 && t.tier.CountNodeProcesses(1) == 1; }, 20 * kSecond));
   t.StopAndCheckRequests();
 }
 
@@ -195,12 +196,12 @@
   unsigned seed = 7;
   int code = -1;
   for (int i = 0; i < 12 && code != 0; ++i) {
-    auto driver = t.tier.Rollout("start", plan, "d" + std::to_string(i));
+    auto driver = t.tier.StartRolloutCommand("start", plan, "d" + std::to_string(i));
     seed = seed * 1103515245 + 12345;
     // The first eight drivers are killed after 1.3 to 3.3 s.
     const Time lifetime = i < 8 ? 1'300'000 + static_cast<Time>(seed / 65536 % 2000) * 1000 : 60 * kSecond;
-    t.tier.Until([&] { return !driver->Alive(); }, lifetime);
-    if (driver->Alive()) {
+    t.tier.Until([&] { return !driver->IsRunning(); }, lifetime);
+    if (driver->IsRunning()) {
       driver->Signal(SIGKILL);
       t.Wait(*driver);
     } else {
@@ -208,63 +209,64 @@
     }
   }
   EXPECT_EQ(code, 0);
-  EXPECT_EQ(t.tier.On("new"), 4U);
+  EXPECT_EQ(t.tier.CountRunning("new"), 4U);
   t.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, APausedDriverThatContinuesWithAnOldEpochIsRejected) {
   RolloutTest t(45);
   const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
-  auto first = t.tier.Rollout("start", plan, "first");
-  EXPECT_TRUE(t.tier.Until([&] { return t.tier.On("new") == 1; }, 30 * kSecond));
+  auto first = t.tier.StartRolloutCommand("start", plan, "first");
+  EXPECT_TRUE(t.tier.Until([&] { return t.tier.CountRunning("new") == 1; }, 30 * kSecond));
   first->Signal(SIGSTOP);
   EXPECT_EQ(t.RunDriver(plan, "second"), 0) << t.driver_log;
   first->Signal(SIGCONT);
   EXPECT_EQ(t.Wait(*first), 4) << first->Log();
-  EXPECT_EQ(t.tier.On("new"), 4U);
+  EXPECT_EQ(t.tier.CountRunning("new"), 4U);
   t.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, ALostReplyDoesNotRepeatAStep) {
   RolloutTest t(45);
   const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
-  auto driver = t.tier.Rollout("start", plan, "d1");
+  auto driver = t.tier.StartRolloutCommand("start", plan, "d1");
   t.RunFor(1'500'000);
-  t.tier.Cut(0, false, true);  // it receives commands, and its replies are lost
+  t.tier.CutLink(0, false, true);  // it receives commands, and its replies are lost
   t.RunFor(3 * kSecond);
-  t.tier.Cut(0, false, false);
+  t.tier.CutLink(0, false, false);
   EXPECT_EQ(t.Wait(*driver), 0) << driver->Log();
-  EXPECT_EQ(t.tier.On("new"), 4U);
-  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(t.tier.NodesAlive(i), 1U);
+  EXPECT_EQ(t.tier.CountRunning("new"), 4U);
+  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(t.tier.CountNodeProcesses(i), 1U);
   t.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, ADelayedLinkIsToleratedAndAnUnreachableNodeSkipped) {
   RolloutTest t(45);
-  t.tier.Delay(50'000);
-  t.tier.Cut(3, true, true);
+  t.tier.SetLinkDelay(50'000);
+  t.tier.CutLink(3, true, true);
   const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
   EXPECT_EQ(t.RunDriver(plan, "d1"), 0) << t.driver_log;
   EXPECT_NE(t.driver_log.find("passed_over=n3"), std::string::npos) << t.driver_log;
-  EXPECT_EQ(t.tier.On("new"), 3U);
+  EXPECT_EQ(t.tier.CountRunning("new"), 3U);
   // Once it can be reached again, the same plan updates it.
-  t.tier.Cut(3, false, false);
+  t.tier.CutLink(3, false, false);
   EXPECT_EQ(t.RunDriver(plan, "d2"), 0) << t.driver_log;
-  EXPECT_EQ(t.tier.On("new"), 4U);
+  EXPECT_EQ(t.tier.CountRunning("new"), 4U);
   t.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, AKeeperKilledDuringAHotRestartIsReplacedByOneThatAdoptsTheNode) {
   RolloutTest t(50);
   const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
-  auto driver = t.tier.Rollout("start", plan, "d1");
-  EXPECT_TRUE(t.tier.Until([&] { return t.tier.NodesAlive(0) == 2; }, 20 * kSecond));
-  t.tier.KillKeeper(0);
+  auto driver = t.tier.StartRolloutCommand("start", plan, "d1");
+  EXPECT_TRUE(t.tier.Until([&] { return t.tier.CountNodeProcesses(0) == 2; }, 20 * kSecond));
+  t.tier.KillSupervisor(0);
   t.RunFor(kSecond);
-  t.tier.StartKeeper(0);
+  t.tier.StartSupervisor(0);
   EXPECT_EQ(t.Wait(*driver), 0) << driver->Log();
-  EXPECT_EQ(t.tier.On("new"), 4U) << driver->Log();
-  EXPECT_TRUE(t.tier.Until([&] { return t.tier.NodesAlive(0) == 1; }, 20 * kSecond)) << t.tier.KeeperLog(0);
+  EXPECT_EQ(t.tier.CountRunning("new"), 4U) << driver->Log();
+  EXPECT_TRUE(t.tier.Until([&] { return t.tier.CountNodeProcesses(0) == 1; }, 20 * kSecond))
+      << t.tier.SupervisorLog(0);
   t.StopAndCheckRequests();
 }
 
@@ -274,13 +276,13 @@
   kill(before, SIGKILL);
   EXPECT_TRUE(
       t.tier.Until([&] { return t.tier.NodePid(2) > 0 && t.tier.NodePid(2) != before; }, 20 * kSecond));
-  t.tier.KillKeeper(1);  // a node keeps running without its keeper
-  EXPECT_EQ(t.tier.NodesAlive(1), 1U);
-  t.tier.StartKeeper(1);
-  EXPECT_TRUE(t.tier.Up());
-  EXPECT_EQ(t.tier.NodesAlive(1), 1U);
+  t.tier.KillSupervisor(1);  // a node keeps running without its keeper
+  EXPECT_EQ(t.tier.CountNodeProcesses(1), 1U);
+  t.tier.StartSupervisor(1);
+  EXPECT_TRUE(t.tier.WaitUntilRunning());
+  EXPECT_EQ(t.tier.CountNodeProcesses(1), 1U);
   EXPECT_EQ(t.RunDriver(t.Plan(t.Release("new", t.CopyProgram("ryeglade-2"))), "d1"), 0) << t.driver_log;
-  EXPECT_EQ(t.tier.On("new"), 4U);
+  EXPECT_EQ(t.tier.CountRunning("new"), 4U);
   // Requests that the killed process had accepted are lost, and so are those that found no listener until it
   // was restarted.
   t.StopAndCheckRequests(60);
@@ -289,26 +291,26 @@
 TEST(RolloutNodes, LosingHalfOfTheReplicasIsNotBlamedOnAGoodRelease) {
   RolloutTest t(45);
   const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
-  auto driver = t.tier.Rollout("start", plan, "d1");
-  EXPECT_TRUE(t.tier.Until([&] { return t.tier.NodesAlive(0) == 2; }, 20 * kSecond));
+  auto driver = t.tier.StartRolloutCommand("start", plan, "d1");
+  EXPECT_TRUE(t.tier.Until([&] { return t.tier.CountNodeProcesses(0) == 2; }, 20 * kSecond));
   t.tier.replicas()[0]->options().batch = t.tier.replicas()[0]->options().queue = 0;  // it rejects everything
   EXPECT_EQ(t.Wait(*driver), 0) << driver->Log();
-  EXPECT_EQ(t.tier.On("new"), 4U);
+  EXPECT_EQ(t.tier.CountRunning("new"), 4U);
   t.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, AnOperatorPausesAnUnfinishedRolloutAndRollsItBack) {
   RolloutTest t(45);
-  const std::string plan = t.tier.Plan("p", t.Release("new", t.CopyProgram("ryeglade-2")),
-                                       "[[stage]]\ncount = 1\nsoak = \"60s\"\n[[stage]]\n", kThresholds);
-  auto driver = t.tier.Rollout("start", plan, "d1");
-  EXPECT_TRUE(t.tier.Until([&] { return t.tier.On("new") == 1; }, 30 * kSecond));
-  auto pause = t.tier.Rollout("pause", plan, "op1");
+  const std::string plan = t.tier.WritePlan("p", t.Release("new", t.CopyProgram("ryeglade-2")),
+                                            "[[stage]]\ncount = 1\nsoak = \"60s\"\n[[stage]]\n", kThresholds);
+  auto driver = t.tier.StartRolloutCommand("start", plan, "d1");
+  EXPECT_TRUE(t.tier.Until([&] { return t.tier.CountRunning("new") == 1; }, 30 * kSecond));
+  auto pause = t.tier.StartRolloutCommand("pause", plan, "op1");
   EXPECT_EQ(t.Wait(*pause), 0) << pause->Log();
   EXPECT_EQ(t.Wait(*driver), 4) << driver->Log();  // superseded by the operator's command
-  auto back = t.tier.Rollout("back", plan, "op2");
+  auto back = t.tier.StartRolloutCommand("back", plan, "op2");
   EXPECT_EQ(t.Wait(*back), 3) << back->Log();
-  EXPECT_EQ(t.tier.On("old"), 4U);
+  EXPECT_EQ(t.tier.CountRunning("old"), 4U);
   t.StopAndCheckRequests();
 }
 
@@ -317,19 +319,19 @@
   ASSERT_TRUE(t.AllSettled(4));
   t.tier.SignalNode(2, SIGSTOP);  // its keeper still runs and would execute commands
   const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
-  auto driver = t.tier.Rollout("start", plan, "d1");
+  auto driver = t.tier.StartRolloutCommand("start", plan, "d1");
   EXPECT_TRUE(
       t.tier.Until([&] { return driver->Log().find("left_alone=n2") != std::string::npos; }, 30 * kSecond))
       << driver->Log();
   EXPECT_EQ(t.Wait(*driver), 0) << driver->Log();
   EXPECT_NE(driver->Log().find("dead=n2"), std::string::npos) << driver->Log();
   EXPECT_NE(driver->Log().find("passed_over=n2"), std::string::npos) << driver->Log();
-  EXPECT_EQ(t.tier.On("new"), 3U);
-  EXPECT_EQ(t.tier.NodesAlive(2), 1U);  // no process was started beside it
+  EXPECT_EQ(t.tier.CountRunning("new"), 3U);
+  EXPECT_EQ(t.tier.CountNodeProcesses(2), 1U);  // no process was started beside it
   t.tier.SignalNode(2, SIGCONT);
-  ASSERT_TRUE(t.tier.Until([&] { return t.tier.Alive(0) == 4; }, 30 * kSecond));
+  ASSERT_TRUE(t.tier.Until([&] { return t.tier.AliveMembers(0) == 4; }, 30 * kSecond));
   EXPECT_EQ(t.RunDriver(plan, "d2"), 0) << t.driver_log;
-  EXPECT_EQ(t.tier.On("new"), 4U) << t.driver_log;
+  EXPECT_EQ(t.tier.CountRunning("new"), 4U) << t.driver_log;
   t.StopAndCheckRequests(3000);  // requests of its clients while it was stopped are lost
 }
 
@@ -340,28 +342,28 @@
   t.tier.SignalNode(3, SIGSTOP);
   ASSERT_TRUE(t.tier.Until([&] { return t.tier.InDoubt(0) && t.tier.InDoubt(1); }, 30 * kSecond));
   const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
-  auto driver = t.tier.Rollout("start", plan, "d1");
+  auto driver = t.tier.StartRolloutCommand("start", plan, "d1");
   ASSERT_TRUE(t.tier.Until(
       [&] { return driver->Log().find("0 of 4 status addresses are sure") != std::string::npos; },
       30 * kSecond))
       << driver->Log();
   t.RunFor(2 * kSecond);
-  EXPECT_EQ(t.tier.On("old"), 4U) << driver->Log();
+  EXPECT_EQ(t.tier.CountRunning("old"), 4U) << driver->Log();
   t.tier.SignalNode(2, SIGCONT);
   t.tier.SignalNode(3, SIGCONT);
   EXPECT_EQ(t.Wait(*driver), 0) << driver->Log();
-  EXPECT_EQ(t.tier.On("new"), 4U) << driver->Log();
+  EXPECT_EQ(t.tier.CountRunning("new"), 4U) << driver->Log();
   t.StopAndCheckRequests(3000);
 }
 
 TEST(RolloutNodes, TheRecordShowsWhatTheDriverSawAndIsDrawnAsAChart) {
   RolloutTest t(25, 3);
   const std::string record = t.tier.root() + "/record.jsonl", chart = t.tier.root() + "/chart.svg";
-  auto driver = t.tier.Rollout("start", t.Plan(t.Release("new", t.CopyProgram("ryeglade-2"))), "d1",
-                               {"--record", record});
+  auto driver = t.tier.StartRolloutCommand("start", t.Plan(t.Release("new", t.CopyProgram("ryeglade-2"))),
+                                           "d1", {"--record", record});
   EXPECT_EQ(t.Wait(*driver), 0) << driver->Log();
-  Running report({Program(), "rollout", "report", record, "--chart", chart, "--csv", record + ".csv"},
-                 record + ".log");
+  ChildProcess report({Program(), "rollout", "report", record, "--chart", chart, "--csv", record + ".csv"},
+                      record + ".log");
   EXPECT_EQ(t.Wait(report), 0) << report.Log();
   EXPECT_NE(report.Log().find("done"), std::string::npos) << report.Log();
   EXPECT_NE(report.Log().find("first-token"), std::string::npos) << report.Log();
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -465,57 +465,61 @@
 
 // ---- Whole rollouts in virtual time ----
 
-rollout_lab::WorldSpec SmallWorld() {
-  rollout_lab::WorldSpec s;
+rollout_lab::SimulationSpec SmallFleetSpec() {
+  rollout_lab::SimulationSpec s;
   s.nodes = 8;
   s.stages = {1, 2};
-  s.soak = 10;
+  s.soak_seconds = 10;
   s.requests = 100;
-  s.length = 1500;
+  s.max_seconds = 1500;
   return s;
 }
 
 TEST(RolloutWorld, TheRolloutEndsAndNoInvariantBreaksWhateverFails) {
   const auto play = [](auto change) {
-    rollout_lab::WorldSpec s = SmallWorld();
+    rollout_lab::SimulationSpec s = SmallFleetSpec();
     change(s);
-    return rollout_lab::PlayAll(s, 20, 4);
+    return rollout_lab::RunSimulations(s, 20, 4);
   };
   for (const auto& result :
-       {play([](auto& s) { s.kill_driver = 0.003, s.lost = 0.2; }),
-        play([](auto& s) { s.two_drivers = true, s.lost = 0.1; }),
-        play([](auto& s) { s.pause_driver = 0.02, s.two_drivers = true; }),
-        play([](auto& s) { s.kill_keeper = 0.005, s.kill_driver = 0.002, s.lost = 0.1; })}) {
-    EXPECT_TRUE(result.broken.empty()) << result.broken.front();
+       {play([](auto& s) { s.driver_kill_probability = 0.003, s.message_loss = 0.2; }),
+        play([](auto& s) { s.concurrent_drivers = true, s.message_loss = 0.1; }),
+        play([](auto& s) { s.driver_pause_probability = 0.02, s.concurrent_drivers = true; }),
+        play([](auto& s) {
+          s.supervisor_kills_per_second = 0.005, s.driver_kill_probability = 0.002, s.message_loss = 0.1;
+        })}) {
+    EXPECT_TRUE(result.violations.empty()) << result.violations.front();
     EXPECT_EQ(result.done, result.runs);
   }
 }
 
 TEST(RolloutWorld, ABadReleaseIsStoppedAndAGoodOneIsNot) {
-  rollout_lab::WorldSpec s;
-  s.length = 900;
-  const auto good = rollout_lab::PlayAll(s, 24, 4);
+  rollout_lab::SimulationSpec s;
+  s.max_seconds = 900;
+  const auto good = rollout_lab::RunSimulations(s, 24, 4);
   EXPECT_LE(good.stopped, 1);
   EXPECT_GE(good.done, 22);
-  s.harm.failed = 0.05;
-  const auto bad = rollout_lab::PlayAll(s, 24, 4);
-  EXPECT_GE(bad.first_stage, 22);
-  s.harm = {};
-  s.harm.slower = 0.3;
-  EXPECT_GE(rollout_lab::PlayAll(s, 24, 4).first_stage, 22);
+  s.defects.failed_share = 0.05;
+  const auto bad = rollout_lab::RunSimulations(s, 24, 4);
+  EXPECT_GE(bad.stopped_in_first_stage, 22);
+  s.defects = {};
+  s.defects.first_token_slowdown = 0.3;
+  EXPECT_GE(rollout_lab::RunSimulations(s, 24, 4).stopped_in_first_stage, 22);
 }
 
 TEST(RolloutWorld, BrokenVariantsAreDetected) {
   const auto detects = [](auto change) {
-    rollout_lab::WorldSpec s = SmallWorld();
-    s.length = 150;
+    rollout_lab::SimulationSpec s = SmallFleetSpec();
+    s.max_seconds = 150;
     change(s);
-    return !rollout_lab::PlayAll(s, 10, 4).broken.empty();
+    return !rollout_lab::RunSimulations(s, 10, 4).violations.empty();
   };
-  EXPECT_TRUE(detects(
-      [](auto& s) { s.forge_epoch = true, s.two_drivers = true, s.lost = 0.1, s.pause_driver = 0.02; }));
-  EXPECT_TRUE(detects([](auto& s) { s.greedy = true; }));
-  EXPECT_TRUE(detects([](auto& s) { s.forgetful = true, s.kill_keeper = 0.02; }));
+  EXPECT_TRUE(detects([](auto& s) {
+    s.accepts_any_epoch = true, s.concurrent_drivers = true, s.message_loss = 0.1,
+    s.driver_pause_probability = 0.02;
+  }));
+  EXPECT_TRUE(detects([](auto& s) { s.ignores_max_concurrent = true; }));
+  EXPECT_TRUE(detects([](auto& s) { s.forgets_last_good = true, s.supervisor_kills_per_second = 0.02; }));
 }
 
 // Largest number of faults in an explored course. The sanitizers make each step ten times slower, so with
@@ -530,9 +534,9 @@
   rollout_lab::RolloutExploreOptions options;
   options.faults = kMaxFaults;
   const auto explored = rollout_lab::ExploreRollout(options);
-  EXPECT_TRUE(explored.breaches.empty())
-      << explored.breaches.front().invariant << ": " << explored.breaches.front().what << ":"
-      << explored.breaches.front().course;
+  EXPECT_TRUE(explored.violations.empty())
+      << explored.violations.front().invariant << ": " << explored.violations.front().what << ":"
+      << explored.violations.front().trace;
   EXPECT_GT(explored.states, 10'000U);
   EXPECT_GT(explored.ends.at("done"), 0U);
   EXPECT_GT(explored.ends.at("back"), 0U);
