--- a/lab/emulator/command.cpp
+++ b/lab/emulator/command.cpp
@@ -49,7 +49,7 @@
 }  // namespace
 
 FaultSpec ReadFault(const std::string& text) {
-  const std::vector<std::string> parts = lab::ColonParts(text);
+  const std::vector<std::string> parts = lab::SplitAtColons(text);
   const auto number = [&](std::size_t n, double fallback) {
     if (n >= parts.size()) return fallback;
     std::size_t used = 0;
--- a/lab/rollout/local_tier.cpp
+++ b/lab/rollout/local_tier.cpp
@@ -102,7 +102,7 @@
   root_ = name;
   for (int i = 0; i < 3; ++i) {
     replicas_.push_back(std::make_unique<lab::FakeReplica>(
-        &run_, &rules_, lab::FakeReplicaOptions{.speech = lab::Speech::kPlatform}));
+        &run_, &rules_, lab::FakeReplicaOptions{.dialect = lab::ReplicaDialect::kPlatform}));
     directory_.Set(fmt::format("stand-in-{}", i), replicas_.back()->Listen());
   }
   const std::string discovery = directory_.Listen();
@@ -321,7 +321,7 @@
   text += "[release]\n" + release + "\n";
   for (std::size_t i = 0; i < nodes_.size(); ++i)
     text += fmt::format("[[node]]\nname = \"n{}\"\nkeeper = \"{}\"\nzone = \"{}\"\n", i,
-                        network_->face(i + 1), i % 2 == 0 ? "a" : "b");
+                        network_->proxy_address(i + 1), i % 2 == 0 ? "a" : "b");
   text += stages;
   if (rest.find("most_passed_over") == std::string::npos) text += rest;
   if (o_.membership) {
@@ -348,7 +348,7 @@
 
 RealTier::Served RealTier::served() const {
   Served s;
-  s.two_at_once = rules_.two_at_once;
+  s.two_at_once = rules_.overlapping_attempts;
   for (const auto& client : clients_) {
     for (const auto& c : client->tally().classes()) {
       const auto of = [&](load::Outcome o) { return c.outcomes[static_cast<std::size_t>(o)]; };
--- a/tests/preloaded.h
+++ b/tests/preloaded.h
@@ -1,4 +1,4 @@
-// A system call that fails or is held up in the nodes under test, by a preloaded library (fault_library.cpp).
+// Makes a system call fail or take long in the nodes under test, by a preloaded library (fault_library.cpp).
 #pragma once
 #undef NDEBUG
 
@@ -12,26 +12,27 @@
 
 namespace scripted {
 
-inline std::string library;  // its path, from the command line
+inline std::string fault_library_path;  // path of the library, from the command line
 
-// Nodes that start while one of these lives have the fault, in the words of fault_library.cpp.
-class Preloaded {
+// While an object of this class exists, every node that is started has the fault, written as
+// fault_library.cpp says.
+class PreloadedFault {
  public:
-  explicit Preloaded(const std::string& fault) {
+  explicit PreloadedFault(const std::string& fault) {
     assert(close(mkstemp(counts_)) == 0);
-    setenv("LD_PRELOAD", library.c_str(), 1);
+    setenv("LD_PRELOAD", fault_library_path.c_str(), 1);
     setenv("RYEGLADE_TEST_FAULT", fault.c_str(), 1);
     setenv("RYEGLADE_TEST_FAULT_COUNT", counts_, 1);
   }
-  Preloaded(const Preloaded&) = delete;
-  Preloaded& operator=(const Preloaded&) = delete;
-  ~Preloaded() {
+  PreloadedFault(const PreloadedFault&) = delete;
+  PreloadedFault& operator=(const PreloadedFault&) = delete;
+  ~PreloadedFault() {
     for (const char* name : {"LD_PRELOAD", "RYEGLADE_TEST_FAULT", "RYEGLADE_TEST_FAULT_COUNT"})
       unsetenv(name);
     std::remove(counts_);
   }
-  // Calls that have failed or been held up so far.
-  int failures() const {
+  // Number of calls that have failed or been delayed so far.
+  int affected_calls() const {
     std::ifstream in(counts_);
     int n = 0;
     in >> n;
