--- a/lab/rollout/command.h
+++ b/lab/rollout/command.h
@@ -1,4 +1,5 @@
-// `ryeglade-lab rollout`: trials of rollouts in virtual time, as a table.
+// `ryeglade-lab rollout`: runs simulated rollouts and prints a table of their results, explores all
+// executions of a small rollout, or measures rollouts over real processes.
 #pragma once
 
 #include <string>
@@ -11,9 +12,9 @@
 
 class Commands {
  public:
-  explicit Commands(CLI::App& app);  // must live as long as the app
+  explicit Commands(CLI::App& app);  // must live as long as `app`, which holds references to its members
   bool chosen() const;
-  int Run(const std::string& node_program);
+  int Run(const std::string& node_program);  // returns the exit code
 
  private:
   CLI::App* rollout_;
--- a/lab/rollout/explorer.cpp
+++ b/lab/rollout/explorer.cpp
@@ -24,22 +24,26 @@
 
 constexpr Time kSecond = 1'000'000;
 constexpr Time kLease = 2 * kSecond;
-constexpr Time kDriverWait = kLease * 12 / 10;  // of a new driver, before its first act
-constexpr int kSupervisorRestartRounds = 2;     // rounds
+constexpr Time kDriverWait = kLease * 12 / 10;  // of a new driver, before its first command after the claims
+constexpr int kSupervisorRestartRounds = 2;     // from a supervisor's death to its restart
+constexpr std::size_t kMaxDriverRuns = 6;       // in one execution, above which no fault starts another
+constexpr std::size_t kMaxPending = 64;         // executions queued for other workers
+constexpr std::size_t kMaxViolations = 200;     // that are kept with their traces
 
+// What happens to a message. kDelayed1, 3 and 5 arrive after that many rounds.
 enum class Delivery : std::uint8_t { kDelivered, kLost, kReplyLost, kDelayed1, kDelayed3, kDelayed5 };
 constexpr std::array<const char*, 6> kDeliveryNames{"", "lost", "answer-lost", "late-1", "late-3", "late-5"};
 
-// What may happen to a driver instead of its next message, or at the begin of a round.
+// Faults that are injected before a driver's next message or before a round.
 enum class FaultKind : std::uint8_t {
   kDriverDies,
   kDriverPauses2,
   kDriverPauses6,
-  kStopRequested,  // it decides to go back
+  kStopRequested,  // the driver is told to roll back
   kSupervisorDies,
   kNodeDies,
-  kNewDriver,  // somebody starts one beside
-  kNewPlan     // and with another release
+  kNewDriver,  // another driver starts with the same plan
+  kNewPlan     // another driver starts with a plan of another release
 };
 constexpr std::array<const char*, 8> kFaultNames{"dies",        "pauses-2",  "pauses-6",   "stops",
                                                  "keeper-dies", "node-dies", "new-driver", "new-plan"};
@@ -47,22 +51,23 @@
 struct DriverRun {
   Driver driver;
   int number = 0;
-  bool second_plan = false;     // it drives the second plan
-  bool finished = false;        // ended or dead
-  int paused = 0;               // rounds still
-  bool round_done = false;      // waits for the next round
-  std::size_t claims_sent = 0;  // sent in this round
+  bool second_plan = false;     // set if it drives the second plan
+  bool finished = false;        // superseded or dead
+  int paused = 0;               // remaining rounds
+  bool round_done = false;      // set while it waits for the next round
+  std::size_t claims_sent = 0;  // in this round
   std::map<std::string, SupervisorResponse> responses;
-  std::vector<NodeCommand> commands;  // still to be sent, from the front
-  bool claims_done = false;           // its claims are through
+  std::vector<NodeCommand> commands;  // of this round that are still to be sent
+  bool claims_done = false;           // set once it has sent its claims of this round
 };
 
 struct DelayedCommand {
-  int rounds = 0;
+  int rounds = 0;  // until it arrives
   std::size_t to = 0;
   SupervisorCommand command;
 };
 
+// One execution of a rollout, up to some state. A copy goes on independently.
 class Execution {
  public:
   explicit Execution(const RolloutExploreOptions& o)
@@ -80,15 +85,15 @@
     NewDriver(false);
   }
 
-  // What may come next: one word for each way to go on, told apart by number. The first is the way without a
-  // fault.
+  // A step that may come next. Without `begins_round`, the driver run sends its next message.
   struct Step {
     std::size_t driver_run = 0;
-    std::optional<FaultKind> fault;
+    std::optional<FaultKind> fault;  // injected before the round, or instead of the message
     Delivery delivery = Delivery::kDelivered;
-    std::size_t node = 0;
-    bool begins_round = false;  // the round begins
+    std::size_t node = 0;  // of kSupervisorDies and kNodeDies
+    bool begins_round = false;
   };
+  // Returns all steps that are possible in this state. The first is the one without a fault.
   std::vector<Step> NextSteps() const {
     std::vector<Step> all;
     bool driver_can_act = false;
@@ -100,7 +105,8 @@
       if (faults_left_ == 0) continue;
       for (const Delivery f : {Delivery::kLost, Delivery::kReplyLost})
         all.push_back({i, std::nullopt, f, 0, false});
-      // A claim that comes late is as good as lost: its answer is not waited for. A command is not.
+      // A delayed claim is not explored: the driver does not wait for its reply, so it is like a lost one. A
+      // delayed command may still be executed.
       if (p.claims_done) {
         for (const Delivery f : {Delivery::kDelayed1, Delivery::kDelayed3, Delivery::kDelayed5})
           all.push_back({i, std::nullopt, f, 0, false});
@@ -124,7 +130,7 @@
       if (!p.finished && p.paused == 0)
         all.push_back({i, FaultKind::kStopRequested, Delivery::kDelivered, 0, true});
     }
-    if (driver_is_running && driver_runs_.size() < 6) {
+    if (driver_is_running && driver_runs_.size() < kMaxDriverRuns) {
       all.push_back({0, FaultKind::kNewDriver, Delivery::kDelivered, 0, true});
       if (!second_plan_) all.push_back({0, FaultKind::kNewPlan, Delivery::kDelivered, 0, true});
     }
@@ -154,7 +160,8 @@
   const std::string& outcome() const { return outcome_; }
   const std::optional<RolloutExploration::Violation>& violation() const { return violation_; }
 
-  // Two courses of the same print go on alike. What decides is in it, with times as spans.
+  // Executions with the same fingerprint continue in the same way. It covers everything that later decisions
+  // depend on, with times relative to now.
   std::uint64_t Fingerprint() const {
     std::string all = fmt::format("{} {} {} {} {}|", faults_left_, highest_executed_epoch_,
                                   rounds_without_driver_, second_plan_, nodes_killed_);
@@ -194,8 +201,8 @@
                       l.command.claimed_at > 0 ? node_simulator_.now - l.command.claimed_at : -1);
     return XXH3_64bits(all.data(), all.size());
   }
-  // It has come to where it was before, and no fault is left to lead elsewhere.
-  void ReportCycle() { AddViolation("ends", "the course goes round in a circle"); }
+  // Called if the execution has returned to an earlier state without a fault.
+  void ReportCycle() { AddViolation("ends", "the execution repeats its states for ever"); }
 
  private:
   static NodeSimulator::Rules RulesOf(const RolloutExploreOptions& o) {
@@ -298,7 +305,7 @@
     }
   }
 
-  // A driver's next message; behind its last claim it decides.
+  // Sends the driver's next message. After its last claim the driver decides on the commands of the round.
   void SendNext(std::size_t number, Delivery delivery) {
     DriverRun& p = driver_runs_[number];
     if (!p.claims_done) {
@@ -323,7 +330,7 @@
       const auto reply = Send(to, command.command, delivery);
       if (reply && !reply->accepted) p.driver.OnRejected(reply->reason);
     }
-    // What a round has decided is sent to its end, as the real driver does, also where one answer says stale.
+    // All commands of a round are sent, as by the real driver, even after a reply that rejects a stale epoch.
     if (!p.commands.empty()) return;
     p.round_done = true;
     if (p.driver.state() == RolloutState::kSuperseded) {
@@ -366,13 +373,14 @@
     }
     std::vector<SupervisorEffect> effects;
     CommandReply reply = n.supervisor->HandleCommand(node_simulator_.now, c, effects);
-    const bool acted = reply.accepted && !effects.empty() &&
-                       (c.kind == CommandKind::kChange || c.kind == CommandKind::kRollBack);
+    const bool executed = reply.accepted && !effects.empty() &&
+                          (c.kind == CommandKind::kChange || c.kind == CommandKind::kRollBack);
     node_simulator_.CarryOut(n, std::move(effects));
-    if (acted) {
+    if (executed) {
       if (command.epoch < highest_executed_epoch_)
-        AddViolation("one-driver", fmt::format("epoch {} acted at {} behind epoch {}", command.epoch, n.name,
-                                               highest_executed_epoch_));
+        AddViolation("one-driver",
+                     fmt::format("a command of epoch {} was executed at {} after one of epoch {}",
+                                 command.epoch, n.name, highest_executed_epoch_));
       highest_executed_epoch_ = std::max(highest_executed_epoch_, command.epoch);
     }
     reply.status.metrics = NodeMetrics{};
@@ -382,7 +390,7 @@
     return reply;
   }
 
-  // Processes and keepers come to where a second leads them.
+  // Advances the clock by one second and lets supervisors and processes restart, become ready or end.
   void AdvanceOneSecond() {
     for (SupervisedNode& n : nodes_) {
       if (n.supervisor_down && node_simulator_.now >= n.supervisor_restart_at)
@@ -424,7 +432,7 @@
       if (p.finished) continue;
       if (p.paused > 0) {
         --p.paused;
-        continue;  // whoever waits for it starts another
+        continue;  // does not count as running, so another driver may be started
       }
       driver_is_running = true;
       if (!p.round_done) continue;
@@ -440,7 +448,7 @@
     } else {
       rounds_without_driver_ = 0;
     }
-    if (round_ > o_->rounds) AddViolation("ends", "the course came to no end");
+    if (round_ > o_->rounds) AddViolation("ends", "the execution did not end");
   }
 
   void End(DriverRun& p) {
@@ -450,7 +458,7 @@
         for (const SupervisedNode& n : nodes_) {
           if (n.saved_state.active.id != p.driver.plan().release.id && p.driver.skipped_nodes().empty())
             AddViolation("all-changed",
-                         n.name + " runs " + n.saved_state.active.id + " and it is called done");
+                         n.name + " runs " + n.saved_state.active.id + " although the rollout is done");
         }
         break;
       case RolloutState::kRolledBack:
@@ -460,11 +468,11 @@
           const auto gone = p.driver.skipped_nodes();
           if (n.saved_state.last_good.id != n.saved_state.active.id &&
               std::find(gone.begin(), gone.end(), n.name) == gone.end())
-            AddViolation("stop-reaches", "a stop did not reach " + n.name);
+            AddViolation("stop-reaches", "the rollback did not reach " + n.name);
         }
         break;
       case RolloutState::kPaused:
-        // An operator goes on with it: here that is where it ends, unless faults are still to come.
+        // An operator would continue it. The execution ends here.
         outcome_ = "paused: " + p.driver.reason();
         break;
       default:
@@ -477,21 +485,21 @@
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       const SupervisedNode& n = nodes_[i];
       const SupervisorState& m = n.saved_state;
-      if (m.last_good.program.empty()) AddViolation("good-release", n.name + " has no good release");
-      if (m.active.program.empty()) AddViolation("good-release", n.name + " has no release");
+      if (m.last_good.program.empty()) AddViolation("good-release", n.name + " has no last good release");
+      if (m.active.program.empty()) AddViolation("good-release", n.name + " has no active release");
       if (m.pending && *m.pending != m.last_good) ++changing;
       std::size_t living = 0, serving = 0;
       for (const auto& [number, p] : n.processes) {
-        living += p.terminating || (p.ends_at >= 0 && p.ends_at <= node_simulator_.now)
-                      ? 0
-                      : 1;  // a killed one is none
+        // A killed process does not count as living.
+        living += p.terminating || (p.ends_at >= 0 && p.ends_at <= node_simulator_.now) ? 0 : 1;
         serving += p.ready && !p.terminating ? 1 : 0;
       }
       if (living > 2) AddViolation("two-processes", fmt::format("{} has {} processes", n.name, living));
       if (serving == 0 && (nodes_killed_ >> i & 1U) == 0 && round_ > 0)
-        AddViolation("serves", n.name + " serves with no process though none was killed");
+        AddViolation("serves", n.name + " has no serving process although none was killed");
     }
-    if (changing > 1) AddViolation("at-once", fmt::format("{} nodes in change, 1 allowed", changing));
+    if (changing > 1)
+      AddViolation("at-once", fmt::format("{} nodes are changing at once, 1 allowed", changing));
   }
 
   void AddViolation(const char* invariant, const std::string& what) {
@@ -505,15 +513,15 @@
   std::vector<DriverRun> driver_runs_;
   std::vector<DelayedCommand> delayed_;
   std::uint64_t highest_executed_epoch_ = 0;
-  unsigned nodes_killed_ = 0;  // bits: nodes of which a process was killed by a fault
+  unsigned nodes_killed_ = 0;  // one bit for each node, set if a fault killed a process of it
   int round_ = 0, driver_count_ = 0, rounds_without_driver_ = 0;
   bool second_plan_ = false;
   std::string outcome_, trace_;
   std::optional<RolloutExploration::Violation> violation_;
 };
 
-// Courses that are still to be gone on with, shared by the workers; each worker goes deep by itself and hands
-// over what lies near the root.
+// Depth-first search over all executions with several workers. A worker explores branches itself, and queues
+// them for the others while the queue has room.
 class Search {
  public:
   explicit Search(const RolloutExploreOptions& o) : o_(o) {}
@@ -570,9 +578,9 @@
     std::vector<RolloutExploration::Violation> violations;
   };
 
-  // Along the way without a fault; what branches off is played from copies.
+  // Follows the steps without a fault to the end of the execution, and explores each other step from a copy.
   void ExploreFrom(Execution c, Counts& t) {
-    std::unordered_set<std::uint64_t> own;  // of this way on, which has no further fault in it
+    std::unordered_set<std::uint64_t> own;  // fingerprints since the last fault
     while (true) {
       if (c.finished()) {
         ++t.executions;
@@ -607,7 +615,7 @@
 
   bool QueueHasRoom() {
     const std::lock_guard<std::mutex> lock(mutex_);
-    return pending_.size() < 64;
+    return pending_.size() < kMaxPending;
   }
 
   void Merge(const Counts& t) {
@@ -616,7 +624,7 @@
     for (const auto& [outcome, n] : t.ends) result_.ends[outcome] += n;
     for (const auto& b : t.violations) {
       ++result_.by_invariant[b.invariant];
-      if (result_.violations.size() < 200) result_.violations.push_back(b);
+      if (result_.violations.size() < kMaxViolations) result_.violations.push_back(b);
     }
   }
 
@@ -634,9 +642,8 @@
 RolloutExploration ExploreRollout(const RolloutExploreOptions& options) {
   static const std::set<std::string> known{"",       "any-epoch", "no-lease", "no-token",
                                            "greedy", "forgetful", "hasty"};
-  if (!known.contains(options.variant))
-    throw std::runtime_error("there is no variant '" + options.variant + "'");
-  if (options.nodes < 2 || options.nodes > 5) throw std::runtime_error("2 to 5 nodes can be explored");
+  if (!known.contains(options.variant)) throw std::runtime_error("unknown variant '" + options.variant + "'");
+  if (options.nodes < 2 || options.nodes > 5) throw std::runtime_error("the number of nodes must be 2 to 5");
   return Search(options).Run();
 }
 
--- a/lab/rollout/explorer.h
+++ b/lab/rollout/explorer.h
@@ -1,7 +1,8 @@
-// Every course that a rollout over a few nodes can take with up to so many faults: the program's own driver
-// and keepers, each message of theirs lost, answered unheard or late, drivers that die, pause or come beside
-// each other between any two messages, keepers and nodes that die, a stop at any moment. Checks in each state
-// what must hold. docs/notes/rollout.md.
+// Explores every execution of a rollout over a few nodes with up to a given number of faults, and checks the
+// invariants in every state. The driver and the supervisors are the program's own. Faults: a message is lost,
+// its reply is lost, or it arrives late; a driver dies, pauses or is joined by another one between any two
+// messages; a supervisor or a node's process dies; a stop is requested at any time. See
+// docs/notes/rollout.md.
 #pragma once
 
 #include <cstdint>
@@ -13,22 +14,31 @@
 
 struct RolloutExploreOptions {
   int nodes = 3;    // 2 to 5
-  int faults = 2;   // in one course
-  int rounds = 60;  // after which a course counts as having come to no end
+  int faults = 2;   // largest number of faults in one execution
+  int rounds = 60;  // an execution that has not ended after this many violates the invariant "ends"
   int workers = 0;  // threads; 0: as many as there are cores
-  // Broken on purpose: "any-epoch", "no-lease", "no-token" (late commands are judged by the keeper's newest
-  // claim alone), "greedy", "forgetful", "hasty" (a new driver does not wait). Empty: none.
+  // A fault planted in the program's rules, to test that the checks detect it. Empty: none.
+  //   "any-epoch"  supervisors accept commands of any epoch
+  //   "no-lease"   claims never expire, and a new driver does not wait for older ones
+  //   "no-token"   a delayed command is checked against the supervisor's newest claim only
+  //   "greedy"     all nodes of a stage may change at once
+  //   "forgetful"  a restarted supervisor has lost its last good release
+  //   "hasty"      "no-lease" and "no-token" together
   std::string variant;
 };
 
 struct RolloutExploration {
-  std::uint64_t states = 0, steps = 0, executions = 0;  // different states; steps between them; ends reached
-  std::map<std::string, std::uint64_t> ends;            // how courses ended
+  std::uint64_t states = 0;                   // distinct ones
+  std::uint64_t steps = 0;                    // between states
+  std::uint64_t executions = 0;               // explored to their end
+  std::map<std::string, std::uint64_t> ends;  // executions by how they ended, without those in violation
   struct Violation {
-    std::string invariant, what, trace;
+    std::string invariant;  // its name
+    std::string what;       // what was seen instead
+    std::string trace;      // the faults of the execution, in order
   };
-  std::vector<Violation> violations;  // at most 200
-  std::map<std::string, std::uint64_t> by_invariant;
+  std::vector<Violation> violations;                  // the first 200
+  std::map<std::string, std::uint64_t> by_invariant;  // number of executions that violate it
 };
 
 // Throws std::runtime_error for a variant that does not exist.
--- a/lab/rollout/local_tier.cpp
+++ b/lab/rollout/local_tier.cpp
@@ -22,8 +22,11 @@
 namespace ryeglade::rollout_lab {
 namespace {
 
-constexpr int kReplyTimeoutMs = 1000;  // ms
+constexpr int kReplyTimeoutMs = 1000;
 constexpr Time kPollInterval = 20'000;
+constexpr Time kStartTimeout = 30'000'000;
+constexpr Time kClientTimeout = 15'000'000;  // after which a client gives up a request
+constexpr int kReplicas = 3;
 
 void WriteFile(const std::string& path, const std::string& text) {
   std::ofstream out(path, std::ios::binary);
@@ -41,7 +44,7 @@
   pid_ = fork();
   if (pid_ < 0) throw std::runtime_error("cannot start a process");
   if (pid_ == 0) {
-    prctl(PR_SET_PDEATHSIG, SIGTERM);  // a keeper ends its node then
+    prctl(PR_SET_PDEATHSIG, SIGTERM);  // on which a supervisor ends its node
     for (const char* variable :
          {"EDGE_CONFIG", "EDGE_NAME", "EDGE_LISTEN", "EDGE_DISCOVERY", "EDGE_MANAGEMENT"})
       unsetenv(variable);
@@ -100,17 +103,17 @@
   std::string name = std::filesystem::temp_directory_path().string() + "/ryeglade-rollout-XXXXXX";
   if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot make a directory " + name);
   root_ = name;
-  for (int i = 0; i < 3; ++i) {
+  for (int i = 0; i < kReplicas; ++i) {
     replicas_.push_back(std::make_unique<lab::FakeReplica>(
         &runtime_, &attempt_counts_, lab::FakeReplicaOptions{.dialect = lab::ReplicaDialect::kPlatform}));
     discovery_.Set(fmt::format("stand-in-{}", i), replicas_.back()->Listen());
   }
   const std::string discovery = discovery_.Listen();
-  // The driver is the first on the network, keepers follow.
+  // The driver is number 0 of the network, the supervisor of node i is number i + 1.
   const auto pid = static_cast<unsigned>(getpid());
   driver_ip_ = fmt::format("127.{}.{}.250", 20 + pid % 60, pid / 60 % 250 + 1);
-  std::vector<std::string> real{cluster::FreeAddress(driver_ip_)};
-  std::vector<std::string> faces{fmt::format("127.{}.{}.250", 120 + pid % 60, pid / 60 % 250 + 1)};
+  std::vector<std::string> addresses{cluster::FreeAddress(driver_ip_)};
+  std::vector<std::string> proxy_ips{fmt::format("127.{}.{}.250", 120 + pid % 60, pid / 60 % 250 + 1)};
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     Node& n = nodes_[i];
     n.ip = fmt::format("127.{}.{}.{}", 20 + pid % 60, pid / 60 % 250 + 1, i + 1);
@@ -124,11 +127,11 @@
     config["settings"]["balancers"] = nodes_.size();
     if (options_.memory_mb > 0) config["limits"]["memory_mb"] = options_.memory_mb;
     WriteFile(n.config, config.dump());
-    real.push_back(n.control);
-    faces.push_back(fmt::format("127.{}.{}.{}", 120 + pid % 60, pid / 60 % 250 + 1, i + 1));
+    addresses.push_back(n.control);
+    proxy_ips.push_back(fmt::format("127.{}.{}.{}", 120 + pid % 60, pid / 60 % 250 + 1, i + 1));
   }
   if (options_.membership) WriteMembership();
-  network_ = std::make_unique<cluster::Network>(&runtime_, options_.seed, real, faces,
+  network_ = std::make_unique<cluster::Network>(&runtime_, options_.seed, addresses, proxy_ips,
                                                 [this](std::size_t from, std::size_t to) {
                                                   cluster::LinkState state;
                                                   state.delay = delay_;
@@ -141,7 +144,7 @@
   for (std::size_t i = 0; i < nodes_.size(); ++i) StartSupervisor(i);
 }
 
-// Straight from node to node: what fails here are the nodes themselves.
+// Members reach each other directly, not over the links: the tests of membership stop the nodes themselves.
 void LocalTier::WriteMembership() {
   std::vector<std::string> listen;
   for (Node& n : nodes_) {
@@ -162,11 +165,12 @@
 LocalTier::~LocalTier() {
   clients_.clear();
   for (Node& n : nodes_) n.supervisor.reset();
-  // Nodes of keepers that were killed: whatever runs with a file of this tier's own directory.
+  // Nodes whose supervisors were killed still run. They are found by the files of this tier's directory.
   try {
     for (const pid_t pid : ProcessesWith("serve")) kill(pid, SIGKILL);
-  } catch (const std::exception&) {  // a process that went while it was looked at: the next tier has its own
-                                     // directory
+  } catch (const std::exception&) {
+    // A process ended while /proc was read. A node that is left over does not disturb the next tier, which
+    // has a directory of its own.
   }
   network_->Close();
   for (const auto& r : replicas_) r->Close();
@@ -215,7 +219,7 @@
 std::optional<rollout::SupervisorStatus> LocalTier::Status(std::size_t i) const {
   try {
     return rollout::DecodeStatus(
-        BlockingHttpCall("the keeper at", nodes_[i].control, "GET", "/keeper", "", kReplyTimeoutMs).body);
+        BlockingHttpCall("the supervisor at", nodes_[i].control, "GET", "/keeper", "", kReplyTimeoutMs).body);
   } catch (const std::exception&) {
     return std::nullopt;
   }
@@ -254,27 +258,27 @@
 }
 
 std::size_t LocalTier::AliveMembers(std::size_t i) const {
-  const auto said = ClusterView(i);
-  if (!said || !said->joined || said->in_doubt || !said->settled) return 0;
+  const auto view = ClusterView(i);
+  if (!view || !view->joined || view->in_doubt || !view->settled) return 0;
   std::size_t n = 1;
-  for (const auto& [name, standing] : said->member_states) n += standing == "alive" ? 1 : 0;
+  for (const auto& [name, state] : view->member_states) n += state == "alive" ? 1 : 0;
   return n;
 }
 
 bool LocalTier::InDoubt(std::size_t i) const {
-  const auto said = ClusterView(i);
-  return said && said->joined && said->in_doubt;
+  const auto view = ClusterView(i);
+  return view && view->joined && view->in_doubt;
 }
 
-// The processes that name `word` and, within the tier's directory, `file`.
 std::vector<pid_t> LocalTier::ProcessesWith(const std::string& word, const std::string& file) const {
   std::vector<pid_t> all;
   for (const auto& entry : std::filesystem::directory_iterator("/proc")) {
     const std::string name = entry.path().filename().string();
     if (name.find_first_not_of("0123456789") != std::string::npos) continue;
     const std::string command = ReadFileIfPresent(entry.path().string() + "/cmdline");
-    const bool said = command.find(std::string("\0", 1) + word + std::string("\0", 1)) != std::string::npos;
-    if (said && command.find(file.empty() ? root_ : file) != std::string::npos)
+    const bool has_word =
+        command.find(std::string("\0", 1) + word + std::string("\0", 1)) != std::string::npos;
+    if (has_word && command.find(file.empty() ? root_ : file) != std::string::npos)
       all.push_back(std::stoi(name));
   }
   return all;
@@ -293,7 +297,7 @@
         }
         return true;
       },
-      30'000'000);
+      kStartTimeout);
 }
 
 void LocalTier::StartClients() {
@@ -304,7 +308,7 @@
     load::LoadTarget target;
     target.address = nodes_[i].client;
     target.openai = false;
-    target.give_up = 15'000'000;
+    target.give_up = kClientTimeout;
     clients_.push_back(std::make_unique<load::LoadClient>(&runtime_, plan, target));
     clients_.back()->Start();
   }
@@ -321,6 +325,7 @@
 
 std::string LocalTier::WritePlan(const std::string& name, const std::string& release,
                                  const std::string& stages, const std::string& rest) {
+  // most_passed_over is a top-level key, so it must come before the tables.
   std::string text = fmt::format("name = \"{}\"\nunreached_after = \"6s\"\n", name);
   if (rest.find("most_passed_over") != std::string::npos) text += rest.substr(0, rest.find('\n') + 1);
   text += "[release]\n" + release + "\n";
@@ -350,8 +355,8 @@
   return std::make_unique<ChildProcess>(words, fmt::format("{}/driver-{}.log", root_, driver_logs_++));
 }
 
-void LocalTier::CutLink(std::size_t i, bool to_keeper, bool from_keeper) {
-  cut_links_[i] = {to_keeper, from_keeper};
+void LocalTier::CutLink(std::size_t i, bool to_supervisor, bool from_supervisor) {
+  cut_links_[i] = {to_supervisor, from_supervisor};
 }
 void LocalTier::SetLinkDelay(Time one_way) { delay_ = one_way; }
 
--- a/lab/rollout/local_tier.h
+++ b/lab/rollout/local_tier.h
@@ -1,6 +1,6 @@
-// A tier of real processes to change: a keeper with its node each, stand-in replicas, discovery, clients that
-// keep asking, and a link between the driver and each keeper that cuts or delays one direction. Loopback
-// only; every process is ended by its id.
+// A tier of real processes on loopback, on which rollouts are run: a supervisor and its node for each member,
+// fake replicas, discovery, clients that send requests, and a link between the driver and each supervisor
+// that can be cut in one direction or delayed. Every process is ended by its id.
 #pragma once
 
 #include <sys/types.h>
@@ -20,7 +20,7 @@
 
 namespace ryeglade::rollout_lab {
 
-// A program with its output in a file; it is told to end when this goes, and when the lab dies.
+// A child process with its output in a file. It gets SIGTERM from the destructor, and when the lab dies.
 class ChildProcess {
  public:
   ChildProcess(const std::vector<std::string>& words, const std::string& log);
@@ -29,8 +29,9 @@
   ChildProcess& operator=(const ChildProcess&) = delete;
   bool IsRunning();
   void Signal(int number) const;
-  int Wait(Time timeout,
-           const std::function<void()>& turn);  // its exit code; -1: it runs still; 128 and more: a signal
+  // Calls `turn` until the process has ended. Returns its exit code, 128 plus the number of the signal that
+  // killed it, or -1 if it still runs after `timeout`.
+  int Wait(Time timeout, const std::function<void()>& turn);
   std::string Log() const;
   pid_t pid() const { return pid_; }
 
@@ -43,12 +44,12 @@
 struct LocalTierOptions {
   std::string program;
   std::size_t nodes = 4;
-  double rate = 40;     // requests a second at each node
-  double seconds = 60;  // for so long
-  std::string lease = "1", ready_within = "3", end_within = "8";
+  double rate = 40;                                               // requests a second at each node
+  double seconds = 60;                                            // for which the clients send requests
+  std::string lease = "1", ready_within = "3", end_within = "8";  // seconds, as options of the supervisors
   std::uint64_t seed = 1;
-  int memory_mb = 0;        // of a node; 0: as in ConfigJson
-  bool membership = false;  // the nodes know of each other, and plans name their status addresses
+  int memory_mb = 0;        // memory limit of a node; 0: as in ConfigJson
+  bool membership = false;  // the nodes form a membership cluster, and plans list their status addresses
 };
 
 class LocalTier {
@@ -58,38 +59,46 @@
   LocalTier(const LocalTier&) = delete;
   LocalTier& operator=(const LocalTier&) = delete;
 
-  // Turns the loop until `done` says so; false: `most` has passed first.
+  // Runs the event loop until `done` returns true. Returns false if that takes longer than `timeout`.
   bool Until(const std::function<bool()>& done, Time timeout);
-  // All nodes serve, as their keepers say. Clients begin.
+  // Waits until the supervisors report that all nodes serve. Returns false if that takes more than 30 s.
   bool WaitUntilRunning();
   void StartClients();
-  // A plan for this tier: `release` is TOML within [release], `rest` follows the stages of which there is one
-  // of one node, and one of the others.
+  // Writes a plan for this tier to a file and returns its path. `release` is the TOML of [release], `stages`
+  // that of the stages. `rest` follows the stages; if it sets most_passed_over, only its
+  // first line is used.
   std::string WritePlan(const std::string& name, const std::string& release, const std::string& stages,
                         const std::string& rest = "");
+  // Starts `ryeglade rollout VERB` for the plan, under the name `driver`.
   std::unique_ptr<ChildProcess> StartRolloutCommand(const std::string& verb, const std::string& plan,
                                                     const std::string& driver,
                                                     const std::vector<std::string>& more = {});
+  // Returns nullopt if the supervisor does not answer within 1 s.
   std::optional<rollout::SupervisorStatus> Status(std::size_t node) const;
-  std::string ActiveRelease(std::size_t node) const;
+  std::string ActiveRelease(std::size_t node) const;  // its id; empty if the supervisor does not answer
   std::string SupervisorLog(std::size_t node) const;
-  std::size_t CountRunning(const std::string& release) const;  // how many nodes run it
+  std::size_t CountRunning(const std::string& release) const;  // number of nodes on which it is active
   void KillSupervisor(std::size_t node);                       // SIGKILL
   void StartSupervisor(std::size_t node);
-  pid_t NodePid(std::size_t node) const;
+  pid_t NodePid(std::size_t node) const;  // -1: unknown
   void SignalNode(std::size_t node, int number) const;
-  // Members alive in that node's settled view, itself among them; 0: it has none.
+  // Returns how many members are alive in that node's cluster view, itself included. Returns 0 if the view is
+  // in doubt or has not settled.
   std::size_t AliveMembers(std::size_t node) const;
-  bool InDoubt(std::size_t node) const;                    // as it says itself
-  std::size_t CountNodeProcesses(std::size_t node) const;  // processes of that node
-  // What the links between the driver and a keeper do from now on.
-  void CutLink(std::size_t node, bool to_keeper, bool from_keeper);
-  void SetLinkDelay(Time one_way);
-  void StopClients();  // clients; waits for what is out
+  bool InDoubt(std::size_t node) const;  // as the node's cluster view reports
+  std::size_t CountNodeProcesses(std::size_t node) const;
+  // Cuts the link between drivers and a node's supervisor in the directions that are true, and restores it in
+  // the others.
+  void CutLink(std::size_t node, bool to_supervisor, bool from_supervisor);
+  void SetLinkDelay(Time one_way);  // of all links
+  void StopClients();               // and waits until all requests have an outcome
 
   struct RequestCounts {
-    std::uint64_t asked = 0, served = 0, refused = 0, unanswered = 0, other = 0, overlapping_attempts = 0;
-    double worth = 0, worth_asked = 0;
+    std::uint64_t asked = 0, served = 0, refused = 0;
+    std::uint64_t unanswered = 0;            // never sent, or without a response
+    std::uint64_t other = 0;                 // failed, rejected as invalid, or broken off
+    std::uint64_t overlapping_attempts = 0;  // must be 0: two attempts of one request at the same time
+    double worth = 0, worth_asked = 0;       // priority weight of the requests that were served, and of all
   };
   RequestCounts request_counts() const;
   std::vector<std::unique_ptr<lab::FakeReplica>>& replicas() { return replicas_; }
@@ -104,6 +113,8 @@
   static uv_loop_t* Init(uv_loop_t* loop);
   void WriteMembership();
   std::optional<rollout::NodeClusterView> ClusterView(std::size_t node) const;
+  // Returns the processes whose command line has the argument `word` and names `file`, or any file of this
+  // tier if `file` is empty.
   std::vector<pid_t> ProcessesWith(const std::string& word, const std::string& file = "") const;
 
   LocalTierOptions options_;
@@ -118,9 +129,9 @@
   std::vector<std::unique_ptr<lab::FakeReplica>> replicas_;
   std::vector<std::unique_ptr<load::LoadClient>> clients_;
   std::unique_ptr<cluster::Network> network_;
-  std::vector<std::pair<bool, bool>> cut_links_;  // by keeper: to it, from it
+  std::vector<std::pair<bool, bool>> cut_links_;  // by node: to its supervisor, from it
   Time delay_ = 0;
-  int driver_logs_ = 0;
+  int driver_logs_ = 0;  // number of log files of rollout commands
 };
 
 }  // namespace ryeglade::rollout_lab
--- a/lab/rollout/local_tier_trial.cpp
+++ b/lab/rollout/local_tier_trial.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr Time kSecond = 1'000'000;
-constexpr Time kPollInterval = 150'000;
-constexpr double kWarmUpSeconds = 6, kBaselineSeconds = 20;  // seconds
-constexpr Time kRolloutTimeout = 180 * kSecond;              // for one rollout
+constexpr Time kPollInterval = 150'000;  // of the supervisors' status
+constexpr double kWarmUpSeconds = 6, kBaselineSeconds = 20;
+constexpr Time kRolloutTimeout = 180 * kSecond;  // for one rollout
 
 std::string PlanStages(const LocalTierTrial& t) {
   std::string text = "[[stage]]\ncount = 1\nsoak = \"2s\"\nrequests = 50\n";
@@ -24,7 +24,8 @@
   return text + fmt::format("[[stage]]\nat_once = {}\nsoak = \"2s\"\nrequests = 100\n", t.max_concurrent);
 }
 
-// As wide as the few seconds of a busy machine ask for; what is measured here is the change, not the verdict.
+// Wide limits, because a few seconds on a busy machine say little. The trial measures the change of release,
+// not the canary analysis.
 constexpr const char* kGuards =
     "[guards]\nlate = 0.5\nrefused = 0.2\nfailed = 0.05\nsure = 0.2\nworld = 1\nslower = 1\nwindow = "
     "\"2s\"\n";
@@ -41,7 +42,7 @@
   o.seconds = 3600;
   LocalTier tier(o);
   if (!tier.WaitUntilRunning()) {
-    r.violations.emplace_back("the tier did not come up");
+    r.violations.emplace_back("not all nodes of the tier serve after 30 s");
     return r;
   }
   tier.StartClients();
@@ -49,18 +50,19 @@
     tier.Until([] { return false; }, static_cast<Time>(seconds * 1e6));
   };
   wait(kWarmUpSeconds);
-  const auto first = tier.request_counts();
+  const auto after_warm_up = tier.request_counts();
   wait(kBaselineSeconds);
-  const auto second = tier.request_counts();
-  r.worth_share_before = (second.worth - first.worth) / std::max(1.0, second.worth_asked - first.worth_asked);
+  const auto before_rollouts = tier.request_counts();
+  r.worth_share_before = (before_rollouts.worth - after_warm_up.worth) /
+                         std::max(1.0, before_rollouts.worth_asked - after_warm_up.worth_asked);
 
   emulator::RandomStream random(t.seed, emulator::RandomPurpose::kFailures);
   const std::string copy = tier.root() + "/ryeglade-2";
   std::filesystem::copy_file(t.program, copy);
-  Time look = 0;
+  Time next_poll = 0;
   const auto watch = [&] {
-    if (Now() < look) return;
-    look = Now() + kPollInterval;
+    if (Now() < next_poll) return;
+    next_poll = Now() + kPollInterval;
     std::size_t changing = 0;
     for (std::size_t i = 0; i < t.nodes; ++i) {
       const auto s = tier.Status(i);
@@ -79,13 +81,13 @@
     for (int driver = 0; code != 0 && Now() - began < kRolloutTimeout; ++driver) {
       auto d = tier.StartRolloutCommand("start", plan, fmt::format("{}-d{}", id, driver));
       const bool kill = r.drivers_killed < t.kills;
-      const Time lives = kill ? 1'200'000 + static_cast<Time>(random.Below(3'000'000)) : kRolloutTimeout;
+      const Time lifetime = kill ? 1'200'000 + static_cast<Time>(random.Below(3'000'000)) : kRolloutTimeout;
       tier.Until(
           [&] {
             watch();
             return !d->IsRunning();
           },
-          lives);
+          lifetime);
       if (d->IsRunning()) {
         d->Signal(SIGKILL);
         ++r.drivers_killed;
@@ -94,7 +96,8 @@
       }
       code = d->Wait(5 * kSecond, [&] { wait(0.02); });
       if (code != 0 && code != 4) {
-        add_violation(fmt::format("{} ended with {}: {}", id, code, d->Log().substr(0, 2000)));
+        add_violation(
+            fmt::format("the driver of {} ended with exit code {}: {}", id, code, d->Log().substr(0, 2000)));
         break;
       }
     }
@@ -102,20 +105,24 @@
     if (code == 0 && tier.CountRunning(id) == t.nodes) {
       ++r.done;
     } else {
-      add_violation(fmt::format("{}: {} of {} nodes run it", id, tier.CountRunning(id), t.nodes));
+      add_violation(
+          fmt::format("release {} is active on {} of {} nodes", id, tier.CountRunning(id), t.nodes));
       break;
     }
   } while (r.drivers_killed < t.kills);
-  const auto third = tier.request_counts();
-  r.worth_share_during = (third.worth - second.worth) / std::max(1.0, third.worth_asked - second.worth_asked);
+  const auto after_rollouts = tier.request_counts();
+  r.worth_share_during = (after_rollouts.worth - before_rollouts.worth) /
+                         std::max(1.0, after_rollouts.worth_asked - before_rollouts.worth_asked);
   tier.StopClients();
   const auto all = tier.request_counts();
   r.asked = all.asked, r.unanswered = all.unanswered, r.other = all.other,
   r.overlapping_attempts = all.overlapping_attempts;
   if (r.overlapping_attempts > 0)
-    add_violation(fmt::format("{} requests had two attempts at once", r.overlapping_attempts));
+    add_violation(fmt::format("{} attempts began while another of the same request was running",
+                              r.overlapping_attempts));
   if (r.max_in_change > t.max_concurrent)
-    add_violation(fmt::format("{} nodes in change, {} allowed", r.max_in_change, t.max_concurrent));
+    add_violation(
+        fmt::format("{} nodes were changing at once, {} allowed", r.max_in_change, t.max_concurrent));
   if (all.asked != all.served + all.refused + all.unanswered + all.other)
     add_violation("some requests have no outcome");
   return r;
--- a/lab/rollout/local_tier_trial.h
+++ b/lab/rollout/local_tier_trial.h
@@ -1,6 +1,6 @@
-// Rollouts of a whole tier of real processes under load, measured: how long they take, what clients get
-// meanwhile against before, how many nodes are in change at once; and drivers killed at random moments. Long
-// runs by command, not for CI.
+// Measures rollouts over a tier of real processes under load: how long they take, which share of the
+// requests' worth the clients are served meanwhile compared with before, and how many nodes change at once.
+// Drivers may be killed at random moments. The runs are long and are started by command, not in CI.
 #pragma once
 
 #include <cstdint>
@@ -16,16 +16,16 @@
   std::size_t nodes = 16;
   double rate = 20;  // requests a second at each node
   std::size_t max_concurrent = 2;
-  int kills = 0;  // drivers killed, over as many rollouts as that takes; 0: one rollout whose driver lives
+  int kills = 0;  // rollouts are run until this many drivers were killed; 0: one rollout without a kill
   std::uint64_t seed = 1;
 };
 
 struct LocalTierTrialResult {
   int rollouts = 0, done = 0, drivers_killed = 0;
-  double seconds = 0;                                     // of the rollouts together
-  double worth_share_before = 0, worth_share_during = 0;  // worth earned of the worth asked for
+  double seconds = 0;                                     // sum over the rollouts
+  double worth_share_before = 0, worth_share_during = 0;  // priority weight of served requests / of all
   std::uint64_t asked = 0, unanswered = 0, other = 0, overlapping_attempts = 0;
-  std::size_t max_in_change = 0;
+  std::size_t max_in_change = 0;  // largest number of nodes that were changing at once
   std::vector<std::string> violations;
 };
 
--- a/lab/rollout/simulation.cpp
+++ b/lab/rollout/simulation.cpp
@@ -24,24 +24,28 @@
 using emulator::RandomPurpose;
 using emulator::RandomStream;
 
-constexpr Time kSecond = 1'000'000, kTick = 100'000, kRoundInterval = 500'000;
+constexpr Time kSecond = 1'000'000;
+constexpr Time kTick = 100'000;           // microseconds, as all Times
+constexpr Time kRoundInterval = 500'000;  // of drivers, and between two readings of a node's metrics
 constexpr Time kLease = 3 * kSecond;
+constexpr Time kWarmUp = 5 * kSecond;  // before the rollout starts, without faults
+constexpr Time kPauseTimeout = 60 * kSecond;
 constexpr double kFirstTokenMs = 200, kFirstTokenSigma = 0.5;
 constexpr std::uint64_t kMemoryLimitBytes = std::uint64_t{192} << 20;
 
 struct SimulatedNode : SupervisedNode {
-  bool vanished = false;
+  bool lost = false;  // its machine has disappeared
   double rate = 0, baseline_failed_share = 0, baseline_rejected_share = 0;
-  std::optional<NodeMetrics> last_metrics;  // as the keeper last read them
-  std::deque<MetricsSample> history;
+  std::optional<NodeMetrics> last_metrics;  // as its supervisor last read them
+  std::deque<MetricsSample> history;        // one sample every 10 s, since its supervisor started
   Time metrics_read_at = 0;
 };
 
-// Sends a round's messages one by one; it may die before each.
+// A driver process. It sends the messages of a round one by one and may be killed before each.
 struct DriverRun {
   std::unique_ptr<Driver> driver;
-  Time next_round = 0, paused_until = -1;
-  std::deque<NodeCommand> unsent_commands;  // of the last round, left over by a pause
+  Time next_round = 0, paused_until = -1;   // -1: not paused
+  std::deque<NodeCommand> unsent_commands;  // of the last round
   bool ended = false;
 };
 
@@ -70,7 +74,8 @@
                           s.soak_seconds, s.requests);
     text += fmt::format("[[stage]]\nat_once = {}\nsoak = \"{}s\"\nrequests = {}\n", at_once, s.soak_seconds,
                         s.requests);
-    // The two plain rules have no verdict of their own: guards so wide that it never speaks.
+    // With the two simple rules the canary analysis must never stop the rollout, so its limits are as wide as
+    // they can be.
     if (s.rule != StopRule::kCanaryAnalysis)
       text +=
           "[guards]\nfailed = 1\nrefused = 1\nlate = 1\nslower = 10\nattempts = 10\ngrowth = 1000\nworld = "
@@ -90,7 +95,7 @@
 
   SimulationResult Run() {
     for (auto& node : nodes_) StartSupervisor(*node, false);
-    for (now_ = kTick; now_ < 5 * kSecond; now_ += kTick) Tick();
+    for (now_ = kTick; now_ < kWarmUp; now_ += kTick) Tick();
     started_at_ = now_;
     NewDriver();
     while (now_ - started_at_ < static_cast<Time>(s_.max_seconds * 1e6) && !finished_) {
@@ -107,16 +112,16 @@
   double SecondsSinceStart() const { return static_cast<double>(now_ - started_at_) / 1e6; }
   bool Unreachable(std::size_t index) const {
     const auto n = static_cast<int>(index);
-    return nodes_[index]->vanished || (s_.partition_first >= 0 && n >= s_.partition_first &&
-                                       n <= s_.partition_last && SecondsSinceStart() >= s_.partition_at &&
-                                       SecondsSinceStart() < s_.partition_at + s_.partition_seconds);
+    return nodes_[index]->lost || (s_.partition_first >= 0 && n >= s_.partition_first &&
+                                   n <= s_.partition_last && SecondsSinceStart() >= s_.partition_at &&
+                                   SecondsSinceStart() < s_.partition_at + s_.partition_seconds);
   }
   void AddViolation(const std::string& what) {
     if (result_.violations.size() < 8)
       result_.violations.push_back(fmt::format("at {:.1f} s: {}", SecondsSinceStart(), what));
   }
 
-  // ---- Nodes and keepers ----
+  // ---- Nodes and supervisors ----
 
   static NodeSimulator::Rules RulesOf(const SimulationSpec& s) {
     NodeSimulator::Rules r;
@@ -133,9 +138,9 @@
     return r;
   }
 
-  void StartSupervisor(SimulatedNode& node, bool again) {
-    if (again) node.history.clear();  // what a keeper saw goes with it
-    if (s_.forgets_last_good && again) node.saved_state.last_good = {};
+  void StartSupervisor(SimulatedNode& node, bool is_restart) {
+    if (is_restart) node.history.clear();  // a supervisor keeps it in memory only
+    if (s_.forgets_last_good && is_restart) node.saved_state.last_good = {};
     node_simulator_.StartSupervisor(node);
   }
 
@@ -143,16 +148,16 @@
     node_simulator_.now = now_;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       SimulatedNode& node = *nodes_[i];
-      if (node.vanished) continue;
+      if (node.lost) continue;
       if (static_cast<int>(i) == s_.lost_machine && started_at_ > 0 &&
           SecondsSinceStart() >= s_.lost_machine_at) {
-        node.vanished = true;
+        node.lost = true;
         node.processes.clear();
         continue;
       }
-      const double second = static_cast<double>(kTick) / 1e6;
+      const double tick_seconds = static_cast<double>(kTick) / 1e6;
       if (started_at_ > 0 && !node.supervisor_down &&
-          fault_random_.Chance(s_.supervisor_kills_per_second * second)) {
+          fault_random_.Chance(s_.supervisor_kills_per_second * tick_seconds)) {
         node.supervisor_down = true;
         node.supervisor_restart_at = now_ + 2 * kSecond;
         ++result_.supervisors_killed;
@@ -161,7 +166,7 @@
       ServeRequests(node);
       std::vector<int> gone;
       for (auto& [number, p] : node.processes) {
-        const bool killed = started_at_ > 0 && fault_random_.Chance(s_.node_kills_per_second * second);
+        const bool killed = started_at_ > 0 && fault_random_.Chance(s_.node_kills_per_second * tick_seconds);
         if (killed || (p.ends_at >= 0 && now_ >= p.ends_at)) gone.push_back(number);
       }
       for (const int number : gone) {
@@ -170,8 +175,8 @@
       }
       if (node.supervisor_down) continue;
       for (auto& [number, p] : node.processes) {
-        const bool never = p.release.id == "new" && s_.defects.never_ready;
-        if (!p.ready && !never && now_ - p.started >= kSecond) {
+        const bool never_ready = p.release.id == "new" && s_.defects.never_ready;
+        if (!p.ready && !never_ready && now_ - p.started >= kSecond) {
           p.ready = true;
           std::vector<SupervisorEffect> effects;
           node.supervisor->OnProcessReady(now_, number, effects);
@@ -210,67 +215,68 @@
     return n;
   }
 
-  // Whoever is the newest ready process of a node and does not leave takes what comes.
+  // Requests go to the newest process that is ready and was not told to terminate. Without one they are lost.
   void ServeRequests(SimulatedNode& node) {
-    SimulatedProcess* takes = nullptr;
+    SimulatedProcess* process = nullptr;
     for (auto& [number, p] : node.processes) {
-      if (p.ready && !p.terminating && (takes == nullptr || p.started > takes->started)) takes = &p;
+      if (p.ready && !p.terminating && (process == nullptr || p.started > process->started)) process = &p;
     }
-    const bool load = s_.load_peak_at >= 0 && SecondsSinceStart() >= s_.load_peak_at &&
-                      SecondsSinceStart() < s_.load_peak_at + s_.load_peak_seconds && started_at_ > 0;
-    const bool world = s_.fleet_failure_at >= 0 && SecondsSinceStart() >= s_.fleet_failure_at &&
-                       SecondsSinceStart() < s_.fleet_failure_at + s_.fleet_failure_seconds &&
-                       started_at_ > 0;
-    const double times = load ? s_.load_peak_factor : 1;
-    const int n = Poisson(node.rate * times * static_cast<double>(kTick) / 1e6);
+    const bool load_peak = s_.load_peak_at >= 0 && SecondsSinceStart() >= s_.load_peak_at &&
+                           SecondsSinceStart() < s_.load_peak_at + s_.load_peak_seconds && started_at_ > 0;
+    const bool fleet_failure = s_.fleet_failure_at >= 0 && SecondsSinceStart() >= s_.fleet_failure_at &&
+                               SecondsSinceStart() < s_.fleet_failure_at + s_.fleet_failure_seconds &&
+                               started_at_ > 0;
+    const double load_factor = load_peak ? s_.load_peak_factor : 1;
+    const int n = Poisson(node.rate * load_factor * static_cast<double>(kTick) / 1e6);
     for (int k = 0; k < n; ++k) {
       const bool agent = traffic_random_.Chance(0.2);
       const std::string cls = agent ? "agent" : "docs";
       const double worth = agent ? 9 : 3;
       if (started_at_ > 0) result_.worth += worth;
-      if (takes == nullptr) {
+      if (process == nullptr) {
         if (started_at_ > 0) result_.worth_lost += worth;
         continue;
       }
-      const bool fresh = takes->release.id == "new";
-      const bool harmed = fresh && (s_.defects.only_class.empty() || s_.defects.only_class == cls);
-      ClassMetrics& c = takes->metrics.classes[cls];
+      const bool new_release = process->release.id == "new";
+      const bool defective = new_release && (s_.defects.only_class.empty() || s_.defects.only_class == cls);
+      ClassMetrics& c = process->metrics.classes[cls];
       c.priority_weight = worth;
       const double u = traffic_random_.Unit();
       const double baseline_failed_share =
-          std::min(0.9, node.baseline_failed_share + (world ? s_.fleet_failure_share : 0));
+          std::min(0.9, node.baseline_failed_share + (fleet_failure ? s_.fleet_failure_share : 0));
       const double baseline_rejected_share =
-          std::min(0.9 - baseline_failed_share, node.baseline_rejected_share * (load ? 10 : 1));
-      const double more_failed = harmed ? s_.defects.failed_share : 0,
-                   more_refused = harmed ? s_.defects.rejected_share : 0;
-      const double tries = 1 + (traffic_random_.Chance(0.05) ? 1 : 0);
-      c.attempts_sum += tries, c.attempts_sum_of_squares += tries * tries;
-      if (fresh) result_.exposed_requests += 1;
+          std::min(0.9 - baseline_failed_share, node.baseline_rejected_share * (load_peak ? 10 : 1));
+      const double extra_failed_share = defective ? s_.defects.failed_share : 0,
+                   extra_rejected_share = defective ? s_.defects.rejected_share : 0;
+      const double attempts = 1 + (traffic_random_.Chance(0.05) ? 1 : 0);
+      c.attempts_sum += attempts, c.attempts_sum_of_squares += attempts * attempts;
+      if (new_release) result_.exposed_requests += 1;
       if (u < baseline_failed_share) {
         ++c.failed;
       } else if (u < baseline_failed_share + baseline_rejected_share) {
         ++c.rejected;
-      } else if (u < baseline_failed_share + baseline_rejected_share + more_failed) {
+      } else if (u < baseline_failed_share + baseline_rejected_share + extra_failed_share) {
         ++c.failed;
         result_.worth_lost += worth;
-      } else if (u < baseline_failed_share + baseline_rejected_share + more_failed + more_refused) {
+      } else if (u < baseline_failed_share + baseline_rejected_share + extra_failed_share +
+                         extra_rejected_share) {
         ++c.rejected;
         result_.worth_lost += worth;
       } else {
-        double ms = traffic_random_.Lognormal(kFirstTokenMs, kFirstTokenSigma) * (load ? 1.5 : 1);
-        if (harmed) ms *= 1 + s_.defects.first_token_slowdown;
+        double ms = traffic_random_.Lognormal(kFirstTokenMs, kFirstTokenSigma) * (load_peak ? 1.5 : 1);
+        if (defective) ms *= 1 + s_.defects.first_token_slowdown;
         ++c.served;
         ++c.started;
         if (ms < 800) ++c.in_time;
         c.first_token_ln_sum += std::log(ms);
         c.first_token_ln_sum_of_squares += std::log(ms) * std::log(ms);
       }
-      takes->requests += 1;
-      if (fresh && s_.defects.crash_at_request > 0 && takes->requests >= s_.defects.crash_at_request)
-        takes->ends_at = now_;
+      process->requests += 1;
+      if (new_release && s_.defects.crash_at_request > 0 && process->requests >= s_.defects.crash_at_request)
+        process->ends_at = now_;
     }
-    if (takes != nullptr && takes->release.id == "new")
-      takes->metrics.memory_bytes +=
+    if (process != nullptr && process->release.id == "new")
+      process->metrics.memory_bytes +=
           static_cast<std::uint64_t>(s_.defects.leak_bytes_per_second * static_cast<double>(kTick) / 1e6);
   }
 
@@ -280,13 +286,13 @@
     return static_cast<std::size_t>(std::stoi(name.substr(1)));
   }
 
-  // What a keeper answers, as far as the message and its answer arrive; `late`: the message sits on the way.
-  std::optional<CommandReply> Send(const NodeCommand& order) {
-    const std::size_t index = IndexOf(order.node);
+  // Sends a command to a node's supervisor. Returns nullopt if the command or the reply is lost.
+  std::optional<CommandReply> Send(const NodeCommand& command) {
+    const std::size_t index = IndexOf(command.node);
     SimulatedNode& node = *nodes_[index];
     if (Unreachable(index) || node.supervisor_down || fault_random_.Chance(s_.message_loss))
       return std::nullopt;
-    SupervisorCommand c = order.command;
+    SupervisorCommand c = command.command;
     if (s_.accepts_any_epoch) {
       const SupervisorStatus s = node.supervisor->Status();
       if (c.epoch < s.epoch) c.epoch = s.epoch;
@@ -299,17 +305,17 @@
     node_simulator_.CarryOut(node, std::move(effects));
     const bool changes_release = c.kind == CommandKind::kChange || c.kind == CommandKind::kRollBack;
     if (reply.accepted && changes_release && acted) {
-      if (order.command.epoch < highest_executed_epoch_)
-        AddViolation(fmt::format("epoch {} acted at {} behind epoch {}", order.command.epoch, node.name,
-                                 highest_executed_epoch_));
-      highest_executed_epoch_ = std::max(highest_executed_epoch_, order.command.epoch);
+      if (command.command.epoch < highest_executed_epoch_)
+        AddViolation(fmt::format("a command of epoch {} was executed at {} after one of epoch {}",
+                                 command.command.epoch, node.name, highest_executed_epoch_));
+      highest_executed_epoch_ = std::max(highest_executed_epoch_, command.command.epoch);
     }
     reply.status.metrics = node.last_metrics;
     reply.status.now = now_;
     if (reply.accepted && node.supervisor->state().epoch > epoch)
       reply.status.history.assign(node.history.begin(), node.history.end());
-    if (s_.accepts_any_epoch) reply.status.epoch = std::min(reply.status.epoch, order.command.epoch);
-    if (fault_random_.Chance(s_.message_loss)) return std::nullopt;  // the answer is lost: done all the same
+    if (s_.accepts_any_epoch) reply.status.epoch = std::min(reply.status.epoch, command.command.epoch);
+    if (fault_random_.Chance(s_.message_loss)) return std::nullopt;  // the command was executed
     return reply;
   }
 
@@ -346,6 +352,7 @@
     }
   }
 
+  // Returns true if the driver was killed.
   bool KillAtRandom(DriverRun& p) {
     if (!fault_random_.Chance(s_.driver_kill_probability)) return false;
     p.ended = true;
@@ -355,24 +362,24 @@
   void RunDriver(DriverRun& p) {
     if (p.paused_until >= 0) {
       if (now_ < p.paused_until) return;
-      p.paused_until = -1;  // it goes on with what it was about to send
+      p.paused_until = -1;  // sends what it had left to send
     } else {
       if (now_ < p.next_round) return;
       p.next_round = now_ + kRoundInterval;
-      std::map<std::string, SupervisorResponse> round;
+      std::map<std::string, SupervisorResponse> responses;
       for (const PlanNode& n : plan_.nodes) {
         if (KillAtRandom(p)) return;
         const auto reply = Send({n.name, p.driver->MakeClaim()});
         if (!reply) continue;
-        round[n.name] = {reply->status, reply->accepted};
+        responses[n.name] = {reply->status, reply->accepted};
         if (!reply->accepted) p.driver->OnRejected(reply->reason);
       }
       if (!p.driver->ended()) {
-        const std::vector<NodeCommand> orders = p.driver->RunRound(now_, round);
-        // Marks go first.
-        for (const bool marks : {true, false}) {
-          for (const NodeCommand& o : orders) {
-            if ((o.command.kind == CommandKind::kSetDirective) == marks) p.unsent_commands.push_back(o);
+        const std::vector<NodeCommand> commands = p.driver->RunRound(now_, responses);
+        // Directives are sent first, as by the real driver.
+        for (const bool directives : {true, false}) {
+          for (const NodeCommand& c : commands) {
+            if ((c.command.kind == CommandKind::kSetDirective) == directives) p.unsent_commands.push_back(c);
           }
         }
       }
@@ -384,15 +391,15 @@
     }
     while (!p.unsent_commands.empty()) {
       if (KillAtRandom(p)) return;
-      const NodeCommand order = p.unsent_commands.front();
+      const NodeCommand command = p.unsent_commands.front();
       p.unsent_commands.pop_front();
-      if (order.command.kind == CommandKind::kSetDirective && order.command.directive == "back" &&
+      if (command.command.kind == CommandKind::kSetDirective && command.command.directive == "back" &&
           result_.stopped_at < 0) {
         result_.stopped_at = SecondsSinceStart();
         result_.stopped_stage = p.driver->stage() + 1;
-        result_.stop_reason = order.command.directive_reason;
+        result_.stop_reason = command.command.directive_reason;
       }
-      const auto reply = Send(order);
+      const auto reply = Send(command);
       if (reply && !reply->accepted) p.driver->OnRejected(reply->reason);
     }
     switch (p.driver->state()) {
@@ -402,9 +409,10 @@
         result_.end = p.driver->state() == RolloutState::kCompleted ? "done" : "back";
         break;
       case RolloutState::kPaused:
-        // An operator would look; here it ends, unless the fault is over before long.
+        // In production an operator would look at it. Here the run ends, unless the rollout leaves the pause
+        // within kPauseTimeout or a partition still lasts.
         if (paused_since_ < 0) paused_since_ = now_;
-        if (now_ - paused_since_ > 60 * kSecond &&
+        if (now_ - paused_since_ > kPauseTimeout &&
             SecondsSinceStart() > s_.partition_at + s_.partition_seconds) {
           result_.end = "paused: " + p.driver->reason();
           finished_ = true;
@@ -418,7 +426,8 @@
     }
   }
 
-  // The plain rule: a share of failures and refusals of the new cohort since the start, over a fixed line.
+  // StopRule::kThreshold: rolls back once the new release has concluded 100 requests and more than 5% of
+  // them have failed or were rejected.
   void ApplyThreshold(DriverRun& p) {
     if (s_.rule != StopRule::kThreshold || p.driver->ended()) return;
     double bad = 0, n = 0;
@@ -433,15 +442,15 @@
       p.driver->SetDirective("back", fmt::format("{:.3f} of requests bad", bad / n));
   }
 
-  // ---- What must hold ----
+  // ---- Invariants ----
 
   void CheckInvariants() {
-    std::size_t changing = 0, exposed = 0;
+    std::size_t changing = 0;
     for (const auto& node : nodes_) {
-      if (node->vanished) continue;
+      if (node->lost) continue;
       const SupervisorState& m = node->saved_state;
-      if (m.last_good.program.empty()) AddViolation(node->name + " has no good release");
-      if (m.active.program.empty()) AddViolation(node->name + " has no release");
+      if (m.last_good.program.empty()) AddViolation(node->name + " has no last good release");
+      if (m.active.program.empty()) AddViolation(node->name + " has no active release");
       if (m.pending && m.pending->id == "new") ++changing;
       std::size_t living = 0;
       for (const auto& [number, p] : node->processes) {
@@ -449,30 +458,32 @@
         if (p.release.id == "new" && p.ready) exposed_nodes_.insert(node->name);
       }
       if (living > 2) AddViolation(fmt::format("{} has {} processes", node->name, living));
-      if (m.active.id == "new") ++exposed;
     }
-    const std::size_t most = s_.rule == StopRule::kAllAtOnce ? nodes_.size() : s_.max_concurrent;
-    if (changing > most) AddViolation(fmt::format("{} nodes in change, {} allowed", changing, most));
+    const std::size_t allowed = s_.rule == StopRule::kAllAtOnce ? nodes_.size() : s_.max_concurrent;
+    if (changing > allowed)
+      AddViolation(fmt::format("{} nodes are changing at once, {} allowed", changing, allowed));
   }
 
   void Finish() {
     result_.seconds = SecondsSinceStart();
     result_.exposed_nodes = exposed_nodes_.size();
     if (result_.end.empty()) result_.end = "unfinished";
-    const bool good = result_.end == "done" || result_.end == "back" || result_.end.starts_with("paused: ");
-    if (!good) AddViolation("it came to no end");
+    const bool ended = result_.end == "done" || result_.end == "back" || result_.end.starts_with("paused: ");
+    if (!ended) AddViolation("the rollout did not end");
     if (result_.end == "back") {
       for (std::size_t i = 0; i < nodes_.size(); ++i) {
         const SimulatedNode& node = *nodes_[i];
-        if (node.vanished || node.supervisor_down || Unreachable(i)) continue;
+        if (node.lost || node.supervisor_down || Unreachable(i)) continue;
         if (node.saved_state.active.id == "new" && node.saved_state.last_good.id != "new")
-          AddViolation("a stop did not reach " + node.name);
+          AddViolation("the rollback did not reach " + node.name);
       }
     }
     if (result_.end == "done") {
-      std::size_t left = 0;
-      for (const auto& node : nodes_) left += !node->vanished && node->saved_state.active.id != "new" ? 1 : 0;
-      if (left > plan_.max_skipped) AddViolation(fmt::format("done, but {} nodes lack it", left));
+      std::size_t unchanged = 0;
+      for (const auto& node : nodes_)
+        unchanged += !node->lost && node->saved_state.active.id != "new" ? 1 : 0;
+      if (unchanged > plan_.max_skipped)
+        AddViolation(fmt::format("the rollout is done, but {} nodes do not run the release", unchanged));
     }
   }
 
@@ -495,7 +506,7 @@
 SimulationResult RunSimulation(const SimulationSpec& spec) { return Simulation(spec).Run(); }
 
 SimulationTotals RunSimulations(SimulationSpec spec, int runs, int workers) {
-  SimulationTotals set;
+  SimulationTotals totals;
   std::mutex mutex;
   std::atomic<int> next{0};
   const auto work = [&] {
@@ -504,27 +515,27 @@
       s.seed = spec.seed + static_cast<std::uint64_t>(i);
       const SimulationResult r = RunSimulation(s);
       const std::lock_guard<std::mutex> lock(mutex);
-      ++set.runs;
-      if (r.end == "done") ++set.done;
-      if (r.stopped_at >= 0) ++set.stopped;
-      if (r.end != "done" && r.stopped_at < 0) ++set.other;
-      if (r.stopped_at >= 0 && r.stopped_stage <= 1) ++set.stopped_in_first_stage;
-      set.exposed_nodes += static_cast<double>(r.exposed_nodes);
-      set.exposed_requests += r.exposed_requests;
-      set.worth_lost += r.worth_lost;
-      set.worth += r.worth;
-      set.seconds += r.seconds;
+      ++totals.runs;
+      if (r.end == "done") ++totals.done;
+      if (r.stopped_at >= 0) ++totals.stopped;
+      if (r.end != "done" && r.stopped_at < 0) ++totals.other;
+      if (r.stopped_at >= 0 && r.stopped_stage <= 1) ++totals.stopped_in_first_stage;
+      totals.exposed_nodes += static_cast<double>(r.exposed_nodes);
+      totals.exposed_requests += r.exposed_requests;
+      totals.worth_lost += r.worth_lost;
+      totals.worth += r.worth;
+      totals.seconds += r.seconds;
       if (r.end != "done")
-        set.ends.push_back(
+        totals.ends.push_back(
             fmt::format("seed {}: {}{}", s.seed, r.end, r.stop_reason.empty() ? "" : ": " + r.stop_reason));
       for (const std::string& b : r.violations)
-        set.violations.push_back(fmt::format("seed {}: {}", s.seed, b));
+        totals.violations.push_back(fmt::format("seed {}: {}", s.seed, b));
     }
   };
   std::vector<std::thread> threads;
   for (int i = 0; i < std::max(1, workers); ++i) threads.emplace_back(work);
   for (std::thread& t : threads) t.join();
-  return set;
+  return totals;
 }
 
 }  // namespace ryeglade::rollout_lab
--- a/lab/rollout/simulation.h
+++ b/lab/rollout/simulation.h
@@ -1,6 +1,7 @@
-// A rollout in virtual time: the program's own keepers, driver and verdict, over nodes that are no more than
-// what a release does to requests; links that lose and cut; drivers that die between any two messages;
-// a fleet that fails by itself. One seed, one course. Checks what must hold all the while.
+// Simulates rollouts in virtual time. The supervisors, the drivers and the canary analysis are the program's
+// own; a node is modelled only by what a release does to requests. Messages get lost, links are cut, drivers
+// die between any two messages, and the fleet may fail independently of the release. The same seed gives the
+// same run. Invariants are checked after every tick.
 #pragma once
 
 #include <cstdint>
@@ -15,81 +16,94 @@
 
 using rollout::Time;
 
-// What a release does to those who ask it.
+// What the new release does worse than the old one. The default is a release without defects.
 struct ReleaseDefects {
-  double failed_share = 0;           // share of requests beside the fleet's own
-  double rejected_share = 0;         // the same
-  std::string only_class;            // of this class only; empty: of all
-  double first_token_slowdown = 0;   // first tokens: this part slower, under load
-  double leak_bytes_per_second = 0;  // bytes a second
-  int crash_at_request = 0;          // request at which a process dies; 0: never
-  bool never_ready = false, does_not_start = false, no_metrics = false,
-       ignores_sigterm = false;    // deaf: to SIGTERM
-  std::string unreadable_on_node;  // a node whose files can't be read
+  double failed_share = 0;           // of requests, in addition to those that the fleet fails anyway
+  double rejected_share = 0;         // of requests, in addition to those that the fleet rejects anyway
+  std::string only_class;            // request class that is affected; empty: all classes
+  double first_token_slowdown = 0;   // 0.3: first tokens take 30% longer
+  double leak_bytes_per_second = 0;  // memory
+  int crash_at_request = 0;          // number of the request at which a process dies; 0: never
+  bool never_ready = false;
+  bool does_not_start = false;
+  bool no_metrics = false;  // the node reports no metrics to its supervisor
+  bool ignores_sigterm = false;
+  std::string unreadable_on_node;  // name of a node that can't read the release's files; empty: none
 };
 
+// What stops a rollout of a bad release.
 enum class StopRule : std::uint8_t {
-  kCanaryAnalysis,
-  kThreshold,
-  kAllAtOnce
-};  // what stops it; the last: nothing, no stages
+  kCanaryAnalysis,  // the program's own
+  kThreshold,       // a fixed share of failed and rejected requests on the new release
+  kAllAtOnce        // nothing: all nodes change at once, without stages
+};
 
 struct SimulationSpec {
   std::uint64_t seed = 1;
   int nodes = 16, zones = 2;
-  double rate = 20;     // requests a second at a node, median; nodes differ by `spread`
-  double spread = 0.5;  // sigma of the logarithm
-  double baseline_failed_share = 0.01, baseline_rejected_share = 0.01;  // the fleet's own, median over nodes
-  double overdispersion = 0.3;  // sigma of the logarithm of those, node by node
-  ReleaseDefects defects;
+  // Each node's request rate and its baseline shares are drawn from lognormal distributions.
+  double rate = 20;                                                     // median, requests per second
+  double spread = 0.5;                                                  // sigma of the rate's logarithm
+  double baseline_failed_share = 0.01, baseline_rejected_share = 0.01;  // medians, on any release
+  double overdispersion = 0.3;  // sigma of the logarithms of the baseline shares
+  ReleaseDefects defects;       // of the new release
   StopRule rule = StopRule::kCanaryAnalysis;
-  double soak_seconds = 60;  // seconds
-  std::uint64_t requests = 500;
-  std::vector<int> stages{1, 3};  // nodes of the first stages; the rest is the last
+  double soak_seconds = 60;       // of each stage
+  std::uint64_t requests = 500;   // that each stage waits for
+  std::vector<int> stages{1, 3};  // nodes of the first stages; a last stage takes the remaining nodes
   std::size_t max_concurrent = 2;
-  double message_loss = 0;             // share of messages, each way
-  double driver_kill_probability = 0;  // chance at each message
-  double driver_pause_probability =
-      0;  // chance at each round; for pause_for seconds, then it goes on as if nothing were
-  double driver_pause_seconds = 30;
-  double supervisor_kills_per_second = 0;          // chance a keeper and second
-  double node_kills_per_second = 0;                // the same for a node's process
-  bool concurrent_drivers = false;                 // another starts now and then, whoever drives
-  int partition_first = -1, partition_last = -1;   // nodes that no driver reaches,
-  double partition_at = 0, partition_seconds = 0;  // then, for so long (seconds)
-  int lost_machine = -1;                           // a node whose machine goes for good,
+  double message_loss = 0;                 // probability for each message and for each reply
+  double driver_kill_probability = 0;      // at each message
+  double driver_pause_probability = 0;     // at each round; the driver then goes on where it was
+  double driver_pause_seconds = 30;        // length of such a pause
+  double supervisor_kills_per_second = 0;  // probability for each supervisor
+  double node_kills_per_second = 0;        // probability for each process of a node
+  bool concurrent_drivers = false;         // another driver starts every 20 s beside those that run
+  // Nodes partition_first to partition_last can't be reached by a driver from partition_at on, for
+  // partition_seconds. -1: no partition. Seconds count from the start of the rollout, here and below.
+  int partition_first = -1, partition_last = -1;
+  double partition_at = 0, partition_seconds = 0;
+  int lost_machine = -1;  // index of a node that disappears for good at lost_machine_at; -1: none
   double lost_machine_at = 0;
-  double fleet_failure_at = -1, fleet_failure_seconds = 30,
-         fleet_failure_share = 0;  // the fleet fails by itself
-  double load_peak_at = -1, load_peak_seconds = 30, load_peak_factor = 1;
-  double max_seconds = 1800;  // seconds at most
-  // Broken on purpose, to see that the checks catch it.
-  bool accepts_any_epoch = false;       // keepers take any epoch
-  bool no_lease = false;                // and any claim's age; a new driver doesn't wait
-  bool ignores_max_concurrent = false;  // a driver that passes over its plan's at_once
-  bool forgets_last_good = false;       // a keeper that forgets its last good release
+  // All nodes fail this additional share of requests, whatever their release. -1: never.
+  double fleet_failure_at = -1, fleet_failure_seconds = 30, fleet_failure_share = 0;
+  double load_peak_at = -1, load_peak_seconds = 30, load_peak_factor = 1;  // -1: no peak
+  double max_seconds = 1800;  // a rollout that has not ended by then counts as unfinished
+  // Faults planted in the program's rules, to test that the invariant checks detect them.
+  bool accepts_any_epoch = false;       // supervisors accept commands of any epoch
+  bool no_lease = false;                // claims never expire, and a new driver does not wait for older ones
+  bool ignores_max_concurrent = false;  // drivers change more nodes at once than the plan allows
+  bool forgets_last_good = false;       // a restarted supervisor has lost its last good release
 };
 
 struct SimulationResult {
-  std::vector<std::string> violations;  // what must hold and did not; empty: good
-  std::string end;                      // "done", "back", "paused: ...", "unfinished"
-  double stopped_at = -1;               // seconds after the start, when it was decided to go back; -1: never
-  std::size_t stopped_stage = 0;
-  std::size_t exposed_nodes = 0;
-  double exposed_requests = 0, worth_lost = 0, worth = 0;  // lost: to the release's harm
-  double seconds = 0;
+  std::vector<std::string> violations;  // of invariants, at most 8
+  std::string end;                      // "done", "back", "paused: REASON" or "unfinished"
+  double stopped_at = -1;               // seconds until a driver decided to roll back; -1: never
+  std::size_t stopped_stage = 0;        // number of the stage at that time, from 1
+  std::size_t exposed_nodes = 0;        // nodes on which the new release became ready
+  double exposed_requests = 0;          // requests that went to the new release
+  double worth_lost = 0;  // priority weight of requests lost to the new release or to no process
+  double worth = 0;       // priority weight of all requests
+  double seconds = 0;     // length of the rollout
   int drivers = 0, supervisors_killed = 0;
-  std::string stop_reason;
+  std::string stop_reason;  // given by the driver that rolled back; empty: none did
 };
 
 SimulationResult RunSimulation(const SimulationSpec& spec);
 
-// Counts of a whole set of runs, with what each ended as.
+// Sums over a set of runs.
 struct SimulationTotals {
-  int runs = 0, stopped = 0, done = 0, other = 0, stopped_in_first_stage = 0;
+  int runs = 0;
+  int stopped = 0;  // runs in which a driver decided to roll back
+  int done = 0;     // runs that ended as "done"
+  int other = 0;    // runs that neither rolled back nor ended as "done"
+  int stopped_in_first_stage = 0;
   double exposed_nodes = 0, exposed_requests = 0, worth_lost = 0, worth = 0, seconds = 0;
-  std::vector<std::string> violations, ends;  // ends: of those that were not done, with their seed
+  std::vector<std::string> violations;  // with the seed of the run
+  std::vector<std::string> ends;        // of the runs that were not done, with their seeds
 };
+// Runs the spec with `runs` consecutive seeds, starting with its own, on `workers` threads.
 SimulationTotals RunSimulations(SimulationSpec spec, int runs, int workers);
 
 }  // namespace ryeglade::rollout_lab
--- a/lab/rollout/supervised_node.cpp
+++ b/lab/rollout/supervised_node.cpp
@@ -14,15 +14,17 @@
     return std::any_of(node.processes.begin(), node.processes.end(),
                        [&](const auto& x) { return x.second.pid == p.pid && p.pid > 0; });
   };
-  // The adopted ones get the numbers that the keeper gives them.
+  // Adopted processes get the numbers by which the supervisor knows them.
   std::map<int, SimulatedProcess> adopted;
-  for (const auto& [place, kept] : {std::pair<int, const ProcessRecord*>{1, &node.saved_state.current},
-                                    {2, &node.saved_state.next},
-                                    {3, &node.saved_state.stopping}}) {
+  for (const auto& [adopted_number, record] :
+       {std::pair<int, const ProcessRecord*>{rollout::Supervisor::kRecoveredCurrent,
+                                             &node.saved_state.current},
+        {rollout::Supervisor::kRecoveredNext, &node.saved_state.next},
+        {rollout::Supervisor::kRecoveredStopping, &node.saved_state.stopping}}) {
     for (auto& [number, p] : node.processes) {
-      if (p.pid == kept->pid && kept->pid > 0) {
-        p.number = place;
-        adopted[place] = p;
+      if (p.pid == record->pid && record->pid > 0) {
+        p.number = adopted_number;
+        adopted[adopted_number] = p;
       }
     }
   }
@@ -34,9 +36,9 @@
   CarryOut(node, std::move(effects));
   for (const auto& [number, p] : std::map<int, SimulatedProcess>(node.processes)) {
     if (!p.ready) continue;
-    std::vector<SupervisorEffect> more;
-    node.supervisor->OnProcessReady(now, number, more);
-    CarryOut(node, std::move(more));
+    std::vector<SupervisorEffect> more_effects;
+    node.supervisor->OnProcessReady(now, number, more_effects);
+    CarryOut(node, std::move(more_effects));
   }
 }
 
@@ -52,7 +54,7 @@
         SimulatedProcess p;
         p.number = effect.process;
         p.release = effect.release;
-        p.pid = ++pids_;
+        p.pid = ++last_pid_;
         p.started = now;
         p.metrics.pid = p.pid;
         p.metrics.memory_limit_bytes = rules_.memory_limit;
@@ -62,9 +64,9 @@
           break;
         }
         node.processes[effect.process] = p;
-        std::vector<SupervisorEffect> more;
-        node.supervisor->OnProcessStarted(effect.process, {p.pid, 1, ""}, more);
-        effects.insert(effects.end(), more.begin(), more.end());
+        std::vector<SupervisorEffect> more_effects;
+        node.supervisor->OnProcessStarted(effect.process, {p.pid, 1, ""}, more_effects);
+        effects.insert(effects.end(), more_effects.begin(), more_effects.end());
         break;
       }
       case SupervisorEffect::Kind::kTerminateProcess:
--- a/lab/rollout/supervised_node.h
+++ b/lab/rollout/supervised_node.h
@@ -1,5 +1,6 @@
-// A node in virtual time: the program's own keeper, what it holds on disk, and the processes it started, of
-// which no more is known than when they are ready and when they end. The trials and the explorer host it.
+// A node in virtual time: the program's own supervisor, the state that it has saved, and the processes that
+// it started. Of a process only its release is modelled, and when it becomes ready and ends. Used by the
+// simulation and by the explorer.
 #pragma once
 
 #include <cstdint>
@@ -17,49 +18,51 @@
 using rollout::Time;
 
 struct SimulatedProcess {
-  int number = 0;
+  int number = 0;  // given by the supervisor
   rollout::Release release;
   std::int64_t pid = 0;
   Time started = 0;
   bool ready = false, terminating = false;
-  Time ends_at = -1;
+  Time ends_at = -1;  // -1: not until it is told to
   rollout::NodeMetrics metrics;
-  double requests = 0;
+  double requests = 0;  // that it got
 };
 
 struct SupervisedNode {
   std::string name, zone;
-  std::optional<rollout::Supervisor> supervisor;
-  std::map<int, SimulatedProcess> processes;
+  std::optional<rollout::Supervisor> supervisor;  // keeps its last state while supervisor_down
+  std::map<int, SimulatedProcess> processes;      // by number
   bool supervisor_down = false;
-  Time supervisor_restart_at = 0;
-  rollout::SupervisorState saved_state;
+  Time supervisor_restart_at = 0;        // if supervisor_down
+  rollout::SupervisorState saved_state;  // on disk
 };
 
-// The machine of the nodes: its clock, and what releases do as processes.
+// Runs the nodes: holds the clock, starts and ends processes, and carries out what supervisors decide.
 class NodeSimulator {
  public:
   struct Rules {
     rollout::SupervisorLimits limits;
-    Time stop_duration = 2'000'000;  // from SIGTERM
-    std::uint64_t memory_limit = 0;
-    std::function<bool(const SupervisedNode&, const rollout::Release&)> fails_to_start;  // null: none does
-    std::function<bool(const rollout::Release&)> ignores_sigterm;  // to SIGTERM; null: none
+    Time stop_duration = 2'000'000;  // from SIGTERM to the end of a process
+    std::uint64_t memory_limit = 0;  // bytes, as processes report it
+    // Null: all processes start, and all end after SIGTERM.
+    std::function<bool(const SupervisedNode&, const rollout::Release&)> fails_to_start;
+    std::function<bool(const rollout::Release&)> ignores_sigterm;
   };
   explicit NodeSimulator(Rules rules) : rules_(std::move(rules)) {}
 
   Time now = 0;
-  // A keeper begins, the first or one behind another.
+  // Starts the node's first supervisor, or one in place of another, which adopts the living processes.
   void StartSupervisor(SupervisedNode& node);
   void CarryOut(SupervisedNode& node, std::vector<rollout::SupervisorEffect> effects);
-  void EndProcess(SupervisedNode& node, int number);  // a process has ended, and its keeper runs
+  // Reports the end of a process to the node's supervisor, which must be running.
+  void EndProcess(SupervisedNode& node, int number);
   void TickSupervisor(SupervisedNode& node);
-  // Those that did not even start end now.
+  // Reports the end of the processes that failed to start to their supervisors.
   void EndUnstartedProcesses();
 
  private:
   Rules rules_;
-  std::int64_t pids_ = 0;
+  std::int64_t last_pid_ = 0;
   std::vector<std::pair<SupervisedNode*, int>> unstarted_;
 };
 
