--- a/lab/cluster/baselines.cpp
+++ b/lab/cluster/baselines.cpp
@@ -9,9 +9,10 @@
 namespace {
 
 constexpr std::uint8_t kAlive = 0, kSuspect = 1, kDead = 2;
-constexpr double kSuspicionPeriods = 5;  // times log10 of the members, as the membership part has it
+constexpr double kSuspicionPeriods = 5;  // times log10 of the number of members, as in the membership model
 
-// SWIM with suspicion and round-robin probing (sections 4.2 and 4.3 of the paper), news on its messages only.
+// SWIM with suspicion and round-robin probing (sections 4.2 and 4.3 of the paper). Updates travel only on its
+// own messages.
 class Swim : public Baseline {
  public:
   explicit Swim(BaselineSetup s)
@@ -166,13 +167,15 @@
     const int enough =
         3 * (1 + static_cast<int>(std::ceil(std::log2(static_cast<double>(live_members_ + 2)))));
     if (to < members_.size() && members_[to].known && members_[to].state != kAlive)
-      p.updates.push_back({to, members_[to].incarnation, members_[to].state});  // so that it can refute
+      p.updates.push_back(
+          {to, members_[to].incarnation, members_[to].state});  // so that the receiver can refute it
     for (std::size_t k = 0; k < most; ++k) {
       QueuedUpdate& item = updates_[order[k].second];
       p.updates.push_back(item.update);
       if (++item.sent >= enough) updates_.erase(order[k].second);
     }
-    const std::size_t bytes = 100 + 60 * p.updates.size();  // as large as ours for the same fields
+    const std::size_t bytes =
+        100 + 60 * p.updates.size();  // the size of our membership messages with the same fields
     setup_.send(to, std::move(p), bytes);
   }
 
@@ -188,8 +191,9 @@
   Time probe_began_ = 0, next_probe_ = 0;
 };
 
-// Each node to each other, once a period. Dead after a fixed silence of five periods, or, by phi, once the
-// chance that a beat is still to come falls under 10^-8 (a normal law fitted to the last 100 gaps).
+// Each node sends a heartbeat to each other node once a period. A member is dead after a silence of five
+// periods; with phi, as soon as the probability that a heartbeat still comes is under 10^-8 (normal
+// distribution fitted to the last 100 gaps).
 class Heartbeat : public Baseline {
  public:
   Heartbeat(BaselineSetup s, bool phi)
--- a/lab/cluster/baselines.h
+++ b/lab/cluster/baselines.h
@@ -1,4 +1,4 @@
-// Failure detectors to compare with, in the lab only: each as plainly as its paper has it.
+// Failure detectors for comparison, in the lab only, each implemented as its paper describes it.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,11 @@
 
 using policy::Time;
 
-// What baselines send: small fixed fields, members by number.
+// The message of all baselines. Members are identified by number.
 struct BaselineMessage {
   enum class Kind : std::uint8_t { kPing, kPingRequest, kAck, kHeartbeat } kind = Kind::kHeartbeat;
   std::uint64_t seq = 0;
-  std::size_t target = 0;  // of an ask
+  std::size_t target = 0;  // of a ping request: the member to ping
   std::uint64_t incarnation = 0;
   struct Update {
     std::size_t member = 0;
@@ -39,7 +39,7 @@
 
 struct BaselineSetup {
   std::size_t self = 0, nodes = 0;
-  std::vector<bool> present;  // that run at the start; they know of each other, so that joining costs nothing
+  std::vector<bool> present;  // by node: whether it runs at the start; these know each other without joining
   std::uint64_t incarnation = 1;
   Time period = 1'000'000, now = 0;
   std::uint64_t seed = 1;
--- a/lab/cluster/command.cpp
+++ b/lab/cluster/command.cpp
@@ -37,7 +37,7 @@
     ++n;
   }
   double mean() const { return n == 0 ? std::nan("") : sum / static_cast<double>(n); }
-  // Half of the 95% interval of the mean.
+  // Half the width of the 95% confidence interval of the mean.
   double half_interval() const {
     if (n < 2) return std::nan("");
     const double k = static_cast<double>(n);
@@ -45,7 +45,7 @@
   }
 };
 
-// `text` with the value of a top-level key replaced, or the key added.
+// Returns `text` with the value of a top-level key replaced, or with the key added.
 std::string ReplaceTopLevelKey(std::string text, const std::string& key, const std::string& value) {
   const std::string mark = "\n" + key + " = ";
   const std::size_t at = text.find(mark), head = text.find("\n[");
@@ -59,41 +59,44 @@
 }  // namespace
 
 Commands::Commands(CLI::App& app) {
-  cluster_ =
-      app.add_subcommand("cluster", "several nodes and what fails between them, held against what is true");
+  cluster_ = app.add_subcommand(
+      "cluster", "play scenarios of several nodes with faults, and check what the nodes report");
   cluster_->add_option("scenario", files_, "scenario files, TOML");
-  cluster_->add_flag("--list", list_, "name the shipped scenarios");
-  cluster_->add_option("--directory", directory_, "where they lie");
-  cluster_->add_flag("--emulate", emulate_, "in virtual time, with the same membership part");
-  cluster_->add_option("--detector", detectors_, "what decides who is dead; only with --emulate")
+  cluster_->add_flag("--list", list_, "list the shipped scenarios");
+  cluster_->add_option("--directory", directory_, "directory of the shipped scenarios");
+  cluster_->add_flag("--emulate", emulate_, "run in virtual time, with the same membership code");
+  cluster_->add_option("--detector", detectors_, "failure detectors to run; only with --emulate")
       ->delimiter(',')
       ->check(CLI::IsMember(Detectors()));
-  cluster_->add_option("--seeds", seeds_, "how many runs of each, from the scenario's own seed on")
+  cluster_
+      ->add_option("--seeds", seeds_, "number of runs of each scenario, with consecutive seeds from its own")
       ->check(CLI::Range(1, 10'000));
-  cluster_->add_option("--nodes", nodes_, "instead of the scenario's own number; only with --emulate")
+  cluster_->add_option("--nodes", nodes_, "number of nodes instead of the scenario's; only with --emulate")
       ->check(CLI::Range(2, 5000));
   cluster_
-      ->add_option("--warm-up", warm_up_,
-                   "periods to join in, instead of the scenario's own; only with --emulate")
+      ->add_option("--warm-up", warm_up_, "warm-up in periods instead of the scenario's; only with --emulate")
       ->check(CLI::Range(1.0, 1e4));
-  cluster_
-      ->add_option("--loss", loss_, "share of every loss, instead of the scenario's own; only with --emulate")
+  cluster_->add_option("--loss", loss_, "share of every loss fault instead of its own; only with --emulate")
       ->check(CLI::Range(0.01, 0.99));
-  cluster_->add_option("--workers", workers_, "threads; 0: as many as there are cores")
+  cluster_->add_option("--workers", workers_, "number of threads; 0 means as many as cores")
       ->check(CLI::Range(0, 256));
-  cluster_->add_flag("--explore", explore_,
-                     "play every schedule of faults to a depth over a few nodes, and check what must hold");
-  cluster_->add_option("--depth", depth_, "faults in a row, of --explore")->check(CLI::Range(1, 6));
-  cluster_->add_option("--variant", variant_, "a broken one, to see it caught; of --explore")
+  cluster_->add_flag(
+      "--explore", explore_,
+      "play every schedule of faults up to a depth over a few nodes, and check the invariants");
+  cluster_->add_option("--depth", depth_, "number of consecutive faults; only with --explore")
+      ->check(CLI::Range(1, 6));
+  cluster_
+      ->add_option("--variant", variant_, "a variant with a defect, which must be found; only with --explore")
       ->check(CLI::IsMember({"no-refute", "no-order", "no-memory", "no-majority"}));
-  cluster_->add_option("--out", out_, "all that was said, as a results file, HDF5 (of the last run)");
+  cluster_->add_option("--out", out_, "write all events of the last run to this results file (HDF5)");
   cluster_->add_option("--chart", chart_,
-                       "every view over time: a name ending in .svg or .png (of the last run)");
+                       "draw every view over time, of the last run; a name that ends in .svg or .png");
   cluster_->add_option("--period", period_,
-                       "instead of the scenario's own, such as 200ms; with real processes");
-  cluster_->add_option("--old-program", old_program_, "of the nodes that a scenario calls old_build");
-  cluster_->add_option("--logs", logs_, "a directory that gets each process's log");
-  cluster_->add_flag("--said", print_events_, "print all that was said (of the last run)");
+                       "probe period instead of the scenario's, such as 200ms; only with real processes");
+  cluster_->add_option("--old-program", old_program_,
+                       "program of the nodes that a scenario lists in old_build");
+  cluster_->add_option("--logs", logs_, "directory for each process's log");
+  cluster_->add_flag("--said", print_events_, "print all events (of the last run)");
 }
 
 bool Commands::chosen() const { return cluster_->parsed(); }
@@ -113,7 +116,7 @@
   }
   if (explore_) return RunExplorer();
   if (files_.empty())
-    throw std::runtime_error("cluster: name a scenario file; --list tells which are shipped");
+    throw std::runtime_error("cluster: name a scenario file; --list lists the shipped ones");
   if (emulate_) return Emulate(files_);
   return PlayReal(files_, node_program);
 }
--- a/lab/cluster/command.h
+++ b/lab/cluster/command.h
@@ -1,4 +1,5 @@
-// `ryeglade-lab cluster`: several nodes and what fails between them, with real processes or in virtual time.
+// `ryeglade-lab cluster`: plays scenarios of several nodes with faults, with real processes or in virtual
+// time.
 #pragma once
 
 #include <cstdint>
@@ -15,9 +16,9 @@
 
 class Commands {
  public:
-  explicit Commands(CLI::App& app);  // must live as long as the app
+  explicit Commands(CLI::App& app);  // must live as long as `app`
   bool chosen() const;
-  int Run(const std::string& node_program);  // its exit code; throws std::runtime_error
+  int Run(const std::string& node_program);  // returns the exit code; throws std::runtime_error
 
  private:
   int RunExplorer();
--- a/lab/cluster/emulated.cpp
+++ b/lab/cluster/emulated.cpp
@@ -19,10 +19,12 @@
 namespace ryeglade::cluster {
 namespace {
 
-constexpr Time kOneWayDelay = 150;         // microseconds, one way
-constexpr std::size_t kMaxWaiting = 250;   // datagrams that wait at a stopped process's socket
-constexpr Time kShutdownTime = 1'500'000;  // from SIGTERM to the end, as a node with little to finish
-constexpr std::uint64_t kFirstIncarnationMs = 1'700'000'000'000;  // ms, of first incarnations
+constexpr Time kOneWayDelay = 150;        // microseconds of every message, besides its link's faults
+constexpr std::size_t kMaxWaiting = 250;  // datagrams that a paused process's socket holds
+// Microseconds from SIGTERM to the exit of a node with few open requests.
+constexpr Time kShutdownTime = 1'500'000;
+// The time origin of incarnations, in milliseconds.
+constexpr std::uint64_t kFirstIncarnationMs = 1'700'000'000'000;
 
 using membership::Message;
 using Packet = std::variant<Message, BaselineMessage>;
@@ -86,7 +88,7 @@
     EmulatedResult r;
     r.verdict = checker_.Check(scenario_.length);
     r.events = events_;
-    const double periods = scenario_.length;  // joining aside
+    const double periods = scenario_.length;  // without the warm-up
     for (const auto& [messages, bytes] : sent_) {
       r.messages += static_cast<double>(messages) / periods / static_cast<double>(scenario_.nodes);
       r.bytes += static_cast<double>(bytes) / periods / static_cast<double>(scenario_.nodes);
@@ -104,21 +106,21 @@
     std::unique_ptr<Baseline> baseline;
     bool up = false, stopped = false;
     bool leaving = false;
-    std::uint64_t process_number =
-        0;  // counts processes, so that what was meant for one does not reach the next
+    // Number of the node's current process, so that an event for one process does not reach the next.
+    std::uint64_t process_number = 0;
     std::deque<Arrival> waiting;
   };
   struct Event {
     Time at = 0;
     std::uint64_t order = 0;
     std::size_t node = 0;
-    std::uint64_t process_number = 0;  // of a tick
-    std::optional<Arrival> arrival;    // none: a tick
-    bool last = false;                 // a leaving process has finished its work
+    std::uint64_t process_number = 0;  // the process that a tick is for
+    std::optional<Arrival> arrival;    // empty for a tick
+    bool last = false;                 // the leaving process exits
     bool operator<(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
 
-  // The warm-up comes before 0; the clock must not be negative.
+  // The warm-up comes before period 0; the offset of 1 s keeps the clock positive.
   Time ToTime(double periods) const {
     return static_cast<Time>((periods + scenario_.warm_up) * static_cast<double>(scenario_.period)) +
            1'000'000;
@@ -226,14 +228,14 @@
           Schedule({now_ + kShutdownTime / 8, 0, step.node, n.process_number, std::nullopt, true});
         break;
       }
-      case Step::Do::kHotRestart:  // here: the same process with a new incarnation
+      case Step::Do::kHotRestart:  // emulated as the same process with a new incarnation
         if (n.up) {
           StopProcess(n);
           checker_.ProcessEnded(ToPeriods(now_), step.node);
           Start(step.node);
         }
         break;
-      case Step::Do::kFlood:  // noise does not get past the checksum
+      case Step::Do::kFlood:  // random datagrams fail the checksum
         break;
     }
   }
@@ -309,7 +311,7 @@
     if (!nodes_[to].up || there.cut || back.cut) return;
     Time at = LinkBetween(from, to).StreamBytes(now_, bytes, there);
     if (kind == Arrival::Kind::kRequest) at += there.delay + back.delay + 2 * kOneWayDelay;
-    if (at - now_ > 10 * scenario_.period + 2'000'000) return;  // given up
+    if (at - now_ > 10 * scenario_.period + 2'000'000) return;  // the sender has given up
     Schedule(
         {at + kOneWayDelay, 0, to, 0, Arrival{from, std::make_shared<const Packet>(std::move(m)), kind}});
   }
@@ -319,7 +321,7 @@
     Count(from, 1, bytes);
     for (const Delivery& d :
          LinkBetween(from, to).Datagram(now_, bytes, scenario_.LinkAt(from, to, ToPeriods(now_)))) {
-      if (d.corrupt) continue;  // does not get past the checksum
+      if (d.corrupt) continue;  // fails the checksum
       Schedule({d.at + kOneWayDelay, 0, to, 0, Arrival{from, packet, Arrival::Kind::kDatagram}});
     }
   }
@@ -386,7 +388,7 @@
 EmulatedResult PlayEmulated(const Scenario& scenario, const EmulatedOptions& options) {
   const auto& known = Detectors();
   if (std::find(known.begin(), known.end(), options.detector) == known.end())
-    throw std::runtime_error("there is no detector '" + options.detector + "'");
+    throw std::runtime_error("unknown detector '" + options.detector + "'");
   return Simulation(scenario, options).Run();
 }
 
--- a/lab/cluster/emulated.h
+++ b/lab/cluster/emulated.h
@@ -1,5 +1,6 @@
-// A scenario in virtual time: the same membership part that the node runs, or a baseline to compare with, at
-// any number of nodes, over links of the same fault kinds. One seed gives one run on every machine.
+// Plays a scenario in virtual time, with the same membership model that the node runs or with a baseline for
+// comparison, at any number of nodes and over links with the same kinds of faults. A seed gives the same run
+// on every machine.
 #pragma once
 
 #include <cstdint>
@@ -13,29 +14,31 @@
 
 namespace ryeglade::cluster {
 
-// "ryeglade" and, for comparison only, "swim" (Das, Gupta, Motivala, 2002, with suspicion), "heartbeat" (each
-// to all, dead after a fixed time) and "phi" (the same, dead by the accrual of Hayashibara et al., 2004).
-// Variants of ours with a part left out: "no-accusers", "no-vouches", "no-majority", "no-self-doubt".
+// The names of all detectors: "ryeglade" and, for comparison only, "swim" (Das, Gupta, Motivala, 2002, with
+// suspicion), "heartbeat" (each node to all, dead after a fixed time) and "phi" (the same, with the accrual
+// detector of Hayashibara et al., 2004). The variants of ryeglade leave out one mechanism each:
+// "no-accusers", "no-vouches", "no-majority", "no-self-doubt".
 const std::vector<std::string>& Detectors();
 
 struct EmulatedResult {
   Verdict verdict;
-  double messages = 0, bytes = 0;  // a node and period, mean
-  double max_node_bytes = 0;       // of the busiest node
-  double periods_to_all = -1;      // periods until all had heard of the last newcomer; -1: there was none
+  double messages = 0, bytes = 0;  // mean for a node and period
+  double max_node_bytes = 0;       // bytes per period of the node that sent most
+  double periods_to_all = -1;  // periods until all nodes knew the node that started last; -1 if none started
   std::uint64_t events = 0;
 };
 
 struct EmulatedOptions {
   std::string detector = "ryeglade";
   std::uint64_t seed = 1;
-  std::string chart;  // an .svg or .png; empty: none
-  std::vector<NodeEvent>* events = nullptr;
+  std::string chart;                         // path ending in .svg or .png; empty for no chart
+  std::vector<NodeEvent>* events = nullptr;  // if not null, gets all events
 };
 
 EmulatedResult PlayEmulated(const Scenario& scenario, const EmulatedOptions& options);
 
-// The options of the membership part for a detector's name; others than ours and its variants: plain.
+// The options of the membership model for a detector: "ryeglade" or one of its variants. Every other name
+// gives the options of "ryeglade".
 membership::MembershipOptions OptionsFor(const std::string& detector, Time period);
 
 }  // namespace ryeglade::cluster
--- a/lab/cluster/explorer.cpp
+++ b/lab/cluster/explorer.cpp
@@ -28,23 +28,23 @@
 using policy::Time;
 
 constexpr Time kPeriod = 1'000'000;
-constexpr int kTicksPerPeriod = 10;  // a period
-constexpr int kShortPeriods = 1,
-              kLongPeriods = 14;          // periods that a fault lasts: less and more than a suspicion waits
-constexpr int kConvergencePeriods = 120;  // periods to come to one view
+constexpr int kTicksPerPeriod = 10;
+// The two durations of a fault: shorter and longer than a suspicion lasts.
+constexpr int kShortPeriods = 1, kLongPeriods = 14;
+constexpr int kConvergencePeriods = 120;  // periods after the faults until the views must agree
 
 struct Choice {
   enum class What : std::uint8_t {
-    kCut,       // a to b
-    kCutBoth,   // a and b
-    kDeaf,      // all to a
-    kMute,      // a to all
-    kAlone,     // both
-    kPause,     // a
-    kCrash,     // a, started again behind it
-    kStayDown,  // a, for good
-    kSlow,      // all messages come half a period late, in the order of their last bits
-    kTwice,     // all messages come twice, the second time three periods late
+    kCut,       // messages from a to b are lost
+    kCutBoth,   // messages between a and b are lost in both directions
+    kDeaf,      // messages to a are lost
+    kMute,      // messages from a are lost
+    kAlone,     // messages to and from a are lost
+    kPause,     // a is paused
+    kCrash,     // a crashes and is started again afterwards
+    kStayDown,  // a crashes for good
+    kSlow,      // all messages come at least half a period late, reordered by the last bits of their number
+    kTwice,     // all datagrams come twice, the second time three periods late
   } what = What::kCut;
   std::size_t a = 0, b = 0;
   int periods = kShortPeriods;
@@ -99,7 +99,7 @@
       copy.waiting = n.waiting;
       nodes_.push_back(std::move(copy));
     }
-    // The models draw from the copies' own streams.
+    // The copied models draw from random streams of their own.
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (w.nodes_[i].model) nodes_[i].model = w.nodes_[i].model->Clone(RandomBitsFor(i));
     }
@@ -115,7 +115,7 @@
     if (c.what == What::kCrash && !nodes_[c.a].up) Start(c.a);
   }
 
-  // Faults are over. False: the views did not become one.
+  // Plays on without faults. Returns false if the views do not agree in time.
   bool ReachesOneView() {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (nodes_[i].stopped) Resume(i);
@@ -154,18 +154,19 @@
     std::optional<MembershipModel> model;
     std::shared_ptr<emulator::RandomStream> random;
     bool up = false, stopped = false;
-    std::map<std::size_t, LastSeen> seen;  // by member, what it was last: kept outside of the model
+    std::map<std::size_t, LastSeen> seen;  // the last state of each member, kept outside of the model
     std::deque<std::pair<std::size_t, std::shared_ptr<const Message>>> waiting;
   };
   struct InFlightMessage {
     Time at = 0;
     std::size_t from = 0, to = 0;
-    int kind = 0;  // 0: a datagram, 1: an exchange asked for, 2: its answer
+    int kind = 0;  // 0: a datagram, 1: a push-pull request, 2: a push-pull answer
     std::shared_ptr<const Message> message;
   };
 
   membership::RandomBits RandomBitsFor(std::size_t i) {
-    // A stream of its own for each copy of the world, going on from where the original's stood.
+    // Each copy of the simulation has its own random stream, which continues from the state of the
+    // original's.
     if (nodes_[i].random) nodes_[i].random = std::make_shared<emulator::RandomStream>(*nodes_[i].random);
     auto stream = nodes_[i].random;
     return [stream] { return (stream->Below(1ULL << 32) << 32) | stream->Below(1ULL << 32); };
@@ -234,7 +235,7 @@
         nodes_[i].model->Tick(now_, out);
         PerformActions(i, out, c);
       }
-      // What is sent in a tick arrives in it, and answers too, unless the links are slow.
+      // Messages and their answers arrive in the tick in which they are sent, unless the links are slow.
       for (std::size_t k = 0; k < in_flight_.size();) {
         if (in_flight_[k].at > now_) {
           ++k;
@@ -255,12 +256,12 @@
       if (what == "member-dead") ++result_->deaths;
       if (what == "member-returned") ++result_->returns;
       if (what == "view-in-doubt") ++result_->doubts;
-      // Told by itself: it decided. It must have reached a majority of what it knew as settled.
+      // The node itself decided on this death. It must have reached a majority of its stable view.
       if (what == "member-dead" && event.reporter == fmt::format("n{}", from) && !violation) {
         const std::size_t n = nodes_[from].model->stable_view_size();
         std::size_t reach = 1;
         for (std::size_t k = 0; k < nodes_.size(); ++k) {
-          if (k == from) continue;  // one that crashed just now was reached all the same
+          if (k == from) continue;  // counts even if it has just crashed
           const auto m = nodes_[from].model->Find(now_, fmt::format("n{}", k));
           if (m && m->reached_at > 0 &&
               now_ - m->reached_at <= (8 + 2 * nodes_[from].model->health()) * kPeriod)
@@ -278,7 +279,7 @@
   void Send(std::size_t from, const std::string& address, Message message, int kind, const Choice* c) {
     const std::size_t to = static_cast<std::size_t>(address.back() - '0');
     if (to >= nodes_.size() || !Passes(c, from, to)) return;
-    if (kind != 0 && !Passes(c, to, from)) return;  // a connection needs both ways
+    if (kind != 0 && !Passes(c, to, from)) return;  // a connection needs both directions
     auto shared = std::make_shared<const Message>(std::move(message));
     Time late = 0;
     if (c != nullptr && c->what == Choice::What::kSlow)
@@ -327,17 +328,19 @@
         const MemberState state = m ? m->state : MemberState::kLeft;
         fingerprint += static_cast<char>('a' + static_cast<int>(state));
         if (!m) {
-          if (last.state == MemberState::kJoining) last.incarnation = 0;  // given up before it ever counted
+          if (last.state == MemberState::kJoining) last.incarnation = 0;  // removed before it had joined
           continue;
         }
         fingerprint += static_cast<char>('0' + m->reporters.size() * 4 + m->reachable_reporters.size());
         const std::uint64_t incarnation = m->record.incarnation;
         if (incarnation < last.incarnation)
-          AddViolation("incarnation",
-                       fmt::format("n{} at n{} went from {} to {}", k, i, last.incarnation, incarnation));
+          AddViolation("incarnation", fmt::format("n{} in the view of n{} went from incarnation {} to {}", k,
+                                                  i, last.incarnation, incarnation));
         const bool live = IsLive(state);
         if (last.was_dead && live && incarnation <= last.dead_at)
-          AddViolation("resurrection", fmt::format("n{} at n{} lives again with {}", k, i, incarnation));
+          AddViolation(
+              "resurrection",
+              fmt::format("n{} in the view of n{} is alive again with incarnation {}", k, i, incarnation));
         if (state == MemberState::kDead) {
           last.was_dead = true;
           last.dead_at = incarnation;
@@ -390,7 +393,7 @@
                                                                                 const std::string& so_far,
                                                                                 int depth) {
       for (std::size_t c = 0; c < choices.size(); ++c) {
-        if (depth == 0) {  // the first choice is shared out over the workers
+        if (depth == 0) {  // the workers share the first choices between them
           c = next++;
           if (c >= choices.size()) return;
         }
@@ -403,7 +406,8 @@
           ++partial.schedules;
           Simulation rest(one);
           const std::size_t up = rest.up();
-          // With half or fewer of the nodes left nobody can tell a cut from deaths: doubt is right then.
+          // With half of the nodes or fewer left, a node can't tell a partition from crashes, and doubt is
+          // right.
           if (!rest.ReachesOneView() && 2 * up > options.nodes && !rest.violation)
             rest.violation = Violation{
                 "one-view", "", "after " + std::to_string(kConvergencePeriods) + " periods:" + rest.Views()};
@@ -415,7 +419,7 @@
           ++partial.by_invariant[one.violation->invariant];
           partial.violations.push_back(*one.violation);
         }
-        if (depth == 0) --c;  // the loop adds one again; `next` says which comes
+        if (depth == 0) --c;  // undoes the loop's increment; `next` gives the next choice
       }
     };
     below(begin, "", 0);
--- a/lab/cluster/explorer.h
+++ b/lab/cluster/explorer.h
@@ -1,6 +1,6 @@
-// Every schedule of faults up to a depth over a few nodes' membership parts, with what must hold checked at
-// each tick. Not a sample: each sequence of choices is played. docs/notes/membership.md states what was
-// visited.
+// Plays every schedule of faults up to a depth over the membership models of a few nodes, and checks the
+// invariants at each tick. The schedules are not a sample: each sequence of choices is played.
+// docs/notes/membership.md states what was visited.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,12 @@
 
 struct ExploreOptions {
   std::size_t nodes = 3;
-  int depth = 2;             // choices in a row
-  std::uint64_t seed = 1;    // of what the nodes draw
-  int workers = 0;           // 0: as many as there are cores
-  std::string variant;       // a broken one: "no-refute", "no-order", "no-memory", "no-majority"; empty: ours
-  std::size_t stop_at = 10;  // broken schedules, then the rest is left out
+  int depth = 2;           // number of faults in a schedule
+  std::uint64_t seed = 1;  // of the nodes' random choices
+  int workers = 0;         // number of threads; 0 means as many as cores
+  std::string variant;  // a variant with a defect: "no-refute", "no-order", "no-memory", "no-majority"; empty
+                        // for none
+  std::size_t stop_at = 10;  // number of schedules with a violation after which the exploration stops
 };
 
 struct Violation {
@@ -25,16 +26,19 @@
 
 struct ExplorationResult {
   std::uint64_t schedules = 0, ticks = 0;
-  std::uint64_t states = 0;  // different ones, as far as who thinks what of whom
+  std::uint64_t states = 0;  // number of distinct states, compared by what each node believes of each other
   std::uint64_t deaths = 0, returns = 0, doubts = 0;
   std::vector<Violation> violations;
   std::map<std::string, std::uint64_t> by_invariant;
 };
 
-// The invariants: "incarnation" (a member's, in one view, never goes back), "resurrection" (nobody dead is
-// alive again in one view without a higher incarnation), "minority" (no node that reaches no majority of its
-// settled view removes anybody), "one-view" (once faults stop, all running nodes see exactly the running
-// nodes within 120 periods, nobody in doubt).
+// The invariants:
+//   incarnation   in one view, the incarnation of a member never decreases
+//   resurrection  in one view, a dead member is alive again only with a higher incarnation
+//   minority      a node removes a member only while it reaches a majority of its stable view
+//   one-view      within 120 periods of the last fault, every running node sees exactly the running nodes and
+//   does
+//                 not suspect a partition
 ExplorationResult Explore(const ExploreOptions& options);
 
 }  // namespace ryeglade::cluster
--- a/lab/cluster/invariant_checker.cpp
+++ b/lab/cluster/invariant_checker.cpp
@@ -15,7 +15,7 @@
 
 enum class ViewChange : std::uint8_t { kNone, kAdds, kRemoves, kSuspects };
 
-// What an event means for who is in the observer's view.
+// How an event changes the set of members in the observer's view.
 ViewChange ViewChangeOf(const std::string& what) {
   if (what == "member-alive" || what == "member-returned" || what == "member-refuted" ||
       what == "member-cleared" || what == "member-restarted" || what == "member-leaving")
@@ -72,7 +72,7 @@
 
   std::map<std::pair<std::size_t, std::string>, std::size_t> returns;
   std::set<std::size_t> doubted, refused, invented;
-  std::map<std::pair<std::size_t, std::string>, double> told;  // the first death after it ended
+  std::map<std::pair<std::size_t, std::string>, double> told;  // the first report of each death
   std::vector<std::set<std::string>> views(scenario_.nodes);
   for (const NodeEvent& s : all) {
     if (s.what == "view-in-doubt") {
@@ -83,7 +83,7 @@
     } else if (s.what == "member-suspect") {
       ++f.suspicions;
     } else if (s.what == "member-returned") {
-      // Once back after it was really gone is no flapping.
+      // The first return after a real absence is not flapping; Expect::most_returns allows for it.
       ++returns[{s.observer, s.member}];
     } else if (s.what == "member-dead") {
       ++f.deaths;
@@ -102,14 +102,14 @@
   }
   for (const auto& [pair, n] : returns) f.most_returns = std::max(f.most_returns, n);
 
-  // When each death was told, by each that ran all the while.
+  // The time of each report of a death, by each node that ran until the report was due.
   std::size_t pairs = 0, missed = 0;
   for (const std::size_t gone : scenario_.expect.removed) {
     double since = std::numeric_limits<double>::quiet_NaN();
     for (const TimeSpan& s : process_spans_[gone]) {
       if (s.to < 1e17 && std::isnan(since)) since = s.to;
     }
-    if (std::isnan(since)) {  // cut off, or stopped
+    if (std::isnan(since)) {  // the process did not end: it was cut off or paused
       for (const Fault& fault : scenario_.faults) {
         if (In(fault.nodes, gone) || In(fault.to, gone) || In(fault.from, gone))
           since = std::isnan(since) ? fault.at : std::min(since, fault.at);
@@ -134,12 +134,13 @@
   }
   f.missed = pairs == 0 ? 0 : static_cast<double>(missed) / static_cast<double>(pairs);
 
-  // One view: from when on every running node's view is the running nodes.
+  // Finds the time from which on every running node's view consists of exactly the running nodes.
   std::set<std::string> running;
   for (std::size_t i = 0; i < scenario_.nodes; ++i) {
     if (RunsAt(i, end) && BelongsToCluster(i)) running.insert(scenario_.NodeName(i));
   }
-  // Kept up as things are said: by how many names each view that counts is wrong, and how many views are.
+  // Updated with each event: the number of wrong names in each view that counts, and the number of wrong
+  // views.
   struct ViewState {
     bool counts = false, in_doubt = false;
     std::size_t wrong = 0;
@@ -199,20 +200,22 @@
                       lacks.empty() ? "" : " lacks", lacks, extra.empty() ? "" : " still has", extra);
       if (which.size() > 400) break;
     }
-    v.violations.push_back(fmt::format("in the end the views are not one{}", which));
+    v.violations.push_back(fmt::format("the views differ at the end{}", which));
   } else if (f.one_view > scenario_.expect.one_view_within) {
-    v.violations.push_back(fmt::format("one view only after {:.1f} periods, not {}", f.one_view,
+    v.violations.push_back(fmt::format("the views agreed only after {:.1f} periods, limit {}", f.one_view,
                                        scenario_.expect.one_view_within));
   }
   if (f.false_deaths > scenario_.expect.most_false)
-    v.violations.push_back(fmt::format("{} deaths told of members that lived and could be reached, over {}",
-                                       f.false_deaths, scenario_.expect.most_false));
+    v.violations.push_back(
+        fmt::format("{} deaths reported of members that were running and reachable, limit {}", f.false_deaths,
+                    scenario_.expect.most_false));
   if (f.most_returns > scenario_.expect.most_returns)
-    v.violations.push_back(fmt::format("a member came back {} times in one view, over {}", f.most_returns,
+    v.violations.push_back(fmt::format("a member returned {} times to one view, limit {}", f.most_returns,
                                        scenario_.expect.most_returns));
   for (const std::size_t n : scenario_.expect.in_doubt) {
     if (!doubted.contains(n))
-      v.violations.push_back(fmt::format("{} never said that its view is in doubt", scenario_.NodeName(n)));
+      v.violations.push_back(
+          fmt::format("{} never reported that its view is in doubt", scenario_.NodeName(n)));
   }
   for (const std::size_t n : scenario_.expect.refused) {
     if (!refused.contains(n))
@@ -220,9 +223,9 @@
           fmt::format("node {} was not told that its name {} is taken", n, scenario_.NodeName(n)));
   }
   if (scenario_.expect.no_doubt && !doubted.empty())
-    v.violations.push_back(fmt::format("{} nodes said that their views are in doubt", doubted.size()));
+    v.violations.push_back(fmt::format("{} nodes reported that their views are in doubt", doubted.size()));
   if (!invented.empty())
-    v.violations.push_back(fmt::format("{} nodes took members that nobody started", invented.size()));
+    v.violations.push_back(fmt::format("{} nodes accepted members that were never started", invented.size()));
   if (v.violations.size() > 12) v.violations.resize(12);
   return v;
 }
--- a/lab/cluster/invariant_checker.h
+++ b/lab/cluster/invariant_checker.h
@@ -1,5 +1,5 @@
-// What the nodes of a scenario said of each other, and whether it was true: the witness gathers it from log
-// lines or notes, the judge holds it against what really happened and what the scenario expects.
+// Collects the membership events that the nodes of a scenario report (from their logs, or directly in the
+// emulation) and checks them against what really happened and what the scenario expects.
 #pragma once
 
 #include <cstdint>
@@ -14,26 +14,28 @@
 
 namespace ryeglade::cluster {
 
-// One thing that a node said. Times are periods after the warm-up; before it they are negative.
+// One event that a node reported. Times are probe periods after the warm-up; during the warm-up they are
+// negative.
 struct NodeEvent {
   double at = 0;
   std::size_t observer = 0;
-  std::string what;  // the event's word, as in the log
+  std::string what;  // the name of the event, as in the log
   std::string member, by;
   std::uint64_t value = 0;
 };
 
 struct Figures {
-  std::size_t deaths = 0, false_deaths = 0;  // said; of members that ran and could be reached
-  std::size_t most_returns = 0;              // of one member in one view
+  std::size_t deaths = 0,
+              false_deaths = 0;  // reported deaths; those of members that were running and reachable
+  std::size_t most_returns = 0;  // the most often that one member returned to one view
   std::size_t suspicions = 0, doubts = 0, refusals = 0;
-  std::vector<double> detection;  // periods from each death to each word of it
-  double one_view = -1;  // periods from the last fault's end until all views were the same; -1: never
-  double missed = 0;     // share of (death, observer) pairs that were never told
+  std::vector<double> detection;  // periods from each death to each node's report of it
+  double one_view = -1;  // periods from the end of the last fault until all views agreed; -1 if never
+  double missed = 0;     // share of the (death, observer) pairs without a report in time
 };
 
 struct Verdict {
-  std::vector<std::string> violations;  // what was expected and not so; empty: good
+  std::vector<std::string> violations;  // expectations that were not met; empty if all were
   Figures figures;
   bool good() const { return violations.empty(); }
 };
@@ -41,15 +43,16 @@
 class InvariantChecker {
  public:
   explicit InvariantChecker(const Scenario& scenario);
-  // In the order of time, a little disorder between observers aside.
+  // Events come in the order of time for each observer, and nearly so between observers.
   void AddEvent(NodeEvent event);
-  void ProcessStarted(double at, std::size_t node);  // the process has started
-  void ProcessEnded(double at, std::size_t node);    // or has ended
+  void ProcessStarted(double at, std::size_t node);
+  void ProcessEnded(double at, std::size_t node);
   Verdict Check(double end) const;
 
   const std::vector<NodeEvent>& events() const { return events_; }
   TextTable Table() const;
-  // A gnuplot script: a row an observer and member, colours their standing, faults as shading.
+  // Returns a gnuplot script with a row for each pair of observer and member, coloured by the member's state,
+  // and with the faults as shading.
   std::string Chart(const std::string& out, double end) const;
 
  private:
@@ -57,15 +60,15 @@
     double from = 0, to = 1e18;
   };
   bool RunsAt(std::size_t node, double at) const;
-  bool BelongsToCluster(std::size_t node) const;  // belongs in the one view in the end
+  bool BelongsToCluster(std::size_t node) const;  // true if the final common view has to contain the node
   const std::vector<std::size_t>& NodesNamed(const std::string& member) const;
 
   Scenario scenario_;
   std::vector<NodeEvent> events_;
   std::vector<std::vector<TimeSpan>> process_spans_;
-  std::map<std::string, std::vector<std::size_t>> nodes_by_name_;  // two nodes may hold one name
+  std::map<std::string, std::vector<std::size_t>> nodes_by_name_;  // two nodes may have the same name
 };
 
-double Quantile(std::vector<double> values, double q);  // NaN for none
+double Quantile(std::vector<double> values, double q);  // returns NaN if `values` is empty
 
 }  // namespace ryeglade::cluster
--- a/lab/cluster/link_model.h
+++ b/lab/cluster/link_model.h
@@ -1,5 +1,6 @@
-// A link between two nodes that does wrong what it is told to: one direction, datagrams or a connection's
-// bytes. The relays between real processes and the emulated network both ask it. No I/O, no clock, one seed.
+// Models one direction of a faulty link between two nodes, for datagrams and for the bytes of connections.
+// Used by the relay between real processes and by the emulated network. Does no I/O, reads no clock, and
+// draws from one seed.
 #pragma once
 
 #include <cstddef>
@@ -14,13 +15,13 @@
 
 using policy::Time;
 
-// All that a link does; several faults at once add up (see Add).
+// The faults of a link at one time; Add combines several.
 struct LinkState {
   bool cut = false;
-  double drop = 0, duplicate = 0, reorder = 0, corrupt = 0;  // shares of the datagrams
-  Time delay = 0, jitter = 0;                                // one way; the jitter is exponential, its mean
-  Time reorder_by = 0;                                       // how much later a reordered one comes
-  double bytes_per_second = 0;                               // 0: no bound
+  double drop = 0, duplicate = 0, reorder = 0, corrupt = 0;  // shares of the datagrams, 0 to 1
+  Time delay = 0, jitter = 0;   // microseconds one way; the jitter is exponential with this mean
+  Time reorder_by = 0;          // microseconds by which a reordered datagram is delayed
+  double bytes_per_second = 0;  // 0 if unlimited
   void Add(const LinkState& other);
   bool calm() const {
     return !cut && drop == 0 && duplicate == 0 && reorder == 0 && corrupt == 0 && delay == 0 && jitter == 0 &&
@@ -36,11 +37,12 @@
 class Link {
  public:
   Link(std::uint64_t seed, std::uint64_t number) : stream_(seed, emulator::RandomPurpose::kNetwork, number) {}
-  // When a datagram of `bytes` sent at `now` arrives: never, once, or twice.
+  // Returns the arrivals of a datagram of `bytes` sent at `now`: none, one, or two.
   std::vector<Delivery> Datagram(Time now, std::size_t bytes, const LinkState& state);
-  // The same for a piece of a connection, in order and never lost; a cut holds it (max: it waits).
+  // Returns the arrival of bytes of a connection, which stay in order and are never lost. Returns the maximum
+  // of Time while the link is cut: the bytes have to wait.
   Time StreamBytes(Time now, std::size_t bytes, const LinkState& state);
-  // Flips one bit.
+  // Flips one random bit.
   void Corrupt(std::string& bytes);
 
  private:
--- a/lab/cluster/real.cpp
+++ b/lab/cluster/real.cpp
@@ -28,10 +28,10 @@
 namespace ryeglade::cluster {
 namespace {
 
-constexpr Time kPollInterval = 20'000;
-constexpr std::size_t kNoiseDatagrams = 40;  // datagrams at a time
+constexpr Time kPollInterval = 20'000;       // microseconds between two looks at logs and processes
+constexpr std::size_t kNoiseDatagrams = 40;  // random datagrams in each step of a flood
 
-// "event=x a=b": the value of one field.
+// Returns the value of a field in a log line such as "event=x a=b"; empty if it is not there.
 std::string_view Field(std::string_view line, std::string_view name) {
   for (std::size_t at = 0; at < line.size();) {
     const std::size_t end = std::min(line.find(' ', at), line.size());
@@ -52,7 +52,7 @@
   return value;
 }
 
-// User and system time of a process so far, seconds.
+// The user and system time that a process has used, in seconds; 0 if it is gone.
 double CpuOf(pid_t pid) {
   const std::string text = ReadFileIfPresent(fmt::format("/proc/{}/stat", pid));
   const std::size_t at = text.rfind(')');
@@ -80,11 +80,11 @@
         checker_(scenario),
         nodes_(scenario.nodes) {
     if (scenario_.nodes > 250)
-      throw std::runtime_error("at most 250 nodes are played with real processes; use --emulate");
+      throw std::runtime_error("real processes are limited to 250 nodes; use --emulate");
     if (!scenario_.old_build.empty() && options_.old_program.empty())
-      throw std::runtime_error("the scenario has nodes of an old build; name it with --old-program");
+      throw std::runtime_error("the scenario has nodes in old_build; give their program with --old-program");
     std::string name = std::filesystem::temp_directory_path().string() + "/ryeglade-cluster-XXXXXX";
-    if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot make a directory " + name);
+    if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot create a directory " + name);
     root_ = name;
     std::vector<std::string> node_addresses, proxy_ips;
     const auto pid = static_cast<unsigned>(getpid());
@@ -173,7 +173,7 @@
     }
     deadlines_.Cancel(wake);
     RealResult r;
-    // What was asked near the end gets its answer.
+    // Waits for the answers to requests that were sent near the end.
     const Time patience = Now() + 12'000'000;
     while (Now() < patience &&
            !std::all_of(clients_.begin(), clients_.end(), [](const auto& c) { return c.second->done(); }))
@@ -185,7 +185,7 @@
       }
       r.cpu_share = std::max(r.cpu_share, n.cpu / (static_cast<double>(Now() - begin_) / 1e6));
     }
-    // The witness knows nothing of a member that the lab plays itself.
+    // The checker does not know the member that the lab plays itself.
     if (!options_.false_reporter) r.verdict = checker_.Check(scenario_.length);
     AddClientResults(r);
     StopAll(r);
@@ -195,7 +195,7 @@
       bytes += static_cast<double>(c.bytes);
     }
     const double n =
-        static_cast<double>(scenario_.nodes) * (scenario_.length + scenario_.warm_up);  // joining among it
+        static_cast<double>(scenario_.nodes) * (scenario_.length + scenario_.warm_up);  // with the warm-up
     r.messages = messages / n;
     r.bytes = bytes / n;
     if (!options_.chart.empty()) RunGnuplot(checker_.Chart(options_.chart, scenario_.length));
@@ -206,11 +206,11 @@
  private:
   struct Node {
     std::string ip, listen, client, tmpdir, status;
-    std::vector<std::unique_ptr<lab::NodeProcess>> processes;  // the newest last; ended ones go
-    std::vector<std::size_t> read;                             // of each one's log
-    bool stop_requested = false;                               // it was told to end
+    std::vector<std::unique_ptr<lab::NodeProcess>> processes;  // newest last; exited ones are removed
+    std::vector<std::size_t> read;                             // bytes read of each process's log
+    bool stop_requested = false;                               // the scenario has ended or killed its process
     std::size_t starts = 0;
-    double cpu = 0;  // of processes that have ended, seconds
+    double cpu = 0;  // seconds used by processes that have exited
   };
 
   static uv_loop_t* Init(uv_loop_t* loop) {
@@ -258,7 +258,7 @@
     n.processes.back()->Start(In(scenario_.old_build, i) ? options_.old_program : options_.program, files);
   }
 
-  // Whether something is wrong with this node's own way to the replicas, at some time.
+  // True if at some time a replica fault concerns this node but not all nodes.
   bool HasOwnReplicaFault(std::size_t node) const {
     return std::any_of(
         scenario_.replica_faults.begin(), scenario_.replica_faults.end(),
@@ -278,7 +278,7 @@
     }
   }
 
-  // The nodes are asked for their parts; one that is stopped does not answer.
+  // Queries the traffic share of each node. A paused node does not answer.
   void QueryShares() {
     std::vector<RealResult::TrafficShare> shares;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
@@ -323,7 +323,7 @@
     for (std::size_t k = 0; k < std::min(scenario_.seeds, scenario_.nodes); ++k)
       m.seeds.push_back(network_->proxy_address(k));
     LogOptions log;
-    log.level = Level::kError;  // what this member says of the others is of no interest
+    log.level = Level::kError;  // this member's log about the others is not needed
     SetUpLog(log);
     false_reports_.say = [this] { return options_.false_reporter("liar"); };
     false_reporter_ = std::make_unique<membership::Membership>(&run_, m, "liar", scenario_.nodes, nullptr,
@@ -361,7 +361,7 @@
         if (p == nullptr) break;
         checker_.ProcessEnded(Periods(Now()), step.node);
         Start(step.node);
-        // The one before goes once the new one takes clients.
+        // The old process gets SIGTERM once the new one accepts clients.
         TerminateOnceReplaced(step.node, p, n.processes.back().get());
         break;
       case Step::Do::kFlood:
@@ -382,12 +382,12 @@
   }
 
   void PollProcesses() {
-    if (stopping_) return;  // who ends then is waited for one by one
+    if (stopping_) return;  // StopAll waits for the processes one by one
     CollectLogsAndExits();
     deadlines_.Set(Now() + kPollInterval, [this] { PollProcesses(); });
   }
 
-  // Log lines that have come, and processes that have ended.
+  // Reads new log lines and removes processes that have exited.
   void CollectLogsAndExits() {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       Node& n = nodes_[i];
@@ -400,7 +400,7 @@
         n.cpu += cpu;
         const int code = p.Stop();
         if (!n.stop_requested && code != 0)
-          exits_.push_back(fmt::format("{} ended with {}", scenario_.NodeName(i), code));
+          exits_.push_back(fmt::format("{} exited with status {}", scenario_.NodeName(i), code));
         if (n.processes.size() == 1 && !n.stop_requested) checker_.ProcessEnded(Periods(Now()), i);
         KeepLog(i, p);
         n.processes.erase(n.processes.begin() + static_cast<std::ptrdiff_t>(k));
@@ -480,13 +480,15 @@
     r.shares = shares_;
     if (scenario_.rate <= 0) return;
     if (r.two_at_once > 0)
-      r.verdict.violations.push_back(fmt::format("{} times two attempts at once", r.two_at_once));
+      r.verdict.violations.push_back(
+          fmt::format("{} times two attempts of a request were in flight at once", r.two_at_once));
     if (r.unanswered > 0)
       r.verdict.violations.push_back(
-          fmt::format("{} requests at nodes that ran on got no answer", r.unanswered));
+          fmt::format("{} requests got no answer at nodes without a process fault", r.unanswered));
     if (static_cast<double>(r.served) < scenario_.expect.served * static_cast<double>(r.asked))
-      r.verdict.violations.push_back(fmt::format("{} of {} requests served at nodes that ran on, under {}",
-                                                 r.served, r.asked, scenario_.expect.served));
+      r.verdict.violations.push_back(
+          fmt::format("{} of {} requests served at nodes without a process fault, under a share of {}",
+                      r.served, r.asked, scenario_.expect.served));
   }
 
   void StopAll(RealResult& r) {
@@ -506,10 +508,10 @@
         }
         if (p->Running()) {
           p->Signal(SIGKILL);
-          exits_.push_back(fmt::format("{} did not end on SIGTERM", scenario_.NodeName(i)));
+          exits_.push_back(fmt::format("{} did not exit after SIGTERM", scenario_.NodeName(i)));
         }
         const int code = p->Stop();
-        if (code != 0) exits_.push_back(fmt::format("{} ended with {}", scenario_.NodeName(i), code));
+        if (code != 0) exits_.push_back(fmt::format("{} exited with status {}", scenario_.NodeName(i), code));
         KeepLog(i, *p);
       }
       nodes_[i].processes.clear();
@@ -526,7 +528,8 @@
   Deadlines deadlines_;
   Runtime run_;
   lab::Witness rules_;
-  lab::Directory directory_, other_directory_;  // the other's word is for nodes whose own way is at fault
+  // The second directory is for nodes that see replica faults of their own.
+  lab::Directory directory_, other_directory_;
   std::vector<std::unique_ptr<lab::FakeReplica>> replicas_;
   std::unique_ptr<Network> network_;
   InvariantChecker checker_;
--- a/lab/cluster/relay.cpp
+++ b/lab/cluster/relay.cpp
@@ -14,7 +14,7 @@
 namespace ryeglade::cluster {
 namespace {
 
-constexpr Time kCutRetryInterval = 50'000;  // at a cut, for what it holds
+constexpr Time kCutRetryInterval = 50'000;  // microseconds until a cut link is checked again
 
 std::string FormatAddress(const sockaddr_storage& address) {
   char host[64] = {};
@@ -25,7 +25,7 @@
 
 sockaddr_storage ParseOrThrow(const std::string& address) {
   sockaddr_storage out{};
-  if (!ParseAddress(address, &out)) throw std::runtime_error("no address: " + address);
+  if (!ParseAddress(address, &out)) throw std::runtime_error("not an address: " + address);
   return out;
 }
 
@@ -42,7 +42,7 @@
   const bool good = fd >= 0 && bind(fd, reinterpret_cast<sockaddr*>(&address), length) == 0 &&
                     getsockname(fd, reinterpret_cast<sockaddr*>(&address), &length) == 0;
   if (fd >= 0) close(fd);
-  if (!good) throw std::runtime_error("no port is to be had on " + ip);
+  if (!good) throw std::runtime_error("no free port on " + ip);
   return FormatAddress(address);
 }
 
@@ -69,19 +69,19 @@
     uv_tcp_init(run_->loop, p.listener);
     p.udp->data = p.listener->data = &p;
     ThrowOnError(uv_udp_bind(p.udp, reinterpret_cast<const sockaddr*>(&p.ip), 0),
-                 "a face on " + proxy_ips[i]);
+                 "cannot bind a proxy on " + proxy_ips[i]);
     sockaddr_storage bound{};
     int length = sizeof bound;
     uv_udp_getsockname(p.udp, reinterpret_cast<sockaddr*>(&bound), &length);
     p.address = FormatAddress(bound);
     ThrowOnError(uv_tcp_bind(p.listener, reinterpret_cast<const sockaddr*>(&bound), 0),
-                 "a face's connections");
+                 "cannot bind a proxy's listener");
     ThrowOnError(uv_listen(reinterpret_cast<uv_stream_t*>(p.listener), 64,
                            [](uv_stream_t* s, int status) {
                              Proxy* proxy = static_cast<Proxy*>(s->data);
                              if (status == 0) proxy->network->Accept(*proxy);
                            }),
-                 "a face's connections");
+                 "cannot listen on a proxy");
     uv_udp_recv_start(
         p.udp,
         [](uv_handle_t*, std::size_t, uv_buf_t* buf) {
@@ -148,11 +148,11 @@
 
 void Network::SendNoise(std::size_t node, std::size_t datagrams) {
   for (std::size_t i = 0; i < datagrams; ++i) {
-    // Pieces of what was drawn once: a draw for each byte kept the lab from relaying in time, with the
-    // sanitizers.
+    // The noise is cut from bytes that were drawn once: with sanitizers, drawing each byte anew delayed the
+    // relay.
     const std::size_t n = noise_random_.Below(1600);
     std::string bytes = noise_bytes_.substr(noise_random_.Below(noise_bytes_.size() - n), n);
-    if (noise_random_.Chance(0.5)) {  // what looks right until it is read
+    if (noise_random_.Chance(0.5)) {  // a valid message with invented members
       membership::Message m;
       m.cluster = "lab";
       m.sender.name = "noise";
@@ -214,7 +214,7 @@
   Forward(side);
 }
 
-// The next piece goes over the link; the others wait behind it.
+// Sends the next bytes over the link; the others wait behind them.
 void Network::Forward(Handle side) {
   Side* a = sides_.Get(side);
   if (a == nullptr || a->forward_scheduled) return;
@@ -248,7 +248,7 @@
   if (a->queued.empty()) Drop(side);
 }
 
-// Both sides end together, once all that was read has gone over.
+// Closes both ends of the connection.
 void Network::Drop(Handle side) {
   for (Handle h = side; h != 0;) {
     Side* s = sides_.Get(h);
--- a/lab/cluster/relay.h
+++ b/lab/cluster/relay.h
@@ -1,6 +1,6 @@
-// The network between real nodes on loopback: each node has a face, an address that the others know it by,
-// and what comes to a face passes on to the node over a link of its own for each pair and direction, which
-// does wrong what the scenario says. Who sends is seen by address. Datagrams and connections alike.
+// The network between real nodes on loopback. Each node has a proxy whose address the other nodes use. The
+// proxy forwards datagrams and connections to its node, over a separate link for each pair and direction with
+// the faults of the scenario. It recognizes the sender by its IP address.
 #pragma once
 
 #include <uv.h>
@@ -19,21 +19,23 @@
 
 namespace ryeglade::cluster {
 
-// An address on which nobody listens now, its port the kernel's choice. Throws std::runtime_error.
+// Returns an address with a port that is free now, chosen by the kernel. Throws std::runtime_error.
 std::string FreeAddress(const std::string& ip);
 
 class Network : public TcpOwner {
  public:
-  using LinkStateOf = std::function<LinkState(std::size_t from, std::size_t to)>;  // now
+  // Returns the current faults of the link.
+  using LinkStateOf = std::function<LinkState(std::size_t from, std::size_t to)>;
 
-  // `real`: where each node listens; `faces`: ip of each face. Throws std::runtime_error.
+  // `node_addresses` holds the address at which each node listens, `proxy_ips` the IP address of its proxy.
+  // Throws std::runtime_error.
   Network(const Runtime* run, std::uint64_t seed, std::vector<std::string> node_addresses,
           const std::vector<std::string>& proxy_ips, LinkStateOf link_state);
   ~Network() override;
   Network(const Network&) = delete;
   Network& operator=(const Network&) = delete;
   const std::string& proxy_address(std::size_t node) const { return proxies_[node]->address; }
-  // Noise to a node's own port, as from a stranger.
+  // Sends random datagrams to a node's own port, from an unknown address.
   void SendNoise(std::size_t node, std::size_t datagrams);
   void Close();
 
@@ -41,7 +43,7 @@
     std::uint64_t passed = 0, lost = 0, bytes = 0;  // datagrams
     std::uint64_t connections = 0;
   };
-  const std::vector<Counts>& sent() const { return sent_; }  // by the node that sent
+  const std::vector<Counts>& sent() const { return sent_; }  // by sending node
 
   void OnConnected(Handle side, int status) override;
   void OnRead(Handle side, std::string_view bytes) override;
@@ -56,15 +58,15 @@
     uv_udp_t* udp = nullptr;
     uv_tcp_t* listener = nullptr;
   };
-  struct Side {  // of a connection that passes through: what it reads goes to its other
+  struct Side {  // one end of a forwarded connection; its bytes go to `other`
     Tcp* tcp = nullptr;
     Handle other = 0;
     std::size_t from = 0, to = 0;
-    std::deque<std::string> queued;  // read here, and not yet written there
+    std::deque<std::string> queued;  // read at this end and not yet written at the other
     bool connected = false, ended = false, forward_scheduled = false;
   };
 
-  std::size_t NodeAt(const sockaddr* address) const;  // by ip; SIZE_MAX: none
+  std::size_t NodeAt(const sockaddr* address) const;  // by IP address; returns SIZE_MAX for an unknown one
   void ForwardDatagram(Proxy& proxy, std::string_view bytes, const sockaddr* from);
   void Deliver(std::size_t from, std::size_t to, const std::string& bytes);
   void Accept(Proxy& proxy);
@@ -81,7 +83,7 @@
   SlotTable<Side> sides_;
   std::vector<Counts> sent_;
   emulator::RandomStream noise_random_;
-  std::string noise_bytes_;  // bytes, of which noise is made
+  std::string noise_bytes_;  // random bytes that the noise is cut from
   uv_udp_t* noise_socket_ = nullptr;
   bool closed_ = false;
 };
--- a/lab/cluster/scenario.cpp
+++ b/lab/cluster/scenario.cpp
@@ -11,14 +11,14 @@
 namespace ryeglade::cluster {
 namespace {
 
-constexpr double kNoEnd = 1e9;
+constexpr double kNoEnd = 1e9;  // periods; longer than any scenario
 
 bool Number(std::string_view text, std::size_t* out) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), *out);
   return error == std::errc() && end == text.data() + text.size();
 }
 
-// "all", "3", "2-5", "zone:1", "not:3": one word or several with commas.
+// Parses a list of nodes: "all", "3", "2-5", "zone:1", "not:3", or several of these with commas.
 Nodes ParseNodes(TomlSection& s, const std::string& key, const Scenario& scenario,
                  const std::string& fallback) {
   const std::string text = s.Text(key, fallback);
@@ -80,14 +80,14 @@
   }
   if (f.what != Fault::What::kLink) {
     f.nodes = ParseNodes(s, "nodes", scenario, "");
-    if (f.nodes.empty()) s.Fail("nodes", "is missing; name the nodes that it happens to");
+    if (f.nodes.empty()) s.Fail("nodes", "is missing; name the nodes that the fault concerns");
     if (f.what == Fault::What::kStarve) {
       f.share = s.Number("share", 0.01, 0.99, f.share);
       f.every = s.Number("every", 0.05, 100, f.every);
     }
     if ((f.what == Fault::What::kPause || f.what == Fault::What::kStarve || f.what == Fault::What::kAbsent) &&
         f.lasts == 0)
-      s.Fail("lasts", "is missing; say for how many periods");
+      s.Fail("lasts", "is missing; give the duration of the fault in periods");
     s.RejectUnknownKeys();
     return f;
   }
@@ -151,7 +151,8 @@
   double last_end = 0;
   for (const Fault& f : faults) {
     const double last = f.at + (f.times - 1) * f.again_after + f.lasts;
-    // What never ends is part of the scenery; what happens at once is over at once.
+    // A fault with `lasts` 0 counts with its beginning: it either never ends and is part of the surroundings,
+    // or it is over at once.
     last_end = std::max(last_end, last);
   }
   return last_end;
@@ -192,7 +193,7 @@
     f.at = r.Number("at", 0, 1e6, 0);
     f.lasts = r.Number("lasts", 0, 1e6, 0);
     if (f.nodes.size() < s.nodes && f.how != "unreachable")
-      r.Fail("nodes", "a replica that is reached does the same to all; give how = \"unreachable\"");
+      r.Fail("nodes", "only unreachable replicas can differ between nodes; give how = \"unreachable\"");
     r.RejectUnknownKeys();
     s.replica_faults.push_back(std::move(f));
   }
