--- a/lab/cluster/real.cpp
+++ b/lab/cluster/real.cpp
@@ -109,7 +109,7 @@
         [this](std::size_t a, std::size_t b) { return scenario_.LinkAt(a, b, Periods(Now())); });
     for (std::size_t i = 0; i < scenario_.replicas; ++i) {
       replicas_.push_back(std::make_unique<lab::FakeReplica>(
-          &run_, &rules_, lab::FakeReplicaOptions{.dialect = lab::ReplicaDialect::kPlatform}));
+          &run_, &attempt_counts_, lab::FakeReplicaOptions{.dialect = lab::ReplicaDialect::kPlatform}));
       const std::string at = replicas_.back()->Listen();
       replica_addresses_.push_back(at);
       directory_.Set(fmt::format("stand-in-{}", i), at);
@@ -473,9 +473,9 @@
         r.broken += of(load::Outcome::kBroken);
       }
     }
-    r.two_at_once = rules_.overlapping_attempts;
-    r.attempts = rules_.attempts;
-    r.spoilt = rules_.faulty_attempts;
+    r.two_at_once = attempt_counts_.overlapping_attempts;
+    r.attempts = attempt_counts_.attempts;
+    r.spoilt = attempt_counts_.faulty_attempts;
     r.peer_ejections = peer_ejections_;
     r.shares = shares_;
     if (scenario_.rate <= 0) return;
@@ -527,7 +527,7 @@
   BufferPool buffers_;
   Deadlines deadlines_;
   Runtime run_;
-  lab::AttemptCounts rules_;
+  lab::AttemptCounts attempt_counts_;
   // The second directory is for nodes that see replica faults of their own.
   lab::FakeDiscovery directory_, other_directory_;
   std::vector<std::unique_ptr<lab::FakeReplica>> replicas_;
--- a/lab/soak/run.cpp
+++ b/lab/soak/run.cpp
@@ -273,9 +273,9 @@
       o.tokens = p.tokens;
       o.number = n;
       o.observer = this;
-      replicas_.push_back(std::make_unique<lab::FakeReplica>(&run_, &witness_, o));
+      replicas_.push_back(std::make_unique<lab::FakeReplica>(&run_, &attempt_counts_, o));
       replica_addresses_.push_back(replicas_.back()->Listen());
-      listings_.push_back({"active", ZoneName(p.zone), p.cell, 0});
+      discovery_entries_.push_back({"active", ZoneName(p.zone), p.cell, 0});
       history_.replicas.push_back({ReplicaName(n), p.zone, p.cell});
     }
   }
@@ -294,7 +294,7 @@
     });
     for (std::size_t r = 0; r < replicas_.size(); ++r) {
       node.addresses.push_back(node.links->Add(replica_addresses_[r]));
-      node.directory->Set(ReplicaName(r), node.addresses[r], listings_[r]);
+      node.directory->Set(ReplicaName(r), node.addresses[r], discovery_entries_[r]);
     }
     node.discovery = node.directory->Listen();
     history_.settings.push_back({n, 0, plan_.classes});
@@ -340,7 +340,7 @@
     run.process.Start(options_.program, files);
     // Its configuration contains the current list of replicas.
     for (std::size_t r = 0; r < replicas_.size(); ++r) {
-      history_.discovery_changes.push_back({n, r, Now(), Now(), listings_[r].lifecycle == "active"});
+      history_.discovery_changes.push_back({n, r, Now(), Now(), discovery_entries_[r].lifecycle == "active"});
     }
   }
 
@@ -543,11 +543,11 @@
 
   void SetListing(std::size_t replica) {
     for (Node& node : nodes_)
-      node.directory->Set(ReplicaName(replica), node.addresses[replica], listings_[replica]);
+      node.directory->Set(ReplicaName(replica), node.addresses[replica], discovery_entries_[replica]);
   }
 
   void ChangeList(std::size_t replica, const std::string& lifecycle) {
-    listings_[replica].lifecycle = lifecycle;
+    discovery_entries_[replica].lifecycle = lifecycle;
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
       history_.discovery_changes.push_back({n, replica, Now(), 0, lifecycle == "active"});
     }
@@ -566,7 +566,7 @@
   }
 
   void Drain(std::size_t replica, Time duration) {
-    if (listings_[replica].lifecycle != "active") return;
+    if (discovery_entries_[replica].lifecycle != "active") return;
     ChangeList(replica, "leaving");
     deadlines_.Set(Now() + duration, [this, replica] { ChangeList(replica, "active"); });
   }
@@ -576,7 +576,7 @@
     for (Node& node : nodes_) node.links->SetSilent(replica, true);
     deadlines_.Set(Now() + duration, [this, replica] {
       for (Node& node : nodes_) node.links->SetSilent(replica, false);
-      listings_[replica].started_at_ms = Now() / 1000;
+      discovery_entries_[replica].started_at_ms = Now() / 1000;
       SetListing(replica);
     });
   }
@@ -668,10 +668,10 @@
   BufferPool buffers_;
   Deadlines deadlines_;
   Runtime run_;
-  lab::AttemptCounts witness_;
+  lab::AttemptCounts attempt_counts_;
   std::vector<std::unique_ptr<lab::FakeReplica>> replicas_;
   std::vector<std::string> replica_addresses_;
-  std::vector<lab::DiscoveryEntry> listings_;
+  std::vector<lab::DiscoveryEntry> discovery_entries_;
   std::vector<Node> nodes_;
   std::unique_ptr<SoakClients> clients_;
   History history_;
