--- a/lab/cluster/invariant_checker.h
+++ b/lab/cluster/invariant_checker.h
@@ -25,8 +25,8 @@
 };
 
 struct Figures {
-  std::size_t deaths = 0,
-              false_deaths = 0;  // reported deaths; those of members that were running and reachable
+  std::size_t deaths = 0;        // reports of dead members
+  std::size_t false_deaths = 0;  // those of members that were running and reachable
   std::size_t most_returns = 0;  // the most often that one member returned to one view
   std::size_t suspicions = 0, doubts = 0, refusals = 0;
   std::vector<double> detection;  // periods from each death to each node's report of it
--- a/lab/soak/evidence.cpp
+++ b/lab/soak/evidence.cpp
@@ -18,14 +18,15 @@
 constexpr std::size_t kMaxLines = 120;
 
 const char* Name(ClientEnd end) {
-  static constexpr const char* kWords[] = {"open",      "served",    "refused", "failed",   "cut",
-                                           "no answer", "timed out", "left",    "not asked"};
+  static constexpr const char* kWords[] = {"unfinished", "served",    "refused",   "failed",
+                                           "truncated",  "no answer", "timed out", "closed by the client",
+                                           "not sent"};
   return kWords[static_cast<std::size_t>(end)];
 }
 
 const char* Name(AttemptEnd end) {
-  static constexpr const char* kWords[] = {"open",  "whole", "rejected",
-                                           "error", "reset", "closed by the node"};
+  static constexpr const char* kWords[] = {"unfinished", "complete", "rejected",
+                                           "error",      "reset",    "closed by the node"};
   return kWords[static_cast<std::size_t>(end)];
 }
 
