--- a/lab/client.cpp
+++ b/lab/client.cpp
@@ -20,7 +20,7 @@
          body;
 }
 
-void Client::Send(const std::string& to, std::string request, Time most, Done done) {
+void Client::Send(const std::string& to, std::string request, Time timeout, Done done) {
   const Handle handle = calls_.Add({});
   Call& c = *calls_.Get(handle);
   c.tcp = Tcp::New(run_->loop, run_->buffers, this, handle);
@@ -29,7 +29,7 @@
   c.reply.headers = "\n";
   c.reply.started = Now();
   http_parser_init(&c.parser, HTTP_RESPONSE);
-  c.deadline = run_->deadlines->Set(Now() + most, [this, handle] { End(handle); });
+  c.deadline = run_->deadlines->Set(Now() + timeout, [this, handle] { End(handle); });
   sockaddr_storage address{};
   if (!ParseAddress(to, &address) || c.tcp->Connect(address) != 0) {
     run_->deadlines->Set(Now(), [this, handle] { End(handle); });
--- a/lab/client.h
+++ b/lab/client.h
@@ -1,5 +1,4 @@
-// A client for loopback: one request on one connection, answered to its end. It reports what came, byte for
-// byte.
+// An HTTP client for loopback. It opens a connection for each request and reports the response unchanged.
 #pragma once
 
 #include <http_parser.h>
@@ -13,12 +12,13 @@
 namespace ryeglade::lab {
 
 struct Reply {
-  int status = 0;       // 0: nothing that could be read
-  std::string headers;  // name: value lines, names in lower case
+  int status = 0;       // 0: no response, or none that could be parsed
+  std::string headers;  // lines "name: value", names in lower case; starts with an empty line
   std::string body;
-  bool complete = false;  // the last chunk, or all of its length, has come
-  Time started = 0, first_byte = 0, ended = 0;
-  std::string Header(const std::string& name) const;
+  bool complete = false;  // the last chunk, or the full Content-Length, was received
+  Time started = 0, ended = 0;
+  Time first_byte = 0;                                // of the body; 0: none came
+  std::string Header(const std::string& name) const;  // `name` in lower case; returns "" if it is missing
 };
 
 class Client : public TcpOwner {
@@ -26,10 +26,10 @@
   using Done = std::function<void(const Reply&)>;
   explicit Client(const Runtime* run) : run_(run) {}
 
-  // Sends `request` (its bytes as they are) to ip:port. `most` bounds the wait; what has come by then is
-  // reported.
-  void Send(const std::string& to, std::string request, Time most, Done done);
-  std::size_t open() const { return calls_.size(); }
+  // Sends the bytes of `request` to `to` (ip:port) and calls `done` with the response, or after `timeout`
+  // with what has been received by then.
+  void Send(const std::string& to, std::string request, Time timeout, Done done);
+  std::size_t open() const { return calls_.size(); }  // number of requests without an outcome
 
   void OnConnected(Handle call, int status) override;
   void OnRead(Handle call, std::string_view bytes) override;
@@ -53,7 +53,7 @@
   SlotTable<Call> calls_;
 };
 
-// The bytes of a POST with a JSON body.
+// Returns the bytes of a POST request with a JSON body. `headers` consists of whole lines with their CRLF.
 std::string Post(const std::string& path, const std::string& headers, const std::string& body);
 
 }  // namespace ryeglade::lab
--- a/lab/colon_parts.h
+++ b/lab/colon_parts.h
@@ -1,4 +1,5 @@
-// The parts of an option such as "restart:60:10"; at least one, which may be empty.
+// Splits an option such as "restart:60:10" at its colons. The result has at least one part; parts may be
+// empty.
 #pragma once
 
 #include <string>
--- a/lab/fake_discovery.cpp
+++ b/lab/fake_discovery.cpp
@@ -6,17 +6,17 @@
 namespace ryeglade::lab {
 namespace {
 
-constexpr Time kBeat = 2'000'000;  // an empty line while nothing changes
+constexpr Time kKeepAliveInterval = 2'000'000;  // of the empty lines that a watch gets
 
-nlohmann::json Instance(const std::string& name, const std::string& host_port, const DiscoveryEntry& l) {
+nlohmann::json Instance(const std::string& name, const std::string& host_port, const DiscoveryEntry& e) {
   return {{"instanceId", name},
           {"hostPort", host_port},
-          {"zone", l.zone},
+          {"zone", e.zone},
           {"machineType", "m"},
-          {"cell", l.cell},
+          {"cell", e.cell},
           {"weight", 1.0},
-          {"startedAtMs", l.started_at_ms},
-          {"lifecycle", l.lifecycle}};
+          {"startedAtMs", e.started_at_ms},
+          {"lifecycle", e.lifecycle}};
 }
 
 }  // namespace
@@ -24,56 +24,55 @@
 FakeDiscovery::FakeDiscovery(const Runtime* run)
     : run_(run), server_(run, this, {.listen = "127.0.0.1:0", .max_connections = 256, .admits = {}}) {}
 
-std::string FakeDiscovery::Text(bool whole) const {
+std::string FakeDiscovery::Text(bool full) const {
   nlohmann::json instances = nlohmann::json::array();
   for (const Entry& e : entries_) {
-    if (whole && e.listing.lifecycle == "left") continue;
-    instances.push_back(Instance(e.name, e.host_port, e.listing));
+    if (full && e.entry.lifecycle == "left") continue;
+    instances.push_back(Instance(e.name, e.host_port, e.entry));
   }
-  return nlohmann::json({{"generation", generation_}, {"reset", whole}, {"instances", instances}}).dump();
+  return nlohmann::json({{"generation", generation_}, {"reset", full}, {"instances", instances}}).dump();
 }
 
 void FakeDiscovery::Set(const std::string& name, const std::string& host_port, const std::string& lifecycle) {
-  DiscoveryEntry listing;
-  listing.lifecycle = lifecycle;
-  Set(name, host_port, listing);
+  DiscoveryEntry entry;
+  entry.lifecycle = lifecycle;
+  Set(name, host_port, entry);
 }
 
-void FakeDiscovery::Set(const std::string& name, const std::string& host_port,
-                        const DiscoveryEntry& listing) {
+void FakeDiscovery::Set(const std::string& name, const std::string& host_port, const DiscoveryEntry& entry) {
   const auto it =
       std::find_if(entries_.begin(), entries_.end(), [&](const Entry& e) { return e.name == name; });
   if (it == entries_.end()) {
-    entries_.push_back({name, host_port, listing});
+    entries_.push_back({name, host_port, entry});
   } else {
-    *it = {name, host_port, listing};
+    *it = {name, host_port, entry};
   }
   ++generation_;
   const nlohmann::json change = {
-      {"generation", generation_}, {"reset", false}, {"instances", {Instance(name, host_port, listing)}}};
+      {"generation", generation_}, {"reset", false}, {"instances", {Instance(name, host_port, entry)}}};
   if (silent_ || watches_.empty()) return;
   for (const Handle watch : watches_) server_.Chunk(watch, change.dump() + "\n");
-  if (listed_callback_) listed_callback_(name, listing.lifecycle);
+  if (listed_callback_) listed_callback_(name, entry.lifecycle);
 }
 
-void FakeDiscovery::SetUnavailable(bool dark) {
-  dark_ = dark;
+void FakeDiscovery::SetUnavailable(bool unavailable) {
+  unavailable_ = unavailable;
   const std::set<Handle> watches = watches_;
   watches_.clear();
   for (const Handle watch : watches) server_.Abort(watch);
 }
 
 void FakeDiscovery::OnRequest(Handle connection, HttpRequest request) {
-  if (dark_) return server_.Abort(connection);
+  if (unavailable_) return server_.Abort(connection);
   if (!request.target.starts_with("/catalog/members")) return server_.Reply(connection, 404, "", "");
   if (silent_) return;
   const bool follow = request.target.find("follow=1") != std::string::npos;
-  if (slow_by_ == 0) return Answer(connection, follow);
-  run_->deadlines->Set(Now() + slow_by_, [this, connection, follow] { Answer(connection, follow); });
+  if (reply_delay_ == 0) return Answer(connection, follow);
+  run_->deadlines->Set(Now() + reply_delay_, [this, connection, follow] { Answer(connection, follow); });
 }
 
 void FakeDiscovery::Answer(Handle connection, bool follow) {
-  if (dark_ || silent_ || !server_.Connected(connection)) return;
+  if (unavailable_ || silent_ || !server_.Connected(connection)) return;
   if (!follow) {
     server_.Reply(connection, 200, "Content-Type: application/json\r\n", Text(true));
     return AnnounceAll();
@@ -82,22 +81,22 @@
   server_.BeginChunks(connection, "Content-Type: application/json\r\n");
   server_.Chunk(connection, Text(true) + "\n");
   AnnounceAll();
-  if (!beating_) Beat();
+  if (!keep_alive_scheduled_) SendKeepAlive();
 }
 
 void FakeDiscovery::AnnounceAll() {
   if (!listed_callback_) return;
-  for (const Entry& e : entries_) listed_callback_(e.name, e.listing.lifecycle);
+  for (const Entry& e : entries_) listed_callback_(e.name, e.entry.lifecycle);
 }
 
-void FakeDiscovery::Beat() {
-  beating_ = !watches_.empty();
-  if (!beating_) return;
-  run_->deadlines->Set(Now() + kBeat, [this] {
+void FakeDiscovery::SendKeepAlive() {
+  keep_alive_scheduled_ = !watches_.empty();
+  if (!keep_alive_scheduled_) return;
+  run_->deadlines->Set(Now() + kKeepAliveInterval, [this] {
     for (const Handle watch : watches_) {
       if (!silent_) server_.Chunk(watch, "\n");
     }
-    Beat();
+    SendKeepAlive();
   });
 }
 
--- a/lab/fake_discovery.h
+++ b/lab/fake_discovery.h
@@ -1,4 +1,4 @@
-// A stand-in for discovery: the list of stand-in replicas, whole or as a watch.
+// A fake discovery service. It serves the list of endpoints, as a whole or as a watch that reports changes.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace ryeglade::lab {
 
-// What discovery tells of a replica beside its name and address.
+// What discovery reports of an endpoint in addition to its name and address.
 struct DiscoveryEntry {
   std::string lifecycle = "active";  // "active", "leaving" or "left"
   std::string zone = "z";
@@ -26,20 +26,21 @@
   explicit FakeDiscovery(const Runtime* run);
   std::string Listen() { return server_.Listen(); }
   void Close() { server_.Close(); }
-  // Name and ip:port; lifecycle as discovery tells it: "active", "leaving" or "left".
+  // Adds an endpoint or changes it, and reports it to the watches. `host_port` is ip:port.
   void Set(const std::string& name, const std::string& host_port, const std::string& lifecycle = "active");
-  void Set(const std::string& name, const std::string& host_port, const DiscoveryEntry& listing);
-  // Dark: watches are cut off without a word, and every call is closed unanswered.
-  void SetUnavailable(bool dark);
-  // Silent: calls are taken and never answered, watches say nothing more.
+  void Set(const std::string& name, const std::string& host_port, const DiscoveryEntry& entry);
+  // While unavailable, connections of watches are aborted and every request is closed without a response.
+  void SetUnavailable(bool unavailable);
+  // While silent, requests are accepted and never answered, and watches report nothing.
   void SetSilent(bool silent) { silent_ = silent; }
-  // Answers to calls come so much later, microseconds.
-  void SetReplyDelay(Time by) { slow_by_ = by; }
-  // Called with a name and its lifecycle each time that a caller is told of it.
-  void SetListedCallback(std::function<void(const std::string& name, const std::string& lifecycle)> told) {
-    listed_callback_ = std::move(told);
+  void SetReplyDelay(Time delay) { reply_delay_ = delay; }  // of every response
+  // The callback gets the name and the lifecycle of an endpoint each time it is reported to a caller.
+  void SetListedCallback(
+      std::function<void(const std::string& name, const std::string& lifecycle)> callback) {
+    listed_callback_ = std::move(callback);
   }
-  std::string Text(bool whole) const;  // the list as discovery sends it
+  // Returns the list as JSON, as it is sent. A full list (`reset`) leaves out endpoints that have left.
+  std::string Text(bool full) const;
 
   void OnRequest(Handle connection, HttpRequest request) override;
   void OnClientDisconnected(Handle connection) override { watches_.erase(connection); }
@@ -48,19 +49,19 @@
  private:
   struct Entry {
     std::string name, host_port;
-    DiscoveryEntry listing;
+    DiscoveryEntry entry;
   };
   void Answer(Handle connection, bool follow);
   void AnnounceAll();
-  void Beat();
+  void SendKeepAlive();
 
   const Runtime* run_;
   Downstream server_;
   std::vector<Entry> entries_;
   std::set<Handle> watches_;
   int generation_ = 1;
-  bool beating_ = false, dark_ = false, silent_ = false;
-  Time slow_by_ = 0;
+  bool keep_alive_scheduled_ = false, unavailable_ = false, silent_ = false;
+  Time reply_delay_ = 0;
   std::function<void(const std::string&, const std::string&)> listed_callback_;
 };
 
--- a/lab/fake_replica.cpp
+++ b/lab/fake_replica.cpp
@@ -27,15 +27,15 @@
 
 std::string FakeReplica::Listen() { return server_.Listen(); }
 
-void FakeReplica::Turn(Handle connection, int status) {
+void FakeReplica::ReplyError(Handle connection, int status) {
   if (options_.dialect == ReplicaDialect::kPlatform) {
-    const bool away = status == 429;
-    return server_.Reply(connection, away ? 503 : status, away ? "X-Rejected: 1\r\n" : "", "");
+    const bool rejected = status == 429;
+    return server_.Reply(connection, rejected ? 503 : status, rejected ? "X-Rejected: 1\r\n" : "", "");
   }
-  const bool away = status == 429;
+  const bool rejected = status == 429;
   server_.Reply(
       connection, status,
-      std::string("Content-Type: application/json\r\n") + (away ? "Retry-After: 1\r\n" : ""),
+      std::string("Content-Type: application/json\r\n") + (rejected ? "Retry-After: 1\r\n" : ""),
       fmt::format("{{\"error\":{{\"message\":\"stand-in says {}\",\"type\":\"stand_in\",\"param\":null,"
                   "\"code\":null}}}}",
                   status));
@@ -51,11 +51,11 @@
                          "{\"object\":\"list\",\"data\":[]}");
   }
   const bool chat = path == "/v1/chat/completions";
-  if (!chat && path != "/v1/completions") return Turn(connection, 404);
+  if (!chat && path != "/v1/completions") return ReplyError(connection, 404);
   const std::string body = request.body.Text();
   const openai::BodyResult read =
       openai::ReadBody(body, chat ? openai::Endpoint::kChat : openai::Endpoint::kCompletions, false);
-  if (!read.body) return Turn(connection, 400);
+  if (!read.body) return ReplyError(connection, 400);
 
   Job job;
   job.prompt = PromptKey(body);
@@ -75,20 +75,20 @@
   ++attempt_counts_->attempts;
   const int before = attempt_counts_->seen[job.prompt]++;
   if (attempt_counts_->running[job.prompt]++ > 0) ++attempt_counts_->overlapping_attempts;
-  const Fault once = job.fault;
-  if (once == Fault::kResetOnce) job.fault = before == 0 ? Fault::kResetBefore : Fault::kNone;
-  if (once == Fault::kBusyOnce) job.fault = before == 0 ? Fault::kBusy : Fault::kNone;
-  if (once == Fault::kErrorOnce) job.fault = before == 0 ? Fault::kError : Fault::kNone;
+  const Fault requested = job.fault;
+  if (requested == Fault::kResetOnce) job.fault = before == 0 ? Fault::kResetBefore : Fault::kNone;
+  if (requested == Fault::kBusyOnce) job.fault = before == 0 ? Fault::kBusy : Fault::kNone;
+  if (requested == Fault::kErrorOnce) job.fault = before == 0 ? Fault::kError : Fault::kNone;
   if (job.fault != Fault::kNone) ++attempt_counts_->faulty_attempts;
   const bool full = static_cast<int>(waiting_.size()) >= options_.queue;
   jobs_[connection] = job;
   if (job.fault == Fault::kBusy || full) {
     End(connection, FakeAttemptEnd::kRejected);
-    return Turn(connection, 429);
+    return ReplyError(connection, 429);
   }
   if (job.fault == Fault::kError || job.fault == Fault::kBadRequest) {
     End(connection, FakeAttemptEnd::kError);
-    return Turn(connection, job.fault == Fault::kError ? 500 : 400);
+    return ReplyError(connection, job.fault == Fault::kError ? 500 : 400);
   }
   if (job.fault == Fault::kResetBefore) {
     End(connection, FakeAttemptEnd::kReset);
@@ -96,7 +96,7 @@
   }
   if (job.fault == Fault::kSilent) return;
   waiting_.push_back(connection);
-  Next();
+  StartWaitingJobs();
 }
 
 void FakeReplica::OnClientDisconnected(Handle connection) { End(connection, FakeAttemptEnd::kClosedByNode); }
@@ -118,10 +118,10 @@
     std::erase(waiting_, connection);
   }
   jobs_.erase(it);
-  Next();
+  StartWaitingJobs();
 }
 
-void FakeReplica::Next() {
+void FakeReplica::StartWaitingJobs() {
   while (running_ < options_.batch && !waiting_.empty()) {
     const Handle connection = waiting_.front();
     waiting_.pop_front();
@@ -134,7 +134,6 @@
 
 void FakeReplica::Start(Handle connection) {
   Job& job = jobs_.at(connection);
-  job.begun = true;
   server_.BeginChunks(connection, "Content-Type: text/event-stream\r\n");
   if (options_.dialect == ReplicaDialect::kOpenAi) Send(connection, ": stand-in\n\n");
   if (job.fault == Fault::kErrorFirst) {
@@ -142,7 +141,7 @@
     End(connection, FakeAttemptEnd::kCompleted);
     return server_.EndChunks(connection);
   }
-  Step(connection);
+  SendNextEvent(connection);
 }
 
 std::string FakeReplica::Event(const Job& job, const std::string& text, bool last) const {
@@ -160,10 +159,10 @@
                      last ? "\"stop\"" : "null");
 }
 
-void FakeReplica::Step(Handle connection) {
+void FakeReplica::SendNextEvent(Handle connection) {
   Job& job = jobs_.at(connection);
-  const bool middle = job.given * 2 >= job.tokens;
-  if (middle && job.given > 0) {
+  const bool middle = job.sent * 2 >= job.tokens;
+  if (middle && job.sent > 0) {
     if (job.fault == Fault::kBreak) {
       End(connection, FakeAttemptEnd::kReset);
       return server_.Abort(connection);
@@ -176,37 +175,36 @@
     }
   }
   std::string text;
-  const std::size_t to =
-      std::min(job.tokens, job.given + static_cast<std::size_t>(options_.tokens_per_event));
-  const Time spent = static_cast<Time>(to - job.given) * options_.per_token;
-  for (; job.given < to; ++job.given) text += Token(job.prompt, options_.seed, job.given);
-  const bool last = job.given >= job.tokens;
+  const std::size_t to = std::min(job.tokens, job.sent + static_cast<std::size_t>(options_.tokens_per_event));
+  const Time spent = static_cast<Time>(to - job.sent) * options_.per_token;
+  for (; job.sent < to; ++job.sent) text += Token(job.prompt, options_.seed, job.sent);
+  const bool last = job.sent >= job.tokens;
   Send(connection, Event(job, text, last));
-  job.next = run_->deadlines->Set(Now() + spent,
-                                  [this, connection, last] { last ? Finish(connection) : Step(connection); });
+  job.next = run_->deadlines->Set(
+      Now() + spent, [this, connection, last] { last ? Finish(connection) : SendNextEvent(connection); });
 }
 
 std::string FakeReplica::Usage(const Job& job) const {
-  const std::size_t p = job.prompt_tokens, a = job.given;
-  std::string answer = std::to_string(a), total = std::to_string(p + a), extra;
+  const std::size_t prompt = job.prompt_tokens, sent = job.sent;
+  std::string answer = std::to_string(sent), total = std::to_string(prompt + sent), extra;
   if (job.fault == Fault::kUsageNegative) answer = "-" + answer;
   if (job.fault == Fault::kUsageFractional) answer += ".5";
   if (job.fault == Fault::kUsageHuge) answer = "99999999999999";
   if (job.fault == Fault::kUsageString) answer = "\"" + answer + "\"";
   if (job.fault == Fault::kUsageTwice) extra = ",\"completion_tokens\":1";
-  if (job.fault == Fault::kUsageTotal) total = std::to_string(p + a + 7);
+  if (job.fault == Fault::kUsageTotal) total = std::to_string(prompt + sent + 7);
   if (job.fault == Fault::kUsageOverLimit) {
     answer = std::to_string(static_cast<std::size_t>(job.max_tokens) + 1000);
-    total = std::to_string(p + static_cast<std::size_t>(job.max_tokens) + 1000);
+    total = std::to_string(prompt + static_cast<std::size_t>(job.max_tokens) + 1000);
   }
   if (job.fault == Fault::kUsageContradicts) {
     answer = "0";
-    total = std::to_string(p);
+    total = std::to_string(prompt);
   }
   return fmt::format(
       "data: {{\"choices\":[],\"usage\":{{\"prompt_tokens\":{},\"completion_tokens\":{},\"total_tokens\":{},"
       "\"prompt_tokens_details\":{{\"cached_tokens\":{}}}{}}}}}\n\n",
-      p, answer, total, p / 2, extra);
+      prompt, answer, total, prompt / 2, extra);
 }
 
 void FakeReplica::Finish(Handle connection) {
--- a/lab/fake_replica.h
+++ b/lab/fake_replica.h
@@ -1,6 +1,5 @@
-// A stand-in for a model replica on loopback. It answers in the platform's protocol and in the OpenAI-style
-// API, with a text that is a fixed function of the prompt, at a set speed and batch size, and does wrong what
-// it is told to.
+// A fake model replica on loopback. It speaks the platform's protocol or the OpenAI-style API. Its response
+// is a fixed function of the prompt, its speed and batch size are options, and it can inject faults.
 #pragma once
 
 #include <cstdint>
@@ -19,43 +18,44 @@
 
 enum class ReplicaDialect : std::uint8_t { kPlatform, kOpenAi };
 
-// How an attempt at a stand-in was over.
+// How an attempt at a fake replica ended.
 enum class FakeAttemptEnd : std::uint8_t { kCompleted, kRejected, kError, kReset, kClosedByNode };
 
-// Sees every attempt at a stand-in, as it happens. Must not call back.
+// Is called for every attempt at a fake replica, as it happens. Must not call the replica.
 class AttemptObserver {
  public:
   virtual ~AttemptObserver() = default;
-  // The last byte of its request has come; `from` is where the connection comes from.
+  // The last byte of the request was received. `from` is the peer address of the connection.
   virtual void OnRequestReceived(std::size_t replica, Handle connection, const HttpRequest& request,
                                  const sockaddr_storage& from) = 0;
   virtual void OnResponseBytes(std::size_t replica, Handle connection,
-                               std::string_view bytes) = 0;  // of its body
+                               std::string_view bytes) = 0;  // of the response body
   virtual void OnAttemptEnded(std::size_t replica, Handle connection, FakeAttemptEnd how) = 0;
 };
 
 struct FakeReplicaOptions {
   ReplicaDialect dialect = ReplicaDialect::kOpenAi;
   std::uint64_t seed = 1;
-  Time first_token = 20'000;  // microseconds, once it is its turn
+  Time first_token = 20'000;  // from the time that a request enters the batch
   Time per_token = 2'000;
   int tokens_per_event = 4;
-  int batch = 16;                       // answered side by side
-  int queue = 32;                       // waiting beyond that; more is turned away
-  Fault fault = Fault::kNone;           // of every request that has no mark of its own
-  std::size_t tokens = 64;              // of an answer whose request sets no max_tokens
-  double fault_share = 1;               // of the requests that `fault` befalls
-  std::size_t number = 0;               // by which the tap knows it
-  AttemptObserver* observer = nullptr;  // null: nobody listens
+  int batch = 16;                       // requests answered at the same time
+  int queue = 32;                       // requests that may wait beyond the batch; more are rejected
+  Fault fault = Fault::kNone;           // of requests whose prompt names no fault
+  std::size_t tokens = 64;              // length of the longest response
+  double fault_share = 1;               // of those requests that get `fault`
+  std::size_t number = 0;               // replica number that the observer is given
+  AttemptObserver* observer = nullptr;  // null: none
 };
 
-// What all stand-ins of one test saw together, and the rules that they check.
+// Counts over all fake replicas of one test.
 struct AttemptCounts {
-  std::unordered_map<std::uint64_t, int> seen;     // attempts of each prompt
-  std::unordered_map<std::uint64_t, int> running;  // of them out now
+  std::unordered_map<std::uint64_t, int> seen;     // attempts by PromptKey
+  std::unordered_map<std::uint64_t, int> running;  // of these, those that have not ended
   std::uint64_t attempts = 0;
-  std::uint64_t overlapping_attempts = 0;  // a broken rule
-  std::uint64_t faulty_attempts = 0;       // attempts that were done wrong
+  std::uint64_t overlapping_attempts = 0;  // attempts that began while another of the same prompt was
+                                           // running; a router must never send any
+  std::uint64_t faulty_attempts = 0;       // attempts into which a fault was injected
 };
 
 class FakeReplica : public Front {
@@ -66,7 +66,7 @@
     if (!std::exchange(closed_, true)) server_.Close();
   }
   FakeReplicaOptions& options() { return options_; }  // may change while it runs
-  void CloseIdle() { server_.CloseIdle(); }           // a request may be on its way on one of them
+  void CloseIdle() { server_.CloseIdle(); }           // idle connections, though a request may be on its way
 
   void OnRequest(Handle connection, HttpRequest request) override;
   void OnClientDisconnected(Handle connection) override;
@@ -75,21 +75,21 @@
  private:
   struct Job {
     std::uint64_t prompt = 0;
-    std::size_t tokens = 0, given = 0;
+    std::size_t tokens = 0, sent = 0;  // length of the response, and how much of it was sent
     std::size_t prompt_tokens = 0;
-    bool chat = true, usage = false, begun = false, running = false;
-    double max_tokens = 0;
+    bool chat = true, usage = false, running = false;
+    double max_tokens = 0;  // as requested; 0: not set
     Fault fault = Fault::kNone;
     DeadlineId next{};
   };
 
-  void Next();
+  void StartWaitingJobs();
   void Start(Handle connection);
-  void Step(Handle connection);
+  void SendNextEvent(Handle connection);
   void Finish(Handle connection);
-  void End(Handle connection, FakeAttemptEnd how);  // out of the table; the next one's turn
+  void End(Handle connection, FakeAttemptEnd how);  // removes the job and lets the next one start
   void Send(Handle connection, const std::string& events);
-  void Turn(Handle connection, int status);
+  void ReplyError(Handle connection, int status);  // 429 means that the request is rejected
   std::string Event(const Job& job, const std::string& text, bool last) const;
   std::string Usage(const Job& job) const;
 
--- a/lab/fault.cpp
+++ b/lab/fault.cpp
@@ -5,7 +5,7 @@
 namespace ryeglade::lab {
 namespace {
 
-constexpr std::array<const char*, static_cast<std::size_t>(Fault::kCount)> kWords = {"none",
+constexpr std::array<const char*, static_cast<std::size_t>(Fault::kCount)> kNames = {"none",
                                                                                      "reset-before",
                                                                                      "reset-once",
                                                                                      "break",
@@ -31,23 +31,23 @@
 
 }  // namespace
 
-const char* Name(Fault fault) { return kWords.at(static_cast<std::size_t>(fault)); }
+const char* Name(Fault fault) { return kNames.at(static_cast<std::size_t>(fault)); }
 
-std::optional<Fault> ParseFault(std::string_view word) {
-  for (std::size_t i = 0; i < kWords.size(); ++i) {
-    if (word == kWords.at(i)) return static_cast<Fault>(i);
+std::optional<Fault> ParseFault(std::string_view name) {
+  for (std::size_t i = 0; i < kNames.size(); ++i) {
+    if (name == kNames.at(i)) return static_cast<Fault>(i);
   }
   return std::nullopt;
 }
 
-std::vector<std::string> FaultNames() { return {kWords.begin(), kWords.end()}; }
+std::vector<std::string> FaultNames() { return {kNames.begin(), kNames.end()}; }
 
 Fault FaultInPrompt(std::string_view body) {
   const std::size_t at = body.rfind(kFaultMark);
   if (at == std::string_view::npos) return Fault::kNone;
-  std::string_view word = body.substr(at + kFaultMark.size());
-  word = word.substr(0, word.find_first_not_of("abcdefghijklmnopqrstuvwxyz-"));
-  return ParseFault(word).value_or(Fault::kNone);
+  std::string_view name = body.substr(at + kFaultMark.size());
+  name = name.substr(0, name.find_first_not_of("abcdefghijklmnopqrstuvwxyz-"));
+  return ParseFault(name).value_or(Fault::kNone);
 }
 
 }  // namespace ryeglade::lab
--- a/lab/fault_scenarios.cpp
+++ b/lab/fault_scenarios.cpp
@@ -45,9 +45,10 @@
 
 constexpr int kBatch = 16;
 constexpr std::size_t kQueue = 64;
-constexpr double kBackground = 0.002;  // failures
+constexpr double kBackgroundFailures = 0.002;  // share of attempts
 
-// Each concern draws from a stream of its own, so that a changed setting does not reshuffle the rest.
+// Each purpose has a random stream of its own, so that a changed option does not change the draws of the
+// others.
 enum Stream : std::uint64_t { kArrivals = 1, kPrompts, kSpeeds, kServing, kFailing };
 
 class FaultScenario : public DecisionObserver {
@@ -77,19 +78,19 @@
       servers_.emplace(s.entry.id, std::move(s));
     }
     result_.victim = 0x1000U + static_cast<ReplicaId>(o_.seed % static_cast<std::uint64_t>(o_.replicas));
-    List(EndpointListScope::kFull, "watch");
+    PublishList(EndpointListScope::kFull, "watch");
     const Time from = o_.start_time + static_cast<Time>(o_.fault_at * 1e6),
                to = from + static_cast<Time>(o_.fault_seconds * 1e6);
     result_.from = from + o_.clock_offset;
     result_.to = to + o_.clock_offset;
-    // The list changes a little now and then, so that generations pass.
+    // The list gets a new generation every 30 s.
     for (int k = 1; k * 30 < static_cast<int>(o_.seconds); ++k)
-      After(static_cast<Time>(k) * 30'000'000, [this] { List(EndpointListScope::kDelta, "watch"); });
+      After(static_cast<Time>(k) * 30'000'000, [this] { PublishList(EndpointListScope::kDelta, "watch"); });
     if (o_.fault != ScriptedFault::kNone) {
-      At(from, [this] { Begin(); });
-      At(to, [this] { End(); });
+      At(from, [this] { BeginFault(); });
+      At(to, [this] { EndFault(); });
     }
-    Arrive();
+    ScheduleArrival();
     const Time end = o_.start_time + static_cast<Time>(o_.seconds * 1e6);
     while (!queue_.empty() && queue_.top().at <= end) {
       const Item item = queue_.top();
@@ -102,15 +103,15 @@
     return result_;
   }
 
-  void OnDispatch(const DispatchRecord& n) override { notes_.push_back({Clock(), n}); }
-  void OnConclusion(const ConclusionRecord& n) override { notes_.push_back({Clock(), n}); }
-  void OnEjection(const EjectionRecord& n) override { notes_.push_back({Clock(), n}); }
+  void OnDispatch(const DispatchRecord& n) override { reasons_.push_back({Clock(), n}); }
+  void OnConclusion(const ConclusionRecord& n) override { reasons_.push_back({Clock(), n}); }
+  void OnEjection(const EjectionRecord& n) override { reasons_.push_back({Clock(), n}); }
 
  private:
-  struct Running {
+  struct Job {
     RequestId id;
     int attempt;
-    double first, rest;  // seconds, once it runs
+    double first_token, rest;  // seconds, from the time that it leaves the queue
     Time sent;
   };
   struct Server {
@@ -118,7 +119,7 @@
     std::string name, address;
     double speed = 1;
     int running = 0;
-    std::deque<Running> waiting;
+    std::deque<Job> waiting;
   };
   struct Item {
     Time at;
@@ -136,28 +137,29 @@
     After(static_cast<Time>(seconds * 1e6), std::move(what));
   }
 
-  // The module's decision, recorded; its timers are set. What it sends is carried out by `send_it`.
+  // Lets the router decide on the event, records the decision with its reasons and sets its timers. Attempts
+  // are passed to `send_it`.
   template <class SendIt>
   void Decide(const Event& event, const SendIt& send_it) {
     timeline::Decision d{Clock(), event, {}};
-    notes_.clear();
+    reasons_.clear();
     router_.Handle(d.now, event, d.actions);
     ++result_.decisions;
     sink_(d);
-    for (const ReasonRecord& n : std::exchange(notes_, {})) sink_(n);
+    for (const ReasonRecord& n : std::exchange(reasons_, {})) sink_(n);
     for (const Action& a : d.actions) {
       if (const auto* send = std::get_if<SendAttempt>(&a)) send_it(*send);
       if (const auto* timer = std::get_if<SetTimer>(&a))
-        After(timer->delay, [this, token = timer->token] { Give(TimerFired{token}); });
+        After(timer->delay, [this, token = timer->token] { Handle(TimerFired{token}); });
     }
   }
 
-  void Give(const Event& event) {
+  void Handle(const Event& event) {
     Decide(event, [this](const SendAttempt& send) { Send(send); });
   }
 
-  void List(EndpointListScope scope, const char* source) {
-    if (dark_) return;
+  void PublishList(EndpointListScope scope, const char* source) {
+    if (list_unavailable_) return;
     ++generation_;
     EndpointList list{scope, generation_, {}};
     for (auto& [id, s] : servers_) {
@@ -166,10 +168,10 @@
       sink_(EndpointRecord{Clock(), id, s.name, s.address, s.entry.started_at, s.entry.state, false});
     }
     sink_(EndpointListRecord{Clock(), source, generation_, "", false});
-    Give(list);
+    Handle(list);
   }
 
-  void Arrive() {
+  void ScheduleArrival() {
     boost::random::exponential_distribution<double> gap(o_.requests_per_second * rate_);
     After(gap(arrivals_), [this] {
       boost::random::lognormal_distribution<double> prompt(std::log(700.0), 0.8), answer(std::log(60.0), 0.5);
@@ -187,35 +189,38 @@
       answers_[a.id] = a.max_answer_tokens;
       prompts_of_[a.id] = a.prompt_tokens;
       sink_(timeline::CallIdRecord{Clock(), a.id, fmt::format("call-{}", a.id)});
-      Give(a);
-      Arrive();
+      Handle(a);
+      ScheduleArrival();
     });
   }
 
-  bool Bad(ReplicaId id, ScriptedFault fault) const {
-    return on_ && o_.fault == fault && id == result_.victim;
+  bool HasFault(ReplicaId id, ScriptedFault fault) const {
+    return fault_active_ && o_.fault == fault && id == result_.victim;
   }
-  bool AllBad(ScriptedFault fault) const { return on_ && o_.fault == fault; }
+  bool FleetHasFault(ScriptedFault fault) const { return fault_active_ && o_.fault == fault; }
 
   void Send(const SendAttempt& send) {
     const int attempt = attempts_[send.id]++;
     const auto it = servers_.find(send.replica);
     const auto fail = [&](double after, Outcome outcome) {
       After(after, [this, id = send.id, attempt, replica = send.replica, outcome, after] {
-        Over(id, attempt, replica, outcome, static_cast<Time>(after * 1e6));
+        EndAttempt(id, attempt, replica, outcome, static_cast<Time>(after * 1e6));
       });
     };
-    if (it == servers_.end() || Bad(send.replica, ScriptedFault::kCutOff))
+    if (it == servers_.end() || HasFault(send.replica, ScriptedFault::kCutOff))
       return fail(0.0005, Outcome::kConnectFailed);
-    boost::random::bernoulli_distribution<double> background(kBackground), half(0.5), six(0.6), three(0.3);
+    boost::random::bernoulli_distribution<double> background(kBackgroundFailures), half(0.5), six(0.6),
+        three(0.3);
     if (background(failing_)) return fail(0.02, Outcome::kReset);
-    if (Bad(send.replica, ScriptedFault::kErrors) && half(failing_)) return fail(0.01, Outcome::kError);
-    if (Bad(send.replica, ScriptedFault::kFull) && six(failing_)) return fail(0.003, Outcome::kAtCapacity);
-    if (AllBad(ScriptedFault::kFleetErrors) && three(failing_)) return fail(0.01, Outcome::kError);
+    if (HasFault(send.replica, ScriptedFault::kErrors) && half(failing_)) return fail(0.01, Outcome::kError);
+    if (HasFault(send.replica, ScriptedFault::kFull) && six(failing_))
+      return fail(0.003, Outcome::kAtCapacity);
+    if (FleetHasFault(ScriptedFault::kFleetErrors) && three(failing_)) return fail(0.01, Outcome::kError);
     Server& s = it->second;
     if (s.waiting.size() >= kQueue) return fail(0.003, Outcome::kAtCapacity);
     boost::random::lognormal_distribution<double> noise(0, 0.25);
-    const double slow = Bad(send.replica, ScriptedFault::kSlow) || AllBad(ScriptedFault::kFleetSlow) ? 4 : 1;
+    const double slow =
+        HasFault(send.replica, ScriptedFault::kSlow) || FleetHasFault(ScriptedFault::kFleetSlow) ? 4 : 1;
     const double first = (0.03 + prompts_of_[send.id] / 6000) * noise(serving_) * s.speed * slow;
     s.waiting.push_back({send.id, attempt, first, answers_[send.id] * 0.004 * s.speed * slow, now_});
     Serve(send.replica);
@@ -224,30 +229,30 @@
   void Serve(ReplicaId id) {
     Server& s = servers_.at(id);
     while (s.running < kBatch && !s.waiting.empty()) {
-      const Running r = s.waiting.front();
+      const Job r = s.waiting.front();
       s.waiting.pop_front();
       ++s.running;
-      After(r.first, [this, id, r] {
-        if (!servers_.contains(id)) return Over(r.id, r.attempt, id, Outcome::kReset, now_ - r.sent);
-        Give(ResponseStarted{r.id, r.attempt, id, now_ - r.sent});
+      After(r.first_token, [this, id, r] {
+        if (!servers_.contains(id)) return EndAttempt(r.id, r.attempt, id, Outcome::kReset, now_ - r.sent);
+        Handle(ResponseStarted{r.id, r.attempt, id, now_ - r.sent});
         After(r.rest, [this, id, r] {
-          if (!servers_.contains(id)) return Over(r.id, r.attempt, id, Outcome::kReset, now_ - r.sent);
+          if (!servers_.contains(id)) return EndAttempt(r.id, r.attempt, id, Outcome::kReset, now_ - r.sent);
           --servers_.at(id).running;
-          Over(r.id, r.attempt, id, Outcome::kServed, now_ - r.sent);
+          EndAttempt(r.id, r.attempt, id, Outcome::kServed, now_ - r.sent);
           if (servers_.contains(id)) Serve(id);
         });
       });
     }
   }
 
-  void Over(RequestId id, int attempt, ReplicaId replica, Outcome outcome, Time elapsed) {
+  void EndAttempt(RequestId id, int attempt, ReplicaId replica, Outcome outcome, Time elapsed) {
     AttemptEnded e{id, attempt, replica, outcome, elapsed, outcome == Outcome::kServed, 0, {}};
     const auto it = servers_.find(replica);
     if (it != servers_.end() && outcome != Outcome::kConnectFailed) {
       const double load = it->second.running + static_cast<double>(it->second.waiting.size());
-      e.load_report = {Bad(replica, ScriptedFault::kLoaded) ? 3 * load + 6 : load};
+      e.load_report = {HasFault(replica, ScriptedFault::kLoaded) ? 3 * load + 6 : load};
     }
-    Give(e);
+    Handle(e);
     if (outcome == Outcome::kServed) {
       answers_.erase(id);
       prompts_of_.erase(id);
@@ -255,42 +260,41 @@
     }
   }
 
-  void Begin() {
-    on_ = true;
+  void BeginFault() {
+    fault_active_ = true;
     if (o_.fault == ScriptedFault::kDark) {
-      dark_ = true;
+      list_unavailable_ = true;
       sink_(EndpointListRecord{Clock(), "watch", generation_, "silent", false});
-      Give(EndpointList{EndpointListScope::kFailed, 0, {}});
-      // Half of the fleet goes meanwhile, and nobody says so.
+      Handle(EndpointList{EndpointListScope::kFailed, 0, {}});
+      // Half of the fleet is replaced while no list is available.
       int n = 0;
-      std::vector<ReplicaId> gone;
+      std::vector<ReplicaId> replaced;
       for (const auto& [id, s] : servers_) {
-        if (n++ % 2 == 0) gone.push_back(id);
+        if (n++ % 2 == 0) replaced.push_back(id);
       }
-      for (const ReplicaId id : gone) ReplaceReplica(id);
+      for (const ReplicaId id : replaced) ReplaceReplica(id);
     } else if (o_.fault == ScriptedFault::kReplaced) {
       ReplaceReplica(result_.victim);
-      List(EndpointListScope::kFull, "watch");
+      PublishList(EndpointListScope::kFull, "watch");
     } else if (o_.fault == ScriptedFault::kDrained) {
       rate_ = 2;
       servers_.at(result_.victim).entry.state = EndpointState::kDraining;
-      List(EndpointListScope::kDelta, "watch");
+      PublishList(EndpointListScope::kDelta, "watch");
     }
-    if (o_.burst_failures_per_second > 0) CoalescedDecisions();
+    if (o_.burst_failures_per_second > 0) AddFailingRequests();
   }
 
-  void End() {
-    on_ = false;
+  void EndFault() {
+    fault_active_ = false;
     rate_ = 1;
-    if (std::exchange(dark_, false)) List(EndpointListScope::kFull, "watch");
+    if (std::exchange(list_unavailable_, false)) PublishList(EndpointListScope::kFull, "watch");
     if (o_.fault == ScriptedFault::kDrained) {
       servers_.at(result_.victim).entry.state = EndpointState::kReady;
-      List(EndpointListScope::kDelta, "watch");
+      PublishList(EndpointListScope::kDelta, "watch");
     }
   }
 
-  // What runs there is lost.
-  // Another server starts in its place, under a number and a name of its own.
+  // Replaces the replica by another at the same address, with an id and a name of its own. Its attempts fail.
   void ReplaceReplica(ReplicaId id) {
     Server fresh = servers_.at(id);
     Kill(id);
@@ -304,24 +308,24 @@
 
   void Kill(ReplicaId id) {
     Server& s = servers_.at(id);
-    const std::deque<Running> waiting = std::move(s.waiting);
+    const std::deque<Job> waiting = std::move(s.waiting);
     servers_.erase(id);
-    for (const Running& r : waiting) Over(r.id, r.attempt, id, Outcome::kReset, now_ - r.sent);
+    for (const Job& r : waiting) EndAttempt(r.id, r.attempt, id, Outcome::kReset, now_ - r.sent);
   }
 
-  // Arrivals whose every attempt fails at once.
-  void CoalescedDecisions() {
-    if (!on_) return;
+  // Adds requests of which every attempt fails at once, until the fault ends.
+  void AddFailingRequests() {
+    if (!fault_active_) return;
     for (int i = 0; i < 100; ++i) {
       RequestArrived a;
       a.id = (std::uint64_t{1} << 40) + ++requests_;
       a.prompt_tokens = 10;
       a.time_budget = 100'000;
       Decide(a, [this](const SendAttempt& send) {
-        Give(AttemptEnded{send.id, attempts_[send.id]++, send.replica, Outcome::kReset, 300, false, 0, {}});
+        Handle(AttemptEnded{send.id, attempts_[send.id]++, send.replica, Outcome::kReset, 300, false, 0, {}});
       });
     }
-    After(100 / o_.burst_failures_per_second, [this] { CoalescedDecisions(); });
+    After(100 / o_.burst_failures_per_second, [this] { AddFailingRequests(); });
   }
 
   FaultScenarioOptions o_;
@@ -338,25 +342,26 @@
   std::uint64_t requests_ = 0;
   std::uint32_t generation_ = 0;
   double rate_ = 1;
-  bool on_ = false, dark_ = false;
-  std::vector<ReasonRecord> notes_;
+  bool fault_active_ = false, list_unavailable_ = false;
+  std::vector<ReasonRecord> reasons_;
   FaultScenarioResult result_;
 };
 
-// The event that a bad thing ought to raise.
-bool Fits(ScriptedFault fault, const Anomaly& u, ReplicaId victim) {
-  const bool victims = !u.fleet && u.replica == victim;
+// Returns true if the anomaly is the one that the fault should raise.
+bool IsExpected(ScriptedFault fault, const Anomaly& u, ReplicaId victim) {
+  const bool of_victim = !u.fleet && u.replica == victim;
   switch (fault) {
     case ScriptedFault::kErrors:
-      return victims && u.kind == AnomalyKind::kErrors;
+      return of_victim && u.kind == AnomalyKind::kErrors;
     case ScriptedFault::kSlow:
-      return victims && u.kind == AnomalyKind::kFirstToken;
+      return of_victim && u.kind == AnomalyKind::kFirstToken;
     case ScriptedFault::kFull:
-      return victims && u.kind == AnomalyKind::kRejections;
+      return of_victim && u.kind == AnomalyKind::kRejections;
     case ScriptedFault::kCutOff:
-      return victims && (u.kind == AnomalyKind::kErrors || u.kind == AnomalyKind::kEndpointListContradicted);
+      return of_victim &&
+             (u.kind == AnomalyKind::kErrors || u.kind == AnomalyKind::kEndpointListContradicted);
     case ScriptedFault::kLoaded:
-      return victims && u.kind == AnomalyKind::kLoad;
+      return of_victim && u.kind == AnomalyKind::kLoad;
     case ScriptedFault::kFleetSlow:
       return u.fleet && u.kind == AnomalyKind::kFirstToken;
     case ScriptedFault::kFleetErrors:
@@ -372,13 +377,13 @@
 
 const char* Name(ScriptedFault fault) { return kFaultNames[static_cast<std::size_t>(fault)]; }
 
-ScriptedFault ParseScriptedFault(const std::string& word) {
+ScriptedFault ParseScriptedFault(const std::string& name) {
   std::string all;
   for (std::size_t n = 0; n < std::size(kFaultNames); ++n) {
-    if (word == kFaultNames[n]) return static_cast<ScriptedFault>(n);
+    if (name == kFaultNames[n]) return static_cast<ScriptedFault>(n);
     all += std::string(all.empty() ? "" : ", ") + kFaultNames[n];
   }
-  throw std::runtime_error("'" + word + "' is no bad thing; there are " + all);
+  throw std::runtime_error("'" + name + "' is not a fault; the faults are " + all);
 }
 
 FaultScenarioResult PlayFaultScenario(const FaultScenarioOptions& options,
@@ -416,14 +421,14 @@
 
 std::vector<DetectionRow> MeasureDetection(int hours_each, int calm_hours,
                                            const std::function<void(int, int)>& progress) {
-  static constexpr ScriptedFault kThings[] = {
+  static constexpr ScriptedFault kFaults[] = {
       ScriptedFault::kNone,      ScriptedFault::kErrors,      ScriptedFault::kSlow,
       ScriptedFault::kFull,      ScriptedFault::kCutOff,      ScriptedFault::kLoaded,
       ScriptedFault::kFleetSlow, ScriptedFault::kFleetErrors, ScriptedFault::kDark};
   std::vector<DetectionRow> rows;
   int done = 0;
-  const int all = calm_hours + hours_each * (static_cast<int>(std::size(kThings)) - 1);
-  for (const ScriptedFault fault : kThings) {
+  const int all = calm_hours + hours_each * (static_cast<int>(std::size(kFaults)) - 1);
+  for (const ScriptedFault fault : kFaults) {
     DetectionRow row;
     row.fault = fault;
     const int hours = fault == ScriptedFault::kNone ? calm_hours : hours_each;
@@ -435,19 +440,19 @@
       o.fault = fault;
       o.record_reasons = false;
       std::vector<Anomaly> events;
-      timeline::AnomalyDetector watch([&](const Anomaly& u) {
+      timeline::AnomalyDetector detector([&](const Anomaly& u) {
         if (u.begins) events.push_back(u);
       });
-      const FaultScenarioResult result = PlayFaultScenario(o, [&](const Record& r) { watch.OnRecord(r); });
+      const FaultScenarioResult result = PlayFaultScenario(o, [&](const Record& r) { detector.OnRecord(r); });
       ++row.hours;
       double first = -1;
       for (const Anomaly& u : events) {
-        // What follows from the bad thing while it lasts, and as the fleet settles behind it, is its doing.
-        const bool its =
+        // Events while the fault lasts, and for 30 s after it while the fleet recovers, are explained by it.
+        const bool explained =
             fault != ScriptedFault::kNone && u.now >= result.from && u.now < result.to + 30'000'000;
-        if (its && Fits(fault, u, result.victim) && first < 0)
+        if (explained && IsExpected(fault, u, result.victim) && first < 0)
           first = static_cast<double>(u.now - result.from) / 1e6;
-        if (!its) ++row.other;
+        if (!explained) ++row.other;
       }
       if (first >= 0) {
         ++row.found;
@@ -462,8 +467,8 @@
 }
 
 std::string DetectionTable(const std::vector<DetectionRow>& rows) {
-  std::string out = fmt::format("{:<14} {:>6} {:>6} {:>10} {:>10} {:>10} {:>13}\n", "bad thing", "hours",
-                                "found", "p50 s", "p90 s", "most s", "false alarms");
+  std::string out = fmt::format("{:<14} {:>6} {:>6} {:>10} {:>10} {:>10} {:>13}\n", "fault", "hours", "found",
+                                "p50 s", "p90 s", "most s", "false alarms");
   for (const DetectionRow& r : rows) {
     const auto at = [&](double q) {
       return r.delays.empty()
--- a/lab/local_fleet.cpp
+++ b/lab/local_fleet.cpp
@@ -1,6 +1,7 @@
 #include "lab/local_fleet.h"
 
 #include <fmt/format.h>
+#include <signal.h>
 
 #include <fstream>
 #include <iterator>
@@ -11,7 +12,7 @@
 namespace ryeglade::lab {
 namespace {
 
-constexpr Time kComeUpWithin = 20'000'000;
+constexpr Time kStartStopTimeout = 20'000'000;
 
 uv_loop_t* Init(uv_loop_t* loop) {
   uv_loop_init(loop);
@@ -50,7 +51,7 @@
     files.keys = ring.Text();
   }
   node_.Start(options.program, files);
-  const bool up = Until(
+  const bool ended_or_ready = Until(
       [&] {
         platform_ = LoggedAddress("listening");
         openai_ = LoggedAddress("listening-openai");
@@ -58,9 +59,9 @@
         deadlines_.Set(Now() + 20'000, [] {});
         return !node_.IsRunning() || (!platform_.empty() && !openai_.empty() && listed);
       },
-      kComeUpWithin);
-  if (!up || !node_.IsRunning())
-    throw std::runtime_error("the node did not come up; it says: " + node_.Log());
+      kStartStopTimeout);
+  if (!ended_or_ready || !node_.IsRunning())
+    throw std::runtime_error("the node did not start or is not ready after 20 s; its log: " + node_.Log());
 }
 
 LocalFleet::~LocalFleet() {
@@ -80,25 +81,25 @@
   return to == std::string::npos ? "" : log.substr(from, to - from);
 }
 
-Reply LocalFleet::SendAndWait(const std::string& to, const std::string& request, Time most) {
+Reply LocalFleet::SendAndWait(const std::string& to, const std::string& request, Time timeout) {
   Reply reply;
   bool done = false;
-  client_.Send(to, request, most, [&](const Reply& r) {
+  client_.Send(to, request, timeout, [&](const Reply& r) {
     reply = r;
     done = true;
   });
-  Until([&] { return done; }, most + 1'000'000);
+  Until([&] { return done; }, timeout + 1'000'000);
   return reply;
 }
 
 std::string LocalFleet::Ledger() {
-  node_.Signal(15);
+  node_.Signal(SIGTERM);
   Until(
       [&] {
         deadlines_.Set(Now() + 20'000, [] {});
         return !node_.IsRunning();
       },
-      kComeUpWithin);
+      kStartStopTimeout);
   std::ifstream in(node_.directory() + "/ledger-lab.json", std::ios::binary);
   return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
 }
--- a/lab/local_fleet.h
+++ b/lab/local_fleet.h
@@ -1,4 +1,4 @@
-// A whole installation on loopback: stand-in replicas, discovery and one node as a process.
+// A local fleet on loopback: fake replicas, fake discovery and one node as a process.
 #pragma once
 
 #include <uv.h>
@@ -20,17 +20,17 @@
   std::string program;  // the node's
   std::vector<FakeReplicaOptions> replicas;
   std::string openai_listen = "127.0.0.1:0";
-  std::string key;             // that clients show; empty: no keys are asked for
-  std::string extra_settings;  // TOML put behind what the fleet writes
+  std::string key;             // of the clients; empty: the node requires no keys
+  std::string extra_settings;  // TOML appended to the settings
   std::string limits;          // TOML of [openai.limits]
   std::int64_t latency_objective_ms = 20'000, deadline_ms = 30'000;  // of both classes
-  std::string effect = "free";                                       // of both: free, single_shot or guarded
+  std::string effect = "free";  // of both classes: free, single_shot or guarded
 };
 
 class LocalFleet {
  public:
-  explicit LocalFleet(
-      const LocalFleetOptions& options);  // throws std::runtime_error if the node does not come up
+  // Starts everything and waits for the node. Throws std::runtime_error if it is not ready in time.
+  explicit LocalFleet(const LocalFleetOptions& options);
   ~LocalFleet();
   LocalFleet(const LocalFleet&) = delete;
   LocalFleet& operator=(const LocalFleet&) = delete;
@@ -46,18 +46,18 @@
   const std::string& openai() const { return openai_; }
 
   void Turn() { uv_run(&loop_, UV_RUN_ONCE); }
-  // Turns the loop until `done` says so; false: `most` has passed first.
+  // Runs the event loop until `done` returns true. Returns false if that takes longer than `timeout`.
   template <class Condition>
-  bool Until(Condition done, Time most) {
-    const Time end = Now() + most;
+  bool Until(Condition done, Time timeout) {
+    const Time end = Now() + timeout;
     DeadlineId wake = deadlines_.Set(end, [] {});
     while (!done() && Now() < end) Turn();
     deadlines_.Cancel(wake);
     return done();
   }
-  // One request, waited for.
-  Reply SendAndWait(const std::string& to, const std::string& request, Time most = 60'000'000);
-  std::string Ledger();  // stops the node, and the ledger it wrote
+  // Sends one request and waits for the response.
+  Reply SendAndWait(const std::string& to, const std::string& request, Time timeout = 60'000'000);
+  std::string Ledger();  // stops the node and returns the ledger that it wrote
 
  private:
   std::string LoggedAddress(const std::string& event) const;
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -1,4 +1,5 @@
-// ryeglade-lab: stand-ins on loopback, a demonstration, and replays through the node's fronts and dialects.
+// ryeglade-lab: a demonstration on loopback, fault scenarios, replays through the node's fronts and dialects,
+// and the commands of the other parts of the lab.
 #include <signal.h>
 #include <unistd.h>
 
@@ -31,9 +32,10 @@
 
 volatile sig_atomic_t interrupted = 0;
 
-// The node lies beside this program, unless told otherwise.
-std::string NodeProgram(const std::string& told) {
-  if (!told.empty()) return told;
+// Returns the path of the node's program: the option if it is set, or `ryeglade` in the directory of this
+// program.
+std::string NodeProgram(const std::string& option) {
+  if (!option.empty()) return option;
   std::error_code error;
   const std::filesystem::path self = std::filesystem::read_symlink("/proc/self/exe", error);
   return (self.parent_path() / "ryeglade").string();
@@ -63,7 +65,8 @@
     fleet.Until([] { return interrupted != 0; }, 200'000);
   }
   if (interrupted == 0) {
-    std::fprintf(stderr, "ryeglade-lab: the node ended by itself; it said:\n%s", fleet.node().Log().c_str());
+    std::fprintf(stderr, "ryeglade-lab: the node ended unexpectedly; its log:\n%s",
+                 fleet.node().Log().c_str());
     return 1;
   }
   return 0;
@@ -89,8 +92,8 @@
               static_cast<unsigned long long>(r.overlapping_attempts), r.exit_code);
   std::printf(
       "recorded in %s%s; next:\n  ryeglade timeline show %s\n  ryeglade timeline plot --out hour.png %s\n",
-      o.record.c_str(), r.victim.empty() ? "" : (", " + r.victim + " is the one that went bad").c_str(),
-      o.record.c_str(), o.record.c_str());
+      o.record.c_str(), r.victim.empty() ? "" : (", the fault was at " + r.victim).c_str(), o.record.c_str(),
+      o.record.c_str());
   return r.exit_code == 0 && r.overlapping_attempts == 0 && r.answered == r.asked ? 0 : 1;
 }
 
@@ -103,7 +106,8 @@
   return result.overlapping_attempts == 0 ? 0 : 1;
 }
 
-// All four pairs of front and dialect must come to the same for each request.
+// Replays the trace over all four combinations of front and dialect. Returns 0 if each request has the same
+// outcome in all of them and no attempts overlapped.
 int Parity(const std::vector<TraceLine>& trace, const std::string& program) {
   std::vector<std::pair<std::string, ReplayResult>> all;
   for (const char* front : {"platform", "openai"}) {
@@ -121,8 +125,9 @@
     for (std::size_t n = 0; n < trace.size(); ++n) {
       if (result.ends[n] == all.front().second.ends[n]) continue;
       if (++differing <= 10) {
-        std::printf("differs: line %zu (%s): %s at first, %s with %s\n", n + 1, Name(trace[n].fault),
-                    Name(all.front().second.ends[n]), Name(result.ends[n]), name.c_str());
+        std::printf("differs: line %zu (%s): %s with the platform front and dialect, %s with %s\n", n + 1,
+                    Name(trace[n].fault), Name(all.front().second.ends[n]), Name(result.ends[n]),
+                    name.c_str());
       }
     }
   }
@@ -135,65 +140,66 @@
 }
 
 int Run(int argc, char** argv) {
-  CLI::App app("Stand-ins, demonstrations and experiments for ryeglade, on loopback.");
+  CLI::App app("Demonstrations, simulations and experiments for ryeglade, on loopback.");
   app.require_subcommand(1);
   std::string program, key = "demo", path, front = "openai", dialect = "openai", log;
   int port = 8080;
   std::size_t requests = 2000;
   std::uint64_t seed = 1;
   double rate = 250;
-  app.add_option("--program", program, "the node's program; else `ryeglade` beside this one");
+  app.add_option("--program", program,
+                 "path of the node's program; default: `ryeglade` in this program's directory");
 
-  CLI::App* demo = app.add_subcommand("demo", "a node, discovery and three stand-in replicas, until Ctrl-C");
-  demo->add_option("--port", port, "where the node serves the API")->check(CLI::Range(0, 65535));
-  demo->add_option("--key", key, "the key that clients show");
-  LiveFaultScenarioOptions bad;
-  demo->add_option("--bad-hour", bad.name, "play one instead: a scripted failure under load, recorded")
+  CLI::App* demo = app.add_subcommand("demo", "run a node, discovery and three fake replicas until Ctrl-C");
+  demo->add_option("--port", port, "port of the node's API")->check(CLI::Range(0, 65535));
+  demo->add_option("--key", key, "API key of the clients");
+  LiveFaultScenarioOptions scenario;
+  demo->add_option("--bad-hour", scenario.name, "play a fault scenario under load and record it instead")
       ->check(CLI::IsMember(LiveFaultScenarioNames()));
-  demo->add_option("--record", bad.record, "the directory for its flight record");
-  demo->add_option("--seconds", bad.seconds, "how long it takes")->check(CLI::Range(6.0, 3600.0));
-  demo->add_option("--rate", bad.requests_per_second, "requests a second")->check(CLI::Range(1.0, 1000.0));
-  demo->add_option("--replicas", bad.replicas)->check(CLI::Range(std::size_t{2}, std::size_t{64}));
+  demo->add_option("--record", scenario.record, "directory for the flight record");
+  demo->add_option("--seconds", scenario.seconds, "length of the scenario")->check(CLI::Range(6.0, 3600.0));
+  demo->add_option("--rate", scenario.requests_per_second, "requests per second")
+      ->check(CLI::Range(1.0, 1000.0));
+  demo->add_option("--replicas", scenario.replicas)->check(CLI::Range(std::size_t{2}, std::size_t{64}));
 
   FaultScenarioOptions hour;
   std::string fault = "none", out;
   double ahead = 0;
-  CLI::App* hours = app.add_subcommand("hour", "write the flight record of a scripted hour in virtual time");
-  hours->add_option("--thing", fault,
-                    "what goes wrong: errors, slow, full, cut-off, loaded, fleet-slow, ...");
-  hours->add_option("--out", out, "the .flight file")->required();
+  CLI::App* hours = app.add_subcommand("hour", "write the flight record of a fault scenario in virtual time");
+  hours->add_option("--thing", fault, "the fault: errors, slow, full, cut-off, loaded, fleet-slow, ...");
+  hours->add_option("--out", out, "path of the .flight file")->required();
   hours->add_option("--seconds", hour.seconds)->check(CLI::Range(1.0, 1e6));
-  hours->add_option("--at", hour.fault_at, "when it goes wrong, seconds");
-  hours->add_option("--lasts", hour.fault_seconds, "for how long");
+  hours->add_option("--at", hour.fault_at, "seconds until the fault begins");
+  hours->add_option("--lasts", hour.fault_seconds, "length of the fault in seconds");
   hours->add_option("--replicas", hour.replicas)->check(CLI::Range(1, 4096));
-  hours->add_option("--per-second", hour.requests_per_second, "requests")->check(CLI::Range(0.1, 1e5));
+  hours->add_option("--per-second", hour.requests_per_second, "request rate")->check(CLI::Range(0.1, 1e5));
   hours->add_option("--seed", hour.seed);
-  hours->add_option("--node", hour.node, "its name");
-  hours->add_option("--ahead", ahead, "seconds that its clock is ahead");
+  hours->add_option("--node", hour.node, "name of the node");
+  hours->add_option("--ahead", ahead, "seconds that the node's clock is ahead");
   int each = 100, calm = 100;
   CLI::App* detection =
-      app.add_subcommand("detection", "how soon bad things are noticed, and what is noticed for nothing");
-  detection->add_option("--each", each, "hours with each bad thing")->check(CLI::Range(1, 10'000));
-  detection->add_option("--calm", calm, "calm hours")->check(CLI::Range(1, 10'000));
+      app.add_subcommand("detection", "measure how soon faults are detected, and count false alarms");
+  detection->add_option("--each", each, "scenarios with each fault")->check(CLI::Range(1, 10'000));
+  detection->add_option("--calm", calm, "hours without a fault")->check(CLI::Range(1, 10'000));
 
   CLI::App* trace = app.add_subcommand("trace", "write a trace to standard output");
   trace->add_option("--requests", requests)->check(CLI::Range(std::size_t{1}, std::size_t{1'000'000}));
   trace->add_option("--seed", seed);
-  trace->add_option("--rate", rate, "requests a second")->check(CLI::Range(0.1, 1e5));
+  trace->add_option("--rate", rate, "requests per second")->check(CLI::Range(0.1, 1e5));
 
-  CLI::App* replay = app.add_subcommand("replay", "play a trace through one front and one dialect");
+  CLI::App* replay = app.add_subcommand("replay", "replay a trace over one front and one dialect");
   replay->add_option("trace", path)->required();
   replay->add_option("--front", front)->check(CLI::IsMember({"platform", "openai"}));
   replay->add_option("--dialect", dialect)->check(CLI::IsMember({"platform", "openai"}));
 
-  replay->add_option("--log", log, "where to put what the node logged");
+  replay->add_option("--log", log, "file for the node's log");
 
-  CLI::App* parity =
-      app.add_subcommand("parity", "play a trace through all four pairs and compare each request's end");
-  parity->add_option("trace", path, "absent: one is made");
+  CLI::App* parity = app.add_subcommand(
+      "parity", "replay a trace over all four combinations of front and dialect and compare the outcomes");
+  parity->add_option("trace", path, "default: a generated trace");
   parity->add_option("--requests", requests)->check(CLI::Range(std::size_t{1}, std::size_t{1'000'000}));
   parity->add_option("--seed", seed);
-  parity->add_option("--rate", rate, "requests a second")->check(CLI::Range(0.1, 1e5));
+  parity->add_option("--rate", rate, "requests per second")->check(CLI::Range(0.1, 1e5));
 
   ryeglade::emulator::Commands emulated(app, ryeglade::experiment::CompareFiles);
   ryeglade::experiment::Commands experiments(app);
@@ -232,12 +238,12 @@
                stdout);
     return 0;
   }
-  if (*demo && !bad.name.empty()) {
-    if (bad.record.empty()) throw std::runtime_error("--bad-hour needs --record DIRECTORY");
-    std::filesystem::create_directories(bad.record);
-    bad.program = node;
-    bad.progress = ProgressLine();
-    return RunLiveFaultScenario(bad);
+  if (*demo && !scenario.name.empty()) {
+    if (scenario.record.empty()) throw std::runtime_error("--bad-hour needs --record DIRECTORY");
+    std::filesystem::create_directories(scenario.record);
+    scenario.program = node;
+    scenario.progress = ProgressLine();
+    return RunLiveFaultScenario(scenario);
   }
   if (*demo) return Demo(node, port, key);
   if (*trace) return std::fputs(WriteTrace(MakeTrace(requests, seed, rate)).c_str(), stdout) < 0 ? 1 : 0;
--- a/lab/node_process.cpp
+++ b/lab/node_process.cpp
@@ -17,7 +17,7 @@
 namespace ryeglade::lab {
 namespace {
 
-void Put(const std::string& path, const std::string& text) {
+void WriteFile(const std::string& path, const std::string& text) {
   std::ofstream out(path, std::ios::binary);
   out << text;
   if (!out.flush()) throw std::runtime_error("cannot write " + path);
@@ -27,28 +27,28 @@
 
 void NodeProcess::Start(const std::string& program, const NodeFiles& files) {
   std::string name = std::filesystem::temp_directory_path().string() + "/ryeglade-lab-XXXXXX";
-  if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot make a directory " + name);
+  if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot create the directory " + name);
   directory_ = name;
   const std::string config = directory_ + "/config.json", settings = directory_ + "/settings.toml",
                     keys = directory_ + "/keys.toml", log = directory_ + "/log";
-  Put(config, files.config);
+  WriteFile(config, files.config);
   if (!files.keys.empty()) {
-    Put(keys, files.keys);
+    WriteFile(keys, files.keys);
     chmod(keys.c_str(), 0600);
   }
   std::string text = files.settings;
-  for (const auto& [word, by] :
+  for (const auto& [placeholder, path] :
        {std::pair<std::string, std::string>{"@KEYS@", keys}, {"@DIR@", directory_}}) {
-    for (std::size_t at = text.find(word); at != std::string::npos; at = text.find(word)) {
-      text.replace(at, word.size(), by);
+    for (std::size_t at = text.find(placeholder); at != std::string::npos; at = text.find(placeholder)) {
+      text.replace(at, placeholder.size(), path);
     }
   }
-  Put(settings, text);
+  WriteFile(settings, text);
   pid_ = fork();
-  if (pid_ < 0) throw std::runtime_error("cannot start a process");
+  if (pid_ < 0) throw std::runtime_error("cannot fork the node's process");
   if (pid_ == 0) {
-    prctl(PR_SET_PDEATHSIG, SIGKILL);  // nothing is left behind, however the lab ends
-    setpgid(0, 0);                     // Ctrl-C is the lab's to hand on
+    prctl(PR_SET_PDEATHSIG, SIGKILL);  // no node outlives the lab, however that ends
+    setpgid(0, 0);                     // Ctrl-C reaches the lab only, which then stops the node
     for (const char* variable : {"EDGE_CONFIG", "EDGE_NAME", "EDGE_LISTEN", "EDGE_DISCOVERY"})
       unsetenv(variable);
     if (!files.tmpdir.empty()) setenv("TMPDIR", files.tmpdir.c_str(), 1);
@@ -97,21 +97,22 @@
   return WIFEXITED(status_) ? WEXITSTATUS(status_) : 128 + WTERMSIG(status_);
 }
 
-// Whole, as a reader may come in between.
-void NodeProcess::Write(const std::string& config) const {
-  Put(directory_ + "/config.new", config);
+// Renames a new file into place, because the node may read the configuration at any time.
+void NodeProcess::WriteConfig(const std::string& config) const {
+  WriteFile(directory_ + "/config.new", config);
   std::filesystem::rename(directory_ + "/config.new", directory_ + "/config.json");
 }
 
 std::size_t NodeProcess::ResidentBytes() const {
-  std::ifstream in("/proc/" + std::to_string(pid_) + "/statm");  // pages: all, resident
+  std::ifstream in("/proc/" + std::to_string(pid_) + "/statm");  // in pages: total size, resident size
   std::size_t all = 0, resident = 0;
   in >> all >> resident;
   return resident * static_cast<std::size_t>(sysconf(_SC_PAGESIZE));
 }
 
 std::int64_t NodeProcess::CpuWaitTime() const {
-  std::ifstream in("/proc/" + std::to_string(pid_) + "/schedstat");  // nanoseconds: run, waited; then slices
+  std::ifstream in("/proc/" + std::to_string(pid_) +
+                   "/schedstat");  // in ns: running, waiting; then the number of time slices
   std::int64_t run = 0, waited = 0;
   in >> run >> waited;
   return waited / 1000;
--- a/lab/node_process.h
+++ b/lab/node_process.h
@@ -1,4 +1,4 @@
-// A node as a process of its own, with files of its own in a directory that goes with it.
+// Runs a node as a child process, with its files in a temporary directory that is removed with it.
 #pragma once
 
 #include <sys/types.h>
@@ -11,11 +11,12 @@
 namespace ryeglade::lab {
 
 struct NodeFiles {
-  std::string config;    // the platform's JSON
-  std::string settings;  // TOML; empty: none
-  std::string keys;      // the key file; empty: none. The settings name it as KEYS.
-  std::string tmpdir;    // what the node sees as $TMPDIR; empty: this program's own
-  std::string preload;   // a library for the process (LD_PRELOAD); empty: none
+  std::string config;  // JSON as the platform passes it
+  // TOML; @DIR@ stands for the directory and @KEYS@ for the key file. Empty: none.
+  std::string settings;
+  std::string keys;     // contents of the key file; empty: none
+  std::string tmpdir;   // the node's $TMPDIR; empty: that of this program
+  std::string preload;  // path of a library for LD_PRELOAD; empty: none
 };
 
 class NodeProcess {
@@ -25,19 +26,21 @@
   NodeProcess& operator=(const NodeProcess&) = delete;
   ~NodeProcess();
 
-  // Starts `program serve`, its log to `log` in the directory. Throws std::runtime_error.
+  // Starts `program serve` with its log in the file `log` of the directory. Throws std::runtime_error.
   void Start(const std::string& program, const NodeFiles& files);
   std::string Log() const;
-  std::string LogFrom(std::size_t offset) const;  // what was written behind so many bytes
+  std::string LogFrom(std::size_t offset) const;  // the log without its first `offset` bytes
   const std::string& directory() const { return directory_; }
-  bool IsRunning();  // false: it has ended
+  bool IsRunning();
   void Signal(int number) const;
-  int Stop();          // SIGTERM, and its exit code; 128 and more: it died of a signal
-  int status() const;  // the same of one that has ended
-  void Write(const std::string& config) const;  // the configuration that SIGHUP reads again
-  std::size_t OpenDescriptors() const;          // open now
-  std::size_t ResidentBytes() const;            // bytes of memory
-  std::int64_t CpuWaitTime() const;             // microseconds for which it could have run and did not
+  // Sends SIGTERM and waits. Returns the exit code, or 128 plus the number of the signal that killed the
+  // process.
+  int Stop();
+  int status() const;                                 // the same for a process that has ended
+  void WriteConfig(const std::string& config) const;  // replaces the configuration, which SIGHUP reloads
+  std::size_t OpenDescriptors() const;                // number of open file descriptors
+  std::size_t ResidentBytes() const;                  // resident memory
+  std::int64_t CpuWaitTime() const;  // microseconds for which it was runnable but had no core
   pid_t pid() const { return pid_; }
 
  private:
@@ -46,8 +49,8 @@
   int status_ = 0;
 };
 
-// A minimal configuration of the platform's JSON: two classes, `docs` and `agent`, by default with generous
-// aims.
+// Returns a minimal configuration as the platform's JSON, with the classes `docs` and `agent`. `known` is the
+// JSON of the endpoint list that the node starts with. The default objectives are generous.
 std::string ConfigJson(const std::string& listen, const std::string& discovery, const std::string& known,
                        std::int64_t latency_objective_ms = 20'000, std::int64_t deadline_ms = 30'000,
                        const std::string& effect = "free");
--- a/lab/progress.h
+++ b/lab/progress.h
@@ -1,12 +1,12 @@
-// One line on a terminal that says how far a long command has come and how long it still takes.
+// A progress line on the terminal for long commands.
 #pragma once
 
 #include <functional>
 
 namespace ryeglade::lab {
 
-// To be called with the share that is done, 0 to 1; the time counts from now. Null where standard error is no
-// terminal.
+// Returns a function that prints the share that is done (0 to 1, its argument) and the estimated time that is
+// left, counted from now. Returns null if standard error is not a terminal.
 std::function<void(double done)> ProgressLine();
 
 }  // namespace ryeglade::lab
--- a/lab/replay.cpp
+++ b/lab/replay.cpp
@@ -18,15 +18,17 @@
 using nlohmann::json;
 
 constexpr std::uint64_t kSeed = 1;
-constexpr std::size_t kTokens = 32;  // of an answer, at most
-// So many, and so few faults, that no replica is rested for long: what one request meets must not decide on
-// another.
+constexpr std::size_t kTokens = 32;  // length of the longest response
+// With this many replicas and few faults no replica stays ejected for long, so that the fate of one request
+// does not change the outcome of another.
 constexpr std::size_t kReplicas = 8;
-constexpr Time kLongest = 45'000'000;
+constexpr Time kRequestTimeout = 45'000'000;
 constexpr std::array<const char*, 7> kEnds = {"served", "refused", "failed", "rejected",
                                               "broken", "spoilt",  "nothing"};
 
-class Random {  // its own, so that a trace is the same on every machine
+// A random generator that gives the same numbers on every machine, unlike the standard library's
+// distributions.
+class Random {
  public:
   explicit Random(std::uint64_t seed) : seed_(seed) {}
   std::uint64_t Next() {
@@ -51,13 +53,13 @@
       line.cls, line.max_tokens, openai::QuoteJson(line.system), openai::QuoteJson(user));
 }
 
-End Judge(const TraceLine& line, const Reply& reply) {
+End OutcomeOf(const TraceLine& line, const Reply& reply) {
   if (reply.status == 0) return End::kNothing;
   if (reply.status == 429 || reply.status == 503) return End::kRefused;
   if (reply.status >= 400 && reply.status < 500) return End::kRejected;
   if (reply.status != 200) return End::kFailed;
   std::string text;
-  bool done = false, error = false, good = true;
+  bool done = false, error = false, valid = true;
   EventStream events(std::size_t{1024} * 1024);
   events.Feed(reply.body, [&](const EventStream::Event& e) {
     if (!e.has_data) return true;
@@ -67,7 +69,7 @@
     }
     const json chunk = json::parse(e.data, nullptr, false);
     if (!chunk.is_object()) {
-      good = false;
+      valid = false;
       return true;
     }
     error = error || chunk.contains("error");
@@ -76,10 +78,10 @@
     }
     return true;
   });
-  const std::string wanted = Text(PromptKey(BodyOf(line)), kSeed, std::min(kTokens, line.max_tokens));
-  if (!good || !wanted.starts_with(text)) return End::kSpoilt;
+  const std::string expected = Text(PromptKey(BodyOf(line)), kSeed, std::min(kTokens, line.max_tokens));
+  if (!valid || !expected.starts_with(text)) return End::kSpoilt;
   if (!reply.complete || error) return done ? End::kSpoilt : End::kBroken;
-  return done && text == wanted ? End::kServed : End::kSpoilt;
+  return done && text == expected ? End::kServed : End::kSpoilt;
 }
 
 }  // namespace
@@ -161,21 +163,22 @@
       l.max_tokens = j.at("max_tokens").get<std::size_t>();
       l.deadline_ms = j.at("deadline_ms").get<std::int64_t>();
       const auto fault = ParseFault(j.at("fault").get<std::string>());
-      if (!fault) throw std::runtime_error("fault is unknown");
-      if (l.cls != "docs" && l.cls != "agent") throw std::runtime_error("class is neither docs nor agent");
+      if (!fault) throw std::runtime_error("unknown fault");
+      if (l.cls != "docs" && l.cls != "agent")
+        throw std::runtime_error("the class is neither docs nor agent");
       l.fault = *fault;
       trace.push_back(std::move(l));
     } catch (const std::exception& e) {
-      throw std::runtime_error(fmt::format("trace line {}: {}", number, e.what()));
+      throw std::runtime_error(fmt::format("line {} of the trace: {}", number, e.what()));
     }
   }
   return trace;
 }
 
 ReplayResult Replay(const std::vector<TraceLine>& trace, const ReplayOptions& options) {
-  LocalFleetOptions rig_options;
-  rig_options.program = options.program;
-  rig_options.key = "lab";
+  LocalFleetOptions fleet_options;
+  fleet_options.program = options.program;
+  fleet_options.key = "lab";
   FakeReplicaOptions replica;
   replica.dialect = options.dialect;
   replica.seed = kSeed;
@@ -184,8 +187,8 @@
   replica.batch = 256;
   replica.queue = 4096;
   replica.tokens = kTokens;
-  rig_options.replicas.assign(kReplicas, replica);
-  LocalFleet fleet(rig_options);
+  fleet_options.replicas.assign(kReplicas, replica);
+  LocalFleet fleet(fleet_options);
 
   ReplayResult result;
   result.ends.assign(trace.size(), End::kNothing);
@@ -194,23 +197,23 @@
   const Time start = Now();
   for (std::size_t n = 0; n < trace.size(); ++n) {
     fleet.run()->deadlines->Set(start + trace[n].at_ms * 1000, [&, n] {
-      fleet.client().Send(to, RequestOf(trace[n], n, options.openai_front, "lab"), kLongest,
+      fleet.client().Send(to, RequestOf(trace[n], n, options.openai_front, "lab"), kRequestTimeout,
                           [&, n](const Reply& reply) {
-                            result.ends[n] = Judge(trace[n], reply);
+                            result.ends[n] = OutcomeOf(trace[n], reply);
                             ++done;
                           });
     });
   }
-  Time told = start;
+  Time last_progress = start;
   fleet.Until(
       [&] {
-        if (options.progress && Now() - told > 1'000'000) {
-          told = Now();
+        if (options.progress && Now() - last_progress > 1'000'000) {
+          last_progress = Now();
           options.progress(done, trace.size());
         }
         return done == trace.size();
       },
-      static_cast<Time>(trace.empty() ? 0 : trace.back().at_ms) * 1000 + 2 * kLongest);
+      static_cast<Time>(trace.empty() ? 0 : trace.back().at_ms) * 1000 + 2 * kRequestTimeout);
   result.seconds = static_cast<double>(Now() - start) / 1e6;
   for (std::size_t n = 0; n < trace.size(); ++n) {
     result.worth_asked += Worth(trace[n].cls);
@@ -246,7 +249,7 @@
                          Worth(cls) * static_cast<double>(asked));
     }
   }
-  out += fmt::format("attempts {}, two at once {}, {:.1f} s\n", result.attempts, result.overlapping_attempts,
+  out += fmt::format("attempts {}, overlapping {}, {:.1f} s\n", result.attempts, result.overlapping_attempts,
                      result.seconds);
   if (!result.ledger.empty()) out += ledger::FormatTable(result.ledger);
   return out;
--- a/lab/rollout/local_tier.cpp
+++ b/lab/rollout/local_tier.cpp
@@ -101,7 +101,7 @@
       cut_links_(options.nodes, {false, false}) {
   std::signal(SIGPIPE, SIG_IGN);
   std::string name = std::filesystem::temp_directory_path().string() + "/ryeglade-rollout-XXXXXX";
-  if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot make a directory " + name);
+  if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot create the directory " + name);
   root_ = name;
   for (int i = 0; i < kReplicas; ++i) {
     replicas_.push_back(std::make_unique<lab::FakeReplica>(
--- a/lab/soak/run.cpp
+++ b/lab/soak/run.cpp
@@ -499,7 +499,7 @@
     ProcessRun& run = NewestRun(n);
     if (run.ended) return;
     node.other_classes = !node.other_classes;
-    run.process.Write(ConfigOf(node, n, run.management));
+    run.process.WriteConfig(ConfigOf(node, n, run.management));
     run.process.Signal(SIGHUP);
     history_.settings.push_back({n, Now(), CurrentClasses(node)});
     const Process& p = run.record();
--- a/lab/text.h
+++ b/lab/text.h
@@ -1,5 +1,5 @@
-// The text that a stand-in replica answers with: a fixed function of the request's body and a seed, so that a
-// client can tell whether what it got is what a replica made.
+// The text of a fake replica's response. It is a fixed function of the request body and a seed, so that a
+// client can check that it got exactly what the replica sent.
 #pragma once
 
 #include <xxhash.h>
@@ -11,7 +11,7 @@
 
 namespace ryeglade::lab {
 
-// What a prompt is known by: the bytes from its "messages" or "prompt" on, as no router changes these.
+// Identifies a prompt: a hash of the body from "messages" or "prompt" on, which no router changes.
 inline std::uint64_t PromptKey(std::string_view body) {
   std::size_t at = body.find("\"messages\"");
   if (at == std::string_view::npos) at = body.find("\"prompt\"");
@@ -19,7 +19,8 @@
   return XXH3_64bits(body.data() + at, body.size() - at);
 }
 
-// The nth token: a short word with a space ahead, some with letters that take several bytes.
+// Returns the nth token: three syllables, some of them with multi-byte characters, after a space unless n is
+// 0.
 inline std::string Token(std::uint64_t prompt, std::uint64_t seed, std::uint64_t n) {
   static constexpr std::string_view kSyllables[] = {"ga",     "ri", "to", "men",     "sal", "\u00e9",
                                                     "ko",     "ve", "lu", "n\u00f8", "pa",  "shi",
--- a/tests/lab_demo.sh
+++ b/tests/lab_demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The newcomer's way in: one line when it serves, an answer to a plain client, and Ctrl-C ends it all.
+# Tests `ryeglade-lab demo`: it prints one line when it is ready, answers a plain HTTP client, and ends on Ctrl-C.
 set -eu
 lab=$1
 out=$(mktemp)
@@ -10,7 +10,7 @@
 url=$(sed -n 's/^ready base_url=\(http[^ ]*\) key=open-sesame$/\1/p' "$out")
 [ -n "$url" ] || { echo "no ready line: $(cat "$out")"; kill "$pid"; exit 1; }
 body='{"model":"docs-model","messages":[{"role":"user","content":"hello"}],"max_tokens":5}'
-answer=$(curl -sS --max-time 20 -H 'Authorization: Bearer open-sesame' -d "$body" "$url/chat/completions")
-case $answer in *'"finish_reason":"stop"'*) ;; *) echo "answered: $answer"; kill "$pid"; exit 1 ;; esac
+response=$(curl -sS --max-time 20 -H 'Authorization: Bearer open-sesame' -d "$body" "$url/chat/completions")
+case $response in *'"finish_reason":"stop"'*) ;; *) echo "unexpected response: $response"; kill "$pid"; exit 1 ;; esac
 kill -INT "$pid"
 wait "$pid"
