--- a/lab/load/agreement.cpp
+++ b/lab/load/agreement.cpp
@@ -9,34 +9,35 @@
 namespace ryeglade::load {
 namespace {
 
-constexpr std::size_t kMostTokens = 32;
-constexpr Time kAim = 400'000, kDeadline = 5'000'000;
+constexpr std::size_t kMaxTokens = 32;
+constexpr Time kLatencyObjective = 400'000, kDeadline = 5'000'000;
 
-// A request takes its place for its first token and one step for each of the others.
+// A request occupies its slot for the time to the first token and one step per further token, which gives the
+// capacity of the replicas.
 LoadPlan PlanOf(const AgreementOptions& o, double load, double seconds, double step_ms) {
   LoadPlan plan;
-  const double busy_s = step_ms / 1000 * (1 + (1 + static_cast<double>(kMostTokens)) / 2);
+  const double busy_s = step_ms / 1000 * (1 + (1 + static_cast<double>(kMaxTokens)) / 2);
   const double capacity = o.replicas * o.batch / busy_s;
   plan.profile = {{load * capacity, load * capacity, seconds}};
   plan.seed = o.seed;
-  plan.most_tokens = kMostTokens;
+  plan.max_tokens = kMaxTokens;
   LoadClass c;
-  c.latency_objective = kAim;
+  c.latency_objective = kLatencyObjective;
   c.deadline = kDeadline;
-  c.late_worth = 0;  // as the fleet's configuration tells the node
+  c.late_worth = 0;  // as in the node's configuration
   plan.classes = {c};
   return plan;
 }
 
-struct Played {
+struct RealResult {
   Side side;
-  double late_ms = 0, step_ms = 0;  // a token's time, as it really was
+  double late_ms = 0, step_ms = 0;  // measured time per token
 };
 
-Played RealSide(const AgreementOptions& o, const LoadPlan& plan) {
-  lab::LocalFleetOptions ro;
-  ro.program = o.program;
-  ro.key = "lab";
+RealResult RunRealNode(const AgreementOptions& o, const LoadPlan& plan) {
+  lab::LocalFleetOptions fleet_options;
+  fleet_options.program = o.program;
+  fleet_options.key = "lab";
   lab::FakeReplicaOptions r;
   r.dialect = lab::ReplicaDialect::kPlatform;
   r.first_token = static_cast<Time>(o.token_ms * 1000);
@@ -44,61 +45,61 @@
   r.tokens_per_event = 1;
   r.batch = o.batch;
   r.queue = o.queue;
-  r.tokens = kMostTokens;
-  ro.replicas.assign(static_cast<std::size_t>(o.replicas), r);
-  ro.latency_objective_ms = kAim / 1000;
-  ro.deadline_ms = kDeadline / 1000;
-  lab::LocalFleet fleet(ro);
+  r.tokens = kMaxTokens;
+  fleet_options.replicas.assign(static_cast<std::size_t>(o.replicas), r);
+  fleet_options.latency_objective_ms = kLatencyObjective / 1000;
+  fleet_options.deadline_ms = kDeadline / 1000;
+  lab::LocalFleet fleet(fleet_options);
   LoadTarget target;
   target.address = fleet.platform();
   target.openai = false;
   LoadClient client(fleet.run(), plan, target);
   client.Start();
-  Time told = Now();
+  Time reported_at = Now();
   fleet.Until(
       [&] {
-        if (o.progress && Now() - told > 500'000) {
-          told = Now();
-          o.progress(static_cast<double>(client.ended()) / static_cast<double>(client.asked()));
+        if (o.progress && Now() - reported_at > 500'000) {
+          reported_at = Now();
+          o.progress(static_cast<double>(client.ended()) / static_cast<double>(client.scheduled()));
         }
         return client.done();
       },
       static_cast<Time>(plan.profile.front().seconds * 1e6) + 90'000'000);
   const Tally::ByClass& c = client.tally().classes().front();
-  Played played;
-  played.late_ms = lab::QuantileOf(client.tally().late(), 0.99);
-  played.step_ms = c.answering_ms / std::max(1.0, c.tokens);
-  Side& s = played.side;
+  RealResult result;
+  result.late_ms = lab::QuantileOf(client.tally().late(), 0.99);
+  result.step_ms = c.answering_ms / std::max(1.0, c.tokens);
+  Side& s = result.side;
   s.p50_ms = lab::QuantileOf(c.first, 0.5);
   s.p90_ms = lab::QuantileOf(c.first, 0.9);
   s.p99_ms = lab::QuantileOf(c.first, 0.99);
   s.share = c.worth / std::max(1.0, c.worth_asked);
   s.unserved = 1 - static_cast<double>(c.outcomes[0]) / std::max(1.0, static_cast<double>(c.asked));
-  return played;
+  return result;
 }
 
-Side EmulatedSide(const AgreementOptions& o, const LoadPlan& plan, double step_ms) {
-  emulator::ScenarioSpec day;
-  day.seconds = o.seconds;
-  day.warm_up_s = 0;
-  day.seed = o.seed;
-  day.max_attempts = 4;
+Side RunEmulator(const AgreementOptions& o, const LoadPlan& plan, double step_ms) {
+  emulator::ScenarioSpec scenario;
+  scenario.seconds = o.seconds;
+  scenario.warm_up_s = 0;
+  scenario.seed = o.seed;
+  scenario.max_attempts = 4;
   emulator::ClassSpec c;
-  c.latency_objective = kAim;
+  c.latency_objective = kLatencyObjective;
   c.deadline = kDeadline;
   c.worth = plan.classes.front().worth;
   c.late_worth = plan.classes.front().late_worth;
-  c.max_answer = kMostTokens + 1;
-  day.classes = {c};
-  day.clients.max_tries = 1;
-  day.fleet.nodes = 1;
-  day.fleet.replicas = o.replicas;
-  day.fleet.speed_sigma = 0;
-  day.fleet.same_zone_us = 50;
-  day.fleet.client_us = 50;
-  day.fleet.discovery_delay_s = 0.01;
-  day.fleet.connect_timeout = 2;
-  emulator::ReplicaSpec& r = day.fleet.kinds.front().replica;
+  c.max_answer = kMaxTokens + 1;
+  scenario.classes = {c};
+  scenario.clients.max_tries = 1;
+  scenario.fleet.nodes = 1;
+  scenario.fleet.replicas = o.replicas;
+  scenario.fleet.speed_sigma = 0;
+  scenario.fleet.same_zone_us = 50;
+  scenario.fleet.client_us = 50;
+  scenario.fleet.discovery_delay_s = 0.01;
+  scenario.fleet.connect_timeout = 2;
+  emulator::ReplicaSpec& r = scenario.fleet.kinds.front().replica;
   r.base_us = step_ms * 1000;
   r.per_running_us = r.per_context_us = r.per_read_us = 0;
   r.chunk = 1 << 20;
@@ -106,11 +107,11 @@
   r.queue = o.queue;
   r.memory_tokens = 1e9;
   std::vector<emulator::TracedRequest> trace;
-  for (const Due& d : Arrivals(plan)) {
+  for (const ScheduledRequest& d : Arrivals(plan)) {
     emulator::TracedRequest t;
     t.at = d.at;
     t.session = 0x9e3779b97f4a7c15ULL * (trace.size() + 1);
-    t.prefix = 0xc2b2ae3d27d4eb4fULL * (d.beginning + 1);
+    t.prefix = 0xc2b2ae3d27d4eb4fULL * (d.prefix + 1);
     t.prefix_tokens = 110;
     t.prompt = 110 + static_cast<double>(d.prompt_bytes) / 4;
     t.answer = static_cast<double>(d.tokens) + 1;
@@ -118,7 +119,7 @@
   }
   emulator::ScenarioOptions options;
   options.trace = &trace;
-  const emulator::ScenarioResult result = emulator::RunScenario(day, options);
+  const emulator::ScenarioResult result = emulator::RunScenario(scenario, options);
   Side s;
   s.p50_ms = result.Quantile(0.5);
   s.p90_ms = result.Quantile(0.9);
@@ -133,14 +134,14 @@
 
 Agreement MeasureAgreement(const AgreementOptions& o) {
   Agreement a;
-  // What a token's time really is here, timers and scheduling included, by a calm run first.
-  a.step_ms = RealSide(o, PlanOf(o, 0.1, std::min(3.0, o.seconds), o.token_ms)).step_ms;
+  // A first run at low load measures the real time per token, timers and scheduling included.
+  a.step_ms = RunRealNode(o, PlanOf(o, 0.1, std::min(3.0, o.seconds), o.token_ms)).step_ms;
   const LoadPlan plan = PlanOf(o, o.load, o.seconds, a.step_ms);
   a.requests = Arrivals(plan).size();
-  const Played real = RealSide(o, plan);
+  const RealResult real = RunRealNode(o, plan);
   a.real = real.side;
   a.late_ms = real.late_ms;
-  a.emulated = EmulatedSide(o, plan, a.step_ms);
+  a.emulated = RunEmulator(o, plan, a.step_ms);
   return a;
 }
 
--- a/lab/load/agreement.h
+++ b/lab/load/agreement.h
@@ -1,5 +1,5 @@
-// The emulator held against the real node: the same trace through a node as a process with stand-in replicas
-// on loopback, and through the emulator with model replicas of the same speed, batch and queue.
+// Compares the emulator with the real node: the same trace goes through a node process with fake replicas on
+// loopback, and through the emulator with model replicas of the same speed, batch size and queue.
 #pragma once
 
 #include <cstdint>
@@ -9,25 +9,25 @@
 namespace ryeglade::load {
 
 struct AgreementOptions {
-  std::string program;  // the node's
+  std::string program;  // path of the node's program
   int replicas = 4, batch = 4, queue = 8;
-  double token_ms = 5;  // also from a request's turn to its first token
-  double load = 0.8;    // of what the replicas can take
+  double token_ms = 5;  // of a fake replica per token; also from a request's admission to its first token
+  double load = 0.8;    // relative to the capacity of the replicas
   double seconds = 20;
   std::uint64_t seed = 1;
   std::function<void(double done)> progress;
 };
 
 struct Side {
-  double p50_ms = 0, p90_ms = 0, p99_ms = 0;  // first token
-  double share = 0;                           // of the worth asked for
+  double p50_ms = 0, p90_ms = 0, p99_ms = 0;  // time to the first token
+  double share = 0;                           // served worth as a share of the requested worth
   double unserved = 0;                        // share of requests
 };
 struct Agreement {
   std::size_t requests = 0;
   Side real, emulated;
-  double step_ms = 0;  // a token's time at the stand-ins, measured
-  double late_ms = 0;  // p99 of what this tool itself was late with
+  double step_ms = 0;  // measured time per token of the fake replicas
+  double late_ms = 0;  // p99 of how late the load client itself sent requests
 };
 
 Agreement MeasureAgreement(const AgreementOptions& options);
--- a/lab/load/command.cpp
+++ b/lab/load/command.cpp
@@ -19,7 +19,8 @@
 namespace ryeglade::load {
 namespace {
 
-// "docs:0.7" or "agent:0.3:1.5:8:9": name, share, aim and deadline in seconds, worth.
+// Parses a class like "docs:0.7" or "agent:0.3:1.5:8:9": name, share, latency objective and deadline in
+// seconds, worth.
 LoadClass ReadClass(const std::string& text) {
   const std::vector<std::string> parts = lab::SplitAtColons(text);
   LoadClass c;
@@ -33,10 +34,10 @@
       std::size_t used = 0;
       const double v = std::stod(parts[n], &used);
       if (used == parts[n].size() && v >= least && v < 1e6) return v;
-    } catch (const std::exception&) {  // told below
+    } catch (const std::exception&) {  // reported below
     }
     throw std::runtime_error("--class " + text + ": '" + parts[n] +
-                             "' will not do; the form is NAME[:SHARE[:AIM_S[:DEADLINE_S[:WORTH]]]]");
+                             "' is invalid; the form is NAME[:SHARE[:AIM_S[:DEADLINE_S[:WORTH]]]]");
   };
   c.share = number(1, 1e-6, 1);
   c.latency_objective =
@@ -44,20 +45,20 @@
   c.deadline = static_cast<Time>(number(3, 0.001, static_cast<double>(c.deadline) / 1e6) * 1e6);
   c.worth = number(4, 0, c.worth);
   if (c.latency_objective > c.deadline)
-    throw std::runtime_error("--class " + text + ": its aim is later than its deadline");
+    throw std::runtime_error("--class " + text + ": the aim is later than the deadline");
   return c;
 }
 
-// A loop of its own, for a node that somebody else runs.
-struct Loop {
-  Loop() : buffers(std::size_t{256} << 20), deadlines(Init(&loop)), run{&loop, &deadlines, &buffers} {}
-  ~Loop() {
+// An event loop for a node that this program has not started.
+struct EventLoop {
+  EventLoop() : buffers(std::size_t{256} << 20), deadlines(Init(&loop)), run{&loop, &deadlines, &buffers} {}
+  ~EventLoop() {
     deadlines.Close();
     for (int i = 0; i < 100 && uv_loop_alive(&loop) != 0; ++i) uv_run(&loop, UV_RUN_NOWAIT);
     uv_loop_close(&loop);
   }
-  Loop(const Loop&) = delete;
-  Loop& operator=(const Loop&) = delete;
+  EventLoop(const EventLoop&) = delete;
+  EventLoop& operator=(const EventLoop&) = delete;
   static uv_loop_t* Init(uv_loop_t* l) {
     uv_loop_init(l);
     return l;
@@ -72,33 +73,36 @@
 
 Commands::Commands(CLI::App& app) {
   load_ = app.add_subcommand(
-      "load", "drive a node over loopback: open-loop arrivals, latencies from when they were due");
-  load_->add_option("--to", to_, "the node's front, ip:port; else --rig");
-  load_->add_option("--rig", fleet_, "start a node with that many stand-in replicas and drive it")
+      "load",
+      "send load to a node over loopback: open-loop arrivals, latencies counted from the scheduled times");
+  load_->add_option("--to", to_, "ip:port of the node's front; or use --rig");
+  load_->add_option("--rig", fleet_, "start a node with that many fake replicas and send the load to it")
       ->check(CLI::Range(1, 64));
   load_->add_option("--protocol", protocol_)->check(CLI::IsMember({"platform", "openai"}));
   load_->add_option("--profile", profile_,
-                    "RATE:LENGTH or RATE-RATE:LENGTH, more with commas: 50/s-400/s:30s,400/s:1m");
+                    "RATE:LENGTH or RATE-RATE:LENGTH, several separated by commas: 50/s-400/s:30s,400/s:1m");
   load_->add_option("--class", classes_, "NAME[:SHARE[:AIM_S[:DEADLINE_S[:WORTH]]]]; NAME is docs or agent");
-  load_->add_option("--churn", churn_, "share of requests on fresh connections")->check(CLI::Range(0.0, 1.0));
+  load_->add_option("--churn", churn_, "share of requests on new connections")->check(CLI::Range(0.0, 1.0));
   load_
-      ->add_option("--connections", most_connections_, "at once; what is due beyond that is told as not sent")
+      ->add_option("--connections", max_connections_,
+                   "most at the same time; requests beyond that count as not_sent")
       ->check(CLI::Range(1, 20'000));
-  load_->add_option("--key", key_, "that the OpenAI-style front is shown");
+  load_->add_option("--key", key_, "API key for the OpenAI-style front");
   load_->add_option("--seed", seed_);
-  load_->add_option("--out", out_, "a results file, HDF5");
-  load_->add_option("--chart", chart_, "draw it by the second: a name ending in .svg or .png");
+  load_->add_option("--out", out_, "write results to this HDF5 file");
+  load_->add_option("--chart", chart_, "write a chart by second to this file, ending in .svg or .png");
 
-  agree_ = app.add_subcommand("agree",
-                              "the same trace through a real node with stand-ins, and through the emulator");
-  agree_->add_option("--loads", loads_, "of what the replicas can take")
+  agree_ = app.add_subcommand(
+      "agree",
+      "run the same trace through a real node with fake replicas and through the emulator, and compare");
+  agree_->add_option("--loads", loads_, "relative to the capacity of the replicas")
       ->delimiter(',')
       ->check(CLI::Range(0.01, 3.0));
   agree_->add_option("--seconds", seconds_)->check(CLI::Range(1.0, 3600.0));
   agree_->add_option("--seed", seed_);
   agree_->add_option("--bound", bound_,
-                     "exit with 1 where p50 or p99 are further apart than this share, 15 ms aside, or "
-                     "the shares of worth by more than a tenth");
+                     "exit with 1 if p50 or p99 differ by more than this share plus 15 ms, or the shares of "
+                     "worth by more than 0.1");
 }
 
 bool Commands::chosen() const { return load_->parsed() || agree_->parsed(); }
@@ -117,11 +121,11 @@
   LoadTarget target;
   target.openai = protocol_ == "openai";
   target.key = key_;
-  target.most_connections = most_connections_;
+  target.max_connections = max_connections_;
   target.address = to_;
 
   std::unique_ptr<lab::LocalFleet> fleet;
-  std::unique_ptr<Loop> loop;
+  std::unique_ptr<EventLoop> loop;
   if (fleet_ > 0) {
     lab::LocalFleetOptions o;
     o.program = node;
@@ -130,19 +134,19 @@
     fleet = std::make_unique<lab::LocalFleet>(o);
     target.address = target.openai ? fleet->openai() : fleet->platform();
   } else {
-    loop = std::make_unique<Loop>();
+    loop = std::make_unique<EventLoop>();
   }
   const Runtime* run = fleet ? fleet->run() : &loop->run;
   LoadClient client(run, plan, target);
   const auto bar = lab::ProgressLine();
   client.Start();
-  Time told = Now();
+  Time reported_at = Now();
   while (!client.done()) {
     uv_run(run->loop, UV_RUN_ONCE);
-    if (bar && Now() - told > 500'000) {
-      told = Now();
+    if (bar && Now() - reported_at > 500'000) {
+      reported_at = Now();
       bar(static_cast<double>(client.ended()) /
-          static_cast<double>(std::max<std::size_t>(1, client.asked())));
+          static_cast<double>(std::max<std::size_t>(1, client.scheduled())));
     }
   }
   std::fputs(client.tally().Table().c_str(), stdout);
--- a/lab/load/load_client.cpp
+++ b/lab/load/load_client.cpp
@@ -12,9 +12,9 @@
 namespace ryeglade::load {
 namespace {
 
-constexpr Time kMostIdle = 2'000'000;
+constexpr Time kMaxIdleTime = 2'000'000;
 
-bool Loopback(const sockaddr_storage& a) {
+bool IsLoopback(const sockaddr_storage& a) {
   if (a.ss_family == AF_INET)
     return (ntohl(reinterpret_cast<const sockaddr_in&>(a).sin_addr.s_addr) >> 24) == 127;
   return a.ss_family == AF_INET6 && IN6_IS_ADDR_LOOPBACK(&reinterpret_cast<const sockaddr_in6&>(a).sin6_addr);
@@ -23,88 +23,91 @@
 }  // namespace
 
 LoadClient::LoadClient(const Runtime* run, const LoadPlan& plan, const LoadTarget& target)
-    : run_(run), plan_(plan), target_(target), due_(Arrivals(plan)), tally_(plan) {
+    : run_(run), plan_(plan), target_(target), schedule_(Arrivals(plan)), tally_(plan) {
   if (!ParseAddress(target.address, &to_))
-    throw std::runtime_error("'" + target.address + "' is no address; give ip:port, as 127.0.0.1:8080");
-  if (!Loopback(to_))
-    throw std::runtime_error(target.address + " is not on loopback; load goes to 127.0.0.0/8 or [::1] only");
+    throw std::runtime_error("'" + target.address +
+                             "' is not an address; expected ip:port, e.g. 127.0.0.1:8080");
+  if (!IsLoopback(to_))
+    throw std::runtime_error(target.address +
+                             " is not on loopback; load is sent only to 127.0.0.0/8 or [::1]");
 }
 
 LoadClient::~LoadClient() {
-  for (const Handle handle : links_.All()) Drop(handle);
+  for (const Handle handle : connections_.All()) Drop(handle);
   run_->deadlines->Cancel(wake_);
 }
 
 void LoadClient::Start() {
   start_ = Now();
-  Next();
+  SendDue();
 }
 
-// All that is due goes out; then the next one's moment is waited for.
-void LoadClient::Next() {
-  while (next_ < due_.size() && start_ + due_[next_].at <= Now()) Send(next_++);
-  if (next_ < due_.size()) wake_ = run_->deadlines->Set(start_ + due_[next_].at, [this] { Next(); });
+// Sends all requests that are due and sets a timer for the next one.
+void LoadClient::SendDue() {
+  while (next_ < schedule_.size() && start_ + schedule_[next_].at <= Now()) Send(next_++);
+  if (next_ < schedule_.size())
+    wake_ = run_->deadlines->Set(start_ + schedule_[next_].at, [this] { SendDue(); });
 }
 
 void LoadClient::Send(std::size_t n) {
-  if (!due_[n].fresh) {
+  if (!schedule_[n].new_connection) {
     while (!idle_.empty()) {
       const Handle handle = idle_.back();
       idle_.pop_back();
-      const Link* l = links_.Get(handle);
-      if (l == nullptr) continue;
-      // One that has been idle for long may be closed by the node at this very moment.
-      if (Now() - l->idle_since < kMostIdle) return Ask(handle, n);
+      const Connection* c = connections_.Get(handle);
+      if (c == nullptr) continue;
+      // The node may be closing a connection that has been idle for long.
+      if (Now() - c->idle_since < kMaxIdleTime) return SendRequest(handle, n);
       Drop(handle);
     }
   }
-  if (links_.size() >= target_.most_connections) {
-    Answer a;
+  if (connections_.size() >= target_.max_connections) {
+    Response a;
     a.outcome = Outcome::kNotSent;
-    tally_.Take(due_[n], a);
+    tally_.Record(schedule_[n], a);
     ++ended_;
     return;
   }
-  const Handle handle = links_.Add({});
-  Link& l = *links_.Get(handle);
-  l.client = this;
-  l.tcp = Tcp::New(run_->loop, run_->buffers, this, handle);
-  ++connected_;
-  const bool trying = l.tcp->Connect(to_) == 0;
-  Ask(handle, n);
+  const Handle handle = connections_.Add({});
+  Connection& c = *connections_.Get(handle);
+  c.client = this;
+  c.tcp = Tcp::New(run_->loop, run_->buffers, this, handle);
+  ++opened_connections_;
+  const bool trying = c.tcp->Connect(to_) == 0;
+  SendRequest(handle, n);
   if (!trying) Finish(handle);
 }
 
-void LoadClient::Ask(Handle handle, std::size_t n) {
-  Link& l = *links_.Get(handle);
-  const Due& d = due_[n];
+void LoadClient::SendRequest(Handle handle, std::size_t n) {
+  Connection& c = *connections_.Get(handle);
+  const ScheduledRequest& d = schedule_[n];
   const LoadClass& k = plan_.classes[d.cls];
   lab::TraceLine line;
   line.cls = k.name;
-  line.system = "You answer from rule book " + std::to_string(d.beginning) + ". " + std::string(400, 'r');
+  line.system = "You answer from rule book " + std::to_string(d.prefix) + ". " + std::string(400, 'r');
   line.prompt = "Question " + std::to_string(n) + " of " + std::to_string(plan_.seed) + ": " +
                 std::string(d.prompt_bytes, 'q');
   line.max_tokens = d.tokens;
   line.deadline_ms = k.deadline / 1000;
-  l.request = lab::RequestOf(line, n, target_.openai, target_.key);
-  l.due = n;
-  l.answer = {};
-  l.status = 0;
-  l.sse_done = l.error = l.whole = l.retry_after = l.in_retry_after = false;
-  l.events = EventStream(std::size_t{1} << 20);
-  http_parser_init(&l.parser, HTTP_RESPONSE);
-  l.answer.sent = std::max<Time>(1, Now() - start_);
-  l.give_up = run_->deadlines->Set(start_ + d.at + target_.give_up, [this, handle] { Finish(handle); });
-  if (l.connected && !l.tcp->Write(l.request)) Finish(handle);
+  c.request_text = lab::RequestOf(line, n, target_.openai, target_.key);
+  c.request_index = n;
+  c.response = {};
+  c.status = 0;
+  c.stream_done = c.error = c.complete = c.retry_after = c.in_retry_after = false;
+  c.events = EventStream(std::size_t{1} << 20);
+  http_parser_init(&c.parser, HTTP_RESPONSE);
+  c.response.sent = std::max<Time>(1, Now() - start_);
+  c.give_up = run_->deadlines->Set(start_ + d.at + target_.give_up, [this, handle] { Finish(handle); });
+  if (c.connected && !c.tcp->Write(c.request_text)) Finish(handle);
 }
 
 void LoadClient::OnConnected(Handle handle, int status) {
-  Link* l = links_.Get(handle);
-  if (l == nullptr) return;
+  Connection* c = connections_.Get(handle);
+  if (c == nullptr) return;
   if (status != 0) return Finish(handle);
-  l->connected = true;
-  l->tcp->StartReading();
-  if (!l->tcp->Write(l->request)) Finish(handle);
+  c->connected = true;
+  c->tcp->StartReading();
+  if (!c->tcp->Write(c->request_text)) Finish(handle);
 }
 
 const http_parser_settings& LoadClient::Callbacks() {
@@ -112,36 +115,36 @@
     http_parser_settings s;
     http_parser_settings_init(&s);
     s.on_header_field = [](http_parser* p, const char* at, std::size_t n) {
-      Link& l = *static_cast<Link*>(p->data);
-      l.in_retry_after = n == 11 && strncasecmp(at, "retry-after", n) == 0;
+      Connection& c = *static_cast<Connection*>(p->data);
+      c.in_retry_after = n == 11 && strncasecmp(at, "retry-after", n) == 0;
       return 0;
     };
     s.on_header_value = [](http_parser* p, const char*, std::size_t n) {
-      Link& l = *static_cast<Link*>(p->data);
-      l.retry_after = l.retry_after || (l.in_retry_after && n > 0);
+      Connection& c = *static_cast<Connection*>(p->data);
+      c.retry_after = c.retry_after || (c.in_retry_after && n > 0);
       return 0;
     };
     s.on_headers_complete = [](http_parser* p) {
-      static_cast<Link*>(p->data)->status = p->status_code;
+      static_cast<Connection*>(p->data)->status = p->status_code;
       return 0;
     };
     s.on_body = [](http_parser* p, const char* at, std::size_t n) {
-      Link& l = *static_cast<Link*>(p->data);
-      if (l.status != 200) return 0;
-      const bool good = l.events.Feed({at, n}, [&](const EventStream::Event& e) {
+      Connection& c = *static_cast<Connection*>(p->data);
+      if (c.status != 200) return 0;
+      const bool good = c.events.Feed({at, n}, [&](const EventStream::Event& e) {
         if (!e.has_data) return true;
-        if (l.answer.first == 0) l.answer.first = std::max<Time>(1, Now() - l.client->start_);
+        if (c.response.first == 0) c.response.first = std::max<Time>(1, Now() - c.client->start_);
         if (e.data == "[DONE]") {
-          l.sse_done = true;
+          c.stream_done = true;
         } else if (e.data.starts_with("{\"error\"")) {
-          l.error = true;
+          c.error = true;
         }
         return true;
       });
       return good ? 0 : 1;
     };
     s.on_message_complete = [](http_parser* p) {
-      static_cast<Link*>(p->data)->whole = true;
+      static_cast<Connection*>(p->data)->complete = true;
       http_parser_pause(p, 1);
       return 0;
     };
@@ -151,50 +154,52 @@
 }
 
 void LoadClient::OnRead(Handle handle, std::string_view bytes) {
-  Link* l = links_.Get(handle);
-  if (l == nullptr) return;
-  if (l->due == kNobody) return Drop(handle);  // nobody asked
-  l->parser.data = l;
-  http_parser_execute(&l->parser, &Callbacks(), bytes.data(), bytes.size());
-  if (l->whole || HTTP_PARSER_ERRNO(&l->parser) != HPE_OK) Finish(handle);
+  Connection* c = connections_.Get(handle);
+  if (c == nullptr) return;
+  if (c->request_index == kIdle) return Drop(handle);  // data without a request
+  c->parser.data = c;
+  http_parser_execute(&c->parser, &Callbacks(), bytes.data(), bytes.size());
+  if (c->complete || HTTP_PARSER_ERRNO(&c->parser) != HPE_OK) Finish(handle);
 }
 
 void LoadClient::OnDisconnected(Handle handle) { Finish(handle); }
 
 void LoadClient::Finish(Handle handle) {
-  Link* l = links_.Get(handle);
-  if (l == nullptr) return;
-  if (l->due == kNobody) return Drop(handle);
-  Answer a = l->answer;
+  Connection* c = connections_.Get(handle);
+  if (c == nullptr) return;
+  if (c->request_index == kIdle) return Drop(handle);
+  Response a = c->response;
   a.ended = std::max<Time>(1, Now() - start_);
-  a.retry_after = l->retry_after;
-  if (l->status == 0) {
+  a.retry_after = c->retry_after;
+  if (c->status == 0) {
     a.outcome = Outcome::kNothing;
-  } else if (l->status == 429 || l->status == 503) {
+  } else if (c->status == 429 || c->status == 503) {
     a.outcome = Outcome::kRefused;
-  } else if (l->status >= 400 && l->status < 500) {
+  } else if (c->status >= 400 && c->status < 500) {
     a.outcome = Outcome::kRejected;
-  } else if (l->status != 200) {
+  } else if (c->status != 200) {
     a.outcome = Outcome::kFailed;
   } else {
-    a.outcome = l->whole && l->sse_done && !l->error && a.first > 0 ? Outcome::kServed : Outcome::kBroken;
+    a.outcome =
+        c->complete && c->stream_done && !c->error && a.first > 0 ? Outcome::kServed : Outcome::kBroken;
   }
-  run_->deadlines->Cancel(l->give_up);
-  const std::size_t n = l->due;
-  const bool keep = l->whole && l->connected && !due_[n].fresh && http_should_keep_alive(&l->parser) != 0;
-  tally_.Take(due_[n], a);
+  run_->deadlines->Cancel(c->give_up);
+  const std::size_t n = c->request_index;
+  const bool keep =
+      c->complete && c->connected && !schedule_[n].new_connection && http_should_keep_alive(&c->parser) != 0;
+  tally_.Record(schedule_[n], a);
   ++ended_;
   if (!keep) return Drop(handle);
-  l->due = kNobody;
-  l->idle_since = Now();
+  c->request_index = kIdle;
+  c->idle_since = Now();
   idle_.push_back(handle);
 }
 
 void LoadClient::Drop(Handle handle) {
-  Link* l = links_.Get(handle);
-  run_->deadlines->Cancel(l->give_up);
-  l->tcp->Close();
-  links_.Remove(handle);
+  Connection* c = connections_.Get(handle);
+  run_->deadlines->Cancel(c->give_up);
+  c->tcp->Close();
+  connections_.Remove(handle);
 }
 
 }  // namespace ryeglade::load
--- a/lab/load/load_client.h
+++ b/lab/load/load_client.h
@@ -1,4 +1,5 @@
-// Sends what is due over loopback and reads the answers, on kept and on fresh connections.
+// Sends the requests of a plan over loopback at their scheduled times and reads the answers, on reused and on
+// new connections.
 #pragma once
 
 #include <http_parser.h>
@@ -15,65 +16,68 @@
 namespace ryeglade::load {
 
 struct LoadTarget {
-  std::string address;  // ip:port; only loopback is taken
-  bool openai = true;   // which front it is
+  std::string address;  // ip:port; must be on loopback
+  bool openai = true;   // the OpenAI-style front; false: the platform's
   std::string key = "lab";
-  std::size_t most_connections = 2000;
-  Time give_up = 60'000'000;  // after the request was due
+  std::size_t max_connections = 2000;
+  Time give_up = 60'000'000;  // after the scheduled time of a request
 };
 
 class LoadClient : public TcpOwner {
  public:
-  // Throws std::runtime_error for an address that is none, or not on loopback.
+  // Throws std::runtime_error if the address is invalid or not on loopback.
   LoadClient(const Runtime* run, const LoadPlan& plan, const LoadTarget& target);
   ~LoadClient() override;
   LoadClient(const LoadClient&) = delete;
   LoadClient& operator=(const LoadClient&) = delete;
-  void Start();                        // must end, or time out, before this goes
-  void Halt() { due_.resize(next_); }  // nothing more is sent; what is out is waited for as before
-  bool done() const { return ended_ == due_.size(); }
+  // done() must be true before the object is destroyed.
+  void Start();
+  // Sends no more requests. Those already sent are still waited for.
+  void Halt() { schedule_.resize(next_); }
+  bool done() const { return ended_ == schedule_.size(); }
   std::size_t ended() const { return ended_; }
-  std::size_t asked() const { return due_.size(); }
+  std::size_t scheduled() const { return schedule_.size(); }
   const Tally& tally() const { return tally_; }
-  std::size_t connections() const { return connected_; }  // opened in all
+  std::size_t connections() const { return opened_connections_; }  // opened in total
 
-  void OnConnected(Handle link, int status) override;
-  void OnRead(Handle link, std::string_view bytes) override;
-  void OnDisconnected(Handle link) override;
+  void OnConnected(Handle connection, int status) override;
+  void OnRead(Handle connection, std::string_view bytes) override;
+  void OnDisconnected(Handle connection) override;
 
  private:
-  static constexpr std::size_t kNobody = SIZE_MAX;
-  struct Link {
+  static constexpr std::size_t kIdle = SIZE_MAX;
+  struct Connection {
     Tcp* tcp = nullptr;
     http_parser parser{};
     LoadClient* client = nullptr;
-    std::size_t due = kNobody;  // whose answer it waits for; kNobody: kept, idle
+    std::size_t request_index = kIdle;  // in `schedule_`; kIdle: kept open without a request
     Time idle_since = 0;
     bool connected = false;
-    std::string request;
-    Answer answer;
+    std::string request_text;
+    Response response;
     int status = 0;
-    bool sse_done = false, error = false, whole = false, retry_after = false, in_retry_after = false;
+    bool stream_done = false, error = false, complete = false, retry_after = false, in_retry_after = false;
     EventStream events{std::size_t{1} << 20};
     DeadlineId give_up{};
   };
 
-  void Next();
+  void SendDue();
   void Send(std::size_t n);
-  void Ask(Handle link, std::size_t n);
-  void Finish(Handle link);  // its answer is judged; the connection is kept or closed
-  void Drop(Handle link);
+  void SendRequest(Handle connection, std::size_t n);
+  // Records the outcome of the connection's request, and keeps the connection or closes it.
+  void Finish(Handle connection);
+  void Drop(Handle connection);
   static const http_parser_settings& Callbacks();
 
   const Runtime* run_;
   LoadPlan plan_;
   LoadTarget target_;
   sockaddr_storage to_{};
-  std::vector<Due> due_;
+  std::vector<ScheduledRequest> schedule_;
   Tally tally_;
-  SlotTable<Link> links_;
+  SlotTable<Connection> connections_;
   std::vector<Handle> idle_;
-  std::size_t next_ = 0, ended_ = 0, connected_ = 0;
+  std::size_t next_ = 0, ended_ = 0, opened_connections_ = 0;
   Time start_ = 0;
   DeadlineId wake_{};
 };
--- a/lab/load/load_model.cpp
+++ b/lab/load/load_model.cpp
@@ -13,25 +13,27 @@
 namespace ryeglade::load {
 namespace {
 
-constexpr double kMostRate = 200'000, kMostSeconds = 86'400, kMostArrivals = 20e6;
+constexpr double kMaxRate = 200'000;  // requests per second
+constexpr double kMaxSeconds = 86'400, kMaxArrivals = 20e6;
 
-[[noreturn]] void BadProfile(const std::string& text, const std::string& what) {
-  throw std::runtime_error(
-      "profile '" + text + "': " + what +
-      "; give RATE:LENGTH or RATE-RATE:LENGTH, more with commas, as 50/s-400/s:30s,400/s:1m");
+[[noreturn]] void FailProfile(const std::string& text, const std::string& what) {
+  throw std::runtime_error("profile '" + text + "': " + what +
+                           "; expected RATE:LENGTH or RATE-RATE:LENGTH, several separated by commas, e.g. "
+                           "50/s-400/s:30s,400/s:1m");
 }
 
-// "400/s" or "30s", by the units given.
-double Take(const std::string& whole, std::string_view text,
-            std::initializer_list<std::pair<const char*, double>> units, const char* what) {
+// Parses a number with one of the given units, such as "400/s" or "30s", and returns it times the unit's
+// factor.
+double ParseQuantity(const std::string& whole, std::string_view text,
+                     std::initializer_list<std::pair<const char*, double>> units, const char* what) {
   double v = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), v);
-  if (error != std::errc() || v < 0) BadProfile(whole, fmt::format("'{}' is no {}", text, what));
+  if (error != std::errc() || v < 0) FailProfile(whole, fmt::format("'{}' is not a valid {}", text, what));
   const std::string_view unit(end, static_cast<std::size_t>(text.data() + text.size() - end));
   for (const auto& [name, factor] : units) {
     if (unit == name) return v * factor;
   }
-  BadProfile(whole, fmt::format("'{}' has no unit of a {}", text, what));
+  FailProfile(whole, fmt::format("'{}' has no unit of a {}", text, what));
 }
 
 }  // namespace
@@ -44,36 +46,36 @@
     const std::string_view part(text.data() + from, comma - from);
     from = comma + 1;
     const std::size_t colon = part.find(':');
-    if (colon == std::string_view::npos) BadProfile(text, fmt::format("'{}' has no length", part));
+    if (colon == std::string_view::npos) FailProfile(text, fmt::format("'{}' has no length", part));
     const std::string_view rates = part.substr(0, colon);
     const std::size_t dash = rates.find('-');
     const auto rate = [&](std::string_view r) {
-      return Take(text, r, {{"/s", 1}, {"/m", 1 / 60.0}}, "rate");
+      return ParseQuantity(text, r, {{"/s", 1}, {"/m", 1 / 60.0}}, "rate");
     };
     Phase p;
     p.from = rate(rates.substr(0, dash));
     p.to = dash == std::string_view::npos ? p.from : rate(rates.substr(dash + 1));
-    p.seconds =
-        Take(text, part.substr(colon + 1), {{"ms", 1e-3}, {"s", 1}, {"m", 60}, {"h", 3600}}, "length");
-    if (p.seconds <= 0 || p.seconds > kMostSeconds)
-      BadProfile(text, "a length must be over 0 and at most a day");
-    if (std::max(p.from, p.to) > kMostRate) BadProfile(text, fmt::format("a rate is over {}/s", kMostRate));
+    p.seconds = ParseQuantity(text, part.substr(colon + 1), {{"ms", 1e-3}, {"s", 1}, {"m", 60}, {"h", 3600}},
+                              "length");
+    if (p.seconds <= 0 || p.seconds > kMaxSeconds)
+      FailProfile(text, "a length must be over 0 and at most a day");
+    if (std::max(p.from, p.to) > kMaxRate) FailProfile(text, fmt::format("a rate is over {}/s", kMaxRate));
     all += (p.from + p.to) / 2 * p.seconds;
     phases.push_back(p);
   }
-  if (all > kMostArrivals)
-    BadProfile(text, fmt::format("that is {:.0f} requests, over {:.0f}", all, kMostArrivals));
+  if (all > kMaxArrivals)
+    FailProfile(text, fmt::format("the profile makes {:.0f} requests, over {:.0f}", all, kMaxArrivals));
   return phases;
 }
 
-std::vector<Due> Arrivals(const LoadPlan& plan) {
+std::vector<ScheduledRequest> Arrivals(const LoadPlan& plan) {
   using emulator::RandomPurpose;
   using emulator::RandomStream;
   RandomStream arrivals(plan.seed, RandomPurpose::kArrivals), sizes(plan.seed, RandomPurpose::kSizes),
       sessions(plan.seed, RandomPurpose::kSessions), connections(plan.seed, RandomPurpose::kNetwork);
   double shares = 0;
   for (const LoadClass& c : plan.classes) shares += c.share;
-  std::vector<Due> all;
+  std::vector<ScheduledRequest> all;
   double begin = 0;
   for (const Phase& p : plan.profile) {
     const double most = std::max(p.from, p.to);
@@ -81,15 +83,15 @@
       t += arrivals.Exponential(1 / most);
       if (t >= p.seconds) break;
       if (arrivals.Unit() * most >= p.from + (p.to - p.from) * t / p.seconds) continue;
-      Due d;
+      ScheduledRequest d;
       d.at = static_cast<Time>((begin + t) * 1e6);
       double u = sizes.Unit() * shares;
       while (d.cls + 1 < plan.classes.size() && u >= plan.classes[d.cls].share)
         u -= plan.classes[d.cls++].share;
       d.prompt_bytes = static_cast<std::size_t>(std::min(20'000.0, sizes.Lognormal(250, 0.8)));
-      d.tokens = 1 + sizes.Below(plan.most_tokens);
-      d.beginning = sessions.Zipf(16, 1);
-      d.fresh = connections.Chance(plan.churn);
+      d.tokens = 1 + sizes.Below(plan.max_tokens);
+      d.prefix = sessions.Zipf(16, 1);
+      d.new_connection = connections.Chance(plan.churn);
       all.push_back(d);
     }
     begin += p.seconds;
@@ -105,16 +107,16 @@
 
 Tally::Tally(const LoadPlan& plan) : plan_(plan), classes_(plan.classes.size()) {}
 
-void Tally::Take(const Due& due, const Answer& a) {
-  const LoadClass& k = plan_.classes[due.cls];
-  ByClass& c = classes_[due.cls];
-  Second& s = seconds_[due.at / 1'000'000];
+void Tally::Record(const ScheduledRequest& request, const Response& a) {
+  const LoadClass& k = plan_.classes[request.cls];
+  ByClass& c = classes_[request.cls];
+  Second& s = seconds_[request.at / 1'000'000];
   const auto ms = [](Time t) { return static_cast<double>(t) / 1000; };
   ++c.asked;
   ++s.asked;
   ++c.outcomes[static_cast<std::size_t>(a.outcome)];
   c.worth_asked += k.worth;
-  if (a.sent > 0) late_(ms(std::max<Time>(0, a.sent - due.at)));
+  if (a.sent > 0) late_(ms(std::max<Time>(0, a.sent - request.at)));
   if (a.outcome == Outcome::kRefused) {
     ++s.refused;
     c.with_retry_after += a.retry_after ? 1 : 0;
@@ -122,11 +124,11 @@
     ++s.other;
   }
   if (a.outcome != Outcome::kServed) return;
-  const Time first = a.first - due.at;
+  const Time first = a.first - request.at;
   c.first(ms(first));
   s.first(ms(first));
-  c.whole(ms(a.ended - due.at));
-  c.tokens += static_cast<double>(due.tokens);
+  c.total(ms(a.ended - request.at));
+  c.tokens += static_cast<double>(request.tokens);
   c.answering_ms += ms(a.ended - a.first);
   ++s.served;
   if (first <= k.latency_objective) ++c.in_time;
@@ -146,7 +148,7 @@
     out += fmt::format(
         " {:>8} {:>9.1f} {:>9.1f} | {:>16} {:>8.2f} {:>8.2f} {:>8.2f} | {:>6} {:>8.2f} {:>8.2f}\n", c.in_time,
         c.worth, c.worth_asked, "", lab::QuantileOf(c.first, 0.5), lab::QuantileOf(c.first, 0.9),
-        lab::QuantileOf(c.first, 0.99), "", lab::QuantileOf(c.whole, 0.5), lab::QuantileOf(c.whole, 0.99));
+        lab::QuantileOf(c.first, 0.99), "", lab::QuantileOf(c.total, 0.5), lab::QuantileOf(c.total, 0.99));
   }
   const double late = lab::QuantileOf(late_, 0.99);
   out += fmt::format(
@@ -170,16 +172,16 @@
   for (std::size_t n = 0; n < classes_.size(); ++n) {
     const ByClass& c = classes_[n];
     std::size_t at = 0;
-    const auto whole = [&](std::uint64_t v) {
+    const auto add_integer = [&](std::uint64_t v) {
       std::get<Integers>(classes.columns[at++].values).push_back(static_cast<std::int64_t>(v));
     };
     std::get<Strings>(classes.columns[at++].values).push_back(plan_.classes[n].name);
-    whole(c.asked);
-    whole(c.in_time);
-    for (const std::uint64_t v : c.outcomes) whole(v);
+    add_integer(c.asked);
+    add_integer(c.in_time);
+    for (const std::uint64_t v : c.outcomes) add_integer(v);
     for (const double v : {c.worth, c.worth_asked})
       std::get<Numbers>(classes.columns[at++].values).push_back(v);
-    for (const auto& [what, h] : {std::pair{"first_token", &c.first}, std::pair{"whole", &c.whole}}) {
+    for (const auto& [what, h] : {std::pair{"first_token", &c.first}, std::pair{"whole", &c.total}}) {
       for (const auto& bin : boost::histogram::indexed(*h, boost::histogram::coverage::all)) {
         if (*bin > 0) bins.Add(plan_.classes[n].name, what, std::max(0.0, bin.bin().lower()), double{*bin});
       }
