--- a/lab/experiment/command.cpp
+++ b/lab/experiment/command.cpp
@@ -28,11 +28,11 @@
 
 volatile sig_atomic_t interrupted = 0;
 
-void WatchSignals() {
+void CatchSignals() {
   for (const int number : {SIGINT, SIGTERM}) {
     struct sigaction act {};
     act.sa_handler = [](int) { interrupted = 1; };
-    act.sa_flags = static_cast<int>(SA_RESETHAND);  // the second time it ends at once
+    act.sa_flags = static_cast<int>(SA_RESETHAND);  // a second signal ends the program at once
     sigaction(number, &act, nullptr);
   }
 }
@@ -54,7 +54,7 @@
   return all;
 }
 
-std::uint64_t Broken(const emulator::RuleViolations& b, const std::string& rule) {
+std::uint64_t ViolationsOf(const emulator::RuleViolations& b, const std::string& rule) {
   if (rule == "any") return b.all();
   for (const auto& [name, count] : Rules()) {
     if (name == rule) return b.*count;
@@ -65,50 +65,51 @@
 }  // namespace
 
 Commands::Commands(CLI::App& app) {
-  run_ = app.add_subcommand("run", "play the days of an experiment file, over cores, into a results file");
+  run_ = app.add_subcommand("run",
+                            "run the simulations of an experiment file in parallel and write a results file");
   run_->add_option("file", file_, "the experiment, TOML")->required();
-  run_->add_option("--out", out_, "the results; else the experiment's name with .h5");
-  run_->add_option("--workers", workers_, "days at once; 0: as many as there are cores")
+  run_->add_option("--out", out_, "the results file; default: the experiment's name with .h5");
+  run_->add_option("--workers", workers_, "simulations in parallel; 0: one for each core")
       ->check(CLI::Range(0, 256));
-  run_->add_flag("--anew", anew_, "play all days again, also those that the results have");
+  run_->add_flag("--anew", rerun_, "run all simulations again, also those that the results file has");
 
-  report_ = app.add_subcommand("report", "tables and pictures of a results file, as Markdown");
+  report_ = app.add_subcommand("report", "write tables and charts of a results file as Markdown");
   report_->add_option("results", file_)->required();
-  report_->add_option("--out", out_, "the directory; else the experiment's name");
-  report_->add_flag("--png", png_, "pictures as PNG; else SVG");
+  report_->add_option("--out", out_, "the directory; default: the experiment's name");
+  report_->add_flag("--png", png_, "charts as PNG instead of SVG");
 
-  shrink_ = app.add_subcommand("shrink", "a smaller day that still goes wrong");
+  shrink_ = app.add_subcommand("shrink", "find a smaller scenario that still fails in the same way");
   shrink_->add_option("file", file_, "the experiment, TOML")->required();
-  shrink_->add_option("--out", out_, "the smaller day, as an experiment of its own")->required();
-  shrink_->add_option("--cell", cell_, "which combination of the sweep, from 0");
-  shrink_->add_option("--policy", policy_, "else the first one");
-  shrink_->add_option("--seed", seed_, "else the first one");
+  shrink_->add_option("--out", out_, "the smaller scenario, as an experiment file")->required();
+  shrink_->add_option("--cell", cell_, "index of the combination in the sweep, from 0");
+  shrink_->add_option("--policy", policy_, "default: the first one");
+  shrink_->add_option("--seed", seed_, "default: the first one");
   std::vector<std::string> rules{"any"};
   for (const auto& [name, count] : Rules()) rules.push_back(name);
-  auto* breaks = shrink_->add_option("--breaks", breaks_, "it goes wrong by breaking this rule")
+  auto* breaks = shrink_->add_option("--breaks", rule_, "the failure is a violation of this rule")
                      ->check(CLI::IsMember(rules));
-  shrink_->add_option("--behind", behind_, "it goes wrong by falling behind this policy in share of worth")
+  shrink_->add_option("--behind", baseline_, "the failure is a lower share of worth than with this policy")
       ->check(CLI::IsMember(emulator::PolicyNames()))
       ->excludes(breaks);
-  shrink_->add_option("--by", by_, "by at least that much")->check(CLI::Range(0.0, 1.0));
-  shrink_->add_option("--plays", plays_, "days played at most")->check(CLI::Range(1, 1'000'000));
+  shrink_->add_option("--by", margin_, "with --behind: by at least that much")->check(CLI::Range(0.0, 1.0));
+  shrink_->add_option("--plays", max_runs_, "most simulations to run")->check(CLI::Range(1, 1'000'000));
 }
 
 bool Commands::chosen() const { return run_->parsed() || report_->parsed() || shrink_->parsed(); }
 
 int Commands::Run() {
-  if (run_->parsed()) return RunRun();
+  if (run_->parsed()) return RunExperimentFile();
   if (report_->parsed()) return RunReport();
   return RunShrink();
 }
 
-int Commands::RunRun() {
+int Commands::RunExperimentFile() {
   const Experiment e = ReadExperiment(file_);
   RunOptions o;
   o.out = out_.empty() ? e.name + ".h5" : out_;
   o.workers = workers_ > 0 ? workers_ : static_cast<int>(std::max(1U, std::thread::hardware_concurrency()));
-  o.rerun = anew_;
-  WatchSignals();
+  o.rerun = rerun_;
+  CatchSignals();
   o.stop = [] { return interrupted != 0; };
   if (const auto bar = lab::ProgressLine()) {
     o.progress = [bar](std::size_t done, std::size_t of) {
@@ -116,12 +117,13 @@
     };
   }
   const RunOutcome r = RunExperiment(e, o);
-  std::printf("%s: %zu days played, %zu found, %zu left; rules broken: %llu\n", o.out.c_str(), r.played,
-              r.found, r.left, static_cast<unsigned long long>(r.violations));
-  if (r.not_saved > 0)
-    std::printf("the file could not be saved %zu times on the way: %s\n", r.not_saved, r.why_not.c_str());
+  std::printf("%s: %zu simulations run, %zu found in the file, %zu left; rule violations: %llu\n",
+              o.out.c_str(), r.completed, r.found, r.left, static_cast<unsigned long long>(r.violations));
+  if (r.failed_saves > 0)
+    std::printf("the file could not be saved %zu times during the run: %s\n", r.failed_saves,
+                r.save_error.c_str());
   if (r.left > 0) {
-    std::printf("run it again to go on\n");
+    std::printf("interrupted; run the same command again to continue\n");
     return 130;
   }
   return r.violations == 0 ? 0 : 1;
@@ -131,57 +133,57 @@
   const Results r = ReadResults(file_);
   const std::string dir = out_.empty() ? r.experiment.name : out_;
   std::filesystem::create_directories(dir);
-  std::vector<std::string> pictures;
-  for (const auto& [file, script] : ReportPictures(r, dir + "/" + r.experiment.name, png_ ? "png" : "svg")) {
+  std::vector<std::string> charts;
+  for (const auto& [file, script] : ReportCharts(r, dir + "/" + r.experiment.name, png_ ? "png" : "svg")) {
     RunGnuplot(script);
-    pictures.push_back(std::filesystem::path(file).filename().string());
+    charts.push_back(std::filesystem::path(file).filename().string());
   }
-  WriteText(dir + "/report.md", ReportMarkdown(r, pictures));
-  std::printf("%s/report.md, %zu pictures\n", dir.c_str(), pictures.size());
+  WriteText(dir + "/report.md", ReportMarkdown(r, charts));
+  std::printf("%s/report.md, %zu charts\n", dir.c_str(), charts.size());
   return 0;
 }
 
 int Commands::RunShrink() {
   const Experiment e = ReadExperiment(file_);
-  if (breaks_.empty() && behind_.empty())
-    throw std::runtime_error("say what is wrong: --breaks RULE, or --behind POLICY");
+  if (rule_.empty() && baseline_.empty())
+    throw std::runtime_error("shrink: give --breaks RULE or --behind POLICY");
   if (cell_ >= e.cells.size())
     throw std::runtime_error(
         fmt::format("--cell {}: the sweep has cells 0 to {}", cell_, e.cells.size() - 1));
-  ScenarioSpec day = e.cells[cell_].day;
-  day.policy = policy_.empty() ? e.policies.front() : policy_;
-  day.seed = seed_ == 0 ? e.first_seed : seed_;
-  WatchSignals();
+  ScenarioSpec scenario = e.cells[cell_].scenario;
+  scenario.policy = policy_.empty() ? e.policies.front() : policy_;
+  scenario.seed = seed_ == 0 ? e.first_seed : seed_;
+  CatchSignals();
   emulator::ScenarioOptions options;
   options.stop = [] { return interrupted != 0; };
-  const auto wrong = [&](const ScenarioSpec& d) {
+  const auto fails = [&](const ScenarioSpec& d) {
     const ScenarioResult r = emulator::RunScenario(d, options);
-    if (!breaks_.empty()) return Broken(r.violations, breaks_) > 0;
-    if (r.requests < 20) return false;  // too few to say anything by
+    if (!rule_.empty()) return ViolationsOf(r.violations, rule_) > 0;
+    if (r.requests < 20) return false;  // too few for a comparison
     ScenarioSpec other = d;
-    other.policy = behind_;
-    return emulator::RunScenario(other, options).Share() - r.Share() >= by_;
+    other.policy = baseline_;
+    return emulator::RunScenario(other, options).Share() - r.Share() >= margin_;
   };
   ShrinkOptions so;
-  so.max_runs = plays_;
+  so.max_runs = max_runs_;
   if (const auto bar = lab::ProgressLine())
     so.progress = [&, bar](std::size_t n, double) {
-      bar(static_cast<double>(n) / static_cast<double>(plays_));
+      bar(static_cast<double>(n) / static_cast<double>(max_runs_));
     };
   ShrinkResult s;
   try {
-    s = Shrink(day, wrong, so);
+    s = Shrink(scenario, fails, so);
   } catch (const emulator::SimulationStopped&) {
     throw std::runtime_error("interrupted; nothing was written");
   }
-  const std::string what = breaks_.empty()
-                               ? fmt::format("{} is behind {} by {} or more", s.day.policy, behind_, by_)
-                               : s.day.policy + " breaks the rule " + breaks_;
-  WriteText(out_, "# A day on which " + what + "; shrunk from " +
+  const std::string what =
+      rule_.empty() ? fmt::format("{} is behind {} by {} or more", s.scenario.policy, baseline_, margin_)
+                    : s.scenario.policy + " breaks the rule " + rule_;
+  WriteText(out_, "# A scenario in which " + what + "; shrunk from " +
                       std::filesystem::path(file_).filename().string() + ".\n" +
-                      WriteExperiment(std::filesystem::path(out_).stem().string(), what, s.day));
-  std::printf("%s: size %.0f to %.0f in %zu plays%s\n", out_.c_str(), s.size_before, s.size, s.plays,
-              s.done ? "" : ", and more may be had with more --plays");
+                      WriteExperiment(std::filesystem::path(out_).stem().string(), what, s.scenario));
+  std::printf("%s: size reduced from %.0f to %.0f in %zu simulations%s\n", out_.c_str(), s.size_before,
+              s.size, s.runs, s.done ? "" : "; may be reduced further with a higher --plays");
   return 0;
 }
 
--- a/lab/experiment/measures.cpp
+++ b/lab/experiment/measures.cpp
@@ -88,7 +88,7 @@
   }
   std::string all;
   for (const std::string& n : MeasureNames()) all += (all.empty() ? "" : ", ") + n;
-  throw std::runtime_error("there is no measure '" + name + "'; there are " + all);
+  throw std::runtime_error("unknown measure '" + name + "'; the measures are " + all);
 }
 
 }  // namespace ryeglade::experiment
--- a/lab/experiment/report.cpp
+++ b/lab/experiment/report.cpp
@@ -19,32 +19,32 @@
 using emulator::Interval;
 using emulator::IntervalOf;
 
-constexpr std::size_t kMostPictures = 12;
+constexpr std::size_t kMaxCharts = 12;
 
-std::vector<double> Played(const std::vector<double>& by_seed) {
+std::vector<double> WithoutNaN(const std::vector<double>& by_seed) {
   std::vector<double> out;
   std::copy_if(by_seed.begin(), by_seed.end(), std::back_inserter(out),
                [](double v) { return !std::isnan(v); });
   return out;
 }
 
-std::string Shown(const Interval& i, int digits, bool with_sign) {
+std::string FormatInterval(const Interval& i, int digits, bool with_sign) {
   return with_sign ? fmt::format("{:+.{}f} ± {:.{}f}", i.mean, digits, i.half, digits)
                    : fmt::format("{:.{}f} ± {:.{}f}", i.mean, digits, i.half, digits);
 }
 
-const char* Verdict(double difference, int better, bool stands) {
-  if (!stands) return "noise";
+const char* Verdict(double difference, int better, bool significant) {
+  if (!significant) return "noise";
   if (better == 0) return "differs";
   return (difference > 0) == (better > 0) ? "better" : "worse";
 }
 
-// Combinations of the values of all axes but `but`, as the cells that have them, in the order of that axis.
-std::vector<std::vector<std::size_t>> Lines(const Experiment& e, std::size_t but) {
+// Groups the cells by the values of all axes except `excluded`; each group is ordered by that axis.
+std::vector<std::vector<std::size_t>> CellsAlong(const Experiment& e, std::size_t excluded) {
   std::map<std::vector<std::size_t>, std::vector<std::size_t>> by;
   for (std::size_t c = 0; c < e.cells.size(); ++c) {
     std::vector<std::size_t> others = e.cells[c].at;
-    if (but < others.size()) others.erase(others.begin() + static_cast<std::ptrdiff_t>(but));
+    if (excluded < others.size()) others.erase(others.begin() + static_cast<std::ptrdiff_t>(excluded));
     by[others].push_back(c);
   }
   std::vector<std::vector<std::size_t>> out;
@@ -68,15 +68,15 @@
   return out;
 }
 
-class Script {
+class GnuplotScript {
  public:
-  Script(const std::string& out, double width, double height, const std::string& title, int rows,
-         int columns) {
+  GnuplotScript(const std::string& out, double width, double height, const std::string& title, int rows,
+                int columns) {
     head_ = GnuplotHead(out, width, height, 11);
     head_ += fmt::format("set multiplot layout {},{} title \"{}\"\n", rows, columns, GnuplotText(title));
     head_ += "set grid lc rgb \"#dddddd\"\nset autoscale xfix\nset offsets graph 0.03, graph 0.03, 0, 0\n";
   }
-  std::string Block(const std::string& lines) {
+  std::string AddData(const std::string& lines) {
     std::string name = fmt::format("$d{}", blocks_++);
     data_ += name + " << EOD\n" + lines + "EOD\n";
     return name;
@@ -89,8 +89,8 @@
   int blocks_ = 0;
 };
 
-std::string AgainstPicture(const Results& r, std::size_t axis, const std::vector<std::size_t>& cells,
-                           const std::string& out) {
+std::string AxisChart(const Results& r, std::size_t axis, const std::vector<std::size_t>& cells,
+                      const std::string& out) {
   const Experiment& e = r.experiment;
   const std::size_t panels = e.measures.size(), columns = std::min<std::size_t>(3, panels),
                     rows = (panels + columns - 1) / columns;
@@ -98,8 +98,8 @@
   for (std::size_t a = 0; a < e.axes.size(); ++a) {
     if (a != axis) title += ", " + e.axes[a].label + " " + e.axes[a].values[e.cells[cells.front()].at[a]];
   }
-  Script s(out, 420.0 * static_cast<double>(columns), 340.0 * static_cast<double>(rows) + 30, title,
-           static_cast<int>(rows), static_cast<int>(columns));
+  GnuplotScript s(out, 420.0 * static_cast<double>(columns), 340.0 * static_cast<double>(rows) + 30, title,
+                  static_cast<int>(rows), static_cast<int>(columns));
   s.Add(fmt::format("set xlabel \"{}\"\n", GnuplotText(e.axes[axis].label)));
   for (std::size_t m = 0; m < panels; ++m) {
     const Measure& measure = MeasureOf(e.measures[m]);
@@ -111,33 +111,33 @@
     for (std::size_t p = 0; p < e.policies.size(); ++p) {
       std::string lines;
       for (const std::size_t c : cells) {
-        const std::vector<double> values = Played(r.Of(c, p, measure.name));
+        const std::vector<double> values = WithoutNaN(r.Of(c, p, measure.name));
         if (values.empty()) continue;
         const Interval i = IntervalOf(values);
         lines += fmt::format("{} {:.6g} {:.6g}\n", e.axes[axis].numbers[e.cells[c].at[axis]], i.mean, i.half);
       }
       s.Add(fmt::format("{}{} using 1:2:3 with yerrorlines lw 1.6 pt 7 ps 0.4 lc {} title \"{}\"",
-                        p > 0 ? ", " : "", s.Block(lines), p + 1, GnuplotText(e.policies[p])));
+                        p > 0 ? ", " : "", s.AddData(lines), p + 1, GnuplotText(e.policies[p])));
     }
     s.Add("\n");
   }
   return s.Take();
 }
 
-// Means over the seeds of a cell and policy, by time.
-std::vector<Point> MeanCourse(const Results& r, std::size_t cell, std::size_t policy) {
-  std::vector<Point> out;
+// Returns the time series of a cell and policy, averaged over the seeds.
+std::vector<SeriesPoint> MeanSeries(const Results& r, std::size_t cell, std::size_t policy) {
+  std::vector<SeriesPoint> out;
   std::vector<int> n;
   for (std::size_t seed = 0; seed < r.experiment.seeds; ++seed) {
     const ScenarioRow* row =
         r.Find((cell * r.experiment.policies.size() + policy) * r.experiment.seeds + seed);
     if (row == nullptr) continue;
-    if (out.size() < row->course.size()) {
-      out.resize(row->course.size());
+    if (out.size() < row->series.size()) {
+      out.resize(row->series.size());
       n.resize(out.size());
     }
-    for (std::size_t t = 0; t < row->course.size(); ++t) {
-      const Point& p = row->course[t];
+    for (std::size_t t = 0; t < row->series.size(); ++t) {
+      const SeriesPoint& p = row->series[t];
       ++n[t];
       out[t].at = p.at;
       out[t].worth_asked += p.worth_asked;
@@ -157,24 +157,24 @@
   return out;
 }
 
-std::string CoursePicture(const Results& r, std::size_t cell, const std::string& out) {
+std::string SeriesChart(const Results& r, std::size_t cell, const std::string& out) {
   const Experiment& e = r.experiment;
   std::string name = e.CellName(cell);
-  Script s(out, 1260, 660, e.title + (name.empty() ? "" : ", " + name) + ": the course of a day", 2, 3);
+  GnuplotScript s(out, 1260, 660, e.title + (name.empty() ? "" : ", " + name) + ": time series", 2, 3);
   std::vector<std::string> blocks;
   for (std::size_t p = 0; p < e.policies.size(); ++p) {
     std::string lines;
-    for (const Point& t : MeanCourse(r, cell, p)) {
-      if (t.at >= e.cells[cell].day.seconds) break;
+    for (const SeriesPoint& t : MeanSeries(r, cell, p)) {
+      if (t.at >= e.cells[cell].scenario.seconds) break;
       lines += fmt::format("{} {:.6g} {:.6g} {:.6g} {:.6g} {:.6g} {:.6g}\n", t.at, t.arrived, t.worth,
                            t.refused, t.held, t.caps, t.busy);
     }
-    blocks.push_back(s.Block(lines));
+    blocks.push_back(s.AddData(lines));
   }
-  s.Add("set xlabel \"second of the day\"\nset yrange [0:*]\n");
+  s.Add("set xlabel \"second\"\nset yrange [0:*]\n");
   int column = 2;
-  for (const char* label : {"requests, 1/s", "worth served, 1/s", "refused for good, 1/s", "held at nodes",
-                            "caps, all nodes together", "being read or answered at replicas"}) {
+  for (const char* label : {"requests, 1/s", "worth served, 1/s", "refused finally, 1/s", "queued at nodes",
+                            "concurrency limits, all nodes together", "being read or answered at replicas"}) {
     s.Add(fmt::format("set ylabel \"{}\"\n{}\nplot ", label,
                       column == 2 ? "set key bottom right" : "unset key"));
     for (std::size_t p = 0; p < blocks.size(); ++p)
@@ -186,10 +186,10 @@
   return s.Take();
 }
 
-std::string SpreadPicture(const Results& r, std::size_t cell, const std::string& out) {
+std::string FirstTokenChart(const Results& r, std::size_t cell, const std::string& out) {
   const Experiment& e = r.experiment;
   const std::string name = e.CellName(cell);
-  Script s(out, 760, 480, e.title + (name.empty() ? "" : ", " + name) + ": first tokens", 1, 1);
+  GnuplotScript s(out, 760, 480, e.title + (name.empty() ? "" : ", " + name) + ": first tokens", 1, 1);
   s.Add(
       "set logscale x\nset xlabel \"first token, ms\"\nset ylabel \"share of the answers\"\nset yrange "
       "[0:1]\nset "
@@ -209,31 +209,32 @@
     for (const auto& [from, count] : bins)
       lines += fmt::format("{:.5g} {:.5f}\n", from, (upto += count) / all);
     s.Add(fmt::format("{}{} using 1:2 with steps lw 1.6 lc {} title \"{}\"", p > 0 ? ", " : "",
-                      s.Block(lines.empty() ? "1 0\n" : lines), p + 1, GnuplotText(e.policies[p])));
+                      s.AddData(lines.empty() ? "1 0\n" : lines), p + 1, GnuplotText(e.policies[p])));
   }
   s.Add("\n");
   return s.Take();
 }
 
-// One field for each policy: replica up, time along, the colour what it served of the span's mean.
-std::string SharePicture(const Results& r, std::size_t cell, const std::string& out) {
+// One heat map for each policy: time on the x axis, replicas on the y axis, and as colour what a replica
+// served relative to the mean of its interval.
+std::string ReplicaChart(const Results& r, std::size_t cell, const std::string& out) {
   const Experiment& e = r.experiment;
   const std::string name = e.CellName(cell);
   const std::size_t n = e.policies.size(), columns = std::min<std::size_t>(3, n),
                     rows = (n + columns - 1) / columns;
-  Script s(out, 440.0 * static_cast<double>(columns), 360.0 * static_cast<double>(rows) + 30,
-           e.title + (name.empty() ? "" : ", " + name) + ": served by each replica, times the mean",
-           static_cast<int>(rows), static_cast<int>(columns));
+  GnuplotScript s(out, 440.0 * static_cast<double>(columns), 360.0 * static_cast<double>(rows) + 30,
+                  e.title + (name.empty() ? "" : ", " + name) + ": served by each replica, times the mean",
+                  static_cast<int>(rows), static_cast<int>(columns));
   s.Add(
-      "set xlabel \"second of the day\"\nset ylabel \"replica\"\nset cbrange [0:2]\nunset key\n"
+      "set xlabel \"second\"\nset ylabel \"replica\"\nset cbrange [0:2]\nunset key\n"
       "set autoscale yfix\nset offsets 0, 0, 0, 0\nset palette defined (0 \"#f7f7f7\", 1 \"#67a9cf\", 2 "
       "\"#b2182b\")\n");
   for (std::size_t p = 0; p < n; ++p) {
     const ScenarioRow* row = r.Find((cell * n + p) * e.seeds);
     std::string lines;
-    const double every = e.cells[cell].day.replica_series_interval_s;
+    const double every = e.cells[cell].scenario.replica_series_interval_s;
     for (std::size_t t = 0; row != nullptr && t < row->served_in.size(); ++t) {
-      if (static_cast<double>(t) * every >= e.cells[cell].day.seconds) break;
+      if (static_cast<double>(t) * every >= e.cells[cell].scenario.seconds) break;
       const auto& list = row->served_in[t];
       const double mean = static_cast<double>(std::accumulate(list.begin(), list.end(), std::uint64_t{0})) /
                           std::max(1.0, static_cast<double>(list.size()));
@@ -243,7 +244,7 @@
       lines += "\n";
     }
     s.Add(fmt::format("set title \"{}\"\nplot {} using 1:2:3 with image\n", GnuplotText(e.policies[p]),
-                      s.Block(lines.empty() ? "0 0 0\n" : lines)));
+                      s.AddData(lines.empty() ? "0 0 0\n" : lines)));
   }
   return s.Take();
 }
@@ -262,7 +263,7 @@
   const auto n = static_cast<double>(by.size());
   const boost::math::students_t t(n - 1);
   const double error = d.of.half / boost::math::quantile(t, 0.975);
-  if (error <= 0) {  // all pairs alike: no difference at all, or one beyond doubt
+  if (error <= 0) {  // all pairs have the same difference
     d.p = d.of.mean == 0 ? 1 : 0;
     return d;
   }
@@ -270,31 +271,32 @@
   return d;
 }
 
-std::vector<bool> HolmStands(const std::vector<double>& p) {
+std::vector<bool> HolmSignificant(const std::vector<double>& p) {
   std::vector<std::size_t> order(p.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) { return p[a] < p[b]; });
-  std::vector<bool> stands(p.size());
+  std::vector<bool> significant(p.size());
   for (std::size_t n = 0; n < order.size(); ++n) {
     if (p[order[n]] > 0.05 / static_cast<double>(p.size() - n)) break;
-    stands[order[n]] = true;
+    significant[order[n]] = true;
   }
-  return stands;
+  return significant;
 }
 
-std::string ReportMarkdown(const Results& r, const std::vector<std::string>& pictures) {
+std::string ReportMarkdown(const Results& r, const std::vector<std::string>& charts) {
   const Experiment& e = r.experiment;
   std::string out = "# " + e.title + "\n\n";
-  out += fmt::format("{} of {} days: {} cells, {} policies, {} seeds from {}. Made by {}.\n", r.rows.size(),
-                     e.days(), e.cells.size(), e.policies.size(), e.seeds, e.first_seed, r.build);
+  out += fmt::format("{} of {} simulations: {} cells, {} policies, {} seeds from {}. Made by {}.\n",
+                     r.rows.size(), e.simulations(), e.cells.size(), e.policies.size(), e.seeds, e.first_seed,
+                     r.build);
   std::vector<double> breaks(e.policies.size());
-  for (const ScenarioRow& row : r.rows) breaks[e.PolicyOf(row.day)] += row.measures.at("breaks");
+  for (const ScenarioRow& row : r.rows) breaks[e.PolicyOf(row.simulation)] += row.measures.at("breaks");
   out += "Rules broken:";
   for (std::size_t p = 0; p < breaks.size(); ++p)
     out += fmt::format("{} {} {:.0f}", p > 0 ? "," : "", e.policies[p], breaks[p]);
   out += fmt::format(
-      ". Mean ± half of the 95% interval over seeds (Student's t); differences are to "
-      "`{}` on the same seeds, and called noise unless they stand at 5% over all of a table's rows "
+      ". Values are means ± half of the 95% interval over seeds (Student's t). Differences are relative to "
+      "`{}` on the same seeds, and count as noise unless they are significant at 5% over all rows of a table "
       "(Holm).\n",
       e.policies.front());
   for (const std::string& name : e.measures) {
@@ -312,16 +314,16 @@
         ps.push_back(differences.back().p);
       }
     }
-    const std::vector<bool> stands = HolmStands(ps);
+    const std::vector<bool> significant = HolmSignificant(ps);
     std::size_t at = 0;
     for (std::size_t c = 0; c < e.cells.size(); ++c) {
       for (std::size_t p = 0; p < e.policies.size(); ++p) {
         out += "|";
         for (std::size_t a = 0; a < e.axes.size(); ++a)
           out += " " + e.axes[a].values[e.cells[c].at[a]] + " |";
-        const std::vector<double> values = Played(r.Of(c, p, name));
+        const std::vector<double> values = WithoutNaN(r.Of(c, p, name));
         out += " " + e.policies[p] + " | " +
-               (values.empty() ? "not played" : Shown(IntervalOf(values), m.digits, false)) + " |";
+               (values.empty() ? "not run" : FormatInterval(IntervalOf(values), m.digits, false)) + " |";
         if (p == 0) {
           out += " | |\n";
           continue;
@@ -330,31 +332,31 @@
         if (d.pairs < 2) {
           out += " | too few seeds |\n";
         } else {
-          out +=
-              " " + Shown(d.of, m.digits, true) + " | " + Verdict(d.of.mean, m.better, stands[at]) + " |\n";
+          out += " " + FormatInterval(d.of, m.digits, true) + " | " +
+                 Verdict(d.of.mean, m.better, significant[at]) + " |\n";
         }
         ++at;
       }
     }
   }
-  if (!pictures.empty()) out += "\n## Pictures\n\n";
-  for (const std::string& p : pictures) out += "![" + e.title + "](" + p + ")\n\n";
+  if (!charts.empty()) out += "\n## Charts\n\n";
+  for (const std::string& p : charts) out += "![" + e.title + "](" + p + ")\n\n";
   out +=
       "\n## Settings\n\n```toml\n" + e.text + (e.text.empty() || e.text.back() != '\n' ? "\n" : "") + "```\n";
   return out;
 }
 
-std::vector<std::pair<std::string, std::string>> ReportPictures(const Results& r, const std::string& stem,
-                                                                const std::string& ending) {
+std::vector<std::pair<std::string, std::string>> ReportCharts(const Results& r, const std::string& stem,
+                                                              const std::string& ending) {
   const Experiment& e = r.experiment;
   std::vector<std::pair<std::string, std::string>> out;
   const auto name = [&](const std::string& what) { return stem + "-" + what + "." + ending; };
   for (std::size_t axis = 0; axis < e.axes.size(); ++axis) {
     if (e.axes[axis].numbers.size() < 2) continue;
-    const auto lines = Lines(e, axis);
-    for (std::size_t n = 0; n < lines.size() && n < kMostPictures; ++n) {
+    const auto lines = CellsAlong(e, axis);
+    for (std::size_t n = 0; n < lines.size() && n < kMaxCharts; ++n) {
       const std::string file = name(e.axes[axis].label + (lines.size() > 1 ? fmt::format("-{}", n + 1) : ""));
-      out.emplace_back(file, AgainstPicture(r, axis, lines[n], file));
+      out.emplace_back(file, AxisChart(r, axis, lines[n], file));
     }
     break;
   }
@@ -362,9 +364,9 @@
   const std::size_t first = cell * e.policies.size() * e.seeds;
   const ScenarioRow* row = r.Find(first);
   if (row == nullptr) return out;
-  if (!row->course.empty()) out.emplace_back(name("course"), CoursePicture(r, cell, name("course")));
-  out.emplace_back(name("first-token"), SpreadPicture(r, cell, name("first-token")));
-  if (!row->served_in.empty()) out.emplace_back(name("replicas"), SharePicture(r, cell, name("replicas")));
+  if (!row->series.empty()) out.emplace_back(name("course"), SeriesChart(r, cell, name("course")));
+  out.emplace_back(name("first-token"), FirstTokenChart(r, cell, name("first-token")));
+  if (!row->served_in.empty()) out.emplace_back(name("replicas"), ReplicaChart(r, cell, name("replicas")));
   return out;
 }
 
@@ -376,8 +378,8 @@
     return s;
   };
   if (shape(ea) != shape(eb)) {
-    throw std::runtime_error("the two do not have the same cells and seeds, so nothing can be paired: " +
-                             shape(ea) + " and " + shape(eb));
+    throw std::runtime_error("the results differ in their cells or seeds and can't be paired: " + shape(ea) +
+                             " and " + shape(eb));
   }
   struct Row {
     std::string cell, policy;
@@ -393,7 +395,7 @@
       const auto q = static_cast<std::size_t>(other - eb.policies.begin());
       for (const std::string& name : ea.measures) {
         const std::vector<double> was = a.Of(c, p, name);
-        rows.push_back({ea.CellName(c), ea.policies[p], &MeasureOf(name), IntervalOf(Played(was)),
+        rows.push_back({ea.CellName(c), ea.policies[p], &MeasureOf(name), IntervalOf(WithoutNaN(was)),
                         PairedDifference(was, b.Of(c, q, name))});
       }
     }
@@ -401,8 +403,8 @@
   std::vector<double> ps;
   ps.reserve(rows.size());
   for (const Row& row : rows) ps.push_back(row.by.p);
-  const std::vector<bool> stands = HolmStands(ps);
-  *differs = static_cast<std::size_t>(std::count(stands.begin(), stands.end(), true));
+  const std::vector<bool> significant = HolmSignificant(ps);
+  *differs = static_cast<std::size_t>(std::count(significant.begin(), significant.end(), true));
   std::string out =
       "| cell | policy | measure | was | by | p | |\n| --- | --- | --- | --- | --- | --- | --- |\n";
   for (std::size_t n = 0; n < rows.size(); ++n) {
@@ -410,11 +412,11 @@
     const int digits = row.measure->digits;
     out += fmt::format(
         "| {} | {} | {} | {} | {} | {:.3g} | {} |\n", row.cell, row.policy, row.measure->name,
-        Shown(row.was, digits, false), Shown(row.by.of, digits, true), row.by.p,
-        row.by.pairs < 2 ? "too few seeds" : Verdict(row.by.of.mean, row.measure->better, stands[n]));
+        FormatInterval(row.was, digits, false), FormatInterval(row.by.of, digits, true), row.by.p,
+        row.by.pairs < 2 ? "too few seeds" : Verdict(row.by.of.mean, row.measure->better, significant[n]));
   }
-  return out + fmt::format("\n{} of {} differences stand at 5% over all of them together (Holm).\n", *differs,
-                           rows.size());
+  return out + fmt::format("\n{} of {} differences are significant at 5% over all of them together (Holm).\n",
+                           *differs, rows.size());
 }
 
 }  // namespace ryeglade::experiment
--- a/lab/experiment/report.h
+++ b/lab/experiment/report.h
@@ -1,4 +1,4 @@
-// Results in tables and pictures: intervals over paired seeds, and which differences are more than noise.
+// Tables and charts of results: intervals over paired seeds, and which differences exceed noise.
 #pragma once
 
 #include <string>
@@ -10,30 +10,31 @@
 
 namespace ryeglade::experiment {
 
-// Of the values of one seed each; seeds that lack either are left out.
+// The difference of two series of values with one value per seed; seeds that lack either value are left out.
 struct Difference {
-  emulator::Interval of;  // b minus a, 95% by Student's t
-  double p = 1;           // two-sided, that there is none
-  std::size_t pairs = 0;  // with fewer than two nothing can be said
+  emulator::Interval of;  // b minus a; 95% interval by Student's t distribution
+  double p = 1;           // two-sided p-value of the hypothesis of no difference
+  std::size_t pairs = 0;  // with fewer than two, `p` is 1 and the interval has no width
 };
 Difference PairedDifference(const std::vector<double>& a, const std::vector<double>& b);
 
-// Holm's step-down (1979): which of these differences stand at 5% over all of them together.
-std::vector<bool> HolmStands(const std::vector<double>& p);
+// Returns which of the p-values are significant at a family-wise level of 5%, by Holm's step-down procedure
+// (1979).
+std::vector<bool> HolmSignificant(const std::vector<double>& p);
 
-// Markdown: what was played, a table for each measure, and the pictures' names.
-std::string ReportMarkdown(const Results& results, const std::vector<std::string>& pictures);
+// Returns a Markdown report: the simulations that were run, a table for each measure, and links to the
+// charts.
+std::string ReportMarkdown(const Results& results, const std::vector<std::string>& charts);
 
-// Gnuplot scripts, each with the file that it draws: measures against the first axis that is a quantity (one
-// picture for each combination of the others, 12 at most), the course of the last cell's days, the spread of
-// first tokens, and what each replica served over time. `stem` is the pictures' path without number and
-// ending.
-std::vector<std::pair<std::string, std::string>> ReportPictures(const Results& results,
-                                                                const std::string& stem,
-                                                                const std::string& ending);
+// Returns pairs of an image file and the gnuplot script that draws it: the measures over the first axis with
+// numeric values (one chart for each combination of the other axes, at most 12), and of the last cell the
+// time series, the distribution of the time to the first token, and what each replica served over time.
+// `stem` is the path of the images without their suffix and extension.
+std::vector<std::pair<std::string, std::string>> ReportCharts(const Results& results, const std::string& stem,
+                                                              const std::string& ending);
 
-// What differs between two results of the same cells, policies and seeds, as a table. `differs` counts the
-// rows that stand.
+// Returns a table of the differences between two results of the same cells, policies and seeds. `differs` is
+// set to the number of significant rows. Throws std::runtime_error if the cells or seeds differ.
 std::string CompareResults(const Results& a, const Results& b, std::size_t* differs);
 
 }  // namespace ryeglade::experiment
--- a/lab/experiment/results.cpp
+++ b/lab/experiment/results.cpp
@@ -37,8 +37,8 @@
           {"break_not_made", n(d.violations.not_made)}};
 }
 
-std::vector<Point> CourseOf(const ScenarioResult& d, double every) {
-  std::vector<Point> out;
+std::vector<SeriesPoint> SeriesOf(const ScenarioResult& d, double every) {
+  std::vector<SeriesPoint> out;
   if (every <= 0) return out;
   std::vector<int> in;
   for (std::size_t s = 0; s < d.seconds.size(); ++s) {
@@ -48,7 +48,7 @@
       in.resize(n + 1);
     }
     const emulator::SecondStats& x = d.seconds[s];
-    Point& p = out[n];
+    SeriesPoint& p = out[n];
     ++in[n];
     p.arrived += x.arrived;
     p.worth_asked += x.worth_asked;
@@ -67,20 +67,25 @@
   return out;
 }
 
-const std::vector<std::pair<std::string, double Point::*>>& PointFields() {
-  static const std::vector<std::pair<std::string, double Point::*>> all = {
-      {"at_s", &Point::at},     {"arrived", &Point::arrived}, {"worth_asked", &Point::worth_asked},
-      {"worth", &Point::worth}, {"refused", &Point::refused}, {"held", &Point::held},
-      {"caps", &Point::caps},   {"busy", &Point::busy}};
+const std::vector<std::pair<std::string, double SeriesPoint::*>>& SeriesFields() {
+  static const std::vector<std::pair<std::string, double SeriesPoint::*>> all = {
+      {"at_s", &SeriesPoint::at},
+      {"arrived", &SeriesPoint::arrived},
+      {"worth_asked", &SeriesPoint::worth_asked},
+      {"worth", &SeriesPoint::worth},
+      {"refused", &SeriesPoint::refused},
+      {"held", &SeriesPoint::held},
+      {"caps", &SeriesPoint::caps},
+      {"busy", &SeriesPoint::busy}};
   return all;
 }
 
 }  // namespace
 
-const ScenarioRow* Results::Find(std::size_t day) const {
-  const auto it = std::lower_bound(rows.begin(), rows.end(), day,
-                                   [](const ScenarioRow& r, std::size_t d) { return r.day < d; });
-  return it != rows.end() && it->day == day ? &*it : nullptr;
+const ScenarioRow* Results::Find(std::size_t simulation) const {
+  const auto it = std::lower_bound(rows.begin(), rows.end(), simulation,
+                                   [](const ScenarioRow& r, std::size_t d) { return r.simulation < d; });
+  return it != rows.end() && it->simulation == simulation ? &*it : nullptr;
 }
 
 std::vector<double> Results::Of(std::size_t cell, std::size_t policy, const std::string& measure) const {
@@ -92,15 +97,15 @@
   return out;
 }
 
-ScenarioRow RowOf(std::size_t day, const emulator::ScenarioSpec& spec, const ScenarioResult& result) {
+ScenarioRow RowOf(std::size_t simulation, const emulator::ScenarioSpec& spec, const ScenarioResult& result) {
   ScenarioRow row;
-  row.day = day;
+  row.simulation = simulation;
   for (const Measure& m : Measures()) row.measures[m.name] = m.of(result, spec.seconds - spec.warm_up_s);
   row.counts = CountsOf(result);
   for (const auto& bin : boost::histogram::indexed(result.first_token, boost::histogram::coverage::all)) {
     if (*bin > 0) row.first_token.emplace_back(std::max(0.0, bin.bin().lower()), *bin);
   }
-  row.course = CourseOf(result, spec.series_interval_s);
+  row.series = SeriesOf(result, spec.series_interval_s);
   row.served_in = result.served_in;
   return row;
 }
@@ -111,97 +116,103 @@
   file.attributes = {{"schema", kSchema},
                      {"what", "results of ryeglade-lab run"},
                      {"settings", e.text},
-                     {"mark", fmt::format("{:016x}", e.mark)},
+                     {"mark", fmt::format("{:016x}", e.fingerprint)},
                      {"build", r.build}};
-  TextTable days{"days", {{"day", Integers{}}, {"policy", Strings{}}, {"seed", Integers{}}}};
+  TextTable simulations{"days", {{"day", Integers{}}, {"policy", Strings{}}, {"seed", Integers{}}}};
   for (std::size_t a = 0; a < e.axes.size(); ++a)
-    days.columns.push_back({"axis_" + e.axes[a].key, Strings{}});
-  const std::size_t measures_at = days.columns.size();
-  for (const Measure& m : Measures()) days.columns.push_back({m.name, Numbers{}});
-  const std::size_t counts_at = days.columns.size();
-  for (const auto& [name, n] : CountsOf({})) days.columns.push_back({name, Integers{}});
+    simulations.columns.push_back({"axis_" + e.axes[a].key, Strings{}});
+  const std::size_t measures_at = simulations.columns.size();
+  for (const Measure& m : Measures()) simulations.columns.push_back({m.name, Numbers{}});
+  const std::size_t counts_at = simulations.columns.size();
+  for (const auto& [name, n] : CountsOf({})) simulations.columns.push_back({name, Integers{}});
   const auto numbers = [](Column& c) -> Numbers& { return std::get<Numbers>(c.values); };
-  const auto wholes = [](Column& c) -> Integers& { return std::get<Integers>(c.values); };
-  const auto words = [](Column& c) -> Strings& { return std::get<Strings>(c.values); };
-  TableBuilder first("first_token", {{"day", Integers{}}, {"from_ms", Numbers{}}, {"count", Numbers{}}});
+  const auto integers = [](Column& c) -> Integers& { return std::get<Integers>(c.values); };
+  const auto strings = [](Column& c) -> Strings& { return std::get<Strings>(c.values); };
+  TableBuilder first_token("first_token",
+                           {{"day", Integers{}}, {"from_ms", Numbers{}}, {"count", Numbers{}}});
   TableBuilder replicas(
       "replicas",
       {{"day", Integers{}}, {"span", Integers{}}, {"replica", Integers{}}, {"served", Integers{}}});
   TextTable seconds{"seconds", {{"day", Integers{}}}};
-  for (const auto& [name, field] : PointFields()) seconds.columns.push_back({name, Numbers{}});
+  for (const auto& [name, field] : SeriesFields()) seconds.columns.push_back({name, Numbers{}});
   for (const ScenarioRow& row : r.rows) {
-    const auto day = static_cast<std::int64_t>(row.day);
-    wholes(days.columns[0]).push_back(day);
-    words(days.columns[1]).push_back(e.policies[e.PolicyOf(row.day)]);
-    wholes(days.columns[2]).push_back(static_cast<std::int64_t>(e.first_seed + e.SeedOf(row.day)));
+    const auto simulation = static_cast<std::int64_t>(row.simulation);
+    integers(simulations.columns[0]).push_back(simulation);
+    strings(simulations.columns[1]).push_back(e.policies[e.PolicyOf(row.simulation)]);
+    integers(simulations.columns[2])
+        .push_back(static_cast<std::int64_t>(e.first_seed + e.SeedOf(row.simulation)));
     for (std::size_t a = 0; a < e.axes.size(); ++a)
-      words(days.columns[3 + a]).push_back(e.axes[a].values[e.cells[e.CellOf(row.day)].at[a]]);
+      strings(simulations.columns[3 + a])
+          .push_back(e.axes[a].values[e.cells[e.CellOf(row.simulation)].at[a]]);
     std::size_t at = measures_at;
-    for (const Measure& m : Measures()) numbers(days.columns[at++]).push_back(row.measures.at(m.name));
+    for (const Measure& m : Measures()) numbers(simulations.columns[at++]).push_back(row.measures.at(m.name));
     at = counts_at;
-    for (const auto& [name, n] : row.counts) wholes(days.columns[at++]).push_back(n);
-    for (const auto& [from, count] : row.first_token) first.Add(day, from, count);
-    for (const Point& p : row.course) {
-      wholes(seconds.columns[0]).push_back(day);
-      for (std::size_t f = 0; f < PointFields().size(); ++f)
-        numbers(seconds.columns[f + 1]).push_back(p.*PointFields()[f].second);
+    for (const auto& [name, n] : row.counts) integers(simulations.columns[at++]).push_back(n);
+    for (const auto& [from, count] : row.first_token) first_token.Add(simulation, from, count);
+    for (const SeriesPoint& p : row.series) {
+      integers(seconds.columns[0]).push_back(simulation);
+      for (std::size_t f = 0; f < SeriesFields().size(); ++f)
+        numbers(seconds.columns[f + 1]).push_back(p.*SeriesFields()[f].second);
     }
     for (std::size_t span = 0; span < row.served_in.size(); ++span) {
       for (std::size_t replica = 0; replica < row.served_in[span].size(); ++replica)
-        replicas.Add(day, span, replica, row.served_in[span][replica]);
+        replicas.Add(simulation, span, replica, row.served_in[span][replica]);
     }
   }
-  file.tables = {std::move(days), first.Take(), std::move(seconds), replicas.Take()};
+  file.tables = {std::move(simulations), first_token.Take(), std::move(seconds), replicas.Take()};
   return file;
 }
 
 Results FromFile(const ColumnarFile& file) {
-  const auto note = [&](const std::string& name) {
+  const auto attribute = [&](const std::string& name) {
     const auto it = file.attributes.find(name);
     return it == file.attributes.end() ? std::string() : it->second;
   };
-  if (note("what") != "results of ryeglade-lab run")
+  if (attribute("what") != "results of ryeglade-lab run")
     throw std::runtime_error("holds no results of an experiment");
-  if (note("schema") != kSchema)
-    throw std::runtime_error("is of schema " + note("schema") + "; this program reads " + kSchema);
+  if (attribute("schema") != kSchema)
+    throw std::runtime_error("has schema " + attribute("schema") + "; this program reads schema " + kSchema);
   Results r;
-  r.experiment = ParseExperiment("settings in the results", note("settings"));
-  r.build = note("build");
-  const TextTable& days = file.TableNamed("days");
-  const Integers& numbers = days.IntegersOf("day");
+  r.experiment = ParseExperiment("settings in the results", attribute("settings"));
+  r.build = attribute("build");
+  const TextTable& simulations = file.TableNamed("days");
+  const Integers& numbers = simulations.IntegersOf("day");
   std::map<std::int64_t, std::size_t> at;
   for (std::size_t n = 0; n < numbers.size(); ++n) {
-    if (numbers[n] < 0 || static_cast<std::size_t>(numbers[n]) >= r.experiment.days() ||
+    if (numbers[n] < 0 || static_cast<std::size_t>(numbers[n]) >= r.experiment.simulations() ||
         !at.emplace(numbers[n], n).second)
-      throw std::runtime_error(fmt::format("day {} does not belong to its settings", numbers[n]));
+      throw std::runtime_error(
+          fmt::format("table days: simulation {} is repeated or not part of the settings", numbers[n]));
     ScenarioRow row;
-    row.day = static_cast<std::size_t>(numbers[n]);
+    row.simulation = static_cast<std::size_t>(numbers[n]);
     r.rows.push_back(std::move(row));
   }
   for (const Measure& m : Measures()) {
-    const Numbers& values = days.NumbersOf(m.name);
+    const Numbers& values = simulations.NumbersOf(m.name);
     for (std::size_t n = 0; n < numbers.size(); ++n) r.rows[n].measures[m.name] = values[n];
   }
   for (const auto& [name, zero] : CountsOf({})) {
-    const Integers& values = days.IntegersOf(name);
+    const Integers& values = simulations.IntegersOf(name);
     for (std::size_t n = 0; n < numbers.size(); ++n) r.rows[n].counts[name] = values[n];
   }
-  const auto row_of = [&](std::int64_t day) -> ScenarioRow& {
-    const auto it = at.find(day);
-    if (it == at.end()) throw std::runtime_error(fmt::format("tells of day {}, which it has not", day));
+  const auto row_of = [&](std::int64_t simulation) -> ScenarioRow& {
+    const auto it = at.find(simulation);
+    if (it == at.end())
+      throw std::runtime_error(
+          fmt::format("refers to simulation {}, which is not in table days", simulation));
     return r.rows[it->second];
   };
-  const TextTable& first = file.TableNamed("first_token");
-  for (std::size_t n = 0; n < first.rows(); ++n)
-    row_of(first.IntegersOf("day")[n])
-        .first_token.emplace_back(first.NumbersOf("from_ms")[n], first.NumbersOf("count")[n]);
+  const TextTable& first_token = file.TableNamed("first_token");
+  for (std::size_t n = 0; n < first_token.rows(); ++n)
+    row_of(first_token.IntegersOf("day")[n])
+        .first_token.emplace_back(first_token.NumbersOf("from_ms")[n], first_token.NumbersOf("count")[n]);
   const TextTable& seconds = file.TableNamed("seconds");
   std::vector<const Numbers*> fields;
-  for (const auto& [name, field] : PointFields()) fields.push_back(&seconds.NumbersOf(name));
+  for (const auto& [name, field] : SeriesFields()) fields.push_back(&seconds.NumbersOf(name));
   for (std::size_t n = 0; n < seconds.rows(); ++n) {
-    Point p;
-    for (std::size_t f = 0; f < fields.size(); ++f) p.*PointFields()[f].second = (*fields[f])[n];
-    row_of(seconds.IntegersOf("day")[n]).course.push_back(p);
+    SeriesPoint p;
+    for (std::size_t f = 0; f < fields.size(); ++f) p.*SeriesFields()[f].second = (*fields[f])[n];
+    row_of(seconds.IntegersOf("day")[n]).series.push_back(p);
   }
   const TextTable& replicas = file.TableNamed("replicas");
   const Integers &of = replicas.IntegersOf("day"), &span = replicas.IntegersOf("span"),
@@ -210,7 +221,7 @@
     auto& spans = row_of(of[n]).served_in;
     if (span[n] < 0 || replica[n] < 0 || static_cast<std::size_t>(span[n]) > spans.size() ||
         replica[n] > 1'000'000)
-      throw std::runtime_error("its table of replicas is out of order");
+      throw std::runtime_error("table replicas is not ordered");
     if (static_cast<std::size_t>(span[n]) == spans.size()) spans.emplace_back();
     auto& list = spans[static_cast<std::size_t>(span[n])];
     if (list.size() <= static_cast<std::size_t>(replica[n]))
@@ -218,7 +229,7 @@
     list[static_cast<std::size_t>(replica[n])] = static_cast<std::uint32_t>(served[n]);
   }
   std::sort(r.rows.begin(), r.rows.end(),
-            [](const ScenarioRow& a, const ScenarioRow& b) { return a.day < b.day; });
+            [](const ScenarioRow& a, const ScenarioRow& b) { return a.simulation < b.simulation; });
   return r;
 }
 
--- a/lab/experiment/results.h
+++ b/lab/experiment/results.h
@@ -1,7 +1,7 @@
-// What an experiment came to: one row for each day that was played, in one columnar file with the settings,
-// the build and the seeds. Tables: `days` (a row a day: its cell, policy, seed, measures, counts),
-// `first_token` (its histogram), `seconds` (its course) and `replicas` (what each replica served, where the
-// settings ask for it).
+// The results of an experiment, stored in one columnar file together with the settings and the build. Tables:
+// `days` (one row per simulation with its cell, policy, seed, measures and counts), `first_token`
+// (histograms), `seconds` (time series) and `replicas` (what each replica served, if the settings ask for
+// it). The column `day` is the index of the simulation.
 #pragma once
 
 #include <cstdint>
@@ -15,37 +15,38 @@
 
 namespace ryeglade::experiment {
 
-struct Point {  // of a day's course; rates are a second, the others means
+// One point of a time series: the mean of emulator::SecondStats over an interval that starts at second `at`.
+struct SeriesPoint {
   double at = 0, arrived = 0, worth_asked = 0, worth = 0, refused = 0, held = 0, caps = 0, busy = 0;
 };
 
 struct ScenarioRow {
-  std::size_t day = 0;
+  std::size_t simulation = 0;
   std::map<std::string, double> measures;              // by name
-  std::map<std::string, std::int64_t> counts;          // requests, in_time, ..., and each rule's breaks
-  std::vector<std::pair<double, double>> first_token;  // lower bound of a bin, ms; how many
-  std::vector<Point> course;
-  std::vector<std::vector<std::uint32_t>> served_in;  // by span, then replica
+  std::map<std::string, std::int64_t> counts;          // requests, in_time, ..., violations of each rule
+  std::vector<std::pair<double, double>> first_token;  // lower bound of a bin in ms, and count
+  std::vector<SeriesPoint> series;
+  std::vector<std::vector<std::uint32_t>> served_in;  // by interval, then replica
 };
 
 struct Results {
   Experiment experiment;
   std::string build;
-  std::vector<ScenarioRow> rows;  // ordered by day
+  std::vector<ScenarioRow> rows;  // ordered by simulation
 
-  const ScenarioRow* Find(std::size_t day) const;
-  // Of a measure, over all seeds of a cell and policy that were played; by seed, NaN: not played.
+  const ScenarioRow* Find(std::size_t simulation) const;  // nullptr if it was not run
+  // Returns the values of a measure by seed, for a cell and policy. NaN: the simulation was not run.
   std::vector<double> Of(std::size_t cell, std::size_t policy, const std::string& measure) const;
 };
 
-ScenarioRow RowOf(std::size_t day, const emulator::ScenarioSpec& spec,
+ScenarioRow RowOf(std::size_t simulation, const emulator::ScenarioSpec& spec,
                   const emulator::ScenarioResult& result);
 ColumnarFile ToFile(const Results& results);
-// Throws std::runtime_error for a file that holds no results, or of a schema that is not known.
+// Throws std::runtime_error if the file holds no results or has an unknown schema.
 Results FromFile(const ColumnarFile& file);
 Results ReadResults(const std::string& path);
 
-// Compiler and version of this program.
+// Returns the version of this program and its compiler.
 std::string BuildDescription();
 
 }  // namespace ryeglade::experiment
--- a/lab/experiment/run.h
+++ b/lab/experiment/run.h
@@ -1,5 +1,5 @@
-// Plays an experiment's days over cores. The results file is written again now and then while it runs, whole
-// each time, so that what is cut short (Ctrl-C, a crash, a full disk) goes on from what it has.
+// Runs an experiment's simulations in parallel. The results file is saved as a whole from time to time, so
+// that an interrupted experiment (Ctrl-C, a crash, a full disk) continues from the last saved state.
 #pragma once
 
 #include <cstddef>
@@ -12,21 +12,22 @@
 
 struct RunOptions {
   std::string out;             // the results file
-  int workers = 1;             // days at once; the results do not depend on it
-  bool rerun = false;          // true: days that the file has are played again
-  double save_every = 5;       // seconds
-  std::function<bool()> stop;  // asked from any worker; true: end soon, with what is done
-  std::function<void(std::size_t done, std::size_t of)> progress;  // one at a time
+  int workers = 1;             // simulations in parallel; the results do not depend on it
+  bool rerun = false;          // also runs the simulations again that the file has
+  double save_interval_s = 5;  // least time between two saves
+  std::function<bool()> stop;  // called by any worker; true: end soon and keep what is done
+  std::function<void(std::size_t done, std::size_t of)> progress;  // never called concurrently
 };
 
 struct RunOutcome {
-  std::size_t played = 0, found = 0, left = 0;  // days: now, in the file before, not played
-  std::uint64_t violations = 0;                 // rules broken, over all days in the file
-  std::size_t not_saved = 0;                    // times that the file could not be written on the way
-  std::string why_not;
+  std::size_t completed = 0, found = 0, left = 0;  // simulations: run now, found in the file, not run
+  std::uint64_t violations = 0;                    // of all rules, over all simulations in the file
+  std::size_t failed_saves = 0;                    // saves during the run that failed
+  std::string save_error;                          // of the last failed save
 };
 
-// Throws std::runtime_error where the file is of another experiment, or can't be written at the end.
+// Throws std::runtime_error if the file belongs to another experiment or build, if it can't be written at the
+// end, or if a simulation fails.
 RunOutcome RunExperiment(const Experiment& experiment, const RunOptions& options);
 
 }  // namespace ryeglade::experiment
--- a/lab/experiment/scenario_fields.h
+++ b/lab/experiment/scenario_fields.h
@@ -1,6 +1,6 @@
-// Every setting of an emulated day, once: what reads it from TOML, writes it back and makes it smaller all go
-// through this list. A visitor has Number, Whole, Span (microseconds), Seconds (a double), Rate (a second)
-// and Text, each with a key, the field, and what is allowed.
+// The list of all settings of a scenario, which is used for reading them from TOML, writing them back and
+// shrinking scenarios. A visitor has the methods Number, Whole, Span (microseconds), Seconds (a double), Rate
+// (per second), Text and Flag; each takes the key, the field, and the bounds where there are any.
 #pragma once
 
 #include <string>
@@ -20,7 +20,7 @@
 constexpr Time kMs = 1'000, kSecond = 1'000'000, kHour = 3'600'000'000;
 
 template <class V>
-void VisitDay(V& v, ScenarioSpec& d) {
+void VisitScenario(V& v, ScenarioSpec& d) {
   v.Seconds("length", d.seconds, 1, 1e6);
   v.Seconds("warm", d.warm_up_s, 0, 1e6);
   v.Whole("seed", d.seed, 0, std::uint64_t{1} << 53);
--- a/lab/experiment/shrink.h
+++ b/lab/experiment/shrink.h
@@ -1,5 +1,5 @@
-// From a day that goes wrong to a smaller one that still does. Pure: what "still goes wrong" means is the
-// caller's, and each question to it is one day played.
+// Reduces a failing scenario to a smaller one that still fails. The caller's predicate decides whether a
+// scenario fails; each call of it runs a simulation. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -12,23 +12,23 @@
 
 struct ShrinkOptions {
   std::size_t max_runs = 400;
-  // Called after each play: how many there were, and what a play of the best day so far costs (its size).
-  std::function<void(std::size_t plays, double size)> progress;
+  // Called after each run with the number of runs so far, and the size of the smallest failing scenario.
+  std::function<void(std::size_t runs, double size)> progress;
 };
 
 struct ShrinkResult {
-  emulator::ScenarioSpec day;
-  std::size_t plays = 0;
-  double size_before = 0, size = 0;  // requests and replica-seconds of the day, roughly
-  bool done = false;                 // false: most_plays came first
+  emulator::ScenarioSpec scenario;
+  std::size_t runs = 0;
+  double size_before = 0, size = 0;  // of the scenario: roughly its requests plus replica-seconds
+  bool done = false;                 // false: stopped by max_runs
 };
 
-// First faults go, by delta debugging (Zeller and Hildebrandt, IEEE TSE 2002), then classes and kinds; then
-// the day's length, its fleet, its clients and its faults' times and counts become as small as they can, each
-// by bisection; then what is left takes its ordinary value where it may. Over again until nothing gives.
-// Throws std::runtime_error if the day given does not go wrong.
-ShrinkResult Shrink(const emulator::ScenarioSpec& day,
-                    const std::function<bool(const emulator::ScenarioSpec&)>& wrong,
+// Removes faults by delta debugging (Zeller and Hildebrandt, IEEE TSE 2002), then classes and replica kinds.
+// Then reduces, each by bisection, the length, the fleet, the clients, and the times and counts of the
+// faults. Repeats that until nothing can be reduced further; finally restores the default of every field that
+// is not needed for the failure. Throws std::runtime_error if the given scenario does not fail.
+ShrinkResult Shrink(const emulator::ScenarioSpec& scenario,
+                    const std::function<bool(const emulator::ScenarioSpec&)>& fails,
                     const ShrinkOptions& options = {});
 
 }  // namespace ryeglade::experiment
--- a/lab/experiment/spec.cpp
+++ b/lab/experiment/spec.cpp
@@ -17,9 +17,9 @@
 namespace ryeglade::experiment {
 namespace {
 
-constexpr std::size_t kMostCells = 10'000;
+constexpr std::size_t kMaxCells = 10'000;
 
-// Fills fields from a table; what the table does not tell stays.
+// A visitor that fills fields from a table; fields without a key there keep their values.
 class Reader {
  public:
   explicit Reader(TomlSection& section) : s_(section) {}
@@ -55,10 +55,11 @@
   TomlSection& s_;
 };
 
-// Writes a field that is not what it is in `usual`: visited in the same order, that is the next of `before`.
+// A visitor that writes the fields whose values differ from `defaults`, a writer that has visited the
+// defaults in the same order. If it is null, all fields are written.
 class Writer {
  public:
-  explicit Writer(const Writer* usual) : usual_(usual) {}
+  explicit Writer(const Writer* defaults) : defaults_(defaults) {}
   void Number(const char* key, double& field, double, double) { Put(key, fmt::format("{}", field)); }
   template <class T>
   void Whole(const char* key, T& field, std::int64_t, std::uint64_t) {
@@ -77,7 +78,7 @@
   std::string Lines() const {
     std::string out;
     for (std::size_t n = 0; n < all_.size(); ++n) {
-      if (usual_ != nullptr && n < usual_->all_.size() && usual_->all_[n] == all_[n]) continue;
+      if (defaults_ != nullptr && n < defaults_->all_.size() && defaults_->all_[n] == all_[n]) continue;
       out += all_[n].first + " = " + all_[n].second + "\n";
     }
     return out;
@@ -89,18 +90,18 @@
                                        : fmt::format("\"{}ms\"", micros / 1e3);
   }
   void Put(const char* key, std::string value) { all_.emplace_back(key, std::move(value)); }
-  const Writer* usual_;
+  const Writer* defaults_;
   std::vector<std::pair<std::string, std::string>> all_;
 };
 
-// What a table has instead of what the emulator takes where nothing is said.
-ScenarioSpec Usual() {
+// The defaults of experiment files where they differ from those of the emulator.
+ScenarioSpec DefaultScenario() {
   ScenarioSpec d;
   d.series_interval_s = 1;
   return d;
 }
 
-FaultSpec UsualFault() {
+FaultSpec DefaultFault() {
   FaultSpec f;
   f.factor = 4;
   return f;
@@ -113,17 +114,17 @@
   section.RejectUnknownKeys();
 }
 
-ScenarioSpec ReadDay(TomlSection& root) {
-  ScenarioSpec d = Usual();
-  Fill(root.Table("day"), d, [](auto& v, auto& x) { VisitDay(v, x); });
+ScenarioSpec ReadScenario(TomlSection& root) {
+  ScenarioSpec d = DefaultScenario();
+  Fill(root.Table("day"), d, [](auto& v, auto& x) { VisitScenario(v, x); });
   Fill(root.Table("clients"), d.clients, [](auto& v, auto& x) { VisitClients(v, x); });
   Fill(root.Table("fleet"), d.fleet, [](auto& v, auto& x) { VisitFleet(v, x); });
-  const auto all = [&](const char* key, auto& list, const auto& usual, auto visit) {
+  const auto all = [&](const char* key, auto& list, const auto& defaults, auto visit) {
     const std::vector<TomlSection> tables = root.Tables(key);
     if (tables.empty()) return;
     list.clear();
     for (const TomlSection& t : tables) {
-      list.push_back(usual);
+      list.push_back(defaults);
       Fill(t, list.back(), visit);
     }
   };
@@ -131,7 +132,7 @@
   all("class", d.classes, ClassSpec{}, [](auto& v, auto& x) { VisitClass(v, x); });
   const std::vector<TomlSection> faults = root.Tables("fault");
   for (TomlSection t : faults) {
-    FaultSpec f = UsualFault();
+    FaultSpec f = DefaultFault();
     f.what = t.Choice("what", emulator::FaultNames(), "");
     Fill(t, f, [](auto& v, auto& x) { VisitFault(v, x); });
     d.faults.push_back(f);
@@ -152,7 +153,7 @@
   return "";
 }
 
-// "40s" -> 40, "1800/s" -> 1800, "0.9" -> 0.9; NaN for words.
+// Parses "40s" to 40, "1800/s" to 1800 and "0.9" to 0.9. Returns NaN if the text is not a quantity.
 double ValueNumber(const std::string& text) {
   double v = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), v);
@@ -171,7 +172,7 @@
   return std::nan("");
 }
 
-// Puts `value` at a path like "clients.rate" or "fault.0.factor"; tables on the way are made.
+// Sets `value` at a path like "clients.rate" or "fault.0.factor". Missing tables on the path are created.
 void PutAt(toml::table& root, const std::string& path, const toml::node& value, const TomlSection& sweep) {
   toml::node* at = &root;
   std::size_t from = 0;
@@ -180,7 +181,7 @@
     const std::string word = path.substr(from, dot - from);
     const bool last = dot == std::string::npos;
     if (word.empty())
-      sweep.Fail("key", "is \"" + path + "\"; give words with dots between, as \"clients.rate\"");
+      sweep.Fail("key", "is \"" + path + "\"; expected names separated by dots, as in \"clients.rate\"");
     if (toml::table* table = at->as_table()) {
       if (last) {
         value.visit([&](const auto& v) { table->insert_or_assign(word, v); });
@@ -193,8 +194,8 @@
       std::size_t n = 0;
       const auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), n);
       if (error != std::errc() || end != word.data() + word.size() || n >= list->size() || last)
-        sweep.Fail("key", fmt::format("is \"{}\"; '{}' is no number of a table in that list, 0 to {}", path,
-                                      word, list->size() - 1));
+        sweep.Fail("key", fmt::format("is \"{}\"; '{}' is not an index of that list, 0 to {}", path, word,
+                                      list->size() - 1));
       at = list->get(n);
     } else {
       sweep.Fail("key", fmt::format("is \"{}\"; there is no table at '{}'", path, word));
@@ -205,8 +206,8 @@
 
 }  // namespace
 
-ScenarioSpec Experiment::Day(std::size_t n) const {
-  ScenarioSpec d = cells[CellOf(n)].day;
+ScenarioSpec Experiment::Scenario(std::size_t n) const {
+  ScenarioSpec d = cells[CellOf(n)].scenario;
   d.policy = policies[PolicyOf(n)];
   d.seed = first_seed + SeedOf(n);
   return d;
@@ -224,7 +225,7 @@
   TomlSection root(file, "", &table);
   Experiment e;
   e.text = text;
-  e.name = root.RequiredText("name", "a short name, as name = \"load\"");
+  e.name = root.RequiredText("name", "a short name, as in name = \"load\"");
   e.title = root.Text("title", e.name);
   e.policies = root.Texts("policies");
   if (e.policies.empty()) e.policies = {"router"};
@@ -233,9 +234,9 @@
     std::string all;
     for (const std::string& k : known) all += (all.empty() ? "" : ", ") + k;
     if (std::find(known.begin(), known.end(), p) == known.end())
-      root.Fail("policies", fmt::format("'{}' is none of {}", p, all));
+      root.Fail("policies", fmt::format("'{}' is not one of {}", p, all));
     if (std::count(e.policies.begin(), e.policies.end(), p) > 1)
-      root.Fail("policies", "'" + p + "' stands twice");
+      root.Fail("policies", "'" + p + "' is listed twice");
   }
   e.seeds = root.Integer("seeds", 1, 10'000, 5);
   e.measures = root.Texts("measures");
@@ -253,15 +254,15 @@
   for (std::size_t n = 0; n < sweeps.size(); ++n) {
     TomlSection& s = sweeps[n];
     Axis axis;
-    axis.key = s.RequiredText("key", "what is varied, as \"clients.rate\" or \"load\"");
+    axis.key = s.RequiredText("key", "the setting that is varied, as in \"clients.rate\" or \"load\"");
     axis.label = s.Text("label", axis.key.substr(axis.key.rfind('.') + 1));
     s.Has("values");
     const toml::node* list = table["sweep"].as_array()->get(n)->as_table()->get("values");
     if (list == nullptr || !list->is_array() || list->as_array()->empty())
-      s.Fail("values", "must be a list with at least one value, as [0.5, 0.9]");
+      s.Fail("values", "must be a list with at least one value, as in [0.5, 0.9]");
     bool numbers = true;
     for (const toml::node& v : *list->as_array()) {
-      if (!v.is_value()) s.Fail("values", "must hold numbers, texts or true and false");
+      if (!v.is_value()) s.Fail("values", "must hold numbers, texts or booleans");
       axis.values.push_back(ValueText(v));
       axis.numbers.push_back(ValueNumber(axis.values.back()));
       numbers = numbers && !std::isnan(axis.numbers.back());
@@ -269,14 +270,14 @@
     if (!numbers) axis.numbers.clear();
     values.push_back(list->as_array());
     cells *= axis.values.size();
-    if (cells > kMostCells) s.Fail("values", fmt::format("makes more than {} cells", kMostCells));
+    if (cells > kMaxCells) s.Fail("values", fmt::format("makes more than {} cells", kMaxCells));
     s.RejectUnknownKeys();
     e.axes.push_back(std::move(axis));
   }
-  ScenarioSpec base = ReadDay(root);
+  ScenarioSpec base = ReadScenario(root);
   root.RejectUnknownKeys();
   e.first_seed = base.seed;
-  std::string mark_of;
+  std::string fingerprint_input;
   for (std::size_t n = 0; n < cells; ++n) {
     Cell cell;
     cell.at.resize(e.axes.size());
@@ -290,64 +291,65 @@
       if (e.axes[a].key != "load") {
         PutAt(changed, e.axes[a].key, *values[a]->get(cell.at[a]), sweeps[a]);
       } else if (e.axes[a].numbers.empty() || e.axes[a].numbers[cell.at[a]] < 0) {
-        sweeps[a].Fail("values", "of \"load\" must be numbers that clients.rate is multiplied by");
+        sweeps[a].Fail("values",
+                       "of \"load\" must be numbers of 0 or more, by which clients.rate is multiplied");
       } else {
         load *= e.axes[a].numbers[cell.at[a]];
       }
     }
     TomlSection whole(file, "", &changed);
     try {
-      cell.day = ReadDay(whole);
+      cell.scenario = ReadScenario(whole);
     } catch (const SettingsError& wrong) {
       e.cells.push_back(cell);
       throw SettingsError(fmt::format("{} (in the sweep at {})", wrong.what(), e.CellName(n)));
     }
-    cell.day.clients.per_second *= load;
-    mark_of += WriteExperiment("", "", cell.day);
+    cell.scenario.clients.per_second *= load;
+    fingerprint_input += WriteExperiment("", "", cell.scenario);
     e.cells.push_back(std::move(cell));
   }
-  for (const std::string& p : e.policies) mark_of += p + "\n";
-  mark_of += std::to_string(e.first_seed) + " " + std::to_string(e.seeds);
-  e.mark = XXH3_64bits(mark_of.data(), mark_of.size());
+  for (const std::string& p : e.policies) fingerprint_input += p + "\n";
+  fingerprint_input += std::to_string(e.first_seed) + " " + std::to_string(e.seeds);
+  e.fingerprint = XXH3_64bits(fingerprint_input.data(), fingerprint_input.size());
   return e;
 }
 
 Experiment ReadExperiment(const std::string& path) { return ParseExperiment(path, ReadWholeFile(path)); }
 
-std::string WriteExperiment(const std::string& name, const std::string& title, const ScenarioSpec& told) {
-  ScenarioSpec day = told;
+std::string WriteExperiment(const std::string& name, const std::string& title, const ScenarioSpec& scenario) {
+  ScenarioSpec spec = scenario;
   std::string out;
   const auto quoted = [](const std::string& text) {
     std::ostringstream s;
     s << toml::value<std::string>(text);
     return s.str();
   };
-  out += "name = " + quoted(name) + "\ntitle = " + quoted(title) + "\npolicies = [" + quoted(day.policy) +
+  out += "name = " + quoted(name) + "\ntitle = " + quoted(title) + "\npolicies = [" + quoted(spec.policy) +
          "]\nseeds = 1\n";
-  const auto table = [&](const std::string& head, auto& is, auto usual, auto visit, bool always) {
-    Writer before(nullptr);
-    visit(before, usual);
-    Writer now(&before);
+  const auto table = [&](const std::string& head, auto& is, auto defaults, auto visit, bool always) {
+    Writer default_lines(nullptr);
+    visit(default_lines, defaults);
+    Writer now(&default_lines);
     visit(now, is);
     const std::string lines = now.Lines();
     if (always || !lines.empty()) out += "\n" + head + "\n" + lines;
   };
-  ScenarioSpec usual = Usual();
+  ScenarioSpec defaults = DefaultScenario();
   table(
-      "[day]", day, usual, [](auto& v, auto& x) { VisitDay(v, x); }, false);
+      "[day]", spec, defaults, [](auto& v, auto& x) { VisitScenario(v, x); }, false);
   table(
-      "[clients]", day.clients, usual.clients, [](auto& v, auto& x) { VisitClients(v, x); }, false);
+      "[clients]", spec.clients, defaults.clients, [](auto& v, auto& x) { VisitClients(v, x); }, false);
   table(
-      "[fleet]", day.fleet, usual.fleet, [](auto& v, auto& x) { VisitFleet(v, x); }, false);
-  for (KindSpec& k : day.fleet.kinds)
+      "[fleet]", spec.fleet, defaults.fleet, [](auto& v, auto& x) { VisitFleet(v, x); }, false);
+  for (KindSpec& k : spec.fleet.kinds)
     table(
         "[[kind]]", k, KindSpec{}, [](auto& v, auto& x) { VisitKind(v, x); }, true);
-  for (ClassSpec& c : day.classes)
+  for (ClassSpec& c : spec.classes)
     table(
         "[[class]]", c, ClassSpec{}, [](auto& v, auto& x) { VisitClass(v, x); }, true);
-  for (FaultSpec& f : day.faults)
+  for (FaultSpec& f : spec.faults)
     table(
-        "[[fault]]", f, UsualFault(), [](auto& v, auto& x) { VisitFault(v, x); }, true);
+        "[[fault]]", f, DefaultFault(), [](auto& v, auto& x) { VisitFault(v, x); }, true);
   return out;
 }
 
--- a/lab/experiment/spec.h
+++ b/lab/experiment/spec.h
@@ -1,6 +1,6 @@
-// An experiment as a TOML file tells it: one day, what is varied, which policies play it and over how many
-// seeds. Reading it checks every cell of the sweep before any day is played; what is wrong names file, line,
-// key and remedy. No I/O but for ReadExperiment.
+// An experiment, described by a TOML file: one scenario, the settings that are varied, the policies, and the
+// number of seeds. Reading it checks every cell of the sweep before any simulation runs; errors name the
+// file, the line, the key and the remedy. No I/O except in ReadExperiment.
 #pragma once
 
 #include <cstdint>
@@ -12,35 +12,36 @@
 namespace ryeglade::experiment {
 
 struct Axis {
-  std::string key;    // "clients.rate", "fault.0.factor", or "load": times clients.rate
-  std::string label;  // for tables and charts
+  std::string key;    // "clients.rate", "fault.0.factor", or "load", a factor of clients.rate
+  std::string label;  // in tables and charts
   std::vector<std::string> values;
-  std::vector<double> numbers;  // of the values, where all are quantities; else empty
+  std::vector<double> numbers;  // the values as numbers; empty if one of them is not numeric
 };
 
 struct Cell {
-  std::vector<std::size_t> at;  // which value of each axis
-  emulator::ScenarioSpec day;   // its policy and seed are still to be set
+  std::vector<std::size_t> at;      // index of the value of each axis
+  emulator::ScenarioSpec scenario;  // without policy and seed
 };
 
 struct Experiment {
   std::string name, title;
-  std::string text;  // the file, whole
-  std::uint64_t mark =
-      0;  // of what the days depend on: a results file of another mark is of another experiment
+  std::string text;  // the whole file
+  // Hash of everything that the simulations depend on. A results file with another fingerprint belongs to
+  // another experiment.
+  std::uint64_t fingerprint = 0;
   std::vector<Axis> axes;
   std::vector<std::string> policies;
   std::uint64_t first_seed = 1;
   std::size_t seeds = 1;
-  std::vector<std::string> measures;  // that reports show; see MeasureNames()
-  std::vector<Cell> cells;            // the last axis runs fastest
+  std::vector<std::string> measures;  // shown in reports; see MeasureNames()
+  std::vector<Cell> cells;            // the last axis varies fastest
 
-  std::size_t days() const { return cells.size() * policies.size() * seeds; }
-  // Day n: cells slowest, then policies, then seeds.
+  std::size_t simulations() const { return cells.size() * policies.size() * seeds; }
+  // Simulations are numbered with seeds varying fastest, then policies, then cells.
   std::size_t CellOf(std::size_t n) const { return n / (policies.size() * seeds); }
   std::size_t PolicyOf(std::size_t n) const { return n / seeds % policies.size(); }
   std::size_t SeedOf(std::size_t n) const { return n % seeds; }
-  emulator::ScenarioSpec Day(std::size_t n) const;
+  emulator::ScenarioSpec Scenario(std::size_t n) const;
   std::string CellName(std::size_t cell) const;  // "load=0.9, nodes=16"
 };
 
@@ -48,8 +49,9 @@
 Experiment ParseExperiment(const std::string& file, const std::string& text);
 Experiment ReadExperiment(const std::string& path);
 
-// A file whose only day is this one. What has its ordinary value is left out. Reading it gives the same day.
+// Returns an experiment file with only this scenario. Fields with their default are left out. Reading the
+// file gives the same scenario.
 std::string WriteExperiment(const std::string& name, const std::string& title,
-                            const emulator::ScenarioSpec& day);
+                            const emulator::ScenarioSpec& scenario);
 
 }  // namespace ryeglade::experiment
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -1,5 +1,5 @@
-// Experiments: files that are wrong, days that are written and read, runs that are cut short, statistics, and
-// days that are made smaller.
+// Tests of experiments: invalid files, scenarios that are written and read back, interrupted runs,
+// statistics, and the shrinking of scenarios.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 #include <signal.h>
@@ -28,15 +28,16 @@
 using emulator::ScenarioSpec;
 using policy::Time;
 
-struct Scratch {  // a directory that goes with the test
+// A directory that is removed with the object.
+struct ScratchDir {
   std::string dir =
       std::filesystem::temp_directory_path().string() + "/ryeglade-exp-" + std::to_string(getpid());
-  Scratch() { std::filesystem::create_directories(dir); }
-  ~Scratch() { std::filesystem::remove_all(dir); }
+  ScratchDir() { std::filesystem::create_directories(dir); }
+  ~ScratchDir() { std::filesystem::remove_all(dir); }
   std::string operator/(const std::string& name) const { return dir + "/" + name; }
 };
 
-constexpr const char* kSmall = R"(name = "small"
+constexpr const char* kSmallExperiment = R"(name = "small"
 policies = ["router", "random"]
 seeds = 3
 measures = ["share", "p99_ms"]
@@ -67,8 +68,8 @@
   return "";
 }
 
-TEST(Spec, WhatIsWrongIsNamedWithItsPlaceAndRemedy) {
-  const std::vector<std::pair<std::string, std::vector<std::string>>> wrong = {
+TEST(Spec, ErrorsNameThePlaceAndTheRemedy) {
+  const std::vector<std::pair<std::string, std::vector<std::string>>> invalid = {
       {"", {"x.toml", "name", "missing"}},
       {"name = 'a'\nseed = 3\n", {"x.toml:2: seed", "did you mean 'seeds'"}},
       {"name = 'a'\n[day]\nlength = 40\n", {"x.toml:3: day.length", "no unit", "ms, s, m or h"}},
@@ -92,7 +93,7 @@
       {"name = 'a'\n[[sweep]]\nkey = \"load\"\nvalues = [\"much\"]\n", {"sweep.values", "must be numbers"}},
       {"name = \n", {"x.toml:1", "not TOML"}},
   };
-  for (const auto& [text, words] : wrong) {
+  for (const auto& [text, words] : invalid) {
     const std::string error = ErrorOf(text);
     for (const std::string& word : words)
       EXPECT_NE(error.find(word), std::string::npos) << text << "\n" << error;
@@ -105,16 +106,16 @@
       "name='a'\nseeds=2\n[[sweep]]\nkey='load'\nvalues=[0.5,2]\n[[sweep]]\nkey='fault.0.at'\n"
       "values=['3s','4s','5s']\n[clients]\nrate='10/s'\n[[fault]]\nwhat='dark'\n");
   ASSERT_EQ(e.cells.size(), 6U);
-  EXPECT_EQ(e.days(), 12U);
-  EXPECT_EQ(e.cells[0].day.clients.per_second, 5);
-  EXPECT_EQ(e.cells[5].day.clients.per_second, 20);
-  EXPECT_EQ(e.cells[4].day.faults[0].at, 4);
+  EXPECT_EQ(e.simulations(), 12U);
+  EXPECT_EQ(e.cells[0].scenario.clients.per_second, 5);
+  EXPECT_EQ(e.cells[5].scenario.clients.per_second, 20);
+  EXPECT_EQ(e.cells[4].scenario.faults[0].at, 4);
   EXPECT_EQ(e.CellName(4), "load 2, at 4s");
   EXPECT_EQ(e.axes[1].numbers, (std::vector<double>{3, 4, 5}));
-  EXPECT_EQ(e.Day(11).seed, 2U);
+  EXPECT_EQ(e.Scenario(11).seed, 2U);
 }
 
-RC_GTEST_PROP(SpecProperty, ADayThatIsWrittenIsReadAsItWas, ()) {
+RC_GTEST_PROP(SpecProperty, AWrittenScenarioIsReadBackUnchanged, ()) {
   ScenarioSpec d;
   d.seconds = *rc::gen::inRange(20, 500) / 4.0;
   d.warm_up_s = *rc::gen::inRange(0, 40) / 10.0;
@@ -145,8 +146,8 @@
   const std::string text = WriteExperiment("n", "t", d);
   const Experiment e = ParseExperiment("written", text);
   RC_ASSERT(e.cells.size() == 1U);
-  RC_ASSERT(e.Day(0).seed == d.seed);
-  ScenarioSpec read = e.Day(0);
+  RC_ASSERT(e.Scenario(0).seed == d.seed);
+  ScenarioSpec read = e.Scenario(0);
   RC_ASSERT(WriteExperiment("n", "t", read) == text);
   RC_ASSERT(read.seconds == d.seconds && read.clients.per_second == d.clients.per_second);
   RC_ASSERT(read.faults.size() == d.faults.size() && read.classes.size() == d.classes.size());
@@ -161,23 +162,23 @@
 }
 
 TEST(Run, OneWorkerAndFourWriteTheSameBytes) {
-  const Scratch at;
-  const Experiment e = ParseExperiment("small.toml", kSmall);
+  const ScratchDir at;
+  const Experiment e = ParseExperiment("small.toml", kSmallExperiment);
   for (const int workers : {1, 4}) {
     RunOptions o;
     o.out = at / std::to_string(workers);
     o.workers = workers;
     const RunOutcome r = RunExperiment(e, o);
-    EXPECT_EQ(r.played, 12U);
+    EXPECT_EQ(r.completed, 12U);
     EXPECT_EQ(r.violations, 0U);
   }
   EXPECT_GT(Bytes(at / "1").size(), 1000U);
   EXPECT_TRUE(Bytes(at / "1") == Bytes(at / "4"));
 }
 
-TEST(Run, WhatIsCutShortGoesOnAndComesToTheSame) {
-  const Scratch at;
-  const Experiment e = ParseExperiment("small.toml", kSmall);
+TEST(Run, AnInterruptedRunContinuesToTheSameResult) {
+  const ScratchDir at;
+  const Experiment e = ParseExperiment("small.toml", kSmallExperiment);
   RunOptions whole;
   whole.out = at / "whole";
   RunExperiment(e, whole);
@@ -188,38 +189,38 @@
   cut.progress = [&](std::size_t n, std::size_t) { done = n; };
   cut.stop = [&] { return done >= 4; };
   const RunOutcome first = RunExperiment(e, cut);
-  EXPECT_GE(first.played, 4U);
+  EXPECT_GE(first.completed, 4U);
   EXPECT_GT(first.left, 0U);
   cut.stop = nullptr;
   const RunOutcome second = RunExperiment(e, cut);
-  EXPECT_EQ(second.found, first.played);
-  EXPECT_EQ(second.found + second.played, 12U);
+  EXPECT_EQ(second.found, first.completed);
+  EXPECT_EQ(second.found + second.completed, 12U);
   EXPECT_TRUE(Bytes(at / "whole") == Bytes(at / "cut"));
-  // Nothing is left to play: the file stays as it is.
-  EXPECT_EQ(RunExperiment(e, cut).played, 0U);
+  // With nothing left to run, the file stays unchanged.
+  EXPECT_EQ(RunExperiment(e, cut).completed, 0U);
 }
 
-TEST(Run, AnotherExperimentsFileIsNotMixedIn) {
-  const Scratch at;
+TEST(Run, TheFileOfAnotherExperimentIsRejected) {
+  const ScratchDir at;
   RunOptions o;
   o.out = at / "r";
-  RunExperiment(ParseExperiment("small.toml", kSmall), o);
-  std::string other = kSmall;
+  RunExperiment(ParseExperiment("small.toml", kSmallExperiment), o);
+  std::string other = kSmallExperiment;
   other.replace(other.find("60/s"), 4, "61/s");
   try {
     RunExperiment(ParseExperiment("other.toml", other), o);
-    FAIL() << "mixed";
+    FAIL() << "accepted";
   } catch (const std::runtime_error& e) {
-    EXPECT_NE(std::string(e.what()).find("other days"), std::string::npos) << e.what();
+    EXPECT_NE(std::string(e.what()).find("other simulations"), std::string::npos) << e.what();
   }
   o.rerun = true;
-  EXPECT_EQ(RunExperiment(ParseExperiment("other.toml", other), o).played, 12U);
+  EXPECT_EQ(RunExperiment(ParseExperiment("other.toml", other), o).completed, 12U);
 }
 
-// A disk that fills: a limit on a file's size does the same to a write.
-TEST(Run, AFullDiskKeepsTheOldFileAndSaysSo) {
-  const Scratch at;
-  const Experiment e = ParseExperiment("small.toml", kSmall);
+// A limit on the file size makes writes fail in the same way as a full disk.
+TEST(Run, AFullDiskKeepsTheOldFileAndIsReported) {
+  const ScratchDir at;
+  const Experiment e = ParseExperiment("small.toml", kSmallExperiment);
   RunOptions o;
   o.out = at / "r";
   std::atomic<std::size_t> done = 0;
@@ -228,29 +229,29 @@
   RunExperiment(e, o);
   const std::string before = Bytes(o.out);
   o.stop = nullptr;
-  o.save_every = 0;
+  o.save_interval_s = 0;
   signal(SIGXFSZ, SIG_IGN);
   rlimit old{};
   getrlimit(RLIMIT_FSIZE, &old);
   const rlimit small{before.size() / 2, old.rlim_max};
   setrlimit(RLIMIT_FSIZE, &small);
-  std::string said;
+  std::string error;
   try {
     RunExperiment(e, o);
-  } catch (const std::runtime_error& wrong) {
-    said = wrong.what();
+  } catch (const std::runtime_error& thrown) {
+    error = thrown.what();
   }
   setrlimit(RLIMIT_FSIZE, &old);
-  EXPECT_NE(said.find(o.out), std::string::npos) << said;
+  EXPECT_NE(error.find(o.out), std::string::npos) << error;
   EXPECT_TRUE(Bytes(o.out) == before);
   EXPECT_EQ(RunExperiment(e, o).found, 3U);
 }
 
-TEST(Results, DamagedAndForeignFilesAreOneClearError) {
-  const Scratch at;
+TEST(Results, DamagedAndForeignFilesAreRejected) {
+  const ScratchDir at;
   RunOptions o;
   o.out = at / "r";
-  RunExperiment(ParseExperiment("small.toml", kSmall), o);
+  RunExperiment(ParseExperiment("small.toml", kSmallExperiment), o);
   const std::string whole = Bytes(o.out);
   const auto error = [&](const std::string& bytes) -> std::string {
     std::ofstream(at / "x", std::ios::binary) << bytes;
@@ -269,34 +270,34 @@
   EXPECT_THROW(ReadResults(at / "x"), std::runtime_error);
 }
 
-TEST(Results, ReadAsTheyWere) {
-  const Scratch at;
+TEST(Results, AreReadBackUnchanged) {
+  const ScratchDir at;
   RunOptions o;
   o.out = at / "r";
-  const Experiment e = ParseExperiment("small.toml", kSmall);
+  const Experiment e = ParseExperiment("small.toml", kSmallExperiment);
   RunExperiment(e, o);
   const Results r = ReadResults(o.out);
   ASSERT_EQ(r.rows.size(), 12U);
-  const emulator::ScenarioResult d = RunScenario(e.Day(7));
-  const ScenarioRow fresh = RowOf(7, e.Day(7), d);
+  const emulator::ScenarioResult d = RunScenario(e.Scenario(7));
+  const ScenarioRow fresh = RowOf(7, e.Scenario(7), d);
   EXPECT_EQ(r.rows[7].measures, fresh.measures);
   EXPECT_EQ(r.rows[7].counts, fresh.counts);
   EXPECT_EQ(r.rows[7].first_token, fresh.first_token);
   EXPECT_EQ(r.rows[7].served_in, fresh.served_in);
-  EXPECT_EQ(r.rows[7].course.size(), fresh.course.size());
+  EXPECT_EQ(r.rows[7].series.size(), fresh.series.size());
   EXPECT_GT(fresh.served_in.size(), 2U);
-  // The report tells of every policy and measure; a run held against itself has no difference.
+  // The report has every policy and measure; a result compared with itself has no difference.
   const std::string report = ReportMarkdown(r, {"p.svg"});
   for (const char* word :
        {"random", "p99", "Rules broken: router 0, random 0", "rate = \"60/s\"", "p.svg", "| load |"})
     EXPECT_NE(report.find(word), std::string::npos) << word;
-  EXPECT_EQ(ReportPictures(r, "x", "svg").size(), 4U);
+  EXPECT_EQ(ReportCharts(r, "x", "svg").size(), 4U);
   std::size_t differs = 9;
   CompareResults(r, r, &differs);
   EXPECT_EQ(differs, 0U);
 }
 
-TEST(Statistics, PairsAndHolm) {
+TEST(Statistics, PairedDifferencesAndHolmsProcedure) {
   const Difference none = PairedDifference({1, 2, 3}, {1, 2, 3});
   EXPECT_EQ(none.of.mean, 0);
   EXPECT_EQ(none.p, 1);
@@ -305,32 +306,34 @@
   EXPECT_NEAR(some.p, 0.0742, 0.0001);
   EXPECT_EQ(PairedDifference({1, std::nan(""), 1}, {2, 3, 4}).pairs, 2U);
   EXPECT_EQ(PairedDifference({1}, {2}).p, 1);
-  EXPECT_EQ(HolmStands({0.01, 0.04, 0.03, 0.005}), (std::vector<bool>{true, false, false, true}));
-  EXPECT_EQ(HolmStands({}), std::vector<bool>{});
+  EXPECT_EQ(HolmSignificant({0.01, 0.04, 0.03, 0.005}), (std::vector<bool>{true, false, false, true}));
+  EXPECT_EQ(HolmSignificant({}), std::vector<bool>{});
 }
 
-// A difference that is there is found, and chance alone rarely is: 20 seeds of two policies, and of one with
-// other seeds.
-TEST(Statistics, CompareTellsNoiseFromMore) {
-  std::string text = kSmall;
+// A constant shift of one measure is found in every cell and policy, and in no other measure. Results with
+// different seeds can't be compared.
+TEST(Statistics, CompareFindsRealDifferences) {
+  std::string text = kSmallExperiment;
   text.replace(text.find("seeds = 3"), 9, "seeds = 6");
   text.replace(text.find("60/s"), 4, "90/s");
   Results a;
   a.experiment = ParseExperiment("a", text);
-  for (std::size_t n = 0; n < a.experiment.days(); ++n)
-    a.rows.push_back(RowOf(n, a.experiment.Day(n), RunScenario(a.experiment.Day(n))));
+  for (std::size_t n = 0; n < a.experiment.simulations(); ++n)
+    a.rows.push_back(RowOf(n, a.experiment.Scenario(n), RunScenario(a.experiment.Scenario(n))));
   Results b = a;
-  for (ScenarioRow& row : b.rows) row.measures["share"] -= 0.1 + 0.001 * static_cast<double>(row.day % 3);
+  for (ScenarioRow& row : b.rows)
+    row.measures["share"] -= 0.1 + 0.001 * static_cast<double>(row.simulation % 3);
   std::size_t differs = 0;
   const std::string table = CompareResults(a, b, &differs);
-  EXPECT_EQ(differs, 4U) << table;  // share, in two cells, of two policies
+  EXPECT_EQ(differs, 4U) << table;  // the share in two cells and with two policies
   EXPECT_NE(table.find("worse"), std::string::npos);
-  b.experiment = ParseExperiment("b", kSmall);
+  b.experiment = ParseExperiment("b", kSmallExperiment);
   EXPECT_THROW(CompareResults(a, b, &differs), std::runtime_error);
 }
 
-// What goes wrong needs two of the seven faults, three replicas and 20 requests a second: all else goes.
-TEST(Shrinking, FindsTheLeastThatIsStillWrong) {
+// The failure needs two of the seven faults, three replicas, 20 requests per second and 12 s; all else must
+// be removed.
+TEST(Shrinking, FindsTheSmallestScenarioThatFails) {
   ScenarioSpec d;
   d.seconds = 300;
   d.warm_up_s = 30;
@@ -345,82 +348,86 @@
     f.at = 100;
     d.faults.push_back(f);
   }
-  const auto wrong = [](const ScenarioSpec& x) {
+  const auto fails = [](const ScenarioSpec& x) {
     int needed = 0;
     for (const FaultSpec& f : x.faults) needed += f.what == "slow" || f.what == "vanish" ? 1 : 0;
     return needed == 2 && x.fleet.replicas >= 3 && x.clients.per_second >= 20 && x.seconds >= 12;
   };
-  const ShrinkResult s = Shrink(d, wrong);
+  const ShrinkResult s = Shrink(d, fails);
   EXPECT_TRUE(s.done);
-  EXPECT_TRUE(wrong(s.day));
-  EXPECT_EQ(s.day.faults.size(), 2U);
-  EXPECT_EQ(s.day.fleet.replicas, 3);
-  EXPECT_EQ(s.day.fleet.nodes, 1);
-  EXPECT_EQ(s.day.classes.size(), 1U);
-  EXPECT_LT(s.day.clients.per_second, 22);
-  EXPECT_LT(s.day.seconds, 13);
+  EXPECT_TRUE(fails(s.scenario));
+  EXPECT_EQ(s.scenario.faults.size(), 2U);
+  EXPECT_EQ(s.scenario.fleet.replicas, 3);
+  EXPECT_EQ(s.scenario.fleet.nodes, 1);
+  EXPECT_EQ(s.scenario.classes.size(), 1U);
+  EXPECT_LT(s.scenario.clients.per_second, 22);
+  EXPECT_LT(s.scenario.seconds, 13);
   EXPECT_LT(s.size, 0.001 * s.size_before);
   EXPECT_THROW(Shrink(d, [](const ScenarioSpec&) { return false; }), std::runtime_error);
   ShrinkOptions few;
   few.max_runs = 5;
-  const ShrinkResult short_of = Shrink(d, wrong, few);
-  EXPECT_FALSE(short_of.done);
-  EXPECT_EQ(short_of.plays, 5U);
-  EXPECT_TRUE(wrong(short_of.day));
+  const ShrinkResult truncated = Shrink(d, fails, few);
+  EXPECT_FALSE(truncated.done);
+  EXPECT_EQ(truncated.runs, 5U);
+  EXPECT_TRUE(fails(truncated.scenario));
 }
 
-// A policy that answers nobody: its clients' patience ends the day, and each request is counted.
-class Mute : public emulator::NodePolicy {
+// A policy that never answers. All requests end at their clients' deadlines.
+class SilentPolicy : public emulator::NodePolicy {
  public:
   void Handle(Time, const policy::Event&, std::vector<policy::Action>&) override {}
 };
 
-TEST(Shrinking, ADayThatBreaksARuleBecomesASmallOneThatDoesToo) {
-  Experiment e = ParseExperiment("small.toml", kSmall);
+TEST(Shrinking, AShrunkScenarioStillViolatesTheRule) {
+  Experiment e = ParseExperiment("small.toml", kSmallExperiment);
   ScenarioOptions options;
   options.policy = [](int node, const policy::Settings& s,
                       Time now) -> std::unique_ptr<emulator::NodePolicy> {
-    if (node == 1) return std::make_unique<Mute>();
+    if (node == 1) return std::make_unique<SilentPolicy>();
     return emulator::MakePolicy("two-choices", s, 1, now, {});
   };
-  const auto wrong = [&](const ScenarioSpec& d) { return RunScenario(d, options).violations.no_answer > 0; };
-  const ShrinkResult s = Shrink(e.cells[1].day, wrong);
+  const auto fails = [&](const ScenarioSpec& d) { return RunScenario(d, options).violations.no_answer > 0; };
+  const ShrinkResult s = Shrink(e.cells[1].scenario, fails);
   EXPECT_TRUE(s.done);
-  EXPECT_EQ(s.day.faults.size(), 0U);
-  EXPECT_EQ(s.day.fleet.nodes, 2);  // one node alone is not the mute one
-  EXPECT_EQ(s.day.fleet.replicas, 1);
-  const Experiment small = ParseExperiment("shrunk", WriteExperiment("shrunk", "", s.day));
-  EXPECT_TRUE(wrong(small.Day(0)));
+  EXPECT_EQ(s.scenario.faults.size(), 0U);
+  EXPECT_EQ(s.scenario.fleet.nodes, 2);  // the silent node has index 1, so two nodes are needed
+  EXPECT_EQ(s.scenario.fleet.replicas, 1);
+  const Experiment small = ParseExperiment("shrunk", WriteExperiment("shrunk", "", s.scenario));
+  EXPECT_TRUE(fails(small.Scenario(0)));
 }
 
-// Days that `shrink` made: the policy that each names breaks a rule there, the Router does not.
-TEST(Days, TheRouterKeepsTheRulesWhereOthersDoNot) {
-  std::size_t played = 0;
+// Scenarios that `shrink` has produced: the policy that each names violates a rule in it, the Router does
+// not.
+TEST(ShrunkScenarios, TheRouterViolatesNoRuleWhereOthersDo) {
+  std::size_t scenarios = 0;
   for (const auto& file : std::filesystem::directory_iterator(RYEGLADE_SCENARIOS)) {
     const Experiment e = ReadExperiment(file.path().string());
-    emulator::ScenarioSpec day = e.Day(0);
-    EXPECT_GT(RunScenario(day).violations.all(), 0U) << file.path();
-    day.policy = "router";
-    EXPECT_EQ(RunScenario(day).violations.Describe(), emulator::RuleViolations().Describe()) << file.path();
-    ++played;
+    emulator::ScenarioSpec scenario = e.Scenario(0);
+    EXPECT_GT(RunScenario(scenario).violations.all(), 0U) << file.path();
+    scenario.policy = "router";
+    EXPECT_EQ(RunScenario(scenario).violations.Describe(), emulator::RuleViolations().Describe())
+        << file.path();
+    ++scenarios;
   }
-  EXPECT_GT(played, 0U);
+  EXPECT_GT(scenarios, 0U);
 }
 
-// One that sets timers of no length without end would hold the day's time still.
-class Restless : public emulator::NodePolicy {
+// A policy that keeps setting timers with zero delay, so that virtual time can't advance.
+class ZeroDelayTimerPolicy : public emulator::NodePolicy {
  public:
   void Handle(Time, const policy::Event&, std::vector<policy::Action>& actions) override {
     actions.push_back(policy::SetTimer{1, 0});
   }
 };
 
-TEST(Day, TimeThatStandsStillIsAnErrorThatSaysWhere) {
+TEST(Scenario, VirtualTimeThatStopsAdvancingIsAnError) {
   ScenarioSpec d;
   d.seconds = 5;
   d.warm_up_s = 1;
   ScenarioOptions options;
-  options.policy = [](int, const policy::Settings&, Time) { return std::make_unique<Restless>(); };
+  options.policy = [](int, const policy::Settings&, Time) {
+    return std::make_unique<ZeroDelayTimerPolicy>();
+  };
   try {
     RunScenario(d, options);
     FAIL() << "ended";
