--- a/lab/fault_scenarios.cpp
+++ b/lab/fault_scenarios.cpp
@@ -60,8 +60,8 @@
         prompts_(o.seed, kPrompts),
         serving_(o.seed, kServing),
         failing_(o.seed, kFailing),
-        router_(wire::ReadSettings(kSettings), o.seed, o.begin + o.clock),
-        now_(o.begin) {
+        router_(wire::ReadSettings(kSettings), o.seed, o.start_time + o.clock_offset),
+        now_(o.start_time) {
     if (o.record_reasons) router_.SetObserver(this);
   }
 
