--- a/src/app/termination_policy.cpp
+++ b/src/app/termination_policy.cpp
@@ -15,7 +15,8 @@
 constexpr Time kKeepIdle = 450'000;        // clients keep opening connections for 0.2 to 0.4 s after SIGTERM
 constexpr Time kListen = 1'000'000;        // longer than that, in case this process is delayed
 constexpr Time kExitBeforeKill = 100'000;  // no request may be in progress at SIGKILL
-constexpr Time kRespondBeforeKill = 400'000;  // so that the last response can reach its client
+constexpr Time kRespondBeforeKill =
+    400'000;  // for the last response to reach its client; less if SIGKILL comes soon
 
 }  // namespace
 
--- a/src/settings/edge_settings.h
+++ b/src/settings/edge_settings.h
@@ -111,7 +111,7 @@
 };
 
 class TomlSection;
-// Reads the three limits of a table. An absent limit is 0.
+// Reads the three limits of a table. An absent limit is 0, which means that none is set.
 limits::KeyLimits ReadKeyLimits(TomlSection& section);
 // The names of all classes, by index.
 std::vector<std::string> ClassNames(const policy::Settings& settings);
