--- a/lab/emulator/compare.cpp
+++ b/lab/emulator/compare.cpp
@@ -35,33 +35,33 @@
       CompareRow row;
       row.policy = policy;
       row.load = load;
-      row.days.resize(static_cast<std::size_t>(o.seeds));
+      row.runs.resize(static_cast<std::size_t>(o.seeds));
       rows.push_back(std::move(row));
     }
   }
-  const std::size_t all = rows.size() * static_cast<std::size_t>(o.seeds);
+  const std::size_t total = rows.size() * static_cast<std::size_t>(o.seeds);
   std::atomic<std::size_t> next = 0, done = 0;
   std::mutex mutex;
   std::exception_ptr failed;
   const auto work = [&] {
-    for (std::size_t n = next++; n < all; n = next++) {
+    for (std::size_t n = next++; n < total; n = next++) {
       CompareRow& row = rows[n / static_cast<std::size_t>(o.seeds)];
       const std::size_t seed = n % static_cast<std::size_t>(o.seeds);
-      ScenarioSpec day = o.day;
-      day.policy = row.policy;
-      day.clients.per_second *= row.load;
-      day.seed = o.day.seed + seed;
+      ScenarioSpec scenario = o.scenario;
+      scenario.policy = row.policy;
+      scenario.clients.per_second *= row.load;
+      scenario.seed = o.scenario.seed + seed;
       try {
-        row.days[seed] = PlayScenario(day);
+        row.runs[seed] = RunScenario(scenario);
       } catch (...) {
         const std::lock_guard lock(mutex);
         if (!failed) failed = std::current_exception();
-        next = all;
+        next = total;  // the other workers end too
       }
       ++done;
       if (o.progress) {
         const std::lock_guard lock(mutex);
-        o.progress(done, all);
+        o.progress(done, total);
       }
     }
   };
@@ -75,16 +75,16 @@
     CompareRow& row = rows[r];
     const CompareRow& first = rows[r - r % o.policies.size()];
     std::vector<double> share, against, p50, p99, refused, kept;
-    for (std::size_t s = 0; s < row.days.size(); ++s) {
-      const ScenarioResult& d = row.days[s];
+    for (std::size_t s = 0; s < row.runs.size(); ++s) {
+      const ScenarioResult& d = row.runs[s];
       share.push_back(d.Share());
-      against.push_back(d.Share() - first.days[s].Share());
+      against.push_back(d.Share() - first.runs[s].Share());
       p50.push_back(d.Quantile(0.5));
       p99.push_back(d.Quantile(0.99));
       refused.push_back(static_cast<double>(d.refused + d.failed + d.broken + d.lost) /
                         static_cast<double>(std::max<std::uint64_t>(1, d.requests)));
       kept.push_back(d.kept_share);
-      row.breaks += d.breaks.all();
+      row.violations += d.violations.all();
     }
     row.share = IntervalOf(share);
     row.against = IntervalOf(against);
@@ -116,7 +116,7 @@
         "{:<16} {:>5.2f}  {:.4f} +-{:.4f}  {:+.4f} +-{:.4f} {:<7} {:>9.0f} {:>9.0f}  {:>9.4f}  {:>6.3f}  "
         "{:>6}\n",
         r.policy, r.load, r.share.mean, r.share.half, r.against.mean, r.against.half, Verdict(r), r.p50.mean,
-        r.p99.mean, r.refused.mean, r.kept.mean, r.breaks);
+        r.p99.mean, r.refused.mean, r.kept.mean, r.violations);
   }
   return out;
 }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -31,7 +31,7 @@
 
 std::string Violations(const Verdict& verdict) {
   std::string all;
-  for (const std::string& line : verdict.broken) all += line + "\n";
+  for (const std::string& line : verdict.violations) all += line + "\n";
   return all;
 }
 
@@ -94,17 +94,17 @@
 
 TEST(InvariantChecker, DetectsViewsThatDoNotConverge) {
   const EmulatedResult result = RunExample("partition-half", 1, "swim");
-  EXPECT_NE(Violations(result.verdict).find("the views are not one"), std::string::npos)
+  EXPECT_NE(Violations(result.verdict).find("the views differ at the end"), std::string::npos)
       << Violations(result.verdict);
 }
 
 TEST(EmulatedCluster, SameSeedGivesTheSameRun) {
-  std::vector<Seen> first, second;
+  std::vector<NodeEvent> first, second;
   EmulatedOptions options;
   options.seed = 7;
-  options.said = &first;
+  options.events = &first;
   PlayEmulated(ReadExample("loss-50"), options);
-  options.said = &second;
+  options.events = &second;
   PlayEmulated(ReadExample("loss-50"), options);
   ASSERT_EQ(first.size(), second.size());
   for (std::size_t i = 0; i < first.size(); ++i) {
@@ -145,8 +145,8 @@
     EXPECT_GT(exploration.states, 100U);
     EXPECT_GT(exploration.deaths, 0U);
     EXPECT_GT(exploration.returns, 0U);
-    for (const Breach& breach : exploration.breaches)
-      ADD_FAILURE() << breach.invariant << ": " << breach.schedule << ": " << breach.what;
+    for (const Violation& violation : exploration.violations)
+      ADD_FAILURE() << violation.invariant << ": " << violation.schedule << ": " << violation.what;
   }
 }
 
