--- a/lab/emulator/command.cpp
+++ b/lab/emulator/command.cpp
@@ -32,15 +32,15 @@
   std::printf("  first token p50 %.0f ms, p90 %.0f ms, p99 %.0f ms\n", r.Quantile(0.5), r.Quantile(0.9),
               r.Quantile(0.99));
   std::printf(
-      "  attempts %llu for %llu tries, %.4f of them wasted; %.3f of prompt tokens kept; %llu put back\n",
+      "  attempts %llu for %llu tries, %.4f of them wasted; %.3f of prompt tokens cached; %llu preempted\n",
       static_cast<unsigned long long>(r.attempts), static_cast<unsigned long long>(r.tries), r.wasted_share,
       r.kept_share, static_cast<unsigned long long>(r.preempted));
   const auto [least, most] = std::minmax_element(r.served_by_replica.begin(), r.served_by_replica.end());
   std::printf("  served by a replica: %.0f to %.0f\n", *least, *most);
-  std::printf("  rules: %s\n", r.violations.Describe().c_str());
+  std::printf("  rule violations: %s\n", r.violations.Describe().c_str());
   std::printf(
       "  %llu events, %llu decisions in %.2f s: %.0f requests/s of wall time, policy %.2f s of CPU (%.1f us "
-      "a try)\n",
+      "per try)\n",
       static_cast<unsigned long long>(r.events), static_cast<unsigned long long>(r.decisions), seconds,
       static_cast<double>(r.tries) / seconds, r.policy_cpu_s,
       r.policy_cpu_s * 1e6 / static_cast<double>(std::max<std::uint64_t>(1, r.tries)));
