--- a/tests/fault_injection.cpp
+++ b/tests/fault_injection.cpp
@@ -1,6 +1,6 @@
-// Scenarios of failures around a node as a process: system calls that fail for a while (a preloaded library),
-// clients that leave unseen, an early end, a list that is old. `fault_injection PROGRAM LIBRARY NAME` plays
-// one of them.
+// Scenarios of failures around a node as a process: system calls that fail for a while (by a preloaded
+// library), clients that disconnect unnoticed, an early shutdown, an outdated endpoint list. `fault_injection
+// PROGRAM LIBRARY NAME` runs one of them.
 #include <atomic>
 #include <cerrno>
 #include <chrono>
@@ -15,102 +15,103 @@
 namespace {
 
 std::string program;
-const std::string kNobody = "127.0.0.1:9";  // discovery that the node never needs
+const std::string kNoDiscovery = "127.0.0.1:9";  // for nodes that need no discovery
 
 nlohmann::json ListOf(const ScriptedServer& host, int generation = 1) {
   return EndpointListJson(generation, true, {InstanceJson("s-a", host.address())});
 }
 
-// Accept fails for half a second: the listener is not lost, the loop does not spin on it, the client is
+// accept4 fails for half a second: the listener stays open, the event loop does not spin, and the client is
 // served.
 void AcceptFails() {
   for (const int error : {ENOMEM, ENOBUFS, ENFILE, EMFILE}) {
     const PreloadedFault fault("accept4:" + std::to_string(error) + ":500");
     const ScriptedServer host;
-    const Node node(program, ListOf(host), kNobody);
+    const Node node(program, ListOf(host), kNoDiscovery);
     Connection client = node.Connect();
     ServeOne(host, client);
     assert(fault.affected_calls() > 0 && fault.affected_calls() < 200);
   }
 }
 
-// The same for errors that belong to one connection: the next is taken at once.
+// accept4 fails with an error that concerns one connection only: the node accepts the next one at once.
 void AcceptAborts() {
   for (const int error : {ECONNABORTED, EPROTO, ENETUNREACH}) {
     const PreloadedFault fault("accept4:" + std::to_string(error) + ":2");
     const ScriptedServer host;
-    const Node node(program, ListOf(host), kNobody);
+    const Node node(program, ListOf(host), kNoDiscovery);
     Connection client = node.Connect();
     ServeOne(host, client);
     assert(fault.affected_calls() > 0 && !Contains(node.Log(), "accept-deferred"));
   }
 }
 
-// This machine can't open a connection for a moment: no attempt is spent and nothing is held against the
-// host.
-void ConnectFailsHere() {
+// For 200 ms connect fails with an error of the local machine: no attempt is spent and the failure does not
+// count against the host.
+void ConnectFailsLocally() {
   for (const int error : {EADDRNOTAVAIL, ENOBUFS, ENOMEM}) {
     const ScriptedServer host;
     const PreloadedFault fault("connect:" + std::to_string(error) + ":200:" + std::to_string(host.port()));
-    const Node node(program, ListOf(host), kNobody);
+    const Node node(program, ListOf(host), kNoDiscovery);
     Connection client = node.Connect();
     ServeOne(host, client);
     assert(fault.affected_calls() > 0 && !Contains(node.Log(), "attempt-ended"));
   }
 }
 
-// The host can't be reached: that is evidence on the host.
-void ConnectFailsThere() {
+// The host can't be reached: the failure counts against the host.
+void ConnectFailsAtTheHost() {
   const ScriptedServer host;
   const PreloadedFault fault("connect:" + std::to_string(EHOSTUNREACH) +
                              ":100:" + std::to_string(host.port()));
-  const Node node(program, ListOf(host), kNobody);
+  const Node node(program, ListOf(host), kNoDiscovery);
   Connection client = node.Connect();
   client.Send(RequestText("1"));
   node.WaitForLog("outcome=connect-failed");
 }
 
-// A client that sends much ahead is not read on; that it has gone is noticed all the same, and its attempt
-// ends.
-void GoneBehindPipelined() {
+// The node stops reading from a client that has pipelined much. It still notices that the client has closed
+// the connection, and ends the attempt.
+void ClientClosesBehindPipelined() {
   const ScriptedServer host;
-  const Node node(program, ListOf(host), kNobody);
+  const Node node(program, ListOf(host), kNoDiscovery);
   Connection client = node.Connect();
   std::string many = RequestText("1");
   while (many.size() < 100'000) many += RequestText(std::to_string(many.size()));
   client.Send(many);
-  Connection up = host.Accept();
-  up.ReadMessage();
+  Connection upstream = host.Accept();
+  upstream.ReadMessage();
   usleep(100'000);
   client.Close();
-  assert(up.ReadableWithin(10'000) && up.ReadToEnd().empty());  // its budget is 30 s
+  assert(upstream.ReadableWithin(10'000) &&
+         upstream.ReadToEnd().empty());  // well before the request's time budget of 30 s
 }
 
-// While a node ends it answers what it has read behind a request too, before the connection goes.
-void AnswersPipelinedAtTheEnd() {
+// A draining node also answers the requests pipelined behind the open one before it closes the connection.
+void AnswersPipelinedWhileDraining() {
   const ScriptedServer host;
-  Node node(program, ListOf(host), kNobody);
+  Node node(program, ListOf(host), kNoDiscovery);
   Connection client = node.Connect();
   client.Send(RequestText("1") + "GET /_health HTTP/1.1\r\n\r\nGET /_health HTTP/1.1\r\n\r\n");
-  Connection up = host.Accept();
-  up.ReadMessage();
+  Connection upstream = host.Accept();
+  upstream.ReadMessage();
   node.SendSigterm();
   node.WaitForLog("draining");
-  up.Send(kStreamHead);
-  up.SendChunk("data: x\n\n");
-  up.SendChunk("");
+  upstream.Send(kStreamHead);
+  upstream.SendChunk("data: x\n\n");
+  upstream.SendChunk("");
   const std::string all = client.ReadToEnd();
   assert(Contains(all, "data: x") && Contains(all, "0\r\n\r\nHTTP/1.1 503"));
   assert(all.find(" 503 ") != all.rfind(" 503 ") && Contains(all, "Connection: close"));
   assert(node.WaitForExit() == 0);
 }
 
-// SIGKILL may come 0.7 s after the longest deadline that the settings tell: with one of 1 s, what has not
-// begun is answered before that, although its client would wait for 30 s, and what comes late is refused
-// unsent.
-void EndsByTheSettings() {
+// SIGKILL may come 0.7 s after the longest deadline in the settings. With a deadline of 1 s, a request whose
+// response has not begun is answered before that, although its client would wait for 30 s, and a request that
+// is completed late is refused without being sent upstream.
+void ExitsByTheDeadline() {
   const ScriptedServer host;
-  Node node(program, ListOf(host), kNobody);
+  Node node(program, ListOf(host), kNoDiscovery);
   nlohmann::json settings = node.config()["settings"];
   settings["classes"][0]["deadline"] = 1'000'000;
   settings["classes"][0]["promise"] = 500'000;
@@ -118,32 +119,34 @@
   node.WaitForLog("classes-updated");
   Connection client = node.Connect(), late = node.Connect();
   client.Send(RequestText("1"));
-  Connection up = host.Accept();
-  up.ReadMessage();
-  const std::string ask = RequestText("2");
-  late.Send(ask.substr(0, 60));
+  Connection upstream = host.Accept();
+  upstream.ReadMessage();
+  const std::string request = RequestText("2");
+  late.Send(request.substr(0, 60));
   node.SendSigterm();
   node.WaitForLog("draining");
   usleep(800'000);
-  late.Send(ask.substr(60));
+  late.Send(request.substr(60));
   assert(Contains(late.ReadMessage(), " 503 ") && !host.HasConnectionWithin(0));
   assert(client.ReadableWithin(2'200) &&
-         Contains(client.ReadMessage(), " 503 "));  // 3.3 s after SIGTERM without that
+         Contains(client.ReadMessage(),
+                  " 503 "));  // it would be 3.3 s after SIGTERM without the shorter deadline
   assert(node.WaitForExit() == 0);
 }
 
-// Milliseconds until the node has ended by itself after SIGTERM; fails if it has not after `most`.
-long EndsWithin(const Node& node, long most) {
-  const auto began = std::chrono::steady_clock::now();
-  const auto gone = [&] {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - began)
+// Waits until the node has exited by itself and returns how long that took, in ms. Fails if it takes
+// `limit_ms`.
+long WaitForExitWithin(const Node& node, long limit_ms) {
+  const auto start = std::chrono::steady_clock::now();
+  const auto elapsed_ms = [&] {
+    return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - start)
         .count();
   };
   while (!node.HasExited()) {
-    assert(gone() < most);
+    assert(elapsed_ms() < limit_ms);
     usleep(1'000);
   }
-  return gone();
+  return elapsed_ms();
 }
 
 nlohmann::json WithDeadline(const Node& node, long deadline_us) {
@@ -153,48 +156,49 @@
   return settings;
 }
 
-// Clients that keep coming, each request on a connection of its own: every connection that came up is
-// answered, and the node has ended by itself before SIGKILL may come (1.7 s with a deadline of 1 s).
-void EndsWhileClientsKeepComing() {
+// Clients keep connecting while the node drains, each request on a new connection: every connection that was
+// established is answered, and the node has exited by itself before SIGKILL may come (1.7 s with a deadline
+// of 1 s).
+void ExitsWhileClientsKeepConnecting() {
   const ScriptedServer host;
-  Node node(program, ListOf(host), kNobody);
+  Node node(program, ListOf(host), kNoDiscovery);
   node.Reload("settings", WithDeadline(node, 1'000'000));
   node.WaitForLog("classes-updated");
-  std::atomic<bool> over{false};
+  std::atomic<bool> stop{false};
   std::atomic<int> answered{0}, unanswered{0};
   std::vector<std::thread> clients;
   for (int n = 0; n < 8; ++n) {
     clients.emplace_back([&, n] {
-      for (int k = 0; !over; ++k) {
+      for (int k = 0; !stop; ++k) {
         const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         const sockaddr_in to = Loopback(node.port());
-        const bool up = connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0;
-        const std::string ask = RequestText(std::to_string(1 + n * 1'000'000 + k), "{}", "0.300");
+        const bool connected = connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0;
+        const std::string request = RequestText(std::to_string(1 + n * 1'000'000 + k), "{}", "0.300");
         char byte = 0;
-        if (up) {
+        if (connected) {
           const bool sent =
-              send(fd, ask.data(), ask.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(ask.size());
+              send(fd, request.data(), request.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(request.size());
           ++(sent && recv(fd, &byte, 1, 0) == 1 ? answered : unanswered);
         }
         close(fd);
-        if (!up) usleep(1'000);
+        if (!connected) usleep(1'000);
       }
     });
   }
   usleep(300'000);
   node.SendSigterm();
-  EndsWithin(node, 1'700);
-  over = true;
+  WaitForExitWithin(node, 1'700);
+  stop = true;
   for (std::thread& client : clients) client.join();
   std::printf("%d answered, %d not\n", answered.load(), unanswered.load());
   assert(answered > 0 && unanswered == 0);
 }
 
-// What is left as the end comes: a request that is not whole gets an answer, a client that reads none of its
-// last answer's end keeps nothing alive.
-void EndsWithUnfinishedRequests() {
+// At the end of draining an incomplete request gets a 503, and a silent client does not keep the process
+// running.
+void ExitsWithUnfinishedRequests() {
   const ScriptedServer host;
-  Node node(program, ListOf(host), kNobody);
+  Node node(program, ListOf(host), kNoDiscovery);
   node.Reload("settings", WithDeadline(node, 1'000'000));
   node.WaitForLog("classes-updated");
   Connection half = node.Connect(), silent = node.Connect();
@@ -204,48 +208,48 @@
   usleep(700'000);
   Connection late = node.Connect();
   late.Send(RequestText("2"));
-  EndsWithin(node, 1'700);
+  WaitForExitWithin(node, 1'700);
   assert(Contains(half.ReadMessage(), " 503 ") && Contains(late.ReadMessage(), " 503 "));
 }
 
-// Settings with shorter deadlines come after SIGTERM: SIGKILL may come by them.
-void EndsSoonerBySettings() {
+// Settings with a shorter deadline arrive after SIGTERM: the node exits within the new, shorter time.
+void ExitsSoonerAfterReload() {
   const ScriptedServer host;
-  Node node(program, ListOf(host), kNobody);
+  Node node(program, ListOf(host), kNoDiscovery);
   Connection client = node.Connect();
   client.Send(RequestText("1"));
-  Connection up = host.Accept();
-  up.ReadMessage();
+  Connection upstream = host.Accept();
+  upstream.ReadMessage();
   node.SendSigterm();
   node.WaitForLog("draining");
   node.Reload("settings", WithDeadline(node, 1'000'000));
   node.SendSighup();
   node.SendSigterm();
-  EndsWithin(node, 1'700);
+  WaitForExitWithin(node, 1'700);
   assert(Contains(client.ReadMessage(), " 503 "));
   assert(Contains(node.Log(), "draining-already"));
 }
 
-// A process that was held up reads what has come meanwhile before it acts on times that have passed: an
-// answer that waits to be read is no time-out.
-void HeldUpReadsFirst() {
+// A process that was suspended reads what has arrived meanwhile before it acts on expired timers: an answer
+// that waits in the socket does not count as a time-out.
+void SuspendedProcessReadsFirst() {
   const ScriptedServer host;
-  const Node node(program, ListOf(host), kNobody);
+  const Node node(program, ListOf(host), kNoDiscovery);
   Connection client = node.Connect();
   client.Send(RequestText("1", "{}", "0.800"));
-  Connection up = host.Accept();
-  up.ReadMessage();
+  Connection upstream = host.Accept();
+  upstream.ReadMessage();
   node.Suspend();
-  usleep(50'000);  // a process that has left its wait for sockets, and not one that is about to
-  up.Send(kStreamHead);
-  up.SendChunk("data: x\n\n");
-  up.SendChunk("");
+  usleep(50'000);  // the process must have left its wait for sockets before the answer arrives
+  upstream.Send(kStreamHead);
+  upstream.SendChunk("data: x\n\n");
+  upstream.SendChunk("");
   usleep(1'000'000);
   node.Resume();
   assert(Contains(client.ReadUntil("0\r\n\r\n"), "data: x"));
 }
 
-// Whether a process holds back a signal now, as /proc tells.
+// Returns true if the process blocks the signal now, according to /proc.
 bool BlocksSignal(pid_t pid, int signal) {
   std::ifstream in("/proc/" + std::to_string(pid) + "/status");
   for (std::string line; std::getline(in, line);) {
@@ -255,8 +259,7 @@
   return false;
 }
 
-// SIGHUP and SIGTERM come while the process still reads its configuration, which is large: neither ends it
-// out of order.
+// SIGHUP and SIGTERM arrive while the process still reads its large configuration: it exits with status 0.
 void SignalsAtStart() {
   std::vector<nlohmann::json> many;
   for (int n = 0; n < 20'000; ++n) many.push_back(InstanceJson("s-" + std::to_string(n), "127.0.0.1:9"));
@@ -264,7 +267,7 @@
   const int fd = mkstemp(path);
   const std::string text =
       nlohmann::json{{"listen", "127.0.0.1:0"},
-                     {"discovery", kNobody},
+                     {"discovery", kNoDiscovery},
                      {"known", EndpointListJson(1, true, many)},
                      {"settings", {{"classes", {{{"name", "docs"}, {"deadline", 500'000}}}}}}}
           .dump();
@@ -285,29 +288,29 @@
   assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
 }
 
-// The list that a node is given at its start may be old: it takes no client before discovery has told the
-// rest.
-void FirstListComesFirst(const char* mode) {
+// The endpoint list in a node's configuration may be outdated: the node accepts no client before discovery
+// has answered.
+void ListensOnlyAfterFirstList(const char* mode) {
   const ScriptedServer discovery, gone, host;
   Connection watch;
-  std::thread tells([&] {
+  std::thread discovery_answers([&] {
     assert(discovery.HasConnectionWithin(kTimeoutMs));
     usleep(300'000);
     watch = AnswerWatch(discovery, EndpointListJson(2, true, {InstanceJson("s-b", host.address())}));
   });
   const Node node(program, ListOf(gone), discovery.address(), mode);
-  tells.join();
+  discovery_answers.join();
   const std::string log = node.Log();
   assert(log.find("scope=full") < log.find("event=listening "));
   Connection client = node.Connect();
   ServeOne(host, client);
   assert(!gone.HasConnectionWithin(0));
 }
-void FirstListFirst() { FirstListComesFirst("ask"); }
-// Where lists are pushed, what has changed counts as told from the new process's first moment on.
-void FirstPushedListFirst() { FirstListComesFirst("push"); }
+void FirstPolledListComesFirst() { ListensOnlyAfterFirstList("ask"); }
+// The same where discovery pushes the lists.
+void FirstPushedListComesFirst() { ListensOnlyAfterFirstList("push"); }
 
-// Where lists are pushed the node opens a watch by itself, and opens it again when it ends.
+// Where discovery pushes the lists, the node opens a watch by itself and opens it again after it has ended.
 void PushedLists() {
   const ScriptedServer discovery, before, after;
   std::future<Connection> first_watch = AnswerWatchAtStart(discovery, EndpointListJson(2, false, {}));
@@ -328,26 +331,26 @@
 
 int main(int argc, char** argv) {
   using namespace scripted;
-  const std::map<std::string, std::function<void()>> all = {
+  const std::map<std::string, std::function<void()>> scenarios = {
       {"accept-fails", AcceptFails},
       {"accept-aborts", AcceptAborts},
-      {"connect-fails-here", ConnectFailsHere},
-      {"connect-fails-there", ConnectFailsThere},
-      {"gone-behind-pipelined", GoneBehindPipelined},
-      {"answers-pipelined", AnswersPipelinedAtTheEnd},
-      {"ends-by-settings", EndsByTheSettings},
-      {"ends-under-clients", EndsWhileClientsKeepComing},
-      {"ends-unfinished", EndsWithUnfinishedRequests},
-      {"ends-sooner", EndsSoonerBySettings},
-      {"held-up", HeldUpReadsFirst},
+      {"connect-fails-here", ConnectFailsLocally},
+      {"connect-fails-there", ConnectFailsAtTheHost},
+      {"gone-behind-pipelined", ClientClosesBehindPipelined},
+      {"answers-pipelined", AnswersPipelinedWhileDraining},
+      {"ends-by-settings", ExitsByTheDeadline},
+      {"ends-under-clients", ExitsWhileClientsKeepConnecting},
+      {"ends-unfinished", ExitsWithUnfinishedRequests},
+      {"ends-sooner", ExitsSoonerAfterReload},
+      {"held-up", SuspendedProcessReadsFirst},
       {"signals-at-start", SignalsAtStart},
-      {"first-list-first", FirstListFirst},
-      {"first-pushed-list-first", FirstPushedListFirst},
+      {"first-list-first", FirstPolledListComesFirst},
+      {"first-pushed-list-first", FirstPushedListComesFirst},
       {"pushed-lists", PushedLists}};
   signal(SIGPIPE, SIG_IGN);
-  assert(argc == 4 && all.contains(argv[3]));
+  assert(argc == 4 && scenarios.contains(argv[3]));
   program = argv[1];
   fault_library_path = argv[2];
-  all.at(argv[3])();
+  scenarios.at(argv[3])();
   std::printf("ok %s\n", argv[3]);
 }
--- a/tests/fault_library.cpp
+++ b/tests/fault_library.cpp
@@ -1,8 +1,9 @@
-// Preloaded into a node under test: makes one system call fail for a while, as Linux documents that it may.
-// RYEGLADE_TEST_FAULT is "CALL:ERRNO:MILLISECONDS[:PORT]": CALL is accept4 or connect, the time counts from
-// the first call that fails, and with PORT only calls to that port fail. With CALL "end" nothing fails, but
-// each end of an accepted connection (shutdown or close) is held up for that long, as a process may be. The
-// file that RYEGLADE_TEST_FAULT_COUNT names holds, as text, how many calls have failed or been held up.
+// Preloaded into a node under test: makes one system call fail for a while with an error that Linux documents
+// for it. RYEGLADE_TEST_FAULT is "CALL:ERRNO:MILLISECONDS[:PORT]": CALL is accept4 or connect, the time
+// counts from the first call that fails, and with PORT only calls to that port fail. With CALL "end" no call
+// fails, but each shutdown or close of an accepted connection is delayed by that time, as on a busy machine.
+// The library writes the number of calls that have failed or been delayed, as text, to the file that
+// RYEGLADE_TEST_FAULT_COUNT names.
 #include <arpa/inet.h>
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -26,11 +27,11 @@
 struct Fault {
   std::string call;
   int error = 0;
-  std::chrono::milliseconds lasts{0};
-  int port = 0;  // 0: any
+  std::chrono::milliseconds duration{0};
+  int port = 0;  // 0 means any port
 };
 
-const Fault& Planned() {
+const Fault& ConfiguredFault() {
   static const Fault fault = [] {
     Fault f;
     char call[16] = "";
@@ -41,77 +42,79 @@
       return f;
     }
     f.call = call;
-    f.lasts = std::chrono::milliseconds(milliseconds);
+    f.duration = std::chrono::milliseconds(milliseconds);
     return f;
   }();
   return fault;
 }
 
-void CountFailure() {
-  static int failures = 0;
-  ++failures;
+void CountAffectedCall() {
+  static int affected_calls = 0;
+  ++affected_calls;
   const char* path = std::getenv("RYEGLADE_TEST_FAULT_COUNT");
   if (path == nullptr) return;
   const int fd = open(path, O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (fd < 0) return;
-  const std::string text = std::to_string(failures);
+  const std::string text = std::to_string(affected_calls);
   [[maybe_unused]] const ssize_t written = write(fd, text.data(), text.size());
   close(fd);
 }
 
-bool Fails(const char* call, int port) {
-  const Fault& fault = Planned();
+bool ShouldFail(const char* call, int port) {
+  const Fault& fault = ConfiguredFault();
   if (fault.call != call || (fault.port != 0 && fault.port != port)) return false;
   static const Clock::time_point first = Clock::now();
-  if (Clock::now() - first >= fault.lasts) return false;
-  CountFailure();
+  if (Clock::now() - first >= fault.duration) return false;
+  CountAffectedCall();
   errno = fault.error;
   return true;
 }
 
-constexpr int kMostDescriptors = 4096;
-bool accepted[kMostDescriptors];  // by descriptor; nodes under test have one thread that uses sockets
+constexpr int kMaxDescriptors = 4096;
+bool accepted[kMaxDescriptors];  // indexed by descriptor; unsynchronised, as one thread of a node under test
+                                 // uses sockets
 
-void HoldEnd(int fd) {
-  if (fd < 0 || fd >= kMostDescriptors || !accepted[fd] || Planned().call != "end") return;
-  CountFailure();
-  std::this_thread::sleep_for(Planned().lasts);
+void DelayClose(int fd) {
+  if (fd < 0 || fd >= kMaxDescriptors || !accepted[fd] || ConfiguredFault().call != "end") return;
+  CountAffectedCall();
+  std::this_thread::sleep_for(ConfiguredFault().duration);
 }
 
 template <class Function>
-Function Real(const char* name) {
+Function NextFunction(const char* name) {
   return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
 }
 
 }  // namespace
 
 extern "C" int accept4(int fd, sockaddr* address, socklen_t* length, int flags) {
-  static const auto real = Real<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
-  if (Fails("accept4", 0)) return -1;
+  static const auto real = NextFunction<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
+  if (ShouldFail("accept4", 0)) return -1;
   const int connection = real(fd, address, length, flags);
-  if (connection >= 0 && connection < kMostDescriptors) accepted[connection] = true;
+  if (connection >= 0 && connection < kMaxDescriptors) accepted[connection] = true;
   return connection;
 }
 
 extern "C" int shutdown(int fd, int how) {
-  static const auto real = Real<int (*)(int, int)>("shutdown");
-  HoldEnd(fd);
+  static const auto real = NextFunction<int (*)(int, int)>("shutdown");
+  DelayClose(fd);
   return real(fd, how);
 }
 
-// libuv takes a descriptor out of its poll set right before it closes it, by a call that no library can hold.
+// libuv closes a descriptor by a call that a preloaded library can't intercept. Right before that it removes
+// the descriptor from its poll set, so the delay is added here.
 extern "C" int epoll_ctl(int poll_fd, int operation, int fd, epoll_event* event) {
-  static const auto real = Real<int (*)(int, int, int, epoll_event*)>("epoll_ctl");
+  static const auto real = NextFunction<int (*)(int, int, int, epoll_event*)>("epoll_ctl");
   if (operation == EPOLL_CTL_DEL) {
-    HoldEnd(fd);
-    if (fd >= 0 && fd < kMostDescriptors) accepted[fd] = false;
+    DelayClose(fd);
+    if (fd >= 0 && fd < kMaxDescriptors) accepted[fd] = false;
   }
   return real(poll_fd, operation, fd, event);
 }
 
 extern "C" int connect(int fd, const sockaddr* address, socklen_t length) {
-  static const auto real = Real<int (*)(int, const sockaddr*, socklen_t)>("connect");
+  static const auto real = NextFunction<int (*)(int, const sockaddr*, socklen_t)>("connect");
   const int port =
       address->sa_family == AF_INET ? ntohs(reinterpret_cast<const sockaddr_in*>(address)->sin_port) : 0;
-  return Fails("connect", port) ? -1 : real(fd, address, length);
+  return ShouldFail("connect", port) ? -1 : real(fd, address, length);
 }
--- a/tests/operations.cpp
+++ b/tests/operations.cpp
@@ -1,5 +1,5 @@
-// Scenarios of day-to-day operation: the admin listener, replicas out by hand, a new process beside the old.
-// `operations PROGRAM NAME` plays one of them.
+// Scenarios of day-to-day operation: the admin listener, replicas that an operator disables, reloads, and a
+// hot restart. `operations PROGRAM NAME` runs one of them.
 #include <map>
 #include <memory>
 
@@ -9,136 +9,148 @@
 namespace {
 
 std::string program;
-const std::string kNobody = "127.0.0.1:9";
+const std::string kNoDiscovery = "127.0.0.1:9";  // for nodes that need no discovery
 const nlohmann::json kAdmin = {{"management", "127.0.0.1:0"}};
 
-struct One {  // a node with one upstream host and an admin listener
+// A node with one upstream host and an admin listener.
+struct NodeWithOneHost {
   ScriptedServer host;
-  Node node{program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}),
-            kNobody, "push",
-            1024,    192,
-            "",      false,
+  Node node{program,      EndpointListJson(1, true, {InstanceJson("s-a", host.address())}),
+            kNoDiscovery, "push",
+            1024,         192,
+            "",           false,
             kAdmin};
 };
 
-std::string AskAs(const std::string& id, const std::string& cls) {
-  std::string ask = RequestText(id);
-  ask.replace(ask.find("X-Call-Class: docs"), 18, "X-Call-Class: " + cls);
-  return ask;
+std::string RequestWithClass(const std::string& id, const std::string& cls) {
+  std::string request = RequestText(id);
+  request.replace(request.find("X-Call-Class: docs"), 18, "X-Call-Class: " + cls);
+  return request;
 }
 
-// Serves one request through `host`, which is called for it on a connection of its own.
-void Serves(const Node& node, const ScriptedServer& host, const std::string& id,
-            const std::string& cls = "docs") {
+// Sends one request to `node` on a new client connection and answers it as `host`, which must receive it on a
+// new connection.
+void ServeRequest(const Node& node, const ScriptedServer& host, const std::string& id,
+                  const std::string& cls = "docs") {
   Connection client = node.Connect();
-  ServeOne(host, client, id, AskAs(id, cls));
+  ServeOne(host, client, id, RequestWithClass(id, cls));
 }
 
-// The four calls, what each says, and what is no call at all.
-void Calls() {
-  One w;
-  assert(w.node.admin_port() > 0);
-  assert(w.node.AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
-  Serves(w.node, w.host, "1");
-  const std::string counters = w.node.AdminRequest("GET", "/control/counters");
+// Each admin call with its status and counters, and the errors for unknown replicas, wrong methods, unknown
+// paths and bytes that are not HTTP.
+void AdminCalls() {
+  NodeWithOneHost setup;
+  assert(setup.node.admin_port() > 0);
+  assert(setup.node.AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
+  ServeRequest(setup.node, setup.host, "1");
+  const std::string counters = setup.node.AdminRequest("GET", "/control/counters");
   assert(Contains(counters, "node_success{tier=\"docs\"} 1\n"));
   assert(Contains(counters, "node_busy{tier=\"docs\"} 0\n") &&
          Contains(counters, "node_failure{tier=\"docs\"} 0\n"));
   assert(Contains(counters, "node_backend_calls 1\n") && Contains(counters, "node_inflight 0\n"));
   assert(Contains(counters, "node_hosts_listed 1\n") && Contains(counters, "node_hosts_down 0\n"));
   assert(Contains(counters, "node_reconfig_ok 0\n") && Contains(counters, "node_reconfig_failed 0\n"));
-  assert(w.node.AdminRequest("POST", "/control/model-replicas/s-z/offline").rfind("HTTP/1.1 404", 0) == 0);
-  assert(w.node.AdminRequest("GET", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 405", 0) == 0);
-  assert(w.node.AdminRequest("POST", "/control/ready").rfind("HTTP/1.1 405", 0) == 0);
-  assert(w.node.AdminRequest("GET", "/control/other").rfind("HTTP/1.1 404", 0) == 0);
-  assert(w.node.AdminRequest("POST", "/control/model-replicas/s-a/reboot").rfind("HTTP/1.1 404", 0) == 0);
-  Connection garbled = ConnectTo(w.node.admin_port());
+  assert(setup.node.AdminRequest("POST", "/control/model-replicas/s-z/offline").rfind("HTTP/1.1 404", 0) ==
+         0);
+  assert(setup.node.AdminRequest("GET", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 405", 0) == 0);
+  assert(setup.node.AdminRequest("POST", "/control/ready").rfind("HTTP/1.1 405", 0) == 0);
+  assert(setup.node.AdminRequest("GET", "/control/other").rfind("HTTP/1.1 404", 0) == 0);
+  assert(setup.node.AdminRequest("POST", "/control/model-replicas/s-a/reboot").rfind("HTTP/1.1 404", 0) == 0);
+  Connection garbled = ConnectTo(setup.node.admin_port());
   garbled.Send("\x01\x02 nonsense\r\n\r\n");
   assert(garbled.ReadToEnd().rfind("HTTP/1.1 400", 0) == 0);
 }
 
-// Out by hand, a host gets nothing new however the list reads; twice out needs once back; back, it serves.
-void ByHand() {
-  One w;
-  Serves(w.node, w.host, "1");
-  assert(w.node.AdminRequest("POST", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 200", 0) == 0);
-  assert(w.node.AdminRequest("POST", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 200", 0) == 0);
-  assert(Contains(w.node.AdminRequest("GET", "/control/counters"), "node_hosts_down 1\n"));
-  Connection client = w.node.Connect();
+// A host that an operator disabled gets no new request although the endpoint list has it as ready. Disabling
+// it twice needs one call to enable it; after that it serves again.
+void DisabledByOperator() {
+  NodeWithOneHost setup;
+  ServeRequest(setup.node, setup.host, "1");
+  assert(setup.node.AdminRequest("POST", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 200", 0) ==
+         0);
+  assert(setup.node.AdminRequest("POST", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 200", 0) ==
+         0);
+  assert(Contains(setup.node.AdminRequest("GET", "/control/counters"), "node_hosts_down 1\n"));
+  Connection client = setup.node.Connect();
   client.Send(RequestText("2", "{\"stream\":true}", "0.800"));
-  assert(!w.host.HasConnectionWithin(600));  // nothing is sent there
+  assert(!setup.host.HasConnectionWithin(600));  // no request reaches the disabled host
   assert(client.ReadMessage().rfind("HTTP/1.1 503", 0) == 0);
-  assert(w.node.AdminRequest("POST", "/control/model-replicas/s-a/online").rfind("HTTP/1.1 200", 0) == 0);
-  assert(Contains(w.node.AdminRequest("GET", "/control/counters"), "node_hosts_down 0\n"));
-  Serves(w.node, w.host, "3");
-  const std::string counters = w.node.AdminRequest("GET", "/control/counters");
+  assert(setup.node.AdminRequest("POST", "/control/model-replicas/s-a/online").rfind("HTTP/1.1 200", 0) == 0);
+  assert(Contains(setup.node.AdminRequest("GET", "/control/counters"), "node_hosts_down 0\n"));
+  ServeRequest(setup.node, setup.host, "3");
+  const std::string counters = setup.node.AdminRequest("GET", "/control/counters");
   assert(Contains(counters, "node_success{tier=\"docs\"} 2\n") &&
          Contains(counters, "node_busy{tier=\"docs\"} 1\n"));
 }
 
-// Callers that hold connections and say nothing, more of them than the listener keeps, leave the next call
-// answered; and so does a client that keeps the node's front busy.
-void SlowCallers() {
-  One w;
+// The admin listener answers a new call although idle callers, some with half of a request, hold more
+// connections than it keeps, and although a client has a request open at the node's front.
+void IdleAdminCallers() {
+  NodeWithOneHost setup;
   std::vector<Connection> idle;
   for (int i = 0; i < 40; ++i) {
-    idle.push_back(ConnectTo(w.node.admin_port()));
+    idle.push_back(ConnectTo(setup.node.admin_port()));
     if (i % 2 == 0) idle.back().Send("GET /control/rea");
   }
-  Connection client = w.node.Connect();
+  Connection client = setup.node.Connect();
   client.Send(RequestText("1"));
-  Connection up = w.host.Accept();  // a stream in flight
-  Connection call = ConnectTo(w.node.admin_port());
+  Connection upstream = setup.host.Accept();  // a stream in flight
+  Connection call = ConnectTo(setup.node.admin_port());
   call.Send("GET /control/ready HTTP/1.1\r\nHost: node\r\n\r\n");
   assert(call.ReadableWithin(3000));
   assert(call.ReadToEnd().rfind("HTTP/1.1 200", 0) == 0);
 }
 
-// A second process listens on the same address as the first; the first drains on SIGTERM, and the second
-// serves on.
-void Beside() {
+// A second process listens on the same client address as the first. The first drains on SIGTERM, and the
+// second continues to serve.
+void TwoProcessesOnOneAddress() {
   ScriptedServer host;
-  Node old(program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNobody, "push", 1024,
-           192, "", false, kAdmin);
-  const std::string at = "127.0.0.1:" + std::to_string(old.port());
-  Node young(program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNobody, "push", 1024,
-             192, "", false, {{"management", "127.0.0.1:0"}, {"listen", at}});
-  assert(young.port() == old.port() && young.admin_port() != old.admin_port());
-  assert(young.AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
-  old.SendSigterm();
-  assert(old.WaitForExit() == 0);
-  Serves(young, host, "1");
+  Node old_process(program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNoDiscovery,
+                   "push", 1024, 192, "", false, kAdmin);
+  const std::string at = "127.0.0.1:" + std::to_string(old_process.port());
+  Node new_process(program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNoDiscovery,
+                   "push", 1024, 192, "", false, {{"management", "127.0.0.1:0"}, {"listen", at}});
+  assert(new_process.port() == old_process.port() && new_process.admin_port() != old_process.admin_port());
+  assert(new_process.AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
+  old_process.SendSigterm();
+  assert(old_process.WaitForExit() == 0);
+  ServeRequest(new_process, host, "1");
 }
 
-// What operators said passes to the next process of the node: a host out by hand at the old one stays out at
-// the new one, and one put out at the new one is left out by the old one while it drains.
-void HoldsPass() {
+// Operator-disabled replicas pass to the next process of the node: a host disabled at the old process is
+// disabled at the new one from its start, and the old one applies what is disabled or enabled at the new one
+// while both run.
+void DisabledReplicasPassToNextProcess() {
   ScriptedServer a, b;
   const nlohmann::json list =
       EndpointListJson(1, true, {InstanceJson("s-a", a.address()), InstanceJson("s-b", b.address())});
-  Node old(program, list, kNobody, "push", 1024, 192, "", false, kAdmin);
-  assert(old.AdminRequest("POST", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 200", 0) == 0);
-  old.WaitForLog("replica-offline");
-  usleep(300'000);  // written in the background
-  Node young(program, list, kNobody, "push", 1024, 192, "", false,
-             {{"management", "127.0.0.1:0"},
-              {"listen", "127.0.0.1:" + std::to_string(old.port())},
-              {"_tmpdir", old.tmpdir()}});
-  assert(Contains(young.Log(), "disabled-replicas-applied out=1 start=true"));
-  assert(Contains(young.AdminRequest("GET", "/control/counters"), "node_hosts_down 1\n"));
-  assert(young.AdminRequest("POST", "/control/model-replicas/s-b/offline").rfind("HTTP/1.1 200", 0) == 0);
-  old.WaitForLog("disabled-replicas-applied out=2 start=false");
-  assert(Contains(old.AdminRequest("GET", "/control/counters"), "node_hosts_down 2\n"));
-  assert(young.AdminRequest("POST", "/control/model-replicas/s-a/online").rfind("HTTP/1.1 200", 0) == 0);
-  old.WaitForLog("disabled-replicas-applied out=1 start=false");
-  Serves(old, a, "1");  // back at both
-  Serves(young, a, "2");
-  old.SendSigterm();
-  assert(old.WaitForExit() == 0);
+  Node old_process(program, list, kNoDiscovery, "push", 1024, 192, "", false, kAdmin);
+  assert(old_process.AdminRequest("POST", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 200", 0) ==
+         0);
+  old_process.WaitForLog("replica-offline");
+  usleep(300'000);  // the file is written in the background
+  Node new_process(program, list, kNoDiscovery, "push", 1024, 192, "", false,
+                   {{"management", "127.0.0.1:0"},
+                    {"listen", "127.0.0.1:" + std::to_string(old_process.port())},
+                    {"_tmpdir", old_process.tmpdir()}});
+  assert(Contains(new_process.Log(), "disabled-replicas-applied out=1 start=true"));
+  assert(Contains(new_process.AdminRequest("GET", "/control/counters"), "node_hosts_down 1\n"));
+  assert(new_process.AdminRequest("POST", "/control/model-replicas/s-b/offline").rfind("HTTP/1.1 200", 0) ==
+         0);
+  old_process.WaitForLog("disabled-replicas-applied out=2 start=false");
+  assert(Contains(old_process.AdminRequest("GET", "/control/counters"), "node_hosts_down 2\n"));
+  assert(new_process.AdminRequest("POST", "/control/model-replicas/s-a/online").rfind("HTTP/1.1 200", 0) ==
+         0);
+  old_process.WaitForLog("disabled-replicas-applied out=1 start=false");
+  ServeRequest(old_process, a, "1");  // enabled again at both
+  ServeRequest(new_process, a, "2");
+  old_process.SendSigterm();
+  assert(old_process.WaitForExit() == 0);
 }
 
-// A holds file that is torn, or of another node, is passed over whole: the node starts as if there were none.
-void HoldsTorn() {
+// A file of disabled replicas that is truncated, garbled or of another node is ignored as a whole: the node
+// starts as if there were none.
+void InvalidDisabledReplicasFile() {
   char dir[] = "/tmp/ryeglade-story-tmp-XXXXXX";
   assert(mkdtemp(dir) != nullptr);
   const std::string path = std::string(dir) + "/ryeglade-holds-n0";
@@ -147,59 +159,61 @@
         std::string("\0\1", 2)}) {
     std::ofstream(path) << text;
     ScriptedServer host;
-    Node node(program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNobody, "push",
+    Node node(program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNoDiscovery, "push",
               1024, 192, "", false, {{"management", "127.0.0.1:0"}, {"_tmpdir", std::string(dir)}});
     assert(Contains(node.Log(), "disabled-replicas-ignored"));
-    Serves(node, host, "1");
+    ServeRequest(node, host, "1");
   }
   std::remove(path.c_str());
   rmdir(dir);
 }
 
-std::string Status(Connection& client) { return client.ReadMessage().substr(0, 12); }
+std::string StatusLine(Connection& client) { return client.ReadMessage().substr(0, 12); }
 
-// SIGHUP with other settings: a class added is served at once, a class dropped is refused, and a request
-// that was open keeps the class it came with; a broken file is taken in no part and counted.
-void Retunes() {
-  One w;
-  nlohmann::json settings = w.node.config()["settings"];
+// SIGHUP with changed settings: an added class is served at once, requests of a removed class are refused,
+// and an open request keeps the class version it arrived with. No part of an invalid file is applied, and it
+// is counted.
+void ReloadSettings() {
+  NodeWithOneHost setup;
+  nlohmann::json settings = setup.node.config()["settings"];
   const nlohmann::json docs = settings["classes"][0];
   nlohmann::json agent = docs;
   agent["name"] = "agent";
   agent["effect"] = "guarded";
   settings["classes"].push_back(agent);
   settings["limits"]["max-attempts"] = 2;
-  w.node.Reload("settings", settings);
-  w.node.WaitForLog("event=classes-updated classes=2 versions=2 attempts=2");
-  Serves(w.node, w.host, "1");
+  setup.node.Reload("settings", settings);
+  setup.node.WaitForLog("event=classes-updated classes=2 versions=2 attempts=2");
+  ServeRequest(setup.node, setup.host, "1");
   {
-    Connection client = w.node.Connect();
-    client.Send(AskAs("2", "agent"));
-    Connection up = w.host.Accept();
-    assert(Contains(up.ReadMessage(), "X-Call-Id: 2"));
-    up.Send(kStreamHead);
-    up.SendChunk("data: x\n\n");
+    Connection client = setup.node.Connect();
+    client.Send(RequestWithClass("2", "agent"));
+    Connection upstream = setup.host.Accept();
+    assert(Contains(upstream.ReadMessage(), "X-Call-Id: 2"));
+    upstream.Send(kStreamHead);
+    upstream.SendChunk("data: x\n\n");
     client.ReadUntil("data: x\n\n");
-    // docs dropped while an agent stream is open; the agent changed too, so it gets a new version
-    nlohmann::json only = settings;
-    only["classes"] = nlohmann::json::array({agent});
-    only["classes"][0]["effect"] = "free";
-    w.node.Reload("settings", only);
-    w.node.WaitForLog("event=classes-updated classes=1 versions=3 attempts=2");
-    up.SendChunk("");
-    client.ReadUntil("0\r\n\r\n");  // whole, and counted under the class it came with
+    // Class docs is removed while a stream of class agent is open. Class agent changes too, so it gets a new
+    // version.
+    nlohmann::json agent_only = settings;
+    agent_only["classes"] = nlohmann::json::array({agent});
+    agent_only["classes"][0]["effect"] = "free";
+    setup.node.Reload("settings", agent_only);
+    setup.node.WaitForLog("event=classes-updated classes=1 versions=3 attempts=2");
+    upstream.SendChunk("");
+    client.ReadUntil("0\r\n\r\n");  // complete, and counted under the class it arrived with
   }
-  Connection refused = w.node.Connect();
+  Connection refused = setup.node.Connect();
   refused.Send(RequestText("3"));
-  assert(Status(refused) == "HTTP/1.1 400");
-  Serves(w.node, w.host, "4", "agent");
-  std::string counters = w.node.AdminRequest("GET", "/control/counters");
+  assert(StatusLine(refused) == "HTTP/1.1 400");
+  ServeRequest(setup.node, setup.host, "4", "agent");
+  std::string counters = setup.node.AdminRequest("GET", "/control/counters");
   assert(Contains(counters, "node_success{tier=\"agent\"} 2\n") &&
          Contains(counters, "node_success{tier=\"docs\"} 1\n"));
   assert(Contains(counters, "node_reconfig_ok 2\n") && Contains(counters, "node_reconfig_failed 0\n"));
 
-  // Broken files: each is turned down whole, and what was in force stays.
-  const nlohmann::json good = w.node.config();
+  // Invalid files: each is rejected as a whole, and the settings in force stay.
+  const nlohmann::json good = setup.node.config();
   std::vector<std::string> broken = {"", good.dump().substr(0, good.dump().size() / 2)};
   for (const auto& [key, value] : std::vector<std::pair<std::string, nlohmann::json>>{
            {"deadline", 0}, {"deadline", -5}, {"promise", "soon"}, {"name", nullptr}}) {
@@ -221,34 +235,36 @@
   no_deadline["settings"]["classes"][0].erase("deadline");
   broken.push_back(no_deadline.dump());
   for (std::size_t i = 0; i < broken.size(); ++i) {
-    w.node.WriteConfig(broken[i]);
-    w.node.SendSighup();
-    const std::string want = "node_reconfig_failed " + std::to_string(i + 1) + "\n";
-    for (int n = 0; !Contains(w.node.AdminRequest("GET", "/control/counters"), want); ++n) {
+    setup.node.WriteConfig(broken[i]);
+    setup.node.SendSighup();
+    const std::string expected = "node_reconfig_failed " + std::to_string(i + 1) + "\n";
+    for (int n = 0; !Contains(setup.node.AdminRequest("GET", "/control/counters"), expected); ++n) {
       assert(n < 1000);
       usleep(10'000);
     }
   }
-  assert(Contains(w.node.Log(), "remedy="));
-  counters = w.node.AdminRequest("GET", "/control/counters");
+  assert(Contains(setup.node.Log(), "remedy="));
+  counters = setup.node.AdminRequest("GET", "/control/counters");
   assert(Contains(counters, "node_reconfig_ok 2\n"));
-  Serves(w.node, w.host, "5", "agent");
-  w.node.WriteConfig(good.dump());  // so that it ends as it began
+  ServeRequest(setup.node, setup.host, "5", "agent");
+  setup.node.WriteConfig(good.dump());  // valid again for the end of the node
 }
 
-// A port that is free now, as both processes of a node must be told the same one.
-std::string FreeAt() {
+// An address with a port that is free now: both processes of a node must be configured with the same one.
+std::string FreeAddress() {
   const ScriptedServer peer;
   return peer.address();
 }
 
-struct Beside2 {  // two processes of one node, which share $TMPDIR and the clients' address
+// Starts processes of one node, which share $TMPDIR and the address for clients. Removes their files at the
+// end.
+struct SiblingProcesses {
   char dir[40] = "/tmp/ryeglade-story-tmp-XXXXXX";
   ScriptedServer host;
-  std::string at = FreeAt();
+  std::string at = FreeAddress();
   nlohmann::json list = EndpointListJson(1, true, {InstanceJson("s-a", host.address())});
-  Beside2() { assert(mkdtemp(dir) != nullptr); }
-  ~Beside2() {
+  SiblingProcesses() { assert(mkdtemp(dir) != nullptr); }
+  ~SiblingProcesses() {
     for (const char* what : {"holds-n0", "lease-n0", "state-n0", "out-n0"}) {
       std::string path = std::string(dir) + "/ryeglade-" + what, tail = "-" + at;
       for (char& c : tail) {
@@ -262,34 +278,34 @@
   }
   std::unique_ptr<Node> Start() {
     return std::make_unique<Node>(
-        program, list, kNobody, "push", 1024, 192, "", false,
+        program, list, kNoDiscovery, "push", 1024, 192, "", false,
         nlohmann::json{{"management", "127.0.0.1:0"}, {"listen", at}, {"_tmpdir", std::string(dir)}});
   }
 };
 
-// The new process is given what the old one knows and takes clients; the old one takes nothing new, finishes
-// what it has, and ends in order.
-void HandsOver() {
-  Beside2 w;
-  auto old = w.Start();
-  Serves(*old, w.host, "1");
-  Connection running = old->Connect();
+// The new process receives the old one's learned state and accepts clients. The old one accepts no new
+// requests, finishes its open stream and exits with status 0.
+void HotRestart() {
+  SiblingProcesses processes;
+  auto old_process = processes.Start();
+  ServeRequest(*old_process, processes.host, "1");
+  Connection running = old_process->Connect();
   running.Send(RequestText("2"));
-  Connection up = w.host.Accept();
-  up.ReadMessage();
-  up.Send(kStreamHead);
-  up.SendChunk("data: x\n\n");
+  Connection upstream = processes.host.Accept();
+  upstream.ReadMessage();
+  upstream.Send(kStreamHead);
+  upstream.SendChunk("data: x\n\n");
   running.ReadUntil("data: x\n\n");
-  auto young = w.Start();
-  assert(Contains(young->Log(), "event=hand-over-taken") && Contains(young->Log(), "out=1"));
-  old->WaitForLog("event=hand-over-yields");
-  assert(old->AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 503", 0) == 0);
-  assert(young->AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
-  for (int i = 0; i < 20; ++i) {  // all go to the new one, each on a connection of its own
+  auto new_process = processes.Start();
+  assert(Contains(new_process->Log(), "event=hand-over-taken") && Contains(new_process->Log(), "out=1"));
+  old_process->WaitForLog("event=hand-over-yields");
+  assert(old_process->AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 503", 0) == 0);
+  assert(new_process->AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
+  for (int i = 0; i < 20; ++i) {  // all reach the new process, each on a new connection
     const std::string id = std::to_string(100 + i);
-    Connection client = young->Connect();
+    Connection client = new_process->Connect();
     client.Send(RequestText(id));
-    Connection served = w.host.Accept();
+    Connection served = processes.host.Accept();
     assert(Contains(served.ReadMessage(), "X-Call-Id: " + id));
     served.Send("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n" +
                 kStreamHead.substr(kStreamHead.find("Transfer-Encoding")));
@@ -297,79 +313,84 @@
     served.SendChunk("");
     client.ReadUntil("0\r\n\r\n");
   }
-  assert(Contains(young->AdminRequest("GET", "/control/counters"), "node_success{tier=\"docs\"} 20\n"));
-  up.SendChunk("data: y\n\n");
-  up.SendChunk("");
-  running.ReadUntil("0\r\n\r\n");  // what the old one had taken goes on to its end
-  old->SendSigterm();
-  assert(old->WaitForExit() == 0);
-  Serves(*young, w.host, "99");
+  assert(Contains(new_process->AdminRequest("GET", "/control/counters"), "node_success{tier=\"docs\"} 20\n"));
+  upstream.SendChunk("data: y\n\n");
+  upstream.SendChunk("");
+  running.ReadUntil("0\r\n\r\n");  // the stream of the old process runs to its end
+  old_process->SendSigterm();
+  assert(old_process->WaitForExit() == 0);
+  ServeRequest(*new_process, processes.host, "99");
 }
 
-// The old process was cut off from discovery; the list that the new one is started with is newer than what it
-// is handed, and counts.
-void HandsOverNewerList() {
-  Beside2 w;
+// The old process was cut off from discovery: the endpoint list that the new one is started with is newer
+// than the handed-over one, so the new process uses its own. A third process starts with an older list than
+// the handed-over one and uses the handed-over list.
+void HotRestartWithNewerList() {
+  SiblingProcesses processes;
   const ScriptedServer other;
-  auto old = w.Start();
-  Serves(*old, w.host, "1");
-  w.list = EndpointListJson(
-      5, true, {InstanceJson("s-a", w.host.address(), "leaving"), InstanceJson("s-b", other.address())});
-  auto young = w.Start();
-  assert(Contains(young->Log(), "event=hand-over-taken"));
-  old->WaitForLog("event=hand-over-yields");
-  Serves(*young, other, "2");
-  old->SendSigterm();
-  assert(old->WaitForExit() == 0);
-  w.list = EndpointListJson(3, true, {InstanceJson("s-a", w.host.address())});  // and an older one does not
-  auto third = w.Start();
-  young->WaitForLog("event=hand-over-yields");
-  Serves(*third, other, "3");
+  auto old_process = processes.Start();
+  ServeRequest(*old_process, processes.host, "1");
+  processes.list = EndpointListJson(
+      5, true,
+      {InstanceJson("s-a", processes.host.address(), "leaving"), InstanceJson("s-b", other.address())});
+  auto new_process = processes.Start();
+  assert(Contains(new_process->Log(), "event=hand-over-taken"));
+  old_process->WaitForLog("event=hand-over-yields");
+  ServeRequest(*new_process, other, "2");
+  old_process->SendSigterm();
+  assert(old_process->WaitForExit() == 0);
+  processes.list = EndpointListJson(
+      3, true, {InstanceJson("s-a", processes.host.address())});  // older than the handed-over list
+  auto third = processes.Start();
+  new_process->WaitForLog("event=hand-over-yields");
+  ServeRequest(*third, other, "3");
 }
 
-// A new process that dies after its yes, hangs, or is told to end: the old one takes clients again.
-void TakesUpAgain() {
-  Beside2 w;
-  auto old = w.Start();
+// A new process that hangs, is killed or gets SIGTERM after it has taken over: the old process accepts
+// clients again.
+void OldProcessResumesAccepting() {
+  SiblingProcesses processes;
+  auto old_process = processes.Start();
   {
-    auto young = w.Start();
-    old->WaitForLog("event=hand-over-yields");
-    young->Suspend();
-    old->WaitForLog("why=successor-silent");
-    young->Resume();
-    for (int n = 0; old->AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 503", 0) != 0; ++n) {
-      assert(n < 1000);  // it yields again once the other turns
+    auto new_process = processes.Start();
+    old_process->WaitForLog("event=hand-over-yields");
+    new_process->Suspend();
+    old_process->WaitForLog("why=successor-silent");
+    new_process->Resume();
+    for (int n = 0; old_process->AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 503", 0) != 0; ++n) {
+      assert(n < 1000);  // yields again once the new process runs
       usleep(10'000);
     }
-    young->Kill();
-    old->WaitForLog("why=successor-gone");
+    new_process->Kill();
+    old_process->WaitForLog("why=successor-gone");
   }
-  Serves(*old, w.host, "1");
+  ServeRequest(*old_process, processes.host, "1");
   {
-    auto young = w.Start();
-    for (int n = 0; old->AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 503", 0) != 0; ++n) {
+    auto new_process = processes.Start();
+    for (int n = 0; old_process->AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 503", 0) != 0; ++n) {
       assert(n < 1000);
       usleep(10'000);
     }
-    young->SendSigterm();
-    old->WaitForLog("why=successor-ends");
-    assert(young->WaitForExit() == 0);
+    new_process->SendSigterm();
+    old_process->WaitForLog("why=successor-ends");
+    assert(new_process->WaitForExit() == 0);
   }
-  Serves(*old, w.host, "2");
-  assert(old->AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
+  ServeRequest(*old_process, processes.host, "2");
+  assert(old_process->AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
 }
 
-// A state file that is torn, or of a newer major, is set aside: the new process serves all the same, cold.
-void StateAside() {
-  Beside2 w;
-  auto old = w.Start();
-  old->Suspend();  // it gives nothing
-  auto young = w.Start();
-  assert(Contains(young->Log(), "event=hand-over-serves why=no-state"));
-  // Until it turns again, the kernel still deals it a share of the connections.
-  old->Resume();
-  old->WaitForLog("event=hand-over-yields");
-  Serves(*young, w.host, "1");
+// The old process is suspended and hands over no state: the new process serves all the same, without learned
+// state.
+void HotRestartWithoutState() {
+  SiblingProcesses processes;
+  auto old_process = processes.Start();
+  old_process->Suspend();  // cannot hand over its state
+  auto new_process = processes.Start();
+  assert(Contains(new_process->Log(), "event=hand-over-serves why=no-state"));
+  // While the old process is suspended, the kernel still assigns it a share of the connections.
+  old_process->Resume();
+  old_process->WaitForLog("event=hand-over-yields");
+  ServeRequest(*new_process, processes.host, "1");
 }
 
 }  // namespace
@@ -377,20 +398,20 @@
 
 int main(int argc, char** argv) {
   using namespace scripted;
-  const std::map<std::string, void (*)()> all = {{"calls", Calls},
-                                                 {"by-hand", ByHand},
-                                                 {"slow-callers", SlowCallers},
-                                                 {"beside", Beside},
-                                                 {"holds-pass", HoldsPass},
-                                                 {"holds-torn", HoldsTorn},
-                                                 {"retunes", Retunes},
-                                                 {"hands-over", HandsOver},
-                                                 {"takes-up-again", TakesUpAgain},
-                                                 {"state-aside", StateAside},
-                                                 {"hands-over-newer", HandsOverNewerList}};
+  const std::map<std::string, void (*)()> scenarios = {{"calls", AdminCalls},
+                                                       {"by-hand", DisabledByOperator},
+                                                       {"slow-callers", IdleAdminCallers},
+                                                       {"beside", TwoProcessesOnOneAddress},
+                                                       {"holds-pass", DisabledReplicasPassToNextProcess},
+                                                       {"holds-torn", InvalidDisabledReplicasFile},
+                                                       {"retunes", ReloadSettings},
+                                                       {"hands-over", HotRestart},
+                                                       {"takes-up-again", OldProcessResumesAccepting},
+                                                       {"state-aside", HotRestartWithoutState},
+                                                       {"hands-over-newer", HotRestartWithNewerList}};
   signal(SIGPIPE, SIG_IGN);
-  assert(argc == 3 && all.contains(argv[2]));
+  assert(argc == 3 && scenarios.contains(argv[2]));
   program = argv[1];
-  all.at(argv[2])();
+  scenarios.at(argv[2])();
   std::printf("ok %s\n", argv[2]);
 }
