--- a/bench/fronts_bench.cpp
+++ b/bench/fronts_bench.cpp
@@ -1,6 +1,6 @@
-// What a request costs the node in CPU through each front and dialect, and how much later a first token comes
-// than straight from the replica. Each figure is a ratio to the platform's front in the same run; the node is
-// a process of its own, whose CPU time the kernel counts.
+// Measures the CPU time that a request costs the node through each front and dialect, and how much later the
+// first token arrives through the node than directly from the replica. CPU ratios compare with the platform's
+// front in the same run. The node is a separate process, whose CPU time the kernel counts.
 #include <benchmark/benchmark.h>
 #include <unistd.h>
 
@@ -23,7 +23,8 @@
 
 constexpr int kRounds = 8;
 
-// `tokens` 16: what a request costs. Many: what streamed bytes cost.
+// Arguments: bytes of the request body, tokens of the answer, requests per round. With 16 tokens it measures
+// the cost of a request, with many the cost of streamed bytes.
 void Fronts(benchmark::State& state) {
   const std::size_t body = static_cast<std::size_t>(state.range(0)),
                     tokens = static_cast<std::size_t>(state.range(1));
@@ -32,16 +33,17 @@
   std::map<std::string, std::size_t> bytes;
   for (auto _ : state) {
     for (const ReplicaDialect replica_dialect : {ReplicaDialect::kPlatform, ReplicaDialect::kOpenAi}) {
-      const auto fleet = MakeRig(replica_dialect, tokens);
+      const auto fleet = MakeFleet(replica_dialect, tokens);
       const std::string dialect = replica_dialect == ReplicaDialect::kPlatform ? "platform" : "openai";
-      for (const bool openai : {false, true}) Drive(*fleet, openai, requests / 4, body, tokens);
-      for (int round = 0; round < kRounds; ++round) {  // by turns, so that a drift of the machine meets both
+      for (const bool openai : {false, true}) SendRequests(*fleet, openai, requests / 4, body, tokens);
+      // The fronts alternate, so that a drift of the machine's speed affects both.
+      for (int round = 0; round < kRounds; ++round) {
         for (const bool openai : {false, true}) {
           const std::string name =
               std::string(openai ? "openai" : "platform") + "_front_" + dialect + "_dialect";
-          const Spent spent = Drive(*fleet, openai, requests, body, tokens);
-          total[name] += spent.cpu.all / kRounds;
-          bytes[name] += spent.bytes;
+          const SendResult result = SendRequests(*fleet, openai, requests, body, tokens);
+          total[name] += result.cpu.all / kRounds;
+          bytes[name] += result.bytes;
         }
       }
     }
@@ -59,36 +61,37 @@
 }
 BENCHMARK(Fronts)->Args({4096, 16, 1000})->Args({4096, 20'000, 20})->Iterations(1)->Unit(benchmark::kSecond);
 
-// The first byte of an answer: through the node against straight to the stand-in, by turns.
+// Time to the first byte of a response, alternating between a request through the node and one directly to a
+// replica.
 void FirstToken(benchmark::State& state) {
-  const auto fleet = MakeRig(ReplicaDialect::kOpenAi, 8);
-  FakeReplica straight(fleet->run(), &fleet->attempt_counts(),
-                       {.first_token = 0, .per_token = 0, .tokens = 8});
-  const std::string direct = straight.Listen();
+  const auto fleet = MakeFleet(ReplicaDialect::kOpenAi, 8);
+  FakeReplica direct_replica(fleet->run(), &fleet->attempt_counts(),
+                             {.first_token = 0, .per_token = 0, .tokens = 8});
+  const std::string direct_address = direct_replica.Listen();
   std::vector<double> through_ms, straight_ms;
   for (auto _ : state) {
     for (std::size_t n = 0; n < 2000; ++n) {
       const Reply a = fleet->SendAndWait(fleet->openai(), Request(true, n, 1024, 8)),
-                  b = fleet->SendAndWait(direct, Request(true, n, 1024, 8));
+                  b = fleet->SendAndWait(direct_address, Request(true, n, 1024, 8));
       through_ms.push_back(static_cast<double>(a.first_byte - a.started) / 1000);
       straight_ms.push_back(static_cast<double>(b.first_byte - b.started) / 1000);
     }
   }
-  const auto at = [](std::vector<double>& v, double q) {
+  const auto quantile = [](std::vector<double>& v, double q) {
     std::sort(v.begin(), v.end());
     return v[static_cast<std::size_t>(q * static_cast<double>(v.size() - 1))];
   };
-  state.counters["through_p50_ms"] = at(through_ms, 0.5);
-  state.counters["through_p99_ms"] = at(through_ms, 0.99);
-  state.counters["straight_p50_ms"] = at(straight_ms, 0.5);
-  state.counters["straight_p99_ms"] = at(straight_ms, 0.99);
-  straight.Close();
+  state.counters["through_p50_ms"] = quantile(through_ms, 0.5);
+  state.counters["through_p99_ms"] = quantile(through_ms, 0.99);
+  state.counters["straight_p50_ms"] = quantile(straight_ms, 0.5);
+  state.counters["straight_p99_ms"] = quantile(straight_ms, 0.99);
+  direct_replica.Close();
 }
 BENCHMARK(FirstToken)->Iterations(1)->Unit(benchmark::kSecond);
 
-// Good clients' answers while a thousand connections keep showing bad keys.
+// Response time of clients with a valid key while a thousand connections keep sending an invalid one.
 void BadKeys(benchmark::State& state) {
-  const auto fleet = MakeRig(ReplicaDialect::kOpenAi, 8);
+  const auto fleet = MakeFleet(ReplicaDialect::kOpenAi, 8);
   const std::string bad =
       Post("/v1/chat/completions",
            "Authorization: Bearer rg-00000000-" + std::string(64, '0') + "\r\nConnection: close\r\n", "{}");
@@ -99,21 +102,21 @@
   };
   std::vector<double> calm, flooded;
   std::size_t answered = 0, open = 0;
-  bool on = false;
-  std::function<void()> one = [&] {
+  bool flooding = false;
+  std::function<void()> send_bad = [&] {
     ++open;
     fleet->client().Send(fleet->openai(), bad, 30'000'000, [&](const Reply& r) {
       --open;
       if (r.status == 401) ++answered;
-      if (on) one();
+      if (flooding) send_bad();
     });
   };
   for (auto _ : state) {
     for (std::size_t n = 0; n < 300; ++n) calm.push_back(good(n));
-    on = true;
-    for (int i = 0; i < 1000; ++i) one();
+    flooding = true;
+    for (int i = 0; i < 1000; ++i) send_bad();
     for (std::size_t n = 0; n < 300; ++n) flooded.push_back(good(n));
-    on = false;
+    flooding = false;
     fleet->Until([&] { return open == 0; }, 60'000'000);
   }
   const auto median = [](std::vector<double>& v) {
--- a/bench/gossip_bench.cpp
+++ b/bench/gossip_bench.cpp
@@ -1,4 +1,5 @@
-// What talk among the nodes costs one of them and how old what it knows is, at 16, 100 and 300 nodes.
+// Measures the cost of gossip for one node and the age of the information that it has, at 16, 100 and 300
+// nodes.
 #include <benchmark/benchmark.h>
 
 #include "lab/emulator/gossip_simulation.h"
--- a/bench/measure.h
+++ b/bench/measure.h
@@ -1,5 +1,5 @@
-// What the benchmarks share: a fleet whose replicas answer at once, requests, and the CPU time of a node as
-// the kernel counts it, to the nanosecond.
+// Shared parts of the benchmarks: a fleet whose replicas answer at once, requests, and the CPU time of a node
+// as the kernel counts it, in nanoseconds.
 #pragma once
 
 #include <algorithm>
@@ -18,11 +18,12 @@
 
 inline const char* Program() { return std::getenv("RYEGLADE_PROGRAM"); }
 
+// CPU time in seconds: of the event loop's thread, and of the whole process.
 struct Cpu {
-  double loop = 0, all = 0;  // seconds: of the thread that routes, and of the whole process
+  double loop = 0, all = 0;
 };
 
-inline Cpu CpuOf(pid_t pid) {
+inline Cpu CpuTimeOf(pid_t pid) {
   Cpu cpu;
   const std::string base = "/proc/" + std::to_string(pid) + "/task";
   for (const auto& task : std::filesystem::directory_iterator(base)) {
@@ -53,13 +54,13 @@
               body);
 }
 
-inline std::unique_ptr<LocalFleet> MakeRig(ReplicaDialect dialect, std::size_t tokens,
-                                           const std::string& more = "", Fault fault = Fault::kNone,
-                                           std::size_t replicas = 2) {
+inline std::unique_ptr<LocalFleet> MakeFleet(ReplicaDialect dialect, std::size_t tokens,
+                                             const std::string& extra_settings = "",
+                                             Fault fault = Fault::kNone, std::size_t replicas = 2) {
   LocalFleetOptions o;
   o.program = Program();
   o.key = "k";
-  o.extra_settings = more;
+  o.extra_settings = extra_settings;
   FakeReplicaOptions replica;
   replica.dialect = dialect;
   replica.first_token = 0;
@@ -72,43 +73,45 @@
   return std::make_unique<LocalFleet>(o);
 }
 
-struct Spent {
-  Cpu cpu;  // seconds a request
-  std::size_t bytes = 0;
-  std::vector<double> ms;  // of each answer
+struct SendResult {
+  Cpu cpu;                          // of the node, per request
+  std::size_t bytes = 0;            // of all response bodies
+  std::vector<double> response_ms;  // duration of each response
 };
 
-// `at_once` requests open at any time. `any_status`: refusals are answers too.
-inline Spent Drive(LocalFleet& fleet, bool openai_front, std::size_t requests, std::size_t body,
-                   std::size_t tokens, bool any_status = false) {
-  constexpr std::size_t kAtOnce = 8;
+// Sends `requests` requests with a body of `body` bytes, at most 8 open at any time, and waits for all
+// responses. Aborts on a response that is incomplete or not 200, unless `any_status` is set.
+inline SendResult SendRequests(LocalFleet& fleet, bool openai_front, std::size_t requests, std::size_t body,
+                               std::size_t tokens, bool any_status = false) {
+  constexpr std::size_t kMaxOpen = 8;
   static std::size_t number = 0;
-  std::size_t asked = 0, done = 0;
-  Spent spent;
-  const Cpu before = CpuOf(fleet.node().pid());
+  std::size_t sent = 0, done = 0;
+  SendResult result;
+  const Cpu before = CpuTimeOf(fleet.node().pid());
   fleet.Until(
       [&] {
-        while (asked < requests && asked - done < kAtOnce) {
-          ++asked;
+        while (sent < requests && sent - done < kMaxOpen) {
+          ++sent;
           fleet.client().Send(openai_front ? fleet.openai() : fleet.platform(),
                               Request(openai_front, ++number, body, tokens), 30'000'000, [&](const Reply& r) {
                                 ++done;
                                 if (!any_status && (r.status != 200 || !r.complete)) {
-                                  std::fprintf(stderr, "answered %d, whole %d; the node says:\n%s", r.status,
-                                               r.complete, fleet.node().Log().c_str());
+                                  std::fprintf(stderr,
+                                               "response status %d, complete %d; log of the node:\n%s",
+                                               r.status, r.complete, fleet.node().Log().c_str());
                                   std::abort();
                                 }
-                                spent.bytes += r.body.size();
-                                spent.ms.push_back(static_cast<double>(r.ended - r.started) / 1000);
+                                result.bytes += r.body.size();
+                                result.response_ms.push_back(static_cast<double>(r.ended - r.started) / 1000);
                               });
         }
         return done == requests;
       },
       600'000'000);
-  const Cpu after = CpuOf(fleet.node().pid());
+  const Cpu after = CpuTimeOf(fleet.node().pid());
   const auto n = static_cast<double>(requests);
-  spent.cpu = {(after.loop - before.loop) / n, (after.all - before.all) / n};
-  return spent;
+  result.cpu = {(after.loop - before.loop) / n, (after.all - before.all) / n};
+  return result;
 }
 
 inline double Quantile(std::vector<double>& v, double q) {
--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -1,4 +1,5 @@
-// What membership costs a node: a tick, a message in, a message as bytes; at 100 and 1,000 members.
+// Measures the cost of membership for a node at 100 and 1,000 members: ticks, a received message, and the
+// encoding of a message.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -24,18 +25,19 @@
   return r;
 }
 
-// A node that has met all others; `Period` lets a probe period pass in which all that it pings answer.
-struct Tier {
-  explicit Tier(int n)
-      : model(Opts(), Member(0), 0,
+// A node that knows all other members. `Period` advances the time by a probe period in which every pinged
+// member answers.
+struct Cluster {
+  explicit Cluster(int n)
+      : model(Options(), Member(0), 0,
               [this] { return state = state * 6364136223846793005u + 1442695040888963407u; }) {
     for (int i = 1; i < n; ++i) {
       Message m = From(i, MessageKind::kPing, 0);
-      Take(i, m);
+      Receive(i, m);
       for (int k = 0; k < 30 && model.StateOf(Member(i).name) != MemberState::kAlive; ++k) Period(1);
     }
   }
-  static MembershipOptions Opts() {
+  static MembershipOptions Options() {
     MembershipOptions o;
     o.cluster = "bench";
     return o;
@@ -48,7 +50,7 @@
     m.seq = seq;
     return m;
   }
-  void Take(int i, const Message& m) {
+  void Receive(int i, const Message& m) {
     out.Clear();
     model.OnMessage(now, Member(i).address, m, out);
   }
@@ -61,8 +63,8 @@
       for (const OutgoingMessage& send : done.sends) {
         bytes += Encode(send.message).size();
         if (send.message.kind != MessageKind::kPing) continue;
-        const int who = std::stoi(send.message.target.substr(5));
-        Take(who, From(who, MessageKind::kAck, send.message.seq));
+        const int target = std::stoi(send.message.target.substr(5));
+        Receive(target, From(target, MessageKind::kAck, send.message.seq));
       }
     }
   }
@@ -75,44 +77,44 @@
 
 void Period(benchmark::State& state) {
   const std::size_t before = mallinfo2().uordblks;
-  auto tier = std::make_unique<Tier>(static_cast<int>(state.range(0)));
-  for (int i = 0; i < 200; ++i) tier->Period();
+  auto cluster = std::make_unique<Cluster>(static_cast<int>(state.range(0)));
+  for (int i = 0; i < 200; ++i) cluster->Period();
   const std::size_t after = mallinfo2().uordblks;
-  for (auto _ : state) tier->Period();
-  state.counters["members"] = static_cast<double>(tier->model.live());
+  for (auto _ : state) cluster->Period();
+  state.counters["members"] = static_cast<double>(cluster->model.live());
   state.counters["memory_KiB"] = static_cast<double>(after - before) / 1024;
-  // Of one core, at a period of a second: own ticks, a probe and its answer.
+  // With a period of 1 s this is the use of one core: the node's ticks, a probe and its answer.
   state.SetLabel("time is a probe period's work, without sockets");
 }
 BENCHMARK(Period)->Arg(100)->Arg(1000)->Unit(benchmark::kMicrosecond);
 
-// Somebody is suspected and dies: the worst that one tick does.
+// No member answers any more, so members become suspected and dead: the longest tick.
 void LongestTick(benchmark::State& state) {
-  Tier tier(static_cast<int>(state.range(0)));
-  for (int i = 0; i < 200; ++i) tier.Period();
+  Cluster cluster(static_cast<int>(state.range(0)));
+  for (int i = 0; i < 200; ++i) cluster.Period();
   double longest = 0;
   for (auto _ : state) {
-    tier.out.Clear();
-    tier.now += tier.model.tick_interval();
-    const auto begin = std::chrono::steady_clock::now();
-    tier.model.Tick(tier.now, tier.out);  // and nobody answers any more
-    const std::chrono::duration<double, std::micro> took = std::chrono::steady_clock::now() - begin;
-    longest = std::max(longest, took.count());
+    cluster.out.Clear();
+    cluster.now += cluster.model.tick_interval();
+    const auto start = std::chrono::steady_clock::now();
+    cluster.model.Tick(cluster.now, cluster.out);  // no member answers
+    const std::chrono::duration<double, std::micro> elapsed = std::chrono::steady_clock::now() - start;
+    longest = std::max(longest, elapsed.count());
   }
   state.counters["longest_us"] = longest;
 }
 BENCHMARK(LongestTick)->Arg(100)->Arg(1000)->Iterations(2000)->Unit(benchmark::kMicrosecond);
 
 void MessageInAndOut(benchmark::State& state) {
-  Tier tier(100);
-  Message m = tier.From(1, MessageKind::kPing, 7);
+  Cluster cluster(100);
+  Message m = cluster.From(1, MessageKind::kPing, 7);
   for (int i = 2; i < 12; ++i) m.updates.push_back({Update::Kind::kRecord, Member(i), {}, 0});
   const std::string bytes = Encode(m);
   for (auto _ : state) {
     const char* why = "";
     const auto read = Decode(bytes, &why);
-    tier.Take(1, *read);
-    for (const OutgoingMessage& send : tier.out.sends) benchmark::DoNotOptimize(Encode(send.message));
+    cluster.Receive(1, *read);
+    for (const OutgoingMessage& send : cluster.out.sends) benchmark::DoNotOptimize(Encode(send.message));
   }
 }
 BENCHMARK(MessageInAndOut)->Unit(benchmark::kMicrosecond);
--- a/bench/router_bench.cpp
+++ b/bench/router_bench.cpp
@@ -1,6 +1,6 @@
-// What the decision module costs for one request (arrival, first token, end) by the size of the fleet and the
-// number of nodes, with two requests out at each replica; and the memory that it holds. The same probe before
-// and after a change to the module tells what the change did to its cost.
+// Measures the time that the decision module takes for one request (arrival, first token, end) by the size of
+// the fleet and the number of nodes, with two requests in flight at each replica, and the memory that it
+// holds. Run it before and after a change to the module to see the effect on its cost.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -70,18 +70,18 @@
         in_flight.push_back({send->id, send->replica});
     }
   };
-  // This node's part of two requests a replica.
-  const std::size_t wanted =
+  // This node's share of two requests in flight per replica.
+  const std::size_t target_in_flight =
       std::max<std::size_t>(1, 2 * replicas / static_cast<std::size_t>(settings.node_count));
-  for (std::size_t n = 0; n < 20 * wanted && in_flight.size() < wanted; ++n) {
+  for (std::size_t n = 0; n < 20 * target_in_flight && in_flight.size() < target_in_flight; ++n) {
     now += 1000;
     arrive();
   }
-  const Time step = std::max<Time>(1, 600'000 / static_cast<Time>(wanted));
+  const Time step = std::max<Time>(1, 600'000 / static_cast<Time>(target_in_flight));
   for (auto _ : state) {
     now += step;
     arrive();
-    if (in_flight.size() >= wanted || router.queued_requests() > 8) end_oldest();
+    if (in_flight.size() >= target_in_flight || router.queued_requests() > 8) end_oldest();
   }
   state.counters["held"] = static_cast<double>(router.queued_requests());
   state.counters["kB"] = static_cast<double>(mallinfo2().uordblks - before) / 1000;
--- a/bench/timeline_bench.cpp
+++ b/bench/timeline_bench.cpp
@@ -1,5 +1,5 @@
-// What the time line costs: a node that keeps it against one that does not, by turns in one run; how much it
-// writes for each request; and how fast a long record is read.
+// Measures the cost of the replica timeline: a node that records it against one that does not, alternating in
+// one run; how much it writes per request; and how fast a long record is read.
 #include <benchmark/benchmark.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -18,40 +18,43 @@
 
 namespace fs = std::filesystem;
 
-// First argument 0: calm. 1: every attempt fails, as fast as they can be made. Second: whether reasons are
-// kept.
+// First argument: 0 if no attempt fails, 1 if all fail, made as fast as possible. Second: 1 if reasons are
+// recorded.
 void Recorder(benchmark::State& state) {
-  const bool burst = state.range(0) != 0;
-  const std::string more = std::string("[timeline]\ndirectory = \"@DIR@\"\nreasons = ") +
-                           (state.range(1) != 0 ? "true\n" : "false\n");
+  const bool failing = state.range(0) != 0;
+  const std::string extra_settings = std::string("[timeline]\ndirectory = \"@DIR@\"\nreasons = ") +
+                                     (state.range(1) != 0 ? "true\n" : "false\n");
   constexpr std::size_t requests = 400, rounds = 60;
   constexpr std::size_t kTokens = 16;
-  std::map<bool, std::unique_ptr<LocalFleet>> rigs;
+  std::map<bool, std::unique_ptr<LocalFleet>> fleets;
   for (const bool on : {false, true}) {
-    rigs[on] =
-        MakeRig(ReplicaDialect::kPlatform, kTokens, on ? more : "", burst ? Fault::kError : Fault::kNone, 8);
+    fleets[on] = MakeFleet(ReplicaDialect::kPlatform, kTokens, on ? extra_settings : "",
+                           failing ? Fault::kError : Fault::kNone, 8);
   }
   std::map<bool, Cpu> total;
   std::map<bool, std::vector<double>> ms;
-  std::vector<double> loop_ratios, all_ratios;  // of pairs: a drift of the machine meets both
+  // Ratios of runs with and without the timeline, one per pair, as a drift of the machine's speed affects
+  // both.
+  std::vector<double> loop_ratios, all_ratios;
   for (auto _ : state) {
-    for (const bool on : {false, true}) Drive(*rigs[on], false, requests / 2, 1024, kTokens, burst);
+    for (const bool on : {false, true})
+      SendRequests(*fleets[on], false, requests / 2, 1024, kTokens, failing);
     for (std::size_t round = 0; round < rounds; ++round) {
       std::map<bool, Cpu> now;
       for (const bool on : {round % 2 == 0, round % 2 != 0}) {
-        const Spent s = Drive(*rigs[on], false, requests, 1024, kTokens, burst);
+        const SendResult s = SendRequests(*fleets[on], false, requests, 1024, kTokens, failing);
         now[on] = s.cpu;
         total[on].loop += s.cpu.loop / static_cast<double>(rounds);
         total[on].all += s.cpu.all / static_cast<double>(rounds);
-        ms[on].insert(ms[on].end(), s.ms.begin(), s.ms.end());
+        ms[on].insert(ms[on].end(), s.response_ms.begin(), s.response_ms.end());
       }
       loop_ratios.push_back(now[true].loop / now[false].loop);
       all_ratios.push_back(now[true].all / now[false].all);
     }
   }
-  rigs[true]->Until([] { return false; }, 1'500'000);
+  fleets[true]->Until([] { return false; }, 1'500'000);
   std::uintmax_t disk = 0;
-  for (const auto& e : fs::directory_iterator(rigs[true]->node().directory())) {
+  for (const auto& e : fs::directory_iterator(fleets[true]->node().directory())) {
     if (e.path().extension() == ".flight") disk += e.file_size();
   }
   state.counters["loop_off_us"] = total[false].loop * 1e6;
@@ -66,12 +69,12 @@
 }
 BENCHMARK(Recorder)->ArgsProduct({{0, 1}, {0, 1}})->Iterations(1)->Unit(benchmark::kSecond);
 
-struct Ran {
+struct ProcessResult {
   double seconds = 0, rss_mb = 0;
   int status = 0;
 };
 
-Ran RunQuietly(const std::vector<std::string>& words) {
+ProcessResult RunWithoutOutput(const std::vector<std::string>& words) {
   std::vector<char*> argv;
   for (const std::string& w : words) argv.push_back(const_cast<char*>(w.c_str()));
   argv.push_back(nullptr);
@@ -88,7 +91,7 @@
   return {static_cast<double>(Now() - before) / 1e6, static_cast<double>(usage.ru_maxrss) / 1024, status};
 }
 
-// A record of ten million: its reading against `zstd -d` of the same bytes as one stream.
+// Reads a file of ten million records, compared with `zstd -d` of the same bytes as one stream.
 void Reading(benchmark::State& state) {
   const fs::path directory = fs::temp_directory_path() / ("ryeglade-reading-" + std::to_string(getpid()));
   fs::create_directories(directory);
@@ -114,11 +117,12 @@
       });
       raw << out;
     }
-    RunQuietly({"zstd", "-q", "-1", "-f", plain, "-o", plain + ".zst"});
-    const Ran unpacked = RunQuietly({"zstd", "-q", "-d", "-f", plain + ".zst", "-o", "/dev/null"});
+    RunWithoutOutput({"zstd", "-q", "-1", "-f", plain, "-o", plain + ".zst"});
+    const ProcessResult unpacked =
+        RunWithoutOutput({"zstd", "-q", "-d", "-f", plain + ".zst", "-o", "/dev/null"});
     state.counters["zstd_s"] = unpacked.seconds;
     for (const std::string word : {"verify", "show", "events"}) {
-      const Ran ran = RunQuietly({Program(), "timeline", word, file});
+      const ProcessResult ran = RunWithoutOutput({Program(), "timeline", word, file});
       if (ran.status != 0) std::abort();
       state.counters[word + "_s"] = ran.seconds;
       state.counters[word + "_mb"] = ran.rss_mb;
--- a/fuzz/body_fuzz.cpp
+++ b/fuzz/body_fuzz.cpp
@@ -1,4 +1,5 @@
-// Any bytes as the body of a request: one verdict, and what goes to a replica is JSON again.
+// Reads any bytes as the body of a request: the result is either a body or an error, and what is sent to a
+// replica is valid JSON.
 #include <cstdint>
 #include <cstdlib>
 #include <nlohmann/json.hpp>
--- a/fuzz/event_stream_fuzz.cpp
+++ b/fuzz/event_stream_fuzz.cpp
@@ -1,4 +1,5 @@
-// Any bytes as a stream, cut at a place that the first byte chooses: the same events, nothing lost.
+// Reads any bytes as an event stream, unsplit and split at a place that the first byte selects: the events
+// are the same and no byte is lost.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -9,19 +10,19 @@
 
 namespace {
 
-std::string Read(std::string_view text, std::size_t cut) {
+std::string Read(std::string_view text, std::size_t split) {
   ryeglade::EventStream stream(4096);
-  std::string all, raw;
+  std::string events, raw;
   const auto sink = [&](const ryeglade::EventStream::Event& e) {
     raw += e.raw;
     if (e.has_data)
-      all.append(e.type).append("\x01").append(e.data).append("\x02").append(e.id).append("\x03");
+      events.append(e.type).append("\x01").append(e.data).append("\x02").append(e.id).append("\x03");
     return true;
   };
-  if (!stream.Feed(text.substr(0, cut), sink) || !stream.Feed(text.substr(cut), sink)) return "stopped";
+  if (!stream.Feed(text.substr(0, split), sink) || !stream.Feed(text.substr(split), sink)) return "stopped";
   raw += stream.unfinished();
   if (raw != text) std::abort();
-  return all;
+  return events;
 }
 
 }  // namespace
@@ -29,9 +30,9 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   if (size == 0) return 0;
   const std::string_view text(reinterpret_cast<const char*>(data) + 1, size - 1);
-  const std::string whole = Read(text, 0);
-  // A block over the bound may be noticed earlier or later, depending on the cut.
-  if (text.size() <= 4096 && Read(text, data[0] % (text.size() + 1)) != whole) std::abort();
+  const std::string unsplit = Read(text, 0);
+  // Where the stream is split decides when an event block over the size limit is noticed.
+  if (text.size() <= 4096 && Read(text, data[0] % (text.size() + 1)) != unsplit) std::abort();
   ryeglade::ResponseObserver watch(true);
   std::string out;
   watch.Feed(text, out);
--- a/fuzz/flight_fuzz.cpp
+++ b/fuzz/flight_fuzz.cpp
@@ -1,4 +1,4 @@
-// Any bytes as a flight record: read, or one clear refusal.
+// Reads any bytes as a flight record: they are accepted, or rejected by a std::runtime_error.
 #include <cstdint>
 #include <stdexcept>
 #include <string>
--- a/fuzz/membership_fuzz.cpp
+++ b/fuzz/membership_fuzz.cpp
@@ -1,5 +1,5 @@
-// What peers may send a node: bytes with a right checksum, read as a message and handed to the membership
-// part.
+// Messages that peers may send to a node: bytes with a valid checksum, decoded and passed to the membership
+// model.
 #include <xxhash.h>
 
 #include <cmath>
@@ -16,7 +16,7 @@
 
 namespace {
 
-// No gossip message from anywhere moves anything out of bounds.
+// Aborts if a gossip message, whoever sent it, moves a value out of its bounds.
 void CheckGossip(const ryeglade::gossip::GossipMessage& message) {
   const char* why = "";
   const auto again = ryeglade::gossip::Decode(ryeglade::gossip::Encode(message), &why);
@@ -55,14 +55,14 @@
   bytes += payload;
   const std::optional<Message> m = Decode(bytes, &why);
   if (!m) return 0;
-  // What was read is written and read again as the same.
+  // A decoded message that is encoded and decoded again is the same.
   const std::optional<Message> again = Decode(Encode(*m), &why);
   if (!again || again->updates.size() != m->updates.size() || again->sender.name != m->sender.name)
     std::abort();
-  // The gossip that it carries.
-  for (const std::string& bytes_of_gossip : m->gossip) {
+  // The gossip messages that it carries.
+  for (const std::string& gossip_bytes : m->gossip) {
     const std::optional<ryeglade::gossip::GossipMessage> message =
-        ryeglade::gossip::Decode(bytes_of_gossip, &why);
+        ryeglade::gossip::Decode(gossip_bytes, &why);
     if (message) CheckGossip(*message);
   }
   if (const auto message = ryeglade::gossip::Decode(payload, &why)) CheckGossip(*message);
--- a/fuzz/settings_fuzz.cpp
+++ b/fuzz/settings_fuzz.cpp
@@ -1,4 +1,5 @@
-// Any bytes as the settings file or the key file: taken, or one error with a place.
+// Reads any bytes as the settings file or the key file: they are accepted, or rejected by an error that
+// starts with the file name.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
--- a/tools/export/main.cpp
+++ b/tools/export/main.cpp
@@ -1,5 +1,5 @@
-// ryeglade-export: writes a flight record's tables as one HDF5 file. `ryeglade timeline export --hdf5` runs
-// it; it is a program of its own so that the node does not load the library.
+// ryeglade-export writes the tables of a flight record to one HDF5 file. `ryeglade timeline export --hdf5`
+// runs it. It is a separate program so that the node does not load the HDF5 library.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
@@ -19,22 +19,23 @@
   ryeglade::timeline::LoadOptions options;
   options.max_bins = 100'000;
   std::vector<std::string> paths;
-  app.add_option("--out", out, "the file")->required();
-  app.add_option("--span", options.span, "from, and to: Unix milliseconds, or +SECONDS since the begin")
+  app.add_option("--out", out, "the HDF5 file to write")->required();
+  app.add_option("--span", options.span,
+                 "start and end: Unix milliseconds, or +SECONDS since the start of the record")
       ->expected(1, 2)
       ->delimiter(',');
-  app.add_option("path", paths, "each is one node: a directory, or a file")->required();
+  app.add_option("path", paths, "flight records, one path per node: a directory or a file")->required();
   CLI11_PARSE(app, argc, argv);
   std::string losses;
   const std::vector<ryeglade::timeline::ReplicaTimelines> nodes =
       ryeglade::timeline::LoadNodes(paths, options, &losses);
   const ryeglade::timeline::TimelineMerge merge(nodes);
-  const std::vector<ryeglade::TextTable> sheets =
+  const std::vector<ryeglade::TextTable> tables =
       ryeglade::timeline::TimelineTables(nodes.size() == 1 ? nodes.front() : merge.timelines());
-  ryeglade::WriteColumns(out, {{}, sheets});
-  for (const ryeglade::TextTable& sheet : sheets) {
-    std::printf("%s /%s: %zu rows, %zu columns\n", out.c_str(), sheet.name.c_str(), sheet.rows(),
-                sheet.columns.size());
+  ryeglade::WriteColumns(out, {{}, tables});
+  for (const ryeglade::TextTable& table : tables) {
+    std::printf("%s /%s: %zu rows, %zu columns\n", out.c_str(), table.name.c_str(), table.rows(),
+                table.columns.size());
   }
   std::fputs(losses.c_str(), stdout);
   return 0;
