--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The usual errands. The build line is the one that is deployed.
+# Common tasks. `make build` uses the build command of the deployment, `make test` the one in the README.
 BUILD := $(shell sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/balancer.toml)
 TEST := $(shell sed -n 's/^Test: `\(.*\)`$$/\1/p' README.md)
 CONFIG ?= config.json
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,4 +1,5 @@
-// Embedding a Router in a node: feed it events, carry out its actions. Here the "network" answers at once.
+// Embeds a Router in a program, which passes events to it and carries out its actions. No network is used
+// here: the program makes up the events of a replica that answers.
 #include <cstdio>
 #include <variant>
 #include <vector>
@@ -32,7 +33,7 @@
   int served = 0;
   for (const policy::Action& action : std::vector<policy::Action>(actions)) {
     const auto* send = std::get_if<policy::SendAttempt>(&action);
-    if (send == nullptr) continue;  // a node carries out the others too: timers, rejections, cancellations
+    if (send == nullptr) continue;  // a node also carries out the others: timers, rejections, cancellations
     now += 120'000;
     router.Handle(now, policy::ResponseStarted{send->id, 0, send->replica, 120'000}, actions);
     policy::AttemptEnded ended;
