--- a/lab/client.cpp
+++ b/lab/client.cpp
@@ -20,7 +20,7 @@
          body;
 }
 
-void Client::Ask(const std::string& to, std::string request, Time most, Done done) {
+void Client::Send(const std::string& to, std::string request, Time timeout, Done done) {
   const Handle handle = calls_.Add({});
   Call& c = *calls_.Get(handle);
   c.tcp = Tcp::New(run_->loop, run_->buffers, this, handle);
@@ -29,7 +29,7 @@
   c.reply.headers = "\n";
   c.reply.started = Now();
   http_parser_init(&c.parser, HTTP_RESPONSE);
-  c.deadline = run_->deadlines->Set(Now() + most, [this, handle] { End(handle); });
+  c.deadline = run_->deadlines->Set(Now() + timeout, [this, handle] { End(handle); });
   sockaddr_storage address{};
   if (!ParseAddress(to, &address) || c.tcp->Connect(address) != 0) {
     run_->deadlines->Set(Now(), [this, handle] { End(handle); });
@@ -40,7 +40,7 @@
   Call* c = calls_.Get(handle);
   if (c == nullptr) return;
   if (status != 0) return End(handle);
-  c->tcp->Read();
+  c->tcp->StartReading();
   if (!c->tcp->Write(c->request)) End(handle);
 }
 
@@ -75,7 +75,7 @@
       return 0;
     };
     s.on_message_complete = [](http_parser* p) {
-      static_cast<Call*>(p->data)->reply.whole = true;
+      static_cast<Call*>(p->data)->reply.complete = true;
       http_parser_pause(p, 1);
       return 0;
     };
@@ -92,7 +92,7 @@
   if (HTTP_PARSER_ERRNO(&c->parser) != HPE_OK) End(handle);
 }
 
-void Client::OnEnded(Handle handle) { End(handle); }
+void Client::OnDisconnected(Handle handle) { End(handle); }
 
 void Client::End(Handle handle) {
   Call* c = calls_.Get(handle);
--- a/lab/colon_parts.h
+++ b/lab/colon_parts.h
@@ -1,4 +1,5 @@
-// The parts of an option such as "restart:60:10"; at least one, which may be empty.
+// Splits an option such as "restart:60:10" at its colons. The result has at least one part; parts may be
+// empty.
 #pragma once
 
 #include <string>
@@ -6,7 +7,7 @@
 
 namespace ryeglade::lab {
 
-inline std::vector<std::string> ColonParts(const std::string& text) {
+inline std::vector<std::string> SplitAtColons(const std::string& text) {
   std::vector<std::string> parts{""};
   for (const char c : text) {
     if (c == ':') {
--- a/src/app/config_reload.cpp
+++ b/src/app/config_reload.cpp
@@ -10,7 +10,7 @@
   if (!error.empty()) throw ConfigError("settings." + error);
   ClassTable table{in_force.settings.classes, in_force.active_classes};
   if (!UpdateClasses(table, loaded.settings.classes)) {
-    throw ConfigError("settings.classes: changed too often to keep them all; restart the node");
+    throw ConfigError("settings.classes: too many versions since the start of the process; restart the node");
   }
   return table;
 }
@@ -25,7 +25,7 @@
   if (!edge_settings_file.empty()) {
     LoadEdgeSettings(edge_settings_file, ClassNames(update.loaded.settings));
   }
-  update.needs_restart = NeedsRestart(in_force, update.loaded);
+  update.needs_restart = ChangesNeedingRestart(in_force, update.loaded);
   return update;
 }
 
--- a/src/app/openai_service.cpp
+++ b/src/app/openai_service.cpp
@@ -15,7 +15,7 @@
       listener_(core, &front_, ListenerOptions(*settings, sockets, &networks_)),
       ledger_file_(core->loop, settings->ledger_directory, core->config->name) {
   for (const std::string& network : settings->networks) networks_.Add(network);
-  front_.Use(&listener_);
+  front_.SetDownstream(&listener_);
 }
 
 Downstream::Options OpenAiService::ListenerOptions(const OpenAiSettings& settings, std::size_t sockets,
@@ -39,7 +39,7 @@
 }
 
 void OpenAiService::WriteLedgerAtIntervals() {
-  if (!ledger_file_.on()) return;
+  if (!ledger_file_.enabled()) return;
   core_->deadlines->Set(Now() + settings_->ledger_interval, [this] {
     ledger_file_.Write(LedgerText());
     WriteLedgerAtIntervals();
--- a/src/fronts/openai/openai_front.cpp
+++ b/src/fronts/openai/openai_front.cpp
@@ -24,12 +24,13 @@
 constexpr const char* kCompletionsPath = "/v1/completions";
 constexpr const char* kModelsPath = "/v1/models";
 constexpr std::string_view kModelPrefix = "/v1/models/";
-constexpr Time kSecond = 1'000'000;
-constexpr Time kTruncatedRetry = 1 * kSecond;
-constexpr double kMinGrowth = 64;  // tokens that are reserved at once for an output that has outgrown its own
+constexpr Time kSecond = 1'000'000;                 // microseconds
+constexpr Time kRetryAfterTruncated = 1 * kSecond;  // sent to a client whose response broke off
+// The least number of tokens to reserve at once for an output that exceeds its reservation.
+constexpr double kMinExtraTokens = 64;
 constexpr const char* kJsonType = "Content-Type: application/json\r\n";
 
-// A positive number below 1e9; 0: the header is absent or anything else.
+// Returns the header's value if it is a positive number below 1e9; otherwise, or if there is none, 0.
 double NumberInHeader(const HttpRequest& request, std::string_view name) {
   const std::string* text = request.Header(name);
   if (text == nullptr) return 0;
@@ -43,7 +44,7 @@
 
 std::string ModelJson(const ModelSettings& model) {
   return fmt::format("{{\"id\":{},\"object\":\"model\",\"created\":{},\"owned_by\":{}}}",
-                     openai::Quoted(model.id), model.created, openai::Quoted(model.owned_by));
+                     openai::QuoteJson(model.id), model.created, openai::QuoteJson(model.owned_by));
 }
 
 ApiError UnknownModel(const std::string& id) {
@@ -55,8 +56,8 @@
           0};
 }
 
-// The model's name as replicas know it, where it differs; else empty.
-std::string RenamedModel(const ModelSettings& model) {
+// Returns the name under which replicas know the model, or an empty string if it is the same.
+std::string ReplicaModelName(const ModelSettings& model) {
   return model.upstream == model.id ? "" : model.upstream;
 }
 
@@ -70,8 +71,9 @@
       id_seed_(core->config->seed) {
   anonymous_key_.id = "-";
   for (const std::string& network : settings_->metrics_networks) metrics_networks_.Add(network);
-  std::uint64_t fresh = 0;  // ids must differ from those before a restart too
-  if (RAND_bytes(reinterpret_cast<unsigned char*>(&fresh), sizeof fresh) == 1) id_seed_ ^= fresh;
+  std::uint64_t random_bits = 0;  // makes the request ids differ from those of the process before a restart
+  if (RAND_bytes(reinterpret_cast<unsigned char*>(&random_bits), sizeof random_bits) == 1)
+    id_seed_ ^= random_bits;
 }
 
 void OpenAiFront::ReloadKeys() {
@@ -81,7 +83,7 @@
   for (const auto& [connection, open] : open_requests_) {
     if (loaded.Find(open.key) == nullptr) revoked.push_back(connection);
   }
-  for (const std::string& id : keyring_.order()) {
+  for (const std::string& id : keyring_.ids()) {
     if (loaded.Find(id) == nullptr) limiter_.Forget(id);
   }
   keyring_ = std::move(loaded);
@@ -100,7 +102,7 @@
 // ---- Responses by this node ----
 
 void OpenAiFront::FormatError(int status, std::string& headers, std::string& body) {
-  const ApiError error = ErrorOfStatus(status);
+  const ApiError error = ErrorForStatus(status);
   headers = RequestIdHeader(NewRequestId()) + kJsonType + RetryHeaders(error.retry_after);
   body = ErrorJson(error);
   ledger_.CountRejection(error.code);
@@ -119,7 +121,7 @@
   ReplyError(connection, error, headers);
 }
 
-// The one way out of `open_requests_`.
+// Nothing else removes a request from `open_requests_`, so that each is settled exactly once.
 OpenAiFront::OpenRequest OpenAiFront::Settle(Handle connection, Outcome outcome) {
   const auto it = open_requests_.find(connection);
   OpenRequest open = std::move(it->second);
@@ -137,18 +139,18 @@
     result = ledger::CheckUsage(open.observer.usage_text(), usage_times, seen);
     reported = result.usage.has_value();
     used = reported ? *result.usage : token_sizes_.Estimate(open.model, seen);
-    // A response that was cut off owes no usage; one that came all the same is checked like any other.
+    // A response that broke off may lack usage figures without a fault; if it has some, they are checked.
     if (!reported && (outcome == Outcome::kServed || usage_times > 0)) fault = &result.fault;
-    if (reported) token_sizes_.Learn(open.model, seen.prompt_chars, used.prompt);
+    if (reported) token_sizes_.Learn(open.model, seen.prompt_bytes, used.prompt);
   }
-  ledger_.Ended(open.key, open.model, outcome, used, reported, fault);
+  ledger_.RecordOutcome(open.key, open.model, outcome, used, reported, fault);
   const bool forwarded = outcome != Outcome::kRejectedByNode;
   limiter_.Settle(Now(), open.key, open.limits, open.reserved_tokens, used.prompt + used.output, forwarded);
   return open;
 }
 
-// Whatever has been forwarded, the client gets one clear end: an error response, or an error event and no
-// [DONE].
+// The client always gets one unambiguous end: an error response if nothing has been forwarded, otherwise an
+// error event without a [DONE].
 void OpenAiFront::Abort(Handle connection, const ApiError& error, Outcome outcome) {
   const auto it = open_requests_.find(connection);
   if (it == open_requests_.end()) return;
@@ -157,7 +159,7 @@
   streams_->OnClientDisconnected(open.stream);
   if (!open.response_begun) {
     if (safe_to_retry) return ReplyError(connection, error, open.response_headers);
-    return ReplyError(connection, WithoutRepeat(error), open.response_headers + kNoRepeatHeader);
+    return ReplyError(connection, WithoutRetry(error), open.response_headers + kNoRetryHeader);
   }
   Log(Level::kWarn, "stream-ended", {{"why", error.code}, {"id", open.request_id}});
   downstream_->Chunk(connection, "event: error\ndata: " + ErrorJson(error) + "\n\n");
@@ -169,7 +171,7 @@
 void OpenAiFront::OnRequest(Handle connection, HttpRequest request) {
   const std::string_view path = request.Path();
   if (path == "/health" || path == "/metrics") {
-    if (request.method != "GET") return ReplyError(connection, ErrorOfStatus(405), "Allow: GET\r\n");
+    if (request.method != "GET") return ReplyError(connection, ErrorForStatus(405), "Allow: GET\r\n");
     return path == "/metrics" ? ServeMetrics(connection) : ServeHealth(connection);
   }
   const bool chat = path == kChatPath;
@@ -180,7 +182,7 @@
   }
   if (request.method != (models ? "GET" : "POST")) {
     ledger_.CountRejection("method_not_allowed");
-    return ReplyError(connection, ErrorOfStatus(405), models ? "Allow: GET\r\n" : "Allow: POST\r\n");
+    return ReplyError(connection, ErrorForStatus(405), models ? "Allow: GET\r\n" : "Allow: POST\r\n");
   }
   if (models) return ServeModels(connection, request, path);
   ServeCompletion(connection, request, chat ? openai::Endpoint::kChat : openai::Endpoint::kCompletions);
@@ -268,12 +270,12 @@
   return core_->config->settings.classes[static_cast<std::size_t>(arrival.class_index)].time_budget;
 }
 
-// A client may ask for less time than its route gives, never for more.
+// A client may ask for less time than the settings give its request, but not for more.
 Time OpenAiFront::TimeBudgetFor(const HttpRequest& request, Time configured) const {
   Time time_budget = configured;
   const double ms = NumberInHeader(request, "x-deadline-ms");
   if (ms > 0) time_budget = std::min(time_budget, static_cast<Time>(ms * 1e3));
-  // What official clients send.
+  // Official clients send their time-out in this header.
   const double seconds = NumberInHeader(request, "x-stainless-read-timeout");
   if (seconds > 0) time_budget = std::min(time_budget, static_cast<Time>(seconds * 1e6));
   return time_budget;
@@ -283,8 +285,8 @@
                                                        const ModelSettings& model) const {
   const double bytes_per_token = token_sizes_.BytesPerToken(model.id);
   TokenEstimate estimate;
-  estimate.prompt = std::ceil(static_cast<double>(body.prompt_chars) / bytes_per_token);
-  estimate.prefix = std::ceil(static_cast<double>(body.prefix_chars) / bytes_per_token);
+  estimate.prompt = std::ceil(static_cast<double>(body.prompt_bytes) / bytes_per_token);
+  estimate.prefix = std::ceil(static_cast<double>(body.prefix_bytes) / bytes_per_token);
   estimate.output = body.max_tokens.value_or(model.default_output_tokens);
   return estimate;
 }
@@ -296,12 +298,12 @@
   const openai::BodyResult read = openai::ReadBody(text, endpoint);
   if (!read.body) {
     return Reject(connection,
-                  {400, "invalid_request_error", read.fault.code, read.fault.message, read.fault.param, 0});
+                  {400, "invalid_request_error", read.error.code, read.error.message, read.error.param, 0});
   }
   const openai::Body& body = *read.body;
   const ModelSettings* model = FindModel(body.model);
   if (model == nullptr) return Reject(connection, UnknownModel(body.model));
-  if (core_->buffers->NearlyExhausted()) return Reject(connection, ErrorOfStatus(503));
+  if (core_->buffers->NearlyExhausted()) return Reject(connection, ErrorForStatus(503));
 
   const TokenEstimate tokens = EstimateTokens(body, *model);
   const limits::KeyLimits limits = LimitsOf(*key);
@@ -311,11 +313,11 @@
   }
 
   StreamRequest stream{{}, {}, {}, {}, BufferChain(core_->buffers), {}, 0, true};
-  const std::string for_replica = openai::ForReplica(text, read, RenamedModel(*model));
+  const std::string for_replica = openai::RewriteForReplica(text, read, ReplicaModelName(*model));
   request.body.Clear();
   if (!stream.body.Append(for_replica)) {
     limiter_.Settle(Now(), key->id, limits, tokens.total(), 0, false);
-    return Reject(connection, ErrorOfStatus(503));
+    return Reject(connection, ErrorForStatus(503));
   }
   stream.method = "POST";
   stream.target = endpoint == openai::Endpoint::kChat ? kChatPath : kCompletionsPath;
@@ -342,12 +344,12 @@
   open.has_max_tokens = body.max_tokens.has_value();
   open.streamed = body.stream;
   open.response_headers = RequestIdHeader(open.request_id) + RateLimitHeaders(admission.remaining);
-  open.observer.seen().prompt_chars = body.prompt_chars;
+  open.observer.seen().prompt_bytes = body.prompt_bytes;
   open.observer.seen().max_tokens = body.max_tokens;
-  ledger_.Admitted(open.key, open.model);
+  ledger_.RecordAdmission(open.key, open.model);
   open_requests_.insert_or_assign(connection, std::move(open));
   const Handle handle = streams_->Open(std::move(stream), this, connection);
-  // The response may have been sent already, and the connection be on to its next request.
+  // The request may have been answered already, and the connection may serve its next request by now.
   if (streams_->Find(handle) == nullptr) return;
   if (const auto it = open_requests_.find(connection); it != open_requests_.end()) it->second.stream = handle;
 }
@@ -371,7 +373,7 @@
 }
 
 bool OpenAiFront::ReserveAssembly(OpenRequest& open, std::size_t bytes) {
-  // All together have a quarter of what buffers may take, which is half of the memory.
+  // The buffers may use half of the memory; all responses being assembled together may use a quarter of that.
   const std::size_t limit = core_->config->memory_mb * 1024 * 1024 / 8;
   assembled_bytes_ += bytes;
   return open.assembler.ReserveBytes(bytes) && assembled_bytes_ <= limit;
@@ -381,7 +383,7 @@
   if (open.has_max_tokens) return true;
   const double output = token_sizes_.Estimate(open.model, open.observer.seen()).output;
   if (output <= open.reserved_output_tokens) return true;
-  const double more = std::max(output - open.reserved_output_tokens, kMinGrowth);
+  const double more = std::max(output - open.reserved_output_tokens, kMinExtraTokens);
   if (!limiter_.ReserveMore(Now(), open.key, open.limits, more)) return false;
   open.reserved_tokens += more;
   open.reserved_output_tokens += more;
@@ -412,12 +414,12 @@
       open.streamed ? open.observer.Feed(events, chunk_) : open.observer.Feed(events, open.assembler);
   unfinished_bytes_ += open.observer.unfinished();
   unfinished_bytes_ -= std::min(unfinished_bytes_, unfinished_before);
-  // Guards against replicas that begin many long events and end none.
+  // Bounds the memory that replicas can occupy with long events that never end.
   const std::size_t max_unfinished = core_->config->memory_mb * 1024 * 1024 / 16;
   if (!readable || unfinished_bytes_ > max_unfinished) {
     return Abort(connection,
                  {502, "server_error", "upstream_unreadable", "The model's answer could not be read.", "",
-                  kTruncatedRetry},
+                  kRetryAfterTruncated},
                  Outcome::kTruncated);
   }
   if (open.streamed) ForwardChunk(connection, open);
@@ -442,7 +444,7 @@
 
 void OpenAiFront::OnTruncated(Handle connection) {
   Abort(connection,
-        {502, "server_error", "upstream_broken", "The model's answer broke off.", "", kTruncatedRetry},
+        {502, "server_error", "upstream_broken", "The model's answer broke off.", "", kRetryAfterTruncated},
         Outcome::kTruncated);
 }
 
@@ -458,8 +460,8 @@
 void OpenAiFront::OnFailed(Handle connection, policy::Outcome last) {
   if (!open_requests_.contains(connection)) return;
   const OpenRequest open = Settle(connection, Outcome::kFailed);
-  // A failure, not a rejection: an attempt may have run, and a retry is not known to be harmless.
-  const std::string headers = open.response_headers + kNoRepeatHeader;
+  // This is a failure and not a rejection: an attempt may have run, so that a retry may not be safe.
+  const std::string headers = open.response_headers + kNoRetryHeader;
   if (last == policy::Outcome::kTimeout) {
     return ReplyError(
         connection, {504, "server_error", "upstream_timeout", "No model answered in time.", "", 0}, headers);
@@ -467,8 +469,8 @@
   ReplyError(connection, {502, "server_error", "upstream_failed", "No model could answer.", "", 0}, headers);
 }
 
-// The replica's own body is forwarded once, in the API's form whatever the replica spoke.
-void OpenAiFront::OnRequestRefused(Handle connection, int status, const std::string& body) {
+// Forwards the replica's body if it is a JSON object; otherwise sends an error in the API's format.
+void OpenAiFront::OnInvalidRequest(Handle connection, int status, const std::string& body) {
   if (!open_requests_.contains(connection)) return;
   const OpenRequest open = Settle(connection, Outcome::kRejectedByReplica);
   Log(Level::kWarn, "local-reply", {{"status", status}, {"why", "rejected"}, {"id", open.request_id}});
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,4 @@
-// The wire: what is read and written byte for byte, and what damaged input gets.
+// The simulator's wire format: records are read and written byte for byte; malformed input throws WireError.
 #include "codec.h"
 
 #include <gtest/gtest.h>
@@ -11,18 +11,20 @@
 namespace ryeglade::policy::wire {
 namespace {
 
+// Decodes hexadecimal digits; blanks are ignored.
 std::string Bytes(std::string_view hex) {
-  std::string out;
+  std::string bytes;
   std::string digits;
   for (const char c : hex) {
     if (c != ' ' && c != '\n') digits.push_back(c);
   }
   for (std::size_t i = 0; i + 1 < digits.size(); i += 2) {
-    out.push_back(static_cast<char>(std::stoi(digits.substr(i, 2), nullptr, 16)));
+    bytes.push_back(static_cast<char>(std::stoi(digits.substr(i, 2), nullptr, 16)));
   }
-  return out;
+  return bytes;
 }
 
+// Appends a record.
 void Append(std::string& frame, std::uint8_t code, const std::string& fields) {
   Writer w;
   w.U8(code);
@@ -30,9 +32,10 @@
   frame += w.bytes() + fields;
 }
 
+// A batch with its header.
 std::string Frame(std::uint64_t clock, const std::string& records) {
   Writer w;
-  w.U32(kBatchHeader + records.size());
+  w.U32(kBatchHeaderBytes + records.size());
   w.U64(clock);
   return w.bytes() + records;
 }
@@ -44,21 +47,22 @@
     "stats.fields=util,inflight,x0,brand-new\nmembership-mode=ask\nobligations.cold-from=0.12\n"
     "tenants.count=1\ntenants.0.name=t\ntenants.0.quota-per-s=6.0\na-key-of-tomorrow=whatever\n";
 
-std::string Provision(std::uint64_t seed, const std::string& settings) {
+std::string StartNodeFields(std::uint64_t seed, const std::string& settings) {
   Writer w;
   w.U64(seed);
   w.U32(settings.size());
   return w.bytes() + settings;
 }
 
+// Records that start node 3.
 std::string StartedNode() {
   std::string records;
   Append(records, event_code::kSelectNode, Bytes("0300"));
-  Append(records, event_code::kStartNode, Provision(9, kSettings));
+  Append(records, event_code::kStartNode, StartNodeFields(9, kSettings));
   return records;
 }
 
-// The simulator's page fixes these numbers.
+// The simulator's documentation fixes these numbers.
 TEST(Decode, EachEventHasTheCodeOfTheWire) {
   EXPECT_EQ(event_code::kPeerMessage, 1);
   EXPECT_EQ(event_code::kClientDisconnected, 2);
@@ -89,7 +93,7 @@
   EXPECT_FALSE(r.client_retry);
 }
 
-TEST(Decode, AListWithItsEntries) {
+TEST(Decode, AnEndpointListWithItsEntries) {
   const auto event =
       DecodeEvent(event_code::kEndpointList, Bytes("02 29000000 02000000 "
                                                    "0000803f 0000 00 0000000000000000 01 074a1203 0000 "
@@ -142,7 +146,7 @@
                                "0a 08000000 192b6f0e8eaf0700"));
 }
 
-TEST(ReadSettings, TakesWhatItKnowsAndDefaultsTheRest) {
+TEST(ReadSettings, ReadsKnownKeysAndDefaultsTheRest) {
   const Settings s = ReadSettings(kSettings);
   ASSERT_EQ(s.classes.size(), 1u);
   EXPECT_EQ(s.classes[0].idempotency, Idempotency::kIdempotencyKey);
@@ -160,7 +164,8 @@
   EXPECT_FALSE(s.can_check_health);           // absent
 }
 
-std::string DefectOf(const std::string& settings) {
+// Returns the text of the WireError that the settings cause, or an empty string.
+std::string ErrorFromSettings(const std::string& settings) {
   try {
     ReadSettings(settings);
   } catch (const WireError& e) {
@@ -169,27 +174,30 @@
   return "";
 }
 
-TEST(ReadSettings, NamesWhatIsMalformed) {
-  EXPECT_NE(DefectOf("classes.count=1\nclasses.0.promise=soon").find("classes.0.promise"), std::string::npos);
-  EXPECT_NE(DefectOf("classes.count=9999999").find("classes.count"), std::string::npos);
-  EXPECT_NE(DefectOf("classes.count=1\nlimits.cancel=maybe").find("limits.cancel"), std::string::npos);
-  EXPECT_NE(DefectOf("balancers=3").find("classes.count"), std::string::npos);
-  EXPECT_NE(DefectOf("classes.count=1\nclasses.0.effect=perhaps").find("classes.0.effect"),
+TEST(ReadSettings, ErrorsNameTheMalformedKey) {
+  EXPECT_NE(ErrorFromSettings("classes.count=1\nclasses.0.promise=soon").find("classes.0.promise"),
+            std::string::npos);
+  EXPECT_NE(ErrorFromSettings("classes.count=9999999").find("classes.count"), std::string::npos);
+  EXPECT_NE(ErrorFromSettings("classes.count=1\nlimits.cancel=maybe").find("limits.cancel"),
+            std::string::npos);
+  EXPECT_NE(ErrorFromSettings("balancers=3").find("classes.count"), std::string::npos);
+  EXPECT_NE(ErrorFromSettings("classes.count=1\nclasses.0.effect=perhaps").find("classes.0.effect"),
             std::string::npos);
 }
 
-TEST(Host, StopAndNewStartInOneBatch) {
+TEST(Host, StopsAndRestartsANodeInOneBatch) {
   Host host;
   host.HandleBatch(Frame(1000, StartedNode()));
   std::string records;
   Append(records, event_code::kSelectNode, Bytes("0300"));
   Append(records, event_code::kStopNode, "");
-  Append(records, event_code::kStartNode, Provision(10, kSettings));
+  Append(records, event_code::kStartNode, StartNodeFields(10, kSettings));
   Append(records, event_code::kEndpointList, Bytes("02 29000000 00000000"));
   EXPECT_GE(host.HandleBatch(Frame(2000, records)).size(), 8u);
 }
 
-std::string DefectOfFrame(const std::string& frame) {
+// Returns the text of the WireError that the frame causes, or an empty string.
+std::string ErrorFromFrame(const std::string& frame) {
   Host host;
   try {
     host.HandleBatch(frame);
@@ -199,35 +207,35 @@
   return "";
 }
 
-TEST(Host, NamesDefectsAndWhereTheyAre) {
-  std::string unknown = StartedNode();
-  Append(unknown, 99, "");
-  EXPECT_NE(DefectOfFrame(Frame(1, unknown)).find("unknown event code 99"), std::string::npos);
+TEST(Host, ErrorsNameTheDefectAndItsRecord) {
+  std::string unknown_code = StartedNode();
+  Append(unknown_code, 99, "");
+  EXPECT_NE(ErrorFromFrame(Frame(1, unknown_code)).find("unknown event code 99"), std::string::npos);
 
-  std::string cut = StartedNode();
-  Append(cut, event_code::kClientDisconnected, Bytes("192b"));
-  EXPECT_NE(DefectOfFrame(Frame(1, cut)).find("abandoned: truncated in corr"), std::string::npos);
+  std::string truncated = StartedNode();
+  Append(truncated, event_code::kClientDisconnected, Bytes("192b"));
+  EXPECT_NE(ErrorFromFrame(Frame(1, truncated)).find("abandoned: truncated in corr"), std::string::npos);
 
-  std::string many = StartedNode();
-  Append(many, event_code::kEndpointList, Bytes("03 29000000 ffffffff"));
-  EXPECT_NE(DefectOfFrame(Frame(1, many)).find("entries count runs past"), std::string::npos);
+  std::string large_count = StartedNode();
+  Append(large_count, event_code::kEndpointList, Bytes("03 29000000 ffffffff"));
+  EXPECT_NE(ErrorFromFrame(Frame(1, large_count)).find("entries count runs past"), std::string::npos);
 
-  std::string longer = StartedNode();
-  Append(longer, event_code::kClientDisconnected, Bytes("192b6f0e8eaf0700 00"));
-  EXPECT_NE(DefectOfFrame(Frame(1, longer)).find("1 bytes too many"), std::string::npos);
+  std::string extra_byte = StartedNode();
+  Append(extra_byte, event_code::kClientDisconnected, Bytes("192b6f0e8eaf0700 00"));
+  EXPECT_NE(ErrorFromFrame(Frame(1, extra_byte)).find("1 bytes too many"), std::string::npos);
 
-  std::string stranger;
-  Append(stranger, event_code::kSelectNode, Bytes("0500"));
-  Append(stranger, event_code::kClientDisconnected, Bytes("192b6f0e8eaf0700"));
-  EXPECT_NE(DefectOfFrame(Frame(1, stranger)).find("node 5"), std::string::npos);
+  std::string unknown_node;
+  Append(unknown_node, event_code::kSelectNode, Bytes("0500"));
+  Append(unknown_node, event_code::kClientDisconnected, Bytes("192b6f0e8eaf0700"));
+  EXPECT_NE(ErrorFromFrame(Frame(1, unknown_node)).find("node 5"), std::string::npos);
 
-  std::string bare;
-  Append(bare, event_code::kSelectNode, Bytes("0500"));
-  Append(bare, event_code::kStartNode, Bytes("0100000000000000"));
-  EXPECT_NE(DefectOfFrame(Frame(1, bare)).find("provision"), std::string::npos);
+  std::string no_settings;
+  Append(no_settings, event_code::kSelectNode, Bytes("0500"));
+  Append(no_settings, event_code::kStartNode, Bytes("0100000000000000"));
+  EXPECT_NE(ErrorFromFrame(Frame(1, no_settings)).find("provision"), std::string::npos);
 }
 
-// Bounded and seeded: damaged frames are answered or named, never anything else.
+// A damaged frame yields either a reply or a WireError. The damage is random with a fixed seed.
 TEST(Host, SurvivesDamagedFrames) {
   std::mt19937_64 random(20240607);
   std::string good = StartedNode();
@@ -238,7 +246,7 @@
                "00009644 01 00000000 00"));
   Append(good, event_code::kAttemptEnded,
          Bytes("c4913a5d922a0800 0000 074a1203 0000 44480000 01 00000000 00"));
-  int answered = 0, named = 0;
+  int replies = 0, errors = 0;
   for (int round = 0; round < 5000; ++round) {
     std::string frame = Frame(1000, good);
     const int edits = 1 + static_cast<int>(random() % 4);
@@ -256,13 +264,13 @@
     Host host;
     try {
       EXPECT_GE(host.HandleBatch(frame).size(), 8u);
-      ++answered;
+      ++replies;
     } catch (const WireError&) {
-      ++named;
+      ++errors;
     }
   }
-  EXPECT_GT(answered, 100);
-  EXPECT_GT(named, 100);
+  EXPECT_GT(replies, 100);
+  EXPECT_GT(errors, 100);
 }
 
 }  // namespace
--- a/tests/late_attempts_test.cpp
+++ b/tests/late_attempts_test.cpp
@@ -1,5 +1,5 @@
-// Attempts whose connection comes up late: what has happened since the decision to send may forbid them. A
-// node as a process, between scripted peers.
+// Attempts whose connection is established late: something that happened after the decision to send may mean
+// that the request must not be written any more. Runs a node as a process, between scripted peers.
 #include <gtest/gtest.h>
 
 #include "scripted_peers.h"
@@ -14,28 +14,28 @@
   static void SetUpTestSuite() { signal(SIGPIPE, SIG_IGN); }
 };
 
-// A host whose kernel drops the first call for a connection: its queue is full until Open. The caller's
-// kernel calls again a second later.
+// A host whose kernel drops the first SYN of a new connection, because its accept queue is full until Open is
+// called. The client's kernel sends the SYN again a second later.
 class LateHost {
  public:
-  LateHost() : peer_(0), filler_(Dial(peer_.port())) { usleep(20'000); }
-  std::string at() const { return peer_.at(); }
+  LateHost() : peer_(0), filler_(ConnectTo(peer_.port())) { usleep(20'000); }
+  std::string address() const { return peer_.address(); }
   void Open() { peer_.Accept().Close(); }
-  // Whether a request comes within so many milliseconds.
-  bool Requested(int ms) const {
-    if (!peer_.Called(ms)) return false;
-    const Conn up = peer_.Accept();
+  // Returns whether a request arrives within `ms` milliseconds.
+  bool HasRequestWithin(int ms) const {
+    if (!peer_.HasConnectionWithin(ms)) return false;
+    const Connection upstream = peer_.Accept();
     char byte = 0;
-    return up.Readable(ms) && recv(up.fd(), &byte, 1, MSG_PEEK) > 0;
+    return upstream.ReadableWithin(ms) && recv(upstream.fd(), &byte, 1, MSG_PEEK) > 0;
   }
 
  private:
-  Peer peer_;
-  Conn filler_;
+  ScriptedServer peer_;
+  Connection filler_;
 };
 
-// Settings with one class whose requests must not run twice; the replicas of `scope` drop repeats for half a
-// second.
+// Settings with one class whose requests must not run twice. Replicas within `scope` drop duplicates for half
+// a second.
 nlohmann::json NotIdempotent(const char* scope) {
   return {{"settings",
            {{"classes",
@@ -48,65 +48,71 @@
                {"window", 500'000}}}}}}};
 }
 
-TEST_F(LateAttempts, AReplicaThatBeganToDrainMeanwhileGetsNothing) {
-  const Peer discovery, other;
+TEST_F(LateAttempts, NothingIsSentToAReplicaThatStartedToDrain) {
+  const ScriptedServer discovery, other;
   LateHost late;
-  std::future<Conn> first_watch = AnswerWatchAtStart(discovery, List(1, false, {}));
-  const Node node(Program(), List(1, true, {Instance("s-late", late.at())}), discovery.at(), "push");
-  Conn watch = first_watch.get();
-  Conn client = node.Client();
-  client.Send(Ask("1"));
+  std::future<Connection> first_watch = AnswerWatchAtStart(discovery, EndpointListJson(1, false, {}));
+  const Node node(Program(), EndpointListJson(1, true, {InstanceJson("s-late", late.address())}),
+                  discovery.address(), "push");
+  Connection watch = first_watch.get();
+  Connection client = node.Connect();
+  client.Send(RequestText("1"));
   usleep(100'000);
-  watch.Chunk(
-      List(2, false, {Instance("s-late", late.at(), "leaving"), Instance("s-other", other.at())}).dump() +
-      "\n");
+  watch.SendChunk(EndpointListJson(2, false,
+                                   {InstanceJson("s-late", late.address(), "leaving"),
+                                    InstanceJson("s-other", other.address())})
+                      .dump() +
+                  "\n");
   usleep(100'000);
   late.Open();
-  ASSERT_FALSE(late.Requested(2'000));
-  Conn up = other.Accept();  // it goes elsewhere at once
-  ASSERT_TRUE(Has(up.Message(), "X-Call-Id: 1"));
+  ASSERT_FALSE(late.HasRequestWithin(2'000));
+  Connection upstream = other.Accept();  // the request is sent to the other replica at once
+  ASSERT_TRUE(Contains(upstream.ReadMessage(), "X-Call-Id: 1"));
 }
 
-// One that would come after the window in which replicas drop repeats.
-TEST_F(LateAttempts, ARepeatAfterTheWindowIsNotSent) {
+// A retry that would arrive after the window in which replicas drop duplicates.
+TEST_F(LateAttempts, RetryAfterTheDeduplicationWindowIsNotSent) {
   for (const char* scope : {"all", "zone"}) {
-    const Peer discovery, first;
+    const ScriptedServer discovery, first;
     LateHost late;
-    std::future<Conn> first_watch = AnswerWatchAtStart(discovery, List(1, false, {}));
-    const Node node(Program(), List(1, true, {Instance("s-first", first.at())}), discovery.at(), "push", 1024,
-                    192, "", false, NotIdempotent(scope));
-    Conn watch = first_watch.get();
-    Conn client = node.Client();
-    client.Send(Ask("1"));
-    Conn up = first.Accept();
-    up.Message();
-    watch.Chunk(
-        List(2, false, {Instance("s-first", first.at(), "leaving"), Instance("s-late", late.at())}).dump() +
-        "\n");
-    node.WaitLog("generation=2");
-    up.Close();  // it may have run
+    std::future<Connection> first_watch = AnswerWatchAtStart(discovery, EndpointListJson(1, false, {}));
+    const Node node(Program(), EndpointListJson(1, true, {InstanceJson("s-first", first.address())}),
+                    discovery.address(), "push", 1024, 192, "", false, NotIdempotent(scope));
+    Connection watch = first_watch.get();
+    Connection client = node.Connect();
+    client.Send(RequestText("1"));
+    Connection upstream = first.Accept();
+    upstream.ReadMessage();
+    watch.SendChunk(EndpointListJson(2, false,
+                                     {InstanceJson("s-first", first.address(), "leaving"),
+                                      InstanceJson("s-late", late.address())})
+                        .dump() +
+                    "\n");
+    node.WaitForLog("generation=2");
+    upstream.Close();  // the request may have run
     usleep(100'000);
     late.Open();
-    ASSERT_FALSE(late.Requested(2'000)) << scope;
-    ASSERT_EQ(StatusOf(client.Message()), std::string(scope) == "all" ? 503 : 502) << scope;
+    ASSERT_FALSE(late.HasRequestWithin(2'000)) << scope;
+    ASSERT_EQ(StatusOf(client.ReadMessage()), std::string(scope) == "all" ? 503 : 502) << scope;
   }
 }
 
-// The process is stopped while the connection comes up and, after that, the client leaves.
-TEST_F(LateAttempts, AClientThatLeftMeanwhileGetsNothingSent) {
+// The node process is stopped while the connection is established and then the client disconnects.
+TEST_F(LateAttempts, NothingIsSentForADisconnectedClient) {
   LateHost late;
-  const Node node(Program(), List(1, true, {Instance("s-late", late.at())}), "127.0.0.1:9");
-  Conn client = node.Client();
-  client.Send(Ask("1"));
+  const Node node(Program(), EndpointListJson(1, true, {InstanceJson("s-late", late.address())}),
+                  "127.0.0.1:9");
+  Connection client = node.Connect();
+  client.Send(RequestText("1"));
   usleep(200'000);
-  node.Stop();
+  node.Suspend();
   late.Open();
   usleep(1'300'000);
   client.Close();
   usleep(200'000);
-  node.Continue();
-  ASSERT_FALSE(late.Requested(1'000));
-  ASSERT_TRUE(Has(node.Log(), "client-disconnected"));
+  node.Resume();
+  ASSERT_FALSE(late.HasRequestWithin(1'000));
+  ASSERT_TRUE(Contains(node.Log(), "client-disconnected"));
 }
 
 }  // namespace
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -26,12 +26,12 @@
   ASSERT_NE(gone, nullptr);
   EXPECT_FALSE(gone->ready);
   fleet.AttemptEnded(gone);
-  fleet.RemoveIfGone(*gone);
+  fleet.RemoveIfUnlisted(*gone);
   EXPECT_EQ(fleet.Find(1), nullptr);
   EXPECT_EQ(fleet.in_flight(), 0);
 }
 
-TEST(Fleet, ADeltaLeavesTheOthersListed) {
+TEST(Fleet, ADeltaKeepsTheOtherReplicas) {
   Fleet fleet;
   RandomSource random(1);
   fleet.Apply(Full({Ready(1), Ready(2)}), 0, random);
@@ -43,7 +43,7 @@
   EXPECT_NE(fleet.Find(3), nullptr);
 }
 
-TEST(Fleet, ARestartForgetsAllButAttemptsInFlight) {
+TEST(Fleet, ARestartResetsAllButAttemptsInFlight) {
   Fleet fleet;
   RandomSource random(1);
   fleet.Apply(Full({Ready(1, 100)}), 0, random);
--- a/tests/policy/request_queue_test.cpp
+++ b/tests/policy/request_queue_test.cpp
@@ -22,14 +22,14 @@
 TEST(RequestQueue, OrdersByTierThenKeyThenEntry) {
   RequestQueue queue;
   Request a = WithId(9), b = WithId(8), c = WithId(7), d = WithId(6);
-  queue.Enqueue(a, PriorityTier::kObjectiveLost, 1);
+  queue.Enqueue(a, PriorityTier::kObjectiveMissed, 1);
   queue.Enqueue(b, PriorityTier::kOrdinary, 3);
   queue.Enqueue(c, PriorityTier::kOrdinary, 3);
   queue.Enqueue(d, PriorityTier::kOverQuota, 2);
   EXPECT_EQ(Order(queue), (std::vector<RequestId>{8, 7, 6, 9}));
 }
 
-TEST(RequestQueue, DequeueTakesOutOnceAndOnlyWhatIsQueued) {
+TEST(RequestQueue, DequeueRemovesOnlyQueuedRequests) {
   RequestQueue queue;
   Request a = WithId(1), b = WithId(2);
   queue.Enqueue(a, PriorityTier::kOrdinary, 1);
--- a/tests/scripted_peers.h
+++ b/tests/scripted_peers.h
@@ -1,5 +1,5 @@
-// Scripted peers for integration tests: blocking sockets on loopback whose ports the kernel gives, and the
-// node as a process. Nothing here measures time; a wait only ends early or fails the test.
+// Scripted peers for integration tests: blocking sockets on loopback with ports chosen by the kernel, and the
+// node as a process. A wait ends as soon as its condition holds, and fails the test after kTimeoutMs.
 #pragma once
 #undef NDEBUG
 
@@ -27,17 +27,18 @@
 
 inline constexpr int kTimeoutMs = 30'000;
 
-class Conn {
+// A blocking TCP connection with a buffer of what was received but not consumed yet.
+class Connection {
  public:
-  explicit Conn(int fd = -1) : fd_(fd) {}
-  Conn(Conn&& o) noexcept : fd_(std::exchange(o.fd_, -1)), text_(std::move(o.text_)) {}
-  Conn& operator=(Conn&& o) noexcept {
+  explicit Connection(int fd = -1) : fd_(fd) {}
+  Connection(Connection&& o) noexcept : fd_(std::exchange(o.fd_, -1)), text_(std::move(o.text_)) {}
+  Connection& operator=(Connection&& o) noexcept {
     Close();
     fd_ = std::exchange(o.fd_, -1);
     text_ = std::move(o.text_);
     return *this;
   }
-  ~Conn() { Close(); }
+  ~Connection() { Close(); }
   void Close() {
     if (fd_ >= 0) close(fd_);
     fd_ = -1;
@@ -51,47 +52,47 @@
       at += static_cast<std::size_t>(n);
     }
   }
-  // One chunk of a chunked body; "" is the last one.
-  void Chunk(const std::string& bytes) {
+  // Sends one chunk of a chunked body; "" sends the last chunk.
+  void SendChunk(const std::string& bytes) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", bytes.size());
     Send(size + bytes + "\r\n");
   }
-  bool Readable(int ms) const {
+  bool ReadableWithin(int ms) const {
     pollfd p{fd_, POLLIN, 0};
     return poll(&p, 1, ms) == 1;
   }
-  // Everything up to and with `mark`; fails the test if it does not come.
-  std::string Until(const std::string& mark) {
+  // Returns everything up to and including `mark`; fails the test if it does not arrive.
+  std::string ReadUntil(const std::string& mark) {
     std::size_t at = 0;
-    while ((at = text_.find(mark)) == std::string::npos) assert(More());
+    while ((at = text_.find(mark)) == std::string::npos) assert(ReadMore());
     std::string out = text_.substr(0, at + mark.size());
     text_.erase(0, at + mark.size());
     return out;
   }
-  std::string Take(std::size_t n) {
-    while (text_.size() < n) assert(More());
+  std::string ReadBytes(std::size_t n) {
+    while (text_.size() < n) assert(ReadMore());
     std::string out = text_.substr(0, n);
     text_.erase(0, n);
     return out;
   }
-  // A head, and the body that its Content-Length tells.
-  std::string Message(std::string* body = nullptr) {
-    std::string head = Until("\r\n\r\n");
+  // Returns a message's head, and sets `body` to as many bytes as its Content-Length states.
+  std::string ReadMessage(std::string* body = nullptr) {
+    std::string head = ReadUntil("\r\n\r\n");
     const std::size_t at = head.find("Content-Length: ");
-    const std::string text = at == std::string::npos ? "" : Take(std::stoul(head.substr(at + 16)));
+    const std::string text = at == std::string::npos ? "" : ReadBytes(std::stoul(head.substr(at + 16)));
     if (body != nullptr) *body = text;
     return head;
   }
-  std::string ToEnd() {
-    while (More()) {
+  std::string ReadToEnd() {
+    while (ReadMore()) {
     }
     return std::exchange(text_, {});
   }
 
  private:
-  bool More() {
-    assert(Readable(kTimeoutMs));
+  bool ReadMore() {
+    assert(ReadableWithin(kTimeoutMs));
     char buffer[65536];
     const ssize_t n = recv(fd_, buffer, sizeof buffer, 0);
     if (n > 0) text_.append(buffer, static_cast<std::size_t>(n));
@@ -109,64 +110,70 @@
   return a;
 }
 
-inline Conn Dial(int port) {
+inline Connection ConnectTo(int port) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const sockaddr_in a = Loopback(port);
   assert(connect(fd, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0);
-  return Conn(fd);
+  return Connection(fd);
 }
 
-// A server that the test plays: an upstream host or discovery.
-class Peer {
+// A server whose responses the test writes itself: an upstream host or discovery.
+class ScriptedServer {
  public:
-  explicit Peer(int backlog = 64) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+  explicit ScriptedServer(int backlog = 64) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     sockaddr_in a = Loopback(0);
     socklen_t n = sizeof a;
     assert(bind(fd_, reinterpret_cast<sockaddr*>(&a), n) == 0 && listen(fd_, backlog) == 0);
     assert(getsockname(fd_, reinterpret_cast<sockaddr*>(&a), &n) == 0);
     port_ = ntohs(a.sin_port);
   }
-  ~Peer() { Down(); }
-  void Down() {
+  ~ScriptedServer() { StopListening(); }
+  void StopListening() {
     if (fd_ >= 0) close(fd_);
     fd_ = -1;
   }
   int port() const { return port_; }
-  std::string at() const { return "127.0.0.1:" + std::to_string(port_); }
-  bool Called(int ms) const {
+  std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
+  bool HasConnectionWithin(int ms) const {
     pollfd p{fd_, POLLIN, 0};
     return poll(&p, 1, ms) == 1;
   }
-  Conn Accept() const {
-    assert(Called(kTimeoutMs));
-    return Conn(accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
+  Connection Accept() const {
+    assert(HasConnectionWithin(kTimeoutMs));
+    return Connection(accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
   }
 
  private:
   int fd_, port_ = 0;
 };
 
-inline nlohmann::json Instance(const std::string& name, const std::string& at,
-                               const std::string& lifecycle = "active") {
+inline nlohmann::json InstanceJson(const std::string& name, const std::string& at,
+                                   const std::string& lifecycle = "active") {
   return {{"instanceId", name}, {"hostPort", at}, {"zone", "z"},      {"machineType", "m"},
           {"cell", 0},          {"weight", 1.0},  {"startedAtMs", 0}, {"lifecycle", lifecycle}};
 }
 
-inline nlohmann::json List(int generation, bool reset, std::vector<nlohmann::json> instances) {
+inline nlohmann::json EndpointListJson(int generation, bool reset, std::vector<nlohmann::json> instances) {
   return {{"generation", generation}, {"reset", reset}, {"instances", std::move(instances)}};
 }
 
+// A node as a process of its own, with its config file, $TMPDIR and log file.
 class Node {
  public:
-  Node(const std::string& program, const nlohmann::json& known, const std::string& discovery,
+  // Starts a node and waits until it listens. `cached_list` is the endpoint list that it knows at the start,
+  // `discovery` the address of service discovery, `mode` the setting membership-mode, and
+  // `discovery_variable` the value of EDGE_DISCOVERY, which is not set if empty. `extra_settings` are merged
+  // into the config file.
+  Node(const std::string& program, const nlohmann::json& cached_list, const std::string& discovery,
        const std::string& mode = "push", int sockets = 1024, int memory_mb = 192,
-       const std::string& variable = "", bool resume = false, const nlohmann::json& extra = {}) {
+       const std::string& discovery_variable = "", bool resume = false,
+       const nlohmann::json& extra_settings = {}) {
     config_ = {{"name", "n0"},
                {"listen", "127.0.0.1:0"},
                {"discovery", discovery},
                {"seed", "8c1f30d27a5be964"},
                {"limits", {{"cores", 1.0}, {"memory_mb", memory_mb}, {"sockets", sockets}}},
-               {"known", known},
+               {"known", cached_list},
                {"settings",
                 {{"classes",
                   {{{"name", "docs"},
@@ -181,55 +188,55 @@
                  {"stats", {{"how", "probe"}, {"fields", {"qps", "queue", "x0"}}}},
                  {"limits", {{"max-attempts", 3}, {"idle-close", 5000000}, {"connect-timeout", 2000000}}},
                  {"obligations", {{"ask-within", 500000}}}}}};
-    if (extra.is_object()) config_.merge_patch(extra);  // arrays are replaced whole
-    // Each node its own $TMPDIR, unless a test gives two processes of one node the same.
+    if (extra_settings.is_object()) config_.merge_patch(extra_settings);  // an array replaces the whole array
+    // Each node gets its own $TMPDIR, unless a test gives the same one to two processes of a node.
     if (config_.contains("_tmpdir")) {
       tmpdir_ = config_["_tmpdir"].get<std::string>();
       config_.erase("_tmpdir");
     } else {
-      char dir[] = "/tmp/ryeglade-story-tmp-XXXXXX";
+      char dir[] = "/tmp/ryeglade-test-tmp-XXXXXX";
       assert(mkdtemp(dir) != nullptr);
       tmpdir_ = dir;
       own_tmpdir_ = true;
     }
-    char name[] = "/tmp/ryeglade-story-XXXXXX";
+    char name[] = "/tmp/ryeglade-test-XXXXXX";
     const int fd = mkstemp(name);
     assert(fd >= 0);
     close(fd);
     path_ = name;
-    Write(config_.dump());
+    WriteConfig(config_.dump());
     log_ = path_ + ".log";
     pid_ = fork();
     assert(pid_ >= 0);
     if (pid_ == 0) {
-      prctl(PR_SET_PDEATHSIG, SIGKILL);  // a failed test leaves no node behind
+      prctl(PR_SET_PDEATHSIG, SIGKILL);  // so that a failed test leaves no node running
       for (const char* name_of : {"EDGE_CONFIG", "EDGE_NAME", "EDGE_LISTEN", "EDGE_DISCOVERY"})
         unsetenv(name_of);
-      if (!variable.empty()) setenv("EDGE_DISCOVERY", variable.c_str(), 1);
+      if (!discovery_variable.empty()) setenv("EDGE_DISCOVERY", discovery_variable.c_str(), 1);
       setenv("TMPDIR", tmpdir_.c_str(), 1);
       if (std::freopen(log_.c_str(), "w", stderr) == nullptr) _exit(9);
       execl(program.c_str(), program.c_str(), "serve", "--config", path_.c_str(), nullptr);
       _exit(9);
     }
     const std::string event = "listening addr=127.0.0.1:";
-    WaitLog(event);
+    WaitForLog(event);
     const std::string log = Log();
     port_ = std::atoi(log.c_str() + log.find(event) + event.size());
     const std::string admin = "listening-admin addr=127.0.0.1:";
     if (log.find(admin) != std::string::npos)
-      admin_ = std::atoi(log.c_str() + log.find(admin) + admin.size());
+      admin_port_ = std::atoi(log.c_str() + log.find(admin) + admin.size());
   }
-  int admin_port() const { return admin_; }
-  // One call on the admin listener: its status line and body.
-  std::string Call(const std::string& method, const std::string& path) const {
-    Conn c = Dial(admin_);
+  int admin_port() const { return admin_port_; }
+  // Sends a request to the admin listener and returns the complete response.
+  std::string AdminRequest(const std::string& method, const std::string& path) const {
+    Connection c = ConnectTo(admin_port_);
     c.Send(method + " " + path + " HTTP/1.1\r\nHost: node\r\nContent-Length: 0\r\n\r\n");
-    return c.ToEnd();
+    return c.ReadToEnd();
   }
   ~Node() {
     if (pid_ > 0) {
       kill(pid_, SIGTERM);
-      assert(Exit() == 0);  // whatever a test did to it, it ends in order
+      assert(WaitForExit() == 0);  // the node must shut down cleanly whatever the test did to it
     }
     std::remove(path_.c_str());
     std::remove(log_.c_str());
@@ -241,38 +248,38 @@
   const std::string& tmpdir() const { return tmpdir_; }
   const nlohmann::json& config() const { return config_; }
   int port() const { return port_; }
-  Conn Client() const { return Dial(port_); }
+  Connection Connect() const { return ConnectTo(port_); }
   std::string Log() const {
     std::ifstream in(log_);
     return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
   }
-  void WaitLog(const std::string& text) const {
+  void WaitForLog(const std::string& text) const {
     for (int i = 0; Log().find(text) == std::string::npos; ++i) {
       assert(i < kTimeoutMs / 10);
       usleep(10'000);
     }
   }
-  void Term() const { kill(pid_, SIGTERM); }
-  bool Ended() const {
+  void SendSigterm() const { kill(pid_, SIGTERM); }
+  bool HasExited() const {
     siginfo_t info{};
     return waitid(P_PID, static_cast<id_t>(pid_), &info, WEXITED | WNOHANG | WNOWAIT) == 0 &&
            info.si_pid == pid_;
   }
-  void Kill() {  // SIGKILL; there is nothing left to end
+  void Kill() {  // sends SIGKILL; the destructor then has no process to end
     kill(pid_, SIGKILL);
     waitpid(std::exchange(pid_, -1), nullptr, 0);
   }
-  void Write(const std::string& text) const { std::ofstream(path_) << text; }
-  void Reload(const std::string& key,
-              const nlohmann::json& value) {  // the file with that changed, and SIGHUP
+  void WriteConfig(const std::string& text) const { std::ofstream(path_) << text; }
+  // Changes one top-level key of the config file and sends SIGHUP.
+  void Reload(const std::string& key, const nlohmann::json& value) {
     config_[key] = value;
-    Write(config_.dump());
+    WriteConfig(config_.dump());
     kill(pid_, SIGHUP);
   }
-  void Stop() const { kill(pid_, SIGSTOP); }
-  void Continue() const { kill(pid_, SIGCONT); }
-  void Hup() const { kill(pid_, SIGHUP); }
-  int Exit() {
+  void Suspend() const { kill(pid_, SIGSTOP); }
+  void Resume() const { kill(pid_, SIGCONT); }
+  void SendSighup() const { kill(pid_, SIGHUP); }
+  int WaitForExit() {
     int status = 0;
     assert(waitpid(std::exchange(pid_, -1), &status, 0) > 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : 128;
@@ -290,53 +297,55 @@
   bool own_tmpdir_ = false;
   nlohmann::json config_;
   pid_t pid_ = -1;
-  int port_ = 0, admin_ = 0;
+  int port_ = 0, admin_port_ = 0;
 };
 
-inline std::string Ask(const std::string& id, const std::string& body = "{\"stream\":true}",
-                       const std::string& budget = "30.000") {
+inline std::string RequestText(const std::string& id, const std::string& body = "{\"stream\":true}",
+                               const std::string& budget = "30.000") {
   return "POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: service\r\nX-Call-Id: " + id +
          "\r\nX-Call-Class: docs\r\nX-Route-Hash: 7f3a9c21e0b4d655\r\nX-Budget: " + budget +
          "\r\nX-Call-Info: prefix=5c0f,prompt_len=512,prefix_len=20,max_out=80\r\nContent-Length: " +
          std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-inline const std::string kStream =
+inline const std::string kStreamHead =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-inline bool Has(const std::string& text, const std::string& part) {
+inline bool Contains(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
 }
 
 inline int StatusOf(const std::string& head) { return std::atoi(head.c_str() + head.find(' ') + 1); }
 
-// Reads a call for a watch and tells `list` on it.
-inline Conn AnswerWatch(const Peer& discovery, const nlohmann::json& list) {
-  Conn watch = discovery.Accept();
-  assert(Has(watch.Message(), "follow=1"));
+// Accepts a watch request and sends `list` on it.
+inline Connection AnswerWatch(const ScriptedServer& discovery, const nlohmann::json& list) {
+  Connection watch = discovery.Accept();
+  assert(Contains(watch.ReadMessage(), "follow=1"));
   watch.Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-  watch.Chunk(list.dump() + "\n");
+  watch.SendChunk(list.dump() + "\n");
   return watch;
 }
 
-// The same for the watch that a node opens while it starts, as it takes no client before it has been told.
-inline std::future<Conn> AnswerWatchAtStart(const Peer& discovery, const nlohmann::json& list) {
+// Answers, in a thread, the watch that a node opens while it starts: the node listens for clients only after
+// it has received a list.
+inline std::future<Connection> AnswerWatchAtStart(const ScriptedServer& discovery,
+                                                  const nlohmann::json& list) {
   return std::async(std::launch::async, [&discovery, list] {
-    assert(discovery.Called(kTimeoutMs));
+    assert(discovery.HasConnectionWithin(kTimeoutMs));
     return AnswerWatch(discovery, list);
   });
 }
 
-// Sends a request on `client` (by default one of the id) and answers it at `host`, to its end.
-inline void ServeOne(const Peer& host, Conn& client, const std::string& id = "1",
+// Sends a request on `client` (by default RequestText(id)) and serves it completely at `host`.
+inline void ServeOne(const ScriptedServer& host, Connection& client, const std::string& id = "1",
                      const std::string& request = "") {
-  client.Send(request.empty() ? Ask(id) : request);
-  Conn up = host.Accept();
-  assert(Has(up.Message(), "X-Call-Id: " + id));
-  up.Send(kStream);
-  up.Chunk("data: x\n\n");
-  up.Chunk("");
-  assert(Has(client.Until("0\r\n\r\n"), "data: x"));
+  client.Send(request.empty() ? RequestText(id) : request);
+  Connection up = host.Accept();
+  assert(Contains(up.ReadMessage(), "X-Call-Id: " + id));
+  up.Send(kStreamHead);
+  up.SendChunk("data: x\n\n");
+  up.SendChunk("");
+  assert(Contains(client.ReadUntil("0\r\n\r\n"), "data: x"));
 }
 
 }  // namespace scripted
