--- a/tests/replica_timeline_test.cpp
+++ b/tests/replica_timeline_test.cpp
@@ -516,7 +516,7 @@
 TEST(TimelineMerge, NodesWithDifferentClocksGiveOneTimelinePerReplica) {
   FaultScenarioOptions a = Short(ScriptedFault::kSlow), b = a;
   b.node = "n1";
-  b.clock = 3 * kSec;
+  b.clock_offset = 3 * kSec;
   b.seed = a.seed + 12;  // selects the same victim, as there are 12 replicas
   std::vector<ReplicaTimelines> nodes;
   nodes.push_back(Play(a).timelines);
