--- a/tests/operations.cpp
+++ b/tests/operations.cpp
@@ -261,25 +261,26 @@
 struct SiblingProcesses {
   char dir[40] = "/tmp/ryeglade-story-tmp-XXXXXX";
   ScriptedServer host;
-  std::string at = FreeAddress();
+  std::string listen_address = FreeAddress();
   nlohmann::json list = EndpointListJson(1, true, {InstanceJson("s-a", host.address())});
   SiblingProcesses() { assert(mkdtemp(dir) != nullptr); }
   ~SiblingProcesses() {
-    for (const char* what : {"holds-n0", "lease-n0", "state-n0", "out-n0"}) {
-      std::string path = std::string(dir) + "/ryeglade-" + what, tail = "-" + at;
-      for (char& c : tail) {
+    for (const char* file : {"holds-n0", "lease-n0", "state-n0", "out-n0"}) {
+      std::string path = std::string(dir) + "/ryeglade-" + file, suffix = "-" + listen_address;
+      for (char& c : suffix) {
         if (c == '.' || c == ':') c = '_';
       }
-      tail[0] = '-';
-      for (const std::string& end : {std::string(), tail, tail + "-0", tail + "-1"})
-        std::remove((path + end).c_str());
+      suffix[0] = '-';
+      for (const std::string& ending : {std::string(), suffix, suffix + "-0", suffix + "-1"})
+        std::remove((path + ending).c_str());
     }
     rmdir(dir);
   }
   std::unique_ptr<Node> Start() {
     return std::make_unique<Node>(
         program, list, kNoDiscovery, "push", 1024, 192, "", false,
-        nlohmann::json{{"management", "127.0.0.1:0"}, {"listen", at}, {"_tmpdir", std::string(dir)}});
+        nlohmann::json{
+            {"management", "127.0.0.1:0"}, {"listen", listen_address}, {"_tmpdir", std::string(dir)}});
   }
 };
 
