--- a/lab/cluster/scenario.h
+++ b/lab/cluster/scenario.h
@@ -31,7 +31,7 @@
   LinkState link;
   double at = 0, lasts = 0;  // periods; `lasts` 0 means until the end
   double share = 0.9, every = 1;
-  int times = 1;           // number of repetitions
+  int times = 1;           // how often the fault occurs
   double again_after = 0;  // periods from one beginning to the next
 };
 
