--- a/lab/rollout/command.cpp
+++ b/lab/rollout/command.cpp
@@ -202,7 +202,7 @@
     add("bad release, drivers die", [](SimulationSpec& s) {
       s.driver_kill_probability = 0.003, s.message_loss = 0.1, s.defects.failed_share = 0.3;
     });
-    add("bad release, 3 of 8 cut", [](SimulationSpec& s) {
+    add("bad release, 3 nodes cut", [](SimulationSpec& s) {
       s.defects.failed_share = 0.1, s.partition_first = 5, s.partition_last = 7, s.partition_at = 30,
       s.partition_seconds = 60;
     });
