--- a/include/ryeglade/decision_observer.h
+++ b/include/ryeglade/decision_observer.h
@@ -11,14 +11,14 @@
 
 // Why a request was rejected or failed.
 enum class ConclusionReason : std::uint8_t {
-  kNoTimeBudget,          // the request arrived with no time left
+  kNoTimeBudget,          // the request arrived with too little time left for an attempt
   kQueueTimeout,          // no replica had capacity before the latest useful dispatch
   kDeadlineExceeded,      // an attempt failed, and no time was left for another
   kAttemptsExhausted,     // the maximum number of attempts has failed
   kUnsafeToRetry,         // an attempt may have run, and the request must not be executed twice
-  kRetryBudgetExhausted,  // too many attempts fail at present: retries are bounded to a share of the requests
+  kRetryBudgetExhausted,  // too many attempts have failed: retries are limited to a share of the requests
   kStreamInterrupted,     // the stream had begun, so no other replica can answer the request
-  kCount
+  kCount                  // number of reasons
 };
 
 // An attempt that is about to be sent, and the figures by which its replica was chosen.
@@ -29,7 +29,7 @@
   double estimated_runtime = 0;      // microseconds
   Time queued_for = 0;               // time since the request arrived
   int candidates = 0;                // replicas considered whose concurrency limit is above 0
-  int candidates_with_capacity = 0;  // those of them that could take the request
+  int candidates_with_capacity = 0;  // candidates to which the request could be sent now
   double score = 0;                  // of the chosen replica: spare share of its limit / cost of the request
   ReplicaId runner_up = 0;           // the replica with the second highest score
   double runner_up_score = 0;        // 0: there is no runner-up
@@ -42,18 +42,18 @@
 struct ConclusionRecord {
   RequestId id = 0;
   ConclusionReason reason = ConclusionReason::kQueueTimeout;
-  int attempts = 0;                    // how many were sent
+  int attempts = 0;                    // number of attempts sent
   Time open_for = 0;                   // time since the request arrived
   std::uint32_t queue_length = 0;      // requests queued at this node
   double total_concurrency_limit = 0;  // sum of this node's limits
   int in_flight = 0;                   // this node's attempts, over all replicas
 };
 
-// A replica is sent no new attempts until `ejected_until`.
+// A replica gets no new attempts until `ejected_until`, after failures or because it is at capacity.
 struct EjectionRecord {
   ReplicaId replica = 0;
   Outcome outcome = Outcome::kServed;  // the outcome that caused the ejection
-  int consecutive_failures = 0;
+  int consecutive_failures = 0;        // "at capacity" is not counted as a failure
   Time ejected_until = 0;
 };
 
--- a/include/ryeglade/learned_state.h
+++ b/include/ryeglade/learned_state.h
@@ -73,25 +73,27 @@
 };
 
 struct LearnedState {
-  // The pace of a class: ln of the time that its answers stream for each unit of work.
+  // The pace of a class: mean ln(streaming time of an answer / work of the request). The work is the cost
+  // hint, or 1 if the request has none.
   struct ClassPace {
     RunningAverage current;
-    double best = 1e9;  // the lowest (fastest) mean so far, which rises a little with each answer
+    double best = 1e9;  // the lowest (fastest) value of the mean, raised a little by each answer
   };
   // The arrivals of one session or prefix, counted with a long and a short decay time.
   struct KeyTraffic {
     DecayingCounter long_term;
     DecayingCounter short_term;
   };
-  // A prompt prefix that this node has sent to a replica, which is taken to have it in its cache since.
+  // A prompt or shared prefix that this node sent to a replica at `cached_at`. The replica is assumed to have
+  // it in its cache since then.
   struct CachedPrefix {
-    double tokens = 0;
+    double tokens = 0;  // length
     std::int64_t cached_at = 0;
   };
   struct Replica {
     std::uint32_t id = 0;
-    std::int64_t started_at = 0;  // as listed; `learned` is void once the replica has another start time
-    int in_flight = 0;            // this node's attempts there at the time of the export
+    std::int64_t started_at = 0;  // `learned` is used only while the replica is listed with this start time
+    int in_flight = 0;            // this node's attempts at the replica at the time of the export
     LearnedReplica learned;
   };
 
@@ -99,10 +101,10 @@
   double base_limit = 0;             // this node's part of the limit of a replica of ordinary speed
   double limit_before_decrease = 0;  // the base limit that last had to be decreased; 0: none yet
   std::int64_t limit_decreased_at = 0;
-  double late_share = 0;        // share of recent first tokens that were late
+  double late_share = 0;        // share of recent first tokens that were late, 0 to 1
   double pace_slowdown = 0;     // mean ln(pace of the streams now / their best pace)
   double objective_used = 0;    // mean part of the latency objective that first tokens took
-  double retry_budget = 0;      // retries saved up
+  double retry_budget = 0;      // retries that the retry budget allows at present
   RunningAverage mean_runtime;  // of all served requests
   std::vector<ClassPace> pace_by_class;
   // By bucket of similar requests, see RuntimeEstimator.
@@ -120,7 +122,7 @@
   std::unordered_map<std::uint64_t, CachedPrefix> cached_prefixes;  // by session or prefix key, and replica
   std::vector<DecayingCounter> arrivals_by_tenant;
   DecayingCounter dispatches;     // this node's, to all replicas
-  std::vector<Replica> replicas;  // for the handover only; a Router keeps its own elsewhere
+  std::vector<Replica> replicas;  // for the handover only; a Router keeps the state of its replicas elsewhere
 };
 
 }  // namespace ryeglade::policy
--- a/include/ryeglade/router.h
+++ b/include/ryeglade/router.h
@@ -27,14 +27,18 @@
 // The current state of a replica at this node; default values if the replica is not known.
 struct ReplicaView : LearnedReplica {
   Endpoint endpoint;
-  int in_flight = 0;                  // this node's attempts at the replica
-  double concurrency_limit = 0;       // this node's current limit for the replica; 0: no new attempts
-  double prefill_backlog_tokens = 0;  // expected prompt tokens of this node's attempts not yet prefilled
-  Time no_response_since = 0;  // while there is such a backlog: since when no response has started there
+  int in_flight = 0;             // this node's attempts at the replica
+  double concurrency_limit = 0;  // this node's current limit for the replica; 0: no new attempts
+  // Prompt tokens that the replica is expected to have yet to prefill for this node's attempts.
+  double prefill_backlog_tokens = 0;
+  // While there is such a backlog: the time since which no response has started at the replica.
+  Time no_response_since = 0;
 };
 
+// Makes the decisions of one node. Not thread-safe.
 class Router {
  public:
+  // Copies the settings.
   Router(const Settings& settings, std::uint64_t seed, Time now);
   ~Router();
   Router(Router&&) noexcept;
@@ -62,9 +66,9 @@
   ReplicaView replica(ReplicaId replica_id) const;
   int in_flight(ReplicaId replica_id) const { return replica(replica_id).in_flight; }
   double concurrency_limit(ReplicaId replica_id) const { return replica(replica_id).concurrency_limit; }
-  // Until when the replica gets no new attempts after failures; 0: it has not been ejected.
+  // The time before which the replica gets no new attempts after failures; 0: it has not been ejected.
   Time ejected_until(ReplicaId replica_id) const { return replica(replica_id).ejected_until; }
-  double total_concurrency_limit() const;
+  double total_concurrency_limit() const;  // sum of this node's limits for all replicas
   // Whether a client may now be told that repeating this request is harmless, because its class's idempotency
   // and scope allow it or because it is proved that no attempt ran. An attempt in flight counts as run.
   // Returns false for an unknown request.
