--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,5 +1,5 @@
 // Embeds a Router in a program, which passes events to it and carries out its actions. No network is used
-// here: the program makes up the events of a replica that answers.
+// here: the program itself generates the events of a replica that serves the request.
 #include <cstdio>
 #include <variant>
 #include <vector>
--- a/simhost/codec.cpp
+++ b/simhost/codec.cpp
@@ -23,7 +23,7 @@
 constexpr std::uint8_t kCancelAttempt = 12;  // undo_send
 }  // namespace action_code
 
-// Bits of a request's field `opts`.
+// Bits of the field `opts` of a request record.
 constexpr std::uint8_t kHasCostHint = 1;
 constexpr std::uint8_t kClientRetry = 2;
 constexpr std::uint8_t kWrite = 4;
@@ -42,17 +42,23 @@
 template <class... Ts>
 Overloaded(Ts...) -> Overloaded<Ts...>;
 
-constexpr Time kMaxDelay = 71LL * 60 * 1'000'000;  // fits the 32-bit microseconds of the wire format
+// The longest delay that is sent: 71 minutes, which fits the 32-bit microseconds of the wire format.
+constexpr Time kMaxDelay = 71LL * 60 * 1'000'000;
 
 Outcome DecodeOutcome(Reader& in) {
   const std::uint16_t code = in.U16("result");
-  if (code > kLastOutcome) in.Fail("unknown result " + std::to_string(code));
+  if (code > kLastOutcome) {
+    in.Fail("unknown result " + std::to_string(code) + ", expected at most " + std::to_string(kLastOutcome));
+  }
   return static_cast<Outcome>(code);
 }
 
 std::vector<double> DecodeLoadReport(Reader& in) {
   const std::size_t count = in.U8("server-stats count");
-  if (count * sizeof(float) > in.remaining()) in.Fail("server-stats count runs past the record");
+  if (count * sizeof(float) > in.remaining()) {
+    in.Fail("server-stats count " + std::to_string(count) + " runs past the end of the record, which has " +
+            std::to_string(in.remaining()) + " bytes left");
+  }
   std::vector<double> load;
   load.reserve(count);
   for (std::size_t i = 0; i < count; ++i) load.push_back(in.F32("server-stats"));
@@ -62,11 +68,16 @@
 EndpointList DecodeEndpointList(Reader& in) {
   EndpointList list;
   const std::uint8_t scope = in.U8("scope");
-  if (scope > kLastScope) in.Fail("unknown scope " + std::to_string(scope));
+  if (scope > kLastScope) {
+    in.Fail("unknown scope " + std::to_string(scope) + ", expected at most " + std::to_string(kLastScope));
+  }
   list.scope = static_cast<EndpointListScope>(scope);
   list.version = in.U32("stamp");
   const std::size_t count = in.U32("entries count");
-  if (count > in.remaining() / kEndpointBytes) in.Fail("entries count runs past the record");
+  if (count > in.remaining() / kEndpointBytes) {
+    in.Fail("entries count " + std::to_string(count) + " runs past the end of the record, which has " +
+            std::to_string(in.remaining()) + " bytes left");
+  }
   list.endpoints.reserve(count);
   for (std::size_t i = 0; i < count; ++i) {
     Endpoint endpoint;
@@ -75,7 +86,9 @@
     endpoint.zone = in.U8("site");
     endpoint.started_at = static_cast<Time>(in.U64("started-at"));
     const std::uint8_t state = in.U8("phase");
-    if (state > kLastState) in.Fail("unknown phase " + std::to_string(state));
+    if (state > kLastState) {
+      in.Fail("unknown phase " + std::to_string(state) + ", expected at most " + std::to_string(kLastState));
+    }
     endpoint.state = static_cast<EndpointState>(state);
     endpoint.id = in.U32("engine");
     endpoint.cell = in.U16("cohort");
@@ -118,7 +131,7 @@
   return ended;
 }
 
-// Writes one record: its code, the size of its fields in bytes, and the fields.
+// Writes one record: its code, the size of its fields in bytes, and the fields, which `fields` writes.
 template <class Fields>
 void EncodeRecord(Writer& out, std::uint8_t code, Fields fields) {
   out.U8(code);
@@ -150,14 +163,18 @@
 }
 
 std::string_view Reader::Bytes(std::size_t count, const char* field) {
-  if (count > remaining()) Fail(std::string("truncated in ") + field);
+  if (count > remaining()) {
+    Fail(std::string("truncated in ") + field + ": expected " + std::to_string(count) + " bytes, found " +
+         std::to_string(remaining()));
+  }
   const std::string_view raw = bytes_.substr(offset_, count);
   offset_ += count;
   return raw;
 }
 
 void Reader::ExpectEnd() const {
-  if (remaining() != 0) Fail(std::to_string(remaining()) + " bytes too many");
+  if (remaining() != 0)
+    Fail("expected the end of the record, found " + std::to_string(remaining()) + " more bytes");
 }
 
 void Writer::Unsigned(std::uint64_t v, std::size_t width) {
--- a/simhost/codec.h
+++ b/simhost/codec.h
@@ -1,7 +1,7 @@
 // The simulator's wire format: little-endian frames of records. Every read is checked against the record's
-// end. A defect throws a WireError whose text says what was wrong and where. The wire format has its own
-// names for fields and records; only this codec maps them to the terms of ryeglade::policy. Errors use the
-// names of the wire format.
+// end. Malformed input throws a WireError whose text says what is wrong, in which record and at which byte.
+// The wire format has its own names for fields and records; only this codec maps them to the terms of
+// ryeglade::policy. Errors use the names of the wire format.
 #pragma once
 
 #include <cstddef>
@@ -15,19 +15,20 @@
 
 namespace ryeglade::policy::wire {
 
+// Malformed input, or a reply that can't be written.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-inline constexpr std::size_t kBatchHeaderBytes = 12;
-inline constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 28;
+inline constexpr std::size_t kBatchHeaderBytes = 12;                 // length of the frame and clock
+inline constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 28;  // including the header
 
 // Reads the fields of one record, or of a header, in order. Each function throws a WireError if the input
 // ends before the field does.
 class Reader {
  public:
-  // `what` names the record in errors.
+  // `what` names the record in errors. The bytes must outlive the Reader.
   Reader(std::string_view bytes, std::string what) : bytes_(bytes), what_(std::move(what)) {}
 
   std::uint8_t U8(const char* field) { return static_cast<std::uint8_t>(Unsigned(1, field)); }
@@ -35,6 +36,7 @@
   std::uint32_t U32(const char* field) { return static_cast<std::uint32_t>(Unsigned(4, field)); }
   std::uint64_t U64(const char* field) { return Unsigned(8, field); }
   double F32(const char* field);  // throws a WireError if the value is not finite
+  // Returns a view of the next `count` bytes of the input.
   std::string_view Bytes(std::size_t count, const char* field);
   std::size_t remaining() const { return bytes_.size() - offset_; }
   // Throws a WireError unless all input has been read.
@@ -50,7 +52,7 @@
   std::size_t offset_ = 0;
 };
 
-// Appends fields to a reply.
+// Appends fields to a reply. The integers are truncated to the width of their field.
 class Writer {
  public:
   void U8(std::uint64_t v) { Unsigned(v, 1); }
--- a/simhost/host.cpp
+++ b/simhost/host.cpp
@@ -12,7 +12,10 @@
 std::string Host::HandleBatch(std::string_view frame) {
   Reader in(frame, "batch");
   const std::uint32_t size = in.U32("length");
-  if (size != frame.size()) in.Fail("length " + std::to_string(size) + " differs from the frame's");
+  if (size != frame.size()) {
+    in.Fail("length " + std::to_string(size) + " differs from the frame's size of " +
+            std::to_string(frame.size()) + " bytes");
+  }
   const Time now = static_cast<Time>(in.U64("clock"));
 
   Writer out;
@@ -34,7 +37,7 @@
       node_encoded = false;
       continue;
     }
-    if (!node) in.Fail("record " + std::to_string(code) + " before any 'at'");
+    if (!node) in.Fail("record with code " + std::to_string(code) + " before any 'at' record");
     if (code == event_code::kStartNode) {
       Reader fields(body, "provision");
       const std::uint64_t seed = fields.U64("seed");
@@ -53,7 +56,7 @@
       continue;  // ignored: the Router exchanges no messages with its peers
     const auto router = routers_.find(*node);
     if (router == routers_.end())
-      in.Fail("event for node " + std::to_string(*node) + " that was not started");
+      in.Fail("event for node " + std::to_string(*node) + ", which has not been started");
     router->second.Handle(now, DecodeEvent(code, body), actions);
     if (actions.empty()) continue;
     if (!node_encoded) {
--- a/simhost/host.h
+++ b/simhost/host.h
@@ -1,5 +1,5 @@
-// Runs many Routers that share no state, one for each node of the simulation, and turns one batch of records
-// into one reply.
+// Runs one Router for each node of the simulation, which share no state. Each batch of event records yields
+// one reply with the actions of all nodes that the batch names.
 #pragma once
 
 #include <cstdint>
--- a/simhost/main.cpp
+++ b/simhost/main.cpp
@@ -27,7 +27,8 @@
     to.resize(offset + got);
     if (got == want) continue;
     if (may_end && to.size() == start) return false;
-    throw WireError("batch: input ends " + std::to_string(to.size()) + " bytes into a frame");
+    throw WireError("batch: input ends after " + std::to_string(to.size()) + " bytes of a frame, expected " +
+                    std::to_string(start + count));
   }
   return true;
 }
@@ -40,12 +41,14 @@
     if (!ReadBytes(4, true, frame)) return 0;
     const std::uint32_t size = ryeglade::policy::wire::Reader(frame, "batch").U32("length");
     if (size < ryeglade::policy::wire::kBatchHeaderBytes || size > ryeglade::policy::wire::kMaxFrameBytes) {
-      throw WireError("batch: length " + std::to_string(size) + " out of range at byte 0");
+      throw WireError("batch: length " + std::to_string(size) + " out of range at byte 0, expected " +
+                      std::to_string(ryeglade::policy::wire::kBatchHeaderBytes) + " to " +
+                      std::to_string(ryeglade::policy::wire::kMaxFrameBytes));
     }
     ReadBytes(size - 4, false, frame);
     const std::string reply = host.HandleBatch(frame);
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
-      throw WireError("reply: cannot write");
+      throw WireError("reply: cannot write " + std::to_string(reply.size()) + " bytes to standard output");
     }
   }
 }
--- a/simhost/settings.cpp
+++ b/simhost/settings.cpp
@@ -14,8 +14,9 @@
 
 constexpr std::size_t kMaxItems = 4096;  // the most classes or tenants
 
-// The keys and values of the settings text. Conversions throw a WireError if a value is malformed, and return
-// `fallback` if the key is missing.
+// The keys and values of the settings text; the last line with a key counts. Conversions throw a WireError if
+// a value is malformed, and return `fallback` if the key is missing. Micros and Int clamp values that are out
+// of range.
 class SettingsText {
  public:
   explicit SettingsText(std::string_view text) {
@@ -27,7 +28,8 @@
       const std::size_t separator = line.find('=');
       if (separator == std::string_view::npos) {
         if (!line.empty())
-          throw WireError("settings: no '=' in line '" + std::string(line.substr(0, 60)) + "'");
+          throw WireError("settings: expected key=value, found no '=' in line '" +
+                          std::string(line.substr(0, 60)) + "'");
         continue;
       }
       values_[std::string(line.substr(0, separator))] = std::string(line.substr(separator + 1));
@@ -59,7 +61,8 @@
     if (it == values_.end()) return fallback;
     if (it->second == "true" || it->second == "1") return true;
     if (it->second == "false" || it->second == "0") return false;
-    throw WireError("settings: " + key + " is neither true nor false: '" + it->second.substr(0, 60) + "'");
+    throw WireError("settings: " + key + " is not one of true, false, 1 and 0: '" + it->second.substr(0, 60) +
+                    "'");
   }
 
   std::vector<std::string> List(const std::string& key) const {
@@ -83,7 +86,8 @@
   std::size_t Count(const std::string& key) const {
     const double count = Number(key + ".count", 0);
     if (count < 0 || count > double(kMaxItems) || count != std::floor(count)) {
-      throw WireError("settings: " + key + ".count is out of range: " + Text(key + ".count", ""));
+      throw WireError("settings: " + key + ".count is not a whole number from 0 to " +
+                      std::to_string(kMaxItems) + ": '" + Text(key + ".count", "") + "'");
     }
     return static_cast<std::size_t>(count);
   }
@@ -93,7 +97,7 @@
     double value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value)) {
-      throw WireError("settings: " + key + " is not a number: '" + text.substr(0, 60) + "'");
+      throw WireError("settings: " + key + " is not a finite number: '" + text.substr(0, 60) + "'");
     }
     return value;
   }
@@ -101,6 +105,8 @@
   std::map<std::string, std::string> values_;
 };
 
+// Returns the value of the choice that the key names, or `fallback` if the key is missing. Throws a WireError
+// if the key names none of them.
 template <class T>
 T Choice(const SettingsText& text, const std::string& key,
          const std::vector<std::pair<std::string, T>>& choices, T fallback) {
@@ -111,6 +117,7 @@
   throw WireError("settings: " + key + " has an unknown value: '" + text.Text(key, "").substr(0, 60) + "'");
 }
 
+// Returns kOther for an unknown name.
 LoadField LoadFieldOf(const std::string& name) {
   static const std::map<std::string, LoadField> kFields = {
       {"inflight", LoadField::kInFlight},    {"queue", LoadField::kQueueLength},
@@ -162,7 +169,7 @@
   Settings settings;
 
   const std::size_t classes = keys.Count("classes");
-  if (classes == 0) throw WireError("settings: classes.count is missing or 0");
+  if (classes == 0) throw WireError("settings: classes.count is missing or 0, expected at least 1");
   const std::vector<double> objectives_per_1000_tokens =
       keys.Numbers("family-info.aim-us-per-1000-prompt-tokens");
   const std::vector<double> inter_token_objectives = keys.Numbers("family-info.token-aim");
--- a/simhost/settings.h
+++ b/simhost/settings.h
@@ -10,6 +10,7 @@
 
 namespace ryeglade::policy::wire {
 
+// Throws a WireError as described above, also if the text has no class.
 Settings ReadSettings(std::string_view text);
 
 }  // namespace ryeglade::policy::wire
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -62,7 +62,7 @@
   return records;
 }
 
-// The simulator's documentation fixes these numbers.
+// These codes are fixed by the documentation of the simulator.
 TEST(Decode, EachEventHasTheCodeOfTheWire) {
   EXPECT_EQ(event_code::kPeerMessage, 1);
   EXPECT_EQ(event_code::kClientDisconnected, 2);
@@ -214,15 +214,21 @@
 
   std::string truncated = StartedNode();
   Append(truncated, event_code::kClientDisconnected, Bytes("192b"));
-  EXPECT_NE(ErrorFromFrame(Frame(1, truncated)).find("abandoned: truncated in corr"), std::string::npos);
+  EXPECT_NE(
+      ErrorFromFrame(Frame(1, truncated)).find("abandoned: truncated in corr: expected 8 bytes, found 2"),
+      std::string::npos);
 
   std::string large_count = StartedNode();
   Append(large_count, event_code::kEndpointList, Bytes("03 29000000 ffffffff"));
-  EXPECT_NE(ErrorFromFrame(Frame(1, large_count)).find("entries count runs past"), std::string::npos);
+  EXPECT_NE(ErrorFromFrame(Frame(1, large_count))
+                .find("entries count 4294967295 runs past the end of the record, which has 0 bytes left"),
+            std::string::npos);
 
   std::string extra_byte = StartedNode();
   Append(extra_byte, event_code::kClientDisconnected, Bytes("192b6f0e8eaf0700 00"));
-  EXPECT_NE(ErrorFromFrame(Frame(1, extra_byte)).find("1 bytes too many"), std::string::npos);
+  EXPECT_NE(ErrorFromFrame(Frame(1, extra_byte))
+                .find("abandoned: expected the end of the record, found 1 more bytes"),
+            std::string::npos);
 
   std::string unknown_node;
   Append(unknown_node, event_code::kSelectNode, Bytes("0500"));
--- a/tests/embed_installed.cmake
+++ b/tests/embed_installed.cmake
@@ -1,3 +1,5 @@
+# Installs the library, builds examples/ against the installed package as another project would, and runs the
+# example. Needs the variables BUILD_DIR, SOURCE_DIR, CONFIG, COMPILER and SANITIZE.
 set(prefix ${BUILD_DIR}/embed/prefix)
 set(build ${BUILD_DIR}/embed/build)
 file(REMOVE_RECURSE ${BUILD_DIR}/embed)
@@ -12,9 +14,9 @@
         "${build}/embed")
   execute_process(COMMAND ${step} RESULT_VARIABLE code OUTPUT_VARIABLE out ERROR_VARIABLE err)
   if(NOT code EQUAL 0)
-    message(FATAL_ERROR "failed (${code}): ${step}\n${out}\n${err}")
+    message(FATAL_ERROR "expected exit code 0, got ${code} from: ${step}\n${out}\n${err}")
   endif()
 endforeach()
 if(NOT out MATCHES "served on replica")
-  message(FATAL_ERROR "the example did not report a served request:\n${out}")
+  message(FATAL_ERROR "expected 'served on replica' in the output of the example, got:\n${out}")
 endif()
