--- a/src/policy/adaptive_concurrency.cpp
+++ b/src/policy/adaptive_concurrency.cpp
@@ -13,32 +13,35 @@
 constexpr double kMaxLimit = 256;              // over all nodes; in a large tier at each node, see MaxLimit()
 
 // Increase.
-// The share by which limits rise in a round of answers, as many as the sum of the limits.
+// The share by which limits rise in one round, which has as many answers as the sum of the limits.
 constexpr double kIncreasePerRound = 0.4;
-// The same while the limit is below kRecoveredShare of the one that last had to be decreased, or before any.
+// The same while the limit is below kRecoveredShare of the one that last had to be decreased, and before the
+// first decrease.
 constexpr double kInitialIncreasePerRound = 0.9;
 constexpr double kRecoveredShare = 0.7;
-constexpr double kMinUtilization = 0.85;  // limits used less than this have not been tested: no increase
+constexpr double kMinUtilization =
+    0.85;  // limits of which a smaller part is in use are untested: no increase
 // No increase while first tokens take more than this part of their objectives on average.
 constexpr double kMaxObjectiveUsedToRise = 0.3;
 
 // Decrease.
 constexpr double kDecreaseFactor = 0.85;  // applied at most once per mean runtime
-constexpr double kMaxLateShare = 0.25;    // limits fall if more of the recent first tokens are late
+constexpr double kMaxLateShare = 0.25;    // limits fall if a larger share of recent first tokens is late
 constexpr double kLateThreshold = 0.8;    // part of its objective after which a first token is late
 // Weights of the newest sample in the moving averages.
 constexpr double kLatenessWeight = 0.05;      // share of late first tokens, and slowdown of the streams
 constexpr double kObjectiveUsedWeight = 0.1;  // mean part of the objective used
-// Replicas are saturated if streams are slower than at their best by this factor, and only if first tokens
-// also take more than kMinObjectiveUsedToSaturate of their objectives.
+// Replicas are saturated if streams are slower than at their best by more than this factor and first tokens
+// take more than kMinObjectiveUsedToSaturate of their objectives on average.
 constexpr double kSaturationSlowdown = 2.0;
 constexpr double kMinObjectiveUsedToSaturate = 0.15;
 constexpr double kMinDecreaseFactor = 0.5;  // one decrease multiplies the limit by no less than this
 
 // Pace.
-constexpr double kMaxPaceSamples = 25;   // answers of a class over which its current pace is averaged
-constexpr double kMinPaceSamples = 8;    // answers needed before a class's best pace means anything
-constexpr double kBestPaceLeak = 0.002;  // added to the best pace (ln) by each answer, so that it ages
+constexpr double kMaxPaceSamples = 25;  // answers of a class over which its current pace is averaged
+constexpr double kMinPaceSamples = 8;   // answers needed before a class has a best pace
+constexpr double kBestPaceLeak =
+    0.002;  // added to the best pace (ln) by each answer, so that an outdated one fades
 
 }  // namespace
 
--- a/src/policy/adaptive_concurrency.h
+++ b/src/policy/adaptive_concurrency.h
@@ -13,7 +13,7 @@
 
 namespace ryeglade::policy {
 
-// How far the limits are used at the time of an outcome.
+// How much of the limits is in use at the time of an outcome.
 struct LimitUsage {
   Time now = 0;
   int in_flight = 0;        // attempts, over all replicas
@@ -29,11 +29,12 @@
   // This node's share of the limit of a replica of ordinary speed.
   double base_limit() const { return base_limit_; }
 
-  // The Learn functions return whether the base limit has changed.
+  // The Learn functions return whether the base limit has changed. `time_to_first_token` and `objective`, the
+  // request's latency objective, are durations.
   bool LearnTimeToFirstToken(double time_to_first_token, double objective, const LimitUsage& usage);
   // A request that timed out or that a replica refused at capacity counts as one with a late first token.
   bool LearnLateResponse(const LimitUsage& usage);
-  // A request was served; `runtime` is that of the whole attempt.
+  // A request was served. `runtime` is the time from sending the attempt to its end.
   bool LearnPace(const Request& request, Time runtime, const LimitUsage& usage);
 
   // Multiplies the limits by `factor`, because this node's share of the traffic has changed.
--- a/src/policy/candidate_finder.cpp
+++ b/src/policy/candidate_finder.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kMaxPreferred = 32;  // preferred replicas of a key
 constexpr std::size_t kMaxRingPoints =
     8 * kMaxPreferred * HashRing::kPointsPerReplica;  // visited in one search
-constexpr int kRandomDraws = 24;  // random replicas; the best of so many is hardly worse than the best of all
+constexpr int kRandomDraws = 24;  // the best of so many replicas is hardly worse than the best of all
 
 // Orders candidates by zone if `by_zone`, then by descending rank.
 auto ByRank(double Candidate::*rank, bool by_zone) {
@@ -35,8 +35,8 @@
     MarkPreferred(request, prefix_share, session_share, candidates);
     return;
   }
-  // Departure: in a large fleet only a key's preferred replicas and some drawn at random are candidates
-  // (power of d choices).
+  // Departure (see router.cpp): in a large fleet only a key's preferred replicas and some drawn at random are
+  // candidates (power of d choices).
   ring_.RebuildIfInvalid(in_.fleet);
   ++search_;
   if (request.prefix != 0) {
@@ -114,8 +114,8 @@
       PrefixAffinity::PreferredCount(search.traffic_share, in_.limits.available().size(), ring_.size());
   std::size_t left = std::min(kMaxPreferred, preferred);
   std::size_t index = ring_.Locate(search.key);
-  // If a key has more preferred replicas than fit, a random section of them is used, for a session always the
-  // same one.
+  // If a key has more than kMaxPreferred preferred replicas, a section of them is used. Requests of one
+  // session always use the same section, so that they find its cached prompt; others use a random one.
   if (preferred > kMaxPreferred) {
     const double start = request.session != 0 ? UnitInterval(Mix64(request.session)) : in_.random.Next();
     index += static_cast<std::size_t>(start * static_cast<double>(preferred - kMaxPreferred));
@@ -134,6 +134,7 @@
   }
 }
 
+// Marks the session's preferred replicas among the candidates, which are the prefix's preferred ones.
 void CandidateFinder::MarkSessionAmongPrefix(const RequestArrived& request, double session_share,
                                              std::vector<Candidate>& candidates) const {
   if (request.session == 0 || candidates.empty()) return;
--- a/src/policy/candidate_finder.h
+++ b/src/policy/candidate_finder.h
@@ -18,10 +18,11 @@
 
 namespace ryeglade::policy {
 
+// A replica to which the request may be sent, with what ReplicaSelector needs to choose among them.
 struct Candidate {
   Replica* replica = nullptr;
-  bool prefix_preferred = false;
-  bool session_preferred = false;
+  bool prefix_preferred = false;   // a preferred replica of the request's shared prefix
+  bool session_preferred = false;  // a preferred replica of the request's session
   // Rendezvous scores, higher is more preferred. Not used in a sampled fleet.
   double prefix_rank = 0;
   double session_rank = 0;
@@ -57,10 +58,11 @@
             std::vector<Candidate>& candidates);
 
  private:
+  // A search of the ring for the preferred replicas of one key.
   struct RingSearch {
     std::uint64_t key;
-    double traffic_share;
-    bool is_session;  // whether `key` is that of a session; false: of a shared prefix
+    double traffic_share;  // of the key, 0 to 1
+    bool is_session;       // whether `key` is that of a session; false: of a shared prefix
   };
 
   void AddAll(const RequestArrived& request, Time now, std::vector<Candidate>& candidates);
--- a/src/policy/capacity_backoff.cpp
+++ b/src/policy/capacity_backoff.cpp
@@ -7,7 +7,7 @@
 
 constexpr double kLimitFactor = 0.7;       // one "at capacity" answer multiplies the replica's limit by this
 constexpr double kMinLimitFactor = 0.1;    // lower bound of the product of these factors
-constexpr Time kRecoveryTime = 5'000'000;  // the reduction decays to 1/e of itself in this time
+constexpr Time kRecoveryTime = 5'000'000;  // the reduction of the limit decays to 1/e in this time
 constexpr double kPauseShare = 0.05;       // the pause without new attempts, as a part of the mean runtime
 constexpr Time kMaxPause = 500'000;
 
--- a/src/policy/capacity_backoff.h
+++ b/src/policy/capacity_backoff.h
@@ -10,7 +10,8 @@
 // The factor, 0 to 1, by which the replica's limit is to be multiplied.
 double CapacityFactor(const Replica& replica, Time now);
 
-// Lowers that factor and sets `at_capacity_until`. `mean_runtime` is that of served requests.
+// Lowers that factor and starts a pause, by setting `at_capacity_until`. The pause is a part of
+// `mean_runtime`, that of served requests, and lasts at least a tenth of `connect_timeout`.
 void RecordAtCapacity(Replica& replica, Time now, double mean_runtime, Time connect_timeout);
 
 }  // namespace ryeglade::policy
--- a/src/policy/endpoint_polling.cpp
+++ b/src/policy/endpoint_polling.cpp
@@ -7,8 +7,8 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr Time kMaxFirstDelay = 1'000'000;
-constexpr double kBaseBackoff = 100'000;  // doubled by each consecutive failure
+constexpr Time kMaxFirstDelay = 1'000'000;  // upper bound of the time span before the first request
+constexpr double kBaseBackoff = 100'000;    // doubled by each consecutive failure
 constexpr double kMaxBackoff = 2'000'000;
 constexpr int kMaxDoublings = 5;
 
@@ -16,7 +16,7 @@
 
 // All nodes may start at the same time, and simultaneous calls would overload discovery, so each node waits
 // for a random part of a time span. The span is short because the list known at the start may be out of date,
-// and its changes soon count as known to the node.
+// and the node is soon expected to act on its changes.
 std::optional<Time> EndpointPolling::FirstDelay(RandomSource& random) const {
   if (!settings_.poll_endpoints) return std::nullopt;
   const Time span = settings_.max_poll_interval > 0
--- a/src/policy/endpoint_polling.h
+++ b/src/policy/endpoint_polling.h
@@ -1,6 +1,6 @@
 // Decides when to request the endpoint list: at start, and again after a failure with exponential backoff and
-// jitter. A change of the list counts as known to the node at the latest 6 s after discovery has it and can
-// be reached, so failed calls are repeated well within that time. Times are microseconds.
+// jitter. The node is expected to act on a change at the latest 6 s after service discovery has it and can be
+// reached, so failed calls are repeated well within that time. Times are microseconds.
 #pragma once
 
 #include <optional>
@@ -20,7 +20,7 @@
   std::optional<Time> FirstDelay(RandomSource& random) const;
   // The watch has failed. Returns the delay before the next request, or nullopt as above.
   std::optional<Time> OnFailure(RandomSource& random);
-  // A list has arrived.
+  // A list has arrived. Unless it is a cached one, the backoff starts anew.
   void OnList(EndpointListScope scope);
   // Returns true if no watch is open, and marks it as open until the next failure.
   bool OpenWatch();
--- a/src/policy/fleet.h
+++ b/src/policy/fleet.h
@@ -40,7 +40,8 @@
   // SiblingInFlightChanged.
   void SetSiblingInFlight(const std::vector<std::pair<ReplicaId, int>>& in_flight);
 
-  // Attempts in flight at all replicas, of this process and together with the other process of this node.
+  // Attempts in flight at all replicas: those of this process, and those of both processes of this node
+  // during a hot restart.
   int own_in_flight() const { return own_in_flight_; }
   int in_flight() const { return own_in_flight_ + sibling_in_flight_; }
 
--- a/src/policy/load_reports.h
+++ b/src/policy/load_reports.h
@@ -15,7 +15,8 @@
   // Both arguments must outlive this object.
   LoadReports(const Settings& settings, const ReplicaSpeed& speed) : settings_(settings), speed_(speed) {}
 
-  // Stores a report whose numbers are in the order of Settings::load_fields. It may have fewer, or none.
+  // Stores a report, whose numbers are in the order of Settings::load_fields. It may have fewer numbers, or
+  // none.
   void Record(Replica& replica, const std::vector<double>& report, Time now);
 
   // The mean load is that of the replicas counted since the last ResetMean.
@@ -29,12 +30,13 @@
   double RelativeLoad(const Replica& replica, Time now) const;
 
  private:
+  // The reported load; requests in flight are adjusted for the replica's speed.
   double ComparableLoad(const Replica& replica, Time now) const;
 
   const Settings& settings_;
   const ReplicaSpeed& speed_;
   bool reports_in_flight_ = false;  // whether reports contain requests in flight; false: utilization
-  double load_sum_ = 0;
+  double load_sum_ = 0;             // of the counted replicas, weighted by freshness
   double weight_sum_ = 0;
 };
 
--- a/src/policy/prefix_affinity.cpp
+++ b/src/policy/prefix_affinity.cpp
@@ -13,7 +13,7 @@
 // Traffic by key.
 constexpr Time kLongTermDecayTime = 60'000'000;
 constexpr Time kShortTermDecayTime = 5'000'000;  // for detecting that a key gets hot
-constexpr double kMinArrivals = 8.0;             // a share is computed of at least this many arrivals
+constexpr double kMinArrivals = 8.0;             // counts are divided by at least this many arrivals
 // Keys with fewer than kMinTrafficToKeep arrivals are removed once there are more than kMinKeysToPrune keys
 // and more than kKeysPerArrivalToPrune for each counted arrival.
 constexpr std::size_t kMinKeysToPrune = 1024;
@@ -24,7 +24,7 @@
 constexpr double kPreferredSpread = 4.0;
 
 // Cached prefixes.
-constexpr Time kCacheLifetime = 30'000'000;  // a prompt is taken to stay in a replica's cache for this long
+constexpr Time kCacheLifetime = 30'000'000;  // how long a prompt is assumed to stay in a cache
 constexpr std::size_t kMaxCachedPrefixes = 16384;
 // The probability that a preferred replica to which this node has not sent the prefix has it in its cache.
 constexpr double kPrefixHitProbability = 0.7;
@@ -64,9 +64,10 @@
   return std::clamp((count - 2 * std::sqrt(count)) / std::max(kMinArrivals, arrivals), 0.0, 1.0);
 }
 
-// Departure: nothing is subtracted in a large tier. Each node sees few requests there, so it would take a hot
-// prefix for a cold one, and all nodes would send it to its one preferred replica. Without the subtraction a
-// prefix starts with several preferred replicas, and with fewer as more requests are counted.
+// Departure (see router.cpp): nothing is subtracted in a large tier. Each node sees few requests there, so it
+// would take a hot prefix for a cold one, and all nodes would send it to its one preferred replica. Without
+// the subtraction a prefix starts with several preferred replicas, and with fewer as more requests are
+// counted.
 double PrefixAffinity::TrafficShareOf(std::uint64_t key, Time now) const {
   if (const auto tier = tier_traffic_.find(key); tier != tier_traffic_.end()) return tier->second;
   const auto traffic = key_traffic_.find(key);
--- a/src/policy/prefix_affinity.h
+++ b/src/policy/prefix_affinity.h
@@ -28,6 +28,7 @@
   // The settings must outlive this object.
   explicit PrefixAffinity(const Settings& settings) : settings_(settings) {}
 
+  // Counts an arrival for the request's session and shared prefix.
   void CountArrival(const RequestArrived& request, Time now);
   // Sets shares of the tier's traffic by key. They replace the earlier ones, and are used instead of what
   // this node has counted for these keys.
@@ -46,7 +47,8 @@
   // The number of prompt tokens that the replica is expected to prefill, because they are not in its cache.
   double TokensToPrefill(const RequestArrived& request, const Replica& replica, const Affinity& affinity,
                          Time now) const;
-  // From here on the replica is taken to have the whole prompt in its cache.
+  // Must be called when the request is sent. Afterwards the replica is assumed to have cached the whole
+  // prompt.
   void RecordDispatch(const RequestArrived& request, ReplicaId replica, Time now);
 
   void ExportTo(LearnedState& state) const;
--- a/src/policy/queue_order.h
+++ b/src/policy/queue_order.h
@@ -13,11 +13,12 @@
 // A request overtakes an earlier one if its runtime is shorter by more than the time between their arrivals
 // divided by this factor.
 inline constexpr double kAgingFactor = 6.0;
-// A large request lets typical requests of its class overtake it that arrive up to this part of its latency
+// Typical requests of its class overtake a large request if they arrive up to this part of its latency
 // objective later. Without a bound, a request many times as large as typical ones is overtaken for as long as
 // its client waits. A bound of 0.5 costs 0.018 of the simulator's score, 1.0 costs 0.004.
 inline constexpr double kMaxDelayShare = 1.0;
 
+// The properties of a request on which its position depends.
 struct QueuedRequest {
   Time arrived = 0;
   Time until_objective = 0;    // time from its arrival to its latency objective
@@ -43,7 +44,7 @@
 struct QueuePosition {
   PriorityTier tier = PriorityTier::kOrdinary;
   double key = 0;
-  std::uint64_t order = 0;  // counts up with each request that is enqueued
+  std::uint64_t order = 0;  // sequence number: equal keys are dispatched in the order of enqueueing
   RequestId id = 0;
   auto operator<=>(const QueuePosition&) const = default;
 };
--- a/src/policy/replica.h
+++ b/src/policy/replica.h
@@ -1,4 +1,4 @@
-// The decision module's state of a replica: its entry in the endpoint list, what this node has learned of it
+// The Router's state of a replica: its entry in the endpoint list, what this node has learned of it
 // and has in flight there, and what other nodes report of it. Owned by Fleet. Times are microseconds.
 #pragma once
 
@@ -10,7 +10,7 @@
 
 struct Replica : ReplicaView {
   bool ready = false;             // listed, and neither draining nor removed
-  bool listed = false;            // false: it is removed when its last attempt has ended
+  bool listed = false;            // false: Fleet removes it when its last attempt has ended
   int sibling_in_flight = 0;      // attempts of the other process of this node, during a hot restart
   PeerReplicaReport peer_report;  // latest report of the other nodes of the tier
   Time peer_report_at = 0;        // time of that report; 0: none
--- a/src/policy/replica_limits.cpp
+++ b/src/policy/replica_limits.cpp
@@ -8,7 +8,8 @@
 namespace ryeglade::policy {
 namespace {
 
-// Minimum time between two recomputations in a sampled fleet, in microseconds for each replica.
+// The minimum time between two recomputations in a sampled fleet is this, in microseconds, times the number
+// of replicas.
 constexpr Time kUpdateIntervalPerReplica = 10;
 // Standard deviations by which a node may exceed its share of a replica's limit if there are other nodes.
 constexpr double kShareDeviations = 2;
--- a/src/policy/replica_limits.h
+++ b/src/policy/replica_limits.h
@@ -1,5 +1,5 @@
 // Computes the concurrency limit of each replica (Replica::concurrency_limit) and their sum. This node's
-// share of a replica's limit need not be an integer. It is the base limit that adaptive concurrency has
+// share of a replica's limit need not be an integer: it is the base limit that adaptive concurrency has
 // learned, times a factor for the replica's speed, reduced after "at capacity" answers and during slow start,
 // and 0 while the replica is ejected.
 #pragma once
@@ -35,10 +35,10 @@
   void Update(Time now);
   // Makes the next Update recompute the limits.
   void Invalidate() { updated_at_ = kNever; }
-  // The same, except in a sampled fleet, whose limits may be slightly out of date: they are recomputed at
-  // intervals rather than after each outcome.
+  // Does the same as Invalidate, except in a sampled fleet, whose limits may be slightly out of date: they
+  // are recomputed at intervals rather than after each outcome.
   void InvalidateUnlessSampling();
-  // Sets the replica's limit to 0 until the next recomputation.
+  // Sets the replica's limit to 0 until the next recomputation, and subtracts it from the sum.
   void Exclude(Replica& replica);
 
   // Whether another attempt may be sent to the replica now, regardless of the request.
--- a/src/policy/replica_selector.cpp
+++ b/src/policy/replica_selector.cpp
@@ -7,15 +7,16 @@
 namespace {
 
 // The cost of a request, in prompt tokens.
-constexpr double kMinCost = 300;        // added to the tokens to prefill
-constexpr double kCrossZoneCost = 800;  // added for another zone, if the penalty is kUsualCrossZonePenalty
+constexpr double kMinCost = 300;  // added to the tokens to prefill
+// Added for another zone if the penalty is kUsualCrossZonePenalty, and in proportion for other penalties.
+constexpr double kCrossZoneCost = 800;
 constexpr double kUsualCrossZonePenalty = 0.08;
 constexpr double kRetryCostFactor = 5;  // for a replica that was tried before, so that any other is preferred
 
 // A replica slower than its kind by a factor f is assumed to be utilized f^kSlowReplicaLoad times as much.
 constexpr double kSlowReplicaLoad = 0.5;
 constexpr double kMaxUtilization = 0.8;  // upper bound of the utilization assumed without reports
-constexpr double kMinSpareShare = 0.01;
+constexpr double kMinSpareShare = 0.01;  // lower bound of the spare share of a replica's limit
 // Among the scores this close to the best, the replica is drawn at random, weighted by limit.
 constexpr double kTieTolerance = 0.02;
 
@@ -49,6 +50,7 @@
   return best ? DrawAmongBest(*best) : nullptr;
 }
 
+// The spare share of the replica's limit, divided by the cost of the request at the replica.
 double ReplicaSelector::Score(const Candidate& candidate, const Context& context) const {
   const Replica& replica = *candidate.replica;
   const double slowness = in_.speed.Slowness(replica, context.now);
@@ -73,7 +75,8 @@
 }
 
 // The tokens to prefill before the request's first token: those of the attempts ahead of it, and those of its
-// own prompt that are not cached there. Weighted by slowness, zone and earlier attempts.
+// own prompt that the replica has not cached. The cost is higher for a replica that is slow, in another zone
+// or was tried before.
 double ReplicaSelector::Cost(const Candidate& candidate, double slowness, const Context& context) const {
   const Replica& replica = *candidate.replica;
   const Affinity affinity = {candidate.prefix_preferred, candidate.session_preferred, context.session_is_hot};
@@ -90,6 +93,7 @@
   return tried ? cost * kRetryCostFactor : cost;
 }
 
+// Draws one of the candidates whose score is within kTieTolerance of the best, weighted by their limits.
 Replica* ReplicaSelector::DrawAmongBest(double best_score) {
   const auto ties = [&](const Candidate& candidate) {
     return candidate.score && *candidate.score >= best_score * (1 - kTieTolerance);
--- a/src/policy/replica_speed.cpp
+++ b/src/policy/replica_speed.cpp
@@ -9,9 +9,10 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr Time kReplicaDecayTime = 10'000'000;  // decay time of a replica's own answers, as its load changes
-constexpr Time kZoneDecayTime = 5'000'000;      // decay time of a zone's answers
-constexpr double kMaxKindSamples = 400;         // answers over which a kind's slowness is averaged
+// Decay time of the weight of a replica's answers: its load changes, so old answers say little about it.
+constexpr Time kReplicaDecayTime = 10'000'000;
+constexpr Time kZoneDecayTime = 5'000'000;  // decay time of a zone's answers
+constexpr double kMaxKindSamples = 400;     // answers over which a kind's slowness is averaged
 // A replica f times as slow gets f^-kSpeedPower of the load. It gets less than in proportion to its speed,
 // because latency objectives are absolute.
 constexpr double kSpeedPower = 1.7;
--- a/src/policy/replica_speed.h
+++ b/src/policy/replica_speed.h
@@ -22,12 +22,13 @@
   explicit ReplicaSpeed(const Settings& settings) : settings_(settings) {}
 
   double Slowness(const Replica& replica, Time now) const;
+  // The mean slowness of the replicas of a kind, shrunk towards 0; 0 for an unknown kind.
   double KindSlowness(int kind) const;
   // The share of the load that a replica of this slowness gets, relative to one of ordinary speed.
   static double LoadFactor(double slowness);
 
-  // One answer of the replica took e^log_ratio times as long as expected. The answers of a replica that is
-  // warming up are not counted for its kind.
+  // Counts an answer of the replica that took e^log_ratio times as long as expected. The answers of a replica
+  // that is warming up are not counted for its kind.
   void Learn(Replica& replica, double log_ratio, Time now, bool warming_up);
 
   // Must be called after the settings' numbers of kinds and zones have changed.
--- a/src/policy/request.h
+++ b/src/policy/request.h
@@ -11,6 +11,7 @@
 
 namespace ryeglade::policy {
 
+// One attempt to have the request served by a replica.
 struct Attempt {
   ReplicaId replica = 0;
   // Zone and cell of the replica, kept here because the replica may no longer be known when they are needed.
--- a/src/policy/request_queue.h
+++ b/src/policy/request_queue.h
@@ -34,7 +34,7 @@
 
  private:
   std::set<QueuePosition> positions_;
-  std::uint64_t order_ = 0;  // of the last request enqueued
+  std::uint64_t order_ = 0;  // QueuePosition::order of the last request enqueued
 };
 
 }  // namespace ryeglade::policy
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -38,7 +38,7 @@
   const Settings& settings_;
 };
 
-// Limits retries after failures to a share of the requests.
+// A token bucket that limits retries after failures to a share of the requests.
 class RetryBudget {
  public:
   void AddRequest() { retries_ = std::min(kMaxRetries, retries_ + kRetriesPerRequest); }
@@ -50,9 +50,9 @@
 
  private:
   static constexpr double kRetriesPerRequest = 0.3;
-  static constexpr double kMaxRetries = 10;  // the most that can be saved up
+  static constexpr double kMaxRetries = 10;  // the most retries that can accumulate
 
-  double retries_ = kMaxRetries / 2;
+  double retries_ = kMaxRetries / 2;  // retries that may be sent now, if at least 1
 };
 
 }  // namespace ryeglade::policy
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -47,7 +47,7 @@
 
 // ln 3: a failed attempt counts as an answer that took three times as long as expected.
 constexpr double kFailureSlowness = 1.1;
-constexpr double kMaxPromptTokens = 1e9;
+constexpr double kMaxPromptTokens = 1e9;  // longer prompts could overflow the latency objective
 // Retry rules can keep a queued request from every replica with spare capacity. Up to this many such requests
 // are passed over in one round, so that they don't block the others.
 constexpr int kMaxUnplaceable = 8;
@@ -318,7 +318,7 @@
 
 // ---- The queue ----
 
-// The latest dispatch at which the request can still earn some of its weight.
+// The latest time of a dispatch at which the request can still earn some of its priority weight.
 Time Router::Impl::LatestDispatch(const Request& request) const {
   const Time time_budget = request.deadline - request.arrived_at;
   const Time margin = std::max(kMinResponseMargin, time_budget / kResponseMarginParts);
@@ -330,12 +330,14 @@
   return std::max(request.arrived_at, latest);
 }
 
+// The latest time of a dispatch at which the request is expected to meet its latency objective.
 Time Router::Impl::LatestDispatchForObjective(const Request& request) const {
   return request.objective_at - estimator_.ExpectedTimeToFirstToken(request);
 }
 
-// Departure: requests that can no longer meet their objective wait behind those that can. If only runtime and
-// age counted, a queue that has once become longer than the objective would serve every request late.
+// Departure: requests that can no longer meet their objective wait behind those that can. If the order
+// depended on runtime and age only, a queue in which requests once wait longer than their objective would
+// serve every request late.
 PriorityTier Router::Impl::TierOf(const Request& request) const {
   if (now_ >= LatestDispatchForObjective(request)) return PriorityTier::kObjectiveMissed;
   return request.over_quota ? PriorityTier::kOverQuota : PriorityTier::kOrdinary;
@@ -482,7 +484,7 @@
     queue_.Dequeue(request);
     MarkConcluded(request);
   } else if (request.attempts_in_flight > 0) {
-    return;  // the attempts still in flight decide
+    return;  // the attempts still in flight decide how the request is concluded
   } else if (request.response_started) {
     Conclude(request, ConclusionReason::kStreamInterrupted);
   } else {
@@ -504,6 +506,7 @@
   Conclude(request, WhyNoRetry(request));
 }
 
+// Must be called with the same state as the decision in RetryOrConclude.
 ConclusionReason Router::Impl::WhyNoRetry(const Request& request) const {
   if (request.attempts.size() >= static_cast<std::size_t>(settings_.max_attempts)) {
     return ConclusionReason::kAttemptsExhausted;
@@ -550,6 +553,7 @@
 
 // ---- Learning from outcomes ----
 
+// Removes the attempt's tokens from the replica's prefill backlog. Does nothing if called again.
 void Router::Impl::FinishPrefill(Attempt& attempt) {
   if (Replica* replica = fleet_.Find(attempt.replica)) {
     replica->prefill_backlog_tokens =
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -7,7 +7,7 @@
 
 constexpr double kSafetyMargin = 0.4;        // part of the overload factor that all nodes together use
 constexpr Time kRateDecayTime = 20'000'000;  // decay time of the dispatches counted for their rate
-constexpr double kMaxTokens = 1.0;           // the most that can be saved up
+constexpr double kMaxTokens = 1.0;           // the most tokens that can accumulate for a replica
 
 }  // namespace
 
--- a/src/policy/timer_queue.h
+++ b/src/policy/timer_queue.h
@@ -20,14 +20,14 @@
 enum class TimerKind : std::uint8_t {
   kQueueTimeout,     // the latest useful dispatch of a queued request has passed
   kObjectiveMissed,  // a queued request can no longer meet its latency objective
-  kUpdateLimits,     // an ejection or a pause ends, which changes the limits
+  kUpdateLimits,     // an ejection, or a pause after "at capacity", ends, which changes the limits
   kPollEndpoints,    // the endpoint list has to be requested
 };
 
 // Members are compared in the order of their declaration.
 struct Timer {
   Time at = 0;
-  std::uint64_t order = 0;  // counts up with each timer that is scheduled
+  std::uint64_t order = 0;  // sequence number: timers for the same time are due in the order of scheduling
   TimerKind kind = TimerKind::kUpdateLimits;
   RequestId request = 0;  // for kQueueTimeout and kObjectiveMissed; else 0
   auto operator<=>(const Timer&) const = default;
