--- a/src/policy/adaptive_concurrency.cpp
+++ b/src/policy/adaptive_concurrency.cpp
@@ -72,10 +72,10 @@
   return LearnLateness(true, false, usage);
 }
 
-bool AdaptiveConcurrency::LearnLateness(bool late, bool in_good_time, const LimitUsage& usage) {
+bool AdaptiveConcurrency::LearnLateness(bool late, bool early, const LimitUsage& usage) {
   late_share_ += kLatenessWeight * ((late ? 1.0 : 0.0) - late_share_);
   if (late_share_ > kMaxLateShare) return late && Decrease(kDecreaseFactor, usage);
-  if (!in_good_time || objective_used_ >= kMaxObjectiveUsedToRise) return false;
+  if (!early || objective_used_ >= kMaxObjectiveUsedToRise) return false;
   if (usage.in_flight < kMinUtilization * usage.total_limit) return false;
   Increase(usage.total_limit);
   return true;
@@ -134,10 +134,10 @@
 }
 
 void AdaptiveConcurrency::RestoreFrom(const LearnedState& state) {
-  const double nodes_then = std::max(1, state.node_count);
+  const double exported_nodes = std::max(1, state.node_count);
   const double nodes = traffic_share_.equivalent_nodes();
-  base_limit_ = std::clamp(state.base_limit * nodes_then / nodes, MinLimit(), kMaxLimit / nodes);
-  limit_before_decrease_ = state.limit_before_decrease * (nodes_then / nodes);
+  base_limit_ = std::clamp(state.base_limit * exported_nodes / nodes, MinLimit(), kMaxLimit / nodes);
+  limit_before_decrease_ = state.limit_before_decrease * (exported_nodes / nodes);
   decreased_at_ = state.limit_decreased_at;
   late_share_ = state.late_share;
   objective_used_ = state.objective_used;
--- a/src/policy/adaptive_concurrency.h
+++ b/src/policy/adaptive_concurrency.h
@@ -51,7 +51,7 @@
   double MinLimit() const;
   double MaxLimit() const;
   bool IsSaturated() const;
-  bool LearnLateness(bool late, bool in_good_time, const LimitUsage& usage);
+  bool LearnLateness(bool late, bool early, const LimitUsage& usage);
   void Increase(double total_limit);
   bool Decrease(double factor, const LimitUsage& usage);
 
--- a/src/policy/candidate_finder.cpp
+++ b/src/policy/candidate_finder.cpp
@@ -30,14 +30,14 @@
 void CandidateFinder::Find(const RequestArrived& request, double prefix_share, double session_share, Time now,
                            std::vector<Candidate>& candidates) {
   candidates.clear();
-  if (!in_.fleet.UsesSampling()) {
+  if (!inputs_.fleet.UsesSampling()) {
     AddAll(request, now, candidates);
     MarkPreferred(request, prefix_share, session_share, candidates);
     return;
   }
   // Departure (see router.cpp): in a large fleet only a key's preferred replicas and some drawn at random are
   // candidates (power of d choices).
-  ring_.RebuildIfInvalid(in_.fleet);
+  ring_.RebuildIfInvalid(inputs_.fleet);
   ++search_;
   if (request.prefix != 0) {
     AddFromRing(request, {request.prefix, prefix_share, false}, candidates);
@@ -51,10 +51,10 @@
 // ---- All replicas ----
 
 void CandidateFinder::AddAll(const RequestArrived& request, Time now, std::vector<Candidate>& candidates) {
-  in_.load_reports.ResetMean();
-  for (const auto& replica : in_.fleet.replicas()) {
+  inputs_.load_reports.ResetMean();
+  for (const auto& replica : inputs_.fleet.replicas()) {
     if (replica->concurrency_limit <= 0) continue;
-    const double weight = ReplicaSpeed::LoadFactor(in_.speed.KindSlowness(replica->endpoint.kind));
+    const double weight = ReplicaSpeed::LoadFactor(inputs_.speed.KindSlowness(replica->endpoint.kind));
     Candidate& candidate = candidates.emplace_back();
     candidate.replica = replica.get();
     if (request.prefix != 0) {
@@ -63,7 +63,7 @@
     if (request.session != 0) {
       candidate.session_rank = RendezvousScore(request.session, replica->endpoint.id, weight);
     }
-    in_.load_reports.CountTowardsMean(*replica, now);
+    inputs_.load_reports.CountTowardsMean(*replica, now);
   }
 }
 
@@ -71,7 +71,7 @@
 // penalized, a prefix has preferred replicas in each zone, and a session only in this node's zone.
 void CandidateFinder::MarkPreferred(const RequestArrived& request, double prefix_share, double session_share,
                                     std::vector<Candidate>& candidates) const {
-  const bool by_zone = AvoidsOtherZones(in_.settings);
+  const bool by_zone = AvoidsOtherZones(inputs_.settings);
   if (request.prefix != 0) {
     std::sort(candidates.begin(), candidates.end(), ByRank(&Candidate::prefix_rank, by_zone));
   } else if (request.session != 0) {
@@ -90,7 +90,7 @@
       std::for_each(zone_begin, preferred_end, [](Candidate& c) { c.prefix_preferred = true; });
       std::sort(zone_begin, preferred_end, ByRank(&Candidate::session_rank, by_zone));
     }
-    if (request.session != 0 && (!by_zone || zone == in_.settings.zone)) {
+    if (request.session != 0 && (!by_zone || zone == inputs_.settings.zone)) {
       const std::size_t preferred =
           PrefixAffinity::PreferredCount(session_share, count, eligible_for_session);
       std::for_each(zone_begin, zone_begin + static_cast<std::ptrdiff_t>(preferred),
@@ -111,20 +111,20 @@
 void CandidateFinder::AddFromRing(const RequestArrived& request, const RingSearch& search,
                                   std::vector<Candidate>& candidates) {
   const std::size_t preferred =
-      PrefixAffinity::PreferredCount(search.traffic_share, in_.limits.available().size(), ring_.size());
+      PrefixAffinity::PreferredCount(search.traffic_share, inputs_.limits.available().size(), ring_.size());
   std::size_t left = std::min(kMaxPreferred, preferred);
   std::size_t index = ring_.Locate(search.key);
   // If a key has more than kMaxPreferred preferred replicas, a section of them is used. Requests of one
   // session always use the same section, so that they find its cached prompt; others use a random one.
   if (preferred > kMaxPreferred) {
-    const double start = request.session != 0 ? UnitInterval(Mix64(request.session)) : in_.random.Next();
+    const double start = request.session != 0 ? UnitInterval(Mix64(request.session)) : inputs_.random.Next();
     index += static_cast<std::size_t>(start * static_cast<double>(preferred - kMaxPreferred));
   }
-  const bool own_zone_only = AvoidsOtherZones(in_.settings);
+  const bool own_zone_only = AvoidsOtherZones(inputs_.settings);
   const std::size_t points = std::min(ring_.size(), kMaxRingPoints);
   for (std::size_t n = 0; n < points && left > 0; ++n, ++index) {
     Replica& replica = ring_.ReplicaAt(index);
-    if (own_zone_only && replica.endpoint.zone != in_.settings.zone) continue;
+    if (own_zone_only && replica.endpoint.zone != inputs_.settings.zone) continue;
     if (!ClaimForSearch(replica)) continue;
     Candidate& candidate = candidates.emplace_back();
     candidate.replica = &replica;
@@ -146,15 +146,16 @@
            std::pair(~b.session_hash, b.replica->endpoint.id);
   });
   const std::size_t preferred =
-      PrefixAffinity::PreferredCount(session_share, in_.limits.available().size(), candidates.size());
+      PrefixAffinity::PreferredCount(session_share, inputs_.limits.available().size(), candidates.size());
   for (std::size_t i = 0; i < preferred; ++i) candidates[i].session_preferred = true;
 }
 
 void CandidateFinder::AddRandom(std::vector<Candidate>& candidates) {
-  const std::vector<Replica*>& available = in_.limits.available();
+  const std::vector<Replica*>& available = inputs_.limits.available();
   if (available.empty()) return;
   for (int draw = 0; draw < kRandomDraws; ++draw) {
-    const auto index = static_cast<std::size_t>(in_.random.Next() * static_cast<double>(available.size()));
+    const auto index =
+        static_cast<std::size_t>(inputs_.random.Next() * static_cast<double>(available.size()));
     Replica& replica = *available[std::min(available.size() - 1, index)];
     if (ClaimForSearch(replica)) candidates.emplace_back().replica = &replica;
   }
--- a/src/policy/candidate_finder.h
+++ b/src/policy/candidate_finder.h
@@ -47,7 +47,7 @@
     LoadReports& load_reports;
     RandomSource& random;
   };
-  explicit CandidateFinder(const Inputs& inputs) : in_(inputs) {}
+  explicit CandidateFinder(const Inputs& inputs) : inputs_(inputs) {}
 
   // Must be called after the replicas of the fleet have changed.
   void InvalidateRing() { ring_.Invalidate(); }
@@ -77,7 +77,7 @@
   // marks it as one.
   bool ClaimForSearch(Replica& replica) const;
 
-  Inputs in_;
+  Inputs inputs_;
   HashRing ring_;
   std::uint64_t search_ = 0;  // number of the current search of a sampled fleet
 };
--- a/src/policy/prefix_affinity.cpp
+++ b/src/policy/prefix_affinity.cpp
@@ -100,9 +100,9 @@
 double PrefixAffinity::TokensToPrefill(const RequestArrived& request, const Replica& replica,
                                        const Affinity& affinity, Time now) const {
   const double prompt = std::max(1.0, request.prompt_tokens);
-  const double of_session = affinity.session_is_hot ? 0 : CachedTokens(request.session, replica, now);
-  const double of_prefix = std::min(CachedTokens(request.prefix, replica, now), request.prefix_tokens);
-  double cached = std::max(of_session, of_prefix);
+  const double cached_of_session = affinity.session_is_hot ? 0 : CachedTokens(request.session, replica, now);
+  const double cached_of_prefix = std::min(CachedTokens(request.prefix, replica, now), request.prefix_tokens);
+  double cached = std::max(cached_of_session, cached_of_prefix);
   if (affinity.prefix_preferred) cached = std::max(cached, kPrefixHitProbability * request.prefix_tokens);
   if (affinity.session_preferred) cached = std::max(cached, kSessionHitProbability * prompt);
   return std::max(0.0, prompt - cached);
--- a/src/policy/replica_limits.h
+++ b/src/policy/replica_limits.h
@@ -29,7 +29,7 @@
     // In a sampled fleet, Update sets the mean of the reports to that of the available replicas.
     LoadReports& load_reports;
   };
-  explicit ReplicaLimits(const Inputs& inputs) : in_(inputs) {}
+  explicit ReplicaLimits(const Inputs& inputs) : inputs_(inputs) {}
 
   // Recomputes the limits unless they are up to date.
   void Update(Time now);
@@ -53,7 +53,7 @@
  private:
   static constexpr Time kNever = -1;
 
-  Inputs in_;
+  Inputs inputs_;
   double total_ = 0;
   Time updated_at_ = kNever;
   std::vector<Replica*> available_;
--- a/src/policy/replica_selector.cpp
+++ b/src/policy/replica_selector.cpp
@@ -23,27 +23,29 @@
 }  // namespace
 
 ReplicaSelector::ReplicaSelector(const Inputs& inputs)
-    : in_(inputs),
+    : inputs_(inputs),
       finder_(
           {inputs.settings, inputs.fleet, inputs.limits, inputs.speed, inputs.load_reports, inputs.random}) {}
 
 Replica* ReplicaSelector::Select(const Request& request, Time now) {
   const RequestArrived& arrival = request.arrival;
-  const double prefix_share = arrival.prefix != 0 ? in_.affinity.TrafficShareOf(arrival.prefix, now) : 0;
+  const double prefix_share = arrival.prefix != 0 ? inputs_.affinity.TrafficShareOf(arrival.prefix, now) : 0;
   const double session_share =
-      arrival.session != 0 ? in_.affinity.RecentTrafficShareOf(arrival.session, now) : 0;
+      arrival.session != 0 ? inputs_.affinity.RecentTrafficShareOf(arrival.session, now) : 0;
   finder_.Find(arrival, prefix_share, session_share, now, candidates_);
   if (candidates_.empty()) return nullptr;
 
-  const std::size_t available = in_.fleet.UsesSampling() ? in_.limits.available().size() : candidates_.size();
+  const std::size_t available =
+      inputs_.fleet.UsesSampling() ? inputs_.limits.available().size() : candidates_.size();
   const Context context = {
-      request, now, std::min(kMaxUtilization, in_.fleet.in_flight() / std::max(in_.limits.total(), 1e-9)),
+      request, now,
+      std::min(kMaxUtilization, inputs_.fleet.in_flight() / std::max(inputs_.limits.total(), 1e-9)),
       PrefixAffinity::IsHot(session_share, static_cast<double>(available))};
   std::optional<double> best;
   for (Candidate& candidate : candidates_) {
     const Replica& replica = *candidate.replica;
-    if (!in_.limits.HasCapacity(replica, now)) continue;
-    if (!in_.retry_policy.MaySendTo(request, replica, now)) continue;
+    if (!inputs_.limits.HasCapacity(replica, now)) continue;
+    if (!inputs_.retry_policy.MaySendTo(request, replica, now)) continue;
     candidate.score = Score(candidate, context);
     if (*candidate.score > best.value_or(-1)) best = candidate.score;
   }
@@ -53,8 +55,8 @@
 // The spare share of the replica's limit, divided by the cost of the request at the replica.
 double ReplicaSelector::Score(const Candidate& candidate, const Context& context) const {
   const Replica& replica = *candidate.replica;
-  const double slowness = in_.speed.Slowness(replica, context.now);
-  const double nodes = in_.traffic_share.equivalent_nodes();
+  const double slowness = inputs_.speed.Slowness(replica, context.now);
+  const double nodes = inputs_.traffic_share.equivalent_nodes();
   const double own =
       (replica.in_flight + replica.in_flight_elsewhere()) / (nodes * replica.concurrency_limit);
   const double others = OthersUtilization(replica, slowness, context);
@@ -66,12 +68,13 @@
 // node's mean utilization, higher for a replica that answers slowly, or by the load that the replica reports.
 double ReplicaSelector::OthersUtilization(const Replica& replica, double slowness,
                                           const Context& context) const {
-  const double slower_than_kind = slowness - in_.speed.KindSlowness(replica.endpoint.kind);
-  const double unreported = context.utilization * std::exp(kSlowReplicaLoad * slower_than_kind);
-  if (!LoadReports::HasReport(replica)) return unreported;
+  const double slower_than_kind = slowness - inputs_.speed.KindSlowness(replica.endpoint.kind);
+  const double utilization_without_report =
+      context.utilization * std::exp(kSlowReplicaLoad * slower_than_kind);
+  if (!LoadReports::HasReport(replica)) return utilization_without_report;
   const double freshness = LoadReports::Freshness(replica, context.now);
-  return freshness * context.utilization * in_.load_reports.RelativeLoad(replica, context.now) +
-         (1 - freshness) * unreported;
+  return freshness * context.utilization * inputs_.load_reports.RelativeLoad(replica, context.now) +
+         (1 - freshness) * utilization_without_report;
 }
 
 // The tokens to prefill before the request's first token: those of the attempts ahead of it, and those of its
@@ -80,11 +83,12 @@
 double ReplicaSelector::Cost(const Candidate& candidate, double slowness, const Context& context) const {
   const Replica& replica = *candidate.replica;
   const Affinity affinity = {candidate.prefix_preferred, candidate.session_preferred, context.session_is_hot};
-  const double tokens = replica.prefill_backlog_tokens +
-                        in_.affinity.TokensToPrefill(context.request.arrival, replica, affinity, context.now);
+  const double tokens =
+      replica.prefill_backlog_tokens +
+      inputs_.affinity.TokensToPrefill(context.request.arrival, replica, affinity, context.now);
   double cost = tokens * std::exp(slowness) + kMinCost;
-  if (AvoidsOtherZones(in_.settings) && replica.endpoint.zone != in_.settings.zone) {
-    cost += kCrossZoneCost * in_.settings.cross_zone_penalty / kUsualCrossZonePenalty;
+  if (AvoidsOtherZones(inputs_.settings) && replica.endpoint.zone != inputs_.settings.zone) {
+    cost += kCrossZoneCost * inputs_.settings.cross_zone_penalty / kUsualCrossZonePenalty;
   }
   const std::vector<Attempt>& attempts = context.request.attempts;
   const bool tried = std::any_of(attempts.begin(), attempts.end(), [&](const Attempt& attempt) {
@@ -102,7 +106,7 @@
   for (const Candidate& candidate : candidates_) {
     if (ties(candidate)) total_limit += candidate.replica->concurrency_limit;
   }
-  double draw = in_.random.Next() * total_limit;
+  double draw = inputs_.random.Next() * total_limit;
   Replica* chosen = nullptr;
   for (const Candidate& candidate : candidates_) {
     if (!ties(candidate)) continue;
@@ -117,7 +121,7 @@
   const bool prefix_preferred = std::any_of(
       candidates_.begin(), candidates_.end(),
       [&](const Candidate& candidate) { return candidate.replica == &chosen && candidate.prefix_preferred; });
-  return in_.affinity.TokensToPrefill(request.arrival, chosen, {prefix_preferred, false, false}, now);
+  return inputs_.affinity.TokensToPrefill(request.arrival, chosen, {prefix_preferred, false, false}, now);
 }
 
 DispatchRecord ReplicaSelector::Describe(const Request& request, const Replica& chosen, Time now) const {
--- a/src/policy/replica_selector.h
+++ b/src/policy/replica_selector.h
@@ -58,7 +58,7 @@
   double Cost(const Candidate& candidate, double slowness, const Context& context) const;
   Replica* DrawAmongBest(double best_score);
 
-  Inputs in_;
+  Inputs inputs_;
   CandidateFinder finder_;
   std::vector<Candidate> candidates_;  // of the last Select
 };
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -568,10 +568,10 @@
 
 void Router::Impl::LearnServed(const Request& request, Replica& replica, Time runtime) {
   replica.consecutive_failures = 0;
-  const double at_least_one = std::max<double>(1, static_cast<double>(runtime));
-  estimator_.LearnRuntime(request, at_least_one);
+  const double positive_runtime = std::max<double>(1, static_cast<double>(runtime));
+  estimator_.LearnRuntime(request, positive_runtime);
   if (concurrency_.LearnPace(request, runtime, CurrentUsage())) limits_.InvalidateUnlessSampling();
-  LearnSpeed(replica, std::log(at_least_one / request.estimated_runtime));
+  LearnSpeed(replica, std::log(positive_runtime / request.estimated_runtime));
 }
 
 void Router::Impl::LearnFailure(Replica& replica, Outcome outcome) {
--- a/src/policy/runtime_estimator.cpp
+++ b/src/policy/runtime_estimator.cpp
@@ -30,9 +30,9 @@
 }  // namespace
 
 void RuntimeEstimator::Estimate(Request& request) const {
-  const std::size_t c = request.class_index();
+  const std::size_t class_index = request.class_index();
   // The estimate before any request was served.
-  double estimate = static_cast<double>(settings_.classes[c].latency_objective);
+  double estimate = static_cast<double>(settings_.classes[class_index].latency_objective);
   for (std::uint32_t level = kAll; level < kLevelCount; ++level) {
     const auto bucket = runtime_by_bucket_.find(BucketKey(request.arrival, level));
     if (bucket == runtime_by_bucket_.end()) continue;
@@ -41,12 +41,12 @@
   request.runtime_by_bucket = std::max(estimate, 1.0);
   request.runtime_by_hint = request.runtime_by_bucket;
   request.estimated_runtime = request.runtime_by_bucket;
-  if (request.arrival.cost_hint <= 0 || runtime_per_hint_[c].samples <= kParentWeight) return;
+  if (request.arrival.cost_hint <= 0 || runtime_per_hint_[class_index].samples <= kParentWeight) return;
   request.runtime_by_hint =
-      std::max(1.0, runtime_per_hint_[c].mean * static_cast<double>(request.arrival.cost_hint));
+      std::max(1.0, runtime_per_hint_[class_index].mean * static_cast<double>(request.arrival.cost_hint));
   // The two estimates are weighted by how accurate they have been so far.
-  const double hint_weight =
-      (bucket_error_[c].mean + 1e-6) / (bucket_error_[c].mean + hint_error_[c].mean + 2e-6);
+  const double hint_weight = (bucket_error_[class_index].mean + 1e-6) /
+                             (bucket_error_[class_index].mean + hint_error_[class_index].mean + 2e-6);
   request.estimated_runtime = std::exp(hint_weight * std::log(request.runtime_by_hint) +
                                        (1 - hint_weight) * std::log(request.runtime_by_bucket));
 }
@@ -78,11 +78,11 @@
     runtime_by_bucket_[BucketKey(request.arrival, level)].Add(runtime, kMaxSamples);
   }
   mean_runtime_.Add(runtime, kMaxSamples);
-  const std::size_t c = request.class_index();
-  bucket_error_[c].Add(std::pow(std::log(request.runtime_by_bucket / runtime), 2), kMaxSamples);
+  const std::size_t class_index = request.class_index();
+  bucket_error_[class_index].Add(std::pow(std::log(request.runtime_by_bucket / runtime), 2), kMaxSamples);
   if (request.arrival.cost_hint <= 0) return;
-  runtime_per_hint_[c].Add(runtime / static_cast<double>(request.arrival.cost_hint), kMaxSamples);
-  hint_error_[c].Add(std::pow(std::log(request.runtime_by_hint / runtime), 2), kMaxSamples);
+  runtime_per_hint_[class_index].Add(runtime / static_cast<double>(request.arrival.cost_hint), kMaxSamples);
+  hint_error_[class_index].Add(std::pow(std::log(request.runtime_by_hint / runtime), 2), kMaxSamples);
 }
 
 void RuntimeEstimator::ResizeTables() {
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -5,7 +5,7 @@
 namespace ryeglade::policy {
 namespace {
 
-constexpr double kSafetyMargin = 0.4;        // part of the overload factor that all nodes together use
+constexpr double kMaxOverloadShare = 0.4;    // part of the overload factor that all nodes together use
 constexpr Time kRateDecayTime = 20'000'000;  // decay time of the dispatches counted for their rate
 constexpr double kMaxTokens = 1.0;           // the most tokens that can accumulate for a replica
 
@@ -31,7 +31,7 @@
 void SlowStart::EarnTokens(Replica& replica, double fraction, double warm_rate, Time now) const {
   replica.slow_start_tokens =
       std::min(kMaxTokens, replica.slow_start_tokens +
-                               kSafetyMargin * settings_.overload_factor * fraction * warm_rate *
+                               kMaxOverloadShare * settings_.overload_factor * fraction * warm_rate *
                                    static_cast<double>(now - replica.slow_start_updated_at) / 1e6);
   replica.slow_start_updated_at = now;
 }
--- a/src/policy/traffic_share.h
+++ b/src/policy/traffic_share.h
@@ -18,13 +18,13 @@
 
 class TrafficShare {
  public:
-  explicit TrafficShare(int node_count) : nodes_(node_count), nodes_at_scaling_(node_count) {}
+  explicit TrafficShare(int node_count) : equivalent_nodes_(node_count), nodes_at_scaling_(node_count) {}
 
   // 1 / this node's share: the number of nodes of a tier in which all have as much traffic as this one.
-  double equivalent_nodes() const { return nodes_; }
+  double equivalent_nodes() const { return equivalent_nodes_; }
 
   // The tier has changed from `from` to `to` nodes. Returns the factor by which to multiply the limits.
-  double ScaleNodeCount(double from, int to) { return Rescale(nodes_ * to / from); }
+  double ScaleNodeCount(double from, int to) { return Rescale(equivalent_nodes_ * to / from); }
 
   // Sets the share of the tier's traffic, above 0 and up to 1; other values are ignored. If the share has
   // fallen by much, returns the factor by which to multiply the limits. Otherwise returns nullopt: the limits
@@ -32,11 +32,11 @@
   // agree on the share.
   std::optional<double> SetShare(double share) {
     if (!(share > 0 && share <= 1)) return std::nullopt;
-    nodes_ = std::min(1 / share, kMaxNodes);
-    nodes_at_scaling_ = std::min(nodes_at_scaling_, nodes_);
-    if (nodes_ <= kScalingThreshold * nodes_at_scaling_) return std::nullopt;
-    const double nodes = nodes_;
-    nodes_ = nodes_at_scaling_;
+    equivalent_nodes_ = std::min(1 / share, kMaxNodes);
+    nodes_at_scaling_ = std::min(nodes_at_scaling_, equivalent_nodes_);
+    if (equivalent_nodes_ <= kScalingThreshold * nodes_at_scaling_) return std::nullopt;
+    const double nodes = equivalent_nodes_;
+    equivalent_nodes_ = nodes_at_scaling_;
     return Rescale(nodes);
   }
 
@@ -45,14 +45,14 @@
   static constexpr double kScalingThreshold = 1.2;  // a fall by more than this factor scales the limits
 
   double Rescale(double nodes) {
-    const double before = nodes_;
-    nodes_ = std::clamp(nodes, 1.0, kMaxNodes);
-    nodes_at_scaling_ = nodes_;
-    return before / nodes_;
+    const double before = equivalent_nodes_;
+    equivalent_nodes_ = std::clamp(nodes, 1.0, kMaxNodes);
+    nodes_at_scaling_ = equivalent_nodes_;
+    return before / equivalent_nodes_;
   }
 
-  double nodes_;             // 1 / share
-  double nodes_at_scaling_;  // the lowest value of `nodes_` since the limits were scaled last
+  double equivalent_nodes_;  // 1 / share
+  double nodes_at_scaling_;  // the lowest value of `equivalent_nodes_` since the limits were scaled last
 };
 
 }  // namespace ryeglade::policy
