--- a/src/policy/adaptive_concurrency.cpp
+++ b/src/policy/adaptive_concurrency.cpp
@@ -19,8 +19,8 @@
 // first decrease.
 constexpr double kInitialIncreasePerRound = 0.9;
 constexpr double kRecoveredShare = 0.7;
-constexpr double kMinUtilization =
-    0.85;  // limits of which a smaller part is in use are untested: no increase
+// Limits do not rise while a smaller part of them is in use, because they have not been tested then.
+constexpr double kMinUtilization = 0.85;
 // No increase while first tokens take more than this part of their objectives on average.
 constexpr double kMaxObjectiveUsedToRise = 0.3;
 
@@ -40,8 +40,8 @@
 // Pace.
 constexpr double kMaxPaceSamples = 25;  // answers of a class over which its current pace is averaged
 constexpr double kMinPaceSamples = 8;   // answers needed before a class has a best pace
-constexpr double kBestPaceLeak =
-    0.002;  // added to the best pace (ln) by each answer, so that an outdated one fades
+// Added to the best pace (ln) by each answer, so that an outdated best does not stay for ever.
+constexpr double kBestPaceLeak = 0.002;
 
 }  // namespace
 
--- a/tests/fairness_test.cpp
+++ b/tests/fairness_test.cpp
@@ -27,12 +27,12 @@
   std::uint64_t session = 0;
   double prompt = 0;  // tokens
   Time deadline = 0;
-  bool answered = false;
+  bool answered = false;  // the first token has arrived
   bool rejected = false;
 };
 
 struct Load {
-  double share_of_capacity = 0.7;
+  double share_of_capacity = 0.7;  // tokens of the arriving prompts / tokens that all replicas can prefill
   double late_weight_share = 0.0;
   double spread = 1.2;  // standard deviation of ln(prompt)
   std::size_t sessions = 400;
@@ -54,7 +54,7 @@
   return s;
 }
 
-// Simulates a load from a seed. Run returns the clients with what has become of their requests.
+// Simulates a load from a seed. Run returns the clients with the outcomes of their requests.
 class Simulation {
  public:
   Simulation(const Load& load, unsigned seed)
@@ -67,8 +67,9 @@
     Handle(EndpointList{EndpointListScope::kFull, 1, ReadyReplicas(kReplicas)});
     const double mean_prompt = 1500;
     const double mu = std::log(mean_prompt) - load_.spread * load_.spread / 2;
-    const double per_second = load_.share_of_capacity * kReplicas * kPrefillTokensPerSecond / mean_prompt;
-    std::exponential_distribution<double> gap(per_second);
+    const double arrivals_per_second =
+        load_.share_of_capacity * kReplicas * kPrefillTokensPerSecond / mean_prompt;
+    std::exponential_distribution<double> gap(arrivals_per_second);
     std::lognormal_distribution<double> prompt(mu, load_.spread);
     for (Time at = 0; at < load_.length;) {
       at += static_cast<Time>(gap(random_) * 1e6);
@@ -161,22 +162,24 @@
 };
 
 Shares SharesOf(const std::vector<Client>& clients, int class_index) {
-  std::vector<Client> of;
+  std::vector<Client> of_class;
   for (const Client& c : clients) {
-    if (c.class_index == class_index) of.push_back(c);
+    if (c.class_index == class_index) of_class.push_back(c);
   }
-  std::sort(of.begin(), of.end(), [](const Client& a, const Client& b) { return a.prompt > b.prompt; });
+  std::sort(of_class.begin(), of_class.end(),
+            [](const Client& a, const Client& b) { return a.prompt > b.prompt; });
   const auto answered_share = [&](std::size_t from, std::size_t to) {
-    const auto begin = of.begin() + static_cast<std::ptrdiff_t>(from);
-    const auto end = of.begin() + static_cast<std::ptrdiff_t>(to);
+    const auto begin = of_class.begin() + static_cast<std::ptrdiff_t>(from);
+    const auto end = of_class.begin() + static_cast<std::ptrdiff_t>(to);
     return static_cast<double>(std::count_if(begin, end, [](const Client& c) { return c.answered; })) /
            static_cast<double>(std::max<std::size_t>(1, to - from));
   };
-  const std::size_t n = of.size();
+  const std::size_t n = of_class.size();
   return {answered_share(0, n), answered_share(0, n / 10), answered_share(n / 10, n * 3 / 10)};
 }
 
-// The share of the largest requests of a class that must be answered, as a part of the class's share.
+// The least share of the largest requests of a class that must be answered, as a part of the share of all its
+// requests that are answered.
 constexpr double kMinShareBelowCapacity = 2.0 / 3;
 constexpr double kMinShareAboveCapacity = 0.5;
 
@@ -185,9 +188,11 @@
   for (int class_index = 0; class_index < 2; ++class_index) {
     const Shares s = SharesOf(clients, class_index);
     EXPECT_GE(s.largest, min_part * s.all)
-        << load.share_of_capacity << " late " << load.late_weight_share << " seed " << seed;
+        << "share of capacity " << load.share_of_capacity << ", late weight share " << load.late_weight_share
+        << ", seed " << seed << ", class " << class_index;
     EXPECT_GE(s.next, min_part * s.all)
-        << load.share_of_capacity << " late " << load.late_weight_share << " seed " << seed;
+        << "share of capacity " << load.share_of_capacity << ", late weight share " << load.late_weight_share
+        << ", seed " << seed << ", class " << class_index;
   }
 }
 
@@ -204,10 +209,11 @@
 
 TEST(Fairness, AboveCapacityTheLargestRequestsOfAClassGetHalfOfItsShare) {
   for (unsigned seed = 1; seed <= 3; ++seed) {
-    for (const double excess : {1.15, 1.3}) {
+    for (const double share_of_capacity : {1.15, 1.3}) {
       for (const double late_weight_share : {0.0, 0.5}) {
-        ExpectShares({.share_of_capacity = excess, .late_weight_share = late_weight_share, .spread = 1.0},
-                     seed, kMinShareAboveCapacity);
+        ExpectShares(
+            {.share_of_capacity = share_of_capacity, .late_weight_share = late_weight_share, .spread = 1.0},
+            seed, kMinShareAboveCapacity);
       }
     }
   }
@@ -240,7 +246,8 @@
       // and concentrated rejections would go unnoticed.
       const std::vector<Client> clients =
           Simulation({.share_of_capacity = load, .late_weight_share = 0.5, .sessions = 2000}, seed).Run();
-      EXPECT_LE(SessionsRejectedBeyondChance(clients), 0.05) << load << " seed " << seed;
+      EXPECT_LE(SessionsRejectedBeyondChance(clients), 0.05)
+          << "share of capacity " << load << ", seed " << seed;
     }
   }
 }
@@ -256,7 +263,8 @@
       const Time later = static_cast<Time>(kMaxDelayShare * static_cast<double>(until_objective)) + 1;
       const QueuedRequest large{0, until_objective, size, 500'000},
           typical{later, until_objective, 500'000, 500'000};
-      EXPECT_LT(QueueKey(large), QueueKey(typical)) << size << " " << until_objective;
+      EXPECT_LT(QueueKey(large), QueueKey(typical))
+          << "runtime " << size << ", time until the objective " << until_objective;
     }
   }
 }
--- a/tests/policy/endpoint_polling_test.cpp
+++ b/tests/policy/endpoint_polling_test.cpp
@@ -30,7 +30,7 @@
     EXPECT_GE(delay, 0.5 * mean - 1);
     EXPECT_LE(delay, 1.5 * mean);
   }
-  polling_.OnList(EndpointListScope::kCached);  // not from discovery, so the backoff is not reset
+  polling_.OnList(EndpointListScope::kCached);  // not from service discovery, so the backoff is not reset
   EXPECT_GE(*polling_.OnFailure(random_), 999'999);
   polling_.OnList(EndpointListScope::kFull);
   EXPECT_LE(*polling_.OnFailure(random_), 300'000);
--- a/tests/policy/replica_limits_fixture.h
+++ b/tests/policy/replica_limits_fixture.h
@@ -1,4 +1,5 @@
-// A fleet with its limits and what these depend on, for tests of the modules that choose among replicas.
+// A fleet, its limits and the modules on which they depend, for tests of the modules that choose among
+// replicas.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/policy/timer_queue_test.cpp
+++ b/tests/policy/timer_queue_test.cpp
@@ -18,7 +18,7 @@
   const auto earlier = timers.Arm(10);
   ASSERT_TRUE(earlier.has_value());
   EXPECT_EQ(earlier->delay, 40);
-  timers.Fired(first->token);  // has been replaced, so the timer for 50 is still armed
+  timers.Fired(first->token);  // a later SetTimer has replaced it, so the timer for 50 is still armed
   EXPECT_FALSE(timers.Arm(10).has_value());
   timers.Fired(earlier->token);
   EXPECT_TRUE(timers.Arm(10).has_value());
--- a/tests/router_path_test.cpp
+++ b/tests/router_path_test.cpp
@@ -11,7 +11,8 @@
 namespace ryeglade::policy::test {
 namespace {
 
-// Serves `count` requests with `prompt` tokens, so that the estimate for such requests becomes `runtime`.
+// Serves `count` requests with prompts of `prompt` tokens, so that the estimate for such requests becomes
+// `runtime`.
 void ServeMany(Node& node, double prompt, Time runtime, int count = 30) {
   for (int i = 0; i < count; ++i) {
     const RequestId id = node.Arrive(6 * kSecond, prompt);
@@ -64,8 +65,8 @@
   EXPECT_EQ(node.AttemptsOf(small).size(), 0u);
 }
 
-// Guards against a queue that, once it is older than the objective, dispatches the oldest request first and
-// so serves every request late.
+// Guards against serving every request late: a queue in which requests wait longer than their objective must
+// not dispatch the oldest one first.
 TEST(Queueing, RequestsThatMissTheirObjectiveWaitBehindThoseThatCanMeetIt) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
@@ -156,7 +157,7 @@
 }
 
 // The first answers to end are the short ones, so the best pace looks better than it is. Guards against
-// limits that then fall although first tokens come at once.
+// limits that fall for this reason although the first tokens arrive early.
 TEST(ConcurrencyLimits, HoldWhenStreamsLookSlowButFirstTokensComeAtOnce) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1)});
@@ -250,15 +251,15 @@
   EXPECT_GE(chosen.size(), 3u);
 }
 
-// A long prompt is prefilled before those behind it, so its replica has less spare capacity than the number
-// of its requests shows.
+// A replica prefills a long prompt before the prompts behind it, so it has less spare capacity than its
+// number of requests in flight suggests.
 TEST(ReplicaSelection, APromptStillBeingReadTakesCapacity) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1), Ready(2)});
   const RequestId large = node.Arrive(6 * kSecond, 16000);
   const ReplicaId busy = node.AttemptsOf(large)[0].replica;
   for (int i = 0; i < 4; ++i) EXPECT_NE(node.AttemptsOf(node.Arrive(6 * kSecond, 500))[0].replica, busy);
-  node.Handle(ResponseStarted{large, 0, busy, 900 * kMs});  // prefilled: the rest of the request takes little
+  node.Handle(ResponseStarted{large, 0, busy, 900 * kMs});  // the prefill, most of the work, has ended
   EXPECT_EQ(node.AttemptsOf(node.Arrive(6 * kSecond, 500))[0].replica, busy);
 }
 
@@ -306,7 +307,7 @@
   const RequestId next = node.Arrive();
   ASSERT_EQ(node.AttemptsOf(next).size(), 1u);
   node.EndAttempt(next, 0, Outcome::kError, false, 20 * kMs);
-  EXPECT_TRUE(node.AttemptsOf(node.Arrive()).empty());  // quick errors attract no more requests
+  EXPECT_TRUE(node.AttemptsOf(node.Arrive()).empty());  // quick errors don't attract requests
   node.Serve(running);
 }
 
@@ -352,7 +353,8 @@
   EXPECT_GE(crossed_late, 50);
 }
 
-// Hedged requests make things worse: where first tokens are late, there is no capacity for further attempts.
+// Hedged requests would add to an overload: where first tokens are late, there is no capacity for more
+// attempts.
 TEST(HedgedRequests, AreNotSent) {
   Settings s = BasicSettings();
   s.can_hedge = true;
@@ -439,7 +441,8 @@
   for (std::uint64_t key = 1; key <= 60; ++key) {
     moved += PreferredReplicaOf(c, 1000 + key) != before[static_cast<std::size_t>(key - 1)] ? 1 : 0;
   }
-  EXPECT_LE(moved, 15);  // about 3 had a removed replica as the preferred one; ties and random draws add some
+  // About 3 keys had a removed replica as the preferred one; ties and random draws move some others.
+  EXPECT_LE(moved, 15);
 }
 
 // Guards against a hundred nodes that have each seen a hot prefix once or twice and all send it to its one
@@ -484,7 +487,7 @@
     node.Advance(5 * kMs);
     if (!node.AttemptsOf(id).empty()) node.Serve(id);
   }
-  EXPECT_GT(sent.size(), 60U);  // the other replicas share the requests
+  EXPECT_GT(sent.size(), 60U);  // the requests are spread over the ready replicas
   // A replica that can't be reached is ejected at once, although the limits are updated only at intervals.
   const RequestId id = node.Arrive();
   const ReplicaId unreachable = node.AttemptsOf(id).at(0).replica;
--- a/tests/router_rules_test.cpp
+++ b/tests/router_rules_test.cpp
@@ -1,6 +1,6 @@
 // The rules that every decision must keep, with their corner cases: no request is lost, none is executed
-// twice against its idempotency, draining replicas get no new requests, and warming replicas are not
-// overloaded. Also service discovery, determinism, and events that should never occur.
+// twice against its idempotency, draining replicas get no new requests, and replicas that are warming up are
+// not overloaded. Also service discovery, determinism, and invalid events.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -34,8 +34,8 @@
   EXPECT_EQ(node.FinalResponses(id), 1u);
 }
 
-// Guards against an overflow: an objective computed from -1.6e22 tokens, as in a damaged frame, does not fit
-// a Time.
+// Guards against an overflow: the latency objective for -1.6e22 tokens, as in a damaged frame, does not fit
+// in a Time.
 TEST(NoRequestLost, AbsurdPromptLengthsAreBounded) {
   Settings s = BasicSettings();
   s.classes[0].objective_per_1000_tokens = kSecond;
@@ -431,7 +431,7 @@
   EXPECT_EQ(node.Actions<WatchEndpoints>().size(), watches_before + 1);
 }
 
-// The list known at the start may be out of date, and its changes soon count as known to the node.
+// The list known at the start may be out of date, and the node is soon expected to act on its changes.
 TEST(Discovery, TheFirstListIsRequestedWithinASecond) {
   Settings s = BasicSettings();
   s.poll_endpoints = true;
@@ -444,8 +444,8 @@
   }
 }
 
-// A change counts as known to the node at the latest 6 s after discovery has it and can be reached, however
-// long discovery was down.
+// The node is expected to act on a change at the latest 6 s after discovery has it and can be reached,
+// however long discovery was down.
 TEST(Discovery, AfterAnOutageOfAnyLengthTheListIsSoonRequestedAgain) {
   Settings s = BasicSettings();
   s.poll_endpoints = true;
@@ -471,7 +471,7 @@
   EXPECT_TRUE(node.Actions<PollEndpoints>().empty());
 }
 
-// ---- Determinism, and events that should never occur ----
+// ---- Determinism, and invalid events ----
 
 // Returns the actions of a node in a fixed sequence of events, which are interleaved with events of
 // `other_node`.
@@ -569,7 +569,7 @@
   }
   EXPECT_GT(ejected, 0U);
   EXPECT_FALSE(old_process.AttemptsOf(in_flight).empty());
-  // Nothing is known of replicas that have restarted.
+  // What was learned of a replica does not apply after its restart.
   Node after_restart(BasicSettings());
   after_restart.now = old_process.now;
   std::vector<Endpoint> fleet = ReadyReplicas(4);
@@ -587,7 +587,7 @@
   node.Handle(SiblingInFlightChanged{{{0, 1000}}});
   const RequestId id = node.Arrive();
   EXPECT_TRUE(node.AttemptsOf(id).empty());
-  node.Handle(SiblingInFlightChanged{{{0, -5}, {77, 3}}});  // invalid entries count as 0
+  node.Handle(SiblingInFlightChanged{{{0, -5}, {77, 3}}});  // a negative count is 0; replica 77 is unknown
   EXPECT_EQ(node.AttemptsOf(id).size(), 1U);
   node.Serve(id);
   node.Handle(SiblingInFlightChanged{{{0, 1000}}});
@@ -612,7 +612,7 @@
   node.Handle(NodeCountChanged{2});
   node.Arrive();
   EXPECT_NEAR(node.router.total_concurrency_limit(), before, before / 10);
-  node.Handle(NodeCountChanged{0});  // counts as 1, this node
+  node.Handle(NodeCountChanged{0});  // treated as 1, which is this node
   node.Handle(NodeCountChanged{1});
   EXPECT_EQ(node.FinalResponses(id), 0u);
   node.Serve(id);
@@ -742,8 +742,8 @@
   }
 }
 
-// Endpoint lists may name zones that the settings do not know, or omit cells. Such replicas may be in
-// different ones.
+// Endpoint lists may name zones that the settings do not know, or omit cells. Replicas of which the zone or
+// cell is unknown may be in different ones.
 TEST(NoDuplicateExecution, WithAnIdempotencyKeyIsNotRetriedWhereTheScopeIsUnknown) {
   for (const DedupScope scope : {DedupScope::kZone, DedupScope::kCell}) {
     Settings s = WithIdempotency(Idempotency::kIdempotencyKey);
