--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -63,7 +63,7 @@
 }
 
 // These codes are fixed by the documentation of the simulator.
-TEST(Decode, EachEventHasTheCodeOfTheWire) {
+TEST(Decode, EventCodesMatchTheWireFormat) {
   EXPECT_EQ(event_code::kPeerMessage, 1);
   EXPECT_EQ(event_code::kClientDisconnected, 2);
   EXPECT_EQ(event_code::kTimerFired, 3);
--- a/tests/router_path_test.cpp
+++ b/tests/router_path_test.cpp
@@ -235,7 +235,7 @@
   EXPECT_GE(preferred.size(), 4u);
 }
 
-TEST(ReplicaSelection, AHotSessionIsSpreadWider) {
+TEST(ReplicaSelection, AHotSessionUsesSeveralReplicas) {
   Settings s = BasicSettings();
   s.node_count = 20;
   Node node(s);
@@ -253,7 +253,7 @@
 
 // A replica prefills a long prompt before the prompts behind it, so it has less spare capacity than its
 // number of requests in flight suggests.
-TEST(ReplicaSelection, APromptStillBeingReadTakesCapacity) {
+TEST(ReplicaSelection, APromptNotYetPrefilledTakesCapacity) {
   Node node(BasicSettings());
   node.SetEndpoints({Ready(1), Ready(2)});
   const RequestId large = node.Arrive(6 * kSecond, 16000);
@@ -311,7 +311,7 @@
   node.Serve(running);
 }
 
-TEST(ReplicaSelection, StaysInItsZoneWhereCrossingCosts) {
+TEST(ReplicaSelection, StaysInItsZoneWhereCrossingIsPenalized) {
   Settings s = BasicSettings();
   s.zone_count = 2;
   s.zone = 1;
--- a/tests/router_rules_test.cpp
+++ b/tests/router_rules_test.cpp
@@ -36,7 +36,7 @@
 
 // Guards against an overflow: the latency objective for -1.6e22 tokens, as in a damaged frame, does not fit
 // in a Time.
-TEST(NoRequestLost, AbsurdPromptLengthsAreBounded) {
+TEST(NoRequestLost, OutOfRangePromptLengthsAreBounded) {
   Settings s = BasicSettings();
   s.classes[0].objective_per_1000_tokens = kSecond;
   Node node(s);
@@ -303,7 +303,7 @@
 
 // ---- Draining replicas get no new requests ----
 
-TEST(Draining, NothingNewGoesToADrainingOrGoneReplica) {
+TEST(Draining, ADrainingOrRemovedReplicaGetsNoNewRequests) {
   for (const EndpointState state : {EndpointState::kDraining, EndpointState::kRemoved}) {
     Node node(BasicSettings());
     node.SetEndpoints({Ready(1), Ready(2)});
