--- a/src/policy/adaptive_concurrency.cpp
+++ b/src/policy/adaptive_concurrency.cpp
@@ -13,32 +13,35 @@
 constexpr double kMaxLimit = 256;              // over all nodes; in a large tier at each node, see MaxLimit()
 
 // Increase.
-// The share by which limits rise in a round of answers, as many as the sum of the limits.
+// The share by which limits rise in one round, which has as many answers as the sum of the limits.
 constexpr double kIncreasePerRound = 0.4;
-// The same while the limit is below kRecoveredShare of the one that last had to be decreased, or before any.
+// The same while the limit is below kRecoveredShare of the one that last had to be decreased, and before the
+// first decrease.
 constexpr double kInitialIncreasePerRound = 0.9;
 constexpr double kRecoveredShare = 0.7;
-constexpr double kMinUtilization = 0.85;  // limits used less than this have not been tested: no increase
+// Limits do not rise while a smaller part of them is in use, because they have not been tested then.
+constexpr double kMinUtilization = 0.85;
 // No increase while first tokens take more than this part of their objectives on average.
 constexpr double kMaxObjectiveUsedToRise = 0.3;
 
 // Decrease.
 constexpr double kDecreaseFactor = 0.85;  // applied at most once per mean runtime
-constexpr double kMaxLateShare = 0.25;    // limits fall if more of the recent first tokens are late
+constexpr double kMaxLateShare = 0.25;    // limits fall if a larger share of recent first tokens is late
 constexpr double kLateThreshold = 0.8;    // part of its objective after which a first token is late
 // Weights of the newest sample in the moving averages.
 constexpr double kLatenessWeight = 0.05;      // share of late first tokens, and slowdown of the streams
 constexpr double kObjectiveUsedWeight = 0.1;  // mean part of the objective used
-// Replicas are saturated if streams are slower than at their best by this factor, and only if first tokens
-// also take more than kMinObjectiveUsedToSaturate of their objectives.
+// Replicas are saturated if streams are slower than at their best by more than this factor and first tokens
+// take more than kMinObjectiveUsedToSaturate of their objectives on average.
 constexpr double kSaturationSlowdown = 2.0;
 constexpr double kMinObjectiveUsedToSaturate = 0.15;
 constexpr double kMinDecreaseFactor = 0.5;  // one decrease multiplies the limit by no less than this
 
 // Pace.
-constexpr double kMaxPaceSamples = 25;   // answers of a class over which its current pace is averaged
-constexpr double kMinPaceSamples = 8;    // answers needed before a class's best pace means anything
-constexpr double kBestPaceLeak = 0.002;  // added to the best pace (ln) by each answer, so that it ages
+constexpr double kMaxPaceSamples = 25;  // answers of a class over which its current pace is averaged
+constexpr double kMinPaceSamples = 8;   // answers needed before a class has a best pace
+// Added to the best pace (ln) by each answer, so that an outdated best does not stay for ever.
+constexpr double kBestPaceLeak = 0.002;
 
 }  // namespace
 
@@ -69,10 +72,10 @@
   return LearnLateness(true, false, usage);
 }
 
-bool AdaptiveConcurrency::LearnLateness(bool late, bool in_good_time, const LimitUsage& usage) {
+bool AdaptiveConcurrency::LearnLateness(bool late, bool early, const LimitUsage& usage) {
   late_share_ += kLatenessWeight * ((late ? 1.0 : 0.0) - late_share_);
   if (late_share_ > kMaxLateShare) return late && Decrease(kDecreaseFactor, usage);
-  if (!in_good_time || objective_used_ >= kMaxObjectiveUsedToRise) return false;
+  if (!early || objective_used_ >= kMaxObjectiveUsedToRise) return false;
   if (usage.in_flight < kMinUtilization * usage.total_limit) return false;
   Increase(usage.total_limit);
   return true;
@@ -131,10 +134,10 @@
 }
 
 void AdaptiveConcurrency::RestoreFrom(const LearnedState& state) {
-  const double nodes_then = std::max(1, state.node_count);
+  const double exported_nodes = std::max(1, state.node_count);
   const double nodes = traffic_share_.equivalent_nodes();
-  base_limit_ = std::clamp(state.base_limit * nodes_then / nodes, MinLimit(), kMaxLimit / nodes);
-  limit_before_decrease_ = state.limit_before_decrease * (nodes_then / nodes);
+  base_limit_ = std::clamp(state.base_limit * exported_nodes / nodes, MinLimit(), kMaxLimit / nodes);
+  limit_before_decrease_ = state.limit_before_decrease * (exported_nodes / nodes);
   decreased_at_ = state.limit_decreased_at;
   late_share_ = state.late_share;
   objective_used_ = state.objective_used;
--- a/src/policy/candidate_finder.h
+++ b/src/policy/candidate_finder.h
@@ -18,10 +18,11 @@
 
 namespace ryeglade::policy {
 
+// A replica to which the request may be sent, with what ReplicaSelector needs to choose among them.
 struct Candidate {
   Replica* replica = nullptr;
-  bool prefix_preferred = false;
-  bool session_preferred = false;
+  bool prefix_preferred = false;   // a preferred replica of the request's shared prefix
+  bool session_preferred = false;  // a preferred replica of the request's session
   // Rendezvous scores, higher is more preferred. Not used in a sampled fleet.
   double prefix_rank = 0;
   double session_rank = 0;
@@ -46,7 +47,7 @@
     LoadReports& load_reports;
     RandomSource& random;
   };
-  explicit CandidateFinder(const Inputs& inputs) : in_(inputs) {}
+  explicit CandidateFinder(const Inputs& inputs) : inputs_(inputs) {}
 
   // Must be called after the replicas of the fleet have changed.
   void InvalidateRing() { ring_.Invalidate(); }
@@ -57,10 +58,11 @@
             std::vector<Candidate>& candidates);
 
  private:
+  // A search of the ring for the preferred replicas of one key.
   struct RingSearch {
     std::uint64_t key;
-    double traffic_share;
-    bool is_session;  // whether `key` is that of a session; false: of a shared prefix
+    double traffic_share;  // of the key, 0 to 1
+    bool is_session;       // whether `key` is that of a session; false: of a shared prefix
   };
 
   void AddAll(const RequestArrived& request, Time now, std::vector<Candidate>& candidates);
@@ -75,7 +77,7 @@
   // marks it as one.
   bool ClaimForSearch(Replica& replica) const;
 
-  Inputs in_;
+  Inputs inputs_;
   HashRing ring_;
   std::uint64_t search_ = 0;  // number of the current search of a sampled fleet
 };
