--- a/src/base/blocked_signals.cpp
+++ b/src/base/blocked_signals.cpp
@@ -5,7 +5,8 @@
 namespace ryeglade {
 namespace {
 
-void Change(int how) {
+// `how` is SIG_BLOCK or SIG_UNBLOCK.
+void ChangeSignalMask(int how) {
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGHUP);
@@ -15,7 +16,7 @@
 
 }  // namespace
 
-void BlockSignals() { Change(SIG_BLOCK); }
-void UnblockSignals() { Change(SIG_UNBLOCK); }
+void BlockSignals() { ChangeSignalMask(SIG_BLOCK); }
+void UnblockSignals() { ChangeSignalMask(SIG_UNBLOCK); }
 
 }  // namespace ryeglade
--- a/src/base/deadlines.h
+++ b/src/base/deadlines.h
@@ -22,7 +22,7 @@
 
 // Identifies a deadline that is set. Ordered by due time.
 struct DeadlineId {
-  Time at = 0;
+  Time at = 0;              // when the deadline is due, as a time of Now()
   std::uint64_t order = 0;  // order in which deadlines were set; 0 if there is no deadline
   auto operator<=>(const DeadlineId&) const = default;
 };
@@ -31,8 +31,11 @@
 class Deadlines {
  public:
   explicit Deadlines(uv_loop_t* loop);
+  // Calls `callback` once, in the first iteration of the loop in which `at` has come; never from within Set.
   DeadlineId Set(Time at, std::function<void()> callback);
-  void Cancel(DeadlineId& id);  // also clears `id`
+  // Also clears `id`. Does nothing to a deadline that has already been run.
+  void Cancel(DeadlineId& id);
+  // Drops all deadlines without running them. The loop must run once more before the object is destroyed.
   void Close();
 
  private:
--- a/src/base/file_io.cpp
+++ b/src/base/file_io.cpp
@@ -22,22 +22,23 @@
 }
 
 FileError ReplaceFile(const std::string& path, const std::string& text, mode_t mode) {
-  // Two processes of one node may replace the same file during a hot restart.
-  const std::string fresh = path + "." + std::to_string(getpid()) + ".new";
-  FileError fault{0, "cannot be written"};
-  const int fd = open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, mode);
-  if (fd < 0) return {errno, fault.what};
-  for (std::size_t at = 0; at < text.size() && fault.error == 0;) {
+  // The name contains the process id, because two processes of one node may replace the same file during a
+  // hot restart.
+  const std::string temporary_path = path + "." + std::to_string(getpid()) + ".new";
+  FileError result{0, "cannot be written"};
+  const int fd = open(temporary_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, mode);
+  if (fd < 0) return {errno, result.what};
+  for (std::size_t at = 0; at < text.size() && result.error == 0;) {
     const ssize_t n = write(fd, text.data() + at, text.size() - at);
-    if (n < 0 && errno != EINTR) fault.error = errno;
+    if (n < 0 && errno != EINTR) result.error = errno;
     if (n > 0) at += static_cast<std::size_t>(n);
   }
-  if (fault.error == 0 && fsync(fd) != 0) fault.error = errno;
+  if (result.error == 0 && fsync(fd) != 0) result.error = errno;
   close(fd);
-  if (fault.error == 0 && std::rename(fresh.c_str(), path.c_str()) != 0)
-    fault = {errno, "cannot be renamed into place"};
-  if (fault.error != 0) unlink(fresh.c_str());
-  return fault;
+  if (result.error == 0 && std::rename(temporary_path.c_str(), path.c_str()) != 0)
+    result = {errno, "cannot be renamed into place"};
+  if (result.error != 0) unlink(temporary_path.c_str());
+  return result;
 }
 
 }  // namespace ryeglade
--- a/src/base/gnuplot.cpp
+++ b/src/base/gnuplot.cpp
@@ -9,7 +9,8 @@
 
 std::string GnuplotHead(const std::string& out, double width, double height, int font) {
   const bool svg = out.ends_with(".svg");
-  if (!svg && !out.ends_with(".png")) throw std::runtime_error(out + ": the name must end in .svg or .png");
+  if (!svg && !out.ends_with(".png"))
+    throw std::runtime_error(out + ": the name of a chart file must end in .svg or .png");
   std::string name;
   for (const char c : out) name += c == '"' || c == '\\' || c == '`' ? '_' : c;
   return fmt::format(
--- a/src/base/listener.cpp
+++ b/src/base/listener.cpp
@@ -17,7 +17,7 @@
 namespace ryeglade {
 namespace {
 
-constexpr int kBacklog = 1024;
+constexpr int kBacklog = 1024;  // connections that may wait in the kernel to be accepted
 
 // Owns a descriptor and closes it unless it was released.
 class Descriptor {
@@ -49,15 +49,15 @@
 // Returns a socket that is bound to `address` but does not listen yet; throws std::runtime_error.
 int BindSocket(const std::string& address, bool share_port) {
   sockaddr_storage at{};
-  if (!ParseAddress(address, &at)) Fail(address, "not an ip:port");
+  if (!ParseAddress(address, &at)) Fail(address, "expected ip:port or [ip]:port");
   Descriptor bound(socket(at.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const int enabled = 1;
   const auto* to = reinterpret_cast<const sockaddr*>(&at);
-  const bool good =
+  const bool is_bound =
       bound.get() >= 0 && setsockopt(bound.get(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled) == 0 &&
       (!share_port || setsockopt(bound.get(), SOL_SOCKET, SO_REUSEPORT, &enabled, sizeof enabled) == 0) &&
       bind(bound.get(), to, SockaddrLength(to)) == 0;
-  if (!good) Fail(address, uv_strerror(uv_translate_sys_error(errno)));
+  if (!is_bound) Fail(address, uv_strerror(uv_translate_sys_error(errno)));
   return bound.Release();
 }
 
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr std::size_t kMaxLineBytes = 1024;  // a writable pipe accepts a whole line of this size
-constexpr std::string_view kLevels[] = {"debug", "info", "warn", "error"};
+constexpr std::string_view kLevelNames[] = {"debug", "info", "warn", "error"};
 
 // Drops lines while standard error is not writable, so that the node does not wait for a stalled reader.
 class NonBlockingStderr : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
@@ -50,6 +50,7 @@
   std::unique_ptr<spdlog::formatter> clone() const override { return std::make_unique<VerbatimFormatter>(); }
 };
 
+// The log of the process.
 struct State {
   LogOptions options;
   std::shared_ptr<NonBlockingStderr> sink = std::make_shared<NonBlockingStderr>();
@@ -86,7 +87,8 @@
   std::visit(
       [&](const auto& v) {
         if constexpr (std::is_same_v<std::decay_t<decltype(v)>, std::string_view>) {
-          // Text from clients is quoted unless it is harmless, so that clients cannot forge lines or fields.
+          // Text is quoted if it contains blanks, quotes, `=`, backslashes or control characters: it may come
+          // from a client, which must not be able to forge lines or fields.
           const bool plain = !json && !v.empty() && std::all_of(v.begin(), v.end(), [](unsigned char c) {
             return c > 0x20 && c != '"' && c != '=' && c != '\\' && c != 0x7f;
           });
@@ -136,7 +138,7 @@
     AppendValue(line, value, json);
   };
   append("ts", now / 1000);
-  append("level", kLevels[static_cast<std::size_t>(level)]);
+  append("level", kLevelNames[static_cast<std::size_t>(level)]);
   if (state.sink->dropped > 0) append("dropped", std::exchange(state.sink->dropped, 0));
   append("event", event);
   for (const LogField& f : fields) append(f.name, f.value);
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -35,6 +35,8 @@
 // Formats a number as eight hexadecimal digits, the form of replica ids in the log.
 std::string Hex8(std::uint32_t value);
 
+// Writes one event, unless its level is below the configured one or too many lines were written in the
+// current second. To be called from one thread only.
 void Log(Level level, std::string_view event, std::initializer_list<LogField> fields = {});
 
 // Options of the process's log.
@@ -43,6 +45,6 @@
   Level level = Level::kInfo;  // the lowest level that is written
   int lines_per_second = 300;  // further lines are dropped and counted
 };
-void SetUpLog(const LogOptions& options);
+void SetUpLog(const LogOptions& options);  // for all events logged from now on
 
 }  // namespace ryeglade
--- a/src/base/metric_family.h
+++ b/src/base/metric_family.h
@@ -10,8 +10,10 @@
 
 namespace ryeglade {
 
+// Label names and their values.
 using MetricLabels = std::vector<std::pair<std::string, std::string>>;
 
+// Returns a family without samples. `help` is the text of its HELP line.
 inline prometheus::MetricFamily Family(const char* name, const char* help, prometheus::MetricType type) {
   prometheus::MetricFamily family;
   family.name = name;
@@ -20,9 +22,10 @@
   return family;
 }
 
+// Adds a sample to a family, which must be of type Counter or Gauge.
 inline void AddSample(prometheus::MetricFamily& family, const MetricLabels& labels, double value) {
   prometheus::ClientMetric metric;
-  for (const auto& [name, text] : labels) metric.label.push_back({name, text});
+  for (const auto& [name, label_value] : labels) metric.label.push_back({name, label_value});
   (family.type == prometheus::MetricType::Counter ? metric.counter.value : metric.gauge.value) = value;
   family.metric.push_back(std::move(metric));
 }
--- a/src/base/slot_table.h
+++ b/src/base/slot_table.h
@@ -17,6 +17,7 @@
 template <class T>
 class SlotTable {
  public:
+  // Returns the handle of the added value.
   Handle Add(T value) {
     if (free_.empty()) {
       free_.push_back(static_cast<std::uint32_t>(slots_.size()));
@@ -30,6 +31,7 @@
     return (Handle{slot.generation} << 32) | at;
   }
 
+  // Returns nullptr if the value has been removed or the handle is 0.
   T* Get(Handle handle) {
     const auto at = static_cast<std::uint32_t>(handle);
     if (at >= slots_.size()) return nullptr;
@@ -39,6 +41,7 @@
 
   const T* Get(Handle handle) const { return const_cast<SlotTable*>(this)->Get(handle); }
 
+  // Does nothing if the value has already been removed.
   void Remove(Handle handle) {
     if (Get(handle) == nullptr) return;
     const auto at = static_cast<std::uint32_t>(handle);
@@ -50,6 +53,7 @@
 
   std::size_t size() const { return size_; }
 
+  // Returns the handles of all values, in the order of their slots.
   std::vector<Handle> All() const {
     std::vector<Handle> all;
     for (std::size_t at = 0; at < slots_.size(); ++at) {
@@ -64,8 +68,8 @@
     std::uint32_t generation = 1;
     std::optional<T> value;
   };
-  std::deque<Slot> slots_;  // a deque, so that pointers remain valid while the table grows
-  std::vector<std::uint32_t> free_;
+  std::deque<Slot> slots_;           // a deque, so that pointers remain valid while the table grows
+  std::vector<std::uint32_t> free_;  // indices of the slots without a value
   std::size_t size_ = 0;
 };
 
--- a/src/base/state_file.cpp
+++ b/src/base/state_file.cpp
@@ -14,6 +14,7 @@
 constexpr mode_t kMode = 0600;
 constexpr std::size_t kMaxBytes = std::size_t{4} * 1024 * 1024;
 
+// Returns nullopt if the file cannot be opened or is larger than kMaxBytes.
 std::optional<std::string> ReadAll(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   if (!in) return std::nullopt;
@@ -28,13 +29,14 @@
 
 }  // namespace
 
+// One write or read of the file in a background thread.
 struct StateFile::Job {
   uv_work_t work{};
   StateFile* file = nullptr;
-  bool write = false;
-  std::string text;
-  std::optional<std::string> read;
-  FileError error;
+  bool write = false;               // otherwise the job reads
+  std::string text;                 // what is written
+  std::optional<std::string> read;  // what was read; nullopt if that failed
+  FileError error;                  // of the write
 };
 
 StateFile::StateFile(uv_loop_t* loop, std::string path, std::function<void(const std::string&)> changed)
--- a/src/base/state_file.h
+++ b/src/base/state_file.h
@@ -19,13 +19,14 @@
   bool enabled() const { return !path_.empty(); }
   const std::string& path() const { return path_; }
 
-  // Returns the current text, or nullopt if there is no file or it cannot be read. Blocks on the disk; to be
-  // called before the loop runs.
+  // Returns the current text, or nullopt if there is no file, it cannot be opened or it is larger than 4 MiB.
+  // Blocks on the disk; to be called before the loop runs.
   std::optional<std::string> ReadNow() const;
-  // Writes in the background. Only the latest of the texts that are waiting is written.
+  // Writes in the background. If further texts are given before a write has finished, only the latest of them
+  // is written. A failure is logged.
   void Write(std::string text);
   void Watch(unsigned interval_ms);  // checks the file for changes at this interval
-  void Close();
+  void Close();                      // stops checking; a write in progress is still completed
 
  private:
   struct Job;
--- a/src/base/tcp.h
+++ b/src/base/tcp.h
@@ -32,7 +32,9 @@
 // Created by New; must not be used after Close, which leads to its deletion.
 class Tcp {
  public:
+  // The pool and the owner must outlive the socket. `handle` is passed to the owner with every event.
   static Tcp* New(uv_loop_t* loop, BufferPool* pool, TcpOwner* owner, Handle handle);
+  // Accepts a waiting connection of a listening libuv stream. Returns false on failure.
   bool Accept(uv_stream_t* listener);
   // Takes over the descriptor of an accepted connection. Returns false, and closes it, on failure.
   bool Open(int fd);
--- a/src/base/text_table.cpp
+++ b/src/base/text_table.cpp
@@ -49,10 +49,10 @@
     for (std::size_t c = 0; c < table.columns.size(); ++c) {
       if (c > 0) out += ',';
       const auto& values = table.columns[c].values;
-      if (const auto* n = std::get_if<Numbers>(&values)) {
-        if (!std::isnan((*n)[row])) out += fmt::format("{:.6g}", (*n)[row]);
-      } else if (const auto* w = std::get_if<Integers>(&values)) {
-        out += std::to_string((*w)[row]);
+      if (const auto* numbers = std::get_if<Numbers>(&values)) {
+        if (!std::isnan((*numbers)[row])) out += fmt::format("{:.6g}", (*numbers)[row]);
+      } else if (const auto* integers = std::get_if<Integers>(&values)) {
+        out += std::to_string((*integers)[row]);
       } else {
         out += Quoted(std::get<Strings>(values)[row]);
       }
--- a/src/base/text_table.h
+++ b/src/base/text_table.h
@@ -31,18 +31,21 @@
   const Strings& StringsOf(const std::string& column) const;
 };
 
-// Formats a table as CSV. NaN becomes an empty field; strings are quoted where necessary.
+// Formats a table as CSV, with a header line. Numbers are given with six significant digits; NaN becomes an
+// empty field; strings are quoted where necessary.
 std::string Csv(const TextTable& table);
 
 // Builds a table row by row; fields are given in the order of the columns.
 class TableBuilder {
  public:
   TableBuilder(std::string name, std::vector<Column> columns) : table_{std::move(name), std::move(columns)} {}
+  // Adds one row. The type of each field must be that of its column.
   template <class... T>
   void Add(T... fields) {
     std::size_t at = 0;
     (Append(at++, fields), ...);
   }
+  // Returns the table. The builder must not be used any more.
   TextTable Take() { return std::move(table_); }
 
  private:
--- a/src/base/untrusted_fields.h
+++ b/src/base/untrusted_fields.h
@@ -24,6 +24,7 @@
     next_ = o.via.array.ptr;
     remaining_ = o.via.array.size;
   }
+  // The next element, of any type.
   const msgpack::object& Next() {
     if (remaining_ == 0) throw BadField("malformed");
     --remaining_;
@@ -46,18 +47,20 @@
     if (o.type == msgpack::type::POSITIVE_INTEGER || o.via.i64 < -max) throw BadField("range");
     return o.via.i64;
   }
+  // A boolean.
   bool Flag() {
     const msgpack::object& o = Next();
     if (o.type != msgpack::type::BOOLEAN) throw BadField("malformed");
     return o.via.boolean;
   }
+  // A binary string of any length.
   std::string Bytes() {
     const msgpack::object& o = Next();
     if (o.type != msgpack::type::BIN) throw BadField("malformed");
     return {o.via.bin.ptr, o.via.bin.size};
   }
-  // A string without white space or control characters, because names of peers appear in logs and on
-  // terminals.
+  // A string of `min` to `max` bytes without white space or control characters, because names of peers appear
+  // in logs and on terminals.
   std::string Text(std::size_t min, std::size_t max) {
     const msgpack::object& o = Next();
     if (o.type != msgpack::type::STR) throw BadField("malformed");
@@ -67,7 +70,7 @@
       throw BadField("range");
     return text;
   }
-  std::size_t remaining() const { return remaining_; }
+  std::size_t remaining() const { return remaining_; }  // number of elements not read yet
 
  private:
   const msgpack::object* next_;
