--- a/src/core/connection_pool.h
+++ b/src/core/connection_pool.h
@@ -21,13 +21,13 @@
   ReplicaId host = 0;
   Tcp* tcp = nullptr;
   ResponseParser response;       // parses the response to the current request
-  std::string buffered_body;     // body bytes that are not passed on yet, because no event is complete
+  std::string buffered_body;     // body bytes that are not passed on until the first event is complete
   bool connected = false;        // the TCP connection is established
   bool request_written = false;  // the complete request has been passed to the socket
   Time idle_since = 0;           // when it was returned to the pool
   Time first_byte_at = 0;        // when the first byte of the current response arrived; 0 before that
   DeadlineId deadline;  // while connecting: the connect timeout; in the pool: when the connection is closed
-  Handle request = 0;   // the request that uses the connection; 0 if it is idle in the pool
+  Handle request = 0;   // handle of the request that uses the connection; 0 if it is idle in the pool
 };
 
 // Not thread-safe; all callbacks run on the event loop.
--- a/src/core/decisions.h
+++ b/src/core/decisions.h
@@ -21,6 +21,7 @@
   void AddRecorder(DecisionRecorder* recorder);
   void SetObserver(policy::DecisionObserver* observer) { observer_ = observer; }
   const policy::Router& router() const { return router_; }
+  // See policy::Router::UpdateClasses.
   void UpdateClasses(const std::vector<policy::ClassSettings>& classes, int max_attempts) {
     router_.UpdateClasses(classes, max_attempts);
   }
@@ -28,8 +29,8 @@
  private:
   void Execute(const policy::Action& action);
 
-  // The module's reasons: each rejection and failure is logged, and all records are passed on to the
-  // observer, if there is one.
+  // Called by the decision module with a record of what it decided and why. Rejections and failures are
+  // logged; all records are passed on to the observer, if there is one.
   bool wants_dispatches() const override { return observer_ != nullptr && observer_->wants_dispatches(); }
   void OnDispatch(const policy::DispatchRecord& record) override;
   void OnConclusion(const policy::ConclusionRecord& record) override;
--- a/src/core/dialect.h
+++ b/src/core/dialect.h
@@ -49,6 +49,8 @@
   virtual ResponseResult Result(int status, bool health_check) const = 0;
   // What has been read so far; may be called at any time.
   virtual ResponseMetadata Metadata(bool health_check) const = 0;
+  // The body of an error response, for the client; it may be truncated. Empty if the dialect does not keep
+  // it.
   virtual std::string error_body() const { return ""; }
 };
 
--- a/src/core/disabled_replicas_model.cpp
+++ b/src/core/disabled_replicas_model.cpp
@@ -9,6 +9,7 @@
 constexpr std::string_view kHeader = "ryeglade-holds 1 ";
 constexpr std::size_t kMaxNames = 100'000;
 
+// Names of the form that fits into a line of the file.
 bool IsPlainName(const std::string& name) {
   if (name.empty() || name.size() > 256) return false;
   for (const char c : name) {
@@ -33,7 +34,7 @@
 
 std::optional<DisabledReplicas> DecodeDisabledReplicas(const std::string& text, const std::string& node,
                                                        std::string* error) {
-  const auto fail = [&](const char* reason) -> std::optional<DisabledReplicas> {
+  const auto fail = [&](const std::string& reason) -> std::optional<DisabledReplicas> {
     *error = reason;
     return std::nullopt;
   };
@@ -48,13 +49,14 @@
   const auto header = next_line();
   if (!header || header->substr(0, kHeader.size()) != kHeader)
     return fail("not a ryeglade-holds file of version 1");
-  if (header->substr(kHeader.size()) != node) return fail("belongs to another node");
+  if (const std::string owner(header->substr(kHeader.size())); owner != node)
+    return fail("belongs to node '" + owner + "', not to '" + node + "'");
   DisabledReplicas replicas;
   for (std::size_t n = 0;; ++n) {
     const auto line = next_line();
     if (!line) return fail("truncated: no 'end' line");
     if (*line == "end") break;
-    if (n == kMaxNames) return fail("too many names");
+    if (n == kMaxNames) return fail("more than " + std::to_string(kMaxNames) + " names");
     const std::size_t first_space = line->find(' ');
     const std::size_t last_space = line->rfind(' ');
     if (first_space == std::string_view::npos || first_space == last_space)
@@ -65,7 +67,7 @@
     std::int64_t at = 0;
     const auto [end, parse_error] = std::from_chars(number.data(), number.data() + number.size(), at);
     if (parse_error != std::errc() || end != number.data() + number.size() || at < 0 || !IsPlainName(name)) {
-      return fail("invalid name or time");
+      return fail("a line has an invalid name (longer than 256 bytes or with white space) or time");
     }
     if (keyword == "out") {
       replicas.disabled[name] = at;
--- a/src/core/disabled_replicas_model.h
+++ b/src/core/disabled_replicas_model.h
@@ -19,7 +19,8 @@
 };
 
 // Returns the stored form: "ryeglade-holds 1 NODE", one line "out NAME TIME" (disabled) or "back NAME TIME"
-// (enabled again) for each replica, and "end". A name that contains white space is left out.
+// (enabled again) for each replica, and "end". A name that is empty, longer than 256 bytes or contains white
+// space or control characters is left out.
 std::string EncodeDisabledReplicas(const DisabledReplicas& replicas, const std::string& node);
 // Returns nullopt, with the reason in `error`, if the text is incomplete, belongs to another node, has
 // another version or contains anything unexpected. Nothing of such a text is used.
--- a/src/core/discovery.cpp
+++ b/src/core/discovery.cpp
@@ -10,10 +10,10 @@
 using policy::EndpointList;
 using policy::EndpointListScope;
 
-// All microseconds. Once a watch has been silent for 6 s, discovery counts changes as delivered whether they
-// arrived or not. The following must fit into that time: the silence itself, a delay by the decision module
-// (at most 0.3 s after a first failure), a request that fails at its timeout, a second delay (0.6 s), and a
-// request that is answered just within its timeout. Discovery gives up on requests after 1 s.
+// Times in microseconds. Once a watch has been silent for 6 s, discovery counts changes as delivered whether
+// they arrived or not. The following must fit into that time: kWatchIdleTimeout, a delay by the decision
+// module (at most 0.3 s after a first failure), a request that fails at its timeout, a second delay (0.6 s),
+// and a request that is answered just within its timeout. Discovery itself abandons a request after 1 s.
 constexpr Time kConnectTimeout = 700'000;
 constexpr Time kResponseTimeout = 1'200'000;
 constexpr Time kWatchIdleTimeout = 2'500'000;  // discovery sends a heartbeat on an idle watch every 2 s
@@ -21,8 +21,8 @@
 constexpr Time kWatchRetryDelay = 200'000;     // minimum; the delay is less than twice this
 constexpr std::size_t kMaxListBytes = std::size_t{8} * 1024 * 1024;
 
-// Jitter taken from the clock: all nodes lose their watch at the same time and should not retry at the same
-// time.
+// Returns the time of a retry: after `delay`, plus up to the same time again as jitter, which is taken from
+// the clock. All nodes lose their watch at the same time and should not retry at the same time.
 Time RetryAt(Time delay) { return Now() + delay + Now() % delay; }
 
 }  // namespace
@@ -63,15 +63,15 @@
   if (const auto callback = std::exchange(on_first_result_, nullptr)) callback();
 }
 
-// ---- Another address ----
+// ---- The switch to another address ----
 
 void Discovery::SwitchAddress(const std::string& address) {
   if (address == address_) return;
   address_ = address;
   address_is_new_ = true;
-  // Start at once: if the decision module is delaying a retry, it is for the old address and may take
-  // seconds. But before the cached list is loaded (a process may be waiting for its predecessor's) there is
-  // nothing yet that a newer list could be compared with.
+  // Start at once: if the decision module is delaying a retry, that retry is for the old address and may be
+  // seconds away. But before the cached list is loaded (during a hot restart, a process may still be waiting
+  // for the list of the previous process) there is nothing that a newer list could be compared with.
   if (cached_list_loaded_) StartSwitch();
 }
 
--- a/src/core/discovery.h
+++ b/src/core/discovery.h
@@ -44,9 +44,9 @@
   // list, because generations of the two cannot be compared.
   void SwitchAddress(const std::string& address);
   const std::string& address() const { return address_; }
-  void Close();
+  void Close();  // closes all requests; their failure is not reported
 
-  // From the sockets.
+  // Called by the sockets.
   void OnConnected(Handle request, int status) override;
   void OnRead(Handle request, std::string_view bytes) override;
   void OnDisconnected(Handle request) override;
@@ -86,16 +86,17 @@
   static const http_parser_settings& Callbacks();
 
   Core* core_;
-  std::string address_;
+  std::string address_;  // "ip:port"
   EndpointTable endpoints_;
   SlotTable<Request> requests_;
   bool cached_list_loaded_ = false;
   bool address_is_new_ = false;  // the current address has not sent a complete list yet
+  // Handles of requests; 0 if there is no such request.
   Handle watch_ = 0;
   Handle switch_poll_ = 0;
   Handle previous_watch_ = 0;  // the watch at the old address during a switch
   DeadlineId switch_retry_;
-  bool keep_watching_ = false;
+  bool keep_watching_ = false;  // KeepWatching was called: a watch that ends is opened again here
   DeadlineId watch_retry_;
   std::function<void()> on_first_result_;
 };
--- a/src/core/endpoint_list_parser.cpp
+++ b/src/core/endpoint_list_parser.cpp
@@ -15,7 +15,7 @@
 using policy::EndpointState;
 using policy::Time;
 
-constexpr double kNoCell = -1;
+constexpr double kNoCell = -1;  // the list does not say in which cell the replica is
 constexpr double kMaxCell = 1e9;
 constexpr double kMaxStartedAtMs = 1e15;
 
--- a/src/core/endpoint_list_parser.h
+++ b/src/core/endpoint_list_parser.h
@@ -14,7 +14,11 @@
 namespace ryeglade {
 
 // Why an entry of a list cannot be used.
-enum class InvalidEntry : std::uint8_t { kNone, kNoName, kAddress };
+enum class InvalidEntry : std::uint8_t {
+  kNone,     // it can be used
+  kNoName,   // it has no instance id
+  kAddress,  // its address is not an ip:port
+};
 
 // One entry of a list.
 struct ListedEndpoint {
--- a/src/core/endpoint_table.h
+++ b/src/core/endpoint_table.h
@@ -63,7 +63,8 @@
   std::map<std::string, ReplicaId> ids_;
   std::map<ReplicaId, std::string> names_;
   std::set<ReplicaId> listed_;
-  std::map<ReplicaId, policy::Endpoint> last_listed_;  // the latest entry of each listed replica
+  // The latest entry of each listed replica, as it was before disabled replicas are taken into account.
+  std::map<ReplicaId, policy::Endpoint> last_listed_;
   ReplicaIncarnations incarnations_;
   DisabledReplicas disabled_;  // by name, because an id can be given to another name later
 };
--- a/src/core/learned_state_codec.cpp
+++ b/src/core/learned_state_codec.cpp
@@ -163,7 +163,7 @@
       v.clear();
       for (const json& e : j) {
         if (!e.is_array() || e.size() != 2)
-          throw std::runtime_error(std::string(name) + " has an entry that is not a pair");
+          throw std::runtime_error(std::string(name) + " has an entry that is not a [key, value] pair");
         typename T::key_type key{};
         typename T::mapped_type element{};
         Decode(e[0], key, name);
@@ -178,7 +178,9 @@
   }
   static void CheckList(const json& j, const char* name) {
     if (!j.is_array()) throw std::runtime_error(std::string(name) + " is not an array");
-    if (j.size() > kMaxEntries) throw std::runtime_error(std::string(name) + " is too long");
+    if (j.size() > kMaxEntries)
+      throw std::runtime_error(std::string(name) + " has more than " + std::to_string(kMaxEntries) +
+                               " entries");
   }
 };
 
@@ -200,28 +202,28 @@
   return std::all_of(all.begin(), all.end(), [](const RunningAverage& a) { return IsValid(a); });
 }
 
-// Returns the name of a field that is out of range, or nullptr if all are valid.
+// Returns the stored names of the fields of which one is out of range, or nullptr if all are valid.
 const char* FindInvalid(const LearnedState& learned) {
   if (learned.node_count < 1 || learned.node_count > 1'000'000) return "nodes";
-  if (learned.base_limit < 0 || learned.limit_before_decrease < 0) return "level";
+  if (learned.base_limit < 0 || learned.limit_before_decrease < 0) return "level or fell_from";
   if (learned.late_share < 0 || learned.late_share > 1 || learned.objective_used < 0 ||
       learned.objective_used > 1)
     return "late or wait";
   if (learned.retry_budget < 0 || learned.retry_budget > 1000) return "retry_budget";
   for (const auto* table : {&learned.runtime_by_bucket, &learned.first_token_by_bucket}) {
     for (const auto& [bucket, a] : *table) {
-      if (!IsValid(a) || a.mean < 0) return "runtime";
+      if (!IsValid(a) || a.mean < 0) return "runtime or first_token";
     }
   }
   if (!IsValid(learned.runtime_per_hint) || !IsValid(learned.bucket_error) || !IsValid(learned.hint_error) ||
       !IsValid(learned.slowness_by_kind) || !IsValid(learned.mean_runtime))
-    return "an average";
+    return "per_hint, bucket_error, hint_error, kind_slow or round_trip";
   for (const LearnedState::Replica& r : learned.replicas) {
     if (r.in_flight < 0 || r.in_flight > 1'000'000 || r.learned.consecutive_failures < 0 ||
         r.learned.slowness_samples < 0)
-      return "a replica";
+      return "replicas: out, failures or slow_n";
     if (std::abs(r.learned.slowness) > 20 || r.learned.capacity_factor < 0 || r.learned.capacity_factor > 1)
-      return "a replica's slowness";
+      return "replicas: slow or full";
   }
   return nullptr;
 }
@@ -239,7 +241,7 @@
 std::optional<LearnedState> DecodeLearnedState(const std::string& bytes, std::string* error) {
   try {
     const json j = json::from_msgpack(bytes, true, false);
-    if (!j.is_object()) throw std::runtime_error("not an encoded learned state");
+    if (!j.is_object()) throw std::runtime_error("not an encoded learned state: expected a MessagePack map");
     LearnedState learned;
     Decoder decoder{j};
     Fields(decoder, learned);
--- a/src/core/load_report_model.cpp
+++ b/src/core/load_report_model.cpp
@@ -8,6 +8,7 @@
 namespace ryeglade {
 namespace {
 
+// Returns nullopt if the field is absent or its value is not a finite number that is at least 0.
 std::optional<double> FieldValue(const std::string& report, const std::string& field) {
   const std::string name = field + "=";
   std::size_t at = report.find(name);
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -154,7 +154,7 @@
 struct ClusterMember {
   std::string name;
   std::string zone;
-  bool suspect = false;
+  bool suspect = false;  // it may have failed, but this is not confirmed yet
 };
 
 // The nodes of the routing tier, this one first, as the membership protocol sees them.
@@ -190,8 +190,8 @@
 class ClusterObserver {
  public:
   virtual ~ClusterObserver() = default;
-  // `reason` is a reason code, `member` the member concerned, `reporter` the member that reported it, and
-  // `live_nodes` the number of live nodes in the view.
+  // `reason` is a reason code, `member` the member concerned, `reporter` the member that reported it, `value`
+  // a number that depends on the reason, and `live_nodes` the number of live nodes in the view.
   virtual void OnClusterEvent(Time now, std::string_view reason, std::string_view member,
                               std::string_view reporter, std::uint64_t value, std::size_t live_nodes) = 0;
 };
--- a/src/core/replica_incarnations_model.h
+++ b/src/core/replica_incarnations_model.h
@@ -26,8 +26,7 @@
     policy::Time reported = 0;  // as discovery reports it
     policy::Time first_reported_at = 0;
   };
-  std::map<policy::ReplicaId, FutureStart>
-      future_starts_;  // starts that were in the future when first reported
+  std::map<policy::ReplicaId, FutureStart> future_starts_;
 };
 
 }  // namespace ryeglade
--- a/src/core/response_parser.h
+++ b/src/core/response_parser.h
@@ -48,7 +48,7 @@
     bool complete = false;  // the final response, not only a 1xx response, has ended
     bool keep_alive = false;
     bool value_begun = false;  // the current header has part of its value; a name now starts another header
-    std::string field, value;
+    std::string field, value;  // the current header, as far as it has been received
     std::uint64_t chunk_remaining = 0;   // bytes of the current chunk that have not arrived yet
     std::string_view expected_line_end;  // the part of the chunk's line end that has not arrived yet
     std::unique_ptr<ResponseReader> reader;
--- a/src/core/streams.cpp
+++ b/src/core/streams.cpp
@@ -65,7 +65,7 @@
 }
 
 // The time budget is used up. Which response is correct depends on whether an attempt may have run, so the
-// decision module gives it: it is notified that no time is left, and then of the outcome of the attempt in
+// decision module chooses it: it is notified that no time is left, and then of the outcome of the attempt in
 // flight. If it still does not conclude the stream, the stream fails here, which does not promise that the
 // request can be repeated safely.
 void Streams::OnWatchdog(Handle handle) {
@@ -110,9 +110,10 @@
   migration_timer_ = core_->deadlines->Set(at, [this] { MigrateSome(); });
 }
 
-// Migrates running streams before SIGKILL would cut them off. Clients of a stream that is cut off would try
-// to resume it at this node, which they still believe to be up, and be rejected; while the node drains they
-// go to another one. Streams are migrated a few at a time, in the order of their slots.
+// Migrates running streams before SIGKILL would cut them off. The client of a stream that is cut off would
+// resume it at this node, which still counts as available for it, and be rejected; while the node drains,
+// the client resumes the stream at another node. Streams are migrated a few at a time, in the order of their
+// slots.
 void Streams::MigrateSome() {
   const std::vector<Handle> all = streams_.All();
   const auto running = static_cast<Time>(
--- a/src/core/streams.h
+++ b/src/core/streams.h
@@ -15,7 +15,9 @@
 
 // A request as a front passes it to Streams::Open.
 struct StreamRequest {
-  std::string method, target, call_id, content_type;
+  std::string method, target;
+  std::string call_id;       // the id by which the client knows the request
+  std::string content_type;  // empty if the client sent none
   BufferChain body;
   policy::RequestArrived arrival;   // its `time_budget` starts at `received_at`
   Time received_at = 0;             // when the first byte was received
@@ -43,15 +45,15 @@
 // One request without a final response yet.
 struct Stream {
   StreamRequest request;
-  StreamSink* sink = nullptr;
-  Handle client = 0;
+  StreamSink* sink = nullptr;     // the front to which the response is passed; not owned
+  Handle client = 0;              // the front's handle for the stream
   Time deadline = 0;              // when the client's time budget ends
-  int attempts = 0;               // that were started
+  int attempts = 0;               // number of attempts that were started
   Handle upstream_request = 0;    // the attempt in flight; 0 if there is none
   bool started = false;           // the response has started
   bool within_objective = false;  // the first event met the class's latency objective
-  policy::Outcome last_outcome = policy::Outcome::kError;  // of the attempt that ended last
-  ReplicaId last_replica = 0;                              // of that attempt; 0 if none has ended
+  policy::Outcome last_outcome = policy::Outcome::kError;  // outcome of the attempt that ended last
+  ReplicaId last_replica = 0;                              // replica of that attempt; 0 if none has ended
   int attempts_written = 0;  // attempts passed completely to a socket, so that they may have run
   Time retry_after = 0;      // the longest wait that a host asked for
   DeadlineId watchdog{};
--- a/src/core/upstream.h
+++ b/src/core/upstream.h
@@ -53,9 +53,9 @@
   // One attempt or health check, from the decision to send to its outcome.
   struct Request {
     Handle stream = 0;  // 0 for a health check
-    int attempt = 0;
+    int attempt = 0;    // number of the attempt within its stream, from 0
     ReplicaId replica = 0;
-    Time sent_at = 0;
+    Time sent_at = 0;            // when the request was started; it is written once it has a connection
     Time last_byte_at = 0;       // when bytes that count as progress last arrived
     Time response_deadline = 0;  // by when the response must have started
     Time write_deadline = 0;     // the request is not written after this time; 0 if there is no such limit
@@ -73,7 +73,7 @@
   void OnConnectTimeout(Handle connection);
   bool CheckMayWrite(Handle request);
   void WriteRequest(Handle connection);
-  bool request_written(const Request& request) const;
+  bool request_written(const Request& request) const;  // completely passed to the socket
   void SetDeadline(Handle request, Time at);
 
   bool ReadBody(const Request& request, ResponseParser& response, const std::vector<std::string_view>& body,
--- a/tests/disabled_replicas_test.cpp
+++ b/tests/disabled_replicas_test.cpp
@@ -28,7 +28,7 @@
   std::string why;
   EXPECT_FALSE(
       DecodeDisabledReplicas(EncodeDisabledReplicas(SampleReplicas(), "n3"), "n4", &why).has_value());
-  EXPECT_EQ(why, "belongs to another node");
+  EXPECT_EQ(why, "belongs to node 'n3', not to 'n4'");
 }
 
 TEST(DisabledReplicas, MalformedFilesAreRejected) {
