--- a/src/dialects/openai/openai_dialect.cpp
+++ b/src/dialects/openai/openai_dialect.cpp
@@ -58,6 +58,7 @@
   return false;
 }
 
+// Reads the response of a server with the OpenAI-style API.
 class Reader : public ResponseReader {
  public:
   void OnHeader(const std::string& name, const std::string& value) override {
@@ -119,12 +120,12 @@
 
  private:
   EventStream events_{kMaxEventBytes};
-  bool has_event_ = false;
-  bool done_ = false;  // [DONE] has been received
+  bool has_event_ = false;  // an event that is no error has been received
+  bool done_ = false;       // [DONE] has been received
   double cached_tokens_ = 0;
-  Time retry_after_ = 0;
+  Time retry_after_ = 0;  // from the headers, microseconds; 0 if there is none
   std::string load_report_;
-  std::string error_body_;
+  std::string error_body_;  // the start of the body; cleared once an event has been received
 };
 
 }  // namespace
--- a/src/dialects/platform/platform_dialect.cpp
+++ b/src/dialects/platform/platform_dialect.cpp
@@ -15,6 +15,7 @@
 constexpr std::size_t kMaxFirstEventBytes = std::size_t{256} * 1024;  // before the first event is complete
 constexpr std::size_t kTailBytes = 512;  // enough for the usage line and the load report at a stream's end
 
+// Reads the response of one of the platform's replicas.
 class Reader : public ResponseReader {
  public:
   void OnHeader(const std::string& name, const std::string& value) override {
--- a/src/fronts/openai/api_error.h
+++ b/src/fronts/openai/api_error.h
@@ -7,6 +7,7 @@
 
 namespace ryeglade {
 
+// One error response.
 struct ApiError {
   int status = 500;
   std::string type;              // "invalid_request_error", "rate_limit_error", "server_error", ...
@@ -16,6 +17,7 @@
   policy::Time retry_after = 0;  // microseconds; 0 if the response names no time
 };
 
+// Returns the body of the error response.
 std::string ErrorJson(const ApiError& error);
 // Returns the error as it is sent to a client that must not retry because its request may have run: statuses
 // that invite a retry (429 and 503) become 502, and no time for a retry is named.
--- a/src/fronts/openai/openai_front.cpp
+++ b/src/fronts/openai/openai_front.cpp
@@ -270,7 +270,6 @@
   return core_->config->settings.classes[static_cast<std::size_t>(arrival.class_index)].time_budget;
 }
 
-// A client may ask for less time than the settings give its request, but not for more.
 Time OpenAiFront::TimeBudgetFor(const HttpRequest& request, Time configured) const {
   Time time_budget = configured;
   const double ms = NumberInHeader(request, "x-deadline-ms");
--- a/src/fronts/openai/openai_front.h
+++ b/src/fronts/openai/openai_front.h
@@ -22,6 +22,7 @@
 
 namespace ryeglade {
 
+// At most one request per connection at a time, each with its own stream.
 class OpenAiFront : public Front, public StreamSink {
  public:
   // `keyring` holds the keys of the key file. `settings` must outlive the front.
@@ -53,7 +54,9 @@
     OpenRequest(openai::Endpoint endpoint, bool usage_wanted, std::size_t max_response_bytes)
         : observer(usage_wanted), assembler(endpoint, max_response_bytes) {}
     Handle stream = 0;  // 0 if it is not open yet or has already been concluded
-    std::string request_id, key, model;
+    std::string request_id;
+    std::string key;    // the id of the API key
+    std::string model;  // the id of the model, as clients know it
     limits::KeyLimits limits;
     double reserved_tokens = 0;         // reserved for prompt and output together
     double reserved_output_tokens = 0;  // the part reserved for the output
@@ -84,7 +87,9 @@
   // Sets the request's class in `arrival` and returns the time budget from the settings.
   Time ApplyRoute(const std::string& path, const keys::Key& key, const ModelSettings& model,
                   policy::RequestArrived& arrival) const;
+  // Returns the request's time budget: `configured`, or less if the client asks for less.
   Time TimeBudgetFor(const HttpRequest& request, Time configured) const;
+  // Returns the limits of the key; where it has none of its own, the default ones.
   limits::KeyLimits LimitsOf(const keys::Key& key) const;
 
   // Sends an error and counts it as a rejection before admission.
--- a/src/fronts/openai/response_translation.cpp
+++ b/src/fronts/openai/response_translation.cpp
@@ -8,8 +8,8 @@
 
 using nlohmann::json;
 
-constexpr int kMaxDepth = 64;  // of nested JSON
-constexpr std::size_t kMaxToolCalls = 256;
+constexpr int kMaxDepth = 64;               // of nested JSON values in an event
+constexpr std::size_t kMaxToolCalls = 256;  // further tool calls of a message are dropped
 
 // Returns the offset of the value that follows a key: past blanks and the colon.
 std::size_t SkipToValue(std::string_view text, std::size_t at) {
--- a/src/fronts/openai/response_translation.h
+++ b/src/fronts/openai/response_translation.h
@@ -76,7 +76,7 @@
   bool Observe(const EventStream::Event& event);  // returns whether the event is forwarded
 
   bool usage_wanted_;
-  EventStream events_{std::size_t{512} * 1024};  // at most so many bytes per event
+  EventStream events_{std::size_t{512} * 1024};  // maximum number of bytes of an event
   ledger::ObservedResponse seen_;
   std::string usage_;          // the last event with usage and without choices
   std::string running_usage_;  // the last event with both; replicas may send running totals
--- a/src/fronts/platform/platform_front.cpp
+++ b/src/fronts/platform/platform_front.cpp
@@ -19,7 +19,7 @@
 constexpr const char* kCompletionsPath = "/v1/chat/completions";
 constexpr const char* kHealthPath = "/_health";
 constexpr double kMaxBudgetSeconds = 3600;
-constexpr double kBytesPerToken = 4;
+constexpr double kBytesPerToken = 4;  // to estimate the prompt of a request without prompt_len
 
 // Names of the header fields that this front reads, or whose value the node writes itself.
 const std::vector<std::string_view>& FieldsReadHere() {
@@ -35,7 +35,7 @@
   return error == std::errc() && end == text.data() + text.size();
 }
 
-// Returns the value of a hexadecimal number of up to 16 digits; any other text is hashed.
+// Returns the value of a hexadecimal number of up to 16 digits, and a hash of any other text.
 std::uint64_t KeyOf(std::string_view text) {
   std::uint64_t value = 0;
   if (ParseHex(text, &value)) return value;
@@ -44,7 +44,7 @@
   return value;
 }
 
-// Returns false if the text is not a number from 0 to `max`.
+// Sets `*value`. Returns false if the text is not a number from 0 to `max`.
 bool ParseAmount(std::string_view text, double max, double* value) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), *value);
   return error == std::errc() && end == text.data() + text.size() && *value >= 0 && *value <= max;
--- a/src/fronts/platform/platform_front.h
+++ b/src/fronts/platform/platform_front.h
@@ -1,6 +1,6 @@
 // The front for the platform's protocol: its paths, headers, health check and statuses. It turns an HTTP
-// request into a stream, and the stream's result into the HTTP response. What follows is the same for every
-// front.
+// request into a stream, and the stream's result into the HTTP response. What happens in between does not
+// depend on the front.
 #pragma once
 
 #include <string>
