--- a/src/http/blocking_client.cpp
+++ b/src/http/blocking_client.cpp
@@ -18,11 +18,13 @@
 
 constexpr std::size_t kMaxResponseBody = std::size_t{16} << 20;  // bytes
 
+// What has been parsed of the response.
 struct Parsed {
   HttpResponse response;
   bool complete = false;
 };
 
+// Closes its descriptor when it is destroyed.
 struct Socket {
   int fd;
   ~Socket() { close(fd); }
@@ -47,7 +49,8 @@
   setsockopt(s.fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
   sockaddr_storage source{};
   if (!source_ip.empty()) {
-    if (!ParseAddress(source_ip + ":0", &source)) throw std::runtime_error(source_ip + " is not an address");
+    if (!ParseAddress(source_ip + ":0", &source))
+      throw std::runtime_error("source address " + source_ip + " is not an IP address (IPv6 in brackets)");
     const auto* own = reinterpret_cast<const sockaddr*>(&source);
     if (bind(s.fd, own, SockaddrLength(own)) != 0) throw error_at("bind", errno);
   }
@@ -86,7 +89,8 @@
       throw error_at("read", ETIMEDOUT);
   }
   if (!parsed.complete)
-    throw std::runtime_error(server + " " + address + " did not send a complete HTTP response");
+    throw std::runtime_error(server + " " + address +
+                             " did not send a complete and valid HTTP response of at most 16 MiB");
   parsed.response.status = parser.status_code;
   return parsed.response;
 }
--- a/src/http/close_reason.h
+++ b/src/http/close_reason.h
@@ -7,7 +7,7 @@
 
 namespace ryeglade {
 
-// Closed connections are counted by reason. The order is that of the names below.
+// Closed connections are counted by reason. Name lists the names of the reasons in the same order.
 enum class CloseReason : std::uint8_t {
   kClientEnded,     // the client closed the connection, or it broke
   kIdle,            // no response was due, and the process is shutting down or in a hot restart
--- a/src/http/downstream.cpp
+++ b/src/http/downstream.cpp
@@ -11,18 +11,20 @@
 namespace {
 
 // Sizes in bytes.
-constexpr std::uint32_t kMaxHead = 16 * 1024;
-constexpr std::size_t kMaxUnparsed = std::size_t{16} * 1024;  // read during a response; then reading stops
-constexpr std::size_t kMaxUnsent = std::size_t{128} * 1024;   // with more the front is asked to stop
+constexpr std::uint32_t kMaxHead = 16 * 1024;  // of a request
+// Maximum input that is buffered while a response is sent; after that reading stops.
+constexpr std::size_t kMaxUnparsed = std::size_t{16} * 1024;
+// Maximum unsent output; after that the front is told to stop sending.
+constexpr std::size_t kMaxUnsent = std::size_t{128} * 1024;
 // Times in microseconds.
-constexpr Time kIdleTimeout = 60'000'000;   // for the next request of a connection that has had one
+constexpr Time kIdleTimeout = 60'000'000;   // a connection without a further request for this long is closed
 constexpr Time kEvictableAfter = 500'000;   // without a complete request for this long, it may be evicted
 constexpr Time kWriteTimeout = 10'000'000;  // a congested client that reads nothing for this long is dropped
 constexpr Time kLingerTimeout = 1'000'000;  // from a connection's last response to its closing
 constexpr Time kIdleSweepInterval = 50'000;
 constexpr Time kIdleAfter = 200'000;        // a client may send its request this long after connecting
-constexpr Time kEndCheckInterval = 50'000;  // of connections that are not being read
-constexpr Time kReadGrace = 10'000;         // for the loop to read input that waits when a deadline passes
+constexpr Time kEndCheckInterval = 50'000;  // between checks whether the peer of an unread socket has closed
+constexpr Time kReadGrace = 10'000;         // a deadline that passes while input waits is postponed by this
 constexpr int kMaxEvictionAttempts = 4;     // per new connection
 
 }  // namespace
@@ -77,8 +79,7 @@
 // Keeps the process from running out of descriptors. Closes, in this order of preference: a lingering
 // connection whose last response is sent; the connection that has been idle longest after a response, since
 // HTTP allows closing between requests; a connection without a complete request for long, since most clients
-// send theirs at once. Returns false if there is no capacity for another served
-// connection.
+// send theirs at once. Returns false if there is no capacity for another served connection.
 bool Downstream::EvictConnection() {
   if (clients_.size() < max_served_) return true;
   for (int attempt = 0; attempt < kMaxEvictionAttempts; ++attempt) {
@@ -249,9 +250,9 @@
 
 // ---- Requests ----
 
-// Closes connections that occupy a socket without sending a complete request in time; one that has sent part
-// of a request gets an error first. Used connections get more time, as their clients may send another
-// request.
+// Sets when a connection is closed that has not sent a complete request by then, so that it does not occupy a
+// socket; one that has sent part of a request gets an error first. The callers give used connections more
+// time, as their clients may send another request.
 void Downstream::SetRequestDeadline(Handle handle, Time at) {
   Client& c = *clients_.Get(handle);
   runtime_->deadlines->Cancel(c.deadline);
@@ -305,7 +306,7 @@
   if (c.state == State::kIdle) {
     c.state = State::kReading;
     c.parser.request().first_byte = c.arrivals.First(Now());
-    // The time of the first request started with the connection.
+    // The deadline of the first request was set when the connection was accepted.
     if (c.used) SetRequestDeadline(handle, Now() + options_.request_timeout);
   }
   const std::string bytes = std::exchange(c.unparsed, {});
--- a/src/http/downstream.h
+++ b/src/http/downstream.h
@@ -34,7 +34,7 @@
 // Owns the connections and the listener.
 class Downstream : public TcpOwner {
  public:
-  // Only the maximum number of connections can be changed later.
+  // Fixed for the lifetime of the object, except for the maximum number of connections.
   struct Options {
     std::string listen;  // ip:port; with port 0 the kernel chooses the port
     // SO_REUSEPORT, so that a new process can listen beside this one during a hot restart.
--- a/src/http/request_parser.h
+++ b/src/http/request_parser.h
@@ -14,7 +14,7 @@
 
 namespace ryeglade {
 
-// Fronts get only complete requests.
+// A request. Fronts get only complete ones.
 struct HttpRequest {
   explicit HttpRequest(BufferPool* pool) : body(pool) {}
   std::string method, target;
@@ -24,11 +24,11 @@
   bool http11 = true;   // HTTP/1.1 or a later 1.x
 
   std::string_view Path() const { return std::string_view(target).substr(0, target.find('?')); }
-  // Returns the value of the first field with this name, in any case; null if there is none.
+  // Returns the value of the first field with this name, ignoring case; nullptr if there is none.
   const std::string* Header(std::string_view name) const;
 };
 
-// One per connection; reset before each request.
+// One per connection; Reset is called before each request after the first.
 class RequestParser {
  public:
   // `pool` is not owned; `max_body` is in bytes.
