--- a/tests/class_update_test.cpp
+++ b/tests/class_update_test.cpp
@@ -9,12 +9,13 @@
 namespace ryeglade {
 namespace {
 
+// The settings that the node was started with.
 const std::string kInForce =
     "classes.count=2\nclasses.0.name=docs\nclasses.0.deadline=5000000\nclasses.0.promise=1000000\n"
     "classes.0.effect=free\nclasses.1.name=agent\nclasses.1.deadline=7500000\nclasses.1.promise=1500000\n"
     "classes.1.effect=free\nlimits.max-attempts=6\nlimits.idle-close=5000000\n";
 
-// Returns `text` with the first `from` replaced by `to`.
+// Returns `text` with the first occurrence of `from` replaced by `to`.
 std::string Replaced(std::string text, const std::string& from, const std::string& to) {
   const std::size_t at = text.find(from);
   if (at != std::string::npos) text.replace(at, from.size(), to);
--- a/tests/duplicate_execution_test.cpp
+++ b/tests/duplicate_execution_test.cpp
@@ -17,6 +17,7 @@
 
 const std::string kUnreachable = "127.0.0.1:9";  // address of a discovery service that the node does not need
 
+// A class's effect and deduplication scope, and what follows from them.
 struct EffectCase {
   const char* effect;
   const char* scope;
--- a/tests/event_delay.cpp
+++ b/tests/event_delay.cpp
@@ -1,6 +1,6 @@
 // Measures how long a node delays the events of a stream. kStreams streams run at once, and the next event is
 // sent only after every client has received the previous one: a node that held an event back until the next
-// one, or until more bytes, arrive would never deliver it. `event_delay PROGRAM` runs the test and prints the
+// event or further bytes arrive would never deliver it. `event_delay PROGRAM` runs the test and prints the
 // delays.
 #include <algorithm>
 #include <chrono>
@@ -19,11 +19,13 @@
 constexpr int kEventsPerLateEvent = 20;      // at most one in this many events may be late
 constexpr std::size_t kLargeBytes = 60'000;  // of the text of a large event
 
+// One stream, with the client's and the host's end of it.
 struct RunningStream {
   Connection client, host;
   Clock::time_point sent;  // when the last part of the current event was sent
 };
 
+// Returns the last bytes of an event, which differ from those of all other events.
 std::string EventEnd(int event) { return " event=" + std::to_string(event) + "\n\n"; }
 
 // Sends an event, or its first part, and sets `rest` to what is left. `form` selects how it is sent: 0
--- a/tests/event_stream_test.cpp
+++ b/tests/event_stream_test.cpp
@@ -10,18 +10,21 @@
 namespace ryeglade {
 namespace {
 
+// An event with its text copied.
 struct ParsedEvent {
   std::string data, type, id;
   bool has_data;
   bool operator==(const ParsedEvent&) const = default;
 };
 
+// What was parsed of a stream.
 struct ParseResult {
-  std::vector<ParsedEvent> events;
-  std::string raw;
-  bool ok = true;
+  std::vector<ParsedEvent> events;  // blocks without data are left out
+  std::string raw;                  // the bytes of all blocks, complete or not
+  bool ok = true;                   // false if the stream was rejected
 };
 
+// Parses a stream that arrives in these pieces.
 ParseResult Feed(const std::vector<std::string>& pieces, std::size_t max_block = 1 << 20) {
   EventStream stream(max_block);
   ParseResult result;
--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -28,6 +28,7 @@
 
 using policy::Time;
 
+// Returns the plan for classes with these deadlines, in microseconds.
 TerminationPlan PlanFor(std::vector<Time> deadlines) {
   std::vector<policy::ClassSettings> classes;
   for (const Time deadline : deadlines) classes.emplace_back().time_budget = deadline;
@@ -182,6 +183,7 @@
 
 // ---- Writes that the kernel takes only partly ----
 
+// Ignores all events.
 struct NoOwner : TcpOwner {
   void OnConnected(Handle, int) override {}
   void OnRead(Handle, std::string_view) override {}
--- a/tests/request_lifecycle.cpp
+++ b/tests/request_lifecycle.cpp
@@ -14,7 +14,8 @@
 std::string program;
 const std::string kUnreachable = "127.0.0.1:9";  // address of a discovery service that the node does not need
 
-struct SingleHostNode {  // a node with one upstream host
+// A node with one upstream host.
+struct SingleHostNode {
   ScriptedServer host;
   Node node{program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kUnreachable};
 };
@@ -65,8 +66,8 @@
   assert(client.ReadToEnd() == "\r\n");
 }
 
-// The same happens when the host sends nothing more: its connection stays open, so only the node's idle
-// timeout detects it.
+// A host that sends nothing more has the same effect as one whose connection breaks. Its connection stays
+// open, so only the node's idle timeout detects this.
 void UpstreamStreamStalls() {
   SingleHostNode setup;
   Connection client = setup.node.Connect();
@@ -332,6 +333,7 @@
   assert(time_of("event=stopped") - time_of("event=draining") >= 700);
 }
 
+// Accepts the node's watch, which must start from generation `since`, and sends the response head.
 Connection AcceptWatch(const ScriptedServer& discovery, const std::string& since) {
   Connection watch = discovery.Accept();
   assert(Contains(watch.ReadMessage(), "GET /catalog/members?follow=1&since=" + since + " "));
@@ -349,6 +351,7 @@
   });
 }
 
+// Sends a request through the node and serves it at `host`, which must be where the node sends it.
 void ServeRequest(const Node& node, const ScriptedServer& host, const std::string& id) {
   Connection client = node.Connect();
   client.Send(RequestText(id));
@@ -360,8 +363,8 @@
   client.ReadUntil("0\r\n\r\n");
 }
 
-// Endpoint lists: the node serves from its cached list (`known`) while discovery is down, then follows a
-// replacement, a changed address, a draining replica, and a watch that is opened again.
+// Changes of the endpoint list: the node serves from its cached list (`known`) while discovery is down, then
+// follows a replacement, a changed address, a draining replica, and a watch that is opened again.
 void ListChanges() {
   ScriptedServer discovery, a, b, c;
   Node node(program, EndpointListJson(4, true, {InstanceJson("s-a", a.address())}), discovery.address(),
