--- a/src/core/connection_pool.cpp
+++ b/src/core/connection_pool.cpp
@@ -17,16 +17,16 @@
                                                 std::function<void(Handle)> on_timeout) {
   if (connections_.size() >= max_connections_ && !EvictIdleConnection()) return {0, EMFILE};
   const Handle handle = connections_.Add({});
-  UpstreamConnection& c = *connections_.Get(handle);
-  c.host = host;
-  c.request = request;
-  c.tcp = Tcp::New(core_->loop, core_->buffers, owner_, handle);
+  UpstreamConnection& connection = *connections_.Get(handle);
+  connection.host = host;
+  connection.request = request;
+  connection.tcp = Tcp::New(core_->loop, core_->buffers, owner_, handle);
   const Time connect_by = Now() + core_->config->settings.connect_timeout;
-  c.deadline = core_->deadlines->Set(connect_by, [this, handle, on_timeout = std::move(on_timeout)] {
+  connection.deadline = core_->deadlines->Set(connect_by, [this, handle, on_timeout = std::move(on_timeout)] {
     const UpstreamConnection* late = connections_.Get(handle);
     if (late != nullptr && !late->connected) on_timeout(handle);
   });
-  const int error = c.tcp->Connect(hosts_->Find(host)->address);
+  const int error = connection.tcp->Connect(hosts_->Find(host)->address);
   if (error == 0) return {handle, 0};
   Close(handle);
   return {0, -error};  // libuv's codes are errno's values, negated
@@ -39,10 +39,10 @@
   Time oldest_since = 0;
   for (const auto& [host, idle] : idle_) {
     if (idle.empty()) continue;
-    const UpstreamConnection* c = connections_.Get(idle.front());
-    if (c != nullptr && (oldest == 0 || c->idle_since < oldest_since)) {
+    const UpstreamConnection* connection = connections_.Get(idle.front());
+    if (connection != nullptr && (oldest == 0 || connection->idle_since < oldest_since)) {
       oldest = idle.front();
-      oldest_since = c->idle_since;
+      oldest_since = connection->idle_since;
     }
   }
   if (oldest == 0) return false;
@@ -59,12 +59,12 @@
   std::vector<Handle>& idle = found->second;
   for (std::size_t n = idle.size(); n-- > 0;) {
     const Handle handle = idle[n];
-    const UpstreamConnection* c = connections_.Get(handle);
-    if (c == nullptr || Now() - c->idle_since < kMinIdleTime) continue;
+    const UpstreamConnection* connection = connections_.Get(handle);
+    if (connection == nullptr || Now() - connection->idle_since < kMinIdleTime) continue;
     // After the process was stopped for a while, the deadline that closes the connection may have passed
     // without having been run yet. A host that has dropped the connection need not send anything that shows
     // it.
-    if (Now() < c->deadline.at && c->tcp->NothingToRead()) {
+    if (Now() < connection->deadline.at && connection->tcp->NothingToRead()) {
       idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(n));
       return handle;
     }
@@ -76,29 +76,29 @@
 // The deadline closes the connection before the host's own idle timeout does: a request sent just as the host
 // closes the connection would fail with a reset.
 void ConnectionPool::Return(Handle handle) {
-  UpstreamConnection& c = *connections_.Get(handle);
-  if (!hosts_->Contains(c.host)) return Close(handle);
-  c.request = 0;
-  c.request_written = false;
-  c.response = {};
-  c.buffered_body.clear();
-  c.first_byte_at = 0;
-  c.tcp->StartReading();  // reading may have been paused for the previous client
-  c.idle_since = Now();
+  UpstreamConnection& connection = *connections_.Get(handle);
+  if (!hosts_->Contains(connection.host)) return Close(handle);
+  connection.request = 0;
+  connection.request_written = false;
+  connection.response = {};
+  connection.buffered_body.clear();
+  connection.first_byte_at = 0;
+  connection.tcp->StartReading();  // reading may have been paused for the previous client
+  connection.idle_since = Now();
   const Time host_closes_after = core_->config->idle_timeout;
   const Time margin = std::min(kIdleCloseMargin, host_closes_after / 4);
-  core_->deadlines->Cancel(c.deadline);
-  c.deadline =
-      core_->deadlines->Set(c.idle_since + host_closes_after - margin, [this, handle] { Close(handle); });
-  idle_[c.host].push_back(handle);
+  core_->deadlines->Cancel(connection.deadline);
+  connection.deadline = core_->deadlines->Set(connection.idle_since + host_closes_after - margin,
+                                              [this, handle] { Close(handle); });
+  idle_[connection.host].push_back(handle);
 }
 
 void ConnectionPool::Close(Handle handle) {
-  UpstreamConnection* c = connections_.Get(handle);
-  if (c == nullptr) return;
-  if (const auto idle = idle_.find(c->host); idle != idle_.end()) std::erase(idle->second, handle);
-  core_->deadlines->Cancel(c->deadline);
-  c->tcp->Close();
+  UpstreamConnection* connection = connections_.Get(handle);
+  if (connection == nullptr) return;
+  if (const auto idle = idle_.find(connection->host); idle != idle_.end()) std::erase(idle->second, handle);
+  core_->deadlines->Cancel(connection->deadline);
+  connection->tcp->Close();
   connections_.Remove(handle);
 }
 
--- a/src/core/discovery.cpp
+++ b/src/core/discovery.cpp
@@ -91,28 +91,28 @@
 
 void Discovery::StartRequest(RequestKind kind) {
   const Handle handle = requests_.Add({});
-  Request& r = *requests_.Get(handle);
-  r.kind = kind;
+  Request& request = *requests_.Get(handle);
+  request.kind = kind;
   if (kind == RequestKind::kWatch) watch_ = handle;
   if (kind == RequestKind::kSwitchPoll) switch_poll_ = handle;
-  r.tcp = Tcp::New(core_->loop, core_->buffers, this, handle);
+  request.tcp = Tcp::New(core_->loop, core_->buffers, this, handle);
   sockaddr_storage address{};
   ParseAddress(address_, &address);
   SetTimeout(handle, kConnectTimeout);
-  if (r.tcp->Connect(address) != 0) Fail(handle, "connect");
+  if (request.tcp->Connect(address) != 0) Fail(handle, "connect");
 }
 
 void Discovery::SetTimeout(Handle handle, Time timeout) {
-  Request& r = *requests_.Get(handle);
-  core_->deadlines->Cancel(r.deadline);
-  r.deadline = core_->deadlines->Set(Now() + timeout, [this, handle] { Fail(handle, "silent"); });
+  Request& request = *requests_.Get(handle);
+  core_->deadlines->Cancel(request.deadline);
+  request.deadline = core_->deadlines->Set(Now() + timeout, [this, handle] { Fail(handle, "silent"); });
 }
 
 void Discovery::Close(Handle handle) {
-  Request* r = requests_.Get(handle);
-  if (r == nullptr) return;
-  core_->deadlines->Cancel(r->deadline);
-  r->tcp->Close();
+  Request* request = requests_.Get(handle);
+  if (request == nullptr) return;
+  core_->deadlines->Cancel(request->deadline);
+  request->tcp->Close();
   requests_.Remove(handle);
 }
 
@@ -121,11 +121,11 @@
 }
 
 void Discovery::Fail(Handle handle, const char* reason) {
-  const Request* r = requests_.Get(handle);
-  if (r == nullptr) return;
-  const RequestKind kind = r->kind;
+  const Request* request = requests_.Get(handle);
+  if (request == nullptr) return;
+  const RequestKind kind = request->kind;
   const char* source = kind == RequestKind::kWatch ? "watch" : "fetch";
-  Log(Level::kWarn, "discovery-failed", {{"call", source}, {"why", reason}, {"status", r->status}});
+  Log(Level::kWarn, "discovery-failed", {{"call", source}, {"why", reason}, {"status", request->status}});
   const bool was_previous_watch = handle == previous_watch_;
   if (handle == watch_) watch_ = 0;
   if (handle == previous_watch_) previous_watch_ = 0;
@@ -163,13 +163,13 @@
       return 0;
     };
     s.on_body = [](http_parser* p, const char* at, std::size_t n) {
-      Request& r = *static_cast<Request*>(p->data);
-      r.body.append(at, n);
-      return r.body.size() > kMaxListBytes ? 1 : 0;
+      Request& request = *static_cast<Request*>(p->data);
+      request.body.append(at, n);
+      return request.body.size() > kMaxListBytes ? 1 : 0;
     };
     s.on_message_complete = [](http_parser* p) {
-      Request& r = *static_cast<Request*>(p->data);
-      r.complete = r.status >= 200;
+      Request& request = *static_cast<Request*>(p->data);
+      request.complete = request.status >= 200;
       return 0;
     };
     return s;
@@ -178,57 +178,58 @@
 }
 
 void Discovery::OnConnected(Handle handle, int status) {
-  Request* r = requests_.Get(handle);
-  if (r == nullptr) return;
+  Request* request = requests_.Get(handle);
+  if (request == nullptr) return;
   if (status != 0) return Fail(handle, "connect");
-  http_parser_init(&r->parser, HTTP_RESPONSE);
-  r->parser.data = r;
+  http_parser_init(&request->parser, HTTP_RESPONSE);
+  request->parser.data = request;
   std::string target = "/catalog/members";
-  if (r->kind == RequestKind::kWatch) {
+  if (request->kind == RequestKind::kWatch) {
     target += "?follow=1&since=" + std::to_string(endpoints_.generation());
   }
   SetTimeout(handle, kResponseTimeout);
-  r->tcp->StartReading();
-  if (!r->tcp->Write("GET " + target + " HTTP/1.1\r\nHost: " + address_ + "\r\n\r\n")) Fail(handle, "write");
+  request->tcp->StartReading();
+  if (!request->tcp->Write("GET " + target + " HTTP/1.1\r\nHost: " + address_ + "\r\n\r\n"))
+    Fail(handle, "write");
 }
 
 void Discovery::OnDisconnected(Handle handle) { Fail(handle, "ended"); }
 
 void Discovery::OnRead(Handle handle, std::string_view bytes) {
-  Request* r = requests_.Get(handle);
-  if (r == nullptr) return;
-  http_parser_execute(&r->parser, &Callbacks(), bytes.data(), bytes.size());
-  if (HTTP_PARSER_ERRNO(&r->parser) != HPE_OK) return Fail(handle, "malformed");
-  if (r->status != 0 && r->status != 200) return Fail(handle, "status");
-  if (r->kind == RequestKind::kWatch) {
+  Request* request = requests_.Get(handle);
+  if (request == nullptr) return;
+  http_parser_execute(&request->parser, &Callbacks(), bytes.data(), bytes.size());
+  if (HTTP_PARSER_ERRNO(&request->parser) != HPE_OK) return Fail(handle, "malformed");
+  if (request->status != 0 && request->status != 200) return Fail(handle, "status");
+  if (request->kind == RequestKind::kWatch) {
     ReadWatch(handle);
-  } else if (r->complete) {
+  } else if (request->complete) {
     ReadList(handle);
   }
 }
 
 void Discovery::ReadWatch(Handle handle) {
   using Found = JsonObjectReader::Found;
-  Request* r = requests_.Get(handle);
-  r->objects.Append(std::exchange(r->body, {}));
+  Request* request = requests_.Get(handle);
+  request->objects.Append(std::exchange(request->body, {}));
   std::string object;
   for (;;) {
-    const Found found = r->objects.Next(&object);
+    const Found found = request->objects.Next(&object);
     if (found == Found::kMalformed) return Fail(handle, "malformed");
     if (found == Found::kIncomplete) break;
     SetTimeout(handle, kWatchIdleTimeout);
     const bool is_list = found == Found::kObject;
     if (is_list && !ApplyWatchEvent(handle, object)) return Fail(handle, "malformed");
     if (handle == watch_) Close(std::exchange(previous_watch_, 0));
-    r = requests_.Get(handle);  // applying the list may have led to this request being closed
-    if (r == nullptr) return;
-    if (is_list && !std::exchange(r->list_received, true)) {
+    request = requests_.Get(handle);  // applying the list may have led to this request being closed
+    if (request == nullptr) return;
+    if (is_list && !std::exchange(request->list_received, true)) {
       const auto generation = static_cast<unsigned long long>(endpoints_.generation());
       Log(Level::kInfo, "watching", {{"generation", generation}});
     }
   }
-  if (r->objects.pending() > kMaxListBytes) return Fail(handle, "malformed");
-  if (r->complete) Fail(handle, "ended");
+  if (request->objects.pending() > kMaxListBytes) return Fail(handle, "malformed");
+  if (request->complete) Fail(handle, "ended");
 }
 
 // Returns false if the object is not an endpoint list. During a switch only withdrawals are taken from the
@@ -246,9 +247,9 @@
 }
 
 void Discovery::ReadList(Handle handle) {
-  Request* r = requests_.Get(handle);
-  const RequestKind kind = r->kind;
-  const auto list = ParseEndpointList(std::exchange(r->body, {}), *core_->config);
+  Request* request = requests_.Get(handle);
+  const RequestKind kind = request->kind;
+  const auto list = ParseEndpointList(std::exchange(request->body, {}), *core_->config);
   if (!list) return Fail(handle, "malformed");
   endpoints_.Apply(*list, EndpointListScope::kFull, "fetch");
   NotifyFirstResult();
--- a/src/core/endpoint_list_parser.cpp
+++ b/src/core/endpoint_list_parser.cpp
@@ -56,15 +56,15 @@
   listed.lifecycle = TextField(entry, "lifecycle");
   listed.host_port = TextField(entry, "hostPort");
   listed.started_at_ms = NumberField(entry, "startedAtMs", 0);
-  Endpoint& e = listed.endpoint;
-  e.state = StateOf(listed.lifecycle);
-  e.weight = NumberField(entry, "weight", 1.0);
-  e.zone = IndexOf(config.zones, entry, "zone");
-  e.kind = IndexOf(config.replica_kinds, entry, "machineType");
-  e.cell = static_cast<int>(std::clamp(NumberField(entry, "cell", kNoCell), kNoCell, kMaxCell));
-  e.started_at = static_cast<Time>(std::clamp(listed.started_at_ms, 0.0, kMaxStartedAtMs)) * 1000;
+  Endpoint& endpoint = listed.endpoint;
+  endpoint.state = StateOf(listed.lifecycle);
+  endpoint.weight = NumberField(entry, "weight", 1.0);
+  endpoint.zone = IndexOf(config.zones, entry, "zone");
+  endpoint.kind = IndexOf(config.replica_kinds, entry, "machineType");
+  endpoint.cell = static_cast<int>(std::clamp(NumberField(entry, "cell", kNoCell), kNoCell, kMaxCell));
+  endpoint.started_at = static_cast<Time>(std::clamp(listed.started_at_ms, 0.0, kMaxStartedAtMs)) * 1000;
   sockaddr_storage address{};
-  if (e.state != EndpointState::kRemoved && !ParseAddress(listed.host_port, &address)) {
+  if (endpoint.state != EndpointState::kRemoved && !ParseAddress(listed.host_port, &address)) {
     listed.invalid = InvalidEntry::kAddress;
   }
   return listed;
--- a/src/core/endpoint_table.cpp
+++ b/src/core/endpoint_table.cpp
@@ -59,17 +59,17 @@
     return known ? names[static_cast<std::size_t>(index)] : "";
   };
   json instances = json::array();
-  for (const auto& [id, e] : last_listed_) {
+  for (const auto& [id, endpoint] : last_listed_) {
     const auto name = names_.find(id);
     if (name == names_.end()) continue;
     instances.push_back({{"instanceId", name->second},
                          {"hostPort", core_->hosts->AddressOf(id)},
-                         {"zone", name_at(core_->config->zones, e.zone)},
-                         {"machineType", name_at(core_->config->replica_kinds, e.kind)},
-                         {"cell", e.cell},
-                         {"weight", e.weight},
-                         {"startedAtMs", e.started_at / 1000},
-                         {"lifecycle", e.state == EndpointState::kReady ? "active" : "leaving"}});
+                         {"zone", name_at(core_->config->zones, endpoint.zone)},
+                         {"machineType", name_at(core_->config->replica_kinds, endpoint.kind)},
+                         {"cell", endpoint.cell},
+                         {"weight", endpoint.weight},
+                         {"startedAtMs", endpoint.started_at / 1000},
+                         {"lifecycle", endpoint.state == EndpointState::kReady ? "active" : "leaving"}});
   }
   return json{{"generation", generation_}, {"reset", true}, {"instances", std::move(instances)}}.dump(
       -1, ' ', false, json::error_handler_t::replace);
@@ -113,22 +113,22 @@
 void EndpointTable::ApplyEntry(const ListedEndpoint& entry, EndpointList* update, std::set<ReplicaId>* listed,
                                std::vector<ReplicaId>* removed) {
   if (entry.invalid != InvalidEntry::kNone) return LogInvalid(entry);
-  Endpoint e = entry.endpoint;
-  e.id = IdOf(entry.name);
-  e.started_at = incarnations_.StartOf(e.id, e.started_at, Now());
-  if (e.state == EndpointState::kRemoved) {
-    removed->push_back(e.id);
-    last_listed_.erase(e.id);
+  Endpoint endpoint = entry.endpoint;
+  endpoint.id = IdOf(entry.name);
+  endpoint.started_at = incarnations_.StartOf(endpoint.id, endpoint.started_at, Now());
+  if (endpoint.state == EndpointState::kRemoved) {
+    removed->push_back(endpoint.id);
+    last_listed_.erase(endpoint.id);
   } else {
-    last_listed_[e.id] = e;
-    ApplyDisabled(disabled_, entry.name, e);
-    core_->hosts->SetHost(e.id, entry.host_port);
+    last_listed_[endpoint.id] = endpoint;
+    ApplyDisabled(disabled_, entry.name, endpoint);
+    core_->hosts->SetHost(endpoint.id, entry.host_port);
     if (core_->endpoint_observer != nullptr) {
-      core_->endpoint_observer->OnEndpoint(Now(), e, entry.name, entry.host_port);
+      core_->endpoint_observer->OnEndpoint(Now(), endpoint, entry.name, entry.host_port);
     }
-    listed->insert(e.id);
+    listed->insert(endpoint.id);
   }
-  update->endpoints.push_back(e);
+  update->endpoints.push_back(endpoint);
 }
 
 void EndpointTable::Forget(ReplicaId id) {
@@ -164,8 +164,8 @@
 // that it decided on by the old list and that have not been written are dropped.
 void EndpointTable::Post(EndpointList update) {
   std::vector<ReplicaId> not_ready;
-  for (const Endpoint& e : update.endpoints) {
-    if (e.state != EndpointState::kReady) not_ready.push_back(e.id);
+  for (const Endpoint& endpoint : update.endpoints) {
+    if (endpoint.state != EndpointState::kReady) not_ready.push_back(endpoint.id);
   }
   core_->events->Post(std::move(update));
   for (const ReplicaId id : not_ready) core_->hosts->DropUnsent(id);
@@ -174,12 +174,13 @@
 // ---- Replicas that operators disabled ----
 
 // Overrides the state and the start in `e` for a replica that was disabled or enabled again.
-void EndpointTable::ApplyDisabled(const DisabledReplicas& disabled, const std::string& name, Endpoint& e) {
-  if (disabled.disabled.contains(name) && e.state == EndpointState::kReady) {
-    e.state = EndpointState::kDraining;
+void EndpointTable::ApplyDisabled(const DisabledReplicas& disabled, const std::string& name,
+                                  Endpoint& endpoint) {
+  if (disabled.disabled.contains(name) && endpoint.state == EndpointState::kReady) {
+    endpoint.state = EndpointState::kDraining;
   }
   if (const auto enabled = disabled.enabled.find(name); enabled != disabled.enabled.end()) {
-    e.started_at = std::max(e.started_at, enabled->second);
+    endpoint.started_at = std::max(endpoint.started_at, enabled->second);
   }
 }
 
@@ -221,9 +222,9 @@
     disabled_.enabled[instance] = Now();
   }
   if (!listed) return true;
-  Endpoint e = last_listed_.at(id->second);
-  ApplyDisabled(disabled_, instance, e);
-  Post(EndpointList{EndpointListScope::kDelta, static_cast<std::uint32_t>(generation_), {e}});
+  Endpoint endpoint = last_listed_.at(id->second);
+  ApplyDisabled(disabled_, instance, endpoint);
+  Post(EndpointList{EndpointListScope::kDelta, static_cast<std::uint32_t>(generation_), {endpoint}});
   return true;
 }
 
--- a/src/core/endpoint_table.h
+++ b/src/core/endpoint_table.h
@@ -56,7 +56,8 @@
                   std::vector<ReplicaId>* removed);
   void Forget(ReplicaId id);
   void Post(policy::EndpointList update);
-  static void ApplyDisabled(const DisabledReplicas& disabled, const std::string& name, policy::Endpoint& e);
+  static void ApplyDisabled(const DisabledReplicas& disabled, const std::string& name,
+                            policy::Endpoint& endpoint);
 
   Core* core_;
   std::uint64_t generation_ = 0;
--- a/src/core/learned_state_codec.cpp
+++ b/src/core/learned_state_codec.cpp
@@ -139,29 +139,29 @@
     if (at != in.end()) Decode(*at, v, name);
   }
   template <class T>
-  static void Decode(const json& j, T& v, const char* name) {
+  static void Decode(const json& encoded, T& v, const char* name) {
     if constexpr (std::is_arithmetic_v<T>) {
-      if (!j.is_number()) throw std::runtime_error(std::string(name) + " is not a number");
-      const double d = j.get<double>();
+      if (!encoded.is_number()) throw std::runtime_error(std::string(name) + " is not a number");
+      const double d = encoded.get<double>();
       if constexpr (std::is_same_v<T, std::uint64_t> || std::is_same_v<T, std::uint32_t>) {
-        if (!j.is_number_unsigned())
+        if (!encoded.is_number_unsigned())
           throw std::runtime_error(std::string(name) + " is not an unsigned integer");
       } else if (!std::isfinite(d) || std::abs(d) > kMaxNumber) {
         throw std::runtime_error(std::string(name) + " is out of range");
       }
-      v = j.get<T>();
+      v = encoded.get<T>();
     } else if constexpr (IsVector<T>::value) {
-      CheckList(j, name);
+      CheckList(encoded, name);
       v.clear();
-      for (const json& e : j) {
+      for (const json& e : encoded) {
         typename T::value_type element{};
         Decode(e, element, name);
         v.push_back(std::move(element));
       }
     } else if constexpr (IsMap<T>::value) {
-      CheckList(j, name);
+      CheckList(encoded, name);
       v.clear();
-      for (const json& e : j) {
+      for (const json& e : encoded) {
         if (!e.is_array() || e.size() != 2)
           throw std::runtime_error(std::string(name) + " has an entry that is not a [key, value] pair");
         typename T::key_type key{};
@@ -171,14 +171,14 @@
         v.emplace(key, std::move(element));
       }
     } else {
-      if (!j.is_object()) throw std::runtime_error(std::string(name) + " is not an object");
-      Decoder inner{j};
+      if (!encoded.is_object()) throw std::runtime_error(std::string(name) + " is not an object");
+      Decoder inner{encoded};
       Fields(inner, v);
     }
   }
-  static void CheckList(const json& j, const char* name) {
-    if (!j.is_array()) throw std::runtime_error(std::string(name) + " is not an array");
-    if (j.size() > kMaxEntries)
+  static void CheckList(const json& encoded, const char* name) {
+    if (!encoded.is_array()) throw std::runtime_error(std::string(name) + " is not an array");
+    if (encoded.size() > kMaxEntries)
       throw std::runtime_error(std::string(name) + " has more than " + std::to_string(kMaxEntries) +
                                " entries");
   }
@@ -240,10 +240,11 @@
 
 std::optional<LearnedState> DecodeLearnedState(const std::string& bytes, std::string* error) {
   try {
-    const json j = json::from_msgpack(bytes, true, false);
-    if (!j.is_object()) throw std::runtime_error("not an encoded learned state: expected a MessagePack map");
+    const json encoded = json::from_msgpack(bytes, true, false);
+    if (!encoded.is_object())
+      throw std::runtime_error("not an encoded learned state: expected a MessagePack map");
     LearnedState learned;
-    Decoder decoder{j};
+    Decoder decoder{encoded};
     Fields(decoder, learned);
     if (const char* invalid = FindInvalid(learned))
       throw std::runtime_error(std::string(invalid) + " is out of range");
--- a/src/core/streams.cpp
+++ b/src/core/streams.cpp
@@ -34,17 +34,18 @@
   Time time_left = std::max<Time>(0, request.arrival.time_budget - (now - request.received_at));
   if (conclude_by_ != 0) time_left = std::min(time_left, std::max<Time>(0, conclude_by_ - now));
   core_->dialect->Prepare(request);
-  Stream stream{std::move(request)};
-  stream.sink = sink;
-  stream.client = client;
-  stream.class_name = class_name;
-  const Handle handle = streams_.Add(std::move(stream));
-  Stream& s = *streams_.Get(handle);
-  s.request.arrival.id = handle;
-  s.request.arrival.time_budget = time_left;
-  SetDeadline(s, handle, now + time_left);
-  if (core_->stream_observer != nullptr) core_->stream_observer->OnCallId(now, handle, s.request.call_id);
-  core_->events->Post(s.request.arrival);
+  Stream new_stream{std::move(request)};
+  new_stream.sink = sink;
+  new_stream.client = client;
+  new_stream.class_name = class_name;
+  const Handle handle = streams_.Add(std::move(new_stream));
+  Stream& stream = *streams_.Get(handle);
+  stream.request.arrival.id = handle;
+  stream.request.arrival.time_budget = time_left;
+  SetDeadline(stream, handle, now + time_left);
+  if (core_->stream_observer != nullptr)
+    core_->stream_observer->OnCallId(now, handle, stream.request.call_id);
+  core_->events->Post(stream.request.arrival);
   return handle;
 }
 
@@ -56,12 +57,12 @@
 
 // Sets the watchdog, so that every stream is concluded. Usually the decision module concludes it earlier, if
 // only because the upstream request times out; but not if a request arrives with very little time left.
-void Streams::SetDeadline(Stream& s, Handle handle, Time deadline) {
+void Streams::SetDeadline(Stream& stream, Handle handle, Time deadline) {
   const Time time_left = std::max<Time>(0, deadline - Now());
-  s.deadline = deadline;
-  core_->deadlines->Cancel(s.watchdog);
-  s.watchdog = core_->deadlines->Set(deadline - Margin(time_left, kWatchdogMargin),
-                                     [this, handle] { OnWatchdog(handle); });
+  stream.deadline = deadline;
+  core_->deadlines->Cancel(stream.watchdog);
+  stream.watchdog = core_->deadlines->Set(deadline - Margin(time_left, kWatchdogMargin),
+                                          [this, handle] { OnWatchdog(handle); });
 }
 
 // The time budget is used up. Which response is correct depends on whether an attempt may have run, so the
@@ -69,16 +70,18 @@
 // flight. If it still does not conclude the stream, the stream fails here, which does not promise that the
 // request can be repeated safely.
 void Streams::OnWatchdog(Handle handle) {
-  const Stream* s = streams_.Get(handle);
-  if (s == nullptr || s->started) return;
+  const Stream* stream = streams_.Get(handle);
+  if (stream == nullptr || stream->started) return;
   core_->events->Post(policy::DeadlineShortened{handle, 0});
-  s = streams_.Get(handle);
-  if (s == nullptr) return;
-  core_->upstream_requests->Abort(s->upstream_request);
-  s = streams_.Get(handle);
-  if (s == nullptr) return;
+  stream = streams_.Get(handle);
+  if (stream == nullptr) return;
+  core_->upstream_requests->Abort(stream->upstream_request);
+  stream = streams_.Get(handle);
+  if (stream == nullptr) return;
   Log(Level::kError, "watchdog-reply",
-      {{"id", s->request.call_id}, {"out", s->upstream_request != 0}, {"written", s->attempts_written}});
+      {{"id", stream->request.call_id},
+       {"out", stream->upstream_request != 0},
+       {"written", stream->attempts_written}});
   if (core_->counters != nullptr) ++core_->counters->watchdog_replies;
   core_->events->Post(policy::ClientDisconnected{handle});  // so that the decision module ends the request
   Fail(handle);
@@ -93,12 +96,12 @@
   conclude_by_ = conclude_by;
   accept_until_ = accept_until;
   for (const Handle handle : streams_.All()) {
-    Stream* s = streams_.Get(handle);
-    if (s == nullptr || s->started || s->deadline <= conclude_by) continue;
-    SetDeadline(*s, handle, conclude_by);
+    Stream* stream = streams_.Get(handle);
+    if (stream == nullptr || stream->started || stream->deadline <= conclude_by) continue;
+    SetDeadline(*stream, handle, conclude_by);
     const Time time_left = std::max<Time>(0, conclude_by - Now());
     const Time attempt_by = conclude_by - Margin(time_left, kAttemptMargin);
-    core_->upstream_requests->ShortenDeadline(s->upstream_request, attempt_by);
+    core_->upstream_requests->ShortenDeadline(stream->upstream_request, attempt_by);
     core_->events->Post(policy::DeadlineShortened{handle, time_left});
   }
   if (!core_->config->settings.can_migrate_streams) return;
@@ -134,39 +137,40 @@
 // ---- The client ----
 
 bool Streams::CheckClientConnected(Handle handle) {
-  const Stream* s = streams_.Get(handle);
-  if (s == nullptr) return false;
-  if (s->sink->Connected(s->client)) return true;
+  const Stream* stream = streams_.Get(handle);
+  if (stream == nullptr) return false;
+  if (stream->sink->Connected(stream->client)) return true;
   OnClientDisconnected(handle);
   return false;
 }
 
 void Streams::OnClientDisconnected(Handle handle) {
-  const Stream* s = streams_.Get(handle);
-  if (s == nullptr) return;
-  Log(Level::kInfo, "client-disconnected", {{"id", s->request.call_id}, {"started", s->started ? 1 : 0}});
+  const Stream* stream = streams_.Get(handle);
+  if (stream == nullptr) return;
+  Log(Level::kInfo, "client-disconnected",
+      {{"id", stream->request.call_id}, {"started", stream->started ? 1 : 0}});
   core_->events->Post(policy::ClientDisconnected{handle});
   Handle client = 0;
   Conclude(handle, Conclusion::kDisconnected, &client);
 }
 
 void Streams::SetPaused(Handle handle, bool paused) {
-  const Stream* s = streams_.Get(handle);
-  if (s != nullptr) core_->upstream_requests->SetPaused(s->upstream_request, paused);
+  const Stream* stream = streams_.Get(handle);
+  if (stream != nullptr) core_->upstream_requests->SetPaused(stream->upstream_request, paused);
 }
 
 // ---- The response ----
 
 void Streams::OnData(Handle handle, std::string_view events) {
-  Stream* s = streams_.Get(handle);
-  if (s == nullptr) return;
-  if (!s->started) {
-    s->started = true;
-    CountStart(*s);
-    core_->deadlines->Cancel(s->watchdog);
-    s->request.body.Clear();  // no retry after the response has started
+  Stream* stream = streams_.Get(handle);
+  if (stream == nullptr) return;
+  if (!stream->started) {
+    stream->started = true;
+    CountStart(*stream);
+    core_->deadlines->Cancel(stream->watchdog);
+    stream->request.body.Clear();  // no retry after the response has started
   }
-  s->sink->OnData(s->client, events);
+  stream->sink->OnData(stream->client, events);
 }
 
 void Streams::OnComplete(Handle handle) {
@@ -180,24 +184,24 @@
 }
 
 void Streams::Reject(Handle handle, Time retry_after) {
-  const Stream* s = streams_.Get(handle);
-  if (s == nullptr || s->started) return;
-  const Time longest = std::max(s->retry_after, retry_after);
+  const Stream* stream = streams_.Get(handle);
+  if (stream == nullptr || stream->started) return;
+  const Time longest = std::max(stream->retry_after, retry_after);
   Handle client = 0;
   if (StreamSink* sink = Conclude(handle, Conclusion::kRejected, &client)) sink->OnRejected(client, longest);
 }
 
 void Streams::Fail(Handle handle) {
-  const Stream* s = streams_.Get(handle);
-  if (s == nullptr || s->started) return;
-  const policy::Outcome last = s->last_outcome;
+  const Stream* stream = streams_.Get(handle);
+  if (stream == nullptr || stream->started) return;
+  const policy::Outcome last = stream->last_outcome;
   Handle client = 0;
   if (StreamSink* sink = Conclude(handle, Conclusion::kFailed, &client)) sink->OnFailed(client, last);
 }
 
 void Streams::OnInvalidRequest(Handle handle, int status, const std::string& body) {
-  const Stream* s = streams_.Get(handle);
-  if (s == nullptr || s->started) return;
+  const Stream* stream = streams_.Get(handle);
+  if (stream == nullptr || stream->started) return;
   Handle client = 0;
   if (StreamSink* sink = Conclude(handle, Conclusion::kFailed, &client)) {
     sink->OnInvalidRequest(client, status, body);
@@ -206,8 +210,8 @@
 
 // The connection ends without the last chunk, and the client resumes the response with a new request.
 void Streams::Migrate(Handle handle) {
-  const Stream* s = streams_.Get(handle);
-  if (s == nullptr || !s->started) return;
+  const Stream* stream = streams_.Get(handle);
+  if (stream == nullptr || !stream->started) return;
   OnTruncated(handle);
 }
 
@@ -215,14 +219,14 @@
 
 // Also cancels the upstream request, whose response nobody would read.
 StreamSink* Streams::Conclude(Handle handle, Conclusion how, Handle* client) {
-  Stream* s = streams_.Get(handle);
-  if (s == nullptr) return nullptr;
-  if (how == Conclusion::kRejected || how == Conclusion::kFailed) LogConclusion(*s, how);
-  CountConclusion(*s, how);
-  core_->deadlines->Cancel(s->watchdog);
-  *client = s->client;
-  StreamSink* sink = s->sink;
-  const Handle upstream_request = s->upstream_request;
+  Stream* stream = streams_.Get(handle);
+  if (stream == nullptr) return nullptr;
+  if (how == Conclusion::kRejected || how == Conclusion::kFailed) LogConclusion(*stream, how);
+  CountConclusion(*stream, how);
+  core_->deadlines->Cancel(stream->watchdog);
+  *client = stream->client;
+  StreamSink* sink = stream->sink;
+  const Handle upstream_request = stream->upstream_request;
   streams_.Remove(handle);
   core_->upstream_requests->Cancel(upstream_request);
   return sink;
@@ -230,53 +234,53 @@
 
 // Logs what the node knew of the request's attempts when it concluded the request by itself, so that it can
 // be checked whether a rejection was justified.
-void Streams::LogConclusion(const Stream& s, Conclusion how) const {
+void Streams::LogConclusion(const Stream& stream, Conclusion how) const {
   const Time now = Now();
   Log(Level::kInfo, "request-ended",
-      {{"id", s.request.call_id},
+      {{"id", stream.request.call_id},
        {"how", how == Conclusion::kRejected ? "refused" : "failed"},
-       {"class", s.class_name},
-       {"attempts", s.attempts},
-       {"written", s.attempts_written},
-       {"out", s.upstream_request != 0},
-       {"started", s.started},
-       {"last", s.last_replica == 0 ? "-" : Hex8(s.last_replica)},
-       {"outcome", s.last_replica == 0 ? "-" : Name(s.last_outcome)},
-       {"age_ms", (now - s.request.received_at) / 1000},
-       {"left_ms", (s.deadline - now) / 1000}});
+       {"class", stream.class_name},
+       {"attempts", stream.attempts},
+       {"written", stream.attempts_written},
+       {"out", stream.upstream_request != 0},
+       {"started", stream.started},
+       {"last", stream.last_replica == 0 ? "-" : Hex8(stream.last_replica)},
+       {"outcome", stream.last_replica == 0 ? "-" : Name(stream.last_outcome)},
+       {"age_ms", (now - stream.request.received_at) / 1000},
+       {"left_ms", (stream.deadline - now) / 1000}});
 }
 
-void Streams::CountStart(Stream& s) {
+void Streams::CountStart(Stream& stream) {
   if (core_->counters == nullptr) return;
   const auto& classes = core_->config->settings.classes;
-  const auto index = static_cast<std::size_t>(s.request.arrival.class_index);
-  const Time elapsed = std::max<Time>(1, Now() - s.request.received_at);
+  const auto index = static_cast<std::size_t>(stream.request.arrival.class_index);
+  const Time elapsed = std::max<Time>(1, Now() - stream.request.received_at);
   if (index < classes.size()) {
     const policy::ClassSettings& c = classes[index];
     const double for_prompt =
-        static_cast<double>(c.objective_per_1000_tokens) * s.request.arrival.prompt_tokens / 1000.0;
+        static_cast<double>(c.objective_per_1000_tokens) * stream.request.arrival.prompt_tokens / 1000.0;
     const double objective = static_cast<double>(c.latency_objective) + for_prompt;
-    s.within_objective = static_cast<double>(elapsed) <= objective;
+    stream.within_objective = static_cast<double>(elapsed) <= objective;
   }
-  NodeCounters::RequestClass& counters = core_->counters->by_class[s.class_name];
+  NodeCounters::RequestClass& counters = core_->counters->by_class[stream.class_name];
   const double ln = std::log(static_cast<double>(elapsed) / 1000.0);
   ++counters.started;
   counters.first_token_ln += ln;
   counters.first_token_ln_squared += ln * ln;
 }
 
-void Streams::CountConclusion(const Stream& s, Conclusion how) {
+void Streams::CountConclusion(const Stream& stream, Conclusion how) {
   if (how == Conclusion::kDisconnected || core_->counters == nullptr) return;
-  NodeCounters::RequestClass& counters = core_->counters->by_class[s.class_name];
+  NodeCounters::RequestClass& counters = core_->counters->by_class[stream.class_name];
   if (how == Conclusion::kServed) {
     ++counters.served;
-    if (s.within_objective) ++counters.within_objective;
+    if (stream.within_objective) ++counters.within_objective;
   } else if (how == Conclusion::kRejected) {
     ++counters.rejected;
   } else {
     ++counters.failed;
   }
-  const auto attempts = static_cast<std::uint64_t>(s.attempts);
+  const auto attempts = static_cast<std::uint64_t>(stream.attempts);
   counters.attempts += attempts;
   counters.attempts_squared += attempts * attempts;
 }
--- a/src/core/upstream.h
+++ b/src/core/upstream.h
@@ -78,8 +78,9 @@
 
   bool ReadBody(const Request& request, ResponseParser& response, const std::vector<std::string_view>& body,
                 bool* progress) const;
-  void AwaitFirstEvent(Handle request, UpstreamConnection& c, const std::vector<std::string_view>& body);
-  void StartStream(Handle request, UpstreamConnection& c);
+  void AwaitFirstEvent(Handle request, UpstreamConnection& connection,
+                       const std::vector<std::string_view>& body);
+  void StartStream(Handle request, UpstreamConnection& connection);
   void ForwardBody(Handle request, const std::vector<std::string_view>& body, bool progress);
   void OnResponseComplete(Handle request, ResponseParser& response);
   void CheckIdle(Handle request);
--- a/src/dialects/openai/openai_dialect.cpp
+++ b/src/dialects/openai/openai_dialect.cpp
@@ -75,19 +75,19 @@
 
   StreamStatus OnStream(std::string_view bytes) override {
     bool progress = false;
-    const bool good = events_.Feed(bytes, [&](const EventStream::Event& e) {
-      if (!e.has_data) return true;
-      if (e.type == "error" || ReportsError(e.data)) return false;
+    const bool valid = events_.Feed(bytes, [&](const EventStream::Event& event) {
+      if (!event.has_data) return true;
+      if (event.type == "error" || ReportsError(event.data)) return false;
       if (done_) return false;  // nothing may follow [DONE]
-      done_ = e.data == "[DONE]";
+      done_ = event.data == "[DONE]";
       progress = true;
       has_event_ = true;
-      if (const auto cached = FindLastNumber(e.data, "\"cached_tokens\"")) {
+      if (const auto cached = FindLastNumber(event.data, "\"cached_tokens\"")) {
         cached_tokens_ = std::isfinite(*cached) && *cached > 0 ? *cached : 0;
       }
       return true;
     });
-    if (!good) return StreamStatus::kInvalid;
+    if (!valid) return StreamStatus::kInvalid;
     // A part of a long event counts as progress; a part of a comment does not.
     if (!events_.unfinished().empty() && events_.unfinished().front() != ':') progress = true;
     if (has_event_) error_body_ = {};
--- a/src/fronts/openai/api_error.cpp
+++ b/src/fronts/openai/api_error.cpp
@@ -6,12 +6,13 @@
 
 namespace ryeglade {
 
-std::string ErrorJson(const ApiError& e) {
+std::string ErrorJson(const ApiError& error) {
   const auto text = [](const std::string& s) {
     return s.empty() ? std::string("null") : openai::QuoteJson(s);
   };
   return fmt::format("{{\"error\":{{\"message\":{},\"type\":{},\"param\":{},\"code\":{}}}}}",
-                     openai::QuoteJson(e.message), openai::QuoteJson(e.type), text(e.param), text(e.code));
+                     openai::QuoteJson(error.message), openai::QuoteJson(error.type), text(error.param),
+                     text(error.code));
 }
 
 std::string RetryHeaders(policy::Time after) {
--- a/src/fronts/openai/response_translation.cpp
+++ b/src/fronts/openai/response_translation.cpp
@@ -78,41 +78,41 @@
   return bytes;
 }
 
-bool ResponseObserver::Observe(const EventStream::Event& e) {
-  if (!e.has_data) return true;
-  if (e.data == "[DONE]") {
-    done_event_.assign(e.raw);
+bool ResponseObserver::Observe(const EventStream::Event& event) {
+  if (!event.has_data) return true;
+  if (event.data == "[DONE]") {
+    done_event_.assign(event.raw);
     return false;
   }
-  if (const std::size_t bytes = TextBytes(e.data); bytes > 0) {
+  if (const std::size_t bytes = TextBytes(event.data); bytes > 0) {
     seen_.output_bytes += bytes;
     ++seen_.text_events;
   }
   static constexpr std::string_view kUsage = "\"usage\"";
-  const std::size_t usage = e.data.rfind(kUsage);
+  const std::size_t usage = event.data.rfind(kUsage);
   if (usage == std::string_view::npos) return true;
-  const std::size_t value = SkipToValue(e.data, usage + kUsage.size());
-  if (e.data.substr(value, 4) == "null") return true;
-  if (!HasNoChoices(e.data)) {
-    running_usage_.assign(e.data);  // a running total; used if no final usage is received
+  const std::size_t value = SkipToValue(event.data, usage + kUsage.size());
+  if (event.data.substr(value, 4) == "null") return true;
+  if (!HasNoChoices(event.data)) {
+    running_usage_.assign(event.data);  // a running total; used if no final usage is received
     return true;
   }
-  usage_.assign(e.data);
+  usage_.assign(event.data);
   ++usage_times_;
   return usage_wanted_;
 }
 
 bool ResponseObserver::Feed(std::string_view bytes, std::string& out) {
-  return events_.Feed(bytes, [&](const EventStream::Event& e) {
-    if (Observe(e)) out.append(e.raw);
+  return events_.Feed(bytes, [&](const EventStream::Event& event) {
+    if (Observe(event)) out.append(event.raw);
     return true;
   });
 }
 
 bool ResponseObserver::Feed(std::string_view bytes, ResponseAssembler& assembler) {
-  return events_.Feed(bytes, [&](const EventStream::Event& e) {
-    Observe(e);
-    return !e.has_data || assembler.AddEvent(e.data);
+  return events_.Feed(bytes, [&](const EventStream::Event& event) {
+    Observe(event);
+    return !event.has_data || assembler.AddEvent(event.data);
   });
 }
 
--- a/src/fronts/platform/platform_front.cpp
+++ b/src/fronts/platform/platform_front.cpp
@@ -85,7 +85,7 @@
 }
 
 const char* PlatformFront::ReadHeaders(const HttpRequest& request, StreamRequest& stream) const {
-  policy::RequestArrived& a = stream.arrival;
+  policy::RequestArrived& arrival = stream.arrival;
   const auto text = [&](const char* name) -> std::string_view {
     const std::string* value = request.Header(name);
     return value == nullptr ? std::string_view() : std::string_view(*value);
@@ -102,15 +102,15 @@
   if (!ParseHex(text("x-call-id"), &id)) return "X-Call-Id";
   stream.call_id = text("x-call-id");
 
-  a.class_index = core_->config->ClassIndex(text("x-call-class"));
-  if (a.class_index < 0 || text("x-call-class").empty()) return "X-Call-Class";
+  arrival.class_index = core_->config->ClassIndex(text("x-call-class"));
+  if (arrival.class_index < 0 || text("x-call-class").empty()) return "X-Call-Class";
 
   double budget = 0;
   if (!ParseAmount(text("x-budget"), kMaxBudgetSeconds, &budget)) return "X-Budget";
-  a.time_budget = static_cast<Time>(std::llround(budget * 1e6));
+  arrival.time_budget = static_cast<Time>(std::llround(budget * 1e6));
 
-  if (!text("x-route-hash").empty()) a.session = KeyOf(text("x-route-hash"));
-  a.prompt_tokens = static_cast<double>(request.body.size()) / kBytesPerToken;
+  if (!text("x-route-hash").empty()) arrival.session = KeyOf(text("x-route-hash"));
+  arrival.prompt_tokens = static_cast<double>(request.body.size()) / kBytesPerToken;
   std::string_view info = text("x-call-info");
   while (!info.empty()) {
     std::string_view item = info.substr(0, info.find(','));
@@ -120,18 +120,18 @@
     if (eq == std::string_view::npos) return "X-Call-Info";
     const std::string_view key = item.substr(0, eq);
     const std::string_view value = item.substr(eq + 1);
-    bool good = true;
-    if (key == "prefix") a.prefix = KeyOf(value);
-    if (key == "prompt_len") good = ParseAmount(value, 1e9, &a.prompt_tokens);
-    if (key == "prefix_len") good = ParseAmount(value, 1e9, &a.prefix_tokens);
-    if (key == "max_out") good = ParseAmount(value, 1e9, &a.max_answer_tokens);
-    if (!good) return "X-Call-Info";
+    bool valid = true;
+    if (key == "prefix") arrival.prefix = KeyOf(value);
+    if (key == "prompt_len") valid = ParseAmount(value, 1e9, &arrival.prompt_tokens);
+    if (key == "prefix_len") valid = ParseAmount(value, 1e9, &arrival.prefix_tokens);
+    if (key == "max_out") valid = ParseAmount(value, 1e9, &arrival.max_answer_tokens);
+    if (!valid) return "X-Call-Info";
   }
   double cost = 0;
   if (!text("x-call-cost").empty() && !ParseAmount(text("x-call-cost"), 1e12, &cost)) return "X-Call-Cost";
-  a.cost_hint = static_cast<Time>(cost);
-  a.client_retry = text("x-again") == "1";
-  a.resumed = text("x-again") == "again";
+  arrival.cost_hint = static_cast<Time>(cost);
+  arrival.client_retry = text("x-again") == "1";
+  arrival.resumed = text("x-again") == "again";
   return nullptr;
 }
 
--- a/src/http/downstream.cpp
+++ b/src/http/downstream.cpp
@@ -52,17 +52,17 @@
 void Downstream::AddClient(int fd) {
   const bool excess = clients_.size() >= max_served_;
   const Handle handle = clients_.Add(Client(runtime_->buffers, options_.max_body));
-  Client& c = *clients_.Get(handle);
-  c.tcp = Tcp::New(runtime_->loop, runtime_->buffers, this, handle);
-  c.excess = excess;
-  c.idle_since = Now();
-  if (!c.tcp->Open(fd)) return CloseConnection(handle, CloseReason::kWriteFailed);
-  if (options_.admits && !options_.admits(c.tcp->PeerAddress())) {
+  Client& client = *clients_.Get(handle);
+  client.tcp = Tcp::New(runtime_->loop, runtime_->buffers, this, handle);
+  client.excess = excess;
+  client.idle_since = Now();
+  if (!client.tcp->Open(fd)) return CloseConnection(handle, CloseReason::kWriteFailed);
+  if (options_.admits && !options_.admits(client.tcp->PeerAddress())) {
     Log(Level::kWarn, "client-not-admitted");
     return CloseConnection(handle, CloseReason::kNotAdmitted);
   }
   SetRequestDeadline(handle, Now() + options_.request_timeout);
-  c.tcp->StartReading();
+  client.tcp->StartReading();
 }
 
 void Downstream::SetMaxConnections(std::size_t max_connections) {
@@ -72,8 +72,8 @@
 
 // A request may be on its way on a connection that is new or has just had its response, so such a connection
 // is not idle yet. The callers also check that no input is waiting to be read before they close one.
-bool Downstream::IsIdle(const Client& c) {
-  return c.state == State::kIdle && Now() - c.idle_since >= kIdleAfter && c.tcp->unsent() == 0;
+bool Downstream::IsIdle(const Client& client) {
+  return client.state == State::kIdle && Now() - client.idle_since >= kIdleAfter && client.tcp->unsent() == 0;
 }
 
 // Keeps the process from running out of descriptors. Closes, in this order of preference: a lingering
@@ -84,13 +84,13 @@
   if (clients_.size() < max_served_) return true;
   for (int attempt = 0; attempt < kMaxEvictionAttempts; ++attempt) {
     const Handle handle = EvictionCandidate();
-    Client* c = clients_.Get(handle);
-    if (c == nullptr) return false;
-    if (c->state == State::kLingering || c->tcp->NothingToRead()) {
+    Client* client = clients_.Get(handle);
+    if (client == nullptr) return false;
+    if (client->state == State::kLingering || client->tcp->NothingToRead()) {
       CloseConnection(handle, CloseReason::kEvicted);
       return true;
     }
-    c->idle_since = Now();  // input is waiting to be read, so the connection is not idle
+    client->idle_since = Now();  // input is waiting to be read, so the connection is not idle
   }
   return false;
 }
@@ -109,34 +109,34 @@
   return first;
 }
 
-Downstream::EvictionRank Downstream::RankForEviction(const Client& c) {
-  if (c.state == State::kLingering && c.tcp->unsent() == 0) return {0, c.idle_since};
-  if (c.used && IsIdle(c)) return {1, c.idle_since};
-  const bool no_request = c.state == State::kReading || (!c.used && c.state == State::kIdle);
-  if (no_request && Now() - c.idle_since >= kEvictableAfter) return {2, c.idle_since};
+Downstream::EvictionRank Downstream::RankForEviction(const Client& client) {
+  if (client.state == State::kLingering && client.tcp->unsent() == 0) return {0, client.idle_since};
+  if (client.used && IsIdle(client)) return {1, client.idle_since};
+  const bool no_request = client.state == State::kReading || (!client.used && client.state == State::kIdle);
+  if (no_request && Now() - client.idle_since >= kEvictableAfter) return {2, client.idle_since};
   return {};
 }
 
 // ---- How connections end ----
 
 void Downstream::CloseConnection(Handle handle, CloseReason reason) {
-  Client* c = clients_.Get(handle);
-  if (c == nullptr) return;
+  Client* client = clients_.Get(handle);
+  if (client == nullptr) return;
   ++closed_[static_cast<std::size_t>(reason)];
   Log(Level::kDebug, "client-closed",
-      {{"why", Name(reason)}, {"used", c->used}, {"unsent", c->tcp->unsent()}});
-  runtime_->deadlines->Cancel(c->deadline);
-  c->tcp->Close();
+      {{"why", Name(reason)}, {"used", client->used}, {"unsent", client->tcp->unsent()}});
+  runtime_->deadlines->Cancel(client->deadline);
+  client->tcp->Close();
   clients_.Remove(handle);
 }
 
 // The client has disconnected or its connection broke. Notifies the front if a response was due.
 void Downstream::LoseClient(Handle handle, CloseReason reason) {
-  const Client* c = clients_.Get(handle);
-  if (c == nullptr) return;
-  const bool response_owed = c->state == State::kResponding;
+  const Client* client = clients_.Get(handle);
+  if (client == nullptr) return;
+  const bool response_due = client->state == State::kResponding;
   CloseConnection(handle, reason);
-  if (response_owed) front_->OnClientDisconnected(handle);
+  if (response_due) front_->OnClientDisconnected(handle);
 }
 
 void Downstream::OnDisconnected(Handle handle) { LoseClient(handle, CloseReason::kClientEnded); }
@@ -145,22 +145,22 @@
 // response, and waits for the client to close. A request that arrives meanwhile is not read, so that its
 // client may safely send it again on another connection; if it were read and not answered, it would be lost.
 void Downstream::CloseInOrder(Handle handle, CloseReason reason) {
-  Client& c = *clients_.Get(handle);
-  c.state = State::kLingering;
-  c.close_reason = reason;
-  c.idle_since = Now();
-  c.keep_alive = false;
-  c.tcp->StopReading();
-  c.tcp->ShutdownWrite();
+  Client& client = *clients_.Get(handle);
+  client.state = State::kLingering;
+  client.close_reason = reason;
+  client.idle_since = Now();
+  client.keep_alive = false;
+  client.tcp->StopReading();
+  client.tcp->ShutdownWrite();
   SetLingerDeadline(handle);
   WatchForEndWhileClosing(handle);
 }
 
 void Downstream::SetLingerDeadline(Handle handle) {
-  Client& c = *clients_.Get(handle);
-  runtime_->deadlines->Cancel(c.deadline);
-  const Time timeout = c.tcp->unsent() > 0 ? kWriteTimeout : kLingerTimeout;
-  c.deadline = runtime_->deadlines->Set(
+  Client& client = *clients_.Get(handle);
+  runtime_->deadlines->Cancel(client.deadline);
+  const Time timeout = client.tcp->unsent() > 0 ? kWriteTimeout : kLingerTimeout;
+  client.deadline = runtime_->deadlines->Set(
       Now() + timeout, [this, handle] { CloseConnection(handle, clients_.Get(handle)->close_reason); });
 }
 
@@ -168,9 +168,10 @@
 // work is done for a client that has disconnected.
 void Downstream::WatchForEndWhilePaused(Handle handle) {
   runtime_->deadlines->Set(Now() + kEndCheckInterval, [this, handle] {
-    const Client* c = clients_.Get(handle);
-    if (c == nullptr || c->state != State::kResponding || c->unparsed.size() <= kMaxUnparsed) return;
-    if (c->tcp->PeerClosed()) return LoseClient(handle, CloseReason::kClientEnded);
+    const Client* client = clients_.Get(handle);
+    if (client == nullptr || client->state != State::kResponding || client->unparsed.size() <= kMaxUnparsed)
+      return;
+    if (client->tcp->PeerClosed()) return LoseClient(handle, CloseReason::kClientEnded);
     WatchForEndWhilePaused(handle);
   });
 }
@@ -178,9 +179,9 @@
 // Closes a connection that was shut down while idle as soon as its client has closed it too.
 void Downstream::WatchForEndWhileClosing(Handle handle) {
   runtime_->deadlines->Set(Now() + kEndCheckInterval, [this, handle] {
-    const Client* c = clients_.Get(handle);
-    if (c == nullptr) return;
-    if (c->tcp->PeerClosed()) return CloseConnection(handle, c->close_reason);
+    const Client* client = clients_.Get(handle);
+    if (client == nullptr) return;
+    if (client->tcp->PeerClosed()) return CloseConnection(handle, client->close_reason);
     WatchForEndWhileClosing(handle);
   });
 }
@@ -219,15 +220,15 @@
 
 void Downstream::CloseIdle() {
   for (const Handle handle : clients_.All()) {
-    const Client& c = *clients_.Get(handle);
-    if (IsIdle(c) && c.tcp->NothingToRead()) CloseInOrder(handle, CloseReason::kIdle);
+    const Client& client = *clients_.Get(handle);
+    if (IsIdle(client) && client.tcp->NothingToRead()) CloseInOrder(handle, CloseReason::kIdle);
   }
 }
 
 void Downstream::EndIncomplete() {
   for (const Handle handle : clients_.All()) {
-    const Client* c = clients_.Get(handle);
-    if (c != nullptr && c->state == State::kReading) RejectIncomplete(handle, 503, "ending");
+    const Client* client = clients_.Get(handle);
+    if (client != nullptr && client->state == State::kReading) RejectIncomplete(handle, 503, "ending");
   }
 }
 
@@ -235,9 +236,9 @@
   if (acceptor_.listening()) return false;
   const Time now = Now();
   for (const Handle handle : clients_.All()) {
-    const Client& c = *clients_.Get(handle);
-    const bool response_sent = c.state == State::kLingering && c.tcp->unsent() == 0;
-    if (!response_sent || now - c.idle_since < quiet) return false;
+    const Client& client = *clients_.Get(handle);
+    const bool response_sent = client.state == State::kLingering && client.tcp->unsent() == 0;
+    if (!response_sent || now - client.idle_since < quiet) return false;
   }
   return true;
 }
@@ -254,105 +255,106 @@
 // socket; one that has sent part of a request gets an error first. The callers give used connections more
 // time, as their clients may send another request.
 void Downstream::SetRequestDeadline(Handle handle, Time at) {
-  Client& c = *clients_.Get(handle);
-  runtime_->deadlines->Cancel(c.deadline);
-  c.deadline = runtime_->deadlines->Set(at, [this, handle] { OnRequestTimeout(handle); });
+  Client& client = *clients_.Get(handle);
+  runtime_->deadlines->Cancel(client.deadline);
+  client.deadline = runtime_->deadlines->Set(at, [this, handle] { OnRequestTimeout(handle); });
 }
 
 void Downstream::OnRequestTimeout(Handle handle) {
-  const Client* c = clients_.Get(handle);
-  if (c == nullptr) return;
-  if (c->state == State::kReading) return RejectIncomplete(handle, 408, "slow-sender");
-  if (c->state != State::kIdle) return;
-  if (!c->tcp->NothingToRead()) return SetRequestDeadline(handle, Now() + kReadGrace);
+  const Client* client = clients_.Get(handle);
+  if (client == nullptr) return;
+  if (client->state == State::kReading) return RejectIncomplete(handle, 408, "slow-sender");
+  if (client->state != State::kIdle) return;
+  if (!client->tcp->NothingToRead()) return SetRequestDeadline(handle, Now() + kReadGrace);
   CloseInOrder(handle, CloseReason::kRequestTimeout);
 }
 
 // Answers a request that is not complete; this response is the connection's last.
 void Downstream::RejectIncomplete(Handle handle, int status, const char* reason) {
-  Client& c = *clients_.Get(handle);
-  runtime_->deadlines->Cancel(c.deadline);
-  c.state = State::kResponding;
-  c.keep_alive = false;
+  Client& client = *clients_.Get(handle);
+  runtime_->deadlines->Cancel(client.deadline);
+  client.state = State::kResponding;
+  client.keep_alive = false;
   Log(Level::kWarn, "local-reply", {{"status", status}, {"why", reason}});
   ReplyError(handle, status);
 }
 
 void Downstream::OnRead(Handle handle, std::string_view bytes) {
-  Client* c = clients_.Get(handle);
-  if (c == nullptr || c->state == State::kLingering) return;
-  c->unparsed.append(bytes);
-  c->arrivals.Add(bytes.size(), Now());
-  if (c->state != State::kResponding) return ParseInput(handle);
-  if (c->unparsed.size() <= kMaxUnparsed) return;
-  c->tcp->StopReading();
+  Client* client = clients_.Get(handle);
+  if (client == nullptr || client->state == State::kLingering) return;
+  client->unparsed.append(bytes);
+  client->arrivals.Add(bytes.size(), Now());
+  if (client->state != State::kResponding) return ParseInput(handle);
+  if (client->unparsed.size() <= kMaxUnparsed) return;
+  client->tcp->StopReading();
   WatchForEndWhilePaused(handle);
 }
 
 // Parses the bytes that were read up to the end of a request, and goes on with the next request if the first
 // one has been answered meanwhile.
 void Downstream::ParseInput(Handle handle) {
-  Client* c = clients_.Get(handle);
-  if (c == nullptr || c->parsing) return;
-  c->parsing = true;
-  while (c != nullptr && !c->unparsed.empty() && (c->state == State::kIdle || c->state == State::kReading)) {
-    ParseRequest(handle, *c);
-    c = clients_.Get(handle);
+  Client* client = clients_.Get(handle);
+  if (client == nullptr || client->parsing) return;
+  client->parsing = true;
+  while (client != nullptr && !client->unparsed.empty() &&
+         (client->state == State::kIdle || client->state == State::kReading)) {
+    ParseRequest(handle, *client);
+    client = clients_.Get(handle);
   }
-  if (c != nullptr) c->parsing = false;
+  if (client != nullptr) client->parsing = false;
 }
 
-void Downstream::ParseRequest(Handle handle, Client& c) {
-  if (c.state == State::kIdle) {
-    c.state = State::kReading;
-    c.parser.request().first_byte = c.arrivals.First(Now());
+void Downstream::ParseRequest(Handle handle, Client& client) {
+  if (client.state == State::kIdle) {
+    client.state = State::kReading;
+    client.parser.request().first_byte = client.arrivals.First(Now());
     // The deadline of the first request was set when the connection was accepted.
-    if (c.used) SetRequestDeadline(handle, Now() + options_.request_timeout);
+    if (client.used) SetRequestDeadline(handle, Now() + options_.request_timeout);
   }
-  const std::string bytes = std::exchange(c.unparsed, {});
+  const std::string bytes = std::exchange(client.unparsed, {});
   std::size_t consumed = 0;
-  const RequestParser::Result result = c.parser.Parse(bytes, &consumed);
-  if (c.parser.TakeExpectsContinue()) c.tcp->Write("HTTP/1.1 100 Continue\r\n\r\n");
+  const RequestParser::Result result = client.parser.Parse(bytes, &consumed);
+  if (client.parser.TakeExpectsContinue()) client.tcp->Write("HTTP/1.1 100 Continue\r\n\r\n");
   if (result == RequestParser::Result::kComplete) {
-    c.arrivals.Consume(consumed);
-    c.unparsed = bytes.substr(std::min(consumed, bytes.size()));
-    return OnRequestComplete(handle, c);
+    client.arrivals.Consume(consumed);
+    client.unparsed = bytes.substr(std::min(consumed, bytes.size()));
+    return OnRequestComplete(handle, client);
   }
-  c.arrivals.Consume(bytes.size());
+  client.arrivals.Consume(bytes.size());
   if (result == RequestParser::Result::kIncomplete) return;
-  const int status = c.parser.error_status();
-  Log(Level::kWarn, "local-reply", {{"status", status}, {"why", c.parser.error_reason()}});
-  runtime_->deadlines->Cancel(c.deadline);
-  c.state = State::kResponding;
-  c.keep_alive = false;
+  const int status = client.parser.error_status();
+  Log(Level::kWarn, "local-reply", {{"status", status}, {"why", client.parser.error_reason()}});
+  runtime_->deadlines->Cancel(client.deadline);
+  client.state = State::kResponding;
+  client.keep_alive = false;
   ReplyError(handle, status);
 }
 
-void Downstream::OnRequestComplete(Handle handle, Client& c) {
-  runtime_->deadlines->Cancel(c.deadline);
-  c.state = State::kResponding;
-  c.used = true;
-  c.keep_alive = c.parser.keep_alive();
-  if (c.excess && clients_.size() > max_served_ && !EvictConnection()) {
+void Downstream::OnRequestComplete(Handle handle, Client& client) {
+  runtime_->deadlines->Cancel(client.deadline);
+  client.state = State::kResponding;
+  client.used = true;
+  client.keep_alive = client.parser.keep_alive();
+  if (client.excess && clients_.size() > max_served_ && !EvictConnection()) {
     Log(Level::kWarn, "local-reply", {{"status", 503}, {"why", "sockets"}, {"clients", clients_.size()}});
-    c.keep_alive = false;
+    client.keep_alive = false;
     return ReplyError(handle, 503);
   }
-  HttpRequest request = std::move(c.parser.request());
+  HttpRequest request = std::move(client.parser.request());
   front_->OnRequest(handle, std::move(request));
 }
 
 // ---- Responses ----
 
 void Downstream::Reply(Handle handle, int status, const std::string& headers, std::string_view body) {
-  Client* c = clients_.Get(handle);
-  if (c == nullptr || c->state != State::kResponding) return;
+  Client* client = clients_.Get(handle);
+  if (client == nullptr || client->state != State::kResponding) return;
   // Requests that were already read after this one are answered before the connection closes.
-  if (draining_ && c->unparsed.empty()) c->keep_alive = false;
+  if (draining_ && client->unparsed.empty()) client->keep_alive = false;
   const std::string head = "HTTP/1.1 " + std::to_string(status) + " " + ReasonPhrase(status) + "\r\n" +
-                           headers + (c->keep_alive ? "" : "Connection: close\r\n") +
+                           headers + (client->keep_alive ? "" : "Connection: close\r\n") +
                            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
-  if (!c->tcp->Write({head, body})) return CloseConnection(handle, CloseReason::kWriteFailed);
+  if (!client->tcp->Write({head, body})) return CloseConnection(handle, CloseReason::kWriteFailed);
   OnResponseComplete(handle);
 }
 
@@ -364,34 +366,35 @@
 }
 
 void Downstream::BeginChunks(Handle handle, const std::string& headers) {
-  Client* c = clients_.Get(handle);
-  if (c == nullptr || c->state != State::kResponding) return;
+  Client* client = clients_.Get(handle);
+  if (client == nullptr || client->state != State::kResponding) return;
   // Requests that were already read after this one are answered before the connection closes.
-  if (draining_ && c->unparsed.empty()) c->keep_alive = false;
-  const std::string head = "HTTP/1.1 200 OK\r\n" + headers + (c->keep_alive ? "" : "Connection: close\r\n") +
+  if (draining_ && client->unparsed.empty()) client->keep_alive = false;
+  const std::string head = "HTTP/1.1 200 OK\r\n" + headers +
+                           (client->keep_alive ? "" : "Connection: close\r\n") +
                            "Transfer-Encoding: chunked\r\n\r\n";
-  OnWritten(handle, c->tcp->Write(head));
+  OnWritten(handle, client->tcp->Write(head));
 }
 
 void Downstream::Chunk(Handle handle, std::string_view bytes) {
-  Client* c = clients_.Get(handle);
-  if (c == nullptr || c->state != State::kResponding || bytes.empty()) return;
+  Client* client = clients_.Get(handle);
+  if (client == nullptr || client->state != State::kResponding || bytes.empty()) return;
   char size[24];
   const int length = std::snprintf(size, sizeof size, "%zx\r\n", bytes.size());
-  OnWritten(handle, c->tcp->Write({{size, static_cast<std::size_t>(length)}, bytes, "\r\n"}));
+  OnWritten(handle, client->tcp->Write({{size, static_cast<std::size_t>(length)}, bytes, "\r\n"}));
 }
 
 // A failed write is handled in the next loop iteration, as the caller may be in the middle of forwarding
 // events.
 void Downstream::OnWritten(Handle handle, bool written) {
-  Client& c = *clients_.Get(handle);
+  Client& client = *clients_.Get(handle);
   if (!written) {
     runtime_->deadlines->Set(Now(), [this, handle] { LoseClient(handle, CloseReason::kWriteFailed); });
     return;
   }
-  if (c.congested || c.tcp->unsent() < kMaxUnsent) return;
-  c.congested = true;
-  c.deadline = runtime_->deadlines->Set(Now() + kWriteTimeout, [this, handle] {
+  if (client.congested || client.tcp->unsent() < kMaxUnsent) return;
+  client.congested = true;
+  client.deadline = runtime_->deadlines->Set(Now() + kWriteTimeout, [this, handle] {
     Log(Level::kWarn, "client-write-timeout");
     LoseClient(handle, CloseReason::kWriteTimeout);
   });
@@ -399,64 +402,64 @@
 }
 
 void Downstream::OnDrained(Handle handle) {
-  Client* c = clients_.Get(handle);
-  if (c == nullptr) return;
-  if (c->state == State::kLingering) SetLingerDeadline(handle);
-  if (!c->congested) return;
-  c->congested = false;
-  runtime_->deadlines->Cancel(c->deadline);
-  if (c->state == State::kResponding) front_->OnBackpressure(handle, false);
+  Client* client = clients_.Get(handle);
+  if (client == nullptr) return;
+  if (client->state == State::kLingering) SetLingerDeadline(handle);
+  if (!client->congested) return;
+  client->congested = false;
+  runtime_->deadlines->Cancel(client->deadline);
+  if (client->state == State::kResponding) front_->OnBackpressure(handle, false);
 }
 
 void Downstream::EndChunks(Handle handle) {
-  Client* c = clients_.Get(handle);
-  if (c == nullptr || c->state != State::kResponding) return;
-  if (!c->tcp->Write("0\r\n\r\n")) return CloseConnection(handle, CloseReason::kWriteFailed);
+  Client* client = clients_.Get(handle);
+  if (client == nullptr || client->state != State::kResponding) return;
+  if (!client->tcp->Write("0\r\n\r\n")) return CloseConnection(handle, CloseReason::kWriteFailed);
   OnResponseComplete(handle);
 }
 
 void Downstream::Abort(Handle handle) { CloseConnection(handle, CloseReason::kAborted); }
 
 void Downstream::EndTruncated(Handle handle) {
-  Client* c = clients_.Get(handle);
-  if (c == nullptr || c->state != State::kResponding) return;
-  c->keep_alive = false;
+  Client* client = clients_.Get(handle);
+  if (client == nullptr || client->state != State::kResponding) return;
+  client->keep_alive = false;
   OnResponseComplete(handle);
 }
 
 void Downstream::CloseAfterResponse(Handle handle) {
-  if (Client* c = clients_.Get(handle)) c->keep_alive = false;
+  if (Client* client = clients_.Get(handle)) client->keep_alive = false;
 }
 
 sockaddr_storage Downstream::PeerOf(Handle handle) const {
-  const Client* c = clients_.Get(handle);
-  return c == nullptr ? sockaddr_storage{} : c->tcp->PeerAddress();
+  const Client* client = clients_.Get(handle);
+  return client == nullptr ? sockaddr_storage{} : client->tcp->PeerAddress();
 }
 
 bool Downstream::Connected(Handle handle) const {
-  const Client* c = clients_.Get(handle);
-  return c != nullptr && !c->tcp->PeerClosed();
+  const Client* client = clients_.Get(handle);
+  return client != nullptr && !client->tcp->PeerClosed();
 }
 
 // The response is complete. The connection stays open or is shut down gracefully: closing a socket with
 // unread input would reset the connection, and the client might lose the response.
 void Downstream::OnResponseComplete(Handle handle) {
-  Client& c = *clients_.Get(handle);
-  c.idle_since = Now();
-  if (!c.keep_alive) {
-    c.state = State::kLingering;
-    c.congested = false;
-    c.unparsed.clear();
-    c.arrivals = {};
-    c.tcp->StartReading();
-    c.tcp->ShutdownWrite();
+  Client& client = *clients_.Get(handle);
+  client.idle_since = Now();
+  if (!client.keep_alive) {
+    client.state = State::kLingering;
+    client.congested = false;
+    client.unparsed.clear();
+    client.arrivals = {};
+    client.tcp->StartReading();
+    client.tcp->ShutdownWrite();
     return SetLingerDeadline(handle);
   }
-  c.state = State::kIdle;
-  c.parser.Reset();
-  SetRequestDeadline(handle, c.idle_since + kIdleTimeout);
-  c.tcp->StartReading();
-  if (!c.unparsed.empty()) ParseInput(handle);
+  client.state = State::kIdle;
+  client.parser.Reset();
+  SetRequestDeadline(handle, client.idle_since + kIdleTimeout);
+  client.tcp->StartReading();
+  if (!client.unparsed.empty()) ParseInput(handle);
 }
 
 }  // namespace ryeglade
--- a/src/http/downstream.h
+++ b/src/http/downstream.h
@@ -143,8 +143,8 @@
   void SetRequestDeadline(Handle connection, Time at);
   void OnRequestTimeout(Handle connection);
   void ParseInput(Handle connection);
-  void ParseRequest(Handle connection, Client& c);
-  void OnRequestComplete(Handle connection, Client& c);
+  void ParseRequest(Handle connection, Client& client);
+  void OnRequestComplete(Handle connection, Client& client);
   void RejectIncomplete(Handle connection, int status, const char* reason);
   // Responses.
   void ReplyError(Handle connection, int status);
