--- a/tests/event_delay.cpp
+++ b/tests/event_delay.cpp
@@ -30,13 +30,13 @@
 
 // Sends an event, or its first part, and sets `rest` to what is left. `form` selects how it is sent: 0
 // complete, 1 complete and large, 2 split within its text, 3 split within the line end of its chunk.
-void SendFirstPart(RunningStream& r, std::size_t form, int event, std::string* rest) {
+void SendFirstPart(RunningStream& stream, std::size_t form, int event, std::string* rest) {
   const std::string text = "data: " + std::string(form == 1 ? kLargeBytes : 20, 'e') + EventEnd(event);
   char size[16];
   std::snprintf(size, sizeof size, "%zx\r\n", text.size());
   const std::string chunk = size + text + "\r\n";
   const std::size_t cut = form == 2 ? chunk.size() / 2 : form == 3 ? chunk.size() - 1 : chunk.size();
-  r.host.Send(chunk.substr(0, cut));
+  stream.host.Send(chunk.substr(0, cut));
   *rest = chunk.substr(cut);
 }
 
@@ -66,14 +66,14 @@
       if (!rest[n].empty()) streams[n].host.Send(rest[n]);
       streams[n].sent = Clock::now();
     }
-    for (RunningStream& r : streams) {
-      r.client.ReadUntil(EventEnd(event));
-      delays_ms.push_back(std::chrono::duration<double, std::milli>(Clock::now() - r.sent).count());
+    for (RunningStream& stream : streams) {
+      stream.client.ReadUntil(EventEnd(event));
+      delays_ms.push_back(std::chrono::duration<double, std::milli>(Clock::now() - stream.sent).count());
     }
   }
-  for (RunningStream& r : streams) {
-    r.host.SendChunk("");
-    r.client.ReadUntil("0\r\n\r\n");
+  for (RunningStream& stream : streams) {
+    stream.host.SendChunk("");
+    stream.client.ReadUntil("0\r\n\r\n");
   }
   assert(node.WaitForExit() == 0);
   std::sort(delays_ms.begin(), delays_ms.end());
--- a/tests/openai_front_test.cpp
+++ b/tests/openai_front_test.cpp
@@ -32,13 +32,13 @@
 struct TestNode {
   explicit TestNode(const FakeReplicaOptions& replica = {}, const std::string& limits = "",
                     std::size_t replicas = 1, const std::string& effect = "free") {
-    LocalFleetOptions o;
-    o.effect = effect;
-    o.program = Program();
-    o.replicas.assign(replicas, replica);
-    o.key = "k";
-    o.limits = limits;
-    fleet = std::make_unique<LocalFleet>(o);
+    LocalFleetOptions options;
+    options.effect = effect;
+    options.program = Program();
+    options.replicas.assign(replicas, replica);
+    options.key = "k";
+    options.limits = limits;
+    fleet = std::make_unique<LocalFleet>(options);
   }
   Reply Chat(const std::string& body, const std::string& headers = "Authorization: Bearer k\r\n") {
     return fleet->SendAndWait(fleet->openai(), Post("/v1/chat/completions", headers, body));
@@ -93,9 +93,9 @@
   for (const ReplicaDialect dialect : {ReplicaDialect::kOpenAi, ReplicaDialect::kPlatform}) {
     FakeReplicaOptions replica;
     replica.dialect = dialect;
-    TestNode s(replica);
+    TestNode node(replica);
     const std::string streamed = Body("hello", R"(,"stream":true)"), complete = Body("hello");
-    const Reply one = s.Chat(streamed);
+    const Reply one = node.Chat(streamed);
     EXPECT_EQ(one.status, 200);
     EXPECT_TRUE(one.complete);
     EXPECT_EQ(one.Header("x-request-id").substr(0, 4), "req_");
@@ -103,16 +103,16 @@
     EXPECT_TRUE(events.done && !events.usage && !events.error);
     EXPECT_EQ(events.text, ExpectedText(streamed));
     EXPECT_TRUE(
-        ReadEvents(s.Chat(Body("hello", R"(,"stream":true,"stream_options":{"include_usage":true})")).body)
+        ReadEvents(node.Chat(Body("hello", R"(,"stream":true,"stream_options":{"include_usage":true})")).body)
             .usage);
-    const Reply two = s.Chat(complete);
+    const Reply two = node.Chat(complete);
     EXPECT_EQ(two.status, 200);
     const json answer = json::parse(two.body);
     EXPECT_EQ(answer["choices"][0]["message"]["content"], ExpectedText(complete));
     EXPECT_EQ(answer["choices"][0]["finish_reason"], "stop");
     EXPECT_EQ(answer["object"], "chat.completion");
     EXPECT_EQ(answer["usage"]["completion_tokens"], 64);
-    const ledger::Row row = s.Ledger();
+    const ledger::Row row = node.Ledger();
     EXPECT_EQ(CountOf(row, ledger::Outcome::kServed), 3U);
     EXPECT_EQ(row.reported.output, 192);
     EXPECT_EQ(row.estimated.output, 0);
@@ -120,51 +120,52 @@
 }
 
 TEST(OpenAiFront, ServesModelsAndRejectsInvalidPathsMethodsKeysAndBodies) {
-  TestNode s;
+  TestNode node;
   const auto get = [&](const std::string& path, const std::string& key = "k") {
-    return s.fleet->SendAndWait(
-        s.fleet->openai(),
+    return node.fleet->SendAndWait(
+        node.fleet->openai(),
         "GET " + path + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + key + "\r\n\r\n");
   };
   EXPECT_EQ(json::parse(get("/v1/models").body)["data"].size(), 2U);
   EXPECT_EQ(json::parse(get("/v1/models/docs-model").body)["id"], "docs-model");
-  const auto expect_error = [](const Reply& r, int status, const std::string& code) {
-    EXPECT_EQ(r.status, status);
-    EXPECT_EQ(json::parse(r.body)["error"]["code"], code) << r.body;
-    EXPECT_FALSE(r.Header("x-request-id").empty());
+  const auto expect_error = [](const Reply& reply, int status, const std::string& code) {
+    EXPECT_EQ(reply.status, status);
+    EXPECT_EQ(json::parse(reply.body)["error"]["code"], code) << reply.body;
+    EXPECT_FALSE(reply.Header("x-request-id").empty());
   };
   expect_error(get("/v1/models/none"), 404, "model_not_found");
   expect_error(get("/v1/models", "wrong"), 401, "invalid_api_key");
   expect_error(get("/v1/elsewhere"), 404, "unknown_url");
   expect_error(get("/v1/chat/completions"), 405, "method_not_allowed");
-  expect_error(s.Chat(Body("x"), ""), 401, "invalid_api_key");
-  expect_error(s.Chat(Body("x", "", "none")), 404, "model_not_found");
-  expect_error(s.Chat(Body("x", ",\"n\":2")), 400, "unsupported_value");
-  expect_error(s.Chat("{"), 400, "invalid_json");
-  expect_error(s.Chat(std::string(300 * 1024, ' ')), 413, "request_too_large");
-  expect_error(s.fleet->SendAndWait(s.fleet->openai(), "no HTTP at all\r\n\r\n"), 400, "unreadable_request");
+  expect_error(node.Chat(Body("x"), ""), 401, "invalid_api_key");
+  expect_error(node.Chat(Body("x", "", "none")), 404, "model_not_found");
+  expect_error(node.Chat(Body("x", ",\"n\":2")), 400, "unsupported_value");
+  expect_error(node.Chat("{"), 400, "invalid_json");
+  expect_error(node.Chat(std::string(300 * 1024, ' ')), 413, "request_too_large");
+  expect_error(node.fleet->SendAndWait(node.fleet->openai(), "no HTTP at all\r\n\r\n"), 400,
+               "unreadable_request");
   EXPECT_EQ(get("/health").status, 200);
   EXPECT_NE(get("/metrics").body.find("ryeglade_api_turned_away_total{reason=\"invalid_json\"} 1"),
             std::string::npos);
-  EXPECT_EQ(s.fleet->attempt_counts().attempts, 0U);
+  EXPECT_EQ(node.fleet->attempt_counts().attempts, 0U);
 }
 
 // The client gets one `error` event, and the connection closes without [DONE] and without the last chunk. The
 // request is not retried.
 TEST(OpenAiFront, AStreamThatBreaksOffEndsWithOneError) {
   for (const char* fault : {"break", "error-event", "no-done"}) {
-    TestNode s({}, "", 2);
-    const Reply r = s.Chat(Body(std::string("#fault=") + fault, R"(,"stream":true)"));
-    EXPECT_EQ(r.status, 200);
-    EXPECT_FALSE(r.complete) << fault;
-    const Events events = ReadEvents(r.body);
+    TestNode node({}, "", 2);
+    const Reply reply = node.Chat(Body(std::string("#fault=") + fault, R"(,"stream":true)"));
+    EXPECT_EQ(reply.status, 200);
+    EXPECT_FALSE(reply.complete) << fault;
+    const Events events = ReadEvents(reply.body);
     EXPECT_TRUE(events.error && !events.done) << fault;
     EXPECT_FALSE(events.text.empty());
-    const Reply complete = s.Chat(Body(std::string("#fault=") + fault));
+    const Reply complete = node.Chat(Body(std::string("#fault=") + fault));
     EXPECT_EQ(complete.status, 502) << fault;
     EXPECT_EQ(json::parse(complete.body)["error"]["code"], "upstream_broken");
-    EXPECT_EQ(s.fleet->attempt_counts().attempts, 2U) << fault;
-    const ledger::Row row = s.Ledger();
+    EXPECT_EQ(node.fleet->attempt_counts().attempts, 2U) << fault;
+    const ledger::Row row = node.Ledger();
     EXPECT_EQ(CountOf(row, ledger::Outcome::kTruncated), 2U) << fault;
     EXPECT_EQ(row.open(), 0U);
     EXPECT_GT(row.estimated.output + row.reported.output, 0);
@@ -173,31 +174,31 @@
 
 TEST(OpenAiFront, AFailureBeforeTheFirstEventIsRetried) {
   for (const char* fault : {"reset-once", "busy-once", "error-once"}) {
-    TestNode s({}, "", 2);
+    TestNode node({}, "", 2);
     const std::string body = Body(std::string("#fault=") + fault);
-    const Reply r = s.Chat(body);
-    EXPECT_EQ(r.status, 200) << fault;
-    EXPECT_EQ(json::parse(r.body)["choices"][0]["message"]["content"], ExpectedText(body));
-    EXPECT_EQ(s.fleet->attempt_counts().attempts, 2U);
-    EXPECT_EQ(s.fleet->attempt_counts().overlapping_attempts, 0U);
+    const Reply reply = node.Chat(body);
+    EXPECT_EQ(reply.status, 200) << fault;
+    EXPECT_EQ(json::parse(reply.body)["choices"][0]["message"]["content"], ExpectedText(body));
+    EXPECT_EQ(node.fleet->attempt_counts().attempts, 2U);
+    EXPECT_EQ(node.fleet->attempt_counts().overlapping_attempts, 0U);
   }
 }
 
 TEST(OpenAiFront, EachKindOfFailureHasItsStatus) {
-  TestNode s({}, "", 2);
+  TestNode node({}, "", 2);
   const auto message = [&](const std::string& fault, int status) {
-    const Reply r = s.Chat(Body("#fault=" + fault));
-    EXPECT_EQ(r.status, status) << fault << r.body;
-    return json::parse(r.body)["error"]["message"].get<std::string>();
+    const Reply reply = node.Chat(Body("#fault=" + fault));
+    EXPECT_EQ(reply.status, status) << fault << reply.body;
+    return json::parse(reply.body)["error"]["message"].get<std::string>();
   };
   EXPECT_EQ(message("bad-request", 400), "stand-in says 400");
-  EXPECT_EQ(s.fleet->attempt_counts().attempts, 1U);  // no retry
+  EXPECT_EQ(node.fleet->attempt_counts().attempts, 1U);  // no retry
   message("error-first", 503);  // the decision module rejects the request once no replica is left to try
-  const Reply rejected = s.Chat(Body("#fault=busy"));
+  const Reply rejected = node.Chat(Body("#fault=busy"));
   EXPECT_EQ(rejected.status, 503);
   EXPECT_GE(std::stoi(rejected.Header("retry-after")), 1);  // as the replica said
   EXPECT_GE(std::stoi(rejected.Header("retry-after-ms")), 1000);
-  const Reply late = s.Chat(Body("#fault=silent"), "Authorization: Bearer k\r\nx-deadline-ms: 700\r\n");
+  const Reply late = node.Chat(Body("#fault=silent"), "Authorization: Bearer k\r\nx-deadline-ms: 700\r\n");
   EXPECT_GE(late.status, 503);
   EXPECT_LT(late.ended - late.started, 5'000'000);
 }
@@ -206,13 +207,13 @@
 // no status and no header of the response may invite a retry, whatever the failure.
 TEST(OpenAiFront, NoResponseInvitesARetryOfARequestThatMayHaveRun) {
   for (const char* fault : {"error", "reset-before", "break", "error-event", "silent"}) {
-    TestNode s({}, "", 2, "single_shot");
-    const Reply r =
-        s.Chat(Body(std::string("#fault=") + fault), "Authorization: Bearer k\r\nx-deadline-ms: 700\r\n");
-    EXPECT_TRUE(r.status == 502 || r.status == 504) << fault << r.status;
-    EXPECT_EQ(r.Header("x-should-retry"), "false") << fault;
-    EXPECT_EQ(r.Header("retry-after"), "") << fault;
-    EXPECT_EQ(s.fleet->attempt_counts().attempts, 1U) << fault;
+    TestNode node({}, "", 2, "single_shot");
+    const Reply reply =
+        node.Chat(Body(std::string("#fault=") + fault), "Authorization: Bearer k\r\nx-deadline-ms: 700\r\n");
+    EXPECT_TRUE(reply.status == 502 || reply.status == 504) << fault << reply.status;
+    EXPECT_EQ(reply.Header("x-should-retry"), "false") << fault;
+    EXPECT_EQ(reply.Header("retry-after"), "") << fault;
+    EXPECT_EQ(node.fleet->attempt_counts().attempts, 1U) << fault;
   }
   // Rejected at admission: the request asks for more tokens than the key has in a minute.
   TestNode limited({}, "tokens_per_min = 100", 2, "single_shot");
@@ -226,7 +227,7 @@
 }
 
 TEST(OpenAiFront, InvalidUsageIsCountedOnlyAsAFault) {
-  TestNode s;
+  TestNode node;
   const std::vector<std::pair<std::string, ledger::UsageFault>> invalid = {
       {"no-usage", ledger::UsageFault::kAbsent},
       {"usage-negative", ledger::UsageFault::kNegative},
@@ -238,9 +239,9 @@
       {"usage-over-limit", ledger::UsageFault::kOverLimit},
       {"usage-contradicts", ledger::UsageFault::kContradicts}};
   for (const auto& [name, fault] : invalid) {
-    EXPECT_EQ(s.Chat(Body("#fault=" + name, R"(,"stream":true,"max_tokens":40)")).status, 200);
+    EXPECT_EQ(node.Chat(Body("#fault=" + name, R"(,"stream":true,"max_tokens":40)")).status, 200);
   }
-  const ledger::Row row = s.Ledger();
+  const ledger::Row row = node.Ledger();
   EXPECT_EQ(CountOf(row, ledger::Outcome::kServed), invalid.size());
   EXPECT_EQ(row.reported.prompt + row.reported.output + row.reported.cached, 0);
   EXPECT_LE(row.estimated.output, 40.0 * static_cast<double>(invalid.size()));
@@ -251,39 +252,39 @@
 TEST(OpenAiFront, AClientThatDisconnectsFreesTheReplicaAndIsSettledOnce) {
   FakeReplicaOptions slow;
   slow.per_token = 3'000'000;  // between two tokens no write could fail and reveal the disconnection
-  TestNode s(slow);
+  TestNode node(slow);
   bool done = false;
-  s.fleet->client().Send(
-      s.fleet->openai(),
+  node.fleet->client().Send(
+      node.fleet->openai(),
       Post("/v1/chat/completions", "Authorization: Bearer k\r\n", Body("x", R"(,"stream":true)")), 600'000,
       [&](const Reply&) { done = true; });
-  EXPECT_TRUE(s.fleet->Until([&] { return done; }, 20'000'000));
+  EXPECT_TRUE(node.fleet->Until([&] { return done; }, 20'000'000));
   const auto running = [&] {
     int n = 0;
-    for (const auto& [prompt, count] : s.fleet->attempt_counts().running) n += count;
+    for (const auto& [prompt, count] : node.fleet->attempt_counts().running) n += count;
     return n;
   };
-  EXPECT_TRUE(s.fleet->Until([&] { return running() == 0; }, 2'000'000));  // before the next token
-  const ledger::Row row = s.Ledger();
+  EXPECT_TRUE(node.fleet->Until([&] { return running() == 0; }, 2'000'000));  // before the next token
+  const ledger::Row row = node.Ledger();
   EXPECT_EQ(CountOf(row, ledger::Outcome::kClientDisconnected), 1U);
   EXPECT_EQ(row.open(), 0U);
   EXPECT_GT(row.estimated.output, 0);
 }
 
 TEST(OpenAiFront, RateLimitsAreEnforcedAndTellWhenToRetry) {
-  TestNode s({}, "requests_per_min = 3\ntokens_per_min = 100000");
+  TestNode node({}, "requests_per_min = 3\ntokens_per_min = 100000");
   for (int i = 0; i < 3; ++i) {
-    const Reply r = s.Chat(Body("x", R"(,"max_tokens":10)"));
-    EXPECT_EQ(r.status, 200);
-    EXPECT_EQ(r.Header("x-ratelimit-limit-requests"), "3");
-    EXPECT_EQ(r.Header("x-ratelimit-remaining-requests"), std::to_string(2 - i));
+    const Reply reply = node.Chat(Body("x", R"(,"max_tokens":10)"));
+    EXPECT_EQ(reply.status, 200);
+    EXPECT_EQ(reply.Header("x-ratelimit-limit-requests"), "3");
+    EXPECT_EQ(reply.Header("x-ratelimit-remaining-requests"), std::to_string(2 - i));
   }
-  const Reply r = s.Chat(Body("x", R"(,"max_tokens":10)"));
-  EXPECT_EQ(r.status, 429);
-  EXPECT_EQ(json::parse(r.body)["error"]["code"], "rate_limit_exceeded");
-  EXPECT_GE(std::stoi(r.Header("retry-after")), 1);
-  EXPECT_EQ(s.Chat(Body("x", R"(,"max_tokens":200000)")).status, 429);
-  const ledger::Row row = s.Ledger();
+  const Reply reply = node.Chat(Body("x", R"(,"max_tokens":10)"));
+  EXPECT_EQ(reply.status, 429);
+  EXPECT_EQ(json::parse(reply.body)["error"]["code"], "rate_limit_exceeded");
+  EXPECT_GE(std::stoi(reply.Header("retry-after")), 1);
+  EXPECT_EQ(node.Chat(Body("x", R"(,"max_tokens":200000)")).status, 429);
+  const ledger::Row row = node.Ledger();
   EXPECT_EQ(row.admitted, 3U);
   EXPECT_EQ(row.reported.output, 30);
 }
@@ -292,60 +293,60 @@
   FakeReplicaOptions verbose;
   verbose.tokens = 4000;
   verbose.per_token = 100;
-  TestNode s(verbose, "tokens_per_min = 700");  // 512 are reserved for an answer without max_tokens
-  const Reply r = s.Chat(Body("x", R"(,"stream":true)"));
-  EXPECT_EQ(r.status, 200);
-  EXPECT_FALSE(r.complete);
-  const Events events = ReadEvents(r.body);
+  TestNode node(verbose, "tokens_per_min = 700");  // 512 are reserved for an answer without max_tokens
+  const Reply reply = node.Chat(Body("x", R"(,"stream":true)"));
+  EXPECT_EQ(reply.status, 200);
+  EXPECT_FALSE(reply.complete);
+  const Events events = ReadEvents(reply.body);
   EXPECT_TRUE(events.error && !events.done);
-  EXPECT_NE(r.body.find("tokens_spent"), std::string::npos);
-  EXPECT_EQ(CountOf(s.Ledger(), ledger::Outcome::kTerminated), 1U);
+  EXPECT_NE(reply.body.find("tokens_spent"), std::string::npos);
+  EXPECT_EQ(CountOf(node.Ledger(), ledger::Outcome::kTerminated), 1U);
 }
 
 TEST(OpenAiFront, RevokingAKeyEndsItsOpenRequests) {
   FakeReplicaOptions slow;
   slow.per_token = 100'000;
-  TestNode s(slow);
+  TestNode node(slow);
   Reply streamed, complete;
   int done = 0;
   const auto ask = [&](Reply& to, const std::string& extra) {
-    s.fleet->client().Send(s.fleet->openai(),
-                           Post("/v1/chat/completions", "Authorization: Bearer k\r\n",
-                                Body("x" + std::to_string(extra.size()), extra)),
-                           30'000'000, [&](const Reply& r) {
-                             to = r;
-                             ++done;
-                           });
+    node.fleet->client().Send(node.fleet->openai(),
+                              Post("/v1/chat/completions", "Authorization: Bearer k\r\n",
+                                   Body("x" + std::to_string(extra.size()), extra)),
+                              30'000'000, [&](const Reply& reply) {
+                                to = reply;
+                                ++done;
+                              });
   };
   ask(streamed, R"(,"stream":true)");
   ask(complete, "");
-  s.fleet->Until([] { return false; }, 1'000'000);
+  node.fleet->Until([] { return false; }, 1'000'000);
   keys::Keyring other;
   other.Add(keys::KeyFromText("other", "o"));
-  other.Save(s.fleet->node().directory() + "/keys.toml");
-  s.fleet->node().Signal(SIGHUP);
-  EXPECT_TRUE(s.fleet->Until([&] { return done == 2; }, 20'000'000));
+  other.Save(node.fleet->node().directory() + "/keys.toml");
+  node.fleet->node().Signal(SIGHUP);
+  EXPECT_TRUE(node.fleet->Until([&] { return done == 2; }, 20'000'000));
   EXPECT_NE(streamed.body.find("key_revoked"), std::string::npos);
   EXPECT_FALSE(streamed.complete);
   EXPECT_EQ(complete.status, 401);
-  EXPECT_EQ(s.Chat(Body("x")).status, 401);
-  EXPECT_EQ(s.Chat(Body("y", R"(,"max_tokens":1)"), "Authorization: Bearer o\r\n").status, 200);
+  EXPECT_EQ(node.Chat(Body("x")).status, 401);
+  EXPECT_EQ(node.Chat(Body("y", R"(,"max_tokens":1)"), "Authorization: Bearer o\r\n").status, 200);
   // An invalid key file changes nothing.
-  std::ofstream(s.fleet->node().directory() + "/keys.toml") << "[[key]]\nid = 7\n";
-  s.fleet->node().Signal(SIGHUP);
-  s.fleet->Until([&] { return s.fleet->node().Log().find("reload-failed") != std::string::npos; },
-                 10'000'000);
-  EXPECT_EQ(s.Chat(Body("z", R"(,"max_tokens":1)"), "Authorization: Bearer o\r\n").status, 200);
-  EXPECT_EQ(CountOf(s.Ledger(), ledger::Outcome::kTerminated), 2U);
+  std::ofstream(node.fleet->node().directory() + "/keys.toml") << "[[key]]\nid = 7\n";
+  node.fleet->node().Signal(SIGHUP);
+  node.fleet->Until([&] { return node.fleet->node().Log().find("reload-failed") != std::string::npos; },
+                    10'000'000);
+  EXPECT_EQ(node.Chat(Body("z", R"(,"max_tokens":1)"), "Authorization: Bearer o\r\n").status, 200);
+  EXPECT_EQ(CountOf(node.Ledger(), ledger::Outcome::kTerminated), 2U);
 }
 
 // Identical requests of two keys at the same time are two requests, each answered and recorded once.
 TEST(OpenAiFront, IdenticalRequestsOfTwoKeysAreAnsweredSeparately) {
-  LocalFleetOptions o;
-  o.program = Program();
-  o.replicas.resize(2);
-  o.key = "k";
-  LocalFleet fleet(o);
+  LocalFleetOptions options;
+  options.program = Program();
+  options.replicas.resize(2);
+  options.key = "k";
+  LocalFleet fleet(options);
   keys::Keyring two;
   two.Add(keys::KeyFromText("one", "k"));
   two.Add(keys::KeyFromText("two", "other"));
@@ -359,7 +360,7 @@
     fleet.client().Send(
         fleet.openai(),
         Post("/v1/chat/completions", std::string("Authorization: Bearer ") + key + "\r\n", body), 30'000'000,
-        [&](const Reply& r) { answers.push_back(json::parse(r.body)["choices"].dump()); });
+        [&](const Reply& reply) { answers.push_back(json::parse(reply.body)["choices"].dump()); });
   }
   ASSERT_TRUE(fleet.Until([&] { return answers.size() == 2; }, 30'000'000));
   EXPECT_EQ(answers[0], answers[1]);
@@ -369,11 +370,11 @@
 }
 
 TEST(OpenAiFront, AConnectionFromAnAddressThatIsNotAllowedIsClosed) {
-  LocalFleetOptions o;
-  o.program = Program();
-  o.replicas.resize(1);
-  o.openai_listen = "127.0.0.1:0\"\nnetworks = [\"10.0.0.0/8\"]\nread_within = \"5s";
-  LocalFleet fleet(o);
+  LocalFleetOptions options;
+  options.program = Program();
+  options.replicas.resize(1);
+  options.openai_listen = "127.0.0.1:0\"\nnetworks = [\"10.0.0.0/8\"]\nread_within = \"5s";
+  LocalFleet fleet(options);
   EXPECT_EQ(fleet.SendAndWait(fleet.openai(), "GET /health HTTP/1.1\r\nHost: x\r\n\r\n").status, 0);
 }
 
