--- a/src/http/downstream.cpp
+++ b/src/http/downstream.cpp
@@ -131,7 +131,7 @@
 }
 
 // The client has disconnected or its connection broke. Notifies the front if a response was due.
-void Downstream::LoseClient(Handle handle, CloseReason reason) {
+void Downstream::CloseAndNotifyFront(Handle handle, CloseReason reason) {
   const Client* client = clients_.Get(handle);
   if (client == nullptr) return;
   const bool response_due = client->state == State::kResponding;
@@ -139,7 +139,7 @@
   if (response_due) front_->OnClientDisconnected(handle);
 }
 
-void Downstream::OnDisconnected(Handle handle) { LoseClient(handle, CloseReason::kClientEnded); }
+void Downstream::OnDisconnected(Handle handle) { CloseAndNotifyFront(handle, CloseReason::kClientEnded); }
 
 // Closes an idle connection gracefully: shuts down writing, so that the client gets the FIN after its last
 // response, and waits for the client to close. A request that arrives meanwhile is not read, so that its
@@ -171,7 +171,7 @@
     const Client* client = clients_.Get(handle);
     if (client == nullptr || client->state != State::kResponding || client->unparsed.size() <= kMaxUnparsed)
       return;
-    if (client->tcp->PeerClosed()) return LoseClient(handle, CloseReason::kClientEnded);
+    if (client->tcp->PeerClosed()) return CloseAndNotifyFront(handle, CloseReason::kClientEnded);
     WatchForEndWhilePaused(handle);
   });
 }
@@ -389,14 +389,15 @@
 void Downstream::OnWritten(Handle handle, bool written) {
   Client& client = *clients_.Get(handle);
   if (!written) {
-    runtime_->deadlines->Set(Now(), [this, handle] { LoseClient(handle, CloseReason::kWriteFailed); });
+    runtime_->deadlines->Set(Now(),
+                             [this, handle] { CloseAndNotifyFront(handle, CloseReason::kWriteFailed); });
     return;
   }
   if (client.congested || client.tcp->unsent() < kMaxUnsent) return;
   client.congested = true;
   client.deadline = runtime_->deadlines->Set(Now() + kWriteTimeout, [this, handle] {
     Log(Level::kWarn, "client-write-timeout");
-    LoseClient(handle, CloseReason::kWriteTimeout);
+    CloseAndNotifyFront(handle, CloseReason::kWriteTimeout);
   });
   front_->OnBackpressure(handle, true);
 }
--- a/src/http/downstream.h
+++ b/src/http/downstream.h
@@ -136,7 +136,7 @@
   void SweepIdle();
   void CloseInOrder(Handle connection, CloseReason reason);
   void CloseConnection(Handle connection, CloseReason reason);
-  void LoseClient(Handle connection, CloseReason reason);
+  void CloseAndNotifyFront(Handle connection, CloseReason reason);
   void WatchForEndWhilePaused(Handle connection);
   void WatchForEndWhileClosing(Handle connection);
   // Requests.
