--- a/src/http/downstream.cpp
+++ b/src/http/downstream.cpp
@@ -144,7 +144,7 @@
 // Closes an idle connection gracefully: shuts down writing, so that the client gets the FIN after its last
 // response, and waits for the client to close. A request that arrives meanwhile is not read, so that its
 // client may safely send it again on another connection; if it were read and not answered, it would be lost.
-void Downstream::CloseInOrder(Handle handle, CloseReason reason) {
+void Downstream::CloseGracefully(Handle handle, CloseReason reason) {
   Client& client = *clients_.Get(handle);
   client.state = State::kLingering;
   client.close_reason = reason;
@@ -221,7 +221,7 @@
 void Downstream::CloseIdle() {
   for (const Handle handle : clients_.All()) {
     const Client& client = *clients_.Get(handle);
-    if (IsIdle(client) && client.tcp->NothingToRead()) CloseInOrder(handle, CloseReason::kIdle);
+    if (IsIdle(client) && client.tcp->NothingToRead()) CloseGracefully(handle, CloseReason::kIdle);
   }
 }
 
@@ -266,7 +266,7 @@
   if (client->state == State::kReading) return RejectIncomplete(handle, 408, "slow-sender");
   if (client->state != State::kIdle) return;
   if (!client->tcp->NothingToRead()) return SetRequestDeadline(handle, Now() + kReadGrace);
-  CloseInOrder(handle, CloseReason::kRequestTimeout);
+  CloseGracefully(handle, CloseReason::kRequestTimeout);
 }
 
 // Answers a request that is not complete; this response is the connection's last.
--- a/src/http/downstream.h
+++ b/src/http/downstream.h
@@ -134,7 +134,7 @@
   static EvictionRank RankForEviction(const Client& client);
   static bool IsIdle(const Client& client);
   void SweepIdle();
-  void CloseInOrder(Handle connection, CloseReason reason);
+  void CloseGracefully(Handle connection, CloseReason reason);
   void CloseConnection(Handle connection, CloseReason reason);
   void CloseAndNotifyFront(Handle connection, CloseReason reason);
   void WatchForEndWhilePaused(Handle connection);
