--- a/src/base/text_table.h
+++ b/src/base/text_table.h
@@ -24,8 +24,8 @@
   std::string name;
   std::vector<Column> columns;  // all of the same length
   std::size_t rows() const;
-  // Return the values of a column. Throw std::runtime_error if there is no such column or it has another
-  // type.
+  // These functions return the values of a column. They throw std::runtime_error if there is no such column
+  // or it has another type.
   const Numbers& NumbersOf(const std::string& column) const;
   const Integers& IntegersOf(const std::string& column) const;
   const Strings& StringsOf(const std::string& column) const;
--- a/src/core/dialect.h
+++ b/src/core/dialect.h
@@ -40,7 +40,7 @@
 
   virtual ~ResponseReader() = default;
   virtual void OnHeader(const std::string& name, const std::string& value) = 0;
-  // Take the body bytes as they arrive. OnBody gets those of every response; for a stream, OnStream is then
+  // OnBody is called with the body bytes of every response as they arrive; for a stream, OnStream is then
   // called with the same bytes.
   virtual void OnBody(std::string_view bytes) = 0;
   virtual StreamStatus OnStream(std::string_view bytes) = 0;
@@ -69,8 +69,8 @@
   virtual bool SendsHeadWithFirstEvent() const = 0;
   // Called once for each request, before its first attempt.
   virtual void Prepare(StreamRequest& request) const = 0;
-  // Return the request head including the empty line at its end. `time_left` is the rest of the client's time
-  // budget.
+  // RequestHead and HealthCheckHead return the head of a request, including the empty line at its end.
+  // `time_left` is the rest of the client's time budget, in microseconds.
   virtual std::string RequestHead(const StreamRequest& request, const std::string& host,
                                   policy::Time time_left) const = 0;
   virtual std::string HealthCheckHead(const std::string& host) const = 0;
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -42,8 +42,11 @@
 class ConclusionPort {
  public:
   virtual ~ConclusionPort() = default;
+  // Reject and Fail do nothing once the response has started. A rejection tells the client that it may repeat
+  // the request, after `retry_after` unless that is 0; a failure does not.
   virtual void Reject(Handle stream, Time retry_after) = 0;
   virtual void Fail(Handle stream) = 0;
+  // Ends a stream whose response has started, so that the client resumes it at another node.
   virtual void Migrate(Handle stream) = 0;
 };
 
@@ -69,9 +72,9 @@
 class ResponsePort {
  public:
   virtual ~ResponsePort() = default;
-  virtual Stream* Find(Handle stream) = 0;  // nullptr if the stream has ended
-  virtual void OnData(Handle stream, std::string_view events) = 0;
-  virtual void OnComplete(Handle stream) = 0;
+  virtual Stream* Find(Handle stream) = 0;                          // nullptr if the stream has ended
+  virtual void OnData(Handle stream, std::string_view events) = 0;  // the next bytes of the response
+  virtual void OnComplete(Handle stream) = 0;                       // all bytes have been passed to OnData
   virtual void OnTruncated(Handle stream) = 0;  // the response broke off after data and before its end
   // A host answered that the request itself is invalid; its status and body are passed on to the client.
   virtual void OnInvalidRequest(Handle stream, int status, const std::string& body) = 0;
@@ -84,17 +87,20 @@
 class AttemptPort {
  public:
   virtual ~AttemptPort() = default;
-  // `timeout` and `write_within` as in policy::SendAttempt.
+  // Starts the stream's next attempt. `timeout` and `write_within` are those of policy::SendAttempt.
   virtual void Send(Handle stream, ReplicaId to, Time timeout, Time write_within) = 0;
+  // Does nothing if the attempt has ended or its response has started.
   virtual void CancelAttempt(Handle stream, int attempt) = 0;
-  virtual void CheckHealth(ReplicaId of) = 0;
+  virtual void CheckHealth(ReplicaId of) = 0;  // the result is posted as policy::HealthCheckCompleted
 };
 
 // What Streams calls on Upstream.
 class UpstreamRequestPort {
  public:
   virtual ~UpstreamRequestPort() = default;
+  // None of these functions does anything if the request has ended.
   virtual void Cancel(Handle upstream_request) = 0;
+  // Stops reading the response, or reads on.
   virtual void SetPaused(Handle upstream_request, bool paused) = 0;
   // Moves the time by which a response must have started forward to `at`. Has no effect once a response has
   // started.
@@ -108,6 +114,7 @@
 class UpstreamHostPort {
  public:
   virtual ~UpstreamHostPort() = default;
+  // Adds a host, or changes the address of a known one.
   virtual void SetHost(ReplicaId id, const std::string& host_port) = 0;
   virtual void RemoveHost(ReplicaId id) = 0;
   // For a host that drains: requests that have not been written to it yet end as not sent.
@@ -128,9 +135,9 @@
 class EndpointDiscoveryPort {
  public:
   virtual ~EndpointDiscoveryPort() = default;
-  virtual void Watch(bool enabled) = 0;
-  virtual void Poll() = 0;
-  virtual bool ready() const = 0;  // whether a list with at least one host is known
+  virtual void Watch(bool enabled) = 0;  // opens the watch of the endpoint lists, or closes it
+  virtual void Poll() = 0;               // requests the complete list once
+  virtual bool ready() const = 0;        // whether a list with at least one host is known
 };
 
 // Is notified of what the decision module does not see of the endpoint lists: names, addresses and the
--- a/src/core/streams.cpp
+++ b/src/core/streams.cpp
@@ -114,9 +114,9 @@
 }
 
 // Migrates running streams before SIGKILL would cut them off. The client of a stream that is cut off would
-// resume it at this node, which still counts as available for it, and be rejected; while the node drains,
-// the client resumes the stream at another node. Streams are migrated a few at a time, in the order of their
-// slots.
+// try to resume it at this node, which the client still treats as available, and be rejected; while the node
+// drains, the client resumes the stream at another node. Streams are migrated a few at a time, in the order
+// of their slots.
 void Streams::MigrateSome() {
   const std::vector<Handle> all = streams_.All();
   const auto running = static_cast<Time>(
--- a/src/http/downstream.h
+++ b/src/http/downstream.h
@@ -55,8 +55,8 @@
   // Throws std::runtime_error if Listen would fail.
   void CheckListen() const { Listener::Check(options_.listen, options_.share_port); }
 
-  // Send the response to the current request, complete or in chunks. They do nothing if the connection is
-  // closed or no response is due.
+  // These functions send the response to the current request, complete or in chunks. They do nothing if the
+  // connection is closed or no response is due.
   void Reply(Handle connection, int status, const std::string& headers, std::string_view body);
   void BeginChunks(Handle connection, const std::string& headers);
   void Chunk(Handle connection, std::string_view bytes);
--- a/src/http/request_parser.h
+++ b/src/http/request_parser.h
@@ -50,7 +50,8 @@
   bool keep_alive() const { return keep_alive_; }
   // Returns true, once per request, if the client waits for "100 Continue" before it sends the body.
   bool TakeExpectsContinue() { return std::exchange(expects_continue_, false); }
-  // For an invalid request: the status of the response, and the reason for the log.
+  // For an invalid request: the status of the response, and the reason for the log ("limit" or the name of
+  // the parser's error).
   int error_status() const;
   const char* error_reason() const;
 
