--- a/src/http/blocking_client.cpp
+++ b/src/http/blocking_client.cpp
@@ -38,7 +38,7 @@
   sockaddr_storage to{};
   if (!ParseAddress(address, &to)) throw std::runtime_error(server + " " + address + " is not an ip:port");
   const auto error_at = [&](const char* step, int error) {
-    return std::runtime_error("request to " + server + " " + address + " failed: " + step + ": " +
+    return std::runtime_error(server + " " + address + ": the request failed in " + step + ": " +
                               std::strerror(error));
   };
   const auto started_at = std::chrono::steady_clock::now();
