--- a/src/base/text_table.h
+++ b/src/base/text_table.h
@@ -24,25 +24,28 @@
   std::string name;
   std::vector<Column> columns;  // all of the same length
   std::size_t rows() const;
-  // Return the values of a column. Throw std::runtime_error if there is no such column or it has another
-  // type.
+  // These functions return the values of a column. They throw std::runtime_error if there is no such column
+  // or it has another type.
   const Numbers& NumbersOf(const std::string& column) const;
   const Integers& IntegersOf(const std::string& column) const;
   const Strings& StringsOf(const std::string& column) const;
 };
 
-// Formats a table as CSV. NaN becomes an empty field; strings are quoted where necessary.
+// Formats a table as CSV, with a header line. Numbers are given with six significant digits; NaN becomes an
+// empty field; strings are quoted where necessary.
 std::string Csv(const TextTable& table);
 
 // Builds a table row by row; fields are given in the order of the columns.
 class TableBuilder {
  public:
   TableBuilder(std::string name, std::vector<Column> columns) : table_{std::move(name), std::move(columns)} {}
+  // Adds one row. The type of each field must be that of its column.
   template <class... T>
   void Add(T... fields) {
     std::size_t at = 0;
     (Append(at++, fields), ...);
   }
+  // Returns the table. The builder must not be used any more.
   TextTable Take() { return std::move(table_); }
 
  private:
--- a/src/core/endpoint_table.h
+++ b/src/core/endpoint_table.h
@@ -56,14 +56,16 @@
                   std::vector<ReplicaId>* removed);
   void Forget(ReplicaId id);
   void Post(policy::EndpointList update);
-  static void ApplyDisabled(const DisabledReplicas& disabled, const std::string& name, policy::Endpoint& e);
+  static void ApplyDisabled(const DisabledReplicas& disabled, const std::string& name,
+                            policy::Endpoint& endpoint);
 
   Core* core_;
   std::uint64_t generation_ = 0;
   std::map<std::string, ReplicaId> ids_;
   std::map<ReplicaId, std::string> names_;
   std::set<ReplicaId> listed_;
-  std::map<ReplicaId, policy::Endpoint> last_listed_;  // the latest entry of each listed replica
+  // The latest entry of each listed replica, as it was before disabled replicas are taken into account.
+  std::map<ReplicaId, policy::Endpoint> last_listed_;
   ReplicaIncarnations incarnations_;
   DisabledReplicas disabled_;  // by name, because an id can be given to another name later
 };
--- a/src/core/learned_state_codec.cpp
+++ b/src/core/learned_state_codec.cpp
@@ -139,31 +139,31 @@
     if (at != in.end()) Decode(*at, v, name);
   }
   template <class T>
-  static void Decode(const json& j, T& v, const char* name) {
+  static void Decode(const json& encoded, T& v, const char* name) {
     if constexpr (std::is_arithmetic_v<T>) {
-      if (!j.is_number()) throw std::runtime_error(std::string(name) + " is not a number");
-      const double d = j.get<double>();
+      if (!encoded.is_number()) throw std::runtime_error(std::string(name) + " is not a number");
+      const double d = encoded.get<double>();
       if constexpr (std::is_same_v<T, std::uint64_t> || std::is_same_v<T, std::uint32_t>) {
-        if (!j.is_number_unsigned())
+        if (!encoded.is_number_unsigned())
           throw std::runtime_error(std::string(name) + " is not an unsigned integer");
       } else if (!std::isfinite(d) || std::abs(d) > kMaxNumber) {
         throw std::runtime_error(std::string(name) + " is out of range");
       }
-      v = j.get<T>();
+      v = encoded.get<T>();
     } else if constexpr (IsVector<T>::value) {
-      CheckList(j, name);
+      CheckList(encoded, name);
       v.clear();
-      for (const json& e : j) {
+      for (const json& e : encoded) {
         typename T::value_type element{};
         Decode(e, element, name);
         v.push_back(std::move(element));
       }
     } else if constexpr (IsMap<T>::value) {
-      CheckList(j, name);
+      CheckList(encoded, name);
       v.clear();
-      for (const json& e : j) {
+      for (const json& e : encoded) {
         if (!e.is_array() || e.size() != 2)
-          throw std::runtime_error(std::string(name) + " has an entry that is not a pair");
+          throw std::runtime_error(std::string(name) + " has an entry that is not a [key, value] pair");
         typename T::key_type key{};
         typename T::mapped_type element{};
         Decode(e[0], key, name);
@@ -171,14 +171,16 @@
         v.emplace(key, std::move(element));
       }
     } else {
-      if (!j.is_object()) throw std::runtime_error(std::string(name) + " is not an object");
-      Decoder inner{j};
+      if (!encoded.is_object()) throw std::runtime_error(std::string(name) + " is not an object");
+      Decoder inner{encoded};
       Fields(inner, v);
     }
   }
-  static void CheckList(const json& j, const char* name) {
-    if (!j.is_array()) throw std::runtime_error(std::string(name) + " is not an array");
-    if (j.size() > kMaxEntries) throw std::runtime_error(std::string(name) + " is too long");
+  static void CheckList(const json& encoded, const char* name) {
+    if (!encoded.is_array()) throw std::runtime_error(std::string(name) + " is not an array");
+    if (encoded.size() > kMaxEntries)
+      throw std::runtime_error(std::string(name) + " has more than " + std::to_string(kMaxEntries) +
+                               " entries");
   }
 };
 
@@ -200,28 +202,28 @@
   return std::all_of(all.begin(), all.end(), [](const RunningAverage& a) { return IsValid(a); });
 }
 
-// Returns the name of a field that is out of range, or nullptr if all are valid.
+// Returns the stored names of the fields of which one is out of range, or nullptr if all are valid.
 const char* FindInvalid(const LearnedState& learned) {
   if (learned.node_count < 1 || learned.node_count > 1'000'000) return "nodes";
-  if (learned.base_limit < 0 || learned.limit_before_decrease < 0) return "level";
+  if (learned.base_limit < 0 || learned.limit_before_decrease < 0) return "level or fell_from";
   if (learned.late_share < 0 || learned.late_share > 1 || learned.objective_used < 0 ||
       learned.objective_used > 1)
     return "late or wait";
   if (learned.retry_budget < 0 || learned.retry_budget > 1000) return "retry_budget";
   for (const auto* table : {&learned.runtime_by_bucket, &learned.first_token_by_bucket}) {
     for (const auto& [bucket, a] : *table) {
-      if (!IsValid(a) || a.mean < 0) return "runtime";
+      if (!IsValid(a) || a.mean < 0) return "runtime or first_token";
     }
   }
   if (!IsValid(learned.runtime_per_hint) || !IsValid(learned.bucket_error) || !IsValid(learned.hint_error) ||
       !IsValid(learned.slowness_by_kind) || !IsValid(learned.mean_runtime))
-    return "an average";
+    return "per_hint, bucket_error, hint_error, kind_slow or round_trip";
   for (const LearnedState::Replica& r : learned.replicas) {
     if (r.in_flight < 0 || r.in_flight > 1'000'000 || r.learned.consecutive_failures < 0 ||
         r.learned.slowness_samples < 0)
-      return "a replica";
+      return "replicas: out, failures or slow_n";
     if (std::abs(r.learned.slowness) > 20 || r.learned.capacity_factor < 0 || r.learned.capacity_factor > 1)
-      return "a replica's slowness";
+      return "replicas: slow or full";
   }
   return nullptr;
 }
@@ -238,10 +240,11 @@
 
 std::optional<LearnedState> DecodeLearnedState(const std::string& bytes, std::string* error) {
   try {
-    const json j = json::from_msgpack(bytes, true, false);
-    if (!j.is_object()) throw std::runtime_error("not an encoded learned state");
+    const json encoded = json::from_msgpack(bytes, true, false);
+    if (!encoded.is_object())
+      throw std::runtime_error("not an encoded learned state: expected a MessagePack map");
     LearnedState learned;
-    Decoder decoder{j};
+    Decoder decoder{encoded};
     Fields(decoder, learned);
     if (const char* invalid = FindInvalid(learned))
       throw std::runtime_error(std::string(invalid) + " is out of range");
--- a/src/dialects/openai/openai_dialect.cpp
+++ b/src/dialects/openai/openai_dialect.cpp
@@ -58,6 +58,7 @@
   return false;
 }
 
+// Reads the response of a server with the OpenAI-style API.
 class Reader : public ResponseReader {
  public:
   void OnHeader(const std::string& name, const std::string& value) override {
@@ -74,19 +75,19 @@
 
   StreamStatus OnStream(std::string_view bytes) override {
     bool progress = false;
-    const bool good = events_.Feed(bytes, [&](const EventStream::Event& e) {
-      if (!e.has_data) return true;
-      if (e.type == "error" || ReportsError(e.data)) return false;
+    const bool valid = events_.Feed(bytes, [&](const EventStream::Event& event) {
+      if (!event.has_data) return true;
+      if (event.type == "error" || ReportsError(event.data)) return false;
       if (done_) return false;  // nothing may follow [DONE]
-      done_ = e.data == "[DONE]";
+      done_ = event.data == "[DONE]";
       progress = true;
       has_event_ = true;
-      if (const auto cached = FindLastNumber(e.data, "\"cached_tokens\"")) {
+      if (const auto cached = FindLastNumber(event.data, "\"cached_tokens\"")) {
         cached_tokens_ = std::isfinite(*cached) && *cached > 0 ? *cached : 0;
       }
       return true;
     });
-    if (!good) return StreamStatus::kInvalid;
+    if (!valid) return StreamStatus::kInvalid;
     // A part of a long event counts as progress; a part of a comment does not.
     if (!events_.unfinished().empty() && events_.unfinished().front() != ':') progress = true;
     if (has_event_) error_body_ = {};
@@ -119,12 +120,12 @@
 
  private:
   EventStream events_{kMaxEventBytes};
-  bool has_event_ = false;
-  bool done_ = false;  // [DONE] has been received
+  bool has_event_ = false;  // an event that is no error has been received
+  bool done_ = false;       // [DONE] has been received
   double cached_tokens_ = 0;
-  Time retry_after_ = 0;
+  Time retry_after_ = 0;  // from the headers, microseconds; 0 if there is none
   std::string load_report_;
-  std::string error_body_;
+  std::string error_body_;  // the start of the body; cleared once an event has been received
 };
 
 }  // namespace
--- a/src/http/downstream.h
+++ b/src/http/downstream.h
@@ -34,7 +34,7 @@
 // Owns the connections and the listener.
 class Downstream : public TcpOwner {
  public:
-  // Only the maximum number of connections can be changed later.
+  // Fixed for the lifetime of the object, except for the maximum number of connections.
   struct Options {
     std::string listen;  // ip:port; with port 0 the kernel chooses the port
     // SO_REUSEPORT, so that a new process can listen beside this one during a hot restart.
@@ -55,8 +55,8 @@
   // Throws std::runtime_error if Listen would fail.
   void CheckListen() const { Listener::Check(options_.listen, options_.share_port); }
 
-  // Send the response to the current request, complete or in chunks. They do nothing if the connection is
-  // closed or no response is due.
+  // These functions send the response to the current request, complete or in chunks. They do nothing if the
+  // connection is closed or no response is due.
   void Reply(Handle connection, int status, const std::string& headers, std::string_view body);
   void BeginChunks(Handle connection, const std::string& headers);
   void Chunk(Handle connection, std::string_view bytes);
@@ -134,17 +134,17 @@
   static EvictionRank RankForEviction(const Client& client);
   static bool IsIdle(const Client& client);
   void SweepIdle();
-  void CloseInOrder(Handle connection, CloseReason reason);
+  void CloseGracefully(Handle connection, CloseReason reason);
   void CloseConnection(Handle connection, CloseReason reason);
-  void LoseClient(Handle connection, CloseReason reason);
+  void CloseAndNotifyFront(Handle connection, CloseReason reason);
   void WatchForEndWhilePaused(Handle connection);
   void WatchForEndWhileClosing(Handle connection);
   // Requests.
   void SetRequestDeadline(Handle connection, Time at);
   void OnRequestTimeout(Handle connection);
   void ParseInput(Handle connection);
-  void ParseRequest(Handle connection, Client& c);
-  void OnRequestComplete(Handle connection, Client& c);
+  void ParseRequest(Handle connection, Client& client);
+  void OnRequestComplete(Handle connection, Client& client);
   void RejectIncomplete(Handle connection, int status, const char* reason);
   // Responses.
   void ReplyError(Handle connection, int status);
--- a/tests/event_delay.cpp
+++ b/tests/event_delay.cpp
@@ -1,6 +1,6 @@
 // Measures how long a node delays the events of a stream. kStreams streams run at once, and the next event is
 // sent only after every client has received the previous one: a node that held an event back until the next
-// one, or until more bytes, arrive would never deliver it. `event_delay PROGRAM` runs the test and prints the
+// event or further bytes arrive would never deliver it. `event_delay PROGRAM` runs the test and prints the
 // delays.
 #include <algorithm>
 #include <chrono>
@@ -19,22 +19,24 @@
 constexpr int kEventsPerLateEvent = 20;      // at most one in this many events may be late
 constexpr std::size_t kLargeBytes = 60'000;  // of the text of a large event
 
+// One stream, with the client's and the host's end of it.
 struct RunningStream {
   Connection client, host;
   Clock::time_point sent;  // when the last part of the current event was sent
 };
 
+// Returns the last bytes of an event, which differ from those of all other events.
 std::string EventEnd(int event) { return " event=" + std::to_string(event) + "\n\n"; }
 
 // Sends an event, or its first part, and sets `rest` to what is left. `form` selects how it is sent: 0
 // complete, 1 complete and large, 2 split within its text, 3 split within the line end of its chunk.
-void SendFirstPart(RunningStream& r, std::size_t form, int event, std::string* rest) {
+void SendFirstPart(RunningStream& stream, std::size_t form, int event, std::string* rest) {
   const std::string text = "data: " + std::string(form == 1 ? kLargeBytes : 20, 'e') + EventEnd(event);
   char size[16];
   std::snprintf(size, sizeof size, "%zx\r\n", text.size());
   const std::string chunk = size + text + "\r\n";
   const std::size_t cut = form == 2 ? chunk.size() / 2 : form == 3 ? chunk.size() - 1 : chunk.size();
-  r.host.Send(chunk.substr(0, cut));
+  stream.host.Send(chunk.substr(0, cut));
   *rest = chunk.substr(cut);
 }
 
@@ -64,14 +66,14 @@
       if (!rest[n].empty()) streams[n].host.Send(rest[n]);
       streams[n].sent = Clock::now();
     }
-    for (RunningStream& r : streams) {
-      r.client.ReadUntil(EventEnd(event));
-      delays_ms.push_back(std::chrono::duration<double, std::milli>(Clock::now() - r.sent).count());
+    for (RunningStream& stream : streams) {
+      stream.client.ReadUntil(EventEnd(event));
+      delays_ms.push_back(std::chrono::duration<double, std::milli>(Clock::now() - stream.sent).count());
     }
   }
-  for (RunningStream& r : streams) {
-    r.host.SendChunk("");
-    r.client.ReadUntil("0\r\n\r\n");
+  for (RunningStream& stream : streams) {
+    stream.host.SendChunk("");
+    stream.client.ReadUntil("0\r\n\r\n");
   }
   assert(node.WaitForExit() == 0);
   std::sort(delays_ms.begin(), delays_ms.end());
