--- a/src/membership/dissemination_queue_model.h
+++ b/src/membership/dissemination_queue_model.h
@@ -19,18 +19,18 @@
  public:
   static constexpr std::size_t kMaxUpdates = 512;
   static constexpr std::size_t kMaxConsidered = 48;  // candidates for one message
-  // One record can make any number of reports obsolete, so while not all updates fit into the messages a
-  // record is sent this many times as often as a report.
+  // One record can make any number of reports obsolete. While not all updates fit into the messages, a record
+  // is therefore sent this many times as often as a report.
   static constexpr int kRecordPriority = 2;
 
-  // Adds an update. `made_at` is the time at which a report was made, in microseconds. A record removes the
-  // reports that it makes obsolete. Returns false if the queue was full, in which case the update that was
-  // sent most often has been dropped.
+  // Adds an update. `made_at` is the time at which a report was made, in microseconds; it is not used for a
+  // record. A record removes the reports that it makes obsolete. Returns false if the queue was full, in
+  // which case the update that was sent most often has been dropped.
   bool Enqueue(Update update, Time made_at);
 
   // Offers up to kMaxConsidered updates to `take` (const Update& -> bool), those sent least often first and
-  // the newest first among equals. An update that `take` accepts counts as sent; after `max_sends` sends it
-  // is removed.
+  // the newest first among equals; each send of a report counts as kRecordPriority sends. An update that
+  // `take` accepts counts as sent; after `max_sends` sends it is removed.
   template <typename Take>
   void Send(Time now, int max_sends, const Take& take) {
     const std::size_t sorted = SortCandidates();
@@ -57,19 +57,21 @@
  private:
   // The fields that are scanned for each message, stored apart from the updates themselves.
   struct Key {
-    std::uint64_t subject = 0;  // hash; updates with the same subject replace each other
-    std::uint64_t member = 0;   // hash of the name of the member that the update is about
-    std::uint64_t order = 0;    // rises with each Enqueue
-    int sends = 0;              // how often the update was sent
+    // Hash of the member or, for a report, of reporter and member. Updates with the same subject replace each
+    // other.
+    std::uint64_t subject = 0;
+    std::uint64_t member = 0;  // hash of the name of the member that the update is about
+    std::uint64_t order = 0;   // rises with each Enqueue
+    int sends = 0;             // how often the update was sent
   };
   struct Entry {
     Update update;
-    Time made_at = 0;
+    Time made_at = 0;  // microseconds
   };
   struct Candidate {
-    int weighted_sends = 0;
+    int weighted_sends = 0;  // for a report kRecordPriority times the number of sends
     std::uint64_t order = 0;
-    std::size_t index = 0;
+    std::size_t index = 0;  // in keys_ and entries_
   };
   // Fills candidates_ and sorts its first elements, the next ones to send. Returns the number of sorted
   // elements.
--- a/src/membership/local_health_model.h
+++ b/src/membership/local_health_model.h
@@ -22,8 +22,8 @@
   void Improve() { Change(-1); }
 
   policy::Time Scaled(policy::Time span) const { return span * (1 + score_); }
-  // For spans that must stay bounded, like the time without any answer after which this node takes itself to
-  // be cut off: twice the span if the score is above 0.
+  // For spans that must stay bounded, such as the time without any round trip after which this node suspects
+  // a partition: twice the span if the score is above 0.
   policy::Time ScaledAtMostTwice(policy::Time span) const { return score_ > 0 ? 2 * span : span; }
 
  private:
--- a/src/membership/majority_census_model.cpp
+++ b/src/membership/majority_census_model.cpp
@@ -3,8 +3,8 @@
 namespace ryeglade::membership {
 namespace {
 
-constexpr std::size_t kMaxSample = 24;  // members; a smaller view is probed whole
-constexpr double kSampleMargin = 1.1;   // factor by which a majority estimated from a sample must be exceeded
+constexpr std::size_t kMaxSample = 24;  // members; in a smaller view all members are counted
+constexpr double kSampleMargin = 1.1;   // an estimated majority must exceed half of the view times this
 
 }  // namespace
 
--- a/src/membership/majority_census_model.h
+++ b/src/membership/majority_census_model.h
@@ -1,7 +1,7 @@
 // Determines whether this node reaches a majority of the last stable view. In a large cluster regular probing
-// visits each member only once in many intervals and would answer this too late, so members are probed for
-// this purpose before one is declared dead. In a small view all members that are not suspect are probed; in a
-// large one a random sample of them. No I/O, no clock.
+// visits each member only once in many intervals and would show a lost majority too late, so members are
+// probed for this purpose before one is declared dead. In a small view all members that are not suspect are
+// probed; in a large one a random sample of them. No I/O, no clock.
 #pragma once
 
 #include <functional>
@@ -26,7 +26,8 @@
   using StartProbe = std::function<void(Member&)>;
 
   // Begins a census if the last one began before `since` or is too old. Returns false while the census is in
-  // progress, and afterwards if it found no majority. A stable view of fewer than two always has a majority.
+  // progress, and afterwards if it found no majority. A stable view of fewer than two members always has a
+  // majority.
   bool HasMajority(Time now, Time since, const Timing& timing, MemberTable& table, const Suspects& suspects,
                    const RandomBits& random, const StartProbe& start_probe);
 
@@ -37,7 +38,7 @@
 
   std::vector<std::string> sample_;  // names of the members that are counted
   bool complete_ = false;            // the sample has all live members of the stable view except suspects
-  Time began_at_ = 0;
+  Time began_at_ = 0;                // of this census, microseconds; 0 before the first one
 };
 
 }  // namespace ryeglade::membership
--- a/src/membership/member_record_model.cpp
+++ b/src/membership/member_record_model.cpp
@@ -27,6 +27,7 @@
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
+// The constants bound the fields of fixed size and the headers of strings and arrays.
 std::size_t EncodedSize(const MemberRecord& record) {
   std::size_t bytes = 32 + record.name.size() + record.address.size() + record.zone.size();
   for (const std::string& reporter : record.reporters) bytes += reporter.size() + 2;
--- a/src/membership/member_record_model.h
+++ b/src/membership/member_record_model.h
@@ -19,9 +19,9 @@
 enum class RecordState : std::uint8_t { kAlive, kLeaving, kDead, kLeft, kCount };
 const char* Name(RecordState state);
 
-// One member as a node knows it. Each process draws its `uid` when it starts; the upper bits are the time of
-// the start, so that of two processes the older one has the lower uid. Only the member itself raises its
-// `incarnation`.
+// One member as a node knows it. Each process generates its `uid` when it starts: the time of the start in
+// the upper bits and random lower bits, so that of two processes the older one has the lower uid. Only the
+// member itself raises its `incarnation`.
 struct MemberRecord {
   std::string name;     // 1 to kMaxNameBytes bytes
   std::string address;  // ip:port at which it receives datagrams and push-pull exchanges
@@ -61,7 +61,7 @@
   enum class Kind : std::uint8_t { kRecord, kReport, kCount };
   Kind kind = Kind::kRecord;
   MemberRecord record;        // in a report only the name and incarnation of the member that it is about
-  ReachabilityReport report;  // on the wire `age` stands for its `made_at`
+  ReachabilityReport report;  // sent with `age` in place of its `made_at`
   Time age = 0;               // time since the report was made, 0 to kMaxReportAge microseconds; without the
                               // time it spent in transit, which is not known
 };
@@ -75,7 +75,7 @@
   kNack,         // answer to a ping request whose target has not answered yet
   kUpdates,      // carries updates only; not answered
   kNameRefused,  // the receiver's name belongs to another node, whose record is among the updates
-  kPushPull,     // carries all records that the sender has
+  kPushPull,     // carries the sender's records of all members that are verified, dead or left
   kCount
 };
 
@@ -100,9 +100,11 @@
   std::vector<Update> updates;
   std::vector<std::string> gossip;  // payloads of src/gossip, encoded after the updates; not decoded here
 };
-inline constexpr std::size_t kMaxGossipPayloads = 32;             // in one message
-inline constexpr std::size_t kGossipPayloadOverhead = 1 + 1 + 3;  // bytes in addition to each payload
-inline constexpr std::size_t kMessageHeaderBytes = 96;  // without the sender's record and the text fields
+inline constexpr std::size_t kMaxGossipPayloads = 32;  // in one message
+// Bytes that each payload takes in addition: array header, kind of update, header of the binary data.
+inline constexpr std::size_t kGossipPayloadOverhead = 1 + 1 + 3;
+// Upper bound of the bytes of a message without the sender's record, the text fields and the updates.
+inline constexpr std::size_t kMessageHeaderBytes = 96;
 
 // Upper bounds of the number of bytes that a record or an update takes in a message.
 std::size_t EncodedSize(const MemberRecord& record);
--- a/src/membership/member_table_model.h
+++ b/src/membership/member_table_model.h
@@ -25,7 +25,7 @@
 
 // A past event of one member, shown to operators.
 struct HistoryEntry {
-  Time at = 0;
+  Time at = 0;             // microseconds
   const char* event = "";  // name of the event, as in the log
   std::string reporter;    // the node that it was learned from; may be empty
 };
@@ -43,19 +43,20 @@
   Time reached_at = 0;              // the last round trip; 0 if there was none
   Time suspect_since = 0;           // meaningful only while it is suspect
   Time gone_at = 0;                 // when it was recorded as dead or left
-  Time next_probe_at = 0;           // the next probe that is to verify it; unused once it is verified
+  Time next_probe_at = 0;           // when it is next probed for verification; unused once it is verified
   Time reported_unverified_at = 0;  // the last report of others that it is unreachable while it was not
                                     // verified here; 0 if there was none
   int failed_probes = 0;            // consecutive failed probes while it is not verified
-  std::uint32_t schema = kMinReaderSchema;  // of the messages that it writes
+  std::uint32_t schema = kMinReaderSchema;  // schema version of the messages that it writes
   std::vector<ReachabilityReport> reports;  // at most one of each reporter
   std::vector<HistoryEntry> history;        // the newest events, oldest first, at most kMaxHistory
 
+  // Whether it counts as a member. A suspect is live too.
   bool live() const {
     return verified && (record.state == RecordState::kAlive || record.state == RecordState::kLeaving);
   }
   bool gone() const { return IsGone(record); }
-  // Where to probe it.
+  // The ip:port to probe: that of the newer record if there is one that says it is back.
   const std::string& address() const { return returning ? returning->address : record.address; }
   // Returns null if there is no report of that reporter.
   ReachabilityReport* FindReport(std::string_view reporter);
@@ -81,7 +82,9 @@
   const Member* Find(std::string_view name) const { return const_cast<MemberTable*>(this)->Find(name); }
   // Returns the member of that name, and adds it first if it is not known.
   Member& Add(const std::string& name);
+  // Removes a member, which must not be in live(). Does nothing if the name is not known.
   void Remove(const std::string& name);
+  // Removes all members, also those in live(). The stable view keeps its names.
   void RemoveAll();
   // Removes members that have been gone for at least `forget_after`. If the table is still full after that,
   // also removes the member that has been gone longest.
@@ -107,7 +110,7 @@
 
  private:
   std::map<std::string, Member> members_;
-  std::unordered_map<std::string_view, Member*> by_name_;  // an index of members_; keys point into its keys
+  std::unordered_map<std::string_view, Member*> by_name_;  // index of members_; refers to its keys
   std::vector<Member*> live_;
   std::set<std::string> stable_view_;
   std::size_t stable_live_ = 0;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -21,7 +21,7 @@
 constexpr Time kAddressRetryIntervalAfterYield = 2'000'000;
 constexpr unsigned kHandoverPollMs = 100;
 
-constexpr std::size_t kMaxDatagramsPerSecond = 5000;  // further datagrams are dropped unread
+constexpr std::size_t kMaxDatagramsPerSecond = 5000;  // from all peers; further datagrams are dropped unread
 constexpr int kMaxGossipMessagesPerTick = 2;          // additional messages while gossip is pending
 
 std::string FormatAddress(const sockaddr* address) {
@@ -37,7 +37,8 @@
 }
 
 void AllocateDatagram(uv_handle_t*, std::size_t, uv_buf_t* buffer) {
-  static std::array<char, 2048> datagram;  // its content is used up before the next read
+  // Shared by all reads: each datagram is handled before the next one is read.
+  static std::array<char, 2048> datagram;
   *buffer = uv_buf_init(datagram.data(), static_cast<unsigned>(datagram.size()));
 }
 
@@ -79,7 +80,7 @@
   return "yielded";
 }
 
-// ---- The address ----
+// ---- The sockets, and the hand-over of their address ----
 
 bool Membership::OpenSockets() {
   udp_ = new uv_udp_t;
@@ -105,7 +106,8 @@
   if (error != 0) {
     CloseSockets();
     if (error == UV_EADDRINUSE) return false;
-    throw std::runtime_error("membership.listen " + settings_.listen + ": " + uv_strerror(error));
+    throw std::runtime_error("membership.listen: can't open UDP and TCP at " + settings_.listen + ": " +
+                             uv_strerror(error) + "; give an ip:port of this host");
   }
   const std::string bound_to = FormatAddress(reinterpret_cast<const sockaddr*>(&bound));
   if (settings_.advertise.empty()) address_ = bound_to;
@@ -333,10 +335,11 @@
     return CountDropped("no-address");
   std::string bytes = Encode(message);
   // The header of the array of updates may grow by this much when gossip payloads are appended to the array.
-  constexpr std::size_t kLongerListBytes = 4;
-  if (gossip_ != nullptr && gossip_->has_pending() && bytes.size() + kLongerListBytes < kMaxDatagramBytes) {
-    message.gossip =
-        gossip_->TakeMessages(kMaxDatagramBytes - kLongerListBytes - bytes.size(), kGossipPayloadOverhead);
+  constexpr std::size_t kArrayHeaderGrowthBytes = 4;
+  if (gossip_ != nullptr && gossip_->has_pending() &&
+      bytes.size() + kArrayHeaderGrowthBytes < kMaxDatagramBytes) {
+    message.gossip = gossip_->TakeMessages(kMaxDatagramBytes - kArrayHeaderGrowthBytes - bytes.size(),
+                                           kGossipPayloadOverhead);
     if (!message.gossip.empty()) bytes = Encode(message);
   }
   const uv_buf_t buffer = uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -55,7 +55,7 @@
   void CarryGossip(GossipPort* gossip) { gossip_ = gossip; }
   std::uint64_t uid() const { return uid_; }  // higher with each process of this node
   void Leave();  // announces to all that this node is leaving; the node still answers after that
-  void Close();  // announces that this node has left if it was leaving, and closes the sockets
+  void Close();  // announces that this node has left, if Leave was called, and closes the sockets
 
   ClusterView View() const override;
   const MembershipModel& model() const { return *model_; }  // must not be called while phase() is "waiting"
@@ -121,7 +121,7 @@
   DeadlineId tick_{};
   DeadlineId address_retry_{};
   Traffic traffic_;
-  Time current_second_ = 0;  // the second that datagrams_this_second_ counts
+  Time current_second_ = 0;  // the second in which datagrams_this_second_ is counted
   std::size_t datagrams_this_second_ = 0;
   Time dropped_logged_at_ = 0;
   std::map<std::string, std::uint64_t> dropped_unlogged_;  // by reason, since the last log
--- a/src/membership/membership_model.cpp
+++ b/src/membership/membership_model.cpp
@@ -14,7 +14,7 @@
 constexpr double kIsolatedAfter = 4;      // time without any round trip until a partition is suspected
 constexpr double kGossipInterval = 0.2;   // between messages that only spread updates
 constexpr double kRetryUnverified = 2;    // between probes of an unverified member
-constexpr double kRetryReported = 4;      // between further probes of it while others report on it
+constexpr double kRetryReported = 4;      // between its further probes while others report it as unreachable
 constexpr double kForgetInterval = 5;     // between searches for gone members to forget
 constexpr double kRetryRefusedName = 30;  // until this node tries a name again that was refused
 
@@ -23,8 +23,8 @@
 constexpr int kMaxNewProbesPerTick = 8;         // of unverified members
 constexpr int kGossipTargets = 3;               // members that receive updates in each gossip interval
 constexpr std::size_t kLastMessageTargets = 8;  // members that are told that this node has left
-constexpr int kSendsFactor = 3;                 // times log2 of the members: how often an update is sent
-constexpr Time kMinPause = 300'000;             // microseconds; a tick that is less late is not a pause
+constexpr int kSendsFactor = 3;      // times (1 + log2 of the members): how often an update is sent
+constexpr Time kMinPause = 300'000;  // microseconds; a tick that is late by less shows no pause
 
 }  // namespace
 
@@ -67,7 +67,7 @@
   Emit(out, reason, member.record.name, reporter, member.record.incarnation);
 }
 
-// ---- Messages out ----
+// ---- Outgoing messages ----
 
 Message MembershipModel::MakeMessage(MessageKind kind, std::uint64_t seq) const {
   Message message;
@@ -90,7 +90,8 @@
     message.updates.push_back(update);
     return true;
   };
-  // Updates about `about` come first, so that a receiver can refute what is said about itself.
+  // What is known of the member `about` comes first, so that the member itself, if it is the receiver, can
+  // refute a suspicion or a record of its death.
   if (const Member* member = table_.Find(about); member != nullptr) {
     if (member->gone()) {
       add({Update::Kind::kRecord, member->record, {}, 0});
@@ -344,12 +345,11 @@
       table_, [&](const Member& member) { return !Rules().IsReportedReachable(member, now); });
   const std::size_t reachable = 1 + table_.stable_live() - unreachable;
   const std::size_t view_size = table_.stable_view().size();
-  const bool reaches_nobody =
-      view_size >= 2 &&
-      now - last_reached_at_ > health_.ScaledAtMostTwice(options_.Intervals(kIsolatedAfter));
+  const bool isolated = view_size >= 2 && now - last_reached_at_ >
+                                              health_.ScaledAtMostTwice(options_.Intervals(kIsolatedAfter));
   const bool alone = joined() && table_.live().empty() && !options_.seeds.empty();
   const bool no_majority = view_size >= 2 && 2 * reachable <= view_size;
-  const bool suspected = alone || reaches_nobody || no_majority;
+  const bool suspected = alone || isolated || no_majority;
   if (view_.SetPartitionSuspected(suspected, now, Rules().SuspicionTime()))
     Emit(out, suspected ? "view-in-doubt" : "view-sure", self_.name, "", reachable);
   if (!view_.BecomesStable(now, joined(), options_.Intervals(options_.stable_after_intervals))) return;
--- a/src/membership/membership_model.h
+++ b/src/membership/membership_model.h
@@ -39,7 +39,8 @@
   MemberState state = MemberState::kJoining;
   Time state_since = 0;
   Time reached_at = 0;                           // this node's last round trip with it; 0 if there was none
-  std::vector<std::string> reporters;            // nodes whose reports that it is unreachable count now
+  std::vector<std::string> reporters;            // nodes whose reports that it is unreachable count now;
+                                                 // if it is gone, those in its record
   std::vector<std::string> reachable_reporters;  // nodes whose reports that it is reachable count now
   std::vector<HistoryEntry> history;             // the newest events, at most kMaxHistory
 };
@@ -58,10 +59,10 @@
   Message message;
 };
 
-// What the host has to do, each list in order.
+// What the host has to do. Each list is to be carried out in its order.
 struct Actions {
   std::vector<OutgoingMessage> sends;   // messages to send as datagrams
-  std::vector<std::string> push_pulls;  // ip:port of nodes with which to exchange all records by connection
+  std::vector<std::string> push_pulls;  // ip:port of nodes with which to exchange all records
   std::vector<MembershipEvent> events;
   void Clear() {
     sends.clear();
@@ -92,7 +93,7 @@
   // the message that it received. `initiated` says whether this node began the exchange.
   Message PushPullMessage() const;
   void OnPushPull(Time now, const Message& message, bool initiated, Actions& out);
-  // Sends a message with updates only to a random live member, so that the host can attach pending gossip.
+  // Sends a random live member a message that has only updates, so that the host can attach pending gossip.
   void SendToRandomMember(Time now, Actions& out);
 
   // Returns an empty string if this node can handle the message, else the reason for rejecting it.
@@ -118,6 +119,7 @@
   std::vector<MemberView> View(Time now) const;   // all other members that are known, sorted by name
   std::optional<MemberView> Find(Time now, const std::string& name) const;
   MemberState StateOf(const std::string& name) const;  // kLeft if the name is not known
+  // The number of other members in the table, in whatever state.
   std::size_t known() const { return table_.size(); }
   std::size_t queued_updates() const { return updates_.size(); }
   std::uint64_t dropped() const { return dropped_; }  // records and updates dropped for lack of space
@@ -150,7 +152,7 @@
 
   Message MakeMessage(MessageKind kind, std::uint64_t seq) const;
   // Sends a message and fills it up with updates. `about` is the name of the member that the message goes to
-  // or asks for, or empty; `schema` is the reader's schema version.
+  // or asks for, or empty; what is known of that member comes first. `schema` is the reader's schema version.
   void Send(Time now, const std::string& to, Message message, const std::string& about, std::uint32_t schema,
             Actions& out);
   void SendUpdatesTo(Time now, const Member& member, Actions& out);
--- a/src/membership/membership_options.h
+++ b/src/membership/membership_options.h
@@ -18,15 +18,15 @@
   std::string cluster = "ryeglade";
   Time probe_interval = 1'000'000;  // at least 20 ms
   int indirect_probes = 3;          // number of helpers that are asked when a probe is not answered directly
-  int observers = 6;                // number of members that probe a suspect as soon as they hear of it
+  int observers = 6;                // number of members that probe a suspect on the first report on it
   int required_reporters = 3;      // reports that a death requires; fewer if fewer members are left to report
-  double suspicion_intervals = 5;  // probe intervals that a suspect has to refute, multiplied by log10 of the
-                                   // number of members if that is over 1
+  double suspicion_intervals = 5;  // probe intervals in which a suspect can refute the suspicion, multiplied
+                                   // by log10 of the number of members if that is over 1
   double stable_after_intervals = 5;  // probe intervals without a change until a view is stable
   double push_pull_intervals = 15;    // probe intervals between push-pull exchanges with a random member;
                                       // longer beyond 100 members
   Time forget_after = 600'000'000;    // a dead or left member is forgotten after this span
-  std::size_t max_members = 1024;
+  std::size_t max_members = 1024;     // other members that are known, including dead and left ones
   std::size_t max_datagram_bytes = 1400;
   std::uint32_t schema = kSchema;  // schema version of the messages that are written
   std::vector<std::string> seeds;  // ip:port; one that can be reached suffices to join
--- a/src/membership/membership_suspects_model.cpp
+++ b/src/membership/membership_suspects_model.cpp
@@ -9,17 +9,19 @@
 namespace {
 
 // In probe intervals.
-constexpr double kOthersReachedWithin = 2;  // a node suspects a member only after a round trip this recent
-constexpr double kCensusDuration = 1.5;     // from the start of a census until its answers are counted
-constexpr double kCensusValidFor = 4;       // after that
+// A node suspects a member only if its last round trip with any member is at most this old.
+constexpr double kOthersReachedWithin = 2;
+constexpr double kCensusDuration = 1.5;  // from the start of a census until its answers are counted
+constexpr double kCensusValidFor = 4;    // for this long after that its result counts
 
-// With this many suspects at once a partition is as likely as deaths, so they get twice the time.
+// With this many suspects at once a partition is as likely as deaths, so each gets twice the suspicion time.
 constexpr double kManySuspectsShare = 0.25;  // of the stable view
 constexpr std::size_t kMinManySuspects = 3;
 
 }  // namespace
 
-// Based on the time, so that the numbers also rise across restarts as far as the clock does.
+// Returns a number based on the time, so that numbers also rise across restarts unless the clock was set
+// back.
 std::uint64_t MembershipModel::NextReportSeq(Time now) {
   last_report_seq_ = std::max(last_report_seq_ + 1, static_cast<std::uint64_t>(std::max<Time>(0, now)));
   return last_report_seq_;
@@ -59,9 +61,10 @@
   member.verified = true;
   member.state_since = now;
   member.failed_probes = 0;
-  // A majority is counted of the stable view. Members are added to it at once if they were removed and
-  // return, or if they join while no partition is suspected and nobody is suspect. Others are added when the
-  // view has become stable with them, because a side that is cut off must not grow into a majority.
+  // Majorities are counted among the members in the stable view. Members are added to that view at once if
+  // they were removed and return, or if they join while no partition is suspected and no member is suspect.
+  // Others are added when the view has become stable with them, because a side that is cut off must not grow
+  // into a majority.
   const bool undisturbed = !view_.partition_suspected() && suspects_.empty();
   if (!table_.stable_view().empty() && (has_returned || undisturbed)) table_.AddToStableView(member);
   unverified_.erase(member.record.name);
@@ -139,26 +142,27 @@
   for (const ReachabilityReport& report : member.reports) {
     if (report.reachable) member.suspect_since = std::max(member.suspect_since, report.made_at);
   }
-  const bool leaves = member.record.state == RecordState::kLeaving;
+  const bool is_leaving = member.record.state == RecordState::kLeaving;
   const Time suspect_for = now - member.suspect_since;
-  const bool waited = suspect_for >= (many_at_once || leaves ? 2 * suspicion_time : suspicion_time);
+  const bool waited = suspect_for >= (many_at_once || is_leaving ? 2 * suspicion_time : suspicion_time);
   const bool enough_reporters = reporters.size() >= Rules().RequiredReporters(member);
   const bool agreed = enough_reporters && !Rules().IsReportedReachable(member, now);
   // The member itself announced that it is leaving, so no majority is needed. It may only be slow and nothing
   // depends on its early removal, so it still gets the full time.
-  if (leaves && waited && agreed) {
+  if (is_leaving && waited && agreed) {
     MemberRecord left = member.record;
     left.state = RecordState::kLeft;
     MarkGone(now, member, left, self_.name, out);
     return true;
   }
-  const bool census_due =
-      !leaves && enough_reporters && suspect_for >= suspicion_time - options_.Intervals(kCensusDuration + 1);
+  // The census begins before the suspicion time has passed, so that it is normally complete by then.
+  const bool census_due = !is_leaving && enough_reporters &&
+                          suspect_for >= suspicion_time - options_.Intervals(kCensusDuration + 1);
   const bool has_majority =
       !options_.require_majority || (census_due && HasMajority(now, member.suspect_since, out));
   const bool may_declare_deaths = !(options_.require_majority && view_.partition_suspected()) &&
                                   has_majority && view_.MayDeclareDeaths(now);
-  if (!leaves && waited && may_declare_deaths && agreed) {
+  if (!is_leaving && waited && may_declare_deaths && agreed) {
     MemberRecord dead = member.record;
     dead.state = RecordState::kDead;
     if (reporters.size() > kMaxRecordReporters) reporters.resize(kMaxRecordReporters);
--- a/src/membership/membership_updates_model.cpp
+++ b/src/membership/membership_updates_model.cpp
@@ -8,13 +8,15 @@
 namespace ryeglade::membership {
 namespace {
 
-constexpr std::size_t kMaxUnverified = 256;
+constexpr std::size_t kMaxUnverified = 256;  // members; records of further new ones are dropped
 // In probe intervals.
-constexpr double kNewMemberFor = 10;  // while a member is new, an older process can take over its name
+// For this long after a member's first record an older process can take over its name.
+constexpr double kNewMemberFor = 10;
 constexpr double kNameConflictInterval = 10;  // between reports of name conflicts
-constexpr double kNackAfter = 0.35;     // time that a helper waits for the target before it sends a nack
-constexpr double kRelayDuration = 3;    // time until a helper discards a ping request
-constexpr double kRecentlyReached = 2;  // a member reached within this time is not removed on hearsay
+constexpr double kNackAfter = 0.35;   // time that a helper waits for the target before it sends a nack
+constexpr double kRelayDuration = 3;  // time until a helper discards a ping request
+// A member that was reached within this time is not removed because of a record from another node.
+constexpr double kRecentlyReached = 2;
 
 }  // namespace
 
@@ -50,7 +52,8 @@
     return RefuseName(address, message, member->record, out);
   if (member != nullptr) {
     member->schema = message.schema;
-    // A message from the member itself: it is probed again even if earlier probes were given up.
+    // The message comes from the member itself, so it is probed again even if its probes had ended in
+    // failure.
     if (!member->verified && !member->gone() && unverified_.size() < kMaxUnverified)
       unverified_.insert(sender.name);
   }
@@ -223,7 +226,8 @@
     member.next_probe_at = now;
     return;
   }
-  // All members hear of a new one at about the same time, so each probes it after a random part of a span.
+  // All members receive the first record of a new one at about the same time, so each probes it after a
+  // random part of a span that grows with the cluster.
   const auto span = static_cast<std::uint64_t>(std::max<Time>(
       options_.probe_interval, options_.probe_interval * static_cast<Time>(table_.live().size()) / 50));
   member.next_probe_at = now + static_cast<Time>(random_() % span);
@@ -287,18 +291,19 @@
                                       const std::string& reporter, Actions& out) {
   const bool restarted = record.uid != member.record.uid;
   const bool was_suspect = suspects_.Remove(record.name);
-  const bool leaves = record.state == RecordState::kLeaving && member.record.state != RecordState::kLeaving;
+  const bool starts_leaving =
+      record.state == RecordState::kLeaving && member.record.state != RecordState::kLeaving;
   member.record = record;
   member.reports.clear();
   member.suspect_since = 0;
   if (!member.verified) return;
-  if (was_suspect || leaves || restarted) member.state_since = now;
+  if (was_suspect || starts_leaving || restarted) member.state_since = now;
   if (restarted) {
     EmitMemberEvent(member, now, "member-restarted", reporter, out);
   } else if (was_suspect) {
     EmitMemberEvent(member, now, "member-refuted", reporter, out);
   }
-  if (leaves) EmitMemberEvent(member, now, "member-leaving", reporter, out);
+  if (starts_leaving) EmitMemberEvent(member, now, "member-leaving", reporter, out);
   EnqueueRecord(now, member.record);
 }
 
--- a/src/membership/message_codec.h
+++ b/src/membership/message_codec.h
@@ -20,9 +20,10 @@
 namespace ryeglade::membership {
 
 inline constexpr std::size_t kMaxDatagramBytes = 1400;
-inline constexpr std::size_t kMaxPushPullBytes = std::size_t{1024} * 1024;  // in one message
+inline constexpr std::size_t kMaxPushPullBytes = std::size_t{1024} * 1024;  // of one message
 inline constexpr std::size_t kMaxReceivedUpdates = std::size_t{16} * 1024;  // in one message
 
+// Returns the message as bytes. Does not check them against the limits above.
 std::string Encode(const Message& message);
 // Returns nullopt if the message is rejected, and sets `why` to the reason: not-ours, checksum, malformed or
 // range.
--- a/src/membership/node_count_policy.h
+++ b/src/membership/node_count_policy.h
@@ -1,7 +1,7 @@
 // Decides which node count is announced to the decision module. A higher count is announced at once: each
-// node then takes a smaller part, which is safe. A lower count is announced only after the view has been
-// stable for long enough, and never while a partition is suspected, because members that can't be reached may
-// still be running and sending. No I/O, no clock.
+// node then uses a smaller part of each replica's capacity, which is safe. A lower count is announced only
+// after the view has been stable for long enough, and never while a partition is suspected, because members
+// that can't be reached may still be running and sending requests. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -30,7 +30,7 @@
   NodeCountPolicy(std::size_t announced, Time shrink_after)
       : announced_(announced), shrink_after_(shrink_after) {}
   // Returns the count to announce now, or nullopt if it does not change. The first stable view is treated
-  // like any other: until then the count from the settings holds.
+  // like any other: until then the count from the settings stays announced.
   std::optional<std::size_t> Update(Time now, const NodeCountFacts& facts);
   std::size_t announced() const { return announced_; }
 
--- a/src/membership/probing_model.cpp
+++ b/src/membership/probing_model.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr int kPings = 3;                   // direct pings of one probe before its timeout
-constexpr std::size_t kHelperDraws = 24;    // random draws of candidates for helpers
+constexpr std::size_t kHelperDraws = 24;    // members that are drawn at random to find candidates
 constexpr std::size_t kMaxCandidates = 12;  // candidates for helpers
 
 }  // namespace
--- a/src/membership/probing_model.h
+++ b/src/membership/probing_model.h
@@ -34,9 +34,9 @@
   std::uint64_t seq = 0;            // sequence number of this node's ping
   std::uint64_t requester_seq = 0;  // sequence number of the request
   std::string target;               // name
-  std::string requester_address;
-  Time nack_at = 0;  // when the requester is to get a nack
-  Time ends_at = 0;  // when the relayed probe is discarded
+  std::string requester_address;    // ip:port
+  Time nack_at = 0;                 // when the requester is to get a nack
+  Time ends_at = 0;                 // when the relayed probe is discarded
   bool nacked = false;
 };
 
@@ -54,7 +54,7 @@
   // Removes and returns the probes that have failed.
   std::vector<Probe> TakeFailed(Time now);
   // Returns the probes for which something has to be sent now, in order: a further ping or, if `ask_helpers`,
-  // ping requests to helpers and a last ping.
+  // ping requests to helpers and a last ping. The pointers are valid until probes are added or removed.
   struct Due {
     Probe* probe;
     bool ask_helpers;
@@ -69,6 +69,7 @@
   bool OnNack(std::uint64_t seq);
 
   bool CanRelay() const { return relays_.size() < kMaxRelays; }
+  // Must be called only if CanRelay().
   void AddRelay(RelayedProbe relay) { relays_.push_back(std::move(relay)); }
   // Removes and returns the relayed probe that an ack with `seq` from `sender` answers, or returns nullopt if
   // it answers none.
--- a/src/membership/push_pull_connections.h
+++ b/src/membership/push_pull_connections.h
@@ -42,9 +42,10 @@
   PushPullConnections(const Runtime* runtime, const limits::Networks* networks, Time timeout, Owner* owner)
       : runtime_(runtime), networks_(networks), timeout_(timeout), owner_(owner) {}
 
-  // Begins an exchange, unless kMaxOutgoing are in progress.
+  // Begins an exchange with `to` from the local address `from`, unless kMaxOutgoing are in progress.
   void Start(const sockaddr_storage& from, const sockaddr_storage& to);
-  // Accepts a pending connection of `listener`.
+  // Accepts a pending connection of `listener`. One beyond kMaxIncoming or from outside the networks is
+  // closed.
   void Accept(uv_stream_t* listener);
   void CloseAll();
 
--- a/src/membership/push_pull_model.h
+++ b/src/membership/push_pull_model.h
@@ -11,7 +11,7 @@
 
 namespace ryeglade::membership {
 
-// Also knows whether the node has joined, because the first exchange that succeeds joins it.
+// Also records whether the node has joined, because the first exchange that succeeds joins it.
 class PushPullSchedule {
  public:
   // `joined` is true if there is no node to join.
@@ -19,13 +19,15 @@
 
   bool joined() const { return joined_; }
   void MarkJoined() { joined_ = true; }
+  // Withdraws MarkJoined. The next exchange, with a seed, is due at once.
   void JoinAgain(Time now);
 
   struct Due {
     std::vector<std::string> addresses;   // ip:port of the nodes to exchange all records with
-    const Member* dead_member = nullptr;  // pinged, so that it learns that it is taken for dead; null: none
+    const Member* dead_member = nullptr;  // to be pinged, so that it can refute its death; null: none
   };
-  // Returns the exchanges that are due. `stable` says whether the view is stable.
+  // Returns the exchanges that are due. `stable` says whether the view is stable. Until the node has joined,
+  // the options must have a seed.
   Due TakeDue(Time now, const MembershipOptions& options, const MemberTable& table, bool stable,
               const RandomBits& random);
 
--- a/src/membership/suspicion_model.cpp
+++ b/src/membership/suspicion_model.cpp
@@ -55,9 +55,10 @@
 bool SuspicionRules::IsObserver(const Member& member) const {
   const std::uint64_t subject = Hash(member.record.name);
   const std::uint64_t own_rank = Hash(self_, subject);
-  int before = 0;
+  int ranked_before = 0;
   for (const Member* other : table_.live()) {
-    if (other != &member && Hash(other->record.name, subject) < own_rank && ++before >= options_.observers)
+    if (other != &member && Hash(other->record.name, subject) < own_rank &&
+        ++ranked_before >= options_.observers)
       return false;
   }
   return true;
--- a/src/membership/suspicion_model.h
+++ b/src/membership/suspicion_model.h
@@ -23,7 +23,7 @@
   SuspicionRules(const MembershipOptions& options, const MemberTable& table, const std::string& self)
       : options_(options), table_(table), self_(self) {}
 
-  // The time that a suspect has to refute; longer in a larger cluster.
+  // The time in which a suspect can refute the suspicion; longer in a larger cluster.
   Time SuspicionTime() const;
   // The time for which a report that a member is unreachable counts.
   Time UnreachableReportLifetime() const;
@@ -36,9 +36,9 @@
   // The nodes that report that the member was reached.
   std::vector<std::string> ReachableReporters(const Member& member, Time now) const;
   bool IsReportedReachable(const Member& member, Time now) const;
-  // Whether this node is one of the member's observers, which probe it as soon as they hear that it is
-  // suspect. Observers are the first MembershipOptions::observers members by rendezvous hashing, so that all
-  // nodes with the same view agree on them.
+  // Whether this node is one of the member's observers, which probe it as soon as they receive a report that
+  // makes it suspect. Observers are the first MembershipOptions::observers members by rendezvous hashing, so
+  // that all nodes with the same view agree on them.
   bool IsObserver(const Member& member) const;
 
  private:
