--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -29,7 +29,7 @@
   return limits;
 }
 
-std::string Joined(const std::vector<std::string>& names) {
+std::string JoinWithCommas(const std::vector<std::string>& names) {
   std::string all;
   for (const std::string& name : names) all += (all.empty() ? "" : ",") + name;
   return all;
@@ -101,7 +101,7 @@
     ejected[finding.replica] = finding.ejected_until;
     if (ejected_.contains(finding.replica)) continue;
     Log(Level::kWarn, "replica-ejected-by-peers",
-        {{"host", fleet_->NameOf(finding.replica)}, {"by", Joined(finding.reporters)}});
+        {{"host", fleet_->NameOf(finding.replica)}, {"by", JoinWithCommas(finding.reporters)}});
   }
   for (const auto& [id, until] : ejected_) {
     if (!ejected.contains(id)) Log(Level::kInfo, "replica-ejection-ended", {{"host", fleet_->NameOf(id)}});
--- a/src/gossip/traffic_share_model.cpp
+++ b/src/gossip/traffic_share_model.cpp
@@ -7,7 +7,7 @@
 
 TrafficShareModel::TrafficShareModel(std::string self, std::uint64_t incarnation, Time now,
                                      TrafficShareLimits limits)
-    : self_(std::move(self)), limits_(limits), started_at_(now), updated_at_(now), window_since_(now) {
+    : self_(std::move(self)), limits_(limits), started_at_(now), updated_at_(now), targets_since_(now) {
   own_.incarnation = incarnation;
 }
 
@@ -106,25 +106,26 @@
 }
 
 // Keeps the share for the freeze time, then moves it in steps to the share of a node without gossip.
-double TrafficShareModel::ShareWhileUncertain(Time now, double equal, double seconds_passed) {
+double TrafficShareModel::ShareWhileUncertain(Time now, double equal_share, double seconds_passed) {
   targets_.clear();
-  window_since_ = now;
+  targets_since_ = now;
   if (uncertain_since_ < 0 || now - uncertain_since_ <= limits_.freeze_time) {
     state_ = "held";
     return share_;
   }
   const double max_factor = 1 + limits_.step_per_second * seconds_passed;
-  share_ = share_ > equal ? std::max(equal, share_ / max_factor) : std::min(equal, share_ * max_factor);
-  state_ = share_ == equal ? "equal" : "stepping-back";
+  share_ = share_ > equal_share ? std::max(equal_share, share_ / max_factor)
+                                : std::min(equal_share, share_ * max_factor);
+  state_ = share_ == equal_share ? "equal" : "stepping-back";
   return share_;
 }
 
 double TrafficShareModel::UpdateShare(Time now, std::size_t nodes) {
-  const double equal = 1 / static_cast<double>(std::max<std::size_t>(1, nodes));
+  const double equal_share = 1 / static_cast<double>(std::max<std::size_t>(1, nodes));
   const double seconds_passed = static_cast<double>(std::max<Time>(0, now - updated_at_)) / 1e6;
   updated_at_ = now;
-  if (share_ <= 0) share_ = equal;
-  if (!certain_) return ShareWhileUncertain(now, equal, seconds_passed);
+  if (share_ <= 0) share_ = equal_share;
+  if (!certain_) return ShareWhileUncertain(now, equal_share, seconds_passed);
   state_ = "shares";
   double target = ComputeShare(now, false);
   if (stable_) {
@@ -132,7 +133,7 @@
   } else {
     // Absent members may still be running and using their own share.
     const double with_absent = std::max(ComputeShare(now, true), last_stable_share_);
-    target = std::min(target, with_absent * (1 + limits_.max_unsettled_rise));
+    target = std::min(target, with_absent * (1 + limits_.max_unstable_rise));
   }
   while (!targets_.empty() && targets_.back().second >= target) targets_.pop_back();
   targets_.emplace_back(now, target);
@@ -140,7 +141,7 @@
   const double lowest = targets_.front().second;
   if (target < share_) {
     share_ = target;
-  } else if (lowest > share_ && now - window_since_ >= limits_.rise_delay) {
+  } else if (lowest > share_ && now - targets_since_ >= limits_.rise_delay) {
     share_ = lowest;
   }
   return share_;
--- a/src/gossip/traffic_share_model.h
+++ b/src/gossip/traffic_share_model.h
@@ -33,10 +33,10 @@
   Time stale_after = 5'000'000;          // an older report is marked as stale, but its value still counts
   Time freeze_time = 30'000'000;         // how long the share stays the same while the view is uncertain
   double step_per_second = 0.05;         // relative change per second towards the equal share after that
-  double base_share = 0.25;         // this fraction of the mean rate is added to each node's own, because
-                                    // traffic may begin to arrive at any node
-  double max_unsettled_rise = 0.5;  // while absent members may still be running, a share computed without
-                                    // them exceeds the last stable share by at most this fraction of it
+  double base_share = 0.25;        // this fraction of the mean rate is added to each node's own, because
+                                   // traffic may begin to arrive at any node
+  double max_unstable_rise = 0.5;  // while absent members may still be running, a share computed without
+                                   // them exceeds the last stable share by at most this fraction of it
 };
 
 // The computation of one node. The others do the same with the same reports.
@@ -87,7 +87,7 @@
 
   double ComputeShare(Time now, bool with_absent) const;
   std::vector<NodeShare> ComputeShares(Time now, bool with_absent) const;
-  double ShareWhileUncertain(Time now, double equal, double seconds_passed);
+  double ShareWhileUncertain(Time now, double equal_share, double seconds_passed);
 
   std::string self_;
   TrafficShareLimits limits_;
@@ -100,7 +100,7 @@
   bool stable_ = false;
   Time uncertain_since_ = -1;  // -1 if the view is certain
   Time updated_at_ = 0;        // last call of UpdateShare
-  Time window_since_ = 0;      // targets_ has no entries from before this time
+  Time targets_since_ = 0;     // targets_ has no entries from before this time
   double share_ = 0;           // in use; 0 before the first update
   double last_stable_share_ = 0;
   // Computed shares of the last `rise_delay`, increasing from front to back, so that the front is their
