--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -14,7 +14,7 @@
 
 // Spans in microseconds.
 constexpr Time kTimerInterval = 250'000;
-constexpr Time kReportIntervalPerNode = 40'000;  // average distance between the reports of all nodes together
+constexpr Time kReportIntervalPerNode = 40'000;  // mean time between reports, over all nodes together
 
 GossipFeatures FeaturesOf(const GossipSettings& settings) {
   return {settings.traffic_shares, settings.outlier_reports, settings.prefix_shares};
--- a/src/gossip/gossip.h
+++ b/src/gossip/gossip.h
@@ -22,11 +22,11 @@
   std::uint64_t sent = 0;
   std::uint64_t received = 0;
   std::uint64_t accepted = 0;  // received with a report that was newer than the known one
-  std::map<std::string, std::uint64_t>
-      dropped;  // received but not readable, by reason; a fixed set of reasons
+  // Received but rejected by the decoder, by reason; the reasons are a fixed set.
+  std::map<std::string, std::uint64_t> dropped;
 };
 
-// Not thread-safe: all calls must come from the loop's thread.
+// Sends and receives this node's gossip. Not thread-safe: all calls must come from the loop's thread.
 class Gossip : public GossipPort, public DecisionRecorder {
  public:
   // `node` is this node's name; `incarnation` must be higher with each process of this node. The pointers are
@@ -35,7 +35,7 @@
          std::uint64_t incarnation, const ClusterViewPort* view, const ReplicaViewPort* fleet,
          EventPort* events);
 
-  void Start();
+  void Start();  // begins to observe, report and evaluate at a fixed interval
   void Close();
 
   std::vector<std::string> TakeMessages(std::size_t capacity, std::size_t overhead) override;
@@ -47,7 +47,7 @@
 
   const SharedStateModel& model() const { return model_; }
   const GossipTraffic& traffic() const { return traffic_; }
-  std::string StatusJson() const;  // for operators
+  std::string StatusJson() const;  // the state for operators, for the path /tier of the status address
 
  private:
   void OnTimer();
--- a/src/gossip/gossip_message_codec.cpp
+++ b/src/gossip/gossip_message_codec.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kMaxNameBytes = 64;
 constexpr std::uint64_t kAnyNumber = ~std::uint64_t{0};
 constexpr double kHundredthsPerUnit = 100;
-constexpr std::uint64_t kMaxStartMs = 1'000'000'000'000'000;
+constexpr std::uint64_t kMaxStartMs = 1'000'000'000'000'000;  // latest start time of a replica
 constexpr std::uint64_t kMaxRateHundredths = static_cast<std::uint64_t>(kMaxRate * kHundredthsPerUnit);
 // Limits on what a peer's message can make the reader allocate: elements of arrays and maps, bytes of
 // strings, binaries and extensions, and nesting depth.
@@ -35,7 +35,7 @@
   packer.pack(Milliseconds(report.started_at, static_cast<Time>(kMaxStartMs) * 1000));
   packer.pack(std::clamp(report.consecutive_failures, 0, 255));
   packer.pack(Milliseconds(report.ejected_for, kMaxSpan));
-  const Time age = report.last_outcome_age;
+  const Time age = report.last_outcome_age;  // packed as 1 + milliseconds, or as 0 if there is none
   packer.pack(age < 0 || age > kMaxSpan ? 0 : 1 + Milliseconds(age, kMaxSpan));
   packer.pack(Hundredths(report.slowness, -4, 4));
   packer.pack(static_cast<std::uint32_t>(Hundredths(report.slowness_samples, 0, 255)));
@@ -85,7 +85,7 @@
   return rate;
 }
 
-// Returns the length of a list, and rejects the message if it exceeds `max`.
+// Returns the length of a list. Throws BadField, so that the message is rejected, if it exceeds `max`.
 std::size_t CountUpTo(const UntrustedFields& list, std::size_t max) {
   if (list.remaining() > max) throw BadField("range");
   return list.remaining();
--- a/src/gossip/gossip_message_codec.h
+++ b/src/gossip/gossip_message_codec.h
@@ -26,7 +26,7 @@
 inline constexpr std::size_t kMaxPrefixRates = 12;      // in one node report
 inline constexpr Time kMaxSpan = 60'000'000;            // microseconds; longer spans are reported as this
 inline constexpr Time kMaxAge = 60'000'000;             // microseconds; an older message is not forwarded
-inline constexpr std::size_t kMaxMessageBytes = 1'150;  // such a message always fits into a datagram
+inline constexpr std::size_t kMaxMessageBytes = 1'150;  // a message of this size always fits into a datagram
 
 // What a node has itself observed of one replica, at the time of the report. Spans in microseconds.
 // `started_at` identifies the replica's process: after a restart the report no longer applies.
@@ -39,8 +39,8 @@
                                  // `consecutive_failures` is 0; -1: no outcome within kMaxSpan
   double slowness = 0;           // mean of ln(observed / expected time) over its answers, -4 to 4
   double slowness_samples = 0;   // number of answers that `slowness` is based on, 0 to 255
-  int in_flight = 0;             // attempts, 0 to 255
-  Time stalled_for = 0;  // how long no answer has begun although the node waits for one; 0: not stalled
+  int in_flight = 0;             // attempts in flight there, 0 to 255
+  Time stalled_for = 0;  // how long no answer has begun although the node waits for one; 0: it waits for none
 };
 
 // The rate of requests with a shared prompt prefix.
@@ -57,8 +57,8 @@
   double rate = 0;               // requests per second that arrive at the node
   bool suspects_itself = false;  // its own network may be at fault, so its outlier reports are ignored
   int failing_replicas = 0;      // replicas that fail for it, including those not in `outlier_reports`
-  std::vector<OutlierReport> outlier_reports;
-  std::vector<PrefixRate> prefix_rates;
+  std::vector<OutlierReport> outlier_reports;  // the most severe first
+  std::vector<PrefixRate> prefix_rates;        // the busiest first
 };
 
 // A report as it is forwarded through the cluster.
@@ -75,6 +75,8 @@
 // it is kMaxRate.
 double MaxCountedRate(std::vector<double> rates);
 
+// Returns the message as bytes. Values out of range are clamped, NaN becomes 0, and lists are cut to their
+// maximum lengths.
 std::string Encode(const GossipMessage& message);
 // Returns nullopt if the message is rejected, and sets `why` to the reason: malformed, range or form (unknown
 // format version).
--- a/src/gossip/gossip_queue_model.h
+++ b/src/gossip/gossip_queue_model.h
@@ -1,5 +1,5 @@
 // The queue of node reports to send. Each node forwards the newest report of every other node a few times, in
-// whatever messages it sends, so that reports also spread around cut links, at a cost for each report that
+// whatever messages it sends, so that reports also spread around cut links. The cost of a report at each node
 // does not grow with the cluster. No I/O, no clock.
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace ryeglade::gossip {
 
-// Holds one entry for each node, at most kMaxNodes.
+// Holds one entry for each node, at most kMaxNodes; reports of further nodes are dropped.
 class GossipQueue {
  public:
   static constexpr int kForwards = 3;  // how often a node that received a report sends it
@@ -32,8 +32,8 @@
  private:
   struct Entry {
     GossipMessage message;
-    Time enqueued_at = 0;
-    int sends_left = 0;
+    Time enqueued_at = 0;     // microseconds
+    int sends_left = 0;       // 0: nothing is pending; the entry is kept
     int sent = 0;             // how often it was sent
     std::uint64_t order = 0;  // rises with each Enqueue
   };
--- a/src/gossip/outlier_consensus_model.h
+++ b/src/gossip/outlier_consensus_model.h
@@ -27,14 +27,14 @@
 // Spans in microseconds.
 struct OutlierConsensusLimits {
   std::size_t required_reporters = 2;   // reporters that saw failures, required for an ejection
-  std::size_t required_if_stalled = 3;  // reporters required if only some of them saw failures and the others
-                                        // waited in vain for an answer
+  std::size_t required_if_stalled = 3;  // reporters required if fewer than `required_reporters` of them saw
+                                        // failures and the others report stalls
   std::size_t probing_reporters = 3;    // number of reporters that keep trying the replica
-  std::size_t nodes_per_probing_reporter = 32;  // or one for each this many nodes, if that is more
+  std::size_t nodes_per_probing_reporter = 32;  // or one per this many nodes of the cluster, if that is more
   double max_ejected_share = 0.2;     // of the replicas, by consensus; at least one if there are four or more
   Time max_report_age = 10'000'000;   // older reports and older failures do not eject
-  Time own_answer_valid = 2'000'000;  // a node with an own answer this recent does not eject the replica
-  Time ejection_time = 2'500'000;     // of an ejection by consensus; renewed while the reports stand
+  Time own_answer_valid = 2'000'000;  // a node that got an answer this recently does not eject the replica
+  Time ejection_time = 2'500'000;     // length of an ejection by consensus; renewed while the reports stand
   Time stall_threshold = 3'000'000;   // a node that has waited this long for an answer reports a stall
   double self_suspicion_share = 0.5;  // a node suspects itself if more than this share of the replicas that
                                       // it used fail for it
@@ -46,7 +46,7 @@
                                       // they are not counted at all
 };
 
-// SharedStateModel calls ObserveReplicas and SetMembers before Evaluate.
+// The consensus as one node computes it. ObserveReplicas and SetMembers must be called before Evaluate.
 class OutlierConsensusModel {
  public:
   OutlierConsensusModel(std::string self, OutlierConsensusLimits limits)
@@ -63,7 +63,7 @@
   void ObserveReplicas(Time now, const std::vector<policy::ReplicaView>& fleet, bool suspects_itself);
   // Fills in this node's own outlier reports, the most severe first, and its flags.
   void FillReport(Time now, NodeReport* report) const;
-  // Stores the newest report of a node, made at `made_at`.
+  // Stores the newest report of a node, made at `made_at`. Ignores a node that SetMembers has not added.
   void OnReport(Time made_at, const std::string& node, const NodeReport& report);
   // Sets the members of the view; this node may be among them or not. If `certain`, missing members have
   // gone; else they may still be running.
@@ -135,7 +135,8 @@
   static constexpr std::size_t kMaxPeers = 4096;
 
   bool IsTrusted(const PeerState& peer, Time now) const;
-  // Whether the node saw failures of the replica: more than one in a row, or one that led to its ejection.
+  // Whether the report, `age` old, says that its node saw failures of the replica: more than one in a row, or
+  // one that led to its ejection.
   bool ReportsFailure(const OutlierReport& report, Time age) const {
     return report.consecutive_failures > 0 && (report.ejected_for > 0 || report.consecutive_failures > 1) &&
            report.last_outcome_age >= 0 && report.last_outcome_age + age < limits_.max_report_age;
@@ -180,8 +181,8 @@
   bool suspects_itself_ = false;
   int failing_ = 0;       // replicas that this node has ejected after failures of its own
   int contradicted_ = 0;  // replicas that others report although they answered here lately
-  std::set<policy::ReplicaId>
-      reported_slow_;  // by any node; this node has to report its own slowness of them
+  // Replicas that another node reports as slow. This node then reports the slowness that it observes of them.
+  std::set<policy::ReplicaId> reported_slow_;
   std::vector<Finding> findings_;
 };
 
--- a/src/gossip/prefix_traffic_model.cpp
+++ b/src/gossip/prefix_traffic_model.cpp
@@ -15,6 +15,7 @@
  public:
   explicit RateSum(double max_counted_rate) : max_counted_rate_(max_counted_rate) {}
 
+  // Adds one node's rate of all requests and its rates of prefixes.
   void Add(double rate, const std::vector<PrefixRate>& prefix_rates) {
     if (rate <= 0) return;
     rate = std::min(rate, max_counted_rate_);
@@ -31,7 +32,8 @@
     }
   }
 
-  // Returns the shares of all prefixes that at least `min_node_share` of the nodes report.
+  // Returns the shares of all prefixes that at least `min_node_share` of the nodes report. Empty if fewer
+  // than two nodes have been added.
   std::vector<std::pair<std::uint64_t, double>> Shares(double min_node_share) const {
     std::vector<std::pair<std::uint64_t, double>> shares;
     if (nodes_ < 2) return shares;
@@ -44,12 +46,12 @@
 
  private:
   struct PrefixSum {
-    double rate = 0;
-    std::size_t nodes = 0;  // that report the prefix
+    double rate = 0;        // requests per second
+    std::size_t nodes = 0;  // number of nodes that report the prefix
   };
   double max_counted_rate_;
   double total_rate_ = 0;
-  std::size_t nodes_ = 0;
+  std::size_t nodes_ = 0;  // number of nodes with a rate above 0
   std::unordered_map<std::uint64_t, PrefixSum> prefixes_;
 };
 
--- a/src/gossip/prefix_traffic_model.h
+++ b/src/gossip/prefix_traffic_model.h
@@ -26,7 +26,7 @@
   std::size_t max_prefixes = 256;    // only this many prefixes, the busiest ones, are announced
 };
 
-// Counts this node's requests and adds up the reports of all nodes.
+// Counts this node's requests and adds up the reports of all nodes. Times in microseconds.
 class PrefixTrafficModel {
  public:
   explicit PrefixTrafficModel(std::string self, Time now, PrefixTrafficLimits limits = {})
@@ -36,6 +36,7 @@
   void OnArrival(Time now, std::uint64_t prefix);
   // Fills in this node's busiest prefixes.
   void FillReport(Time now, NodeReport* report) const;
+  // Stores the newest report of a node, made at `made_at`.
   void OnReport(Time made_at, const std::string& node, const NodeReport& report);
   void RemoveNode(const std::string& node) { peers_.erase(node); }
   // Sets the shares for the decision module. Returns false if they have not changed enough, or if it is too
@@ -48,14 +49,14 @@
  private:
   // The newest report of another node.
   struct PeerState {
-    double rate = 0;
+    double rate = 0;  // of all its requests, per second
     Time made_at = 0;
     std::vector<PrefixRate> prefix_rates;
   };
   using PrefixShares = std::vector<std::pair<std::uint64_t, double>>;  // prefix and share, 0 to 1
 
-  // Returns this node's busiest prefixes, and in `rate` the rate of all its requests per second. Both are
-  // empty until the node has counted for long enough.
+  // Returns this node's busiest prefixes, and in `rate` the rate of all its requests per second. Until the
+  // node has counted for long enough there are no prefixes and the rate is 0.
   std::vector<PrefixRate> OwnRates(Time now, double* rate) const;
   PrefixShares CollectShares(Time now) const;  // largest share first
   bool HasChanged(const PrefixShares& shares) const;
--- a/src/gossip/shared_state_model.h
+++ b/src/gossip/shared_state_model.h
@@ -29,8 +29,8 @@
   TrafficShareLimits traffic_share;
   OutlierConsensusLimits outliers;
   PrefixTrafficLimits prefix_traffic;
-  Time evaluate_interval = 500'000;
-  Time freeze_time = 30'000'000;  // how long announced results stand while the view is uncertain
+  Time evaluate_interval = 500'000;  // between evaluations of outliers and prefixes
+  Time freeze_time = 30'000'000;     // how long announced results stand while the view is uncertain
 };
 
 // The state of one node. `now` is always a time of the host's steady clock.
--- a/src/gossip/traffic_share_model.h
+++ b/src/gossip/traffic_share_model.h
@@ -32,11 +32,12 @@
   Time rise_delay = 3'000'000;           // a share rises only to the minimum computed over this span
   Time stale_after = 5'000'000;          // an older report is marked as stale, but its value still counts
   Time freeze_time = 30'000'000;         // how long the share stays the same while the view is uncertain
-  double step_per_second = 0.05;         // relative change per second towards the equal share after that
+  double step_per_second = 0.05;   // relative change per second towards the equal share after the freeze time
   double base_share = 0.25;        // this fraction of the mean rate is added to each node's own, because
                                    // traffic may begin to arrive at any node
   double max_unstable_rise = 0.5;  // while absent members may still be running, a share computed without
-                                   // them exceeds the last stable share by at most this fraction of it
+                                   // them exceeds the larger of the last stable share and the share
+                                   // computed with them by at most this fraction
 };
 
 // The computation of one node. The others do the same with the same reports.
@@ -73,7 +74,7 @@
   };
   // Returns the values of all nodes for display to operators, this node first.
   std::vector<NodeShare> Explain(Time now) const;
-  Time report_interval() const;
+  Time report_interval() const;                 // between this node's reports; longer in a large cluster
   const char* state() const { return state_; }  // "shares", "held", "stepping-back" or "equal"
 
  private:
