--- a/tests/gossip_nodes_test.cpp
+++ b/tests/gossip_nodes_test.cpp
@@ -76,7 +76,7 @@
                       "[expect]\nserved = 0.6\n",
                   options);
   EXPECT_TRUE(EjectionsByReplica(result).empty());
-  // The four nodes that reach the replicas serve all their requests.
+  // The four nodes that reach the replicas serve nearly all of their requests.
   EXPECT_GE(result.served_all * 100, result.asked_all * 4 / 6 * 97);
 }
 
@@ -108,7 +108,7 @@
   EXPECT_TRUE(EjectionsByReplica(result).empty());
   ASSERT_EQ(result.shares.size(), 1U);
   ASSERT_EQ(result.shares[0].size(), 6U);
-  // The six nodes keep the shares that the bound on one node's rate leaves them, and in total not more
+  // The six nodes keep the shares that the bound on one node's rate leaves them, in total not much more
   // than 1.
   EXPECT_GE(Sum(result.shares[0]), 0.3);
   EXPECT_LE(Sum(result.shares[0]), 1.1);
--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -30,15 +30,15 @@
   return report;
 }
 
-// Runs the model for `seconds` with `own` requests per second and a stable view of peers that report `rates`.
-// Returns its share at the end.
-double ShareAfter(TrafficShareModel& model, const std::vector<double>& rates, double own, int seconds,
+// Runs the model for `seconds` with `own_rate` requests per second and a stable view of peers that report
+// `rates`. Returns its share at the end.
+double ShareAfter(TrafficShareModel& model, const std::vector<double>& rates, double own_rate, int seconds,
                   Time* now) {
   std::vector<std::string> names;
   for (std::size_t i = 0; i < rates.size(); ++i) names.push_back("p" + std::to_string(i));
   double share = 0;
   for (int step = 0; step < 2 * seconds; ++step, *now += kSecond / 2) {
-    for (int request = 0; request < static_cast<int>(own / 2); ++request) model.OnArrival(*now);
+    for (int request = 0; request < static_cast<int>(own_rate / 2); ++request) model.OnArrival(*now);
     model.SetMembers(*now, names, true, true);
     model.NextReport(*now);
     for (std::size_t i = 0; i < rates.size(); ++i)
@@ -429,18 +429,20 @@
 
 TEST(OutlierConsensus, OneFalseReportDoesNotMoveTheMedianSlowness) {
   TestNode node(8);
-  const auto slow = [](double s) { return gossip::OutlierReport{1, 1000, 0, 0, kSecond, s, 6, 0, 0}; };
+  const auto slow = [](double slowness) {
+    return gossip::OutlierReport{1, 1000, 0, 0, kSecond, slowness, 6, 0, 0};
+  };
   // One node reports the highest slowness. It has no effect while the others find the replica normal.
   node.model.OnReport(node.now, "p0", ReportWith({slow(4)}));
   node.Evaluate();
-  NodeReport requested;  // once a node reports slowness, this node reports its own finding
+  NodeReport own_report;  // once a node reports slowness, this node reports what it observes
   policy::ReplicaView& own_view = node.fleet.at(1);
   own_view.slowness = 0.05;
   own_view.slowness_samples = 4;
   own_view.slowness_updated_at = node.now;
   node.model.ObserveReplicas(node.now, node.fleet.all, false);
-  node.model.FillReport(node.now, &requested);
-  ASSERT_EQ(requested.outlier_reports.size(), 1U);
+  node.model.FillReport(node.now, &own_report);
+  ASSERT_EQ(own_report.outlier_reports.size(), 1U);
   for (const char* p : {"p1", "p2", "p3"}) node.model.OnReport(node.now, p, ReportWith({slow(0.1)}));
   for (const auto& [id, report] : node.Evaluate()) EXPECT_EQ(report.slowness_samples, 0) << id;
   // Once most nodes find the replica slow, their median counts, with a lower weight than this node's own
@@ -657,11 +659,11 @@
   EXPECT_GE(with_gossip.Share(), without_gossip.Share() - 0.02);
   // No replica fails, but one node reports that all do.
   scenario.faults.clear();
-  const auto without_liar = emulator::RunScenario(scenario);
+  const auto without_false_reporter = emulator::RunScenario(scenario);
   scenario.fleet.tier.byzantine_node = 5;
-  const auto with_liar = emulator::RunScenario(scenario);
-  EXPECT_GE(with_liar.Share(), without_liar.Share() - 0.01);
-  EXPECT_EQ(with_liar.violations.all(), 0U);
+  const auto with_false_reporter = emulator::RunScenario(scenario);
+  EXPECT_GE(with_false_reporter.Share(), without_false_reporter.Share() - 0.01);
+  EXPECT_EQ(with_false_reporter.violations.all(), 0U);
 }
 
 }  // namespace
--- a/tests/membership_nodes_test.cpp
+++ b/tests/membership_nodes_test.cpp
@@ -46,6 +46,7 @@
   return output;
 }
 
+// Up to `n` node processes on loopback addresses, with the first as the seed of all.
 class TestCluster {
  public:
   explicit TestCluster(std::size_t n, const std::string& more_settings = "") : more_settings_(more_settings) {
@@ -68,6 +69,7 @@
   TestCluster(const TestCluster&) = delete;
   TestCluster& operator=(const TestCluster&) = delete;
 
+  // Starts node `i`; without the table [membership] if `membership` is false.
   NodeProcess& Start(std::size_t i, bool membership = true) {
     json config =
         json::parse(ConfigJson("127.0.0.1:0", "127.0.0.1:1", "{\"generation\":1,\"instances\":[]}"));
@@ -122,7 +124,7 @@
   return "unknown";
 }
 
-// The inodes of the sockets that a process holds.
+// The inodes of the sockets that a process has open.
 std::set<std::string> SocketsOf(pid_t pid) {
   std::set<std::string> all;
   const std::string dir = "/proc/" + std::to_string(pid) + "/fd";
@@ -133,6 +135,7 @@
   }
   return all;
 }
+// The number of UDP sockets that a process has open.
 std::size_t DatagramSockets(pid_t pid) {
   const std::set<std::string> own = SocketsOf(pid);
   std::ifstream in("/proc/net/udp");
@@ -243,7 +246,7 @@
   TestCluster cluster(4);
   for (std::size_t i = 0; i < 3; ++i) cluster.Start(i);
   for (std::size_t i = 0; i < 3; ++i) ASSERT_TRUE(cluster.WaitUntilStable(i, 3));
-  // The fourth is started with the name n1 and with a directory of its own.
+  // The fourth node is started under the name n1, with a directory of its own.
   json config = json::parse(ConfigJson("127.0.0.1:0", "127.0.0.1:1", "{\"generation\":1,\"instances\":[]}"));
   config["name"] = "n1";
   NodeFiles files;
@@ -294,6 +297,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   EXPECT_EQ(DatagramSockets(cluster.node(0).pid()), 0U);
   EXPECT_EQ(DatagramSockets(cluster.node(1).pid()), 1U);  // shows that the count works
+  // The socket for datagrams, the listener for push-pull exchanges and the listener of the status address.
   EXPECT_EQ(SocketsOf(cluster.node(0).pid()).size() + 3, SocketsOf(cluster.node(1).pid()).size());
   EXPECT_EQ(cluster.node(0).Log().find("membership"), std::string::npos);
 }
--- a/tests/membership_parts_test.cpp
+++ b/tests/membership_parts_test.cpp
@@ -204,7 +204,7 @@
   EXPECT_EQ(age_at(5'000), 4'000);
   queue.ShiftTimes(3'000);
   EXPECT_EQ(age_at(9'000), 5'000);
-  EXPECT_EQ(age_at(0), 0);  // a report from the future has age 0
+  EXPECT_EQ(age_at(0), 0);  // a report that was made later than now has age 0
   EXPECT_EQ(age_at(10 * kMaxReportAge), kMaxReportAge);
 }
 
@@ -217,7 +217,7 @@
   EXPECT_EQ(queue.size(), DisseminationQueue::kMaxUpdates);
   for (int i = 0; i < 40; ++i) {
     for (const std::string& sent : SendOnce(queue, DisseminationQueue::kMaxConsidered))
-      EXPECT_NE(sent, "n5111");
+      EXPECT_NE(sent, "n5111");  // the update that was dropped
   }
 }
 
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -125,8 +125,7 @@
   };
   EXPECT_EQ(error("name = \"x\"\nnodes = 4\n[[fault]]\nwhat = \"pause\"\nnodes = \"7\"\nlasts = 1\n"),
             "s.toml:5: fault.nodes: \"7\" names no nodes; give all, a number under 4, 2-5, zone:0 or not:3, "
-            "several "
-            "with commas");
+            "several with commas");
   EXPECT_NE(error("name = \"x\"\n[[fault]]\nwhat = \"kil\"\n")
                 .find("s.toml:3: fault.what: is \"kil\"; allowed are"),
             std::string::npos);
@@ -169,14 +168,14 @@
 
 MemberRecord MakeRecord(const std::string& name, std::uint64_t incarnation,
                         RecordState state = RecordState::kAlive) {
-  MemberRecord r;
-  r.name = name;
-  r.address = "a:" + name;
-  r.incarnation = incarnation;
-  r.uid = 1000 + static_cast<std::uint64_t>(name[0]);
-  r.state = state;
-  if (state == RecordState::kDead) r.reporters = {"x", "y", "z"};
-  return r;
+  MemberRecord record;
+  record.name = name;
+  record.address = "a:" + name;
+  record.incarnation = incarnation;
+  record.uid = 1000 + static_cast<std::uint64_t>(name[0]);
+  record.state = state;
+  if (state == RecordState::kDead) record.reporters = {"x", "y", "z"};
+  return record;
 }
 
 RC_GTEST_PROP(Records, MergingInAnyOrderAndWithRepetitionsGivesTheSameResult, ()) {
@@ -184,22 +183,23 @@
       rc::gen::pair(rc::gen::inRange(0, 4), rc::gen::inRange(0, 4)));
   RC_PRE(!records.empty());
   const auto merge = [](const std::vector<std::pair<int, int>>& list) {
-    MemberRecord r = MakeRecord("n", 0);
+    MemberRecord merged = MakeRecord("n", 0);
     for (const auto& [incarnation, state] : list) {
       const MemberRecord next =
           MakeRecord("n", static_cast<std::uint64_t>(incarnation), static_cast<RecordState>(state));
-      if (Supersedes(next, r)) r = next;
+      if (Supersedes(next, merged)) merged = next;
     }
-    return std::pair(r.incarnation, r.state);
+    return std::pair(merged.incarnation, merged.state);
   };
   auto repeated = records;
   repeated.insert(repeated.end(), records.begin(), records.end());
   const auto order = *rc::gen::container<std::vector<int>>(repeated.size(), rc::gen::inRange(0, 1000));
-  std::vector<std::size_t> at(repeated.size());
-  for (std::size_t i = 0; i < at.size(); ++i) at[i] = i;
-  std::sort(at.begin(), at.end(), [&](std::size_t a, std::size_t b) { return order[a] < order[b]; });
+  std::vector<std::size_t> indices(repeated.size());
+  for (std::size_t i = 0; i < indices.size(); ++i) indices[i] = i;
+  std::sort(indices.begin(), indices.end(),
+            [&](std::size_t a, std::size_t b) { return order[a] < order[b]; });
   std::vector<std::pair<int, int>> shuffled;
-  for (const std::size_t i : at) shuffled.push_back(repeated[i]);
+  for (const std::size_t i : indices) shuffled.push_back(repeated[i]);
   RC_ASSERT(merge(records) == merge(shuffled));
 }
 
@@ -287,7 +287,7 @@
   update.record = MakeRecord("d", 5, RecordState::kLeft);
   message.updates = {update};
   node.Receive(message);
-  EXPECT_EQ(node.model.StateOf("d"), MemberState::kAlive);  // it was reached a moment ago
+  EXPECT_EQ(node.model.StateOf("d"), MemberState::kAlive);  // this node reached it a moment ago
   EXPECT_EQ(std::count_if(node.out.sends.begin(), node.out.sends.end(),
                           [](const auto& send) { return send.message.kind == MessageKind::kPing; }),
             1);
@@ -352,7 +352,7 @@
             update.record.incarnation + 1);  // refuted, as the node is not leaving yet
   node.out.Clear();
   node.model.Leave(node.now, node.out);
-  const std::uint64_t leaving = node.model.self().incarnation;
+  const std::uint64_t incarnation_at_leave = node.model.self().incarnation;
   for (const RecordState state : {RecordState::kLeft, RecordState::kDead}) {
     message.updates[0].record = node.model.self();
     message.updates[0].record.state = state;
@@ -360,7 +360,7 @@
   }
   node.now += 5'000'000;  // a pause of this process
   node.RunTick();
-  EXPECT_EQ(node.model.self().incarnation, leaving);
+  EXPECT_EQ(node.model.self().incarnation, incarnation_at_leave);
   EXPECT_EQ(node.model.self().state, RecordState::kLeaving);
 }
 
@@ -435,7 +435,7 @@
 TEST(Membership, IsolatedNodeSuspectsAPartitionAndNoMember) {
   SingleNode node;
   for (const char* name : {"a", "b", "c", "d"}) node.Join(MakeRecord(name, 5));
-  bool stable = false;
+  bool stable = false;  // all members answer until the view is stable
   for (int i = 0; i < 100 && !stable; ++i) {
     node.RunTick();
     std::vector<Message> answers;
@@ -468,17 +468,17 @@
 TEST(Membership, DatagramsStayWithinTheSizeLimitWithManyUpdates) {
   SingleNode node;
   for (int i = 0; i < 200; ++i) node.Join(MakeRecord("m" + std::to_string(i), 5));
-  std::size_t seen = 0;
+  std::size_t updates_sent = 0;
   for (int i = 0; i < 50; ++i) {
     node.RunTick();
     for (const auto& send : node.out.sends) {
       std::size_t bytes = membership::kMessageHeaderBytes + EncodedSize(send.message.sender);
       for (const Update& update : send.message.updates) bytes += EncodedSize(update);
       EXPECT_LE(bytes, 1400U);
-      seen += send.message.updates.size();
+      updates_sent += send.message.updates.size();
     }
   }
-  EXPECT_GT(seen, 50U);
+  EXPECT_GT(updates_sent, 50U);
 }
 
 }  // namespace
