--- a/tests/gossip_nodes_test.cpp
+++ b/tests/gossip_nodes_test.cpp
@@ -80,7 +80,7 @@
   EXPECT_GE(result.served_all * 100, result.asked_all * 4 / 6 * 97);
 }
 
-TEST(GossipNodes, OneNodeWithFalseReportsTakesNeitherSharesNorReplicas) {
+TEST(GossipNodes, OneNodeWithFalseReportsTakesABoundedShareAndEjectsNoReplica) {
   RealOptions options;
   options.query_shares_at = {50};
   std::uint64_t sequence = 0;
@@ -140,7 +140,7 @@
   EXPECT_NEAR(Sum(result.shares[4]), 1, 0.2);
 }
 
-TEST(GossipNodes, WorksAmongOldNodesAndIsOffWithoutItsTable) {
+TEST(GossipNodes, WorksBesideNodesOfWireVersion1AndIsOffWithoutItsSettings) {
   // Nodes of wire version 1 ignore gossip messages. Nodes without the table [tier] send none.
   const RealResult mixed_result =
       RunScenario(ScenarioHead(5, "rate = \"50/s\"\nlength = 40\nold_wire = \"3-4\"\n") +
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -279,7 +279,7 @@
   EXPECT_EQ(node.model.StateOf("b"), MemberState::kDead);
 }
 
-TEST(Membership, MemberThatIsReachedIsNotRemovedOnHearsay) {
+TEST(Membership, MemberThatWasReachedLatelyIsNotRemovedByRecordsFromOthers) {
   SingleNode node;
   for (const char* name : {"a", "b", "c", "d"}) node.Join(MakeRecord(name, 5));
   Message message = node.MakeMessage(MakeRecord("a", 5), MessageKind::kUpdates);
@@ -300,7 +300,7 @@
   EXPECT_EQ(node.model.StateOf("c"), MemberState::kLeft);
 }
 
-TEST(Membership, LeavingMemberThatFallsSilentIsRemovedOnReportsOfSeveral) {
+TEST(Membership, LeavingMemberThatStopsAnsweringIsRemovedAfterReportsOfSeveral) {
   SingleNode node;
   for (const char* name : {"a", "b", "c", "d", "e"}) node.Join(MakeRecord(name, 5));
   node.Receive(node.MakeMessage(MakeRecord("d", 6, RecordState::kLeaving), MessageKind::kUpdates));
@@ -419,7 +419,7 @@
   EXPECT_EQ(node.model.self().incarnation, 901U);
 }
 
-TEST(Membership, NodeThatWasPausedSuspectsNobody) {
+TEST(Membership, NodeThatWasPausedSuspectsNoMember) {
   SingleNode node;
   for (const char* name : {"a", "b", "c", "d"}) node.Join(MakeRecord(name, 5));
   node.now += 60'000'000;  // a pause of one minute
