--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -34,7 +34,7 @@
   std::map<std::string, std::uint64_t> dropped;  // messages, by reason; the reasons are a fixed set
 };
 
-// Not thread-safe: all calls must come from the loop's thread.
+// Runs the membership of this process. Not thread-safe: all calls must come from the loop's thread.
 class Membership : public ClusterViewPort, private PushPullConnections::Owner {
  public:
   // One UDP socket, one listener and the connections of the exchanges.
--- a/src/membership/message_codec.cpp
+++ b/src/membership/message_codec.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint64_t kAnyNumber = ~std::uint64_t{0};
 constexpr std::uint64_t kMaxIncarnation = std::uint64_t{1} << 62;
 constexpr std::uint64_t kMaxSchema = 1'000'000;
-constexpr std::uint64_t kMaxKind = 1000;
+constexpr std::uint64_t kMaxKind = 1000;  // a message with a higher kind is rejected, not only unknown
 // The kinds of updates as they are encoded.
 constexpr std::uint32_t kRecordUpdate = 0;
 constexpr std::uint32_t kReportUpdate = 1;
