--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -14,7 +14,7 @@
 
 // Spans in microseconds.
 constexpr Time kTimerInterval = 250'000;
-constexpr Time kReportIntervalPerNode = 40'000;  // average distance between the reports of all nodes together
+constexpr Time kReportIntervalPerNode = 40'000;  // mean time between reports, over all nodes together
 
 GossipFeatures FeaturesOf(const GossipSettings& settings) {
   return {settings.traffic_shares, settings.outlier_reports, settings.prefix_shares};
@@ -29,7 +29,7 @@
   return limits;
 }
 
-std::string Joined(const std::vector<std::string>& names) {
+std::string JoinWithCommas(const std::vector<std::string>& names) {
   std::string all;
   for (const std::string& name : names) all += (all.empty() ? "" : ",") + name;
   return all;
@@ -101,7 +101,7 @@
     ejected[finding.replica] = finding.ejected_until;
     if (ejected_.contains(finding.replica)) continue;
     Log(Level::kWarn, "replica-ejected-by-peers",
-        {{"host", fleet_->NameOf(finding.replica)}, {"by", Joined(finding.reporters)}});
+        {{"host", fleet_->NameOf(finding.replica)}, {"by", JoinWithCommas(finding.reporters)}});
   }
   for (const auto& [id, until] : ejected_) {
     if (!ejected.contains(id)) Log(Level::kInfo, "replica-ejection-ended", {{"host", fleet_->NameOf(id)}});
