--- a/src/hot_restart/handover_state_codec.cpp
+++ b/src/hot_restart/handover_state_codec.cpp
@@ -25,7 +25,9 @@
 constexpr int kMaxInFlightPerReplica = 1'000'000;
 
 // The PID in the header is the recipient's in a state and the sender's in in-flight counts.
-constexpr const char* kForAnotherProcess = "for or by another process";
+// IsForAnotherProcess compares this whole text, so it holds no PID.
+constexpr const char* kForAnotherProcess =
+    "the PID in the header line is not that of the recipient (state) or sender (in-flight counts)";
 
 std::string Checksum(const std::string& body) {
   return fmt::format("{:016x}", XXH3_64bits(body.data(), body.size()));
@@ -46,13 +48,20 @@
   return fields;
 }
 
-// Returns the body. Throws std::runtime_error if the header is not the expected one.
+// Returns the body. Throws std::runtime_error if the header line does not have this magic word and PID, the
+// major version that this program reads, and the checksum of the body.
 std::string CheckAndRemoveHeader(std::string_view magic, const std::string& text, std::int64_t pid) {
   const std::size_t end = text.find('\n');
-  if (end > kMaxHeaderBytes) throw std::runtime_error("truncated: no header line");
+  if (end > kMaxHeaderBytes)
+    throw std::runtime_error(
+        fmt::format("truncated: no header line within the first {} bytes", kMaxHeaderBytes));
   const std::vector<std::string_view> fields = SplitAtSpaces(std::string_view(text.data(), end));
-  if (fields.size() < 4 || fields[0] != magic) throw std::runtime_error("not a hand-over file of this kind");
-  if (fields[1] != std::to_string(kHandoverFormatMajor)) throw std::runtime_error("of another major version");
+  if (fields.size() < 4 || fields[0] != magic)
+    throw std::runtime_error(fmt::format("the header line is not \"{} MAJOR PID CHECKSUM\"", magic));
+  if (fields[1] != std::to_string(kHandoverFormatMajor))
+    throw std::runtime_error(
+        fmt::format("the file has major version {} of the format; this program reads version {}", fields[1],
+                    kHandoverFormatMajor));
   if (fields[2] != std::to_string(pid)) throw std::runtime_error(kForAnotherProcess);
   std::string body = text.substr(end + 1);
   if (fields[3] != Checksum(body)) throw std::runtime_error("truncated or corrupted: checksum mismatch");
@@ -77,7 +86,9 @@
     const json j = json::from_msgpack(CheckAndRemoveHeader(kStateMagic, text, recipient));
     HandoverState state;
     state.node = j.at("node").get<std::string>();
-    if (state.node != node) throw std::runtime_error("of another node");
+    if (state.node != node)
+      throw std::runtime_error(
+          fmt::format("the state belongs to node \"{}\"; this process runs node \"{}\"", state.node, node));
     state.program = j.value("program", "");
     state.discovery = j.value("discovery", "");
     state.roster = j.value("roster", "");
--- a/src/hot_restart/handover_state_codec.h
+++ b/src/hot_restart/handover_state_codec.h
@@ -14,21 +14,23 @@
 
 namespace ryeglade::hot_restart {
 
+// Version of both encodings below. A text of another version is rejected.
 inline constexpr int kHandoverFormatMajor = 1;
 
+// What the old process of a node hands over to the new one.
 struct HandoverState {
   std::string node;                  // name of the node that wrote the state
   std::string program;               // version of the program that wrote the state
   std::string discovery;             // address of the discovery service that `roster` was read from
   std::string roster;                // the endpoint list, as the discovery service sent it
   std::vector<std::string> classes;  // class names; their indexes are those used in `learned`
-  policy::LearnedState learned;
+  policy::LearnedState learned;      // what the decision module has learned and what it has in flight
 };
 
 // `recipient` is the pid of the only process that may restore the state.
 std::string EncodeHandoverState(const HandoverState& state, std::int64_t recipient);
-// Returns nullopt, with the reason in `why`, if the text is not intact or is not for the process `recipient`
-// of the node `node`.
+// Returns nullopt, with the reason in `why`, if the text is truncated, corrupted or of another major version,
+// or is not meant for the process `recipient` of the node `node`.
 std::optional<HandoverState> DecodeHandoverState(const std::string& text, std::int64_t recipient,
                                                  const std::string& node, std::string* why);
 // Whether `why`, as set by DecodeHandoverState, says that the state is for another process.
@@ -41,7 +43,8 @@
 using InFlightCounts = std::vector<std::pair<std::uint32_t, int>>;
 // `sender` is the pid of the process that has these requests in flight.
 std::string EncodeInFlight(const InFlightCounts& counts, std::int64_t sender);
-// Returns nullopt if the text is truncated, corrupted or of another process, or if a count is out of range.
+// Returns nullopt if the text is truncated, corrupted, of another major version or from a process other than
+// `sender`, or if a count is out of range.
 std::optional<InFlightCounts> DecodeInFlight(const std::string& text, std::int64_t sender);
 
 }  // namespace ryeglade::hot_restart
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -37,7 +37,9 @@
 void HotRestart::Start() {
   if (!lease_file_.is_holder() && state_file_.enabled())
     Log(Level::kWarn, "hand-over-off",
-        {{"why", "two other processes of this node hold both leases, or $TMPDIR can't be used"}});
+        {{"why",
+          "two other processes of this node have locked both lease files, or none can be opened in "
+          "$TMPDIR"}});
   UpdateLease();
   if (!sibling_.alive) {
     port_->StartServing();
@@ -64,7 +66,8 @@
   poll_timer_ = runtime_->deadlines->Set(Now() + interval, [this] { Poll(); });
 }
 
-// Publishes to the new process what this one still has in flight, if that has changed.
+// Writes the counts of the requests that this process still has in flight, if they have changed. The new
+// process reads them.
 void HotRestart::PublishInFlight() {
   if (Now() - in_flight_published_at_ < kMinInFlightPublishInterval) return;
   in_flight_published_at_ = Now();
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -13,19 +13,20 @@
 
 namespace ryeglade::hot_restart {
 
-// Implemented by the node.
+// What HotRestart needs from the node, which implements it.
 class HotRestartPort {
  public:
   virtual ~HotRestartPort() = default;
-  virtual void StartServing() = 0;                             // may be called more than once
+  virtual void StartServing() = 0;                             // accept clients; may be called more than once
   virtual void RestoreState(HandoverState state) = 0;          // called before StartServing
   virtual void SetSiblingInFlight(InFlightCounts counts) = 0;  // empty: none in flight, or no sibling
-  virtual HandoverState ExportState() = 0;
-  virtual InFlightCounts CountInFlight() = 0;
-  virtual void HandOverClients() = 0;           // the sibling serves: accept no new clients
+  virtual HandoverState ExportState() = 0;                     // the state to hand over to the new process
+  virtual InFlightCounts CountInFlight() = 0;                  // upstream requests in flight at this process
+  virtual void HandOverClients() = 0;                          // the sibling serves: accept no new clients
   virtual void ResumeClients() = 0;             // the sibling no longer serves: accept clients again
   virtual std::size_t UsedSockets() const = 0;  // descriptors in use or reserved
   virtual std::size_t UsedMemory() const = 0;   // bytes of buffers
+  // Sets how many descriptors and how many bytes of buffers this process may use.
   virtual void SetLimits(std::size_t sockets, std::size_t memory) = 0;
 };
 
@@ -43,14 +44,16 @@
   std::size_t memory = 0;   // memory limit of the whole node, in bytes of buffers
 };
 
+// This process's part in a hot restart. Used on the event loop's thread only.
 class HotRestart {
  public:
+  // Locks a lease file. `runtime` and `port` must outlive this object.
   HotRestart(const Runtime* runtime, HotRestartPort* port, HotRestartOptions options);
-  // Calls StartServing at once if no other process of this node lives; otherwise once that process has handed
-  // over its state, has died, or kMaxStateWait has passed.
+  // Calls StartServing immediately if no other process of this node is alive; otherwise once that process has
+  // handed over its state, has died or has been found to be starting as well, or kMaxStateWait has passed.
   void Start();
   void Terminate();  // to be called when this process was told to end
-  void Close();
+  void Close();      // stops the polling and the watching of files, so that the event loop can end
   bool handed_over() const { return policy_.handed_over(); }  // the sibling accepts clients instead
 
  private:
--- a/src/hot_restart/hot_restart_policy.cpp
+++ b/src/hot_restart/hot_restart_policy.cpp
@@ -83,6 +83,7 @@
   return actions;
 }
 
+// Starts to serve without the old process's state if there is none to wait for, or it did not come in time.
 Actions HotRestartPolicy::UpdateStarting(Time now, const Sibling& sibling) {
   if (!sibling.alive) return StartServing(Reason::kNoSibling);
   if (now - started_at_ > kMaxStateWait) return StartServing(Reason::kStateTimeout);
--- a/src/hot_restart/hot_restart_policy.h
+++ b/src/hot_restart/hot_restart_policy.h
@@ -1,7 +1,7 @@
 // Decides, for two processes of one node during a hot restart, which one accepts clients, when learned state
 // is handed over, and how the node's limits are split. No I/O, no clock. Each process runs this policy for
-// itself, on what it observes of its sibling: whether it lives (its lease file is locked) and what its lease
-// says.
+// itself, on what it observes of its sibling: whether it is alive (its lease file is locked) and what its
+// lease says.
 //
 // The new process starts beside the old one, receives the old one's state, and accepts clients; from then on
 // the old one accepts no new clients and finishes the requests that it has. If the new process dies, hangs or
@@ -27,6 +27,7 @@
   std::optional<Lease> lease;  // nullopt: no lease could be read
 };
 
+// Why a process starts to serve, hands its clients over or resumes them.
 enum class Reason : std::uint8_t {
   kNone,
   kNoSibling,        // no other process of this node is alive
@@ -44,19 +45,20 @@
 // What this process has to do now, in the order of the fields.
 struct Actions {
   bool send_state = false;           // write the learned state for the process `state_recipient`
-  std::int64_t state_recipient = 0;  // pid
+  std::int64_t state_recipient = 0;  // pid; 0 unless send_state is set
   bool start_serving = false;        // start to accept clients
   bool hand_over_clients = false;    // accept no new clients from now on
   bool resume_clients = false;       // accept clients again
   bool sibling_gone = false;         // the sibling has died, so it has nothing in flight
-  Reason reason = Reason::kNone;
+  Reason reason = Reason::kNone;     // for the log: why clients are served, handed over or resumed
 };
 
+// The decisions of one process. Functions that return Actions tell what the process has to do now.
 class HotRestartPolicy {
  public:
   // `has_sibling` says whether another process of this node is already alive.
   HotRestartPolicy(Time now, bool has_sibling);
-  // To be called at least every 100 ms or so with what is observed of the sibling.
+  // To be called about every 100 ms, or more often, with what is observed of the sibling.
   Actions Update(Time now, const Sibling& sibling);
   Actions OnStateReceived();                    // the old process's state has been restored
   Actions OnTerminate(const Sibling& sibling);  // this process was told to end
@@ -72,11 +74,11 @@
   void UpdateClients(const Sibling& sibling, bool responsive, Actions* actions);
 
   Time started_at_;
-  Time updated_at_ = 0;
-  Time heartbeat_changed_at_ = 0;
-  std::int64_t sibling_pid_ = 0;  // as of the last update; 0: none seen
-  std::uint64_t sibling_heartbeat_ = 0;
-  std::int64_t state_sent_to_ = 0;  // pid; 0: not sent
+  Time updated_at_ = 0;                  // time of the last update; 0: none
+  Time heartbeat_changed_at_ = 0;        // when the sibling's heartbeat was last seen to change; 0: never
+  std::int64_t sibling_pid_ = 0;         // as of the last update; 0: none seen
+  std::uint64_t sibling_heartbeat_ = 0;  // as of the last update
+  std::int64_t state_sent_to_ = 0;       // pid of the process that the state was written for; 0: none
   Phase phase_;
   bool handed_over_ = false;
   bool had_sibling_ = false;  // a sibling was alive at the last update
--- a/src/hot_restart/lease_codec.h
+++ b/src/hot_restart/lease_codec.h
@@ -11,6 +11,7 @@
 
 using Time = std::int64_t;  // microseconds, Unix time
 
+// What a process does in the course of a hot restart.
 enum class Phase : std::uint8_t {
   kStarting,     // waits for the state of the older process
   kServing,      // accepts clients
@@ -19,8 +20,8 @@
 };
 
 struct Lease {
-  std::int64_t pid = 0;
-  Time started_at = 0;
+  std::int64_t pid = 0;  // of the process that writes the lease
+  Time started_at = 0;   // when that process started; of two processes, the later one is the successor
   Phase phase = Phase::kStarting;
   std::uint64_t heartbeat = 0;   // incremented while the process's event loop runs
   std::size_t socket_limit = 0;  // descriptors that the process allows itself
--- a/src/hot_restart/lease_file.h
+++ b/src/hot_restart/lease_file.h
@@ -10,6 +10,7 @@
 
 namespace ryeglade::hot_restart {
 
+// Holds the lock of its file until it is destroyed.
 class LeaseFile {
  public:
   // Opens `path`-0 and `path`-1 and locks the first one that is not locked.
@@ -20,7 +21,7 @@
 
   bool is_holder() const { return own_ >= 0; }  // false: others have locked both, or none can be opened
   Sibling ReadSibling() const;                  // the process that has locked the other file
-  void Write(const Lease& lease);
+  void Write(const Lease& lease);               // no effect unless is_holder()
 
  private:
   static constexpr int kFiles = 2;
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -229,11 +229,11 @@
   EXPECT_EQ(state->learned.replicas.at(0).learned.slowness, 0.5);
   EXPECT_FALSE(DecodeHandoverState(text, 43, "n0", &why));
   EXPECT_FALSE(DecodeHandoverState(text, 42, "n1", &why));
-  EXPECT_EQ(why, "of another node");
+  EXPECT_EQ(why, "the state belongs to node \"n0\"; this process runs node \"n1\"");
   std::string newer = text;
   newer.replace(newer.find(" 1 "), 3, " 2 ");
   EXPECT_FALSE(DecodeHandoverState(newer, 42, "n0", &why));
-  EXPECT_EQ(why, "of another major version");
+  EXPECT_EQ(why, "the file has major version 2 of the format; this program reads version 1");
   EXPECT_FALSE(DecodeHandoverState(text.substr(0, text.size() - 3), 42, "n0", &why));
 }
 
