--- a/src/settings/class_update_policy.cpp
+++ b/src/settings/class_update_policy.cpp
@@ -20,7 +20,7 @@
          a.inter_token_objective == b.inter_token_objective;
 }
 
-// Flattened settings: the values of their "key=value" lines, by key.
+// Flattened settings: the values of the "key=value" lines, by key.
 using Lines = std::map<std::string, std::string>;
 
 Lines ParseLines(const std::string& text) {
@@ -79,7 +79,7 @@
   return keys;
 }
 
-// The keys that all classes have in common, and those that a class must always have.
+// Returns the keys that all classes have in common, and those that a class must always have.
 std::set<std::string> RequiredClassKeys(const KeySets& keys) {
   std::set<std::string> required;
   for (auto it = keys.by_class.begin(); it != keys.by_class.end(); ++it) {
@@ -93,6 +93,7 @@
   return required;
 }
 
+// Returns what is wrong with the class at `index`, or an empty string. `keys` are its keys within the class.
 std::string FindClassError(std::size_t index, const std::set<std::string>& keys,
                            const std::set<std::string>& required, const Lines& lines) {
   const std::string prefix = "classes." + std::to_string(index) + ".";
--- a/src/settings/class_update_policy.h
+++ b/src/settings/class_update_policy.h
@@ -10,12 +10,13 @@
 
 namespace ryeglade {
 
+// All versions of the request classes, and which of them are in force.
 struct ClassTable {
   std::vector<policy::ClassSettings> classes;  // only appended to, so that an index keeps its meaning
   std::vector<std::size_t> active;             // indices of the classes that new requests may name
 };
 
-// The most entries of ClassTable::classes: all versions of all classes since the process started.
+// Maximum size of ClassTable::classes, which holds all versions of all classes since the process started.
 inline constexpr std::size_t kMaxClassVersions = 256;
 
 // Makes `wanted` the active classes. An unchanged class keeps its index; a new or changed one gets a new
--- a/src/settings/config.cpp
+++ b/src/settings/config.cpp
@@ -15,8 +15,8 @@
 
 using nlohmann::json;
 
-// A value as it stands in a line of flattened settings: spaces, commas and line ends, which separate values
-// there, become underscores.
+// Returns a value as it is written in a line of flattened settings. Spaces, commas and line ends separate
+// values there, so those within a text become underscores.
 std::string FlatValue(const json& value) {
   if (value.is_null()) return "";
   std::string text = value.is_string() ? value.get<std::string>() : value.dump();
@@ -26,7 +26,7 @@
   return text;
 }
 
-// Appends the lines of `value`, which stands at the dotted `path`.
+// Appends the lines of `value`, whose key in the settings is the dotted `path`.
 void Flatten(const std::string& path, const json& value, std::string& out) {
   if (value.is_object()) {
     for (const auto& [key, item] : value.items()) {
@@ -51,7 +51,7 @@
   out += "\n";
 }
 
-// The list of texts at `key`; empty if the settings have no such key.
+// Returns the list of texts at `key`; empty if the settings have no such key.
 std::vector<std::string> ReadNames(const json& settings, const char* key) {
   std::vector<std::string> names;
   if (settings.contains(key)) {
@@ -68,7 +68,7 @@
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (error != std::errc() || end != text.data() + text.size())
-    throw ConfigError("seed is not hexadecimal: '" + text + "'");
+    throw ConfigError("seed is '" + text + "'; give a number, or a text of 1 to 16 hexadecimal digits");
   return seed;
 }
 
@@ -94,7 +94,9 @@
       config.sockets = file.at("limits").value("sockets", config.sockets);
     }
     if (config.memory_mb < 16 || config.sockets < 64)
-      throw ConfigError("limits are too small; memory_mb must be at least 16 and sockets at least 64");
+      throw ConfigError("limits are too small: memory_mb is " + std::to_string(config.memory_mb) +
+                        " and must be at least 16, sockets is " + std::to_string(config.sockets) +
+                        " and must be at least 64");
     if (file.contains("known")) config.known_endpoints = file.at("known").dump();
     if (!file.contains("settings")) throw ConfigError("settings are missing; add the object `settings`");
     const json& settings = file.at("settings");
@@ -121,7 +123,7 @@
 // With `discovery_from_file`, the file's `discovery`, if it has one, takes precedence over EDGE_DISCOVERY.
 Config LoadFile(const std::string& path, bool discovery_from_file) {
   std::ifstream in(path, std::ios::binary);
-  if (!in) throw ConfigError("cannot read " + path);
+  if (!in) throw ConfigError("cannot read " + path + "; check that it exists and is readable");
   const std::string text{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
   Config config;
   try {
@@ -140,12 +142,15 @@
   override_from("EDGE_MANAGEMENT", config.management);
   sockaddr_storage address{};
   if (!ParseAddress(config.listen, &address))
-    throw ConfigError("listen is not an ip:port: '" + config.listen + "'");
+    throw ConfigError("listen is not an ip:port: '" + config.listen + "'; correct it in " + path +
+                      " or in EDGE_LISTEN");
   if (!config.management.empty() && !ParseAddress(config.management, &address)) {
-    throw ConfigError("management is not an ip:port: '" + config.management + "'");
+    throw ConfigError("management is not an ip:port: '" + config.management + "'; correct it in " + path +
+                      " or in EDGE_MANAGEMENT");
   }
   if (!ParseAddress(config.discovery, &address)) {
-    throw ConfigError("discovery is not an ip:port: '" + config.discovery + "'");
+    throw ConfigError("discovery is not an ip:port: '" + config.discovery + "'; correct it in " + path +
+                      " or in EDGE_DISCOVERY");
   }
   return config;
 }
--- a/src/settings/config.h
+++ b/src/settings/config.h
@@ -14,26 +14,27 @@
 
 namespace ryeglade {
 
+// The configuration can't be read or is invalid. what() names the setting and what is wrong with it.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 struct Config {
-  std::string source_file;  // path of the JSON file; empty if the configuration was not read from a file
-  std::string name;         // node name; may be empty
-  std::string listen;       // ip:port of the platform's clients
-  std::string discovery;    // ip:port of the discovery service
-  std::string management;   // ip:port of the admin listener; empty: there is none
-  std::uint64_t seed = 0;
+  std::string source_file;      // path of the JSON file; empty if the configuration was not read from a file
+  std::string name;             // node name; may be empty
+  std::string listen;           // ip:port of the platform's clients
+  std::string discovery;        // ip:port of the discovery service
+  std::string management;       // ip:port of the admin listener; empty: there is none
+  std::uint64_t seed = 0;       // of the decision module's random numbers; 0 if the file gives none
   std::size_t memory_mb = 192;  // memory limit of the process in MiB; at least 16
-  std::size_t sockets = 1024;   // the most descriptors that the process may use; at least 64
+  std::size_t sockets = 1024;   // the maximum number of descriptors of the process; at least 64
   std::string known_endpoints;  // `known`: an endpoint list in discovery's JSON form; empty: none is given
   std::string settings_text;    // `settings` of the file, flattened by FlattenSettings
   // `settings.classes` only grows: after a SIGHUP it also holds the earlier versions that open requests use.
   policy::Settings settings;
   std::vector<std::size_t> active_classes;  // indices of the classes that new requests may name
-  policy::Time idle_timeout = 5'000'000;    // until an idle client connection is closed, in microseconds
+  policy::Time idle_timeout = 5'000'000;    // microseconds after which an idle client connection is closed
   std::vector<std::string> zones;           // zone names by index, from the key `localities`
   std::vector<std::string> replica_kinds;   // names of replica kinds by index, from the key `shapes`
   std::vector<std::string> load_fields;     // fields of a load report by index, from the key `stats.fields`
--- a/src/settings/edge_settings.cpp
+++ b/src/settings/edge_settings.cpp
@@ -13,7 +13,8 @@
 constexpr std::size_t kKiB = 1024;
 constexpr std::size_t kMiB = 1024 * kKiB;
 
-// Reads `class`: the name of a class in the configuration. Returns an empty text if the key is absent.
+// Reads the key `class`, whose value must be the name of a class in the configuration. Returns an empty text
+// if the key is absent.
 std::string ReadClassName(TomlSection& section, const std::vector<std::string>& classes) {
   std::string name = section.Text("class", "");
   if (name.empty() || std::find(classes.begin(), classes.end(), name) != classes.end()) return name;
@@ -24,6 +25,7 @@
   section.Fail("class", "is \"" + name + "\"; the configuration has " + known);
 }
 
+// Reads a list of networks in CIDR form.
 std::vector<std::string> ReadNetworks(TomlSection& section, const std::string& key) {
   std::vector<std::string> networks = section.Texts(key);
   limits::Networks set;
@@ -107,7 +109,7 @@
   return settings;
 }
 
-// Returns `text`, which is an ip:port or empty; anything else is an error.
+// Returns `text`. Throws SettingsError if it is neither empty nor an ip:port.
 std::string CheckAddress(TomlSection& section, const std::string& key, const std::string& text) {
   sockaddr_storage address{};
   if (!text.empty() && !ParseAddress(text, &address))
@@ -115,7 +117,8 @@
   return text;
 }
 
-// Checks a text that stands in messages and tables: it may hold visible characters only.
+// Throws SettingsError unless `text` has an allowed length and visible characters only, as it is used in
+// messages and tables.
 void CheckWord(const TomlSection& section, const char* key, const std::string& text, std::size_t min_length,
                std::size_t max_length) {
   const bool visible = std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c != 0x7f; });
@@ -133,9 +136,10 @@
   settings.advertise = CheckAddress(section, "advertise", section.Text("advertise", ""));
   const std::string host = settings.listen.substr(0, settings.listen.rfind(':'));
   if (settings.advertise.empty() && (host == "0.0.0.0" || host == "[::]"))
-    section.Fail("advertise",
-                 "is missing; `listen` stands for all addresses, so give the ip:port at which other nodes "
-                 "reach this one");
+    section.Fail(
+        "advertise",
+        "is missing; `listen` means all addresses of this machine, so give the ip:port at which other nodes "
+        "reach this one");
   settings.cluster = section.Text("cluster", settings.cluster);
   settings.zone = section.Text("zone", "");
   CheckWord(section, "cluster", settings.cluster, 1, 64);
@@ -143,7 +147,7 @@
   settings.status_address = CheckAddress(section, "status", section.Text("status", ""));
   settings.seeds = section.Texts("seeds");
   for (const std::string& seed : settings.seeds) CheckAddress(section, "seeds", seed);
-  if (settings.seeds.size() > 64) section.Fail("seeds", "names more than 64 nodes; a few suffice");
+  if (settings.seeds.size() > 64) section.Fail("seeds", "names more than 64 nodes; a few are enough");
   settings.networks = ReadNetworks(section, "networks");
   if (settings.networks.empty())
     section.Fail("networks",
@@ -165,7 +169,7 @@
   return settings;
 }
 
-// [tier]
+// Reads [tier], whose features need a [membership] table as well.
 GossipSettings ReadGossip(TomlSection section, bool has_membership) {
   GossipSettings settings;
   if (!section.present()) return settings;
--- a/src/settings/toml_reader.cpp
+++ b/src/settings/toml_reader.cpp
@@ -19,7 +19,7 @@
 // A known key is suggested in place of an unknown one if it differs by at most this number of edits.
 constexpr std::size_t kMaxSuggestionDistance = 3;
 
-// The Levenshtein distance of two words.
+// Returns the Levenshtein distance of two words.
 std::size_t EditDistance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
   for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
@@ -40,7 +40,8 @@
   double factor;
 };
 
-// Parses a number with one of the units, such as "7.5s". Returns NaN if the text has another form.
+// Parses a number followed by one of the units, such as "7.5s", and returns it in the unit whose factor is 1.
+// Returns NaN if the text has another form.
 double ParseQuantity(std::string_view text, const std::vector<Unit>& units) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
--- a/src/settings/toml_reader.h
+++ b/src/settings/toml_reader.h
@@ -15,6 +15,7 @@
 
 namespace ryeglade {
 
+// A settings file can't be read or is invalid. what() is the whole message for the operator.
 class SettingsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -39,10 +40,12 @@
   bool Has(const std::string& key);
 
   std::string Text(const std::string& key, const std::string& fallback);
-  // Throws if the text is absent or empty. `description` tells in the error what to give.
+  // Throws SettingsError if the text is absent or empty. `description` says in the error what the text is.
   std::string RequiredText(const std::string& key, const std::string& description);
+  // Reads a text that must be one of `allowed`.
   std::string Choice(const std::string& key, const std::vector<std::string>& allowed,
                      const std::string& fallback);
+  // `min` and `max` are allowed values themselves, here and below.
   double Number(const std::string& key, double min, double max, double fallback);
   std::size_t Integer(const std::string& key, std::size_t min, std::size_t max, std::size_t fallback);
   bool Flag(const std::string& key, bool fallback);
@@ -53,9 +56,10 @@
   std::size_t Bytes(const std::string& key, std::size_t min, std::size_t max, std::size_t fallback);
   // Reads a rate such as "1800/s" or "60/m", per second. A number without a unit is an error.
   double Rate(const std::string& key, double min, double max, double fallback);
+  // Reads a list of texts.
   std::vector<std::string> Texts(const std::string& key);
-  TomlSection Table(const std::string& key);                // present() is false if it is absent
-  std::vector<TomlSection> Tables(const std::string& key);  // [[key]]
+  TomlSection Table(const std::string& key);                // [key]; present() is false if it is absent
+  std::vector<TomlSection> Tables(const std::string& key);  // all [[key]], in order; empty if absent
 
   // Throws SettingsError with the location of the key before `error`.
   [[noreturn]] void Fail(const std::string& key, const std::string& error) const;
