--- a/src/app/config_reload.cpp
+++ b/src/app/config_reload.cpp
@@ -5,12 +5,14 @@
 namespace ryeglade {
 namespace {
 
+// Returns the table in force with the loaded classes active. Throws ConfigError if they can't be applied.
 ClassTable UpdatedClassTable(const Config& in_force, const Config& loaded) {
   const std::string error = FindSettingsUpdateError(in_force.settings_text, loaded.settings_text);
   if (!error.empty()) throw ConfigError("settings." + error);
   ClassTable table{in_force.settings.classes, in_force.active_classes};
   if (!UpdateClasses(table, loaded.settings.classes)) {
-    throw ConfigError("settings.classes: too many versions since the start of the process; restart the node");
+    throw ConfigError("settings.classes: more than " + std::to_string(kMaxClassVersions) +
+                      " different versions of classes since the process started; restart the node");
   }
   return table;
 }
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,4 @@
-// ryeglade's command line.
+// The command line of ryeglade.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
@@ -22,13 +22,13 @@
 using ryeglade::Config;
 using ryeglade::EdgeSettings;
 
-// Returns the exit code for a misused command line.
-int Misused(const std::string& what) {
-  std::fprintf(stderr, "ryeglade: %s; see ryeglade --help\n", what.c_str());
+// Prints an error in the use of the command line and returns the exit code for it.
+int Misused(const std::string& error) {
+  std::fprintf(stderr, "ryeglade: %s; see ryeglade --help\n", error.c_str());
   return 2;
 }
 
-// Reports a misused command line in one line; CLI11's own messages have several.
+// Prints the error in one line, as CLI11's own messages have several, and returns the exit code.
 int ReportMisuse(const CLI::ParseError& e, const CLI::App& app, const std::vector<std::string>& arguments) {
   if (dynamic_cast<const CLI::ExtrasError*>(&e) != nullptr) {
     for (const std::string& argument : arguments) {
@@ -51,7 +51,7 @@
   return Misused(message);
 }
 
-// The defaults, with every feature off, if `path` is empty.
+// Returns the default settings, with every optional feature off, if `path` is empty.
 EdgeSettings ReadSettings(const std::string& path, const Config& config) {
   if (path.empty()) return {};
   return ryeglade::LoadEdgeSettings(path, ryeglade::ClassNames(config.settings));
@@ -74,12 +74,14 @@
 }
 
 struct KeyOptions {
-  std::string file, name, id, class_name;
+  std::string file;                 // path of the key file
+  std::string name, class_name;     // of a new key: its owner and the class of its requests
+  std::string id;                   // of the key to revoke
   double requests = 0, tokens = 0;  // per minute; 0: the limit of the settings
   int streams = 0;                  // concurrent; 0: the limit of the settings
 };
 
-// An empty key ring if the file can't be opened.
+// Returns an empty key ring if the file can't be opened.
 ryeglade::keys::Keyring LoadOrEmpty(const std::string& path) {
   std::FILE* file = std::fopen(path.c_str(), "r");
   if (file == nullptr) return {};
@@ -109,11 +111,12 @@
     return value > 0 ? std::to_string(static_cast<long long>(value)) : std::string("-");
   };
   for (const std::string& id : ring.ids()) {
-    const ryeglade::keys::Key& k = *ring.Find(id);
+    const ryeglade::keys::Key& key = *ring.Find(id);
     std::printf("%-10s %-20.20s %-12s %-10s %14s %14s %8s\n", id.c_str(),
-                k.name.empty() ? "-" : k.name.c_str(), k.created.empty() ? "-" : k.created.c_str(),
-                k.class_name.empty() ? "-" : k.class_name.c_str(), limit(k.limits.requests_per_min).c_str(),
-                limit(k.limits.tokens_per_min).c_str(), limit(k.limits.streams).c_str());
+                key.name.empty() ? "-" : key.name.c_str(), key.created.empty() ? "-" : key.created.c_str(),
+                key.class_name.empty() ? "-" : key.class_name.c_str(),
+                limit(key.limits.requests_per_min).c_str(), limit(key.limits.tokens_per_min).c_str(),
+                limit(key.limits.streams).c_str());
   }
   return 0;
 }
@@ -121,8 +124,8 @@
 int RevokeKey(const KeyOptions& options) {
   ryeglade::keys::Keyring ring = ryeglade::keys::Keyring::Load(options.file);
   if (!ring.Remove(options.id)) {
-    std::fprintf(stderr, "ryeglade: %s holds no key with the id '%s'\n", options.file.c_str(),
-                 options.id.c_str());
+    std::fprintf(stderr, "ryeglade: %s holds no key with the id '%s'; `ryeglade key list` shows the ids\n",
+                 options.file.c_str(), options.id.c_str());
     return 1;
   }
   ring.Save(options.file);
@@ -155,15 +158,15 @@
       "file\nof all other settings.");
   std::string config;
   std::string settings;
-  const auto files = [&](CLI::App* command) {
+  const auto add_file_options = [&](CLI::App* command) {
     command->add_option("-c,--config", config, "the platform's configuration, JSON");
     command->add_option("-s,--settings", settings,
                         "all other settings, TOML; without it the features that it configures are off");
   };
   CLI::App* serve = app.add_subcommand("serve", "serve clients until SIGTERM");
   CLI::App* check = app.add_subcommand("check-config", "validate both files without serving");
-  files(serve);
-  files(check);
+  add_file_options(serve);
+  add_file_options(check);
   CLI::App* version = app.add_subcommand("version", "print the version");
   bool compat = false;
   version->add_flag("--compat", compat, "the versions of all protocols and stored formats, as JSON");
@@ -171,12 +174,12 @@
   KeyOptions key;
   CLI::App* keys = app.add_subcommand("key", "create, list and revoke client keys");
   keys->require_subcommand(1);
-  const auto key_command = [&](const char* name, const char* what) {
-    CLI::App* command = keys->add_subcommand(name, what);
+  const auto add_key_command = [&](const char* name, const char* description) {
+    CLI::App* command = keys->add_subcommand(name, description);
     command->add_option("-f,--file", key.file, "the key file")->required();
     return command;
   };
-  CLI::App* key_new = key_command("new", "create a key and print it; the file gets only its salted hash");
+  CLI::App* key_new = add_key_command("new", "create a key and print it; the file gets only its salted hash");
   key_new->add_option("--name", key.name, "the name of its owner");
   key_new->add_option("--class", key.class_name, "the class of its requests");
   key_new->add_option("--requests-per-min", key.requests, "0: the limit of the settings")
@@ -185,8 +188,8 @@
       ->check(CLI::Range(0.0, 1e12));
   key_new->add_option("--streams", key.streams, "concurrent streams; 0: the limit of the settings")
       ->check(CLI::Range(0, 1'000'000));
-  CLI::App* key_list = key_command("list", "list the keys of a file");
-  CLI::App* key_revoke = key_command("revoke", "remove a key from a file");
+  CLI::App* key_list = add_key_command("list", "list the keys of a file");
+  CLI::App* key_revoke = add_key_command("revoke", "remove a key from a file");
   key_revoke->add_option("id", key.id, "the key id, eight hexadecimal digits")->required();
 
   std::vector<std::string> ledgers;
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -45,16 +45,17 @@
 
 // How long, in microseconds, a new process waits for its first endpoint list from discovery.
 constexpr Time kFirstListTimeout = 2'500'000;
-constexpr unsigned kDisabledReplicasWatchMs = 100;  // between two checks of the file
+constexpr unsigned kDisabledReplicasWatchMs = 100;  // between two checks of the file of disabled replicas
 constexpr std::size_t kMaxAdminRequest = 4096;      // bytes
 
-// Read before the event loop is set up, so that a file that can't be used is reported while nothing is open.
+// What is read from files before the event loop is set up, so that a file that can't be used is reported
+// before any socket is open.
 struct LoadedFiles {
-  std::unique_ptr<Dialect> dialect;
-  keys::Keyring keys;
+  std::unique_ptr<Dialect> dialect;  // with the upstream key, if the settings name a key file
+  keys::Keyring keys;                // empty if the settings name no key file
 };
 
-// Half of the memory limit is for buffers.
+// Returns the limit of the buffer pool. The other half of the memory limit is for everything else.
 std::size_t BufferBytes(const Config& config) { return config.memory_mb * 1024 * 1024 / 2; }
 
 Downstream::Options ClientListenerOptions(const Config& config, const EdgeSettings& settings) {
--- a/src/app/node_report.cpp
+++ b/src/app/node_report.cpp
@@ -9,7 +9,7 @@
 namespace ryeglade {
 namespace {
 
-rollout::ClassMetrics ClassMetrics(const NodeCounters::RequestClass& counters, double priority_weight) {
+rollout::ClassMetrics ToClassMetrics(const NodeCounters::RequestClass& counters, double priority_weight) {
   rollout::ClassMetrics metrics;
   metrics.priority_weight = priority_weight;
   metrics.served = counters.served;
@@ -59,7 +59,7 @@
   }
   for (const auto& [name, counters] : sources.counters.by_class) {
     rollout::ClassMetrics& metrics_of_class = metrics.classes[name];
-    metrics_of_class = ClassMetrics(counters, metrics_of_class.priority_weight);
+    metrics_of_class = ToClassMetrics(counters, metrics_of_class.priority_weight);
   }
   return EncodeNodeMetrics(metrics);
 }
--- a/src/app/nodes_command.cpp
+++ b/src/app/nodes_command.cpp
@@ -23,16 +23,18 @@
 HttpResponse Get(const std::string& address, const std::string& path) {
   sockaddr_storage parsed{};
   if (!ParseAddress(address, &parsed))
-    throw std::runtime_error("nodes: --at takes ip:port, not '" + address + "'");
+    throw std::runtime_error("nodes: --at is '" + address + "'; give the ip:port of a status address");
   return BlockingHttpCall("nodes: the status address", address, "GET", path, "", kTimeoutMs);
 }
 
+// Throws the error for a response that does not have the form of a status.
 [[noreturn]] void FailNoStatus(const std::string& address) {
   throw std::runtime_error(
       "nodes: " + address +
       " is not the status address of a node; give `status` of its [membership] with --at");
 }
 
+// Returns the status of the node at this status address.
 Json GetNodes(const std::string& address) {
   const HttpResponse response = Get(address, "/nodes");
   Json nodes = Json::parse(response.body, nullptr, false);
@@ -40,7 +42,7 @@
   return nodes;
 }
 
-// A duration in milliseconds as text; null is "never".
+// Formats a duration in milliseconds. null becomes "never".
 std::string DurationText(const Json& ms) {
   if (!ms.is_number()) return "never";
   const double seconds = ms.get<double>() / 1000;
@@ -48,32 +50,36 @@
   return seconds < 7200 ? fmt::format("{:.0f} min", seconds / 60) : fmt::format("{:.1f} h", seconds / 3600);
 }
 
+// Returns the names separated by commas, or "-" if there are none.
 std::string JoinNames(const Json& names) {
   std::string joined;
   for (const Json& name : names) joined += (joined.empty() ? "" : ",") + name.get<std::string>();
   return joined.empty() ? "-" : joined;
 }
 
-std::string MembersTable(const Json& j) {
+std::string MembersTable(const Json& status) {
   std::string out;
-  const std::string phase = j.value("phase", "");
-  out += fmt::format("{} {} {}, wire {}, the decision module uses a count of {} nodes\n", j.value("name", ""),
-                     j.value("address", ""), phase, j.value("wire", 0), j.value("nodes_told", 0));
-  if (!j.contains("members")) return out + "waits for the previous process to release the address\n";
-  std::string state = j.value("refused", false)    ? "REFUSED: another node has this name"
-                      : !j.value("joined", false)  ? "joining"
-                      : j.value("in_doubt", false) ? "IN DOUBT: members that it can't reach may be alive"
-                      : j.value("settled", false)  ? "settled"
-                                                   : "changing";
-  out += fmt::format("cluster {}, view {} with {} nodes: {}; health {} (0 is best)\n", j.value("cluster", ""),
-                     j.value("view", 0), j.value("live", 0), state, j.value("health", 0));
+  const std::string phase = status.value("phase", "");
+  out += fmt::format("{} {} {}, wire {}, the decision module uses a count of {} nodes\n",
+                     status.value("name", ""), status.value("address", ""), phase, status.value("wire", 0),
+                     status.value("nodes_told", 0));
+  if (!status.contains("members")) return out + "waits for the previous process to release the address\n";
+  std::string state = status.value("refused", false)    ? "REFUSED: another node has this name"
+                      : !status.value("joined", false)  ? "joining"
+                      : status.value("in_doubt", false) ? "IN DOUBT: members that it can't reach may be alive"
+                      : status.value("settled", false)  ? "settled"
+                                                        : "changing";
+  out += fmt::format("cluster {}, view {} with {} nodes: {}; health {} (0 is best)\n",
+                     status.value("cluster", ""), status.value("view", 0), status.value("live", 0), state,
+                     status.value("health", 0));
   out += fmt::format("{:<20} {:<22} {:<10} {:<9} {:>9} {:>10}  {}\n", "name", "address", "zone", "state",
                      "for", "reached", "suspected by / reached by");
-  for (const Json& m : j["members"]) {
-    out += fmt::format("{:<20} {:<22} {:<10} {:<9} {:>9} {:>10}  {} / {}\n", m.value("name", ""),
-                       m.value("address", ""), m.value("zone", "").empty() ? "-" : m.value("zone", ""),
-                       m.value("standing", ""), DurationText(m["since_ms_ago"]),
-                       DurationText(m["reached_ms_ago"]), JoinNames(m["accusers"]), JoinNames(m["vouchers"]));
+  for (const Json& member : status["members"]) {
+    out += fmt::format(
+        "{:<20} {:<22} {:<10} {:<9} {:>9} {:>10}  {} / {}\n", member.value("name", ""),
+        member.value("address", ""), member.value("zone", "").empty() ? "-" : member.value("zone", ""),
+        member.value("standing", ""), DurationText(member["since_ms_ago"]),
+        DurationText(member["reached_ms_ago"]), JoinNames(member["accusers"]), JoinNames(member["vouchers"]));
   }
   return out;
 }
@@ -96,7 +102,7 @@
 }
 
 // How a node uses what the other nodes gossip about traffic and replicas.
-std::string TierTable(const Json& j) {
+std::string TierTable(const Json& status) {
   static const std::map<std::string, const char*> states = {
       {"shares", "computed from the reports of the nodes"},
       {"held", "kept unchanged: the view is in doubt"},
@@ -114,21 +120,22 @@
     return it == descriptions.end() ? key : std::string(it->second);
   };
   std::string out =
-      fmt::format("{}: share {:.4f} of the cluster's traffic, {}{}\n", j.value("name", ""),
-                  j.value("part", 0.0), describe(states, j.value("state", "")),
-                  j.value("doubts_itself", false) ? "; it doubts its own view of the replicas" : "");
+      fmt::format("{}: share {:.4f} of the cluster's traffic, {}{}\n", status.value("name", ""),
+                  status.value("part", 0.0), describe(states, status.value("state", "")),
+                  status.value("doubts_itself", false) ? "; its own view of the replicas is in doubt" : "");
   out += fmt::format("{:<20} {:>10} {:>8}\n", "node", "requests/s", "share");
-  for (const Json& n : j["nodes"]) {
-    out += fmt::format("{:<20} {:>10.2f} {:>8.4f}{}\n", n.value("name", ""), n.value("rate", 0.0),
-                       n.value("part", 0.0),
-                       !n.value("told", false)   ? "  no report yet: the mean of the others"
-                       : n.value("stale", false) ? "  outdated report"
-                                                 : "");
+  for (const Json& node : status["nodes"]) {
+    out += fmt::format("{:<20} {:>10.2f} {:>8.4f}{}\n", node.value("name", ""), node.value("rate", 0.0),
+                       node.value("part", 0.0),
+                       !node.value("told", false)   ? "  no report yet: the mean of the others"
+                       : node.value("stale", false) ? "  outdated report"
+                                                    : "");
   }
-  for (const Json& r : j["replicas"]) {
-    out += fmt::format("{}: {}; reported by {}{}\n", r.value("host", ""),
-                       describe(reasons, r.value("why", "")), JoinNames(r["accusers"]),
-                       r.value("answered", "").empty() ? "" : "; answers " + r.value("answered", ""));
+  for (const Json& replica : status["replicas"]) {
+    out += fmt::format(
+        "{}: {}; reported by {}{}\n", replica.value("host", ""), describe(reasons, replica.value("why", "")),
+        JoinNames(replica["accusers"]),
+        replica.value("answered", "").empty() ? "" : "; answers " + replica.value("answered", ""));
   }
   return out;
 }
@@ -138,8 +145,8 @@
 NodesCommand::NodesCommand(CLI::App& app, NodesOptions* options) : options_(options) {
   group_ = app.add_subcommand("nodes", "a node's view of the other nodes");
   group_->require_subcommand(1);
-  const auto add = [&](const char* name, const char* what) {
-    CLI::App* command = group_->add_subcommand(name, what);
+  const auto add = [&](const char* name, const char* description) {
+    CLI::App* command = group_->add_subcommand(name, description);
     command->add_option("--at", options_->status_address, "the node's status address, ip:port");
     return command;
   };
@@ -185,14 +192,14 @@
   std::string last_view_state;
   for (int i = 0; options_->polls == 0 || i < options_->polls; ++i) {
     if (i > 0) std::this_thread::sleep_for(std::chrono::duration<double>(options_->interval));
-    const Json j = GetNodes(options_->status_address);
-    if (i == 0) std::fputs(MembersTable(j).c_str(), stdout);
+    const Json status = GetNodes(options_->status_address);
+    if (i == 0) std::fputs(MembersTable(status).c_str(), stdout);
     std::map<std::string, std::string> states;
-    for (const Json& m : j.value("members", Json::array()))
-      states[m.value("name", "")] = m.value("standing", "");
-    const std::string view_state = j.value("in_doubt", false)  ? "in doubt"
-                                   : j.value("settled", false) ? "settled"
-                                                               : "changing";
+    for (const Json& member : status.value("members", Json::array()))
+      states[member.value("name", "")] = member.value("standing", "");
+    const std::string view_state = status.value("in_doubt", false)  ? "in doubt"
+                                   : status.value("settled", false) ? "settled"
+                                                                    : "changing";
     if (i > 0) {
       for (const auto& [name, state] : states) {
         const std::string before = last_states.contains(name) ? last_states[name] : "unknown";
@@ -203,7 +210,7 @@
       }
       if (view_state != last_view_state)
         std::printf("the view: %s -> %s, %d nodes\n", last_view_state.c_str(), view_state.c_str(),
-                    j.value("live", 0));
+                    status.value("live", 0));
     }
     std::fflush(stdout);
     last_states = std::move(states);
@@ -215,20 +222,22 @@
 int NodesCommand::Explain() {
   const HttpResponse response = Get(options_->status_address, "/nodes/" + options_->member);
   if (response.status == 404) {
-    std::fprintf(stderr, "ryeglade: %s knows no node '%s'\n", options_->status_address.c_str(),
-                 options_->member.c_str());
+    std::fprintf(
+        stderr, "ryeglade: the node at %s has no member '%s' in its view; `ryeglade nodes show` lists them\n",
+        options_->status_address.c_str(), options_->member.c_str());
     return 1;
   }
-  const Json m = Json::parse(response.body, nullptr, false);
-  if (!m.is_object()) FailNoStatus(options_->status_address);
+  const Json member = Json::parse(response.body, nullptr, false);
+  if (!member.is_object()) FailNoStatus(options_->status_address);
   std::printf("%s at %s is %s for %s (incarnation %llu); last reached from here %s%s\n",
-              options_->member.c_str(), m.value("address", "").c_str(), m.value("standing", "").c_str(),
-              DurationText(m["since_ms_ago"]).c_str(),
-              static_cast<unsigned long long>(m.value("incarnation", std::uint64_t{0})),
-              DurationText(m["reached_ms_ago"]).c_str(), m["reached_ms_ago"].is_number() ? " ago" : "");
-  std::printf("suspected by %s; reached by %s\n", JoinNames(m["accusers"]).c_str(),
-              JoinNames(m["vouchers"]).c_str());
-  for (const Json& line : m["history"]) {
+              options_->member.c_str(), member.value("address", "").c_str(),
+              member.value("standing", "").c_str(), DurationText(member["since_ms_ago"]).c_str(),
+              static_cast<unsigned long long>(member.value("incarnation", std::uint64_t{0})),
+              DurationText(member["reached_ms_ago"]).c_str(),
+              member["reached_ms_ago"].is_number() ? " ago" : "");
+  std::printf("suspected by %s; reached by %s\n", JoinNames(member["accusers"]).c_str(),
+              JoinNames(member["vouchers"]).c_str());
+  for (const Json& line : member["history"]) {
     const std::string event = line.value("what", "");
     const std::string by = line.value("by", "");
     std::printf("  %10s ago  %-17s %s%s%s\n", DurationText(line["ms_ago"]).c_str(), event.c_str(),
@@ -239,31 +248,31 @@
 
 int NodesCommand::ShowTier() {
   const HttpResponse response = Get(options_->status_address, "/tier");
-  const Json j = Json::parse(response.body, nullptr, false);
-  if (response.status == 404 || !j.is_object()) {
+  const Json status = Json::parse(response.body, nullptr, false);
+  if (response.status == 404 || !status.is_object()) {
     std::fprintf(stderr,
                  "ryeglade: the node at %s has no [tier] in its settings; add that table and restart it\n",
                  options_->status_address.c_str());
     return 1;
   }
   if (options_->json) return std::fputs(response.body.c_str(), stdout) < 0 ? 1 : 0;
-  std::fputs(TierTable(j).c_str(), stdout);
+  std::fputs(TierTable(status).c_str(), stdout);
   return 0;
 }
 
 int NodesCommand::Check() {
-  const Json j = GetNodes(options_->status_address);
-  const bool joined = j.value("joined", false);
-  const bool doubt = j.value("in_doubt", true);
-  const bool refused = j.value("refused", false);
-  const bool settled = j.value("settled", false);
-  std::printf("%s: %s, %d nodes\n", j.value("name", "").c_str(),
+  const Json status = GetNodes(options_->status_address);
+  const bool joined = status.value("joined", false);
+  const bool doubt = status.value("in_doubt", true);
+  const bool refused = status.value("refused", false);
+  const bool settled = status.value("settled", false);
+  std::printf("%s: %s, %d nodes\n", status.value("name", "").c_str(),
               refused   ? "refused: another node has this name"
               : !joined ? "not joined"
               : doubt   ? "in doubt"
               : settled ? "settled"
                         : "changing",
-              j.value("live", 0));
+              status.value("live", 0));
   if (refused || !joined || doubt) return 1;
   return settled ? 0 : 2;
 }
--- a/src/app/openai_service.h
+++ b/src/app/openai_service.h
@@ -14,9 +14,11 @@
 
 namespace ryeglade {
 
+// Owns the front, the listener and the ledger file.
 class OpenAiService {
  public:
-  // `core`, `streams` and `settings` must outlive this object. `sockets` is the most client connections.
+  // `core`, `streams` and `settings` must outlive this object. `sockets` is the maximum number of client
+  // connections.
   OpenAiService(Core* core, Streams* streams, const OpenAiSettings* settings, keys::Keyring keyring,
                 std::size_t sockets);
   // Begins to accept clients and to write the ledger. Throws std::runtime_error if the address can't be used.
@@ -34,7 +36,7 @@
 
   Core* core_;
   const OpenAiSettings* settings_;
-  limits::Networks networks_;  // from which clients may connect; empty: all
+  limits::Networks networks_;  // networks that clients may connect from; empty: all
   OpenAiFront front_;
   Downstream listener_;
   ledger::LedgerFile ledger_file_;
--- a/src/app/rollout_client.cpp
+++ b/src/app/rollout_client.cpp
@@ -14,7 +14,8 @@
 constexpr double kMinTimeoutMs = 50, kMaxTimeoutMs = 2000;
 constexpr int kCheckTimeoutMs = 25'000;  // a check runs programs at the node
 
-// A round must end well within the supervisors' lease, however many of them do not answer.
+// Returns the timeout of one call. A round must end well within the supervisors' lease, however many of them
+// do not answer.
 int TimeoutMs(double lease_seconds) {
   return static_cast<int>(std::clamp(lease_seconds * 1000 / 4, kMinTimeoutMs, kMaxTimeoutMs));
 }
@@ -35,7 +36,7 @@
     threads.emplace_back([&call, i] {
       try {
         call(i);
-      } catch (const std::exception&) {  // the empty result tells the caller
+      } catch (const std::exception&) {  // the caller sees that the result is empty
       }
     });
   }
--- a/src/app/rollout_client.h
+++ b/src/app/rollout_client.h
@@ -25,8 +25,9 @@
   // this object. `source_address` is the local address to connect from; if empty, the system chooses it.
   RolloutClient(const Plan& plan, double lease, std::string source_address);
 
+  // Asks every supervisor of the plan for its status.
   Statuses PollStatuses() const;
-  // `commands` may hold at most one command for each node.
+  // Sends the commands to their nodes' supervisors. `commands` may hold at most one command for each node.
   Replies Send(const std::vector<NodeCommand>& commands) const;
   // Merges the views of the cluster that the nodes at the plan's status addresses report.
   ClusterView PollClusterView() const;
--- a/src/app/rollout_command.cpp
+++ b/src/app/rollout_command.cpp
@@ -15,7 +15,7 @@
 namespace ryeglade {
 namespace {
 
-rollout::Time Micros(double seconds) { return static_cast<rollout::Time>(seconds * 1e6); }
+rollout::Time ToMicroseconds(double seconds) { return static_cast<rollout::Time>(seconds * 1e6); }
 
 }  // namespace
 
@@ -104,9 +104,9 @@
   supervisor.zone = options_->zone;
   supervisor.directory = options_->directory;
   supervisor.control = options_->control;
-  supervisor.limits.ready_timeout = Micros(options_->ready_timeout);
-  supervisor.limits.stop_timeout = Micros(options_->stop_timeout);
-  supervisor.limits.lease = Micros(options_->lease);
+  supervisor.limits.ready_timeout = ToMicroseconds(options_->ready_timeout);
+  supervisor.limits.stop_timeout = ToMicroseconds(options_->stop_timeout);
+  supervisor.limits.lease = ToMicroseconds(options_->lease);
   rollout::Release& release = supervisor.initial_release;
   release.id = options_->release_id;
   release.program = options_->program;
--- a/src/app/rollout_output.cpp
+++ b/src/app/rollout_output.cpp
@@ -11,8 +11,8 @@
 namespace ryeglade::rollout {
 namespace {
 
-// What an operator should know beyond the columns: a pending release, a failed one, crashes; otherwise the
-// reason of the last directive.
+// Returns what the other columns do not show: a pending release, a failed one, crashes; if there are none of
+// these, the reason of the last directive.
 std::string Note(const SupervisorStatus& status) {
   std::string note;
   const auto add = [&](const std::string& text) { note += (note.empty() ? "" : "; ") + text; };
--- a/src/app/rollout_output.h
+++ b/src/app/rollout_output.h
@@ -11,9 +11,9 @@
 
 namespace ryeglade::rollout {
 
-// One line for each node of the plan, as its supervisor reports it.
+// Returns one line for each node of the plan, as its supervisor reports it.
 std::string StatusTable(const Plan& plan, const RolloutClient::Statuses& statuses);
-// One line for each comparison of the canary analysis.
+// Returns one line for each comparison of the canary analysis.
 std::string ComparisonTable(const CanaryResult& result);
 // These return an event as "event=NAME key=value ...", without the time.
 std::string ClusterViewEvent(const Plan& plan, const ClusterView& view);
--- a/src/app/rollout_record_file.cpp
+++ b/src/app/rollout_record_file.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr long kMaxBytes = 64L << 20;
-constexpr double kMaxIntervalSeconds = 5;  // between two lines
+constexpr double kMaxIntervalSeconds = 5;  // a line is written after this time even if nothing has changed
 
 }  // namespace
 
--- a/src/app/rollout_record_file.h
+++ b/src/app/rollout_record_file.h
@@ -18,9 +18,11 @@
   RecordFile(const RecordFile&) = delete;
   RecordFile& operator=(const RecordFile&) = delete;
 
+  // Appends the round if its states differ from the last recorded one's, or if that is 5 s old.
   void Add(const RecordedRound& round);
 
  private:
+  // Prints the message to stderr and ends the recording.
   void CloseWith(const char* message);
 
   std::FILE* file_ = nullptr;  // null: nothing is recorded, or recording has ended
--- a/src/app/rollout_run.cpp
+++ b/src/app/rollout_run.cpp
@@ -31,7 +31,7 @@
 // arrive.
 constexpr double kLeaseFactor = 1.2;
 
-volatile std::sig_atomic_t interrupted = 0;  // set by a signal
+volatile std::sig_atomic_t interrupted = 0;  // 1 once SIGINT or SIGTERM was received
 
 RolloutClient ClientFor(const Plan& plan, const RolloutOptions& options) {
   return {plan, options.lease, options.source_address};
@@ -62,7 +62,7 @@
   std::printf("\n");
 }
 
-// Returns whether the node could run the release.
+// Prints what would change on the node, and returns whether it could run the release.
 bool PrintPlannedNode(const PlanNode& node, const std::optional<SupervisorStatus>& status,
                       const Release& release, const RolloutClient& client) {
   if (!status) {
@@ -90,7 +90,7 @@
 
 // ---- start ----
 
-// The state of a node in the record: these names are stored.
+// Returns the state of a node as it is stored in the record.
 std::string NodeStateName(const Plan& plan, const Driver& driver, const std::string& node,
                           const std::map<std::string, SupervisorResponse>& responses) {
   const auto response = responses.find(node);
@@ -102,6 +102,7 @@
   return status.active.id == plan.release.id ? "new" : "old";
 }
 
+// Returns the round as it is written to the record.
 RecordedRound Recorded(const Plan& plan, const Driver& driver, std::uint64_t epoch,
                        const std::string& driver_name,
                        const std::map<std::string, SupervisorResponse>& responses) {
@@ -145,6 +146,7 @@
   return responses;
 }
 
+// Prints an event for each rejected command and tells the driver.
 void SendAndReport(const std::vector<NodeCommand>& commands, const RolloutClient& client, Driver& driver) {
   for (const auto& [node, reply] : client.Send(commands)) {
     if (!reply || reply->accepted) continue;
@@ -253,7 +255,7 @@
   ChangedEvents view_events;
   while (!driver.ended() && interrupted == 0) {
     const auto began = std::chrono::steady_clock::now();
-    // In parallel with the claims, as a round must end well within the lease.
+    // Polled in parallel with the claims, as a round must end well within the lease.
     std::future<ClusterView> polled_view;
     if (!plan.status_addresses.empty())
       polled_view = std::async(std::launch::async, [&] { return client.PollClusterView(); });
@@ -285,13 +287,15 @@
   command.plan = plan.text;
   const std::size_t claimed = CountAccepted(SendToAll(plan, command, client));
   if (claimed <= half) {
-    std::printf("%zu of %zu keepers accept the claim, which is no majority: no directive is set\n", claimed,
-                plan.nodes.size());
+    std::printf(
+        "%zu of %zu keepers accepted the claim, which is not a majority, so no directive was set; check that "
+        "the keepers can be reached\n",
+        claimed, plan.nodes.size());
     return 1;
   }
   command.kind = CommandKind::kSetDirective;
   command.directive = directive;
-  command.directive_reason = options.reason.empty() ? "said by an operator" : options.reason;
+  command.directive_reason = options.reason.empty() ? "set by an operator" : options.reason;
   const std::size_t stored = CountAccepted(SendToAll(plan, command, client));
   std::printf("%s: %zu of %zu keepers have stored it\n", directive.c_str(), stored, plan.nodes.size());
   return stored > half ? 0 : 1;
@@ -317,7 +321,7 @@
   std::size_t skipped = 0;
   const auto rounds = DecodeRecord(ReadWholeFile(options.record), &skipped);
   std::fputs(ReportTable(rounds).c_str(), stdout);
-  if (skipped > 0) std::printf("%zu lines could not be decoded and are left out\n", skipped);
+  if (skipped > 0) std::printf("%zu lines of the record could not be decoded and are omitted\n", skipped);
   if (!options.csv.empty()) WriteFile(options.csv, Csv(ComparisonColumns(rounds)));
   if (!options.chart.empty()) RunGnuplot(ReportChart(rounds, options.chart));
   return rounds.empty() ? 1 : 0;
--- a/src/app/shared_paths.cpp
+++ b/src/app/shared_paths.cpp
@@ -7,7 +7,7 @@
 namespace ryeglade {
 namespace {
 
-// Replaces each character of `text` that is no letter, no digit and not in `allowed` by an underscore.
+// Replaces each character of `text` that is not a letter, a digit or in `allowed` by an underscore.
 std::string FileNamePart(std::string text, std::string_view allowed) {
   for (char& c : text) {
     const bool keep =
--- a/src/app/shared_paths.h
+++ b/src/app/shared_paths.h
@@ -8,11 +8,11 @@
 
 namespace ryeglade {
 
-// The path of a file that belongs to the node name. `kind` says what the file contains.
+// Returns the path of a file that belongs to the node name. `kind` says what the file contains.
 std::string NodeFilePath(const std::string& kind, const Config& config);
-// The path of a file that belongs to the node name and the listen address, since several nodes may have the
-// same name. Returns an empty string if the kernel chooses the port, as no later process can know the address
-// then.
+// Returns the path of a file that belongs to the node name and the listen address, since several nodes may
+// have the same name. Returns an empty string if the kernel chooses the port, as no later process can know
+// the address then.
 std::string AddressFilePath(const std::string& kind, const Config& config);
 
 }  // namespace ryeglade
--- a/src/app/shutdown_sequence.cpp
+++ b/src/app/shutdown_sequence.cpp
@@ -44,10 +44,10 @@
   streams_->BeginShutdown(began_at_ + plan_.respond_by, began_at_ + plan_.accept_requests_until);
 }
 
-// Closing too early loses accepted requests: they arrive on old and new connections for a while after
-// SIGTERM, and a connection in the kernel's queue counts as accepted when the listener closes. Closing too
-// late risks SIGKILL: as long as connections are accepted or kept open, another request may be in progress
-// when it comes.
+// One step of the shutdown; schedules the next one until the process can exit. Closing too early loses
+// accepted requests: they arrive on old and new connections for a while after SIGTERM, and a connection in
+// the kernel's queue counts as accepted when the listener closes. Closing too late risks SIGKILL: as long as
+// connections are accepted or kept open, another request may be in progress when it comes.
 void ShutdownSequence::Advance() {
   const Time since_begin = Now() - began_at_;
   const bool handed_over = hot_restart_->handed_over();
--- a/src/app/shutdown_sequence.h
+++ b/src/app/shutdown_sequence.h
@@ -21,9 +21,10 @@
                    std::function<void()> finished);
   void AddListener(Downstream* listener) { listeners_.push_back(listener); }
 
-  // `began_at` is the time of the signal. `classes` are those in force.
+  // Starts the shutdown. `began_at` is the time of the signal. `classes` are those in force.
   void Begin(Time began_at, const std::vector<policy::ClassSettings>& classes);
-  // Settings that change during the shutdown may shorten it. No effect before Begin.
+  // To be called when the settings change. During the shutdown they may shorten it; before Begin there is no
+  // effect.
   void UpdateClasses(const std::vector<policy::ClassSettings>& classes);
   bool began() const { return began_at_ != 0; }
   Time elapsed() const;  // microseconds since the shutdown began; 0 if it has not
--- a/src/app/signal_watcher.h
+++ b/src/app/signal_watcher.h
@@ -14,6 +14,7 @@
   SignalWatcher(const SignalWatcher&) = delete;
   SignalWatcher& operator=(const SignalWatcher&) = delete;
 
+  // `number` is that of the signal. `on_signal` is called on the loop's thread.
   void Start(uv_loop_t* loop, int number, std::function<void()> on_signal);
   void Close();  // no effect before Start
 
--- a/src/app/socket_budget.cpp
+++ b/src/app/socket_budget.cpp
@@ -10,7 +10,7 @@
 namespace ryeglade {
 namespace {
 
-constexpr std::size_t kOwnSockets = 24 + AdminFront::kSockets;  // without those of discovery
+constexpr std::size_t kOwnSockets = 24 + AdminFront::kSockets;  // the reserve without discovery's sockets
 constexpr std::size_t kMinTrafficSockets = 16;
 constexpr std::size_t kUpstreamPercent = 45;
 constexpr std::size_t kClientPercent = 100 - kUpstreamPercent;
--- a/src/app/socket_budget.h
+++ b/src/app/socket_budget.h
@@ -8,14 +8,16 @@
 
 namespace ryeglade {
 
-// The number of descriptors that serve neither clients nor upstream connections: the event loop, listeners,
-// standard streams, discovery, connections to the management address, and some spare.
+// Returns the number of descriptors that serve neither clients nor upstream connections: the event loop,
+// listeners, standard streams, discovery, connections to the management address, and some spare.
 std::size_t ReservedSockets();
-// What remains of `limit` for client and upstream connections; never less than a small minimum.
+// Returns what remains of `limit` for client and upstream connections, but at least 16.
 std::size_t TrafficSockets(std::size_t limit);
-// The share of upstream connections.
+// Returns the share of the upstream connections.
 std::size_t UpstreamSockets(std::size_t traffic_sockets);
-// The share of one client listener. If the OpenAI-style API is on, there are two, each with half.
+// Returns the share of one client listener. The sockets of membership are taken from the client connections
+// unless they would be half of these or more. If the OpenAI-style API is on, there are two listeners, each
+// with half.
 std::size_t ListenerSockets(std::size_t traffic_sockets, const EdgeSettings& settings);
 
 }  // namespace ryeglade
--- a/src/app/termination_policy.cpp
+++ b/src/app/termination_policy.cpp
@@ -13,7 +13,7 @@
 constexpr Time kAcceptRequests =
     600'000;  // 0.1 s less than the time in which a request may still be in progress at SIGKILL
 constexpr Time kKeepIdle = 450'000;        // clients keep opening connections for 0.2 to 0.4 s after SIGTERM
-constexpr Time kListen = 1'000'000;        // longer than that, in case this process is delayed
+constexpr Time kListen = 1'000'000;        // longer than those 0.4 s, in case this process is delayed
 constexpr Time kExitBeforeKill = 100'000;  // no request may be in progress at SIGKILL
 constexpr Time kRespondBeforeKill =
     400'000;  // for the last response to reach its client; less if SIGKILL comes soon
--- a/src/app/timeline_command.cpp
+++ b/src/app/timeline_command.cpp
@@ -33,12 +33,13 @@
 namespace fs = std::filesystem;
 using namespace timeline;
 
-// The most bins of a summary as text, of a table and of a plot.
+// Maximum number of bins of a summary as text, of a table and of a plot.
 constexpr std::uint32_t kTextBins = 1800;
 constexpr std::uint32_t kTableBins = 100'000;
 constexpr std::uint32_t kPlotBins = 500;
 
-// Shows the progress in a line that is overwritten. Returns null if stderr is no terminal.
+// Returns a function that shows the progress in a line that it overwrites, or null if stderr is not a
+// terminal.
 std::function<void(std::size_t, std::size_t)> MakeProgress() {
   if (isatty(STDERR_FILENO) == 0) return nullptr;
   return [](std::size_t done, std::size_t total) {
@@ -56,7 +57,7 @@
   return text;
 }
 
-// Throws an error that lists replicas with similar names if there is none of this name or id.
+// Throws std::runtime_error, which lists replicas with similar names, if no replica has this name or id.
 const ReplicaTimeline& FindReplica(const ReplicaTimelines& timelines, const std::string& name) {
   const std::string wanted = Lower(name);
   std::string similar;
@@ -69,8 +70,8 @@
                            (similar.empty() ? "" : "; similar names are:" + similar));
 }
 
-// Whether the text of a record names a request: after a space, and before a space, a full stop, a comma or
-// the end.
+// Returns whether the text of a record contains the name of a request as a word: after a space, and before a
+// space, a full stop, a comma or the end of the text.
 bool MentionsRequest(const std::string& text, const std::string& name) {
   for (std::size_t at = text.find(" " + name); at != std::string::npos; at = text.find(" " + name, at + 1)) {
     const std::size_t end = at + 1 + name.size();
@@ -91,14 +92,16 @@
   group_ =
       app.add_subcommand("timeline", "read flight records: the inputs and decisions of the decision module");
   group_->require_subcommand(1);
-  const auto add = [&](const char* name, const char* what) {
-    CLI::App* c = group_->add_subcommand(name, what);
-    c->add_option("path", options_->paths, "flight files, or directories of them")->required();
-    return c;
+  const auto add = [&](const char* name, const char* description) {
+    CLI::App* command = group_->add_subcommand(name, description);
+    command->add_option("path", options_->paths, "flight files, or directories of them")->required();
+    return command;
   };
-  const auto span = [&](CLI::App* c) {
-    c->add_option("--span", options_->span,
-                  "only from this time, and to this one: Unix milliseconds, or +SECONDS since the begin")
+  const auto add_span_option = [&](CLI::App* command) {
+    command
+        ->add_option("--span", options_->span,
+                     "only from this time, and to this one: Unix milliseconds, or +SECONDS from the "
+                     "beginning of the record")
         ->expected(1, 2)
         ->delimiter(',');
   };
@@ -107,11 +110,11 @@
   show_->add_option("--replica", options_->replica, "its name, or its id of eight hexadecimal digits");
   show_->add_option("--request", options_->request, "only records that name this request");
   show_->add_flag("--records", options_->records, "print single records instead of a summary");
-  span(show_);
+  add_span_option(show_);
   events_ = add("events", "anomalies of replicas and of the fleet");
   events_->add_flag("--again", options_->again,
                     "detect them anew instead of reading those that the node recorded");
-  span(events_);
+  add_span_option(events_);
   why_ = group_->add_subcommand("why", "everything about one request, with the reasons of its decisions");
   why_->add_option("request", options_->request,
                    "the client's id, x-request-id, or the decision module's number")
@@ -121,16 +124,16 @@
       add("merge", "merge the records of several nodes, with one line per replica; each path is one node");
   merge_->add_option("--replica", options_->replica, "one replica, as text");
   merge_->add_option("--plot", options_->out, "also plot to this file, whose name ends in .svg or .png");
-  span(merge_);
+  add_span_option(merge_);
   export_ = add("export", "write tables as CSV files or as one HDF5 file; each path is one node");
   export_->add_option("--csv", options_->csv, "a directory, which gets one file per table");
   export_->add_option("--hdf5", options_->hdf5, "an HDF5 file");
-  span(export_);
+  add_span_option(export_);
   plot_ = add("plot", "plot one row per replica; each path is one node");
   plot_->add_option("-o,--out", options_->out, "the file, whose name ends in .svg or .png")->required();
   plot_->add_option("--title", options_->title);
   plot_->add_option("--width", options_->width, "pixels")->check(CLI::Range(600, 8000));
-  span(plot_);
+  add_span_option(plot_);
 }
 
 bool TimelineCommand::chosen() const { return group_->parsed(); }
@@ -170,7 +173,8 @@
   }
   const std::vector<std::string> files = FlightFiles(options_->paths);
   const timeline::ReplicaTimelineOptions bounds = BoundsOf(LoadOptionsFor(*options_, 1), files);
-  // The name until the record that tells its id has been read; the text of a record contains the id.
+  // Holds the name until the record with the replica's id has been read, and then the id, because the texts
+  // of the records contain the id.
   std::string replica_id = Lower(options_->replica);
   const ReadTotals totals = ReadFlight(files, [&](const Record& r) {
     const Time at = RecordTime(r);
@@ -216,23 +220,24 @@
   const std::vector<ReplicaTimelines> nodes =
       LoadNodes(options_->paths, LoadOptionsFor(*options_, kTextBins), &losses);
   const TimelineMerge merge(nodes);
-  for (const MergedNode& n : merge.nodes()) {
-    Print(n.common_generations > 0
+  for (const MergedNode& node : merge.nodes()) {
+    Print(node.common_generations > 0
               ? fmt::format("{}: clock {:+.3f} s, from {} generations that both received, within {:.3f} s\n",
-                            n.name, static_cast<double>(n.offset) / 1e6, n.common_generations,
-                            static_cast<double>(n.offset_spread) / 1e6)
-          : &n == &merge.nodes().front()
-              ? fmt::format("{}: reference clock\n", n.name)
-              : fmt::format("{}: no generation in common; its clock is not corrected\n", n.name));
+                            node.name, static_cast<double>(node.offset) / 1e6, node.common_generations,
+                            static_cast<double>(node.offset_spread) / 1e6)
+          : &node == &merge.nodes().front()
+              ? fmt::format("{}: reference clock\n", node.name)
+              : fmt::format("{}: no generation in common; its clock is not corrected\n", node.name));
   }
   if (options_->replica.empty()) {
     PrintFleet(merge.timelines());
   } else {
     PrintReplica(merge.timelines(), FindReplica(merge.timelines(), options_->replica));
   }
-  for (const Disagreement& d : merge.disagreements())
-    Print(fmt::format("nodes differ on {} from {} for {:.1f} s: {}\n", d.replica, ClockText(d.from),
-                      static_cast<double>(d.to - d.from) / 1e6, d.what));
+  for (const Disagreement& disagreement : merge.disagreements())
+    Print(fmt::format("nodes differ on {} from {} for {:.1f} s: {}\n", disagreement.replica,
+                      ClockText(disagreement.from),
+                      static_cast<double>(disagreement.to - disagreement.from) / 1e6, disagreement.what));
   Print(losses);
   if (!options_->out.empty())
     RunGnuplot(TimelinePlotScript(merge.timelines(), {options_->out, options_->title, options_->width}));
@@ -241,7 +246,7 @@
 
 int TimelineCommand::Export() {
   if (options_->csv.empty() == options_->hdf5.empty())
-    throw std::runtime_error("give one of --csv DIRECTORY and --hdf5 FILE");
+    throw std::runtime_error("timeline export: give exactly one of --csv DIRECTORY and --hdf5 FILE");
   if (!options_->hdf5.empty()) {
     // A separate program in the same directory writes the file, so that the node need not load the HDF5
     // library.
--- a/src/app/timeline_output.cpp
+++ b/src/app/timeline_output.cpp
@@ -15,7 +15,7 @@
 namespace ryeglade::timeline {
 namespace {
 
-constexpr std::uint32_t kMaxBinLines = 30;        // of one replica
+constexpr std::uint32_t kMaxBinLines = 30;        // printed for one replica
 constexpr std::size_t kMaxFleetAnnotations = 60;  // the newest are printed
 
 double Seconds(Time span) { return static_cast<double>(span) / 1e6; }
--- a/src/app/timeline_output.h
+++ b/src/app/timeline_output.h
@@ -7,6 +7,7 @@
 
 namespace ryeglade::timeline {
 
+// Writes the text to stdout as it is.
 void Print(const std::string& text);
 
 // Returns the time of day in UTC, with milliseconds. `at` is Unix time in microseconds.
