--- a/src/app/timeline_command.h
+++ b/src/app/timeline_command.h
@@ -16,7 +16,7 @@
   std::vector<std::string> paths;  // flight files, or directories of them
   std::string replica;             // name, or id of eight hexadecimal digits; empty: all
   std::string request;             // the client's id, or the decision module's number; empty: all
-  std::vector<std::string> span;   // from and to: Unix time in milliseconds, or "+SECONDS" of the record
+  std::vector<std::string> span;   // from and to: Unix milliseconds, or "+SECONDS" since the record begins
   bool records = false;            // print single records instead of a summary
   bool again = false;              // detect anomalies anew instead of reading the recorded ones
   std::string out, csv, hdf5;      // output paths; empty: none
--- a/src/rollout/canary_analysis_model.cpp
+++ b/src/rollout/canary_analysis_model.cpp
@@ -38,6 +38,7 @@
 // then a release that is really worse has been recognized.
 constexpr std::uint64_t kPossiblyWorseFactor = 4;
 
+// Returns by how much a counter rose between two samples; 0 if it fell.
 double Increase(std::uint64_t now, std::uint64_t before) {
   return now > before ? static_cast<double>(now - before) : 0;
 }
@@ -48,7 +49,8 @@
   return static_cast<double>(concluded);
 }
 
-// Half width of the confidence sequence for an estimate with this variance: Robbins' normal mixture boundary.
+// Returns the half width of the confidence sequence for an estimate with this variance: Robbins' normal
+// mixture boundary.
 double HalfWidth(double variance, double alpha) {
   const double information = 1 / std::max(variance, kMinVariance);
   return std::sqrt((information + kTunedInformation) *
@@ -153,7 +155,7 @@
   for (auto& [name, node] : nodes_) node.by_class.clear();
 }
 
-// Returns all strata in which both cohorts served requests.
+// Returns all strata in which both cohorts have requests, pooled where a zone has one cohort only.
 std::vector<CanaryAnalysis::Stratum> CanaryAnalysis::Strata(const std::string& class_name, std::size_t metric,
                                                             const Sums& all_old, const Sums& all_new) const {
   std::vector<Stratum> strata;
@@ -240,7 +242,7 @@
     for (const Stratum& s : strata) spread += std::pow(s.weight * (s.difference - comparison.difference), 2);
     variance = std::max(variance, spread / (weights * weights));
   }
-  // A share of which no case was observed is not known to be zero, so half a case among one more request is
+  // A share of which no case was observed need not be zero, so half a case among one more request is
   // added (continuity correction).
   if (IsShare(metric)) {
     const double share = (all_old.sum + all_new.sum + 0.5) / (all_old.count + all_new.count + 1);
@@ -300,7 +302,7 @@
     double sum_t = 0;
     double sum_m = 0;
     double sum_tt = 0;
-    double sum_tm = 0;  // t: hours since `middle`; m: memory in bytes
+    double sum_tm = 0;  // sums over the samples; t: hours since `middle`, m: memory in bytes
     for (const auto& [at, bytes] : node.memory) {
       if (at < middle) continue;
       const double t = static_cast<double>(at - middle) / kMicrosPerHour;
@@ -321,7 +323,8 @@
   return growth;
 }
 
-// This function and the next two return the reason for the verdict, or nullopt if they found none.
+// ResourceLimitReached, MemoryLeak and EnvironmentChange return the reason for a verdict, or nullopt if there
+// is none.
 std::optional<std::string> CanaryAnalysis::ResourceLimitReached() const {
   const auto near_limit = [&](std::uint64_t used, std::uint64_t limit) {
     return limit > 0 && static_cast<double>(used) > thresholds_.resource_usage * static_cast<double>(limit);
@@ -329,9 +332,9 @@
   for (const auto& [name, node] : nodes_) {
     if (!node.new_release) continue;
     if (near_limit(node.last->memory_bytes, node.last->memory_limit_bytes))
-      return fmt::format("{} is near its limit of memory", name);
+      return fmt::format("{} is near its memory limit", name);
     if (near_limit(node.last->descriptors, node.last->descriptor_limit))
-      return fmt::format("{} is near its limit of descriptors", name);
+      return fmt::format("{} is near its descriptor limit", name);
   }
   return std::nullopt;
 }
@@ -348,7 +351,7 @@
   const bool leaks =
       limit > 0 && largest > kWarmUpMemory * limit && excess > thresholds_.memory_growth_per_hour * limit;
   if (!leaks) return std::nullopt;
-  return fmt::format("memory grows by {:.1f} MiB an hour, {:.1f} in the old cohort",
+  return fmt::format("memory grows by {:.1f} MiB an hour, by {:.1f} MiB an hour in the old cohort",
                      new_growth.bytes_per_hour / kBytesPerMiB, old_growth.bytes_per_hour / kBytesPerMiB);
 }
 
--- a/src/rollout/canary_analysis_model.h
+++ b/src/rollout/canary_analysis_model.h
@@ -29,6 +29,7 @@
 
 using Time = std::int64_t;  // microseconds
 
+// What the analysis allows before it fails a release or stops the rollout.
 struct CanaryThresholds {
   // Probability that a whole rollout stops a release that does not do worse.
   double false_positive_rate = 0.01;
@@ -47,7 +48,7 @@
   // If the old cohort's own late share rises by more than this, the environment has changed and nothing can
   // be compared.
   double environment_shift = 0.15;
-  Time window = 10'000'000;  // length of a stratum, microseconds
+  Time window = 10'000'000;  // length of a stratum's window of time, in microseconds
 };
 
 enum class CanaryVerdict : std::uint8_t {
@@ -58,30 +59,32 @@
 };
 
 enum class CanaryMetric : std::uint8_t { kFailed, kRejected, kLate, kFirstToken, kAttempts, kCount };
+// Returns the name used in rollout records and report tables.
 const char* Name(CanaryMetric metric);
 
 inline constexpr const char* kAllClasses = "all";  // class name of comparisons over all classes
 // A half width that is not below this means that nothing is known yet.
 inline constexpr double kMaxKnownHalfWidth = 1'000'000;
 
+// One metric of one class, or of all classes, in the new cohort against the old one.
 struct CohortComparison {
-  std::string class_name;  // name of a class, or kAllClasses
-  std::string metric;      // Name(CanaryMetric); any text if read from a record
-  double new_requests = 0, old_requests = 0;
-  double new_mean = 0, old_mean = 0;
-  double difference = 0, half_width = 0;  // new less old; half width of its confidence sequence
-  double sampling_half_width = 0;         // half width without the variance between nodes
-  double allowed = 0;                     // difference up to which the new release does not count as worse
-  bool worse = false;
+  std::string class_name;                     // name of a class, or kAllClasses
+  std::string metric;                         // Name(CanaryMetric); any text if read from a record
+  double new_requests = 0, old_requests = 0;  // requests that were counted in each cohort
+  double new_mean = 0, old_mean = 0;          // of the metric in each cohort
+  double difference = 0, half_width = 0;      // new less old mean; half width of the confidence sequence
+  double sampling_half_width = 0;             // half width without the variance between nodes
+  double allowed = 0;           // difference up to which the new release does not count as worse
+  bool worse = false;           // certainly worse than allowed: this fails the release
   bool possibly_worse = false;  // more requests are needed before the release can pass
   bool known() const { return half_width < kMaxKnownHalfWidth; }
 };
 
 struct CanaryResult {
   CanaryVerdict verdict = CanaryVerdict::kInconclusive;
-  std::string reason;
-  std::vector<CohortComparison> comparisons;
-  std::uint64_t new_requests = 0;  // concluded in the new cohort, over all classes
+  std::string reason;  // why the verdict is kFail or kEnvironmentChanged; otherwise empty
+  std::vector<CohortComparison> comparisons;  // by class, then of all classes; empty if nothing was compared
+  std::uint64_t new_requests = 0;             // concluded in the new cohort, over all classes
 };
 
 class CanaryAnalysis {
@@ -116,7 +119,7 @@
   };
   struct StratumKey {
     std::string class_name, zone;
-    std::int64_t window;
+    std::int64_t window;  // number of the window: the time divided by its length
     auto operator<=>(const StratumKey&) const = default;
   };
   struct Node {
@@ -157,7 +160,7 @@
   bool FailuresKnown(const CohortComparison& failed) const;
 
   CanaryThresholds thresholds_;
-  std::map<StratumKey, CohortSums> strata_;
+  std::map<StratumKey, CohortSums> strata_;      // since the comparison started, or since the first sample
   std::map<std::string, double> class_weights_;  // priority weight by class name
   std::map<std::string, Node> nodes_;
   double baseline_late_share_ = 0, baseline_requests_ = 0;  // of the old cohort, before the comparison
--- a/src/rollout/driver_model.cpp
+++ b/src/rollout/driver_model.cpp
@@ -8,7 +8,7 @@
 namespace ryeglade::rollout {
 namespace {
 
-// A node that runs the new release and reports no metrics for longer than this counts as failed.
+// A node that runs the new release and reports no valid metrics for longer than this fails the release.
 constexpr Time kMaxTimeWithoutMetrics = 20'000'000;  // microseconds
 // Names used in records and on the operator's terminal, in the order of RolloutState.
 constexpr const char* kStateNames[] = {"waiting", "stage", "soak",      "back",
@@ -55,7 +55,7 @@
   return to_node;
 }
 
-// Fields that the plan leaves empty are taken from the node's last good release.
+// Returns the plan's release. Fields that the plan leaves empty are taken from the node's last good release.
 Release Driver::ReleaseFor(const Node& node) const {
   Release release = plan_.release;
   if (!node.status) return release;
@@ -85,14 +85,15 @@
 std::optional<std::string> Driver::HardFailure(Time now, const Node& node) const {
   if (!node.status) return std::nullopt;
   const SupervisorStatus& status = *node.status;
-  const bool harmless =
+  const bool release_not_at_fault =
       status.failure_reason == kFailedSupervisorRestarted || status.failure_reason == kFailedRolledBack;
-  if (status.failed_release == plan_.release.id && !harmless)
+  if (status.failed_release == plan_.release.id && !release_not_at_fault)
     return status.node + ": " + status.failure_reason;
   if (RunsNewRelease(status) && status.crashes > node.old_release_crashes)
     return fmt::format("{}: crashed {} times", status.node, status.crashes);
   if (node.no_metrics_since >= 0 && now - node.no_metrics_since > kMaxTimeWithoutMetrics)
-    return status.node + ": gives no figures that can be read";
+    return fmt::format("{}: reported no valid metrics for more than {} s", status.node,
+                       kMaxTimeWithoutMetrics / 1'000'000);
   return std::nullopt;
 }
 
@@ -158,7 +159,7 @@
 
 // ---- The answers of a round ----
 
-// A view that cannot be trusted does not change which nodes count as absent or dead.
+// Sets which nodes count as absent or dead. A view that can't be trusted does not change that.
 void Driver::UpdateFromClusterView(Time now, const ClusterView& view) {
   if (!view.trusted()) {
     if (view_in_doubt_since_ < 0) view_in_doubt_since_ = now;
@@ -176,6 +177,8 @@
   }
 }
 
+// Takes the status of each node that answered, and counts the claims that were accepted and the skipped
+// nodes.
 std::optional<Driver::RoundCounts> Driver::TakeResponses(
     Time now, const std::map<std::string, SupervisorResponse>& responses) {
   RoundCounts counts;
@@ -244,12 +247,14 @@
   if (node.skipped) node.command_sent = false;
 }
 
-// Without a majority the driver must not act, because another driver may have claimed the other nodes.
+// Returns whether the driver may send commands. Without a majority of claims it must not, because another
+// driver may have claimed the other nodes.
 bool Driver::MayAct(Time now, std::size_t claimed) {
   const std::size_t majority = plan_.nodes.size() / 2 + 1;
   if (claimed < majority) {
     if (state_ != RolloutState::kWaiting)
-      reason_ = fmt::format("{} of {} keepers answer", claimed, plan_.nodes.size());
+      reason_ = fmt::format("{} of {} keepers accepted the claim; a majority is needed", claimed,
+                            plan_.nodes.size());
     state_ = RolloutState::kWaiting;
     return false;
   }
@@ -262,7 +267,7 @@
   return true;
 }
 
-// Returns -1 if no sample in the history is of the new release.
+// Returns the time of the first sample of the new release in the history, or -1 if there is none.
 Time Driver::NewReleaseFirstSeen() const {
   Time first = -1;
   for (const auto& [name, node] : nodes_) {
@@ -273,8 +278,8 @@
   return first;
 }
 
-// Feeds the analysis with what the supervisors sampled before this driver came. Samples before the first one
-// of the new release are the environment's baseline.
+// Adds the samples that the supervisors took before this driver started to the analysis. Samples before the
+// first one of the new release are the environment's baseline.
 void Driver::AnalyseHistory() {
   history_analysed_ = true;
   const Time first = NewReleaseFirstSeen();
@@ -322,7 +327,9 @@
     return commands;
   }
   if (counts->skipped > plan_.max_skipped) {
-    Pause(fmt::format("{} nodes do not answer; most_passed_over is {}", counts->skipped, plan_.max_skipped),
+    Pause(fmt::format("{} nodes are skipped, as they do not answer or are absent from the cluster view; "
+                      "most_passed_over is {}",
+                      counts->skipped, plan_.max_skipped),
           commands);
     return commands;
   }
@@ -341,13 +348,14 @@
   return commands;
 }
 
-// While less than a majority of the cluster can be seen, no change begins and nothing is analysed. A rollback
-// is not held up: RunRound handles it first.
+// While no majority of the status addresses has a confident view, no change begins and nothing is analysed. A
+// rollback is not held up: RunRound handles it first.
 void Driver::WaitForTrustedView(Time now, const ClusterView& view, Commands& commands) {
   if (now - view_in_doubt_since_ > plan_.inconclusive_timeout)
-    return Pause("the view among the nodes is in doubt for too long", commands);
+    return Pause("the cluster view has been in doubt for longer than ask_after", commands);
   state_ = RolloutState::kWaiting;
-  reason_ = fmt::format("{} of {} status addresses are sure of their views", view.confident, view.polled);
+  reason_ = fmt::format("{} of {} status addresses report a confident view; a majority is needed",
+                        view.confident, view.polled);
   StopSoaking();
 }
 
@@ -358,7 +366,8 @@
   StopSoaking();
 }
 
-// Returns the number of stages if all nodes that are not skipped are updated.
+// Returns the index of the first stage with a node that is neither updated nor skipped; the number of stages
+// if there is none.
 std::size_t Driver::FirstUnfinishedStage() const {
   std::size_t stage = plan_.stages.size();
   for (const auto& [name, node] : nodes_) {
@@ -367,6 +376,7 @@
   return stage;
 }
 
+// Takes the next step of a rollout that is neither paused nor rolled back.
 void Driver::Advance(Time now, Commands& commands) {
   const std::size_t stage = FirstUnfinishedStage();
   if (stage == plan_.stages.size()) {
@@ -392,7 +402,7 @@
   return true;
 }
 
-// Returns whether the last result lets the rollout go on.
+// Rolls back or pauses if the verdict asks for it. Returns whether the rollout may go on.
 bool Driver::ActOnVerdict(Time now, Commands& commands) {
   switch (canary_result_.verdict) {
     case CanaryVerdict::kFail:
@@ -400,13 +410,14 @@
       RollBack(now, commands);
       return false;
     case CanaryVerdict::kEnvironmentChanged:
-      Pause("the world changed: " + canary_result_.reason, commands);
+      Pause("the environment changed: " + canary_result_.reason, commands);
       return false;
     default:
       return true;
   }
 }
 
+// Returns whether the stage has soaked for long enough and its analysis has passed.
 bool Driver::StagePasses(Time now, std::size_t stage, Commands& commands) {
   const Stage& plan = plan_.stages[stage];
   state_ = RolloutState::kSoaking;
@@ -429,11 +440,13 @@
 void Driver::WaitForRequests(Time now, std::size_t stage, Commands& commands) {
   const Stage& plan = plan_.stages[stage];
   if (now - waiting_since_ > std::max(plan.soak, plan_.inconclusive_timeout)) {
-    Pause(fmt::format("{} requests met the new release in stage {}; {} are wanted: resume, or go back",
+    Pause(fmt::format("no verdict after {} requests with the new release in stage {}, of at least {}: resume "
+                      "to wait longer, or roll back",
                       canary_result_.new_requests, stage + 1, plan.min_requests),
           commands);
   } else {
-    reason_ = fmt::format("{} of {} requests", canary_result_.new_requests, plan.min_requests);
+    reason_ = fmt::format("{} of at least {} requests with the new release", canary_result_.new_requests,
+                          plan.min_requests);
   }
 }
 
@@ -446,7 +459,8 @@
     commands.push_back(CommandFor(node, CommandKind::kConfirm));
   }
   if (!confirmed) {
-    // The soak time is over. Dating it back lets the next round ask again, until all nodes have confirmed.
+    // The soak time is over. A start that far back lets the next round send the confirmations again, until
+    // all nodes have confirmed.
     soaking_since_ = waiting_since_ = now - soak;
     return;
   }
@@ -455,6 +469,8 @@
   reason_.clear();
 }
 
+// Sends the command to change to the outdated nodes of the stage, up to the stage's limit of concurrent
+// changes.
 void Driver::ChangeNodes(Time now, std::size_t stage, Commands& commands) {
   state_ = RolloutState::kChanging;
   stage_ = stage;
@@ -478,6 +494,8 @@
   FinishRollBack();
 }
 
+// Sends commands to roll back: to every node on which the new release is still starting, and to as many
+// others as the plan allows at a time.
 void Driver::RollBackNodes(Time now, Commands& commands) {
   std::size_t rolling_back = 0;
   for (const auto& [name, node] : nodes_) {
@@ -503,7 +521,8 @@
   }
 }
 
-// Nodes that have already confirmed the new release keep it; the operator decides what to do about them.
+// Ends the rollback once no node is left to roll back. Nodes that have already confirmed the new release keep
+// it; the operator decides what to do about them.
 void Driver::FinishRollBack() {
   bool any_left = false;
   bool only_confirmed_left = true;
--- a/src/rollout/driver_model.h
+++ b/src/rollout/driver_model.h
@@ -32,6 +32,7 @@
   kSuperseded,   // another driver has taken over
   kCount
 };
+// Returns the name used in records and on the operator's terminal.
 const char* Name(RolloutState state);
 
 struct NodeCommand {
@@ -45,6 +46,8 @@
   bool claimed = false;                    // the claim was accepted
 };
 
+// One driver of a rollout. It ends when the rollout has completed or was rolled back, or when another driver
+// takes over.
 class Driver {
  public:
   // `epoch` must be higher than any that the supervisors know, and `driver` a name that no other driver has.
@@ -65,8 +68,8 @@
     return state_ == RolloutState::kCompleted || state_ == RolloutState::kRolledBack ||
            state_ == RolloutState::kSuperseded;
   }
-  std::size_t stage() const { return stage_; }                          // counted from 0
-  const std::string& reason() const { return reason_; }                 // why it is in this state, for people
+  std::size_t stage() const { return stage_; }           // counted from 0
+  const std::string& reason() const { return reason_; }  // why it is in this state, as text for an operator
   const CanaryResult& canary_result() const { return canary_result_; }  // the latest
   std::size_t changing_nodes() const { return changing_nodes_; }
   std::vector<std::string> skipped_nodes() const;   // unreachable, or dead in the cluster view for too long
@@ -84,10 +87,11 @@
     std::string reason;
   };
   struct Node {
-    std::size_t plan_index = 0;  // index in the plan's nodes
-    std::size_t stage = 0;
-    std::optional<SupervisorStatus> status;  // the last one reported; nullopt: none yet
-    // What the supervisor sampled before this driver came, by this driver's clock; empty once analysed.
+    std::size_t plan_index = 0;              // index in the plan's nodes
+    std::size_t stage = 0;                   // index of the stage that changes it
+    std::optional<SupervisorStatus> status;  // the last one that the supervisor reported; nullopt: none yet
+    // Samples that the supervisor took before this driver started, with times by this driver's clock; empty
+    // once analysed.
     std::vector<std::pair<Time, MetricsSample>> history;
     Time first_polled_at = -1;  // -1: never
     Time answered_at = -1;      // when it last answered; -1: never
@@ -97,11 +101,11 @@
     // Crashes reported while it ran another release; the new release is not blamed for that many.
     int old_release_crashes = 0;
     Time absent_since = -1;     // when it became suspect or dead in the cluster view; -1: it is neither
-    bool dead = false;          // in the cluster view
-    bool command_sent = false;  // told to change or to roll back, and no answer since
+    bool dead = false;          // dead in the cluster view
+    bool command_sent = false;  // told to change or to roll back, and has not answered since
   };
   struct RoundCounts {
-    std::size_t claimed = 0, skipped = 0;
+    std::size_t claimed = 0, skipped = 0;  // nodes
   };
   using Commands = std::vector<NodeCommand>;
 
@@ -144,8 +148,8 @@
 
   Plan plan_;
   std::uint64_t epoch_;
-  std::string driver_;
-  Time lease_;
+  std::string driver_;  // name of this driver
+  Time lease_;          // microseconds
   std::map<std::string, Node> nodes_;
   RolloutState state_ = RolloutState::kWaiting;
   std::string reason_;
@@ -155,12 +159,12 @@
   Time view_in_doubt_since_ = -1;       // -1: the cluster view is trusted, or the plan does not ask for it
   bool change_begun_ = false;           // this driver, or an earlier one, has told a node to change
   Time soaking_since_ = -1;             // when the stage under analysis began to soak; -1: none does
-  Time waiting_since_ = -1;             // since when its verdict is waited for; -1: no stage is analysed
-  Directive directive_;                 // in force
-  Directive operator_directive_;        // still to be sent
-  std::uint64_t directive_number_ = 0;  // the highest that a supervisor reported
+  Time waiting_since_ = -1;             // when the wait for its verdict began; -1: no stage is analysed
+  Directive directive_;                 // the one in force
+  Directive operator_directive_;        // to be sent in the next round; its name is empty if there is none
+  std::uint64_t directive_number_ = 0;  // the highest that a supervisor reported; 0: none
   CanaryAnalysis analysis_;
-  CanaryResult canary_result_;
+  CanaryResult canary_result_;  // the latest
 };
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/file_digest.cpp
+++ b/src/rollout/file_digest.cpp
@@ -18,7 +18,7 @@
 
 std::string FileDigest(const std::string& path) {
   const int fd = open(path.c_str(), O_RDONLY | O_CLOEXEC);
-  if (fd < 0) throw std::runtime_error("cannot read " + path);
+  if (fd < 0) throw std::runtime_error("cannot open " + path + "; check that it exists and is readable");
   XXH3_state_t* state = XXH3_createState();
   XXH3_64bits_reset(state);
   std::vector<char> buffer(kReadBytes);
@@ -36,7 +36,8 @@
 
 std::string FileDigestCache::Digest(const std::string& path) {
   struct stat file {};
-  if (stat(path.c_str(), &file) != 0) throw std::runtime_error("cannot read " + path);
+  if (stat(path.c_str(), &file) != 0)
+    throw std::runtime_error("cannot find " + path + "; check that it exists and can be reached");
   const FileIdentity identity{static_cast<std::int64_t>(file.st_dev), static_cast<std::int64_t>(file.st_ino),
                               file.st_size, file.st_mtim.tv_sec, file.st_mtim.tv_nsec};
   Entry& entry = entries_[path];
--- a/src/rollout/metrics_model.h
+++ b/src/rollout/metrics_model.h
@@ -10,8 +10,9 @@
 
 namespace ryeglade::rollout {
 
+// Of the requests of one class.
 struct ClassMetrics {
-  double priority_weight = 1;  // of one request of this class
+  double priority_weight = 1;  // weight of one request of this class
   // Numbers of requests; `in_time` counts the served ones that met their latency objective.
   std::uint64_t served = 0, in_time = 0, rejected = 0, failed = 0;
   double attempts_sum = 0, attempts_sum_of_squares = 0;              // of the attempts per concluded request
@@ -21,13 +22,14 @@
 };
 
 struct NodeMetrics {
-  std::int64_t pid = 0;
+  std::int64_t pid = 0;                                    // of the process that measured them
   std::int64_t measured_at = 0;                            // microseconds, Unix time
-  std::uint64_t memory_bytes = 0, memory_limit_bytes = 0;  // resident size; limit 0: none known
-  std::uint64_t descriptors = 0, descriptor_limit = 0;     // open descriptors; limit 0: none known
+  std::uint64_t memory_bytes = 0, memory_limit_bytes = 0;  // resident size; its limit, 0: not known
+  std::uint64_t descriptors = 0, descriptor_limit = 0;     // open descriptors; their limit, 0: not known
   std::map<std::string, ClassMetrics> classes;             // by class name
 };
 
+// Returns the metrics as one JSON object.
 std::string EncodeNodeMetrics(const NodeMetrics& metrics);
 // Returns nullopt if the text is not an object of this form, or if a number is negative, not finite or out of
 // bounds.
--- a/src/rollout/node_process.cpp
+++ b/src/rollout/node_process.cpp
@@ -24,6 +24,7 @@
   return arguments;
 }
 
+// Returns this process's environment with the node's own management address and $TMPDIR.
 std::vector<std::string> Environment(const std::string& management, const std::string& directory) {
   std::vector<std::string> variables = {std::string(kManagementVariable) + management,
                                         std::string(kTmpdirVariable) + directory + "/tmp"};
@@ -81,7 +82,7 @@
   std::vector<char*> environment = NullTerminated(variables);
   const std::string log = directory + "/node.log";
   const int log_fd = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
-  if (log_fd < 0) throw std::runtime_error("cannot write " + log);
+  if (log_fd < 0) throw std::runtime_error("cannot open " + log + " for writing");
   uv_stdio_container_t stdio[3];
   stdio[0].flags = UV_IGNORE;
   for (int fd : {STDOUT_FILENO, STDERR_FILENO}) {
@@ -104,7 +105,7 @@
   has_handle_ = true;  // set before uv_spawn, which initializes the handle even if it fails
   const int error = uv_spawn(loop, &handle_, &options);
   close(log_fd);
-  if (error != 0) throw std::runtime_error(release.program + ": " + uv_strerror(error));
+  if (error != 0) throw std::runtime_error("cannot start " + release.program + ": " + uv_strerror(error));
 }
 
 bool NodeProcess::AdoptedHasEnded() const {
--- a/src/rollout/node_process.h
+++ b/src/rollout/node_process.h
@@ -23,7 +23,8 @@
   // Called on the loop when a process that was started here has ended. `signal` is 0 if it exited by itself.
   using OnExit = std::function<void(int number, std::int64_t status, int signal)>;
 
-  // Returns null if the process has ended or its pid now belongs to another process.
+  // Takes over a process that an earlier supervisor started. Returns null if the process has ended or its pid
+  // now belongs to another process.
   static Ptr Adopt(int number, const ProcessRecord& record);
   // Starts `ryeglade serve` of the release. Its output is appended to `directory`/node.log, and its $TMPDIR
   // is `directory`/tmp. Throws std::runtime_error if the log can't be opened or the program can't be started.
@@ -39,20 +40,20 @@
   bool AdoptedHasEnded() const;
 
   // State of the supervisor's polling of the management address.
-  bool ready = false;  // the process has reported that it is ready
-  bool poll_running = false;
-  Time last_polled_at = 0;  // 0: never
+  bool ready = false;         // the process has reported that it is ready
+  bool poll_running = false;  // a poll has begun and not returned
+  Time last_polled_at = 0;    // 0: never
 
  private:
   NodeProcess(int number, OnExit on_exit) : number_(number), on_exit_(std::move(on_exit)) {}
   ~NodeProcess() = default;
   void Spawn(uv_loop_t* loop, const Release& release, const std::string& directory);
 
-  int number_;
+  int number_;  // given by the Supervisor state machine
   OnExit on_exit_;
   ProcessRecord record_;
   uv_process_t handle_{};
-  bool has_handle_ = false;
+  bool has_handle_ = false;  // `handle_` is open: the process was started here and not adopted
 };
 
 }  // namespace ryeglade::rollout
--- a/src/rollout/plan.cpp
+++ b/src/rollout/plan.cpp
@@ -49,26 +49,30 @@
     node.zone = section.Text("zone", "");
     if (!IsAddress(node.supervisor_address))
       section.Fail("keeper", "is not an ip:port: \"" + node.supervisor_address + "\"");
-    if (!names.insert(node.name).second) section.Fail("name", "\"" + node.name + "\" comes twice");
+    if (!names.insert(node.name).second)
+      section.Fail("name", "\"" + node.name + "\" is the name of two nodes; give each [[node]] its own name");
     if (!addresses.insert(node.supervisor_address).second)
-      section.Fail("keeper", "\"" + node.supervisor_address + "\" comes twice");
+      section.Fail("keeper", "\"" + node.supervisor_address +
+                                 "\" is the keeper of two nodes; give each [[node]] its own keeper");
     section.RejectUnknownKeys();
     nodes.push_back(node);
   }
   if (nodes.empty()) root.Fail("node", "is missing; add a [[node]] for each node");
-  if (nodes.size() > kMaxNodes) root.Fail("node", "comes more than 2,000 times");
+  if (nodes.size() > kMaxNodes)
+    root.Fail("node", "is given more than 2,000 times, the maximum number of nodes in a plan");
   return nodes;
 }
 
+// Returns `names`. Throws SettingsError if one is not in `nodes`, or is in this or an earlier stage already.
 std::vector<std::string> CheckNamedNodes(TomlSection& section, std::vector<std::string> names,
                                          const std::vector<PlanNode>& nodes,
                                          const std::set<std::string>& assigned) {
   std::set<std::string> seen;
   for (const std::string& name : names) {
     if (std::none_of(nodes.begin(), nodes.end(), [&](const PlanNode& node) { return node.name == name; }))
-      section.Fail("nodes", "\"" + name + "\" is none of [[node]]");
+      section.Fail("nodes", "\"" + name + "\" is not the name of any [[node]]; correct it, or add the node");
     if (assigned.contains(name) || !seen.insert(name).second)
-      section.Fail("nodes", "\"" + name + "\" is in a stage before; name each node once");
+      section.Fail("nodes", "\"" + name + "\" is already in this or an earlier stage; name each node once");
   }
   return names;
 }
@@ -82,7 +86,7 @@
   const bool by_count = section.Has("count");
   const bool by_share = section.Has("share");
   if ((names.empty() ? 0 : 1) + (by_count ? 1 : 0) + (by_share ? 1 : 0) > 1)
-    section.Fail("nodes", "comes with `count` or `share`; give one of the three");
+    section.Fail("nodes", "`nodes`, `count` and `share` can't be combined; give one of the three");
   if (!names.empty()) return CheckNamedNodes(section, names, nodes, assigned);
   std::vector<std::string> unassigned;
   for (const PlanNode& node : nodes) {
@@ -109,12 +113,13 @@
     stage.max_concurrent = section.Integer("at_once", 1, kMaxNodes, stage.max_concurrent);
     stage.nodes = ParseStageNodes(section, nodes, assigned);
     if (stage.nodes.empty())
-      section.Fail("nodes", "no node is left for this stage; take the stage out or name fewer before");
+      section.Fail("nodes",
+                   "no node is left for this stage; remove the stage, or give earlier stages fewer nodes");
     section.RejectUnknownKeys();
     assigned.insert(stage.nodes.begin(), stage.nodes.end());
     stages.push_back(std::move(stage));
   }
-  if (stages.empty()) root.Fail("stage", "is missing; add a [[stage]] for each step");
+  if (stages.empty()) root.Fail("stage", "is missing; add a [[stage]] for each step of the rollout");
   for (const PlanNode& node : nodes) {
     if (!assigned.contains(node.name))
       root.Fail("stage", "leaves out \"" + node.name +
@@ -129,34 +134,35 @@
   std::set<std::string> seen;
   for (const std::string& address : addresses) {
     if (!IsAddress(address)) section.Fail("status", "is not an ip:port: \"" + address + "\"");
-    if (!seen.insert(address).second) section.Fail("status", "\"" + address + "\" comes twice");
+    if (!seen.insert(address).second)
+      section.Fail("status", "\"" + address + "\" is given twice; give each address once");
   }
   if (addresses.size() > kMaxStatusAddresses)
-    section.Fail("status", "names more than 64 nodes; a few from each zone suffice");
+    section.Fail("status", "names more than 64 nodes; a few from each zone are enough");
   if (section.present() && addresses.empty())
     section.Fail("status",
-                 "is missing; name the status address of one node in each zone, or take the table out");
+                 "is missing; name the status address of one node in each zone, or remove the table");
   section.RejectUnknownKeys();
   return addresses;
 }
 
-// The keys are older than the names in CanaryThresholds, and are mapped only here.
+// Reads [guards]. Its keys are older than the names in CanaryThresholds, and are mapped only here.
 CanaryThresholds ParseThresholds(TomlSection& root) {
   TomlSection section = root.Table("guards");
-  CanaryThresholds t;
-  t.false_positive_rate = section.Number("error_rate", 1e-6, 0.5, t.false_positive_rate);
-  t.failed_share = section.Number("failed", 0, 1, t.failed_share);
-  t.rejected_share = section.Number("refused", 0, 1, t.rejected_share);
-  t.late_share = section.Number("late", 0, 1, t.late_share);
-  t.first_token_slowdown = section.Number("slower", 0, 10, t.first_token_slowdown);
-  t.attempts_per_request = section.Number("attempts", 0, 10, t.attempts_per_request);
-  t.resource_usage = section.Number("memory_share", 0.1, 1, t.resource_usage);
-  t.memory_growth_per_hour = section.Number("growth", 0, 1000, t.memory_growth_per_hour);
-  t.failure_precision = section.Number("sure", 0.001, 1, t.failure_precision);
-  t.environment_shift = section.Number("world", 0.01, 1, t.environment_shift);
-  t.window = section.Duration("window", 100'000, 600 * kSecond, t.window);
+  CanaryThresholds thresholds;
+  thresholds.false_positive_rate = section.Number("error_rate", 1e-6, 0.5, thresholds.false_positive_rate);
+  thresholds.failed_share = section.Number("failed", 0, 1, thresholds.failed_share);
+  thresholds.rejected_share = section.Number("refused", 0, 1, thresholds.rejected_share);
+  thresholds.late_share = section.Number("late", 0, 1, thresholds.late_share);
+  thresholds.first_token_slowdown = section.Number("slower", 0, 10, thresholds.first_token_slowdown);
+  thresholds.attempts_per_request = section.Number("attempts", 0, 10, thresholds.attempts_per_request);
+  thresholds.resource_usage = section.Number("memory_share", 0.1, 1, thresholds.resource_usage);
+  thresholds.memory_growth_per_hour = section.Number("growth", 0, 1000, thresholds.memory_growth_per_hour);
+  thresholds.failure_precision = section.Number("sure", 0.001, 1, thresholds.failure_precision);
+  thresholds.environment_shift = section.Number("world", 0.01, 1, thresholds.environment_shift);
+  thresholds.window = section.Duration("window", 100'000, 600 * kSecond, thresholds.window);
   section.RejectUnknownKeys();
-  return t;
+  return thresholds;
 }
 
 }  // namespace
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -10,21 +10,23 @@
 
 namespace ryeglade::rollout {
 
+// [[node]]
 struct PlanNode {
   std::string name;
   std::string supervisor_address;  // ip:port; the key in the plan is `keeper`
-  std::string zone;
+  std::string zone;                // may be empty
 };
 
+// [[stage]]: a group of nodes; the next stage begins only after the verdict on this one.
 struct Stage {
   std::vector<std::string> nodes;    // names of the nodes of this stage, in order
-  Time soak = 60'000'000;            // microseconds after the last node has changed
+  Time soak = 60'000'000;            // microseconds from the last change until the stage can pass
   std::uint64_t min_requests = 200;  // concluded with the new release before the stage can pass
   std::size_t max_concurrent = 1;    // nodes that may change at the same time
 };
 
 struct Plan {
-  std::string name;
+  std::string name;  // of the rollout, for logs and operators
   std::string text;  // of the file; supervisors store it, so that any driver can continue the rollout
   Release release;
   std::vector<PlanNode> nodes;
--- a/src/rollout/process_util.cpp
+++ b/src/rollout/process_util.cpp
@@ -18,6 +18,7 @@
 constexpr std::size_t kMaxOutputBytes = std::size_t{16} * 1024;
 constexpr int kStartTimeField = 22;  // number of the field in /proc/PID/stat, from 1; see proc(5)
 
+// Runs in the child process. The alarm kills a program that does not end in time.
 [[noreturn]] void ExecuteProgram(int output, char* const* argv) {
   dup2(output, STDOUT_FILENO);
   dup2(output, STDERR_FILENO);
@@ -26,7 +27,7 @@
   _exit(127);
 }
 
-// Reads to the end of the pipe. Output beyond kMaxOutputBytes is dropped.
+// Returns what is read up to the end of the pipe. Output beyond kMaxOutputBytes is dropped.
 std::string ReadOutput(int fd) {
   std::string output;
   char buffer[4096];
@@ -67,7 +68,8 @@
 
 ProgramResult RunProgram(const std::vector<std::string>& command_line) {
   int pipe_ends[2];
-  if (pipe2(pipe_ends, O_CLOEXEC) != 0) return {std::nullopt, "no pipe"};
+  if (pipe2(pipe_ends, O_CLOEXEC) != 0)
+    return {std::nullopt, "cannot create a pipe for the output of the program"};
   std::vector<char*> argv;
   argv.reserve(command_line.size() + 1);
   for (const std::string& argument : command_line) argv.push_back(const_cast<char*>(argument.c_str()));
--- a/src/rollout/process_util.h
+++ b/src/rollout/process_util.h
@@ -1,4 +1,4 @@
-// Helpers for processes of this machine.
+// Helper functions to examine and run processes on this machine.
 #pragma once
 
 #include <cstdint>
--- a/src/rollout/release_model.cpp
+++ b/src/rollout/release_model.cpp
@@ -12,13 +12,14 @@
 
 using nlohmann::json;
 
-// Names on the wire, in the order of the enumerators.
+// Names on the wire, in the order of the enumerators of NodePhase and CommandKind.
 constexpr const char* kPhaseNames[] = {"down", "starting", "running", "changing", "settling"};
 constexpr const char* kCommandKindNames[] = {"claim", "change", "back", "confirm", "mark"};
 constexpr std::size_t kMaxTextBytes = std::size_t{256} * 1024;
 constexpr std::size_t kMaxHistorySamples = 1000;
 constexpr int kMaxCrashes = 1'000'000;
 
+// Returns an empty text if the key is absent. Throws if the value is not a text or is too long.
 std::string TextAt(const json& object, const char* key) {
   std::string text = object.value(key, "");
   if (text.size() > kMaxTextBytes) throw std::runtime_error(key);
@@ -153,13 +154,15 @@
   const auto old_entry = old_compat.find(protocol);
   const auto new_entry = new_compat.find(protocol);
   if (old_entry == old_compat.end() || new_entry == new_compat.end())
-    return "";  // one of them does not speak it
+    return "";  // one of them does not support the protocol at all
   const auto old_range = VersionRangeFrom(*old_entry);
   const auto new_range = VersionRangeFrom(*new_entry);
-  if (!old_range || !new_range) return std::string(protocol) + " is no range of versions";
+  if (!old_range || !new_range)
+    return std::string(protocol) +
+           ": `version --compat` of a program gives no range [lowest, highest] of versions";
   if (old_range->highest >= new_range->lowest && new_range->highest >= old_range->lowest) return "";
-  return fmt::format("{}: the program in force speaks {} to {}, the new one {} to {}", protocol,
-                     old_range->lowest, old_range->highest, new_range->lowest, new_range->highest);
+  return fmt::format("{}: no version in common: the active program supports {} to {}, the new one {} to {}",
+                     protocol, old_range->lowest, old_range->highest, new_range->lowest, new_range->highest);
 }
 
 }  // namespace
@@ -201,8 +204,9 @@
 std::string CompatibilityError(const std::string& old_compat, const std::string& new_compat) {
   const json old_ranges = json::parse(old_compat, nullptr, false);
   const json new_ranges = json::parse(new_compat, nullptr, false);
-  if (!old_ranges.is_object()) return "the program in force does not answer `version --compat`";
-  if (!new_ranges.is_object()) return "the new program does not answer `version --compat`";
+  if (!old_ranges.is_object())
+    return "the active program does not print a JSON object for `version --compat`";
+  if (!new_ranges.is_object()) return "the new program does not print a JSON object for `version --compat`";
   for (const char* protocol : {"membership-wire", "hand-over-state", "keeper-protocol"}) {
     std::string error = ProtocolError(protocol, old_ranges, new_ranges);
     if (!error.empty()) return error;
--- a/src/rollout/release_model.h
+++ b/src/rollout/release_model.h
@@ -26,6 +26,7 @@
   bool operator==(const Release&) const = default;
 };
 
+// What a supervised node does.
 enum class NodePhase : std::uint8_t {
   kDown,      // no process runs
   kStarting,  // the process is not ready yet
@@ -34,6 +35,7 @@
   kSettling,  // the process that was replaced has not ended yet
   kCount
 };
+// Returns the name used on the wire and in tables.
 const char* Name(NodePhase phase);
 
 // Metrics that a supervisor sampled from its node. It keeps the latest samples for a driver that starts
@@ -57,16 +59,17 @@
 inline constexpr const char* kFailedSupervisorRestarted = "keeper-restarted";
 inline constexpr const char* kFailedRolledBack = "taken-back";
 
+// What a supervisor reports of itself and its node.
 struct SupervisorStatus {
-  std::string node;
+  std::string node;                    // its name
   std::uint64_t epoch = 0;             // the highest epoch that has claimed this supervisor
   std::string driver;                  // name of the driver that claimed it
   std::string plan;                    // text of that driver's plan
   std::string directive;               // the last one that was set; empty: none
   std::uint64_t directive_number = 0;  // how many directives were set in this rollout
-  std::string directive_reason;
+  std::string directive_reason;        // text for operators, may be empty
   NodePhase phase = NodePhase::kDown;
-  Release active, last_good;
+  Release active, last_good;   // the release that the node runs, and the one that it is rolled back to
   std::string pending;         // id of the release that a change under way leads to; empty: none
   std::string failed_release;  // id of the last release that failed or was rolled back here
   std::string failure_reason;  // why; empty: no release failed
@@ -91,8 +94,8 @@
 // Every kind except kClaim needs a claim of the same epoch that is not older than the lease.
 struct SupervisorCommand {
   CommandKind kind = CommandKind::kClaim;
-  std::uint64_t epoch = 0;
-  std::string driver;
+  std::uint64_t epoch = 0;                  // of the driver that sends the command
+  std::string driver;                       // name of that driver
   std::string plan;                         // for kClaim; the supervisor stores it
   Release release;                          // for kChange and kConfirm
   std::string directive, directive_reason;  // for kSetDirective
@@ -113,13 +116,14 @@
 inline constexpr const char* kRejectedFailedBefore = "failed-before";
 inline constexpr const char* kRejectedUnknownKind = "unknown";
 
+// The answer to a SupervisorCommand.
 struct CommandReply {
   bool accepted = false;
-  std::string reason;  // why it was rejected; empty if accepted
-  SupervisorStatus status;
+  std::string reason;       // why it was rejected; empty if accepted
+  SupervisorStatus status;  // after the command
 };
 
-// Each Decode function returns nullopt if the text does not have its form.
+// JSON forms. Each Decode function returns nullopt if the text does not have the form that Encode gives it.
 std::string EncodeRelease(const Release& release);
 std::optional<Release> DecodeRelease(const std::string& text);
 std::string EncodeStatus(const SupervisorStatus& status);
--- a/src/rollout/report_chart_model.cpp
+++ b/src/rollout/report_chart_model.cpp
@@ -29,6 +29,7 @@
                                                  {"first-token", "ln(first token): new less old"}};
 constexpr double kPanels = static_cast<double>(std::size(kComparisonPanels));
 
+// Returns the colour of a RecordedNode::state; grey for "old" and unknown states.
 const char* ColourOf(const std::string& node_state) {
   if (node_state == "new") return "#4c9f70";
   if (node_state == "changing") return "#4070c0";
@@ -54,7 +55,7 @@
     for (const RecordedRound& round : record) {
       if (round.fault.empty()) rounds_.push_back(&round);
     }
-    if (rounds_.empty()) throw std::runtime_error("no round is recorded");
+    if (rounds_.empty()) throw std::runtime_error("the record has no round, so no chart can be drawn");
     begin_ = record.front().at;
     end_ = std::max(record.back().at, begin_ + 1);
     for (const RecordedNode& node : rounds_.back()->nodes) node_names_.push_back(node.name);
@@ -197,11 +198,11 @@
   }
 
   const std::vector<RecordedRound>& record_;
-  const std::string& out_;
-  std::vector<const RecordedRound*> rounds_;  // without the markers of faults
-  std::vector<std::string> node_names_;
+  const std::string& out_;                     // path of the image
+  std::vector<const RecordedRound*> rounds_;   // without the markers of faults
+  std::vector<std::string> node_names_;        // rows from the top, as in the last round
   double begin_ = 0, end_ = 0;                 // seconds, Unix time
-  double rows_ = 0;                            // of nodes
+  double rows_ = 0;                            // number of rows of nodes, at least 1
   double node_panel_height_ = 0, height_ = 0;  // pixels
   int objects_ = 0;                            // the highest number given to a gnuplot object so far
   std::string script_;
--- a/src/rollout/report_model.cpp
+++ b/src/rollout/report_model.cpp
@@ -163,7 +163,8 @@
     }
     if (!round.comparisons.empty()) last_compared = &round;
     const NodeCounts counts = CountNodes(round.nodes);
-    // The reason and the number of changing nodes differ in almost every round, so they alone get no line.
+    // The reason and the number of changing nodes differ in almost every round, so a change of these alone
+    // adds no line.
     const std::string key = fmt::format("{} {} {} {} {}", round.state, round.stage, counts.updated,
                                         counts.outdated, counts.skipped);
     if (key == last_key) continue;
--- a/src/rollout/supervisor.cpp
+++ b/src/rollout/supervisor.cpp
@@ -65,28 +65,33 @@
   int fd_ = -1;
 };
 
+// Returns the state in the file, or at the first start one with `initial_release`. Throws std::runtime_error
+// if the file can't be used.
 SupervisorState LoadState(const std::string& path, const Release& initial_release) {
   if (access(path.c_str(), F_OK) == 0) {
     auto state = DecodeSupervisorState(ReadWholeFile(path));
     if (!state)
-      throw std::runtime_error(
-          path + " is not a state file of this version of the keeper; move it away to start without it");
+      throw std::runtime_error(path +
+                               " is not a state file of this version of the keeper; move it away, and give "
+                               "--program and --config, to start without it");
     return std::move(*state);
   }
   if (initial_release.program.empty())
-    throw std::runtime_error("the first start of a keeper needs --program and --config");
+    throw std::runtime_error("the first start of a keeper needs --program and --config, as there is no " +
+                             path);
   SupervisorState state;
   state.active = initial_release;
   state.last_good = initial_release;
   return state;
 }
 
-// What one poll of a node process showed.
+// Result of one poll of a node process.
 struct PollResult {
   bool ready = false;                  // set only if readiness was asked for
   std::optional<NodeMetrics> metrics;  // nullopt: not asked for, no answer, or an answer that can't be read
 };
 
+// Asks the management address whether the node is ready, or for its metrics. Blocks for up to kPollTimeoutMs.
 PollResult PollNode(const std::string& management, bool for_readiness) {
   PollResult result;
   const auto get = [&](const char* path) {
@@ -98,12 +103,12 @@
     } else if (const HttpResponse response = get("/control/figures"); response.status == 200) {
       result.metrics = DecodeNodeMetrics(response.body);
     }
-  } catch (const std::runtime_error&) {  // no answer, which the empty result says
+  } catch (const std::runtime_error&) {  // no answer: the result stays empty
   }
   return result;
 }
 
-// All members are used only on the loop's thread.
+// The event loop of a supervisor. All members are used only on the loop's thread.
 class SupervisorProcess : public Front {
  public:
   explicit SupervisorProcess(const SupervisorOptions& options)
@@ -219,13 +224,14 @@
     return "";
   }
 
-  // Computes `expected` if it is empty. Throws std::runtime_error if the file can't be read or has another
-  // digest. An empty path has none.
+  // Sets `expected` to the digest of the file if it is empty. Throws std::runtime_error if the file can't be
+  // read or has another digest than expected. Does nothing if the path is empty.
   void CheckDigest(const std::string& path, std::string& expected) {
     if (path.empty()) return;
     const std::string digest = digests_.Digest(path);
     if (expected.empty()) expected = digest;
-    if (expected != digest) throw std::runtime_error(path + " is another file than the plan's");
+    if (expected != digest)
+      throw std::runtime_error(path + " has the digest " + digest + ", but the release needs " + expected);
   }
 
   // Answers whether the node could run a release. Changes nothing on the node.
@@ -440,7 +446,7 @@
 
   void OnSignal(int number) {
     if (number == SIGHUP || number == SIGUSR2)
-      return SendSignal(supervisor_.current(), number);  // meant for the node: passed on
+      return SendSignal(supervisor_.current(), number);  // these signals are for the node
     SupervisorEffects effects;
     supervisor_.ShutDown(Now(), effects);
     Execute(effects);
--- a/src/rollout/supervisor.h
+++ b/src/rollout/supervisor.h
@@ -11,8 +11,8 @@
 namespace ryeglade::rollout {
 
 struct SupervisorOptions {
-  std::string node, zone;
-  std::string directory;    // of this supervisor alone; holds its state, the node's log and its $TMPDIR
+  std::string node, zone;   // names; the zone may be empty
+  std::string directory;    // of this supervisor alone: its state, the node's log and the node's $TMPDIR
   std::string control;      // ip:port of the control address
   Release initial_release;  // used at the first start only; later starts read the state file
   SupervisorLimits limits;
--- a/src/rollout/supervisor_model.cpp
+++ b/src/rollout/supervisor_model.cpp
@@ -79,6 +79,7 @@
 Supervisor::Supervisor(std::string node, std::string zone, SupervisorLimits limits, SupervisorState state)
     : node_(std::move(node)), zone_(std::move(zone)), limits_(limits), state_(std::move(state)) {}
 
+// Returns how long to wait before the next start after this many failures.
 Time Supervisor::Backoff(int failures) const {
   const int doublings = std::clamp(failures - 1, 0, kMaxBackoffDoublings);
   return std::min(limits_.max_backoff, limits_.initial_backoff << doublings);
@@ -167,8 +168,8 @@
   Save(effects);
 }
 
-// Guards against a driver that was paused or whose commands were in transit for a long time: another driver
-// may be active by now.
+// Returns whether the command is within the lease of a claim. Guards against a driver that was paused or
+// whose commands were in transit for a long time: another driver may be active by now.
 bool Supervisor::HasLease(Time now, const SupervisorCommand& command) const {
   if (claimed_at_ < 0 || now - claimed_at_ > limits_.lease) return false;
   if (command.claimed_at <= 0) return true;  // the driver does not send it
@@ -214,7 +215,8 @@
 CommandReply Supervisor::Change(Time now, const Release& release, SupervisorEffects& effects) {
   if (release.id.empty() || release.program.empty()) return Reject(kRejectedNoRelease);
   if (state_.pending) return *state_.pending == release ? Accept() : Reject(kRejectedBusy);
-  if (state_.active == release) return Accept();  // done before: sent twice, or the reply was lost
+  if (state_.active == release)
+    return Accept();  // already done: the command was sent twice, or the reply was lost
   if (state_.failed_release == release.id && state_.failure_reason != kFailedSupervisorRestarted)
     return Reject(kRejectedFailedBefore);
   BeginChange(now, release, effects);
--- a/src/rollout/supervisor_model.h
+++ b/src/rollout/supervisor_model.h
@@ -20,14 +20,15 @@
 
 using Time = std::int64_t;  // microseconds; never steps back
 
+// Times are in microseconds.
 struct SupervisorLimits {
   Time ready_timeout = 10'000'000;  // from the start of a process until it is ready
   Time stop_timeout = 15'000'000;   // from SIGTERM to SIGKILL
-  Time lease = 10'000'000;          // how long a claim allows commands
+  Time lease = 10'000'000;          // time after a claim for which commands are accepted
   Time crash_window = 60'000'000;   // crashes no longer count after this long without one
   Time initial_backoff = 200'000;   // wait before a restart, doubled with each further failure
   Time max_backoff = 10'000'000;    // longest wait before a restart
-  int max_attempts = 3;  // failed starts of a new release, or crashes of the active one, to give it up
+  int max_attempts = 3;  // a release is given up after this many failed starts, or crashes while it is active
 };
 
 // A process that may outlive its supervisor. The start time distinguishes it from a later process with the
@@ -40,6 +41,7 @@
 
 // The state that each SupervisorEffect::Kind::kSaveState writes to disk as a whole.
 struct SupervisorState {
+  // These have the same meaning as the fields of SupervisorStatus.
   std::uint64_t epoch = 0;
   std::string driver, plan, directive, directive_reason;
   std::uint64_t directive_number = 0;
@@ -49,6 +51,7 @@
   // The process of the active release, the one that is to replace it, and one that was told to stop.
   ProcessRecord current, next, stopping;
 };
+// Returns the text of the state file.
 std::string EncodeSupervisorState(const SupervisorState& state);
 // Returns nullopt if the text is not a state file of this version.
 std::optional<SupervisorState> DecodeSupervisorState(const std::string& text);
@@ -64,7 +67,7 @@
 
 class Supervisor {
  public:
-  // Numbers of the processes that an earlier supervisor started.
+  // Numbers of the processes in the state, which an earlier supervisor started.
   static constexpr int kRecoveredCurrent = 1, kRecoveredNext = 2, kRecoveredStopping = 3;
 
   Supervisor(std::string node, std::string zone, SupervisorLimits limits, SupervisorState state);
@@ -72,11 +75,16 @@
   // To be called first. Says which of the processes in the state are still alive.
   void Recover(Time now, bool current_lives, bool next_lives, bool stopping_lives,
                SupervisorEffects& effects);
+  // Executes a driver's command or rejects it. The reply must be sent after the effects have been carried
+  // out.
   CommandReply HandleCommand(Time now, const SupervisorCommand& command, SupervisorEffects& effects);
+  // To be called once a process has been started for kStartProcess; `process` is its number.
   void OnProcessStarted(int process, const ProcessRecord& record, SupervisorEffects& effects);
+  // To be called when a process first reports that it is ready.
   void OnProcessReady(Time now, int process, SupervisorEffects& effects);
   // `reason` gives the exit code or signal in words, or why the process could not be started.
   void OnProcessEnded(Time now, int process, const std::string& reason, SupervisorEffects& effects);
+  // To be called at short intervals: enforces the timeouts, and starts processes whose backoff is over.
   void OnTick(Time now, SupervisorEffects& effects);
   // Stops the node. The supervisor may end once has_shut_down() is true.
   void ShutDown(Time now, SupervisorEffects& effects);
@@ -84,6 +92,7 @@
 
   SupervisorStatus Status() const;
   const SupervisorState& state() const { return state_; }
+  // Numbers of the process of the active release and of the one that is to replace it; 0: none.
   int current() const { return current_; }
   int next() const { return next_; }
   bool current_ready() const { return current_ready_; }
@@ -111,16 +120,18 @@
 
   std::string node_, zone_;
   SupervisorLimits limits_;
-  SupervisorState state_;
+  SupervisorState state_;                      // as it is to be saved
   int last_process_ = kRecoveredStopping;      // the highest number given to a process
   int current_ = 0, next_ = 0, stopping_ = 0;  // numbers of processes; 0: none
   bool current_ready_ = false;
+  // When the current process was started or became current, when the next one was started, and when the
+  // stopping one was last sent a signal.
   Time current_since_ = 0, next_since_ = 0, stopping_since_ = 0;
   Time restart_current_at_ = -1, restart_next_at_ = -1;  // -1: no restart is due
   int next_attempts_ = 0;                                // failed starts of the pending release
   int recent_crashes_ = 0;  // of the active release, each within crash_window of the one before
   int crashes_ = 0;         // of the active release since it became active
-  Time crashed_at_ = 0;     // the last crash
+  Time crashed_at_ = 0;     // time of the last crash; 0: none
   // When this supervisor was last claimed; -1: not since it started. A claim before its restart gives no
   // lease.
   Time claimed_at_ = -1;
--- a/tests/rollout_nodes_test.cpp
+++ b/tests/rollout_nodes_test.cpp
@@ -344,7 +344,9 @@
   const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
   auto driver = t.tier.StartRolloutCommand("start", plan, "d1");
   ASSERT_TRUE(t.tier.Until(
-      [&] { return driver->Log().find("0 of 4 status addresses are sure") != std::string::npos; },
+      [&] {
+        return driver->Log().find("0 of 4 status addresses report a confident view") != std::string::npos;
+      },
       30 * kSecond))
       << driver->Log();
   t.RunFor(2 * kSecond);
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -423,7 +423,7 @@
   const std::vector<std::pair<std::string, std::string>> invalid_plans = {
       {kPlan, "[[stage]]"},
       {kPlan + "[[stage]]\ncount = 1\n", "leaves out"},
-      {kPlan + "[[stage]]\nnodes = [\"z\"]\n", "none of [[node]]"},
+      {kPlan + "[[stage]]\nnodes = [\"z\"]\n", "is not the name of any [[node]]"},
       {kPlan + "[[stage]]\ncount = 1\nshare = 0.5\n[[stage]]\n", "one of the three"},
       {kPlan + "[[stage]]\nsoak = 5\n", "soak"},
       {kPlan + "[[stage]]\n[[stage]]\n", "no node is left"},
