--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -475,7 +475,7 @@
   return s;
 }
 
-TEST(RolloutWorld, TheRolloutEndsAndNoInvariantBreaksWhateverFails) {
+TEST(RolloutSimulation, TheRolloutEndsAndNoInvariantBreaksWhateverFails) {
   const auto play = [](auto change) {
     rollout_lab::SimulationSpec s = SmallFleetSpec();
     change(s);
@@ -493,7 +493,7 @@
   }
 }
 
-TEST(RolloutWorld, ABadReleaseIsStoppedAndAGoodOneIsNot) {
+TEST(RolloutSimulation, ABadReleaseIsStoppedAndAGoodOneIsNot) {
   rollout_lab::SimulationSpec s;
   s.max_seconds = 900;
   const auto good = rollout_lab::RunSimulations(s, 24, 4);
@@ -507,7 +507,7 @@
   EXPECT_GE(rollout_lab::RunSimulations(s, 24, 4).stopped_in_first_stage, 22);
 }
 
-TEST(RolloutWorld, BrokenVariantsAreDetected) {
+TEST(RolloutSimulation, BrokenVariantsAreDetected) {
   const auto detects = [](auto change) {
     rollout_lab::SimulationSpec s = SmallFleetSpec();
     s.max_seconds = 150;
