--- a/src/rollout/driver_model.cpp
+++ b/src/rollout/driver_model.cpp
@@ -390,12 +390,12 @@
     return n.second.stage == stage && (IsUpdated(n.second) || IsChanging(n.second));
   });
   const bool may_change =
-      !begun && stage > 0 ? StagePasses(now, stage - 1, commands) : NoHarmSeen(now, commands);
+      !begun && stage > 0 ? StagePasses(now, stage - 1, commands) : PassesInterimAnalysis(now, commands);
   if (may_change) ChangeNodes(now, stage, commands);
 }
 
-// Analyses the new cohort also while a stage changes, so that a bad release gets no more nodes.
-bool Driver::NoHarmSeen(Time now, Commands& commands) {
+// Evaluates the analysis also while a stage changes, so that a bad release gets no more nodes.
+bool Driver::PassesInterimAnalysis(Time now, Commands& commands) {
   canary_result_ = analysis_.Evaluate(0);
   if (!ActOnVerdict(now, commands)) return false;
   StopSoaking();
--- a/src/rollout/driver_model.h
+++ b/src/rollout/driver_model.h
@@ -131,7 +131,7 @@
   std::size_t FirstUnfinishedStage() const;
   // Each of these three returns whether the rollout may go on. If not, it has set the state.
   bool StagePasses(Time now, std::size_t stage, Commands& commands);
-  bool NoHarmSeen(Time now, Commands& commands);
+  bool PassesInterimAnalysis(Time now, Commands& commands);
   bool ActOnVerdict(Time now, Commands& commands);
   void WaitForRequests(Time now, std::size_t stage, Commands& commands);
   void Complete(Time now, Time soak, Commands& commands);
