--- a/tests/rollout_nodes_test.cpp
+++ b/tests/rollout_nodes_test.cpp
@@ -113,267 +113,277 @@
 };
 
 TEST(RolloutNodes, AGoodReleaseReachesAllInStages) {
-  RolloutTest t(25);
-  EXPECT_EQ(t.RunDriver(t.Plan(t.Release("new", t.CopyProgram("ryeglade-2"))), "d1"), 0) << t.driver_log;
-  EXPECT_EQ(t.tier.CountRunning("new"), 4U) << t.driver_log;
+  RolloutTest test(25);
+  EXPECT_EQ(test.RunDriver(test.Plan(test.Release("new", test.CopyProgram("ryeglade-2"))), "d1"), 0)
+      << test.driver_log;
+  EXPECT_EQ(test.tier.CountRunning("new"), 4U) << test.driver_log;
   for (std::size_t i = 0; i < 4; ++i) {
-    const auto status = t.tier.Status(i);
+    const auto status = test.tier.Status(i);
     ASSERT_TRUE(status);
     EXPECT_EQ(status->last_good.id, "new");
     EXPECT_EQ(status->directive, "done");
   }
-  t.StopAndCheckRequests();
+  test.StopAndCheckRequests();
   if (!kSanitized) {
-    EXPECT_EQ(t.tier.request_counts().other, 0U);
+    EXPECT_EQ(test.tier.request_counts().other, 0U);
   }
-  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(t.tier.CountNodeProcesses(i), 1U);
+  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(test.tier.CountNodeProcesses(i), 1U);
 }
 
 TEST(RolloutNodes, AReleaseThatBreaksStreamsIsRolledBackInItsFirstStage) {
-  RolloutTest t;
-  EXPECT_EQ(t.RunDriver(t.Plan(t.Release("bad", t.FaultyRelease("fails"))), "d1"), 3) << t.driver_log;
-  EXPECT_EQ(t.tier.CountRunning("old"), 4U);
-  EXPECT_EQ(t.driver_log.find("course=stage stage=2"), std::string::npos) << t.driver_log;
-  EXPECT_NE(t.driver_log.find("failed"), std::string::npos) << t.driver_log;
-  t.StopAndCheckRequests();
+  RolloutTest test;
+  EXPECT_EQ(test.RunDriver(test.Plan(test.Release("bad", test.FaultyRelease("fails"))), "d1"), 3)
+      << test.driver_log;
+  EXPECT_EQ(test.tier.CountRunning("old"), 4U);
+  EXPECT_EQ(test.driver_log.find("course=stage stage=2"), std::string::npos) << test.driver_log;
+  EXPECT_NE(test.driver_log.find("failed"), std::string::npos) << test.driver_log;
+  test.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, AReleaseThatCrashesIsReplacedByTheLastGoodOne) {
-  RolloutTest t;
-  EXPECT_EQ(t.RunDriver(t.Plan(t.Release("bad", t.FaultyRelease("crashes"))), "d1"), 3) << t.driver_log;
-  EXPECT_EQ(t.tier.CountRunning("old"), 4U);
-  t.StopAndCheckRequests(60);  // requests that a crashing process had accepted are lost
+  RolloutTest test;
+  EXPECT_EQ(test.RunDriver(test.Plan(test.Release("bad", test.FaultyRelease("crashes"))), "d1"), 3)
+      << test.driver_log;
+  EXPECT_EQ(test.tier.CountRunning("old"), 4U);
+  test.StopAndCheckRequests(60);  // requests that a crashing process had accepted are lost
 }
 
 TEST(RolloutNodes, AReleaseThatDoesNotStartOrRejectsItsSettingsNeverServes) {
-  RolloutTest t(30);
-  EXPECT_EQ(t.RunDriver(t.Plan(t.Release("bad", "/bin/false")), "d1"), 3) << t.driver_log;
-  EXPECT_EQ(t.tier.CountRunning("old"), 4U);
-  const std::string settings = t.tier.root() + "/bad.toml";
+  RolloutTest test(30);
+  EXPECT_EQ(test.RunDriver(test.Plan(test.Release("bad", "/bin/false")), "d1"), 3) << test.driver_log;
+  EXPECT_EQ(test.tier.CountRunning("old"), 4U);
+  const std::string settings = test.tier.root() + "/bad.toml";
   std::ofstream(settings) << "[openai]\nlisten = 17\n";
   const std::string plan =
-      t.tier.WritePlan("p2", "id = \"bad2\"\nsettings = \"" + settings + "\"", kStages, kThresholds);
-  auto check = t.tier.StartRolloutCommand("plan", plan, "d2");
-  EXPECT_EQ(t.Wait(*check), 1);
+      test.tier.WritePlan("p2", "id = \"bad2\"\nsettings = \"" + settings + "\"", kStages, kThresholds);
+  auto check = test.tier.StartRolloutCommand("plan", plan, "d2");
+  EXPECT_EQ(test.Wait(*check), 1);
   EXPECT_NE(check->Log().find("REFUSED"), std::string::npos) << check->Log();
-  EXPECT_EQ(t.RunDriver(plan, "d3"), 3) << t.driver_log;
-  EXPECT_EQ(t.tier.CountRunning("old"), 4U);
-  t.StopAndCheckRequests(0);
-  EXPECT_EQ(t.tier.request_counts().other, 0U);
+  EXPECT_EQ(test.RunDriver(plan, "d3"), 3) << test.driver_log;
+  EXPECT_EQ(test.tier.CountRunning("old"), 4U);
+  test.StopAndCheckRequests(0);
+  EXPECT_EQ(test.tier.request_counts().other, 0U);
 }
 
 TEST(RolloutNodes, AReleaseThatReportsNoMetricsIsRolledBack) {
-  RolloutTest t(45);
-  EXPECT_EQ(t.RunDriver(t.Plan(t.Release("bad", t.FaultyRelease("mute"))), "d1"), 3) << t.driver_log;
-  EXPECT_EQ(t.tier.CountRunning("old"), 4U);
-  t.StopAndCheckRequests();
+  RolloutTest test(45);
+  EXPECT_EQ(test.RunDriver(test.Plan(test.Release("bad", test.FaultyRelease("mute"))), "d1"), 3)
+      << test.driver_log;
+  EXPECT_EQ(test.tier.CountRunning("old"), 4U);
+  test.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, AMuchSlowerReleaseIsRolledBack) {
-  RolloutTest t;
-  EXPECT_EQ(t.RunDriver(t.Plan(t.Release("bad", t.FaultyRelease("slow"))), "d1"), 3) << t.driver_log;
-  EXPECT_EQ(t.tier.CountRunning("old"), 4U);
-  t.StopAndCheckRequests();
+  RolloutTest test;
+  EXPECT_EQ(test.RunDriver(test.Plan(test.Release("bad", test.FaultyRelease("slow"))), "d1"), 3)
+      << test.driver_log;
+  EXPECT_EQ(test.tier.CountRunning("old"), 4U);
+  test.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, AReleaseThatIgnoresSigtermIsReplaced) {
-  RolloutTest t(45, 3);
-  EXPECT_EQ(t.RunDriver(t.Plan(t.Release("deaf", t.FaultyRelease("deaf"))), "d1"), 0) << t.driver_log;
-  EXPECT_EQ(
-      t.RunDriver(t.tier.WritePlan("p2", t.Release("new", t.CopyProgram("ryeglade-2")), kStages, kThresholds),
-                  "d2"),
-      0)
-      << t.driver_log;
-  EXPECT_EQ(t.tier.CountRunning("new"), 3U);
-  EXPECT_TRUE(t.tier.Until(
-      [&] { return t.tier.CountNodeProcesses(0) == 1 && t.tier.CountNodeProcesses(1) == 1; }, 20 * kSecond));
-  t.StopAndCheckRequests();
+  RolloutTest test(45, 3);
+  EXPECT_EQ(test.RunDriver(test.Plan(test.Release("deaf", test.FaultyRelease("deaf"))), "d1"), 0)
+      << test.driver_log;
+  EXPECT_EQ(test.RunDriver(test.tier.WritePlan("p2", test.Release("new", test.CopyProgram("ryeglade-2")),
+                                               kStages, kThresholds),
+                           "d2"),
+            0)
+      << test.driver_log;
+  EXPECT_EQ(test.tier.CountRunning("new"), 3U);
+  EXPECT_TRUE(test.tier.Until(
+      [&] { return test.tier.CountNodeProcesses(0) == 1 && test.tier.CountNodeProcesses(1) == 1; },
+      20 * kSecond));
+  test.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, AnotherDriverContinuesAfterEachOneThatIsKilled) {
-  RolloutTest t(60);
-  const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
+  RolloutTest test(60);
+  const std::string plan = test.Plan(test.Release("new", test.CopyProgram("ryeglade-2")));
   unsigned seed = 7;
   int code = -1;
   for (int i = 0; i < 12 && code != 0; ++i) {
-    auto driver = t.tier.StartRolloutCommand("start", plan, "d" + std::to_string(i));
+    auto driver = test.tier.StartRolloutCommand("start", plan, "d" + std::to_string(i));
     seed = seed * 1103515245 + 12345;
     // The first eight drivers are killed after 1.3 to 3.3 s.
     const Time lifetime = i < 8 ? 1'300'000 + static_cast<Time>(seed / 65536 % 2000) * 1000 : 60 * kSecond;
-    t.tier.Until([&] { return !driver->IsRunning(); }, lifetime);
+    test.tier.Until([&] { return !driver->IsRunning(); }, lifetime);
     if (driver->IsRunning()) {
       driver->Signal(SIGKILL);
-      t.Wait(*driver);
+      test.Wait(*driver);
     } else {
-      code = t.Wait(*driver);
+      code = test.Wait(*driver);
     }
   }
   EXPECT_EQ(code, 0);
-  EXPECT_EQ(t.tier.CountRunning("new"), 4U);
-  t.StopAndCheckRequests();
+  EXPECT_EQ(test.tier.CountRunning("new"), 4U);
+  test.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, APausedDriverThatContinuesWithAnOldEpochIsRejected) {
-  RolloutTest t(45);
-  const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
-  auto first = t.tier.StartRolloutCommand("start", plan, "first");
-  EXPECT_TRUE(t.tier.Until([&] { return t.tier.CountRunning("new") == 1; }, 30 * kSecond));
+  RolloutTest test(45);
+  const std::string plan = test.Plan(test.Release("new", test.CopyProgram("ryeglade-2")));
+  auto first = test.tier.StartRolloutCommand("start", plan, "first");
+  EXPECT_TRUE(test.tier.Until([&] { return test.tier.CountRunning("new") == 1; }, 30 * kSecond));
   first->Signal(SIGSTOP);
-  EXPECT_EQ(t.RunDriver(plan, "second"), 0) << t.driver_log;
+  EXPECT_EQ(test.RunDriver(plan, "second"), 0) << test.driver_log;
   first->Signal(SIGCONT);
-  EXPECT_EQ(t.Wait(*first), 4) << first->Log();
-  EXPECT_EQ(t.tier.CountRunning("new"), 4U);
-  t.StopAndCheckRequests();
+  EXPECT_EQ(test.Wait(*first), 4) << first->Log();
+  EXPECT_EQ(test.tier.CountRunning("new"), 4U);
+  test.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, ALostReplyDoesNotRepeatAStep) {
-  RolloutTest t(45);
-  const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
-  auto driver = t.tier.StartRolloutCommand("start", plan, "d1");
-  t.RunFor(1'500'000);
-  t.tier.CutLink(0, false, true);  // it receives commands, and its replies are lost
-  t.RunFor(3 * kSecond);
-  t.tier.CutLink(0, false, false);
-  EXPECT_EQ(t.Wait(*driver), 0) << driver->Log();
-  EXPECT_EQ(t.tier.CountRunning("new"), 4U);
-  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(t.tier.CountNodeProcesses(i), 1U);
-  t.StopAndCheckRequests();
+  RolloutTest test(45);
+  const std::string plan = test.Plan(test.Release("new", test.CopyProgram("ryeglade-2")));
+  auto driver = test.tier.StartRolloutCommand("start", plan, "d1");
+  test.RunFor(1'500'000);
+  test.tier.CutLink(0, false, true);  // it receives commands, and its replies are lost
+  test.RunFor(3 * kSecond);
+  test.tier.CutLink(0, false, false);
+  EXPECT_EQ(test.Wait(*driver), 0) << driver->Log();
+  EXPECT_EQ(test.tier.CountRunning("new"), 4U);
+  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(test.tier.CountNodeProcesses(i), 1U);
+  test.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, ADelayedLinkIsToleratedAndAnUnreachableNodeSkipped) {
-  RolloutTest t(45);
-  t.tier.SetLinkDelay(50'000);
-  t.tier.CutLink(3, true, true);
-  const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
-  EXPECT_EQ(t.RunDriver(plan, "d1"), 0) << t.driver_log;
-  EXPECT_NE(t.driver_log.find("passed_over=n3"), std::string::npos) << t.driver_log;
-  EXPECT_EQ(t.tier.CountRunning("new"), 3U);
+  RolloutTest test(45);
+  test.tier.SetLinkDelay(50'000);
+  test.tier.CutLink(3, true, true);
+  const std::string plan = test.Plan(test.Release("new", test.CopyProgram("ryeglade-2")));
+  EXPECT_EQ(test.RunDriver(plan, "d1"), 0) << test.driver_log;
+  EXPECT_NE(test.driver_log.find("passed_over=n3"), std::string::npos) << test.driver_log;
+  EXPECT_EQ(test.tier.CountRunning("new"), 3U);
   // Once it can be reached again, the same plan updates it.
-  t.tier.CutLink(3, false, false);
-  EXPECT_EQ(t.RunDriver(plan, "d2"), 0) << t.driver_log;
-  EXPECT_EQ(t.tier.CountRunning("new"), 4U);
-  t.StopAndCheckRequests();
+  test.tier.CutLink(3, false, false);
+  EXPECT_EQ(test.RunDriver(plan, "d2"), 0) << test.driver_log;
+  EXPECT_EQ(test.tier.CountRunning("new"), 4U);
+  test.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, AKeeperKilledDuringAHotRestartIsReplacedByOneThatAdoptsTheNode) {
-  RolloutTest t(50);
-  const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
-  auto driver = t.tier.StartRolloutCommand("start", plan, "d1");
-  EXPECT_TRUE(t.tier.Until([&] { return t.tier.CountNodeProcesses(0) == 2; }, 20 * kSecond));
-  t.tier.KillSupervisor(0);
-  t.RunFor(kSecond);
-  t.tier.StartSupervisor(0);
-  EXPECT_EQ(t.Wait(*driver), 0) << driver->Log();
-  EXPECT_EQ(t.tier.CountRunning("new"), 4U) << driver->Log();
-  EXPECT_TRUE(t.tier.Until([&] { return t.tier.CountNodeProcesses(0) == 1; }, 20 * kSecond))
-      << t.tier.SupervisorLog(0);
-  t.StopAndCheckRequests();
+  RolloutTest test(50);
+  const std::string plan = test.Plan(test.Release("new", test.CopyProgram("ryeglade-2")));
+  auto driver = test.tier.StartRolloutCommand("start", plan, "d1");
+  EXPECT_TRUE(test.tier.Until([&] { return test.tier.CountNodeProcesses(0) == 2; }, 20 * kSecond));
+  test.tier.KillSupervisor(0);
+  test.RunFor(kSecond);
+  test.tier.StartSupervisor(0);
+  EXPECT_EQ(test.Wait(*driver), 0) << driver->Log();
+  EXPECT_EQ(test.tier.CountRunning("new"), 4U) << driver->Log();
+  EXPECT_TRUE(test.tier.Until([&] { return test.tier.CountNodeProcesses(0) == 1; }, 20 * kSecond))
+      << test.tier.SupervisorLog(0);
+  test.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, ANodeAndAKeeperThatAreKilledAreRestartedAndTheRolloutCompletes) {
-  RolloutTest t(50);
-  const pid_t before = t.tier.NodePid(2);
+  RolloutTest test(50);
+  const pid_t before = test.tier.NodePid(2);
   kill(before, SIGKILL);
-  EXPECT_TRUE(
-      t.tier.Until([&] { return t.tier.NodePid(2) > 0 && t.tier.NodePid(2) != before; }, 20 * kSecond));
-  t.tier.KillSupervisor(1);  // a node keeps running without its keeper
-  EXPECT_EQ(t.tier.CountNodeProcesses(1), 1U);
-  t.tier.StartSupervisor(1);
-  EXPECT_TRUE(t.tier.WaitUntilRunning());
-  EXPECT_EQ(t.tier.CountNodeProcesses(1), 1U);
-  EXPECT_EQ(t.RunDriver(t.Plan(t.Release("new", t.CopyProgram("ryeglade-2"))), "d1"), 0) << t.driver_log;
-  EXPECT_EQ(t.tier.CountRunning("new"), 4U);
+  EXPECT_TRUE(test.tier.Until([&] { return test.tier.NodePid(2) > 0 && test.tier.NodePid(2) != before; },
+                              20 * kSecond));
+  test.tier.KillSupervisor(1);  // a node keeps running without its keeper
+  EXPECT_EQ(test.tier.CountNodeProcesses(1), 1U);
+  test.tier.StartSupervisor(1);
+  EXPECT_TRUE(test.tier.WaitUntilRunning());
+  EXPECT_EQ(test.tier.CountNodeProcesses(1), 1U);
+  EXPECT_EQ(test.RunDriver(test.Plan(test.Release("new", test.CopyProgram("ryeglade-2"))), "d1"), 0)
+      << test.driver_log;
+  EXPECT_EQ(test.tier.CountRunning("new"), 4U);
   // Requests that the killed process had accepted are lost, and so are those that found no listener until it
   // was restarted.
-  t.StopAndCheckRequests(60);
+  test.StopAndCheckRequests(60);
 }
 
 TEST(RolloutNodes, LosingHalfOfTheReplicasIsNotBlamedOnAGoodRelease) {
-  RolloutTest t(45);
-  const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
-  auto driver = t.tier.StartRolloutCommand("start", plan, "d1");
-  EXPECT_TRUE(t.tier.Until([&] { return t.tier.CountNodeProcesses(0) == 2; }, 20 * kSecond));
-  t.tier.replicas()[0]->options().batch = t.tier.replicas()[0]->options().queue = 0;  // it rejects everything
-  EXPECT_EQ(t.Wait(*driver), 0) << driver->Log();
-  EXPECT_EQ(t.tier.CountRunning("new"), 4U);
-  t.StopAndCheckRequests();
+  RolloutTest test(45);
+  const std::string plan = test.Plan(test.Release("new", test.CopyProgram("ryeglade-2")));
+  auto driver = test.tier.StartRolloutCommand("start", plan, "d1");
+  EXPECT_TRUE(test.tier.Until([&] { return test.tier.CountNodeProcesses(0) == 2; }, 20 * kSecond));
+  test.tier.replicas()[0]->options().batch = test.tier.replicas()[0]->options().queue =
+      0;  // it rejects everything
+  EXPECT_EQ(test.Wait(*driver), 0) << driver->Log();
+  EXPECT_EQ(test.tier.CountRunning("new"), 4U);
+  test.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, AnOperatorPausesAnUnfinishedRolloutAndRollsItBack) {
-  RolloutTest t(45);
-  const std::string plan = t.tier.WritePlan("p", t.Release("new", t.CopyProgram("ryeglade-2")),
-                                            "[[stage]]\ncount = 1\nsoak = \"60s\"\n[[stage]]\n", kThresholds);
-  auto driver = t.tier.StartRolloutCommand("start", plan, "d1");
-  EXPECT_TRUE(t.tier.Until([&] { return t.tier.CountRunning("new") == 1; }, 30 * kSecond));
-  auto pause = t.tier.StartRolloutCommand("pause", plan, "op1");
-  EXPECT_EQ(t.Wait(*pause), 0) << pause->Log();
-  EXPECT_EQ(t.Wait(*driver), 4) << driver->Log();  // superseded by the operator's command
-  auto back = t.tier.StartRolloutCommand("back", plan, "op2");
-  EXPECT_EQ(t.Wait(*back), 3) << back->Log();
-  EXPECT_EQ(t.tier.CountRunning("old"), 4U);
-  t.StopAndCheckRequests();
+  RolloutTest test(45);
+  const std::string plan =
+      test.tier.WritePlan("p", test.Release("new", test.CopyProgram("ryeglade-2")),
+                          "[[stage]]\ncount = 1\nsoak = \"60s\"\n[[stage]]\n", kThresholds);
+  auto driver = test.tier.StartRolloutCommand("start", plan, "d1");
+  EXPECT_TRUE(test.tier.Until([&] { return test.tier.CountRunning("new") == 1; }, 30 * kSecond));
+  auto pause = test.tier.StartRolloutCommand("pause", plan, "op1");
+  EXPECT_EQ(test.Wait(*pause), 0) << pause->Log();
+  EXPECT_EQ(test.Wait(*driver), 4) << driver->Log();  // superseded by the operator's command
+  auto back = test.tier.StartRolloutCommand("back", plan, "op2");
+  EXPECT_EQ(test.Wait(*back), 3) << back->Log();
+  EXPECT_EQ(test.tier.CountRunning("old"), 4U);
+  test.StopAndCheckRequests();
 }
 
 TEST(RolloutNodes, ANodeThatIsDeadInTheClusterViewIsNotChangedUntilItReturns) {
-  RolloutTest t(60, 4, true);
-  ASSERT_TRUE(t.AllSettled(4));
-  t.tier.SignalNode(2, SIGSTOP);  // its keeper still runs and would execute commands
-  const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
-  auto driver = t.tier.StartRolloutCommand("start", plan, "d1");
+  RolloutTest test(60, 4, true);
+  ASSERT_TRUE(test.AllSettled(4));
+  test.tier.SignalNode(2, SIGSTOP);  // its keeper still runs and would execute commands
+  const std::string plan = test.Plan(test.Release("new", test.CopyProgram("ryeglade-2")));
+  auto driver = test.tier.StartRolloutCommand("start", plan, "d1");
   EXPECT_TRUE(
-      t.tier.Until([&] { return driver->Log().find("left_alone=n2") != std::string::npos; }, 30 * kSecond))
+      test.tier.Until([&] { return driver->Log().find("left_alone=n2") != std::string::npos; }, 30 * kSecond))
       << driver->Log();
-  EXPECT_EQ(t.Wait(*driver), 0) << driver->Log();
+  EXPECT_EQ(test.Wait(*driver), 0) << driver->Log();
   EXPECT_NE(driver->Log().find("dead=n2"), std::string::npos) << driver->Log();
   EXPECT_NE(driver->Log().find("passed_over=n2"), std::string::npos) << driver->Log();
-  EXPECT_EQ(t.tier.CountRunning("new"), 3U);
-  EXPECT_EQ(t.tier.CountNodeProcesses(2), 1U);  // no process was started beside it
-  t.tier.SignalNode(2, SIGCONT);
-  ASSERT_TRUE(t.tier.Until([&] { return t.tier.AliveMembers(0) == 4; }, 30 * kSecond));
-  EXPECT_EQ(t.RunDriver(plan, "d2"), 0) << t.driver_log;
-  EXPECT_EQ(t.tier.CountRunning("new"), 4U) << t.driver_log;
-  t.StopAndCheckRequests(3000);  // requests of its clients while it was stopped are lost
+  EXPECT_EQ(test.tier.CountRunning("new"), 3U);
+  EXPECT_EQ(test.tier.CountNodeProcesses(2), 1U);  // no process was started beside it
+  test.tier.SignalNode(2, SIGCONT);
+  ASSERT_TRUE(test.tier.Until([&] { return test.tier.AliveMembers(0) == 4; }, 30 * kSecond));
+  EXPECT_EQ(test.RunDriver(plan, "d2"), 0) << test.driver_log;
+  EXPECT_EQ(test.tier.CountRunning("new"), 4U) << test.driver_log;
+  test.StopAndCheckRequests(3000);  // requests of its clients while it was stopped are lost
 }
 
 TEST(RolloutNodes, NoChangeBeginsWhileTheClusterViewIsInDoubt) {
-  RolloutTest t(60, 4, true);
-  ASSERT_TRUE(t.AllSettled(4));
-  t.tier.SignalNode(2, SIGSTOP);
-  t.tier.SignalNode(3, SIGSTOP);
-  ASSERT_TRUE(t.tier.Until([&] { return t.tier.InDoubt(0) && t.tier.InDoubt(1); }, 30 * kSecond));
-  const std::string plan = t.Plan(t.Release("new", t.CopyProgram("ryeglade-2")));
-  auto driver = t.tier.StartRolloutCommand("start", plan, "d1");
-  ASSERT_TRUE(t.tier.Until(
+  RolloutTest test(60, 4, true);
+  ASSERT_TRUE(test.AllSettled(4));
+  test.tier.SignalNode(2, SIGSTOP);
+  test.tier.SignalNode(3, SIGSTOP);
+  ASSERT_TRUE(test.tier.Until([&] { return test.tier.InDoubt(0) && test.tier.InDoubt(1); }, 30 * kSecond));
+  const std::string plan = test.Plan(test.Release("new", test.CopyProgram("ryeglade-2")));
+  auto driver = test.tier.StartRolloutCommand("start", plan, "d1");
+  ASSERT_TRUE(test.tier.Until(
       [&] {
         return driver->Log().find("0 of 4 status addresses report a confident view") != std::string::npos;
       },
       30 * kSecond))
       << driver->Log();
-  t.RunFor(2 * kSecond);
-  EXPECT_EQ(t.tier.CountRunning("old"), 4U) << driver->Log();
-  t.tier.SignalNode(2, SIGCONT);
-  t.tier.SignalNode(3, SIGCONT);
-  EXPECT_EQ(t.Wait(*driver), 0) << driver->Log();
-  EXPECT_EQ(t.tier.CountRunning("new"), 4U) << driver->Log();
-  t.StopAndCheckRequests(3000);
+  test.RunFor(2 * kSecond);
+  EXPECT_EQ(test.tier.CountRunning("old"), 4U) << driver->Log();
+  test.tier.SignalNode(2, SIGCONT);
+  test.tier.SignalNode(3, SIGCONT);
+  EXPECT_EQ(test.Wait(*driver), 0) << driver->Log();
+  EXPECT_EQ(test.tier.CountRunning("new"), 4U) << driver->Log();
+  test.StopAndCheckRequests(3000);
 }
 
 TEST(RolloutNodes, TheRecordShowsWhatTheDriverSawAndIsDrawnAsAChart) {
-  RolloutTest t(25, 3);
-  const std::string record = t.tier.root() + "/record.jsonl", chart = t.tier.root() + "/chart.svg";
-  auto driver = t.tier.StartRolloutCommand("start", t.Plan(t.Release("new", t.CopyProgram("ryeglade-2"))),
-                                           "d1", {"--record", record});
-  EXPECT_EQ(t.Wait(*driver), 0) << driver->Log();
+  RolloutTest test(25, 3);
+  const std::string record = test.tier.root() + "/record.jsonl", chart = test.tier.root() + "/chart.svg";
+  auto driver = test.tier.StartRolloutCommand(
+      "start", test.Plan(test.Release("new", test.CopyProgram("ryeglade-2"))), "d1", {"--record", record});
+  EXPECT_EQ(test.Wait(*driver), 0) << driver->Log();
   ChildProcess report({Program(), "rollout", "report", record, "--chart", chart, "--csv", record + ".csv"},
                       record + ".log");
-  EXPECT_EQ(t.Wait(report), 0) << report.Log();
+  EXPECT_EQ(test.Wait(report), 0) << report.Log();
   EXPECT_NE(report.Log().find("done"), std::string::npos) << report.Log();
   EXPECT_NE(report.Log().find("first-token"), std::string::npos) << report.Log();
   std::ifstream svg(chart);
   const std::string svg_text((std::istreambuf_iterator<char>(svg)), std::istreambuf_iterator<char>());
   EXPECT_NE(svg_text.find("</svg>"), std::string::npos);
   EXPECT_NE(svg_text.find("n2"), std::string::npos);
-  t.StopAndCheckRequests();
+  test.StopAndCheckRequests();
 }
 
 }  // namespace
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -311,80 +311,80 @@
 };
 
 TEST(Supervisor, RejectsCommandsWithoutAFreshClaimOfTheHighestEpoch) {
-  SupervisorTest t;
-  EXPECT_EQ(t.Send(CommandKind::kChange).reason, "claim-first");
-  EXPECT_TRUE(t.Send(CommandKind::kClaim, 5).accepted);
-  EXPECT_EQ(t.Send(CommandKind::kChange, 4).reason, "stale");
-  EXPECT_EQ(t.Send(CommandKind::kChange, 5, "other").reason, "stale");
-  EXPECT_EQ(t.Send(CommandKind::kClaim, 4).reason, "stale");
-  t.now += t.limits.lease + 1;
-  EXPECT_EQ(t.Send(CommandKind::kChange, 5).reason, "lease");
-  EXPECT_TRUE(t.Send(CommandKind::kClaim, 5).accepted);
-  EXPECT_TRUE(t.Send(CommandKind::kChange, 5).accepted);
-  EXPECT_EQ(t.StartedProcesses(), 1);
+  SupervisorTest test;
+  EXPECT_EQ(test.Send(CommandKind::kChange).reason, "claim-first");
+  EXPECT_TRUE(test.Send(CommandKind::kClaim, 5).accepted);
+  EXPECT_EQ(test.Send(CommandKind::kChange, 4).reason, "stale");
+  EXPECT_EQ(test.Send(CommandKind::kChange, 5, "other").reason, "stale");
+  EXPECT_EQ(test.Send(CommandKind::kClaim, 4).reason, "stale");
+  test.now += test.limits.lease + 1;
+  EXPECT_EQ(test.Send(CommandKind::kChange, 5).reason, "lease");
+  EXPECT_TRUE(test.Send(CommandKind::kClaim, 5).accepted);
+  EXPECT_TRUE(test.Send(CommandKind::kChange, 5).accepted);
+  EXPECT_EQ(test.StartedProcesses(), 1);
 }
 
 TEST(Supervisor, ACommandSentTwiceIsExecutedOnce) {
-  SupervisorTest t;
-  t.Send(CommandKind::kClaim);
-  EXPECT_TRUE(t.Send(CommandKind::kChange).accepted);
-  EXPECT_EQ(t.StartedProcesses(), 1);
-  EXPECT_TRUE(t.Send(CommandKind::kChange).accepted);
-  EXPECT_EQ(t.StartedProcesses(), 0);
-  t.supervisor->OnProcessReady(t.now, t.supervisor->next(), t.effects);
-  EXPECT_EQ(t.supervisor->Status().active.id, "new");
-  EXPECT_TRUE(t.Send(CommandKind::kChange).accepted);
-  EXPECT_EQ(t.StartedProcesses(), 0);
+  SupervisorTest test;
+  test.Send(CommandKind::kClaim);
+  EXPECT_TRUE(test.Send(CommandKind::kChange).accepted);
+  EXPECT_EQ(test.StartedProcesses(), 1);
+  EXPECT_TRUE(test.Send(CommandKind::kChange).accepted);
+  EXPECT_EQ(test.StartedProcesses(), 0);
+  test.supervisor->OnProcessReady(test.now, test.supervisor->next(), test.effects);
+  EXPECT_EQ(test.supervisor->Status().active.id, "new");
+  EXPECT_TRUE(test.Send(CommandKind::kChange).accepted);
+  EXPECT_EQ(test.StartedProcesses(), 0);
 }
 
 TEST(Supervisor, ANewReleaseThatIsNeverReadyIsAbandonedAndTheOldOneKeepsServing) {
-  SupervisorTest t;
-  t.Send(CommandKind::kClaim);
-  t.Send(CommandKind::kChange);
-  const int current = t.supervisor->current();
+  SupervisorTest test;
+  test.Send(CommandKind::kClaim);
+  test.Send(CommandKind::kChange);
+  const int current = test.supervisor->current();
   int starts = 1;
   for (int i = 0; i < 1000; ++i) {
-    t.now += 100'000;
-    t.effects.clear();
-    t.supervisor->OnTick(t.now, t.effects);
-    starts += t.StartedProcesses();
+    test.now += 100'000;
+    test.effects.clear();
+    test.supervisor->OnTick(test.now, test.effects);
+    starts += test.StartedProcesses();
   }
-  EXPECT_EQ(starts, t.limits.max_attempts);
-  EXPECT_EQ(t.supervisor->current(), current);
-  EXPECT_EQ(t.supervisor->Status().failed_release, "new");
-  EXPECT_EQ(t.supervisor->Status().failure_reason, "never-ready");
-  t.Send(CommandKind::kClaim);
-  EXPECT_EQ(t.Send(CommandKind::kChange).reason, "failed-before");
+  EXPECT_EQ(starts, test.limits.max_attempts);
+  EXPECT_EQ(test.supervisor->current(), current);
+  EXPECT_EQ(test.supervisor->Status().failed_release, "new");
+  EXPECT_EQ(test.supervisor->Status().failure_reason, "never-ready");
+  test.Send(CommandKind::kClaim);
+  EXPECT_EQ(test.Send(CommandKind::kChange).reason, "failed-before");
 }
 
 TEST(Supervisor, AReleaseThatCrashLoopsIsReplacedByTheLastGoodOneWithoutADriver) {
-  SupervisorTest t;
-  t.Send(CommandKind::kClaim);
-  t.Send(CommandKind::kChange);
-  t.supervisor->OnProcessReady(t.now, t.supervisor->next(), t.effects);
-  for (int i = 0; i < 200 && t.supervisor->Status().active.id == "new"; ++i) {
-    t.now += 500'000;
-    t.effects.clear();
-    t.supervisor->OnTick(t.now, t.effects);
-    if (t.supervisor->current() != 0)
-      t.supervisor->OnProcessEnded(t.now, t.supervisor->current(), "signal 6", t.effects);
+  SupervisorTest test;
+  test.Send(CommandKind::kClaim);
+  test.Send(CommandKind::kChange);
+  test.supervisor->OnProcessReady(test.now, test.supervisor->next(), test.effects);
+  for (int i = 0; i < 200 && test.supervisor->Status().active.id == "new"; ++i) {
+    test.now += 500'000;
+    test.effects.clear();
+    test.supervisor->OnTick(test.now, test.effects);
+    if (test.supervisor->current() != 0)
+      test.supervisor->OnProcessEnded(test.now, test.supervisor->current(), "signal 6", test.effects);
   }
-  EXPECT_EQ(t.supervisor->Status().active.id, "old");
-  EXPECT_EQ(t.supervisor->Status().failed_release, "new");
-  EXPECT_NE(t.supervisor->current(), 0);
+  EXPECT_EQ(test.supervisor->Status().active.id, "old");
+  EXPECT_EQ(test.supervisor->Status().failed_release, "new");
+  EXPECT_NE(test.supervisor->current(), 0);
 }
 
 TEST(Supervisor, KeepsItsStateAcrossARestartAndStartsNoSecondNode) {
-  SupervisorTest t;
-  t.Send(CommandKind::kClaim, 9);
-  t.Send(CommandKind::kChange, 9);
-  t.supervisor->OnProcessStarted(t.supervisor->next(), {77, 5, "m"}, t.effects);
-  const auto state = rollout::DecodeSupervisorState(rollout::EncodeSupervisorState(t.supervisor->state()));
+  SupervisorTest test;
+  test.Send(CommandKind::kClaim, 9);
+  test.Send(CommandKind::kChange, 9);
+  test.supervisor->OnProcessStarted(test.supervisor->next(), {77, 5, "m"}, test.effects);
+  const auto state = rollout::DecodeSupervisorState(rollout::EncodeSupervisorState(test.supervisor->state()));
   ASSERT_TRUE(state);
   EXPECT_EQ(state->next.pid, 77);
-  rollout::Supervisor restarted("n0", "a", t.limits, *state);
+  rollout::Supervisor restarted("n0", "a", test.limits, *state);
   rollout::SupervisorEffects effects;
-  restarted.Recover(t.now, true, true, false,
+  restarted.Recover(test.now, true, true, false,
                     effects);  // both are alive: the process of the change is killed
   int starts = 0, kills = 0;
   for (const auto& effect : effects) {
@@ -394,10 +394,10 @@
   EXPECT_EQ(starts, 0);
   EXPECT_EQ(kills, 1);
   EXPECT_EQ(restarted.Status().epoch, 9U);
-  rollout::Supervisor restarted_with_next("n0", "a", t.limits, *state);
+  rollout::Supervisor restarted_with_next("n0", "a", test.limits, *state);
   effects.clear();
   // Only the new process is alive: it becomes the current one.
-  restarted_with_next.Recover(t.now, false, true, false, effects);
+  restarted_with_next.Recover(test.now, false, true, false, effects);
   EXPECT_EQ(restarted_with_next.Status().active.id, "new");
   for (const auto& effect : effects) EXPECT_EQ(effect.kind, SupervisorEffect::Kind::kSaveState);
 }
@@ -466,27 +466,28 @@
 // ---- Whole rollouts in virtual time ----
 
 rollout_lab::SimulationSpec SmallFleetSpec() {
-  rollout_lab::SimulationSpec s;
-  s.nodes = 8;
-  s.stages = {1, 2};
-  s.soak_seconds = 10;
-  s.requests = 100;
-  s.max_seconds = 1500;
-  return s;
+  rollout_lab::SimulationSpec spec;
+  spec.nodes = 8;
+  spec.stages = {1, 2};
+  spec.soak_seconds = 10;
+  spec.requests = 100;
+  spec.max_seconds = 1500;
+  return spec;
 }
 
 TEST(RolloutSimulation, TheRolloutEndsAndNoInvariantBreaksWhateverFails) {
   const auto play = [](auto change) {
-    rollout_lab::SimulationSpec s = SmallFleetSpec();
-    change(s);
-    return rollout_lab::RunSimulations(s, 20, 4);
+    rollout_lab::SimulationSpec spec = SmallFleetSpec();
+    change(spec);
+    return rollout_lab::RunSimulations(spec, 20, 4);
   };
   for (const auto& result :
-       {play([](auto& s) { s.driver_kill_probability = 0.003, s.message_loss = 0.2; }),
-        play([](auto& s) { s.concurrent_drivers = true, s.message_loss = 0.1; }),
-        play([](auto& s) { s.driver_pause_probability = 0.02, s.concurrent_drivers = true; }),
-        play([](auto& s) {
-          s.supervisor_kills_per_second = 0.005, s.driver_kill_probability = 0.002, s.message_loss = 0.1;
+       {play([](auto& spec) { spec.driver_kill_probability = 0.003, spec.message_loss = 0.2; }),
+        play([](auto& spec) { spec.concurrent_drivers = true, spec.message_loss = 0.1; }),
+        play([](auto& spec) { spec.driver_pause_probability = 0.02, spec.concurrent_drivers = true; }),
+        play([](auto& spec) {
+          spec.supervisor_kills_per_second = 0.005, spec.driver_kill_probability = 0.002,
+          spec.message_loss = 0.1;
         })}) {
     EXPECT_TRUE(result.violations.empty()) << result.violations.front();
     EXPECT_EQ(result.done, result.runs);
@@ -494,32 +495,33 @@
 }
 
 TEST(RolloutSimulation, ABadReleaseIsStoppedAndAGoodOneIsNot) {
-  rollout_lab::SimulationSpec s;
-  s.max_seconds = 900;
-  const auto good = rollout_lab::RunSimulations(s, 24, 4);
+  rollout_lab::SimulationSpec spec;
+  spec.max_seconds = 900;
+  const auto good = rollout_lab::RunSimulations(spec, 24, 4);
   EXPECT_LE(good.stopped, 1);
   EXPECT_GE(good.done, 22);
-  s.defects.failed_share = 0.05;
-  const auto bad = rollout_lab::RunSimulations(s, 24, 4);
+  spec.defects.failed_share = 0.05;
+  const auto bad = rollout_lab::RunSimulations(spec, 24, 4);
   EXPECT_GE(bad.stopped_in_first_stage, 22);
-  s.defects = {};
-  s.defects.first_token_slowdown = 0.3;
-  EXPECT_GE(rollout_lab::RunSimulations(s, 24, 4).stopped_in_first_stage, 22);
+  spec.defects = {};
+  spec.defects.first_token_slowdown = 0.3;
+  EXPECT_GE(rollout_lab::RunSimulations(spec, 24, 4).stopped_in_first_stage, 22);
 }
 
 TEST(RolloutSimulation, BrokenVariantsAreDetected) {
   const auto detects = [](auto change) {
-    rollout_lab::SimulationSpec s = SmallFleetSpec();
-    s.max_seconds = 150;
-    change(s);
-    return !rollout_lab::RunSimulations(s, 10, 4).violations.empty();
+    rollout_lab::SimulationSpec spec = SmallFleetSpec();
+    spec.max_seconds = 150;
+    change(spec);
+    return !rollout_lab::RunSimulations(spec, 10, 4).violations.empty();
   };
-  EXPECT_TRUE(detects([](auto& s) {
-    s.accepts_any_epoch = true, s.concurrent_drivers = true, s.message_loss = 0.1,
-    s.driver_pause_probability = 0.02;
+  EXPECT_TRUE(detects([](auto& spec) {
+    spec.accepts_any_epoch = true, spec.concurrent_drivers = true, spec.message_loss = 0.1,
+    spec.driver_pause_probability = 0.02;
   }));
-  EXPECT_TRUE(detects([](auto& s) { s.ignores_max_concurrent = true; }));
-  EXPECT_TRUE(detects([](auto& s) { s.forgets_last_good = true, s.supervisor_kills_per_second = 0.02; }));
+  EXPECT_TRUE(detects([](auto& spec) { spec.ignores_max_concurrent = true; }));
+  EXPECT_TRUE(
+      detects([](auto& spec) { spec.forgets_last_good = true, spec.supervisor_kills_per_second = 0.02; }));
 }
 
 // Largest number of faults in an explored course. The sanitizers make each step ten times slower, so with
