--- a/src/admin/admin_front.h
+++ b/src/admin/admin_front.h
@@ -9,15 +9,15 @@
 
 namespace ryeglade {
 
-// Implemented by the node.
+// What the management address shows and changes of a node. Implemented by the node.
 class AdminPort {
  public:
   virtual ~AdminPort() = default;
-  virtual bool is_ready() const = 0;             // accepts clients
-  virtual std::string CountersText() const = 0;  // in the Prometheus text format
-  virtual std::string MetricsText() const = 0;   // JSON; a rollout compares nodes by it
-  // Takes the replica named `instance` out of use, or puts it back. Returns false if there is no such
-  // replica.
+  virtual bool is_ready() const = 0;             // whether the node accepts clients
+  virtual std::string CountersText() const = 0;  // the counters in the Prometheus text format
+  virtual std::string MetricsText() const = 0;   // the metrics by which a rollout compares nodes, as JSON
+  // Takes the replica named `instance` out of use if `disabled` is set, and puts it back into use otherwise.
+  // Returns false if there is no such replica.
   virtual bool DisableReplica(std::string_view instance, bool disabled) = 0;
 };
 
--- a/src/admin/counters.h
+++ b/src/admin/counters.h
@@ -10,8 +10,9 @@
 
 namespace ryeglade {
 
+// The values that CountersText writes out.
 struct CounterView {
-  const NodeCounters* counters = nullptr;
+  const NodeCounters* counters = nullptr;  // must not be null; not owned
   std::vector<std::string> classes;  // configured classes; each has a sample even before its first request
   std::uint64_t inflight = 0;        // requests received and not yet ended
   std::uint64_t hosts_listed = 0;    // replicas in the endpoint list
@@ -19,6 +20,7 @@
   CloseCounts closed{};              // connections of clients that were closed, by reason
 };
 
+// Returns the samples in the Prometheus text format, version 0.0.4.
 std::string CountersText(const CounterView& view);
 
 }  // namespace ryeglade
