--- a/src/columnar/columnar_file.cpp
+++ b/src/columnar/columnar_file.cpp
@@ -50,14 +50,14 @@
   }
 }
 
-// Builds the file in memory and returns its bytes, so that ReplaceFile does all the disk access and reports
-// its errors.
+// Builds the file in memory and returns its bytes. Only ReplaceFile then accesses the disk, so that all disk
+// errors are reported in the same way.
 std::string Bytes(const ColumnarFile& file) {
   H5::FileAccPropList memory;
   memory.setCore(std::size_t{1} << 20, false);
   H5::H5File out("in memory", H5F_ACC_TRUNC, H5::FileCreatPropList::DEFAULT, memory);
   for (const auto& [name, text] : file.attributes) {
-    // HDF5 stores strings of variable length in a heap, so that the attribute may be long.
+    // A string of variable length is stored in a heap, so the size limit of attributes does not apply to it.
     const char* pointer = text.c_str();
     out.createAttribute(name, TextType(), H5::DataSpace()).write(TextType(), &pointer);
   }
@@ -97,7 +97,8 @@
     }
     case H5T_STRING: {
       if (!set.getStrType().isVariableStr())
-        throw std::runtime_error("column " + name + " has strings of fixed length");
+        throw std::runtime_error("column " + name +
+                                 " has strings of fixed length; expected strings of variable length");
       std::vector<char*> pointers(n);
       const H5::StrType type = TextType();
       if (n > 0) set.read(pointers.data(), type);
@@ -108,7 +109,8 @@
       return {name, std::move(v)};
     }
     default:
-      throw std::runtime_error("column " + name + " has an unknown type");
+      throw std::runtime_error("column " + name +
+                               " is neither of a float type, nor of an integer type, nor of a string type");
   }
 }
 
--- a/src/columnar/columnar_file.h
+++ b/src/columnar/columnar_file.h
@@ -13,16 +13,17 @@
 namespace ryeglade {
 
 struct ColumnarFile {
-  std::map<std::string, std::string> attributes;
+  std::map<std::string, std::string> attributes;  // text attributes of the file itself, by name
   std::vector<TextTable> tables;
   // Throws std::runtime_error if there is no table of this name.
   const TextTable& TableNamed(const std::string& name) const;
 };
 
-// Replaces the file atomically and waits for the disk. Throws std::runtime_error that names the step that
-// failed; an existing file is then unchanged.
+// Replaces the file atomically and returns when it is on disk. Throws std::runtime_error that describes the
+// failure; an existing file is then unchanged.
 void WriteColumns(const std::string& path, const ColumnarFile& file);
-// Throws std::runtime_error that names the file if it does not exist, is not such a file, or is damaged.
+// Reads the tables and the text attributes; attributes of other types are ignored. Throws std::runtime_error
+// that names the file if it does not exist, is not a file of tables, or is damaged.
 ColumnarFile ReadColumns(const std::string& path);
 
 }  // namespace ryeglade
