--- a/src/keys/keyring.cpp
+++ b/src/keys/keyring.cpp
@@ -49,6 +49,7 @@
 
 using Digest = std::array<unsigned char, 32>;
 
+// Hashes the decoded salt followed by the secret.
 Digest Sha256(std::string_view salt_hex, std::string_view secret) {
   Digest digest{};
   const std::string text = FromHex(salt_hex) + std::string(secret);
@@ -67,8 +68,9 @@
   return ToHex(bytes.data(), digits / 2);
 }
 
-constexpr std::size_t kMaxPresentedSize = 256;  // bytes; longer texts are no key
+constexpr std::size_t kMaxPresentedSize = 256;  // bytes; a longer text is rejected without being hashed
 
+// Returns the id of a key made by KeyFromText.
 std::string IdOfText(std::string_view text) {
   const Digest digest = Sha256("", text);
   return ToHex(digest.data(), kIdDigits / 2);
@@ -95,7 +97,9 @@
     key.limits = ReadKeyLimits(entry);
     entry.RejectUnknownKeys();
     if (ring.keys_.size() >= kMaxKeys)
-      entry.Fail("id", fmt::format("exceeds the maximum of {} keys in one file", kMaxKeys));
+      entry.Fail("id",
+                 fmt::format("exceeds the maximum of {} keys in one file; revoke keys that are not in use",
+                             kMaxKeys));
     ring.Add(std::move(key));
   }
   top.RejectUnknownKeys();
