--- a/src/ledger/ledger_model.cpp
+++ b/src/ledger/ledger_model.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-// The names in the ledger file, in its text table and in the metrics.
+// These names are stored in ledger files and must not change.
 const char* Name(Outcome outcome) {
   static constexpr std::array<const char*, kOutcomes> kNames = {
       "served", "refused", "failed", "rejected", "client-left", "broken", "cut"};
@@ -105,7 +105,7 @@
   try {
     const json all = json::parse(text);
     if (all.at("format") != "ryeglade-ledger-1")
-      throw std::runtime_error("not a ledger in the format ryeglade-ledger-1");
+      throw std::runtime_error("is not a ledger: the field format is not ryeglade-ledger-1");
     for (const json& j : all.at("rows")) {
       Row row;
       row.admitted = j.at("admitted").get<std::uint64_t>();
--- a/src/ledger/ledger_model.h
+++ b/src/ledger/ledger_model.h
@@ -22,12 +22,13 @@
   kRejectedByReplica,   // a replica replied that the request itself is invalid
   kClientDisconnected,  // the client closed its connection before the response was complete
   kTruncated,           // the replica's stream broke off after its first event
-  kTerminated,          // ended by the node, as the key was revoked or its tokens were used up
+  kTerminated,          // ended by the node, because the key was revoked or its tokens were used up
   kCount
 };
 inline constexpr std::size_t kOutcomes = static_cast<std::size_t>(Outcome::kCount);
-const char* Name(Outcome outcome);
+const char* Name(Outcome outcome);  // the name in the ledger file, in its text table and in the metrics
 
+// Sums of tokens. The cached tokens are part of the prompt.
 struct Tokens {
   double prompt = 0, cached = 0, output = 0;
 };
@@ -36,7 +37,7 @@
 struct Row {
   std::uint64_t admitted = 0;                              // requests
   std::array<std::uint64_t, kOutcomes> ended{};            // requests, by Outcome
-  Tokens reported, estimated;                              // by the source of the figures
+  Tokens reported, estimated;                              // reported by replicas; estimated by the node
   std::array<std::uint64_t, kUsageFaults> usage_faults{};  // requests, by UsageFault
 
   std::uint64_t open() const;  // requests admitted and not yet ended
@@ -46,7 +47,7 @@
 class Ledger {
  public:
   using Id = std::pair<std::string, std::string>;  // id of the key, and model
-  static constexpr std::size_t kMaxRows = 4096;
+  static constexpr std::size_t kMaxRows = 4096;    // without the row "(other)"
 
   void RecordAdmission(const std::string& key, const std::string& model);
   // Called exactly once when an admitted request ends. `usage` is the tokens it used; `reported` tells
@@ -62,14 +63,15 @@
   Row Total() const;
 
  private:
+  // Returns the row of the key and model, or the row "(other)" if there are already kMaxRows rows.
   Row& At(const std::string& key, const std::string& model);
   std::map<Id, Row> rows_;
   std::map<std::string, std::uint64_t> rejections_;
 };
 
-// Encodes the ledger as JSON, and decodes its rows. The stored names of outcomes and token kinds differ from
-// the names in this file and are fixed; see Name and the encoder. RowsFromJson throws std::runtime_error that
-// names the error.
+// Encodes the ledger of `node` at the Unix time `unix_ms`, in milliseconds, as JSON, and decodes its rows.
+// The stored names of outcomes and token kinds differ from the names in this file and are fixed; see Name and
+// the encoder. RowsFromJson throws std::runtime_error that describes the error but does not name the file.
 std::string ToJson(const Ledger& ledger, const std::string& node, std::int64_t unix_ms);
 std::map<Ledger::Id, Row> RowsFromJson(const std::string& text);
 // Formats the rows as a text table with the totals in the last line.
--- a/src/ledger/usage_model.cpp
+++ b/src/ledger/usage_model.cpp
@@ -11,12 +11,12 @@
 using openai::JsonKind;
 using openai::JsonValue;
 
-constexpr double kMaxTokens = 1e8;
-constexpr double kDefaultBytesPerToken = 4;  // for a model without valid figures so far
+constexpr double kMaxTokens = 1e8;           // larger counts are rejected as kHuge
+constexpr double kDefaultBytesPerToken = 4;  // until a model has reported valid figures
 constexpr double kMinBytesPerToken = 0.5;
 constexpr double kMaxBytesPerToken = 16;
-constexpr double kNewestWeight = 1.0 / 16;  // of the newest figure in the moving average
-// Tokens of shorter prompts come mostly from the chat template rather than from the text.
+constexpr double kNewestWeight = 1.0 / 16;  // weight of the newest ratio in the moving average
+// Most tokens of a shorter prompt come from the chat template rather than from the text.
 constexpr std::size_t kMinPromptBytes = 64;
 
 class UsageReader : public openai::JsonHandler {
@@ -72,6 +72,7 @@
   const std::string error = openai::ReadJson(text, reader);
   if (reader.fault) return {std::nullopt, *reader.fault};
   if (!error.empty()) {
+    // ReadJson distinguishes a repeated key and a number out of range only by its error text.
     const bool twice = error.find("twice") != std::string::npos;
     const bool huge = error.find("too big") != std::string::npos;
     return {std::nullopt, twice ? UsageFault::kTwice : huge ? UsageFault::kHuge : UsageFault::kNotANumber};
--- a/src/ledger/usage_model.h
+++ b/src/ledger/usage_model.h
@@ -19,10 +19,10 @@
   kNotANumber,  // a string, a boolean, null or an object
   kNegative,
   kFractional,
-  kHuge,         // over 100 million tokens
+  kHuge,         // over 100 million tokens, or beyond the range of a double
   kTwice,        // a key, or the whole object, occurs twice
   kIncomplete,   // prompt_tokens or completion_tokens is missing
-  kTotal,        // total_tokens is not the sum of the two
+  kTotal,        // total_tokens is not the sum of prompt_tokens and completion_tokens
   kCached,       // more cached tokens than prompt tokens
   kOverLimit,    // more completion tokens than max_tokens allows
   kContradicts,  // fewer completion tokens than events that carried text
@@ -43,6 +43,7 @@
   std::optional<double> max_tokens;                // absent if the request set no limit
 };
 
+// The result of CheckUsage.
 struct UsageResult {
   std::optional<Usage> usage;  // absent if the figures are not valid; `fault` then tells why
   UsageFault fault = UsageFault::kAbsent;
@@ -56,8 +57,12 @@
 // number of models is bounded; models beyond the bound use the default ratio.
 class TokenSizeEstimator {
  public:
-  double BytesPerToken(const std::string& model) const;
+  double BytesPerToken(const std::string& model) const;  // the learned ratio, or the default ratio
+  // Updates the ratio of the model from a prompt of `bytes` bytes and `tokens` tokens. Short prompts are
+  // ignored.
   void Learn(const std::string& model, std::size_t bytes, double tokens);
+  // Estimates the usage of a response: at least one output token for each event that carried text, and at
+  // most max_tokens.
   Usage Estimate(const std::string& model, const ObservedResponse& observed) const;
 
  private:
