--- a/src/limits/limits_policy.cpp
+++ b/src/limits/limits_policy.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr double kMinuteUs = 60e6;
-// In requests or tokens. Without it, rounding could reject a request that is sent exactly after
-// `retry_after`.
+// In requests or tokens. Without this slack, a rounding error could reject a request that is sent exactly
+// after `retry_after`.
 constexpr double kRoundingSlack = 1e-9;
 
 }  // namespace
--- a/src/limits/limits_policy.h
+++ b/src/limits/limits_policy.h
@@ -23,6 +23,7 @@
   int streams = 0;  // concurrent streams
 };
 
+// Whether a request is admitted, and otherwise which limit it exceeds.
 enum class Admission : std::uint8_t {
   kAdmitted,
   kOverRequests,     // over the limit of requests per minute
@@ -43,7 +44,9 @@
 
 struct AdmissionResult {
   Admission admission = Admission::kAdmitted;
-  // Time until the same request would be admitted if no other request arrived in between. 0 if not known.
+  // Time until the same request would be admitted if no other request arrived in between. 0 if the request
+  // was admitted, or if the time is not known: for kRequestTooLarge, and while only the streams are over the
+  // limit.
   Time retry_after = 0;
   RemainingQuota remaining;
 };
@@ -61,26 +64,27 @@
   // returned as well.
   void Settle(Time now, const std::string& key, const KeyLimits& limits, double reserved, double used,
               bool forwarded);
-  // Drops the state of a revoked key. Its open requests can still be settled; the state is erased with the
-  // last of them.
+  // Drops the state of a revoked key. Its open requests can still be settled; the state is erased when the
+  // last of them is.
   void Forget(const std::string& key);
 
-  int streams(const std::string& key) const;      // open streams
-  double reserved(const std::string& key) const;  // reserved tokens
-  std::size_t size() const { return keys_.size(); }
+  int streams(const std::string& key) const;         // open streams
+  double reserved(const std::string& key) const;     // tokens reserved for open requests
+  std::size_t size() const { return keys_.size(); }  // number of keys that have a state
 
  private:
   struct Bucket {
-    double level = 0;
+    double level = 0;     // requests or tokens available; negative after more tokens were used than reserved
     Time filled_at = -1;  // time of the last refill; -1 if never used, which means full
   };
   struct KeyState {
     Bucket requests, tokens;
     int streams = 0;
-    double reserved = 0;
+    double reserved = 0;     // tokens reserved for open requests
     bool forgotten = false;  // revoked; erased when its last stream ends
   };
   static void Refill(Bucket& bucket, double per_min, Time now);
+  // Returns the time until the bucket has `wanted_level`; 0 if it has that much, or if there is no limit.
   static Time TimeUntil(const Bucket& bucket, double per_min, double wanted_level);
   static RemainingQuota Remaining(const KeyState& key, const KeyLimits& limits);
 
--- a/src/limits/networks.cpp
+++ b/src/limits/networks.cpp
@@ -16,6 +16,7 @@
   return address.is_v4() ? ip::make_address_v6(ip::v4_mapped, address.to_v4()) : address.to_v6();
 }
 
+// Returns the last address of the network that begins at `first`: all bits beyond the prefix are set.
 ip::address_v6 LastAddress(const ip::address_v6& first, unsigned prefix_length) {
   ip::address_v6::bytes_type bytes = first.to_bytes();
   for (unsigned bit = prefix_length; bit < 128; ++bit) {
--- a/src/limits/networks.h
+++ b/src/limits/networks.h
@@ -17,11 +17,14 @@
   // Adds a network or an address, such as "10.1.0.0/16", "2001:db8::/32", "192.0.2.7" or "::1". Returns false
   // if the text is neither, or if bits beyond the prefix length are set.
   bool Add(const std::string& network);
-  // Takes the address of a socket's peer. An IPv4-mapped IPv6 address counts as IPv4.
+  // Returns whether the address of a socket's peer is in one of the networks. An IPv4-mapped IPv6 address
+  // counts as IPv4.
   bool Contains(const sockaddr_storage& address) const;
+  // As above, for an address as text. Returns false if the text is not an address.
   bool Contains(const std::string& address) const;
   bool empty() const { return set_.empty(); }
-  std::size_t ranges() const { return set_.iterative_size(); }  // number of ranges; adjacent ones are merged
+  // Number of address ranges; adjacent networks form one range.
+  std::size_t ranges() const { return set_.iterative_size(); }
 
  private:
   using Address = boost::asio::ip::address_v6;  // IPv4 is stored as ::ffff:a.b.c.d
--- a/src/limits/rate_limit_policy.h
+++ b/src/limits/rate_limit_policy.h
@@ -22,7 +22,9 @@
   Time DelayOfNext(Time now);
 
  private:
-  Time interval_, burst_span_, max_delay_;
+  Time interval_;    // between two paced replies
+  Time burst_span_;  // time in which a whole burst would be sent at the paced rate
+  Time max_delay_;
   Time next_slot_ = 0;  // when the next reply would be due if no burst were allowed
 };
 
