--- a/src/openai/body.cpp
+++ b/src/openai/body.cpp
@@ -13,8 +13,9 @@
 namespace {
 
 constexpr double kMaxTokens = 1e9;
-constexpr std::size_t kBytesPerTokenId = 4;  // a token given by its number counts like this much text
+constexpr std::size_t kBytesPerTokenId = 4;  // size that a token id in a prompt counts as, in bytes of text
 
+// A hash of a sequence of texts. Each text is preceded by its size, so that the boundaries matter.
 class Hash {
  public:
   void Add(std::string_view text) {
@@ -197,11 +198,11 @@
     body_.prompt_bytes += message_bytes_;
     const std::string digest = std::to_string(message_.Value());
     const bool leads = role_ == "system" || role_ == "developer";
-    if (leading_now_ && leads) {
+    if (all_leading_ && leads) {
       leading_.Add(digest);
       leading_bytes_ += message_bytes_;
     }
-    leading_now_ = leading_now_ && leads;
+    all_leading_ = all_leading_ && leads;
     // A conversation is identified by its opening: the leading system and developer messages, and the first
     // message after them.
     if (!opening_ended_) {
@@ -226,7 +227,8 @@
   }
 
   void CountPrompt(std::string_view text) {
-    // Number of bytes at a prompt's start by which a conversation without a hint is identified.
+    // The first bytes of a prompt, by which a conversation without a hint is identified. A shorter prompt
+    // identifies none.
     constexpr std::size_t kOpeningBytes = 1024;
     body_.prompt_bytes += text.size();
     if (text.size() < kOpeningBytes) return;
@@ -267,7 +269,7 @@
   std::size_t message_bytes_ = 0;   // size of all strings in the current message
   std::size_t leading_bytes_ = 0;   // size of all strings in the leading messages
   std::string role_;                // of the current message; empty if it has none
-  bool leading_now_ = true;         // all messages so far are system or developer messages
+  bool all_leading_ = true;         // all messages so far are system or developer messages
   bool opening_ended_ = false;      // opening_ is complete
 };
 
--- a/src/openai/strict_json.cpp
+++ b/src/openai/strict_json.cpp
@@ -14,18 +14,19 @@
 
 using Bytes = rapidjson::MemoryStream;
 
-// RapidJSON's handler, which checks what the parser does not and passes the values on to `handler`.
+// Handler of RapidJSON's parser. Checks the depth and the uniqueness of keys, which the parser does not, and
+// passes the values on to `handler`.
 struct SaxHandler {
   std::string_view text;
   Bytes& bytes;
   JsonHandler& handler;
-  std::string error;  // empty as long as there is none
+  std::string error;  // empty if no error has occurred
   struct Level {
     bool is_object;
-    std::unordered_set<std::string> keys;  // that have occurred
+    std::unordered_set<std::string> keys;  // the keys that have occurred in the object
   };
   std::vector<Level> levels;    // the objects and arrays that enclose the current position
-  std::string key;              // of the value that follows
+  std::string key;              // key of the value that follows
   std::size_t value_begin = 0;  // offset of the value that follows the key
 
   int depth() const { return static_cast<int>(levels.size()); }
@@ -48,7 +49,7 @@
   bool BeginLevel(bool is_object) {
     if (!Value(is_object ? JsonKind::kObject : JsonKind::kArray)) return false;
     if (depth() >= kMaxJsonDepth) {
-      error = "nested deeper than " + std::to_string(kMaxJsonDepth) + " levels";
+      error = "the text is nested deeper than " + std::to_string(kMaxJsonDepth) + " levels";
       return false;
     }
     levels.push_back({is_object, {}});
@@ -75,7 +76,7 @@
   bool Key(const char* s, rapidjson::SizeType n, bool) {
     key.assign(s, n);
     if (!levels.back().keys.insert(key).second) {
-      error = "the key '" + key.substr(0, 60) + "' comes twice in one object";
+      error = "the key '" + key.substr(0, 60) + "' occurs twice in one object";
       return false;
     }
     value_begin = SkipSpace(bytes.Tell());
@@ -88,9 +89,10 @@
 
 std::string ReadJson(std::string_view text, JsonHandler& handler) {
   // The parser takes a NUL byte for the end of the text and would ignore what follows.
-  if (std::memchr(text.data(), '\0', text.size()) != nullptr) return "holds a NUL byte";
-  // The parser skips a byte order mark, even a part of one.
-  if (!text.empty() && static_cast<unsigned char>(text.front()) >= 0x80) return "does not start with JSON";
+  if (std::memchr(text.data(), '\0', text.size()) != nullptr) return "the text contains a NUL byte";
+  // The parser skips a byte order mark, and even an incomplete one.
+  if (!text.empty() && static_cast<unsigned char>(text.front()) >= 0x80)
+    return "the text does not start with JSON";
   Bytes bytes(text.data(), text.size());
   rapidjson::EncodedInputStream<rapidjson::UTF8<>, Bytes> decoded(bytes);
   SaxHandler sax{text, bytes, handler, {}, {}, {}, 0};
