--- a/src/timeline/anomaly_model.cpp
+++ b/src/timeline/anomaly_model.cpp
@@ -16,17 +16,18 @@
 constexpr double kMadToSigma = 1.4826;
 constexpr Time kMaxLoadAge = 5'000'000;      // an older load report is ignored
 constexpr std::size_t kMeasureInterval = 8;  // values between two computations of median and scale
-// A larger step of time is a gap in the record rather than a period without traffic.
+// A larger step between two events is taken for a gap in the record rather than for a time without traffic.
 constexpr Time kMaxTimeStep = 60'000'000;
-// A replica that became ready less than this ago is not compared with the others, as it behaves differently.
+// A replica that became ready less than this time ago is skipped, as it behaves differently from the others.
 constexpr Time kWarmUp = 10'000'000;
-// Lower bounds of the scale: of shares of attempts, of ln(time to first token), of the load (as a share of
-// the fleet's mean) and of the share of traffic.
+// Lower bounds of the scale, in this order: for shares of attempts, for ln(time to first token), for the load
+// (as a share of the fleet's mean) and for the share of traffic.
 constexpr double kFloorError = 0.02, kFloorFirst = 0.10, kFloorLoad = 0.25, kFloorShare = 0.30;
 // Standard deviation of ln(time to first token) of one request; that of the mean of n is smaller by sqrt(n).
 constexpr double kFirstTokenSigma = 0.35;
-constexpr double kMaxMeanWeight = 20'000;  // first tokens that the moving average of the expected time spans
-constexpr std::size_t kMinPeers = 3;       // with fewer replicas a replica is not compared
+constexpr double kMaxMeanWeight =
+    20'000;                           // first tokens that count in the moving average of the expected time
+constexpr std::size_t kMinPeers = 3;  // with fewer replicas a replica is not compared
 
 double MedianOf(std::vector<double>& v) {
   const auto middle = v.begin() + static_cast<std::ptrdiff_t>(v.size() / 2);
@@ -76,8 +77,8 @@
   return replicas_.size() >= options_.max_replicas ? nullptr : &replicas_[id];
 }
 
-// Converts a value to what operators read: shares and loads unchanged, times to first token as multiples of
-// the expected time.
+// Converts a value to the unit in which it is reported: shares and loads are unchanged, and a time to first
+// token becomes a multiple of the expected time.
 double AnomalyDetector::Displayed(AnomalyKind kind, double x) {
   return kind == AnomalyKind::kFirstToken ? std::exp(x) : x;
 }
@@ -107,7 +108,7 @@
 void AnomalyDetector::Advance(Time now) {
   now_ = std::max(now_, now);
   if (tick_at_ == 0) tick_at_ = now_ + options_.tick;
-  if (now_ - tick_at_ > kMaxTimeStep) {  // it is not known what happened in between
+  if (now_ - tick_at_ > kMaxTimeStep) {  // what happened in between is not known
     for (auto& [id, r] : replicas_) r.tick = {};
     tick_at_ = now_ + options_.tick;
   }
@@ -233,7 +234,7 @@
   list_received_at_ = now_;
 }
 
-// Decisions that were counted instead of recorded are included in the series.
+// Adds decisions that were counted instead of recorded to the values of the tick.
 void AnomalyDetector::OnCoalesced(const CoalescedDecisions& b) {
   Advance(b.last);
   for (const CoalescedReplica& x : b.replicas) {
--- a/src/timeline/anomaly_model.h
+++ b/src/timeline/anomaly_model.h
@@ -34,7 +34,7 @@
 namespace ryeglade::timeline {
 
 struct AnomalyOptions {
-  Time tick = 1'000'000;
+  Time tick = 1'000'000;             // interval at which each series gets a value
   std::size_t baseline_values = 90;  // values that the baseline of a series holds
   // The number of first tokens that make up one value. They are collected over up to max_first_token_ticks.
   std::uint32_t min_first_tokens = 5;
@@ -61,12 +61,16 @@
   explicit AnomalyDetector(Sink sink, AnomalyOptions options = {});
 
   // Events are passed in order. A time before that of an earlier event counts as the latest time so far.
+  // `actions` are those that the decision module returned for `event`.
   void OnDecision(Time now, const policy::Event& event, const std::vector<policy::Action>& actions);
+  // Selects the field of load reports that is compared, by the `key=value` lines of the recorded settings.
   void OnStart(const std::string& settings);
+  // `source` is that of EndpointListRecord. `unavailable_reason` is empty if a list was received.
   void OnEndpointList(Time now, std::string_view source, std::string_view unavailable_reason);
   void OnCoalesced(const CoalescedDecisions& coalesced);
   void OnRecord(const Record& record);  // dispatches a record of any kind
-  void Close();                         // ends the open anomalies of replicas and of the fleet's metrics
+  // Ends the open anomalies of the replicas and of the fleet's metrics. Those of the endpoint list stay open.
+  void Close();
 
   std::size_t open_anomalies() const { return open_; }
 
@@ -88,6 +92,7 @@
     std::size_t unmeasured_values_ = 0;  // added since median and scale were computed
     double median_ = 0, scale_ = 0;
   };
+  // One metric of a replica or of the fleet.
   struct Series {
     Baseline baseline;
     double up = 0, down = 0;            // cumulative sums of the distances above and below the baseline
@@ -95,40 +100,41 @@
     // The open anomaly.
     std::uint64_t number = 0;   // 0 if no anomaly is open
     bool rising = true;         // whether the values are above the baseline
-    Time since = 0;             // estimated begin
+    Time since = 0;             // estimated begin of the anomaly
     int calm_ticks = 0;         // consecutive ticks below calm_distance
     double baseline_value = 0;  // median of the baseline when the anomaly began
     double peers = 0;           // median over the replicas when the anomaly began
-    double sum = 0;             // of the values during the anomaly
+    double sum = 0;             // sum of the values during the anomaly
     int values = 0;             // number of values during the anomaly
   };
   // What happened at one replica in one tick.
   struct Counts {
     std::uint32_t sent = 0, ended = 0, failed = 0, at_capacity = 0;  // attempts
     std::uint32_t first_n = 0;                                       // responses that started
-    double first_sum = 0;  // of ln(time to first token / expected time)
+    double first_sum = 0;  // sum of ln(time to first token / expected time) over these responses
   };
+  // A value of a series in one tick.
   struct Value {
     double x = 0;
-    double floor = 0;  // lower bound of the scale
+    double floor = 0;  // lower bound of the scale by which the value's distances are divided
   };
   struct Replica {
     policy::EndpointState state = policy::EndpointState::kRemoved;
-    Time ready_since = 0;
-    Time started_at = 0;
+    Time ready_since = 0;  // 0 if it has not been ready
+    Time started_at = 0;   // as given in the endpoint list
     Counts tick;
-    int first_ticks = 0;  // ticks over which the first tokens in `tick` have been collected
-    double load = -1;     // as last reported; -1 if never
-    Time load_at = 0;
-    int refused_connects = 0;  // in a row
-    Time refused_since = 0;
+    int first_ticks = 0;             // ticks over which the first tokens in `tick` have been collected
+    double load = -1;                // the load last reported; -1 if none has been reported
+    Time load_at = 0;                // time of that report
+    int refused_connects = 0;        // refused connects in a row
+    Time refused_since = 0;          // time of the first of them
     std::uint64_t contradicted = 0;  // number of the open kEndpointListContradicted; 0 if there is none
     std::array<Series, kSeries> series;
     std::array<std::optional<Value>, kSeries> now;  // the values of this tick; nullopt if there was no data
   };
 
   Replica* FindOrAdd(policy::ReplicaId id);
-  void Advance(Time now);
+  void Advance(Time now);  // evaluates all ticks up to `now`
   void Tick(Time at);
   void ComputeValues(Replica& r, double mean_sent, double load_scale);
   void UpdateSeries(Series& s, Time at, AnomalyKind kind, bool fleet, policy::ReplicaId id, double x,
@@ -142,7 +148,7 @@
   // The prompt size of a request. Stored by a hash of the id; a newer request may overwrite an entry.
   struct PromptSize {
     policy::RequestId id = 0;
-    std::uint8_t bucket = 0;  // half octaves of the prompt's tokens
+    std::uint8_t bucket = 0;  // log2 of the number of prompt tokens, in steps of 0.5
   };
   static constexpr std::size_t kPromptSizes = 16384, kBuckets = 40;
   PromptSize& SizeOf(policy::RequestId id) { return prompt_sizes_[(id * 0x9e3779b97f4a7c15ULL) >> 50]; }
@@ -156,12 +162,13 @@
   std::array<Series, kSeries> fleet_;
   std::vector<PromptSize> prompt_sizes_ = std::vector<PromptSize>(kPromptSizes);
   struct Mean {
-    double mean = 0, n = 0;  // n: number of values, up to the weight of the moving average
+    double mean = 0;  // of ln(time to first token in microseconds)
+    double n = 0;     // number of values, at most the weight of the moving average
   };
   std::array<Mean, kBuckets> first_token_means_{};
-  std::size_t load_field_ = 0;  // index in a load report
-  std::uint64_t number_ = 0;    // of the last anomaly
-  std::size_t open_ = 0;        // open anomalies
+  std::size_t load_field_ = 0;  // index of the load in a load report
+  std::uint64_t number_ = 0;    // number of the last anomaly
+  std::size_t open_ = 0;        // number of open anomalies
   // The endpoint list.
   Time list_received_at_ = 0;                            // 0 if none has been received
   bool cached_only_ = false;                             // only the node's cached list is known
--- a/src/timeline/block.cpp
+++ b/src/timeline/block.cpp
@@ -34,7 +34,7 @@
 
 struct Block {
   std::uint64_t number = 0;
-  std::string raw;
+  std::string raw;       // decompressed payload
   std::size_t size = 0;  // bytes in the file, including the header
 };
 
@@ -65,7 +65,8 @@
   std::string packed(ZSTD_compressBound(raw.size()), '\0');
   const std::size_t n =
       ZSTD_compress(packed.data(), packed.size(), raw.data(), raw.size(), kCompressionLevel);
-  if (ZSTD_isError(n) != 0) throw std::runtime_error(ZSTD_getErrorName(n));
+  if (ZSTD_isError(n) != 0)
+    throw std::runtime_error(std::string("zstd cannot compress a block: ") + ZSTD_getErrorName(n));
   packed.resize(n);
   std::string out;
   Put(out, kBlockMagic);
@@ -80,10 +81,12 @@
 ReadReport ReadBlocks(std::string_view file, const std::function<bool(std::uint64_t, std::string_view)>& sink,
                       const std::function<void(std::size_t)>& consumed) {
   const std::string header = FileHeader();
-  if (file.substr(0, kFileMagic.size()) != kFileMagic) throw std::runtime_error("is not a flight record");
+  if (file.substr(0, kFileMagic.size()) != kFileMagic)
+    throw std::runtime_error("is not a flight record: it does not begin with RGFLIGHT");
   if (file.size() < header.size() || Take<std::uint32_t>(file, kFileMagic.size()) == 0 ||
       Take<std::uint32_t>(file, kFileMagic.size()) > kFormat)
-    throw std::runtime_error("is a flight record of an unknown format, or its header is truncated");
+    throw std::runtime_error(
+        "is a flight record of a format that this program does not read, or its header is truncated");
   ReadReport report;
   std::optional<std::uint64_t> last;
   std::size_t at = header.size();
--- a/src/timeline/block.h
+++ b/src/timeline/block.h
@@ -15,18 +15,20 @@
 
 namespace ryeglade::timeline {
 
+// Blocks with more raw bytes are treated as damaged.
 inline constexpr std::size_t kMaxRawBlockBytes = std::size_t{4} * 1024 * 1024;
 
-std::string FileHeader();
-// Returns the encoded block. `number` increases by one per block over the life of a process, across its
-// files.
+std::string FileHeader();  // the bytes before the first block
+// Returns the encoded block. Throws std::runtime_error if zstd fails. `number` increases by one per block
+// over the life of a process, across its files.
 std::string MakeBlock(std::string_view raw, std::uint64_t number);
 
+// What was read and what was lost.
 struct ReadReport {
   std::uint64_t blocks = 0;
   std::uint64_t lost_bytes = 0;      // bytes that belong to no complete block
   std::uint64_t lost_ranges = 0;     // contiguous ranges of such bytes
-  std::uint64_t missing_blocks = 0;  // block numbers that do not occur
+  std::uint64_t missing_blocks = 0;  // numbers left out between two consecutive blocks
 };
 
 // Calls `sink` with the raw bytes of each complete block, in order, until it returns false. `consumed`, if
--- a/src/timeline/coalescing_model.cpp
+++ b/src/timeline/coalescing_model.cpp
@@ -6,7 +6,7 @@
 namespace ryeglade::timeline {
 namespace {
 
-constexpr double kResumeShare = 0.25;  // of a second's budget
+constexpr double kResumeShare = 0.25;  // share of a second's budget at which recording resumes
 constexpr std::size_t kOutcomes = static_cast<std::size_t>(policy::Outcome::kNotSent) + 1;
 
 }  // namespace
--- a/src/timeline/export_model.h
+++ b/src/timeline/export_model.h
@@ -9,8 +9,8 @@
 namespace ryeglade::timeline {
 
 // Returns the tables `bins` (one row per replica and bin), `fleet` (one row per bin), `states`, `rests` (the
-// ejections), `events` (the anomalies) and `marks` (the annotations). A load that was not reported is NaN, an
-// empty field in CSV, and never zero.
+// ejections), `events` (the anomalies) and `marks` (the annotations). A load that was not reported is NaN
+// (an empty field in CSV), and never zero.
 std::vector<TextTable> TimelineTables(const ReplicaTimelines& timelines);
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/flight_record_codec.cpp
+++ b/src/timeline/flight_record_codec.cpp
@@ -19,7 +19,7 @@
 
 using namespace policy;
 
-// The kind, which is the first field of each record on disk. A value is never changed or reused.
+// The first field of each record on disk is its kind. These values must never be changed or reused.
 constexpr std::uint32_t kStart = 0, kDecision = 1, kGap = 2, kEndpoint = 3, kEndpointList = 4, kCoalesced = 5,
                         kReason = 6, kAnomaly = 7, kCallId = 8, kClusterEvent = 9;
 // Bounds what damaged or foreign bytes can make the reader allocate: elements of an array, entries of a map,
@@ -251,7 +251,8 @@
   void Variant(const V& v) {
     std::visit(
         [&](const auto& held) {
-          auto& value = const_cast<std::remove_cvref_t<decltype(held)>&>(held);  // field lists take non-const
+          // Fields takes a non-const reference, as it is also used for reading.
+          auto& value = const_cast<std::remove_cvref_t<decltype(held)>&>(held);
           FieldCounter count;
           Fields(count, value);
           p.pack_array(count.n + 1);
@@ -271,7 +272,7 @@
   void operator()(T&... fields) {
     (Field(fields), ...);
   }
-  // A last field, which records before format 7 lack: it keeps its default value there.
+  // The last field of a struct, which is absent before format 7; it then keeps its default value.
   template <class T>
   void Since7(T& v) {
     if (at < a.size) Field(v);
@@ -344,7 +345,7 @@
 void PackStruct(std::uint32_t kind, const T& held, std::string& out) {
   BufferedOutput sink(&out);
   Packer p(sink);
-  auto& value = const_cast<T&>(held);  // the field lists take non-const, as they also serve reading
+  auto& value = const_cast<T&>(held);  // Fields takes a non-const reference, as it is also used for reading
   FieldCounter count;
   Fields(count, value);
   p.pack_array(count.n + 1);
@@ -402,7 +403,7 @@
     case kClusterEvent:
       return ReadStruct<ClusterEventRecord>(r);
     default:
-      ThrowMalformed("record of an unknown kind");
+      ThrowMalformed("record has an unknown kind");
   }
 }
 
@@ -492,7 +493,7 @@
       out.push_back(ReadRecord(handle.get()));
     }
   } catch (const msgpack::unpack_error&) {
-    ThrowMalformed("bytes that are not a valid record");
+    ThrowMalformed("block has bytes that are not a valid record");
   } catch (const msgpack::type_error&) {
     ThrowMalformed("record has a field of the wrong type");
   }
--- a/src/timeline/flight_record_codec.h
+++ b/src/timeline/flight_record_codec.h
@@ -24,9 +24,9 @@
 struct Start {
   std::uint32_t format = kFormat;
   std::string node;
-  std::string settings;  // flattened `key=value` lines, as the settings reader expects them
-  std::uint64_t seed = 0;
-  Time now = 0;  // Unix time in microseconds
+  std::string settings;    // flattened `key=value` lines, as the settings reader expects them
+  std::uint64_t seed = 0;  // of the Router
+  Time now = 0;            // Unix time in microseconds
 };
 
 // One call of Router::Handle.
@@ -67,13 +67,13 @@
   std::uint64_t sent = 0, served = 0, failed = 0;  // attempts
 };
 struct CoalescedDecisions {
-  Time first = 0, last = 0;     // of the counted decisions
-  std::uint64_t decisions = 0;  // all that were counted
-  std::uint64_t arrived = 0;    // requests
-  std::uint64_t sent = 0;       // attempts
-  std::uint64_t rejected = 0;   // requests
-  std::uint64_t failed = 0;     // requests
-  std::uint64_t endpoint_lists = 0;
+  Time first = 0, last = 0;                // times of the first and of the last counted decision
+  std::uint64_t decisions = 0;             // all counted decisions
+  std::uint64_t arrived = 0;               // requests
+  std::uint64_t sent = 0;                  // attempts
+  std::uint64_t rejected = 0;              // requests
+  std::uint64_t failed = 0;                // requests
+  std::uint64_t endpoint_lists = 0;        // endpoint lists received
   std::vector<std::uint64_t> outcomes;     // attempts that ended, by policy::Outcome
   std::vector<CoalescedReplica> replicas;  // the first Coalescer::kMaxReplicas that occurred, by id
   std::uint64_t other_attempts = 0;        // attempts sent or ended at other replicas
@@ -85,18 +85,19 @@
   std::variant<policy::DispatchRecord, policy::ConclusionRecord, policy::EjectionRecord> reason;
 };
 
-// A metric has deviated from its baseline, or has returned to it.
+// What deviates in an anomaly.
 enum class AnomalyKind : std::uint8_t {
-  kErrors,
-  kFirstToken,
-  kLoad,
-  kRejections,
-  kTrafficShare,
-  kEndpointListUnavailable,
-  kEndpointListStale,
-  kEndpointListContradicted,
+  kErrors,                    // the share of attempts that failed
+  kFirstToken,                // the time to first token, as a multiple of the expected time
+  kLoad,                      // the load that replicas report
+  kRejections,                // the share of attempts rejected by a replica at capacity
+  kTrafficShare,              // the attempts sent to a replica, over the mean of the ready replicas
+  kEndpointListUnavailable,   // no endpoint list is received
+  kEndpointListStale,         // only the cached endpoint list is known
+  kEndpointListContradicted,  // a replica that is listed as ready refuses connects
   kCount
 };
+// An anomaly begins or ends: a metric deviates from its baseline, or has returned to it.
 struct Anomaly {
   Time now = 0;
   std::uint64_t number = 0;  // identifies the anomaly; the same in its begin and end records
@@ -123,8 +124,8 @@
 struct ClusterEventRecord {
   Time now = 0;
   std::string what;         // a reason code of docs/operators/membership.md
-  std::string member, by;   // the node concerned and the node that reported it; may be empty
-  std::uint64_t value = 0;  // depends on the reason code
+  std::string member, by;   // the node concerned, and the node that reported the change; may be empty
+  std::uint64_t value = 0;  // its meaning depends on the reason code
   std::uint64_t live = 0;   // live nodes in the view, including this one
 };
 
@@ -135,7 +136,7 @@
 std::vector<policy::ReplicaId> ListedIds(const policy::EndpointList& list);
 // Returns the time of the record, or 0 for a Gap, which has none.
 Time RecordTime(const Record& record);
-const char* Name(AnomalyKind kind);
+const char* Name(AnomalyKind kind);  // the name in output and logs; "?" for an unknown value
 
 // Each appends the encoded record to `out`.
 void EncodeRecord(const Record& record, std::string& out);
@@ -155,7 +156,7 @@
 // the records before them have been appended.
 void Decode(std::string_view block, std::vector<Record>& out);
 
-// Encodes actions for comparison: equal actions have equal bytes.
+// Returns the encoded actions, for comparison: equal actions have equal bytes.
 std::string ActionBytes(const std::vector<policy::Action>& actions);
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/flight_record_text_model.h
+++ b/src/timeline/flight_record_text_model.h
@@ -7,7 +7,8 @@
 
 namespace ryeglade::timeline {
 
-// Returns one line without a line break. Times are Unix time in milliseconds.
+// Returns one line of text without the line break. Times are Unix time in milliseconds, and
+// durations are in milliseconds.
 std::string ToText(const Record& record);
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/flight_recorder.cpp
+++ b/src/timeline/flight_recorder.cpp
@@ -21,8 +21,9 @@
 namespace fs = std::filesystem;
 constexpr Time kRetryAfter = 5'000'000;       // after a failed write, nothing is written for this long
 constexpr Time kRepeatInterval = 60'000'000;  // between two repetitions of the endpoint records
-constexpr std::size_t kMaxEndpoints = 4096;
-constexpr std::size_t kMaxReasonBytes = std::size_t{16} * 1024;  // of one decision
+constexpr std::size_t kMaxEndpoints = 4096;   // no endpoint record is written for further replicas
+// Size of the encoded reasons of one decision; reasons beyond it are dropped.
+constexpr std::size_t kMaxReasonBytes = std::size_t{16} * 1024;
 
 bool Same(const EndpointRecord& a, const EndpointRecord& b) {
   return a.name == b.name && a.address == b.address && a.started_at == b.started_at && a.state == b.state;
@@ -30,15 +31,19 @@
 
 }  // namespace
 
-// Files are named NODE-START-NUMBER.flight, so that the order of their names is the order of time.
+// Writes the record's files. They are named NODE-START-NUMBER.flight, so that the order of their names is the
+// order of time.
 struct FlightRecorder::Disk {
-  std::string prefix, directory;
-  std::size_t segment_bytes, total_bytes;
-  std::uint64_t started = 0, segment = 0, number = 0, failures = 0;
-  int fd = -1;
-  std::size_t size = 0;
-  Time not_before = 0;  // nothing is written before this time
-  int error = 0;        // errno of the last failed write; 0 once it has been logged
+  std::string prefix, directory;           // prefix: of the file names, "NODE-"
+  std::size_t segment_bytes, total_bytes;  // as in RecorderOptions
+  std::uint64_t started = 0;               // when the process started, Unix time in milliseconds
+  std::uint64_t segment = 0;               // number of the next file
+  std::uint64_t number = 0;                // number of the next block
+  std::uint64_t failures = 0;              // failed writes
+  int fd = -1;                             // the open file; -1 if there is none
+  std::size_t size = 0;                    // bytes in the open file
+  Time not_before = 0;                     // nothing is written before this time
+  int error = 0;                           // errno of the last failed write; 0 once it has been logged
 
   bool Open() {
     const std::string path = fmt::format("{}/{}{:013}-{:06}.flight", directory, prefix, started, segment);
--- a/src/timeline/merge_model.cpp
+++ b/src/timeline/merge_model.cpp
@@ -11,7 +11,7 @@
 namespace ryeglade::timeline {
 namespace {
 
-constexpr std::size_t kMaxDisagreements = 4096;
+constexpr std::size_t kMaxDisagreements = 4096;  // further ones are not reported
 
 Time MedianOf(std::vector<Time> v) {
   const auto middle = v.begin() + static_cast<std::ptrdiff_t>(v.size() / 2);
@@ -46,7 +46,7 @@
   std::stable_sort(merged_.annotations_.begin(), merged_.annotations_.end(),
                    [](const Annotation& a, const Annotation& b) { return a.at < b.at; });
 
-  // Replicas are matched by name: on a clash of two names the ids of a replica may differ between nodes.
+  // Replicas are matched by name, because the ids of a replica may differ between nodes if two names clash.
   std::map<std::string, Parts> parts_by_name;
   for (std::size_t i = 0; i < nodes.size(); ++i) {
     for (const auto& [id, replica] : nodes[i].replicas())
@@ -102,7 +102,7 @@
   return true;
 }
 
-// Returns the merged bin in which the bin of node `i` begins.
+// Returns the index of the merged bin in which the bin `bin` of node `i` begins.
 std::uint32_t TimelineMerge::MergedBin(const ReplicaTimelines& node, std::size_t i, std::uint32_t bin) const {
   return static_cast<std::uint32_t>((node.BinStart(bin) + nodes_[i].offset - merged_.begin_) /
                                     merged_.width_);
@@ -199,7 +199,7 @@
       if (is_known && best_is_known && s->state != best.state) differ = true;
       if (is_known)
         states_by_node +=
-            fmt::format("{}{} says {}", states_by_node.empty() ? "" : ", ", nodes_[i].name, Name(s->state));
+            fmt::format("{}{}: {}", states_by_node.empty() ? "" : ", ", nodes_[i].name, Name(s->state));
       if (Rank(s->state) > Rank(best.state)) {
         best.state = s->state;
         best.last_known = s->last_known;
--- a/src/timeline/merge_model.h
+++ b/src/timeline/merge_model.h
@@ -14,10 +14,12 @@
 
 namespace ryeglade::timeline {
 
+// One of the merged nodes, and the estimated offset of its clock.
 struct MergedNode {
   std::string name;
-  Time offset = 0;  // added to the times of this node
-  // Number of list generations that the offset is estimated from. If it is 0, the offset is 0 as well.
+  Time offset = 0;  // is added to the times of this node
+  // Number of generations of the endpoint list from which the offset is estimated. If it is 0, so is the
+  // offset.
   std::size_t common_generations = 0;
   Time offset_spread = 0;  // median absolute deviation of the differences around `offset`
 };
@@ -25,10 +27,11 @@
 // Two nodes knew different states of a replica for longer than the delay of an endpoint list.
 struct Disagreement {
   std::string replica;
-  Time from = 0, to = 0;
-  std::string what;  // the states by node, as text
+  Time from = 0, to = 0;  // `to` is 0 while the disagreement lasts
+  std::string what;       // the state at each node, as text
 };
 
+// The merged timelines, and the disagreements found in merging.
 class TimelineMerge {
  public:
   static constexpr Time kMaxListDelay = 2'000'000;  // shorter disagreements are not reported
@@ -47,6 +50,7 @@
 
   static MergedNode ClockOf(const ReplicaTimelines& node, const ReplicaTimelines& reference);
   bool SetBounds(const std::vector<ReplicaTimelines>& nodes);
+  // `i` is the index of the node.
   std::uint32_t MergedBin(const ReplicaTimelines& node, std::size_t i, std::uint32_t bin) const;
   Annotation Shifted(const Annotation& annotation, std::size_t i) const;
   void AddFleet(const ReplicaTimelines& node, std::size_t i);
--- a/src/timeline/plot_model.cpp
+++ b/src/timeline/plot_model.cpp
@@ -84,7 +84,8 @@
     colour_ = colour;
     ++n_;
   }
-  // Returns the data block; Term returns the part of the plot command that draws it.
+  // Returns the data block of the script. Term returns the part of the plot command that draws it; both are
+  // empty if there are no rectangles.
   std::string Block() {
     Flush();
     n_ = 0;
@@ -106,12 +107,13 @@
     }
   }
   std::string name_, rows_;
-  std::size_t n_ = 0;
+  std::size_t n_ = 0;  // rectangles added since the last Block
   double x0_ = 0, x1_ = 0, y0_ = 0, y1_ = 0;
   unsigned colour_ = 0;
 };
 
-// Ranks a replica by failures, state changes and anomalies, for choosing which replicas to plot.
+// Returns a rank by failures, state changes and anomalies. If there are too many replicas, those with the
+// highest rank are plotted.
 double Interest(const ReplicaTimeline& replica, const std::map<policy::ReplicaId, int>& anomalies) {
   double failed = 0;
   for (const auto& [n, bin] : replica.bins) failed += bin.failed + bin.at_capacity;
@@ -377,7 +379,7 @@
   const PlotOptions& options_;
   double span_, bin_seconds_;                  // seconds
   std::vector<const ReplicaTimeline*> shown_;  // from the top
-  std::size_t hidden_ = 0;                     // replicas beyond kMaxPlottedTimelines
+  std::size_t hidden_ = 0;                     // replicas that are not plotted
   bool detailed_ = false;                      // rows with bars and lines; otherwise plain strips
   double rows_ = 0;
   double footer_pixels_ = 0, height_pixels_ = 0;
@@ -385,8 +387,9 @@
   double max_first_token_ = 1;  // mean time to first token at the top of the scale, ms
   Boxes states_{"states"}, traffic_{"traffic"}, faults_{"faults"}, ejections_{"ejections"},
       anomalies_{"anomalies"};
-  std::string first_tokens_, labels_, tics_;
-  std::string fleet_anomalies_;
+  std::string first_tokens_;     // points of the lines of times to first token; an empty line ends a line
+  std::string labels_, tics_;    // labels and tics of the replicas' panel, as gnuplot commands and entries
+  std::string fleet_anomalies_;  // gnuplot commands that mark the fleet's anomalies
   std::size_t fleet_anomaly_count_ = 0;
   std::map<policy::ReplicaId, double> row_of_;  // the bottom of a replica's row
 };
--- a/src/timeline/plot_model.h
+++ b/src/timeline/plot_model.h
@@ -15,11 +15,11 @@
   int width = 1400;   // pixels
 };
 
-inline constexpr std::size_t kMaxDetailedTimelines = 24;
+inline constexpr std::size_t kMaxDetailedTimelines = 24;  // with more replicas, each row is a plain strip
 // If there are more replicas, those with the most failures, state changes and anomalies are plotted.
 inline constexpr std::size_t kMaxPlottedTimelines = 400;
 
-// Throws std::runtime_error if the extension is neither .svg nor .png.
+// Returns the script. Throws std::runtime_error if the extension of the image is neither .svg nor .png.
 std::string TimelinePlotScript(const ReplicaTimelines& timelines, const PlotOptions& options);
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/reader.cpp
+++ b/src/timeline/reader.cpp
@@ -59,7 +59,7 @@
   std::size_t size_ = 0, released_ = 0;
 };
 
-// Passes records on to a sink and, if the record has no reasons, adds those of a replay.
+// Passes records on to a sink. If the node recorded no reasons, adds those determined by a replay.
 class ReasonFinder : public policy::DecisionObserver {
  public:
   explicit ReasonFinder(const std::function<void(const Record&)>& sink) : sink_(sink), verifier_(this) {}
@@ -88,9 +88,9 @@
  private:
   const std::function<void(const Record&)>& sink_;
   Verifier verifier_;
-  bool has_recorded_reasons_ = false;   // since the last start; nothing is replayed then
-  std::vector<ReasonRecord> replayed_;  // reasons of the last decision
-  Time now_ = 0;                        // of the last decision
+  bool has_recorded_reasons_ = false;  // a reason was recorded since the last start; nothing is replayed then
+  std::vector<ReasonRecord> replayed_;  // reasons that the replay gave for the last decision
+  Time now_ = 0;                        // time of the last decision
 };
 
 }  // namespace
@@ -120,7 +120,7 @@
     std::sort(inside.begin(), inside.end());
     files.insert(files.end(), inside.begin(), inside.end());
   }
-  if (files.empty()) throw std::runtime_error("no .flight files found");
+  if (files.empty()) throw std::runtime_error("no .flight files found in the given directories");
   return files;
 }
 
--- a/src/timeline/record_loader.cpp
+++ b/src/timeline/record_loader.cpp
@@ -34,7 +34,7 @@
   bounds.from = ParseTime(options.span[0], begin);
   if (options.span.size() > 1) bounds.to = ParseTime(options.span[1], begin);
   if (bounds.to != 0 && bounds.to < bounds.from)
-    throw std::runtime_error("--span: the second time is before the first");
+    throw std::runtime_error("--span: the second time is before the first; give the earlier time first");
   return bounds;
 }
 
--- a/src/timeline/replica_timeline_model.cpp
+++ b/src/timeline/replica_timeline_model.cpp
@@ -118,7 +118,7 @@
     StateSpan& last = replica.spans.back();
     if (unknown) known = last.state == ReplicaState::kUnknown ? last.last_known : last.state;
     if (last.state == state && last.last_known == known) return;
-    // A replica that was removed or never listed does not become unknown, as no list says that it exists.
+    // A replica that was removed or never listed does not become unknown, as it is in no list.
     if (unknown && (known == ReplicaState::kGone || known == ReplicaState::kUnlisted)) return;
     if (last.from == at) {  // two states at the same time: the later one applies
       last = {at, 0, state, known, std::move(why)};
@@ -148,7 +148,7 @@
   if (const auto* gap = std::get_if<Gap>(&record)) return OnGap(*gap);
   const Time recorded_at = RecordTime(record);
   if (IsOutsideBounds(record, recorded_at)) return;
-  const Time now = std::max(end_, recorded_at + shift_);  // time never steps back within a run
+  const Time now = std::max(end_, recorded_at + shift_);  // times do not decrease
   if (!begun_) {
     begun_ = true;
     begin_ = now;
@@ -168,8 +168,8 @@
 }
 
 void ReplicaTimelines::OnStart(const Start& start) {
-  // If a process starts before the previous one ended, its clock differs: its times are shifted to continue
-  // from that end.
+  // If the start is recorded with a time before the end of the previous process, the clock has stepped back.
+  // The times that follow are shifted, to continue from that end.
   shift_ = 0;
   if (begun_ && start.now < end_) {
     shift_ = end_ - start.now;
@@ -236,8 +236,8 @@
     return SetAllUnknown(now, text);
   }
   source_ = list.source;
-  // By the first list after a start the node only catches up; later lists reach all nodes at about the same
-  // time.
+  // The first list after a start only brings the node up to date. Later lists reach all nodes at about the
+  // same time.
   const bool reaches_all =
       !list.repeated && list_received_ && list.generation > generation_ && list.source == "watch";
   if (reaches_all && generations_.size() < kMaxGenerations) generations_.emplace(list.generation, now);
--- a/src/timeline/replica_timeline_model.h
+++ b/src/timeline/replica_timeline_model.h
@@ -22,24 +22,28 @@
 enum class ReplicaState : std::uint8_t { kUnlisted, kReady, kDraining, kGone, kUnknown };
 const char* Name(ReplicaState state);
 
+// A time in which the state of a replica did not change.
 struct StateSpan {
   Time from = 0, to = 0;  // `to` is exclusive; 0 if the span is the last one and still open
   ReplicaState state = ReplicaState::kUnlisted;
-  ReplicaState last_known = ReplicaState::kUnlisted;  // last state before it became unknown; else `state`
-  std::string reason;                                 // the source of the state, or why the state is unknown
+  // For kUnknown the state before it became unknown; otherwise equal to `state`.
+  ReplicaState last_known = ReplicaState::kUnlisted;
+  std::string reason;  // the source of the state, or why the state is unknown
 };
 
+// What happened at one replica in one bin.
 struct ReplicaBin {
   std::uint32_t sent = 0, served = 0, failed = 0, at_capacity = 0, cancelled = 0;  // attempts
   std::uint32_t first_tokens = 0;                                                  // responses that started
   double first_token_sum = 0, first_token_max = 0;                                 // time to first token, ms
   std::int32_t in_flight = 0;  // maximum of this node's concurrent attempts
-  double load = -1;            // as last reported; negative if never reported
+  double load = -1;            // the load last reported; negative if none has been reported
   // Age in seconds of a load report that is older than the bin; negative if the report came within the bin.
   double load_age = -1;
   void Add(const ReplicaBin& o);
 };
 
+// What happened at the node, over all replicas, in one bin.
 struct FleetBin {
   std::uint32_t arrived = 0;       // requests
   std::uint32_t sent = 0;          // attempts
@@ -51,12 +55,14 @@
   void Add(const FleetBin& o);
 };
 
+// A time for which a replica was ejected after failures.
 struct EjectionSpan {
   Time from = 0, until = 0;
-  policy::Outcome outcome = policy::Outcome::kServed;
+  policy::Outcome outcome = policy::Outcome::kServed;  // outcome of the attempt that caused the ejection
   int consecutive_failures = 0;
 };
 
+// An event to show beside a timeline, as text.
 struct Annotation {
   Time at = 0;
   std::string text;
@@ -66,37 +72,37 @@
   policy::ReplicaId id = 0;
   std::string name, address;
   std::vector<StateSpan> spans;
-  std::map<std::uint32_t, ReplicaBin> bins;  // only those that are not empty
+  std::map<std::uint32_t, ReplicaBin> bins;  // by index; empty bins are absent
   std::vector<EjectionSpan> ejections;
   std::vector<Annotation> annotations;
   std::uint64_t dropped_items = 0;  // spans, ejections and annotations beyond max_items
   // State while the timeline is built.
   std::int32_t outstanding = 0;  // attempts in flight
-  double load = -1;              // as last reported; negative if never reported
-  Time load_at = 0;
-  std::string Title() const;  // the name, or the id in hexadecimal if the name is not known
+  double load = -1;              // the load last reported; negative if none has been reported
+  Time load_at = 0;              // time of that report
+  std::string Title() const;     // the name, or the id in hexadecimal if the name is not known
 };
 
 struct ReplicaTimelineOptions {
-  Time width = 1'000'000;  // initial width of a bin
-  std::uint32_t max_bins = 1800;
-  std::size_t max_replicas = 4096;
-  std::size_t max_items = 2048;  // of a replica's spans, of its ejections, and of its annotations
-  Time from = 0, to = 0;         // only records within these times; 0 means no bound
+  Time width = 1'000'000;           // initial width of a bin
+  std::uint32_t max_bins = 1800;    // for more, the bins are made wider
+  std::size_t max_replicas = 4096;  // further replicas are ignored
+  std::size_t max_items = 2048;     // maximum of a replica's spans, of its ejections, and of its annotations
+  Time from = 0, to = 0;            // only records within these times; 0 means no bound
 };
 
 class ReplicaTimelines {
  public:
   explicit ReplicaTimelines(ReplicaTimelineOptions options = {}) : options_(options), width_(options.width) {}
 
-  void AddRecord(const Record& record);
-  void Close();  // ends the last spans at the end of the record
+  void AddRecord(const Record& record);  // records are added in order
+  void Close();                          // ends the last spans at the end of the record
 
   const std::string& node() const { return node_; }
   Time begin() const { return begin_; }
   Time end() const { return end_; }
-  Time width() const { return width_; }
-  std::uint32_t bins() const;
+  Time width() const { return width_; }  // of a bin
+  std::uint32_t bins() const;            // number of bins from begin() to end(); 0 without records
   Time BinStart(std::uint32_t bin) const { return begin_ + static_cast<Time>(bin) * width_; }
   const std::map<policy::ReplicaId, ReplicaTimeline>& replicas() const { return replicas_; }
   const std::map<std::uint32_t, FleetBin>& fleet() const { return fleet_; }
@@ -104,15 +110,17 @@
   const std::vector<Anomaly>& anomalies() const { return anomalies_; }
   // Annotations of the node: restarts, gaps, coalesced decisions, and an unavailable endpoint list.
   const std::vector<Annotation>& annotations() const { return annotations_; }
+  // Number of requests that concluded for each policy::ConclusionReason.
   const std::array<std::uint64_t, static_cast<std::size_t>(policy::ConclusionReason::kCount)>& conclusions()
       const {
     return conclusions_;
   }
+  // Number of times that a record named a replica beyond max_replicas.
   std::uint64_t dropped_replicas() const { return dropped_replicas_; }
   // The time at which each generation of the endpoint list was first received. Lists by which a node caught
   // up after a start are excluded, so that the clocks of several nodes can be compared by these times.
   const std::map<std::uint64_t, Time>& generations() const { return generations_; }
-  std::string ReplicaTitle(policy::ReplicaId id) const;
+  std::string ReplicaTitle(policy::ReplicaId id) const;  // the name, or the id in hexadecimal
   // Returns the span that contains the time, or null if the time is before the first span.
   static const StateSpan* SpanAt(const ReplicaTimeline& replica, Time when);
 
@@ -123,6 +131,7 @@
   void MergeBins();
   void SetState(ReplicaTimeline& replica, Time at, ReplicaState state, std::string why);
   void SetAllUnknown(Time at, const std::string& why);
+  // `replica` counts the annotations that are dropped; null for those of the node.
   void Annotate(std::vector<Annotation>& annotations, Time at, std::string text, ReplicaTimeline* replica);
   bool IsOutsideBounds(const Record& record, Time recorded_at) const;
   void OnStart(const Start& start);
@@ -146,7 +155,7 @@
   std::string node_;
   bool begun_ = false;
   Time begin_ = 0, end_ = 0;
-  Time shift_ = 0;  // added to the record's times since the last start
+  Time shift_ = 0;  // is added to the times recorded since the last start
   std::map<policy::ReplicaId, ReplicaTimeline> replicas_;
   std::map<std::uint32_t, FleetBin> fleet_;
   std::vector<Anomaly> anomalies_;
@@ -154,11 +163,11 @@
   std::array<std::uint64_t, static_cast<std::size_t>(policy::ConclusionReason::kCount)> conclusions_{};
   std::uint64_t dropped_replicas_ = 0;
   std::map<std::uint64_t, Time> generations_;
-  bool list_received_ = false;  // since the last start
+  bool list_received_ = false;  // a list other than the cached one was received since the last start
   bool list_unavailable_ = false;
   bool after_gap_ = false;        // after a Gap, until the next record
-  std::size_t load_field_ = 0;    // index in a load report
-  std::string source_;            // of the next endpoint list
+  std::size_t load_field_ = 0;    // index of the load in a load report
+  std::string source_;            // source of the next endpoint list
   std::uint64_t generation_ = 0;  // highest generation since the last start
 };
 
--- a/src/timeline/request_trace_model.h
+++ b/src/timeline/request_trace_model.h
@@ -24,7 +24,7 @@
   void AddRecord(const Record& record);
   // Returns the trace as lines of text; empty if the request does not occur.
   std::vector<std::string> Lines() const;
-  std::size_t found() const { return found_; }  // number of requests with that id
+  std::size_t found() const { return found_; }  // number of requests with that id so far
 
  private:
   bool IsTraced(policy::RequestId id) const { return traced_.contains(id); }
@@ -33,10 +33,10 @@
   std::string StateText(policy::ReplicaId id, Time at) const;
 
   std::string id_;
-  std::uint64_t number_ = 0;
+  std::uint64_t number_ = 0;  // id_ as a hexadecimal number, if is_number_
   bool is_number_ = false;
-  std::set<policy::RequestId> traced_;  // requests with that id that are open
-  std::map<policy::RequestId, Time> arrived_;
+  std::set<policy::RequestId> traced_;                // open requests with that id
+  std::map<policy::RequestId, Time> arrived_;         // when each traced request arrived
   std::map<policy::RequestId, std::string> matched_;  // call ids of requests that have not arrived yet
   std::size_t found_ = 0;
   std::vector<std::string> lines_;
--- a/src/timeline/verify.cpp
+++ b/src/timeline/verify.cpp
@@ -17,7 +17,8 @@
       const auto at = std::find(fields.begin(), fields.end(), wanted);
       if (at != fields.end()) return static_cast<std::size_t>(at - fields.begin());
     }
-  } catch (const std::exception&) {  // a record may be damaged, or written by another version
+  } catch (const std::exception&) {
+    // The settings may be damaged, or written by another version.
   }
   return 0;
 }
@@ -49,7 +50,7 @@
   }
   if (difference_.empty()) {
     difference_ = "decision " + std::to_string(decisions_) + "\n  recorded: " + ToText(d) +
-                  "\n  now:      " + ToText(Decision{d.now, d.event, actions});
+                  "\n  replayed: " + ToText(Decision{d.now, d.event, actions});
   }
 }
 
--- a/src/timeline/verify.h
+++ b/src/timeline/verify.h
@@ -15,6 +15,7 @@
 // utilization, queue length, or the first field. Reads the recorded settings; returns 0 if they are invalid.
 std::size_t LoadFieldOf(const std::string& settings);
 
+// Compares the recorded actions of each decision with those of a replay.
 class Verifier {
  public:
   // `observer` receives the reasons of the replayed decisions; may be null.
@@ -23,12 +24,13 @@
   // Records are added in order. Throws std::runtime_error if the recorded settings are invalid.
   void AddRecord(const Record& record);
 
-  std::uint64_t starts() const { return starts_; }
-  std::uint64_t decisions() const { return decisions_; }  // that were compared
-  std::uint64_t matched() const { return matched_; }
+  std::uint64_t starts() const { return starts_; }        // Start records
+  std::uint64_t decisions() const { return decisions_; }  // decisions that were compared
+  std::uint64_t matched() const { return matched_; }      // compared decisions with equal actions
   // Decisions that cannot be compared: those after a gap until the next start, and before the first start.
   std::uint64_t skipped() const { return skipped_; }
   const std::string& first_difference() const { return difference_; }  // as text; empty if there is none
+  // Returns whether at least one decision was compared and all of them matched.
   bool good() const { return decisions_ > 0 && matched_ == decisions_ && difference_.empty(); }
 
   // The Router after the last decision; null after a gap and before the first start.
