--- a/src/timeline/anomaly_model.cpp
+++ b/src/timeline/anomaly_model.cpp
@@ -25,8 +25,8 @@
 constexpr double kFloorError = 0.02, kFloorFirst = 0.10, kFloorLoad = 0.25, kFloorShare = 0.30;
 // Standard deviation of ln(time to first token) of one request; that of the mean of n is smaller by sqrt(n).
 constexpr double kFirstTokenSigma = 0.35;
-constexpr double kMaxMeanWeight =
-    20'000;                           // first tokens that count in the moving average of the expected time
+// Number of first tokens that count in the moving average of the expected time.
+constexpr double kMaxMeanWeight = 20'000;
 constexpr std::size_t kMinPeers = 3;  // with fewer replicas a replica is not compared
 
 double MedianOf(std::vector<double>& v) {
