--- a/src/timeline/anomaly_model.cpp
+++ b/src/timeline/anomaly_model.cpp
@@ -91,25 +91,25 @@
   return before;
 }
 
-std::uint64_t AnomalyDetector::BeginAnomaly(Anomaly u) {
-  u.begins = true;
-  u.number = ++number_;
+std::uint64_t AnomalyDetector::BeginAnomaly(Anomaly anomaly) {
+  anomaly.begins = true;
+  anomaly.number = ++number_;
   ++open_;
-  sink_(u);
-  return u.number;
+  sink_(anomaly);
+  return anomaly.number;
 }
 
-void AnomalyDetector::EndAnomaly(Anomaly u) {
-  u.begins = false;
+void AnomalyDetector::EndAnomaly(Anomaly anomaly) {
+  anomaly.begins = false;
   --open_;
-  sink_(u);
+  sink_(anomaly);
 }
 
 void AnomalyDetector::Advance(Time now) {
   now_ = std::max(now_, now);
   if (tick_at_ == 0) tick_at_ = now_ + options_.tick;
   if (now_ - tick_at_ > kMaxTimeStep) {  // what happened in between is not known
-    for (auto& [id, r] : replicas_) r.tick = {};
+    for (auto& [id, r] : replicas_) r.counts = {};
     tick_at_ = now_ + options_.tick;
   }
   while (now_ >= tick_at_) {
@@ -166,20 +166,20 @@
     SizeOf(arrived->id) = {
         arrived->id, static_cast<std::uint8_t>(std::min(2 * octaves, static_cast<double>(kBuckets - 1)))};
   } else if (const auto* started = std::get_if<policy::ResponseStarted>(&event)) {
-    const PromptSize& sized = SizeOf(started->id);
+    const PromptSize& prompt_size = SizeOf(started->id);
     if (Replica* r = FindOrAdd(started->replica); r != nullptr) {
       r->refused_connects = 0;
-      if (sized.id == started->id) {
+      if (prompt_size.id == started->id) {
         const double ln = std::log(static_cast<double>(std::max<Time>(1, started->elapsed)));
-        ++r->tick.first_n;
-        r->tick.first_sum += ln - ExpectedFirstToken(sized.bucket, ln);
+        ++r->counts.first_tokens;
+        r->counts.first_token_log_sum += ln - ExpectedFirstToken(prompt_size.bucket, ln);
       }
     }
   } else if (const auto* ended = std::get_if<policy::AttemptEnded>(&event)) {
     if (Replica* r = FindOrAdd(ended->replica); r != nullptr) {
-      ++r->tick.ended;
-      if (Failed(ended->outcome)) ++r->tick.failed;
-      if (ended->outcome == Outcome::kAtCapacity) ++r->tick.at_capacity;
+      ++r->counts.ended;
+      if (Failed(ended->outcome)) ++r->counts.failed;
+      if (ended->outcome == Outcome::kAtCapacity) ++r->counts.at_capacity;
       if (ended->outcome == Outcome::kConnectFailed) {
         if (r->refused_connects++ == 0) r->refused_since = now_;
       } else if (ended->outcome != Outcome::kCancelled && ended->outcome != Outcome::kNotSent) {
@@ -198,7 +198,7 @@
   }
   for (const policy::Action& a : actions) {
     if (const auto* send = std::get_if<policy::SendAttempt>(&a)) {
-      if (Replica* r = FindOrAdd(send->replica); r != nullptr) ++r->tick.sent;
+      if (Replica* r = FindOrAdd(send->replica); r != nullptr) ++r->counts.sent;
     }
   }
 }
@@ -235,14 +235,14 @@
 }
 
 // Adds decisions that were counted instead of recorded to the values of the tick.
-void AnomalyDetector::OnCoalesced(const CoalescedDecisions& b) {
-  Advance(b.last);
-  for (const CoalescedReplica& x : b.replicas) {
-    Replica* r = FindOrAdd(x.id);
+void AnomalyDetector::OnCoalesced(const CoalescedDecisions& coalesced) {
+  Advance(coalesced.last);
+  for (const CoalescedReplica& counted : coalesced.replicas) {
+    Replica* r = FindOrAdd(counted.id);
     if (r == nullptr) continue;
-    r->tick.sent += static_cast<std::uint32_t>(x.sent);
-    r->tick.ended += static_cast<std::uint32_t>(x.served + x.failed);
-    r->tick.failed += static_cast<std::uint32_t>(x.failed);
+    r->counts.sent += static_cast<std::uint32_t>(counted.sent);
+    r->counts.ended += static_cast<std::uint32_t>(counted.served + counted.failed);
+    r->counts.failed += static_cast<std::uint32_t>(counted.failed);
   }
 }
 
@@ -257,89 +257,95 @@
 // ---- One tick ----
 
 void AnomalyDetector::ComputeValues(Replica& r, double mean_sent, double load_scale) {
-  const Counts& c = r.tick;
-  const double ended = c.ended;
-  auto& now = r.now;
-  now = {};
-  if (c.ended > 0) {
+  const Counts& counts = r.counts;
+  const double ended = counts.ended;
+  auto& values = r.values;
+  values = {};
+  if (counts.ended > 0) {
     // With few attempts a single failure is a large share. The floor is the sampling error of a share of
     // 0.03.
     const double floor = kFloorError + std::sqrt(0.03 / ended);
-    now[0] = Value{c.failed / ended, floor};
-    now[3] = Value{c.at_capacity / ended, floor + kFloorError};
+    values[0] = Value{counts.failed / ended, floor};
+    values[3] = Value{counts.at_capacity / ended, floor + kFloorError};
   }
   // A mean of few first tokens is imprecise: they are collected until there are min_first_tokens of them, or
   // for at most max_first_token_ticks.
-  if (c.first_n > 0 &&
-      (c.first_n >= options_.min_first_tokens || ++r.first_ticks >= options_.max_first_token_ticks))
-    now[1] = Value{c.first_sum / c.first_n, kFloorFirst + kFirstTokenSigma / std::sqrt(c.first_n)};
-  if (r.load >= 0 && now_ - r.load_at < kMaxLoadAge) now[2] = Value{r.load, kFloorLoad * load_scale + 1};
+  if (counts.first_tokens > 0 && (counts.first_tokens >= options_.min_first_tokens ||
+                                  ++r.first_token_ticks >= options_.max_first_token_ticks))
+    values[1] = Value{counts.first_token_log_sum / counts.first_tokens,
+                      kFloorFirst + kFirstTokenSigma / std::sqrt(counts.first_tokens)};
+  if (r.load >= 0 && now_ - r.load_at < kMaxLoadAge) values[2] = Value{r.load, kFloorLoad * load_scale + 1};
   if (mean_sent >= 1 && r.state == EndpointState::kReady)
-    now[4] = Value{c.sent / mean_sent, kFloorShare + 1.5 / std::sqrt(mean_sent)};
+    values[4] = Value{counts.sent / mean_sent, kFloorShare + 1.5 / std::sqrt(mean_sent)};
 }
 
 void AnomalyDetector::Tick(Time at) {
   double sent = 0;
-  double ready = 0;
-  double loads = 0;
-  double loaded = 0;
+  double ready_replicas = 0;
+  double load_sum = 0;
+  double loaded_replicas = 0;
   for (const auto& [id, r] : replicas_) {
-    sent += r.tick.sent;
-    if (r.state == EndpointState::kReady) ++ready;
+    sent += r.counts.sent;
+    if (r.state == EndpointState::kReady) ++ready_replicas;
     if (r.load >= 0 && now_ - r.load_at < kMaxLoadAge) {
-      loads += r.load;
-      ++loaded;
+      load_sum += r.load;
+      ++loaded_replicas;
     }
   }
   for (auto& [id, r] : replicas_)
-    ComputeValues(r, ready > 0 ? sent / ready : 0, loaded > 0 ? loads / loaded : 0);
+    ComputeValues(r, ready_replicas > 0 ? sent / ready_replicas : 0,
+                  loaded_replicas > 0 ? load_sum / loaded_replicas : 0);
 
-  std::vector<double> others;
+  std::vector<double> fleet_values;
   for (std::size_t k = 0; k < kSeries; ++k) {
     const auto kind = static_cast<AnomalyKind>(k);
-    others.clear();
+    fleet_values.clear();
     double floors = 0;
     for (const auto& [id, r] : replicas_) {
-      if (!r.now[k]) continue;
-      others.push_back(r.now[k]->x);
-      floors += r.now[k]->floor;
+      if (!r.values[k]) continue;
+      fleet_values.push_back(r.values[k]->x);
+      floors += r.values[k]->floor;
     }
-    if (others.empty()) {
+    if (fleet_values.empty()) {
       if (fleet_[k].number != 0)
         UpdateSeries(fleet_[k], at, kind, true, 0, fleet_[k].baseline.median(), 0, 0);
       continue;
     }
-    const double n = static_cast<double>(others.size());
-    const double median = MedianOf(others);
-    const double scale = ScaleOf(others, median);
-    const bool compare = others.size() >= kMinPeers;
+    const double n = static_cast<double>(fleet_values.size());
+    const double median = MedianOf(fleet_values);
+    const double scale = ScaleOf(fleet_values, median);
+    const bool compare = fleet_values.size() >= kMinPeers;
     for (auto& [id, r] : replicas_) {
-      Series& s = r.series[k];
-      if (!r.now[k]) {
+      Series& series = r.series[k];
+      if (!r.values[k]) {
         // A tick without data is neither a deviation nor a return, but an anomaly must not stay open forever:
         // it counts as a distance of 0.
-        if (s.number != 0) UpdateSeries(s, at, kind, false, id, s.baseline.median(), 0, median);
+        if (series.number != 0)
+          UpdateSeries(series, at, kind, false, id, series.baseline.median(), 0, median);
         continue;
       }
       if (at - r.ready_since < kWarmUp) continue;
-      const Value& v = *r.now[k];
-      const double own = s.baseline.size() < options_.min_baseline_values
-                             ? 0
-                             : (v.x - s.baseline.median()) / std::max(s.baseline.scale(), v.floor);
-      const double apart = (v.x - median) / std::max(scale, v.floor);
-      double d = 0;
-      if (compare && own * apart > 0) d = std::copysign(std::min(std::abs(own), std::abs(apart)), own);
+      const Value& v = *r.values[k];
+      const double own_distance =
+          series.baseline.size() < options_.min_baseline_values
+              ? 0
+              : (v.x - series.baseline.median()) / std::max(series.baseline.scale(), v.floor);
+      const double peer_distance = (v.x - median) / std::max(scale, v.floor);
+      double distance = 0;
+      if (compare && own_distance * peer_distance > 0)
+        distance = std::copysign(std::min(std::abs(own_distance), std::abs(peer_distance)), own_distance);
       // With too few peers a change of one replica cannot be told from one of the fleet, and is attributed to
       // the fleet.
-      UpdateSeries(s, at, kind, false, id, v.x, d, median);
+      UpdateSeries(series, at, kind, false, id, v.x, distance, median);
     }
     if (kind == AnomalyKind::kTrafficShare) continue;  // the mean share over the fleet is constant
-    Series& f = fleet_[k];
+    Series& fleet_series = fleet_[k];
     const double floor = floors / n / std::sqrt(std::max(1.0, n / 2));
-    const double d = f.baseline.size() < options_.min_baseline_values
-                         ? 0
-                         : (median - f.baseline.median()) / std::max(f.baseline.scale(), floor);
-    UpdateSeries(f, at, kind, true, 0, median, d, median);
+    const double distance =
+        fleet_series.baseline.size() < options_.min_baseline_values
+            ? 0
+            : (median - fleet_series.baseline.median()) / std::max(fleet_series.baseline.scale(), floor);
+    UpdateSeries(fleet_series, at, kind, true, 0, median, distance, median);
   }
 
   for (auto& [id, r] : replicas_) {
@@ -355,13 +361,13 @@
     } else if (r.contradicted != 0 && (r.refused_connects == 0 || r.state != EndpointState::kReady)) {
       EndContradicted(id, r, at);
     }
-    const Counts gathered = r.tick;
-    r.tick = {};
-    if (r.now[1]) {
-      r.first_ticks = 0;
+    const Counts counts = r.counts;
+    r.counts = {};
+    if (r.values[1]) {
+      r.first_token_ticks = 0;
     } else {
-      r.tick.first_n = gathered.first_n;
-      r.tick.first_sum = gathered.first_sum;
+      r.counts.first_tokens = counts.first_tokens;
+      r.counts.first_token_log_sum = counts.first_token_log_sum;
     }
   }
   if (cached_only_ && list_stale_ == 0 && at - list_stale_since_ >= options_.stale_after) {
@@ -370,61 +376,61 @@
   }
 }
 
-void AnomalyDetector::UpdateSeries(Series& s, Time at, AnomalyKind kind, bool fleet, policy::ReplicaId id,
-                                   double x, double distance, double peers) {
-  if (s.number == 0) {
-    s.baseline.Add(x, options_.baseline_values);
-    const auto sum = [&](double& total, Time& since, double d) {
+void AnomalyDetector::UpdateSeries(Series& series, Time at, AnomalyKind kind, bool fleet,
+                                   policy::ReplicaId id, double x, double distance, double peers) {
+  if (series.number == 0) {
+    series.baseline.Add(x, options_.baseline_values);
+    const auto accumulate = [&](double& total, Time& since, double d) {
       const double before = total;
       total = std::max(0.0, total + std::min(d, options_.max_distance) - options_.slack);
       if (before == 0 && total > 0) since = at - options_.tick;
     };
-    sum(s.up, s.up_since, distance);
-    sum(s.down, s.down_since, -distance);
+    accumulate(series.up, series.up_since, distance);
+    accumulate(series.down, series.down_since, -distance);
     // Fewer errors or rejections, lower latency or less load than usual is not an anomaly. A share of traffic
     // may deviate in both directions.
-    const bool both = kind == AnomalyKind::kTrafficShare;
-    const bool up = s.up > options_.alarm_sum;
-    const bool down = both && s.down > options_.alarm_sum;
+    const bool two_sided = kind == AnomalyKind::kTrafficShare;
+    const bool up = series.up > options_.alarm_sum;
+    const bool down = two_sided && series.down > options_.alarm_sum;
     if (!up && !down) return;
-    s.rising = up;
-    s.since = up ? s.up_since : s.down_since;
-    s.baseline_value = s.baseline.median();
-    s.sum = x;
-    s.values = 1;
-    s.calm_ticks = 0;
-    s.peers = peers;
-    s.number = BeginAnomaly({.now = at,
-                             .kind = kind,
-                             .fleet = fleet,
-                             .replica = id,
-                             .since = s.since,
-                             .baseline = Displayed(kind, s.baseline_value),
-                             .during = Displayed(kind, x),
-                             .peers = Displayed(kind, peers)});
+    series.rising = up;
+    series.since = up ? series.up_since : series.down_since;
+    series.baseline_value = series.baseline.median();
+    series.sum = x;
+    series.values = 1;
+    series.calm_ticks = 0;
+    series.peers = peers;
+    series.number = BeginAnomaly({.now = at,
+                                  .kind = kind,
+                                  .fleet = fleet,
+                                  .replica = id,
+                                  .since = series.since,
+                                  .baseline = Displayed(kind, series.baseline_value),
+                                  .during = Displayed(kind, x),
+                                  .peers = Displayed(kind, peers)});
     return;
   }
-  s.sum += x;
-  ++s.values;
-  const double d = s.rising ? distance : -distance;
-  s.calm_ticks = d < options_.calm_distance ? s.calm_ticks + 1 : 0;
-  if (s.calm_ticks >= options_.calm_ticks) return EndSeries(s, at, kind, fleet, id);
+  series.sum += x;
+  ++series.values;
+  const double d = series.rising ? distance : -distance;
+  series.calm_ticks = d < options_.calm_distance ? series.calm_ticks + 1 : 0;
+  if (series.calm_ticks >= options_.calm_ticks) return EndSeries(series, at, kind, fleet, id);
   // The baseline takes up every fourth value, so that the anomaly of a permanent change ends eventually.
-  if (s.values % 4 == 0) s.baseline.Add(x, options_.baseline_values);
+  if (series.values % 4 == 0) series.baseline.Add(x, options_.baseline_values);
 }
 
-void AnomalyDetector::EndSeries(Series& s, Time at, AnomalyKind kind, bool fleet, policy::ReplicaId id) {
+void AnomalyDetector::EndSeries(Series& series, Time at, AnomalyKind kind, bool fleet, policy::ReplicaId id) {
   EndAnomaly({.now = at,
-              .number = std::exchange(s.number, 0),
+              .number = std::exchange(series.number, 0),
               .kind = kind,
               .fleet = fleet,
               .replica = id,
-              .since = s.since,
-              .baseline = Displayed(kind, s.baseline_value),
-              .during = Displayed(kind, s.sum / std::max(1, s.values)),
-              .peers = Displayed(kind, s.peers)});
-  s.up = s.down = 0;
-  s.calm_ticks = 0;
+              .since = series.since,
+              .baseline = Displayed(kind, series.baseline_value),
+              .during = Displayed(kind, series.sum / std::max(1, series.values)),
+              .peers = Displayed(kind, series.peers)});
+  series.up = series.down = 0;
+  series.calm_ticks = 0;
 }
 
 void AnomalyDetector::EndContradicted(policy::ReplicaId id, Replica& r, Time at) {
--- a/src/timeline/anomaly_model.h
+++ b/src/timeline/anomaly_model.h
@@ -110,8 +110,8 @@
   // What happened at one replica in one tick.
   struct Counts {
     std::uint32_t sent = 0, ended = 0, failed = 0, at_capacity = 0;  // attempts
-    std::uint32_t first_n = 0;                                       // responses that started
-    double first_sum = 0;  // sum of ln(time to first token / expected time) over these responses
+    std::uint32_t first_tokens = 0;                                  // responses that started
+    double first_token_log_sum = 0;  // sum of ln(time to first token / expected time) over these responses
   };
   // A value of a series in one tick.
   struct Value {
@@ -122,24 +122,25 @@
     policy::EndpointState state = policy::EndpointState::kRemoved;
     Time ready_since = 0;  // 0 if it has not been ready
     Time started_at = 0;   // as given in the endpoint list
-    Counts tick;
-    int first_ticks = 0;             // ticks over which the first tokens in `tick` have been collected
+    Counts counts;
+    int first_token_ticks = 0;       // ticks over which the first tokens in `counts` have been collected
     double load = -1;                // the load last reported; -1 if none has been reported
     Time load_at = 0;                // time of that report
     int refused_connects = 0;        // refused connects in a row
     Time refused_since = 0;          // time of the first of them
     std::uint64_t contradicted = 0;  // number of the open kEndpointListContradicted; 0 if there is none
     std::array<Series, kSeries> series;
-    std::array<std::optional<Value>, kSeries> now;  // the values of this tick; nullopt if there was no data
+    // The values of this tick; nullopt if there was no data.
+    std::array<std::optional<Value>, kSeries> values;
   };
 
   Replica* FindOrAdd(policy::ReplicaId id);
   void Advance(Time now);  // evaluates all ticks up to `now`
   void Tick(Time at);
   void ComputeValues(Replica& r, double mean_sent, double load_scale);
-  void UpdateSeries(Series& s, Time at, AnomalyKind kind, bool fleet, policy::ReplicaId id, double x,
+  void UpdateSeries(Series& series, Time at, AnomalyKind kind, bool fleet, policy::ReplicaId id, double x,
                     double distance, double peers);
-  void EndSeries(Series& s, Time at, AnomalyKind kind, bool fleet, policy::ReplicaId id);
+  void EndSeries(Series& series, Time at, AnomalyKind kind, bool fleet, policy::ReplicaId id);
   std::uint64_t BeginAnomaly(Anomaly anomaly);
   void EndAnomaly(Anomaly anomaly);
   void EndContradicted(policy::ReplicaId id, Replica& r, Time at);
--- a/src/timeline/export_model.cpp
+++ b/src/timeline/export_model.cpp
@@ -38,23 +38,27 @@
                                {"outcome", Strings{}},
                                {"failures", Integers{}}});
   TableBuilder marks("marks", {{"at_ms", Integers{}}, {"replica", Strings{}}, {"what", Strings{}}});
-  for (const Annotation& m : timelines.annotations()) marks.Add(ms(m.at), "", m.text);
+  for (const Annotation& annotation : timelines.annotations())
+    marks.Add(ms(annotation.at), "", annotation.text);
   for (const auto& [id, replica] : timelines.replicas()) {
     const std::string title = replica.Title();
-    for (const auto& [n, b] : replica.bins) {
+    for (const auto& [n, bin] : replica.bins) {
       const StateSpan* span =
           ReplicaTimelines::SpanAt(replica, timelines.BinStart(n) + timelines.width() - 1);
-      bins.Add(ms(timelines.BinStart(n)), title, b.sent, b.served, b.failed, b.at_capacity, b.cancelled,
-               NanIfNegative(b.first_tokens > 0 ? b.first_token_sum / b.first_tokens : -1.0),
-               NanIfNegative(b.first_tokens > 0 ? b.first_token_max : -1.0), b.in_flight,
-               NanIfNegative(b.load), NanIfNegative(b.load_age),
+      bins.Add(ms(timelines.BinStart(n)), title, bin.sent, bin.served, bin.failed, bin.at_capacity,
+               bin.cancelled,
+               NanIfNegative(bin.first_tokens > 0 ? bin.first_token_sum / bin.first_tokens : -1.0),
+               NanIfNegative(bin.first_tokens > 0 ? bin.first_token_max : -1.0), bin.in_flight,
+               NanIfNegative(bin.load), NanIfNegative(bin.load_age),
                Name(span == nullptr ? ReplicaState::kUnlisted : span->state));
     }
-    for (const StateSpan& s : replica.spans)
-      states.Add(title, ms(s.from), ms(s.to), Name(s.state), Name(s.last_known), s.reason);
-    for (const EjectionSpan& r : replica.ejections)
-      rests.Add(title, ms(r.from), ms(r.until), ryeglade::Name(r.outcome), r.consecutive_failures);
-    for (const Annotation& m : replica.annotations) marks.Add(ms(m.at), title, m.text);
+    for (const StateSpan& span : replica.spans)
+      states.Add(title, ms(span.from), ms(span.to), Name(span.state), Name(span.last_known), span.reason);
+    for (const EjectionSpan& ejection : replica.ejections)
+      rests.Add(title, ms(ejection.from), ms(ejection.until), ryeglade::Name(ejection.outcome),
+                ejection.consecutive_failures);
+    for (const Annotation& annotation : replica.annotations)
+      marks.Add(ms(annotation.at), title, annotation.text);
   }
   TableBuilder fleet("fleet", {{"start_ms", Integers{}},
                                {"arrived", Integers{}},
@@ -76,13 +80,14 @@
                                  {"before", Numbers{}},
                                  {"during", Numbers{}},
                                  {"peers", Numbers{}}});
-  for (const Anomaly& u : timelines.anomalies()) {
-    events.Add(ms(u.now), u.number, u.begins ? "begins" : "ends", Name(u.kind),
-               u.fleet ? std::string("fleet") : timelines.ReplicaTitle(u.replica), ms(u.since), u.baseline,
-               u.during, u.peers);
+  for (const Anomaly& anomaly : timelines.anomalies()) {
+    events.Add(ms(anomaly.now), anomaly.number, anomaly.begins ? "begins" : "ends", Name(anomaly.kind),
+               anomaly.fleet ? std::string("fleet") : timelines.ReplicaTitle(anomaly.replica),
+               ms(anomaly.since), anomaly.baseline, anomaly.during, anomaly.peers);
   }
   std::vector<TextTable> tables;
-  for (TableBuilder* r : {&bins, &fleet, &states, &rests, &events, &marks}) tables.push_back(r->Take());
+  for (TableBuilder* builder : {&bins, &fleet, &states, &rests, &events, &marks})
+    tables.push_back(builder->Take());
   return tables;
 }
 
--- a/src/timeline/flight_record_codec.cpp
+++ b/src/timeline/flight_record_codec.cpp
@@ -193,8 +193,8 @@
   f(t.now, t.what, t.member, t.by, t.value, t.live);
 }
 template <class F>
-void Fields(F& f, Anomaly& u) {
-  f(u.now, u.number, u.begins, u.kind, u.fleet, u.replica, u.since, u.baseline, u.during, u.peers);
+void Fields(F& f, Anomaly& a) {
+  f(a.now, a.number, a.begins, a.kind, a.fleet, a.replica, a.since, a.baseline, a.during, a.peers);
 }
 
 template <class T>
--- a/src/timeline/flight_recorder.cpp
+++ b/src/timeline/flight_recorder.cpp
@@ -25,7 +25,7 @@
 // Size of the encoded reasons of one decision; reasons beyond it are dropped.
 constexpr std::size_t kMaxReasonBytes = std::size_t{16} * 1024;
 
-bool Same(const EndpointRecord& a, const EndpointRecord& b) {
+bool HasSameContent(const EndpointRecord& a, const EndpointRecord& b) {
   return a.name == b.name && a.address == b.address && a.started_at == b.started_at && a.state == b.state;
 }
 
@@ -45,14 +45,14 @@
   Time not_before = 0;                     // nothing is written before this time
   int error = 0;                           // errno of the last failed write; 0 once it has been logged
 
-  bool Open() {
+  bool OpenNextFile() {
     const std::string path = fmt::format("{}/{}{:013}-{:06}.flight", directory, prefix, started, segment);
     fd = open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0640);
     size = 0;
     if (fd >= 0) ++segment;
-    return fd >= 0 && Put(FileHeader());
+    return fd >= 0 && WriteBytes(FileHeader());
   }
-  bool Put(const std::string& bytes) {
+  bool WriteBytes(const std::string& bytes) {
     for (std::size_t at = 0; at < bytes.size();) {
       const ssize_t n = write(fd, bytes.data() + at, bytes.size() - at);
       if (n < 0 && errno == EINTR) continue;
@@ -62,12 +62,12 @@
     size += bytes.size();
     return true;
   }
-  void Shut() {
+  void CloseFile() {
     if (fd >= 0) close(fd);
     fd = -1;
   }
   // Deletes the oldest files of this node until all fit into total_bytes; never deletes the open file.
-  void Trim() {
+  void DeleteOldFiles() {
     std::error_code ignored;
     std::vector<std::pair<std::string, std::size_t>> files;
     std::size_t all = 0;
@@ -89,16 +89,16 @@
     if (Now() < not_before) return false;
     const std::string bytes = MakeBlock(raw, n);
     errno = 0;
-    if (fd >= 0 && size + bytes.size() > segment_bytes) Shut();
-    const bool fresh = fd < 0;
-    if ((fresh && !Open()) || !Put(bytes)) {
+    if (fd >= 0 && size + bytes.size() > segment_bytes) CloseFile();
+    const bool is_new_file = fd < 0;
+    if ((is_new_file && !OpenNextFile()) || !WriteBytes(bytes)) {
       error = errno;
-      Shut();  // the reader skips the bytes of an incomplete write
+      CloseFile();  // the reader skips the bytes of an incomplete write
       not_before = Now() + kRetryAfter;
       ++failures;
       return false;
     }
-    if (fresh) Trim();
+    if (is_new_file) DeleteOldFiles();
     return true;
   }
 };
@@ -108,17 +108,17 @@
       options_(std::move(options)),
       disk_(std::make_unique<Disk>()),
       budget_(options_.bytes_per_second),
-      detector_([this](const Anomaly& u) {
-        anomalies_ += u.begins ? 1 : 0;
-        Append(u);
-        const std::string id = Hex8(u.replica);
-        Log(u.begins ? Level::kWarn : Level::kInfo, u.begins ? "unusual-began" : "unusual-ended",
-            {{"number", u.number},
-             {"kind", Name(u.kind)},
-             {"of", u.fleet ? std::string_view("fleet") : std::string_view(id)},
-             {"before", u.baseline},
-             {"during", u.during},
-             {"peers", u.peers}});
+      detector_([this](const Anomaly& anomaly) {
+        anomalies_ += anomaly.begins ? 1 : 0;
+        Append(anomaly);
+        const std::string id = Hex8(anomaly.replica);
+        Log(anomaly.begins ? Level::kWarn : Level::kInfo, anomaly.begins ? "unusual-began" : "unusual-ended",
+            {{"number", anomaly.number},
+             {"kind", Name(anomaly.kind)},
+             {"of", anomaly.fleet ? std::string_view("fleet") : std::string_view(id)},
+             {"before", anomaly.baseline},
+             {"during", anomaly.during},
+             {"peers", anomaly.peers}});
       }) {
   for (const char c : options_.node.empty() ? std::string("node") : options_.node) {
     disk_->prefix += std::isalnum(static_cast<unsigned char>(c)) != 0 ? c : '_';
@@ -130,7 +130,7 @@
   disk_->started = static_cast<std::uint64_t>(Now() / 1000);
 }
 
-FlightRecorder::~FlightRecorder() { disk_->Shut(); }
+FlightRecorder::~FlightRecorder() { disk_->CloseFile(); }
 
 std::uint64_t FlightRecorder::failures() const { return disk_->failures; }
 
@@ -176,7 +176,7 @@
 void FlightRecorder::OnAppended(std::uint64_t records) {
   block_records_ += records;
   if (closed_) return;  // Close queues the last block itself
-  if (due_.order == 0) ScheduleFlush();
+  if (flush_deadline_.order == 0) ScheduleFlush();
   if (block_.size() >= options_.block_bytes) QueueBlock();
 }
 
@@ -193,12 +193,12 @@
 void FlightRecorder::OnEndpoint(Time now, const policy::Endpoint& entry, const std::string& name,
                                 const std::string& address) {
   if (closed_) return;
-  const EndpointRecord m{now, entry.id, name, address, entry.started_at, entry.state, false};
+  const EndpointRecord record{now, entry.id, name, address, entry.started_at, entry.state, false};
   const auto it = endpoints_.find(entry.id);
-  if (it != endpoints_.end() && Same(it->second, m)) return;
+  if (it != endpoints_.end() && HasSameContent(it->second, record)) return;
   if (it == endpoints_.end() && endpoints_.size() >= kMaxEndpoints) return;
-  endpoints_[entry.id] = m;
-  Append(m);
+  endpoints_[entry.id] = record;
+  Append(record);
 }
 
 void FlightRecorder::OnEndpointList(Time now, std::string_view source, std::uint64_t generation,
@@ -232,27 +232,27 @@
 
 void FlightRecorder::RepeatEndpoints(Time now) {
   repeat_at_ = now + kRepeatInterval;
-  for (const auto& [id, member] : endpoints_) {
-    EndpointRecord m = member;
-    m.now = now;
-    m.repeated = true;
-    Append(m);
+  for (const auto& [id, endpoint] : endpoints_) {
+    EndpointRecord repeated = endpoint;
+    repeated.now = now;
+    repeated.repeated = true;
+    Append(repeated);
   }
   if (endpoint_list_.now == 0) return;
-  EndpointListRecord r = endpoint_list_;
-  r.repeated = true;  // keeps its time, which tells the age of the list
-  Append(r);
+  EndpointListRecord list = endpoint_list_;
+  list.repeated = true;  // keeps its time, which tells the age of the list
+  Append(list);
 }
 
 void FlightRecorder::ScheduleFlush() {
-  due_ = run_->deadlines->Set(Now() + options_.block_interval, [this] {
-    due_ = {};
+  flush_deadline_ = run_->deadlines->Set(Now() + options_.block_interval, [this] {
+    flush_deadline_ = {};
     QueueBlock();
   });
 }
 
 void FlightRecorder::QueueBlock() {
-  run_->deadlines->Cancel(due_);
+  run_->deadlines->Cancel(flush_deadline_);
   if (block_records_ == 0) return;
   if (queue_.size() >= options_.max_queued_blocks) {
     dropped_ += block_records_;
@@ -291,7 +291,7 @@
   DumpJob* job = new DumpJob;
   job->work.data = job;
   job->recorder = this;
-  job->raws = ring_;
+  job->raw_blocks = ring_;
   job->first = ring_number_ - ring_.size();
   job->path = fmt::format("{}/{}{:013}-dump.flight", options_.dump_directory, disk_->prefix, Now() / 1000);
   dumping_ = true;
@@ -300,7 +300,8 @@
       [](uv_work_t* w) {
         DumpJob* j = static_cast<DumpJob*>(w->data);
         std::string file = FileHeader();
-        for (std::size_t i = 0; i < j->raws.size(); ++i) file += MakeBlock(j->raws[i], j->first + i);
+        for (std::size_t i = 0; i < j->raw_blocks.size(); ++i)
+          file += MakeBlock(j->raw_blocks[i], j->first + i);
         j->error = ReplaceFile(j->path, file, 0640).error;
       },
       [](uv_work_t* w, int) {
@@ -309,7 +310,7 @@
         if (j->error != 0) {
           Log(Level::kWarn, "flight-not-dumped", {{"path", j->path}, {"why", std::strerror(j->error)}});
         } else {
-          Log(Level::kInfo, "flight-dumped", {{"path", j->path}, {"blocks", j->raws.size()}});
+          Log(Level::kInfo, "flight-dumped", {{"path", j->path}, {"blocks", j->raw_blocks.size()}});
         }
       });
   if (queued != 0) {
@@ -360,7 +361,7 @@
     disk_->Write(queue_.front());
     queue_.pop_front();
   }
-  disk_->Shut();
+  disk_->CloseFile();
 }
 
 }  // namespace ryeglade::timeline
--- a/src/timeline/flight_recorder.h
+++ b/src/timeline/flight_recorder.h
@@ -83,8 +83,8 @@
     uv_work_t work{};
     FlightRecorder* recorder = nullptr;
     std::string path;
-    std::uint64_t first = 0;       // number of the first block
-    std::deque<std::string> raws;  // raw blocks
+    std::uint64_t first = 0;  // number of the first block
+    std::deque<std::string> raw_blocks;
     int error = 0;
   };
   template <class T>
@@ -109,7 +109,7 @@
   std::deque<std::string> queue_;    // raw blocks waiting for the disk
   bool writing_ = false;             // a block is being written
   bool closed_ = false;
-  DeadlineId due_{};  // when the current block is queued even if it is not full
+  DeadlineId flush_deadline_{};  // when the current block is queued even if it is not full
   std::uint64_t records_ = 0, dropped_ = 0, coalesced_ = 0, anomalies_ = 0;
   RecordBudget budget_;
   Coalescer coalescer_;
--- a/src/timeline/plot_model.cpp
+++ b/src/timeline/plot_model.cpp
@@ -66,9 +66,9 @@
 }
 
 // Rectangles with a colour each, which become one data block of the script.
-class Boxes {
+class Rectangles {
  public:
-  explicit Boxes(std::string name) : name_(std::move(name)) {}
+  explicit Rectangles(std::string name) : name_(std::move(name)) {}
   void Add(double x0, double x1, double y0, double y1, unsigned colour) {
     if (x1 <= x0 || y1 <= y0) return;
     // Equal neighbours are merged, to keep the script small.
@@ -84,14 +84,14 @@
     colour_ = colour;
     ++n_;
   }
-  // Returns the data block of the script. Term returns the part of the plot command that draws it; both are
-  // empty if there are no rectangles.
-  std::string Block() {
+  // Returns the data block of the script. PlotClause returns the part of the plot command that draws it; both
+  // are empty if there are no rectangles.
+  std::string DataBlock() {
     Flush();
     n_ = 0;
     return rows_.empty() ? "" : fmt::format("${} << EOD\n{}EOD\n", name_, rows_);
   }
-  std::string Term() const {
+  std::string PlotClause() const {
     return rows_.empty()
                ? ""
                : fmt::format(
@@ -107,14 +107,14 @@
     }
   }
   std::string name_, rows_;
-  std::size_t n_ = 0;  // rectangles added since the last Block
+  std::size_t n_ = 0;  // rectangles added since the last DataBlock
   double x0_ = 0, x1_ = 0, y0_ = 0, y1_ = 0;
   unsigned colour_ = 0;
 };
 
 // Returns a rank by failures, state changes and anomalies. If there are too many replicas, those with the
 // highest rank are plotted.
-double Interest(const ReplicaTimeline& replica, const std::map<policy::ReplicaId, int>& anomalies) {
+double PlotRank(const ReplicaTimeline& replica, const std::map<policy::ReplicaId, int>& anomalies) {
   double failed = 0;
   for (const auto& [n, bin] : replica.bins) failed += bin.failed + bin.at_capacity;
   const auto at = anomalies.find(replica.id);
@@ -146,8 +146,8 @@
       AddReplica(*shown_[i], rows_ - 1 - static_cast<double>(i));
     AddAnomalies();
     std::string script = GnuplotHead(options_.out, options_.width, height_pixels_, 10);
-    script += FleetData() + states_.Block() + traffic_.Block() + faults_.Block() + ejections_.Block() +
-              anomalies_.Block();
+    script += FleetData() + states_.DataBlock() + traffic_.DataBlock() + faults_.DataBlock() +
+              ejections_.DataBlock() + anomalies_.DataBlock();
     script += "$first << EOD\n" + (first_tokens_.empty() ? std::string("\n") : first_tokens_) + "EOD\n";
     script += "set multiplot\n";
     script += fmt::format("set xrange [0:{:.3f}]\nset lmargin at screen 0.13\nset rmargin at screen 0.985\n",
@@ -170,7 +170,7 @@
     for (const auto& [id, replica] : timelines_.replicas()) shown_.push_back(&replica);
     if (shown_.size() > kMaxPlottedTimelines) {
       std::stable_sort(shown_.begin(), shown_.end(), [&](const ReplicaTimeline* a, const ReplicaTimeline* b) {
-        return Interest(*a, anomalies) > Interest(*b, anomalies);
+        return PlotRank(*a, anomalies) > PlotRank(*b, anomalies);
       });
       hidden_ = shown_.size() - kMaxPlottedTimelines;
       shown_.resize(kMaxPlottedTimelines);
@@ -304,17 +304,17 @@
   }
 
   std::string FleetAnnotations() const {
-    std::string marks;
+    std::string commands;
     const std::size_t count = std::min(timelines_.annotations().size(), kMaxFleetLabels);
     for (std::size_t i = 0; i < count; ++i) {
       const Annotation& annotation = timelines_.annotations()[i];
       const double x = X(annotation.at);
-      marks += fmt::format(
+      commands += fmt::format(
           "set arrow from {0:.3f}, graph 0 to {0:.3f}, graph 1 nohead lt 0 lc rgb \"#555555\"\n", x);
-      marks += fmt::format("set label \"{}\" at {:.3f}, graph {:.2f} font \",7\" tc rgb \"#333333\"\n",
-                           Escaped(annotation.text), x, 0.82 - 0.1 * static_cast<double>(i % 6));
+      commands += fmt::format("set label \"{}\" at {:.3f}, graph {:.2f} font \",7\" tc rgb \"#333333\"\n",
+                              Escaped(annotation.text), x, 0.82 - 0.1 * static_cast<double>(i % 6));
     }
-    return marks;
+    return commands;
   }
 
   std::string Title() const {
@@ -326,43 +326,45 @@
   }
 
   std::string FleetPanel() const {
-    std::string s = fmt::format("set tmargin at screen {:.5f}\nset bmargin at screen {:.5f}\n",
-                                1 - 30 / height_pixels_, 1 - (kFleetPanelPixels - 30) / height_pixels_);
-    s += fmt::format(
+    std::string script = fmt::format("set tmargin at screen {:.5f}\nset bmargin at screen {:.5f}\n",
+                                     1 - 30 / height_pixels_, 1 - (kFleetPanelPixels - 30) / height_pixels_);
+    script += fmt::format(
         "set title \"{}\" font \",11\" offset 0,-0.4\nset ylabel \"requests/s\"\nset yrange [0:*]\n",
         Title());
-    s += "set key top right horizontal samplen 2 font \",8\"\nset xtics format \"\"\nset grid xtics lc rgb "
-         "\"#dddddd\"\n";
-    s += fleet_anomalies_ + FleetAnnotations();
-    s += "plot $fleet using 1:2 with lines lw 1.5 lc rgb \"#333333\" title \"arrived\", "
-         "$fleet using 1:3 with lines lw 1.5 lc rgb \"#2f8f46\" title \"served\", "
-         "$fleet using 1:4 with lines lw 1.5 lc rgb \"#c8321f\" title \"rejected or failed\"";
-    s += ", $fleet using 1:5 with lines lw 1 dt 2 lc rgb \"#7b5aa6\" title \"coalesced decisions\"\n";
-    return s + "unset arrow\nunset label\nunset object\nunset title\n";
+    script +=
+        "set key top right horizontal samplen 2 font \",8\"\nset xtics format \"\"\nset grid xtics lc rgb "
+        "\"#dddddd\"\n";
+    script += fleet_anomalies_ + FleetAnnotations();
+    script +=
+        "plot $fleet using 1:2 with lines lw 1.5 lc rgb \"#333333\" title \"arrived\", "
+        "$fleet using 1:3 with lines lw 1.5 lc rgb \"#2f8f46\" title \"served\", "
+        "$fleet using 1:4 with lines lw 1.5 lc rgb \"#c8321f\" title \"rejected or failed\"";
+    script += ", $fleet using 1:5 with lines lw 1 dt 2 lc rgb \"#7b5aa6\" title \"coalesced decisions\"\n";
+    return script + "unset arrow\nunset label\nunset object\nunset title\n";
   }
 
   std::string ReplicaPanel() const {
-    std::string s =
+    std::string script =
         fmt::format("set tmargin at screen {:.5f}\nset bmargin at screen {:.5f}\n",
                     1 - (kFleetPanelPixels - 10) / height_pixels_, footer_pixels_ / height_pixels_);
-    s += fmt::format("set yrange [0:{}]\nunset ylabel\nset ytics ({}) font \",{}\" scale 0\n",
-                     std::max(1.0, rows_), tics_, detailed_ ? 9 : 6);
-    s += "set xtics format \"%g s\"\nset grid xtics front lc rgb \"#e4e4e4\"\n";
-    s += fmt::format(
+    script += fmt::format("set yrange [0:{}]\nunset ylabel\nset ytics ({}) font \",{}\" scale 0\n",
+                          std::max(1.0, rows_), tics_, detailed_ ? 9 : 6);
+    script += "set xtics format \"%g s\"\nset grid xtics front lc rgb \"#e4e4e4\"\n";
+    script += fmt::format(
         "set key at screen 0.985, screen {:.5f} right bottom horizontal maxrows 1 samplen 1.2 font \",8\"\n",
         6 / height_pixels_);
-    s += labels_;
-    s += "plot -1 notitle" + states_.Term() + traffic_.Term() + faults_.Term() + ejections_.Term() +
-         anomalies_.Term();
+    script += labels_;
+    script += "plot -1 notitle" + states_.PlotClause() + traffic_.PlotClause() + faults_.PlotClause() +
+              ejections_.PlotClause() + anomalies_.PlotClause();
     if (detailed_) {
-      s += fmt::format(
+      script += fmt::format(
           ", $first using 1:2 with lines lw 1.2 lc rgb \"#222222\" title \"first token (top of row: {:.0f} "
           "ms)\"",
           max_first_token_);
-      s += fmt::format(", keyentry with boxes fs solid lc rgb {} title \"sent (maximum: {:.0f}/s)\"", kSent,
-                       max_sent_ / bin_seconds_);
+      script += fmt::format(", keyentry with boxes fs solid lc rgb {} title \"sent (maximum: {:.0f}/s)\"",
+                            kSent, max_sent_ / bin_seconds_);
     }
-    return s + ColourKey();
+    return script + ColourKey();
   }
 
   static std::string ColourKey() {
@@ -385,7 +387,7 @@
   double footer_pixels_ = 0, height_pixels_ = 0;
   double max_sent_ = 1;         // attempts in a bin at the top of the scale
   double max_first_token_ = 1;  // mean time to first token at the top of the scale, ms
-  Boxes states_{"states"}, traffic_{"traffic"}, faults_{"faults"}, ejections_{"ejections"},
+  Rectangles states_{"states"}, traffic_{"traffic"}, faults_{"faults"}, ejections_{"ejections"},
       anomalies_{"anomalies"};
   std::string first_tokens_;     // points of the lines of times to first token; an empty line ends a line
   std::string labels_, tics_;    // labels and tics of the replicas' panel, as gnuplot commands and entries
--- a/src/timeline/reader.cpp
+++ b/src/timeline/reader.cpp
@@ -26,36 +26,36 @@
  public:
   explicit MappedFile(const std::string& path) {
     const int fd = open(path.c_str(), O_RDONLY | O_CLOEXEC);
-    struct stat s {};
-    if (fd < 0 || fstat(fd, &s) != 0) {
+    struct stat status {};
+    if (fd < 0 || fstat(fd, &status) != 0) {
       const int error = errno;
       if (fd >= 0) close(fd);
       throw std::runtime_error(path + " cannot be read: " + std::strerror(error));
     }
-    size_ = static_cast<std::size_t>(s.st_size);
-    if (size_ > 0) at_ = mmap(nullptr, size_, PROT_READ, MAP_PRIVATE, fd, 0);
+    size_ = static_cast<std::size_t>(status.st_size);
+    if (size_ > 0) data_ = mmap(nullptr, size_, PROT_READ, MAP_PRIVATE, fd, 0);
     close(fd);
-    if (at_ == MAP_FAILED) throw std::runtime_error(path + " cannot be read: " + std::strerror(errno));
+    if (data_ == MAP_FAILED) throw std::runtime_error(path + " cannot be read: " + std::strerror(errno));
   }
   ~MappedFile() {
-    if (size_ > 0) munmap(at_, size_);
+    if (size_ > 0) munmap(data_, size_);
   }
   MappedFile(const MappedFile&) = delete;
   MappedFile& operator=(const MappedFile&) = delete;
   std::string_view text() const {
-    return size_ == 0 ? std::string_view() : std::string_view(static_cast<const char*>(at_), size_);
+    return size_ == 0 ? std::string_view() : std::string_view(static_cast<const char*>(data_), size_);
   }
   // Releases the memory of the first `bytes`, which will not be read again.
   void Release(std::size_t bytes) {
-    const std::size_t whole = bytes / kReleaseStep * kReleaseStep;
-    if (whole <= released_) return;
-    madvise(static_cast<char*>(at_) + released_, whole - released_, MADV_DONTNEED);
-    released_ = whole;
+    const std::size_t aligned_bytes = bytes / kReleaseStep * kReleaseStep;
+    if (aligned_bytes <= released_) return;
+    madvise(static_cast<char*>(data_) + released_, aligned_bytes - released_, MADV_DONTNEED);
+    released_ = aligned_bytes;
   }
 
  private:
   static constexpr std::size_t kReleaseStep = std::size_t{4} * 1024 * 1024;  // bytes
-  void* at_ = nullptr;
+  void* data_ = nullptr;
   std::size_t size_ = 0, released_ = 0;
 };
 
@@ -74,8 +74,8 @@
       Flush();
     }
     sink_(record);
-    const auto* d = std::get_if<Decision>(&record);
-    now_ = d != nullptr ? d->now : now_;
+    const auto* decision = std::get_if<Decision>(&record);
+    now_ = decision != nullptr ? decision->now : now_;
     if (!has_recorded_reasons_) verifier_.AddRecord(record);
   }
   void Flush() {
--- a/src/timeline/record_loader.cpp
+++ b/src/timeline/record_loader.cpp
@@ -43,15 +43,15 @@
   LoadedTimelines loaded{ReplicaTimelines(BoundsOf(options, files)), {}};
   std::vector<Anomaly> detected;
   AnomalyDetector detector([&](const Anomaly& anomaly) { detected.push_back(anomaly); });
-  bool node_recorded_some = false;
+  bool has_recorded_anomalies = false;
   loaded.totals = ReadWithReasons(
       files,
       [&](const Record& r) {
         if (std::holds_alternative<Anomaly>(r)) {
-          node_recorded_some = true;
+          has_recorded_anomalies = true;
           if (options.detect_again) return;
         }
-        const bool detect = options.detect_again || !node_recorded_some;
+        const bool detect = options.detect_again || !has_recorded_anomalies;
         if (detect) detector.OnRecord(r);
         loaded.timelines.AddRecord(r);
         if (detect) {
@@ -59,7 +59,7 @@
         }
       },
       options.progress);
-  if (options.detect_again || !node_recorded_some) {
+  if (options.detect_again || !has_recorded_anomalies) {
     detector.Close();
     for (const Anomaly& anomaly : detected) loaded.timelines.AddRecord(anomaly);
   }
--- a/src/timeline/replica_timeline_model.cpp
+++ b/src/timeline/replica_timeline_model.cpp
@@ -30,30 +30,30 @@
   return n < std::size(kNames) ? kNames[n] : "?";
 }
 
-void ReplicaBin::Add(const ReplicaBin& o) {
-  sent += o.sent;
-  served += o.served;
-  failed += o.failed;
-  at_capacity += o.at_capacity;
-  cancelled += o.cancelled;
-  first_tokens += o.first_tokens;
-  first_token_sum += o.first_token_sum;
-  first_token_max = std::max(first_token_max, o.first_token_max);
-  in_flight = std::max(in_flight, o.in_flight);
-  if (o.load >= 0) {
-    load = o.load;
-    load_age = o.load_age;
+void ReplicaBin::Add(const ReplicaBin& other) {
+  sent += other.sent;
+  served += other.served;
+  failed += other.failed;
+  at_capacity += other.at_capacity;
+  cancelled += other.cancelled;
+  first_tokens += other.first_tokens;
+  first_token_sum += other.first_token_sum;
+  first_token_max = std::max(first_token_max, other.first_token_max);
+  in_flight = std::max(in_flight, other.in_flight);
+  if (other.load >= 0) {
+    load = other.load;
+    load_age = other.load_age;
   }
 }
 
-void FleetBin::Add(const FleetBin& o) {
-  arrived += o.arrived;
-  sent += o.sent;
-  served += o.served;
-  rejected += o.rejected;
-  failed += o.failed;
-  disconnected += o.disconnected;
-  coalesced += o.coalesced;
+void FleetBin::Add(const FleetBin& other) {
+  arrived += other.arrived;
+  sent += other.sent;
+  served += other.served;
+  rejected += other.rejected;
+  failed += other.failed;
+  disconnected += other.disconnected;
+  coalesced += other.coalesced;
 }
 
 std::string ReplicaTimeline::Title() const { return name.empty() ? fmt::format("{:08x}", id) : name; }
@@ -111,7 +111,7 @@
   }
 }
 
-void ReplicaTimelines::SetState(ReplicaTimeline& replica, Time at, ReplicaState state, std::string why) {
+void ReplicaTimelines::SetState(ReplicaTimeline& replica, Time at, ReplicaState state, std::string reason) {
   const bool unknown = state == ReplicaState::kUnknown;
   ReplicaState known = state;
   if (!replica.spans.empty()) {
@@ -121,7 +121,7 @@
     // A replica that was removed or never listed does not become unknown, as it is in no list.
     if (unknown && (known == ReplicaState::kGone || known == ReplicaState::kUnlisted)) return;
     if (last.from == at) {  // two states at the same time: the later one applies
-      last = {at, 0, state, known, std::move(why)};
+      last = {at, 0, state, known, std::move(reason)};
       return;
     }
     if (replica.spans.size() >= options_.max_items) {
@@ -129,17 +129,17 @@
       // The newest state matters most: the last span is overwritten, and keeps its begin.
       last.state = state;
       last.last_known = known;
-      last.reason = std::move(why);
+      last.reason = std::move(reason);
       return;
     }
     last.to = at;
   }
-  replica.spans.push_back({at, 0, state, known, std::move(why)});
+  replica.spans.push_back({at, 0, state, known, std::move(reason)});
 }
 
-void ReplicaTimelines::SetAllUnknown(Time at, const std::string& why) {
+void ReplicaTimelines::SetAllUnknown(Time at, const std::string& reason) {
   for (auto& [id, replica] : replicas_) {
-    if (!replica.spans.empty()) SetState(replica, at, ReplicaState::kUnknown, why);
+    if (!replica.spans.empty()) SetState(replica, at, ReplicaState::kUnknown, reason);
   }
 }
 
@@ -396,16 +396,16 @@
   }
 }
 
-void ReplicaTimelines::OnCoalesced(const CoalescedDecisions& b, Time now) {
+void ReplicaTimelines::OnCoalesced(const CoalescedDecisions& coalesced, Time now) {
   const std::uint32_t n = BinIndex(now);
   FleetBin& fleet = fleet_[n];
-  fleet.arrived += static_cast<std::uint32_t>(b.arrived);
-  fleet.sent += static_cast<std::uint32_t>(b.sent);
-  fleet.rejected += static_cast<std::uint32_t>(b.rejected);
-  fleet.failed += static_cast<std::uint32_t>(b.failed);
-  fleet.coalesced += b.decisions;
-  if (!b.outcomes.empty()) fleet.served += static_cast<std::uint32_t>(b.outcomes.front());
-  for (const CoalescedReplica& r : b.replicas) {
+  fleet.arrived += static_cast<std::uint32_t>(coalesced.arrived);
+  fleet.sent += static_cast<std::uint32_t>(coalesced.sent);
+  fleet.rejected += static_cast<std::uint32_t>(coalesced.rejected);
+  fleet.failed += static_cast<std::uint32_t>(coalesced.failed);
+  fleet.coalesced += coalesced.decisions;
+  if (!coalesced.outcomes.empty()) fleet.served += static_cast<std::uint32_t>(coalesced.outcomes.front());
+  for (const CoalescedReplica& r : coalesced.replicas) {
     if (ReplicaTimeline* replica = FindOrAdd(r.id)) {
       ReplicaBin& bin = replica->bins[n];
       bin.sent += static_cast<std::uint32_t>(r.sent);
@@ -414,8 +414,8 @@
     }
   }
   for (auto& [id, replica] : replicas_) replica.outstanding = 0;
-  Annotate(annotations_, now, fmt::format("{} decisions coalesced", b.decisions), nullptr);
-  if (b.endpoint_lists > 0) SetAllUnknown(now, "endpoint lists among the coalesced decisions");
+  Annotate(annotations_, now, fmt::format("{} decisions coalesced", coalesced.decisions), nullptr);
+  if (coalesced.endpoint_lists > 0) SetAllUnknown(now, "endpoint lists among the coalesced decisions");
 }
 
 void ReplicaTimelines::Close() {
--- a/src/timeline/replica_timeline_model.h
+++ b/src/timeline/replica_timeline_model.h
@@ -40,7 +40,7 @@
   double load = -1;            // the load last reported; negative if none has been reported
   // Age in seconds of a load report that is older than the bin; negative if the report came within the bin.
   double load_age = -1;
-  void Add(const ReplicaBin& o);
+  void Add(const ReplicaBin& other);
 };
 
 // What happened at the node, over all replicas, in one bin.
@@ -52,7 +52,7 @@
   std::uint32_t failed = 0;        // requests
   std::uint32_t disconnected = 0;  // requests whose client disconnected
   std::uint64_t coalesced = 0;     // decisions that were counted instead of recorded
-  void Add(const FleetBin& o);
+  void Add(const FleetBin& other);
 };
 
 // A time for which a replica was ejected after failures.
@@ -129,8 +129,8 @@
   ReplicaTimeline* FindOrAdd(policy::ReplicaId id);
   std::uint32_t BinIndex(Time at);
   void MergeBins();
-  void SetState(ReplicaTimeline& replica, Time at, ReplicaState state, std::string why);
-  void SetAllUnknown(Time at, const std::string& why);
+  void SetState(ReplicaTimeline& replica, Time at, ReplicaState state, std::string reason);
+  void SetAllUnknown(Time at, const std::string& reason);
   // `replica` counts the annotations that are dropped; null for those of the node.
   void Annotate(std::vector<Annotation>& annotations, Time at, std::string text, ReplicaTimeline* replica);
   bool IsOutsideBounds(const Record& record, Time recorded_at) const;
--- a/src/timeline/request_trace_model.cpp
+++ b/src/timeline/request_trace_model.cpp
@@ -43,10 +43,10 @@
     out =
         fmt::format("{} for {:.0f} ms according to {}", Name(span->state), Ms(at - span->from), span->reason);
   }
-  for (const auto& [n, u] : open_anomalies_) {
-    if (u.fleet || u.replica == id)
-      out += fmt::format("; anomaly: {} of {} since {:.0f} ms", Name(u.kind), u.fleet ? "the fleet" : "it",
-                         Ms(at - u.since));
+  for (const auto& [number, anomaly] : open_anomalies_) {
+    if (anomaly.fleet || anomaly.replica == id)
+      out += fmt::format("; anomaly: {} of {} since {:.0f} ms", Name(anomaly.kind),
+                         anomaly.fleet ? "the fleet" : "it", Ms(at - anomaly.since));
   }
   return out;
 }
@@ -68,93 +68,102 @@
     matched_.clear();
     return;
   }
-  if (const auto* u = std::get_if<Anomaly>(&record)) {
-    if (u->begins) {
-      open_anomalies_[u->number] = *u;
+  if (const auto* anomaly = std::get_if<Anomaly>(&record)) {
+    if (anomaly->begins) {
+      open_anomalies_[anomaly->number] = *anomaly;
     } else {
-      open_anomalies_.erase(u->number);
+      open_anomalies_.erase(anomaly->number);
     }
     return;
   }
-  if (const auto* n = std::get_if<CallIdRecord>(&record)) {
-    if (n->call_id == id_) {
-      matched_[n->id] = n->call_id;
+  if (const auto* call = std::get_if<CallIdRecord>(&record)) {
+    if (call->call_id == id_) {
+      matched_[call->id] = call->call_id;
     } else {
-      traced_.erase(n->id);  // the id has been reused for another request
+      traced_.erase(call->id);  // the id has been reused for another request
     }
     return;
   }
-  if (const auto* n = std::get_if<ReasonRecord>(&record)) {
-    if (const auto* send = std::get_if<policy::DispatchRecord>(&n->reason);
-        send != nullptr && IsTraced(send->id)) {
-      std::string text = fmt::format("  why {}: most spare capacity, {:.3g}", ReplicaTitle(send->replica),
-                                     send->score * 1000);
-      text += send->runner_up_score > 0 ? fmt::format(" against {:.3g} at {}", send->runner_up_score * 1000,
-                                                      ReplicaTitle(send->runner_up))
-                                        : std::string(", and none elsewhere");
+  if (const auto* reason = std::get_if<ReasonRecord>(&record)) {
+    if (const auto* dispatch = std::get_if<policy::DispatchRecord>(&reason->reason);
+        dispatch != nullptr && IsTraced(dispatch->id)) {
+      std::string text = fmt::format("  why {}: most spare capacity, {:.3g}", ReplicaTitle(dispatch->replica),
+                                     dispatch->score * 1000);
+      text += dispatch->runner_up_score > 0
+                  ? fmt::format(" against {:.3g} at {}", dispatch->runner_up_score * 1000,
+                                ReplicaTitle(dispatch->runner_up))
+                  : std::string(", and none elsewhere");
       text += fmt::format(
           "; {} of {} replicas had spare capacity, {} of its {:.1f} in use, {:.0f} tokens to prefill; "
           "estimated runtime {:.0f} ms, queued for {:.0f} ms; {}",
-          send->candidates_with_capacity, send->candidates, send->in_flight, send->concurrency_limit,
-          send->tokens_to_prefill, Ms(static_cast<Time>(send->estimated_runtime)), Ms(send->queued_for),
-          StateText(send->replica, n->now));
-      AddLine(n->now, text);
+          dispatch->candidates_with_capacity, dispatch->candidates, dispatch->in_flight,
+          dispatch->concurrency_limit, dispatch->tokens_to_prefill,
+          Ms(static_cast<Time>(dispatch->estimated_runtime)), Ms(dispatch->queued_for),
+          StateText(dispatch->replica, reason->now));
+      AddLine(reason->now, text);
     }
-    if (const auto* end = std::get_if<policy::ConclusionRecord>(&n->reason);
-        end != nullptr && arrived_.contains(end->id)) {
-      AddLine(n->now, fmt::format("  why: {}; {} attempts, {} requests queued, {} of {:.1f} in use",
-                                  ryeglade::Name(end->reason), end->attempts, end->queue_length,
-                                  end->in_flight, end->total_concurrency_limit));
+    if (const auto* conclusion = std::get_if<policy::ConclusionRecord>(&reason->reason);
+        conclusion != nullptr && arrived_.contains(conclusion->id)) {
+      AddLine(reason->now,
+              fmt::format("  why: {}; {} attempts, {} requests queued, {} of {:.1f} in use",
+                          ryeglade::Name(conclusion->reason), conclusion->attempts, conclusion->queue_length,
+                          conclusion->in_flight, conclusion->total_concurrency_limit));
     }
     return;
   }
-  const auto* d = std::get_if<Decision>(&record);
-  if (d == nullptr) return;
-  if (const auto* a = std::get_if<policy::RequestArrived>(&d->event)) {
-    const bool named = matched_.erase(a->id) > 0;
-    if (!named && !(is_number_ && a->id == number_)) {
-      traced_.erase(a->id);
-      arrived_.erase(a->id);
+  const auto* decision = std::get_if<Decision>(&record);
+  if (decision == nullptr) return;
+  if (const auto* arrived = std::get_if<policy::RequestArrived>(&decision->event)) {
+    const bool named = matched_.erase(arrived->id) > 0;
+    if (!named && !(is_number_ && arrived->id == number_)) {
+      traced_.erase(arrived->id);
+      arrived_.erase(arrived->id);
       return;
     }
     ++found_;
-    traced_.insert(a->id);
-    arrived_[a->id] = d->now;
-    AddLine(
-        d->now,
-        fmt::format("request {:x}{} arrives: class {}, {:g} prompt tokens ({:g} in the shared prefix), "
-                    "max output {:g}, time budget {:.0f} ms{}",
-                    a->id, named ? " (" + id_ + ")" : "", a->class_index, a->prompt_tokens, a->prefix_tokens,
-                    a->max_answer_tokens, Ms(a->time_budget), a->client_retry ? ", client retry" : ""));
-  } else if (const auto* s = std::get_if<policy::ResponseStarted>(&d->event);
-             s != nullptr && IsTraced(s->id)) {
-    AddLine(d->now,
-            fmt::format("first token from {} after {:.1f} ms", ReplicaTitle(s->replica), Ms(s->elapsed)));
-  } else if (const auto* e = std::get_if<policy::AttemptEnded>(&d->event); e != nullptr && IsTraced(e->id)) {
-    AddLine(d->now,
-            fmt::format("attempt {} at {} ends: {} after {:.1f} ms; {}", e->attempt, ReplicaTitle(e->replica),
-                        ryeglade::Name(e->outcome), Ms(e->elapsed), StateText(e->replica, d->now)));
-    if (e->outcome == policy::Outcome::kServed) {
-      AddLine(d->now, fmt::format("served, {:.1f} ms after arrival", Ms(d->now - arrived_[e->id])));
-      traced_.erase(e->id);
+    traced_.insert(arrived->id);
+    arrived_[arrived->id] = decision->now;
+    AddLine(decision->now,
+            fmt::format("request {:x}{} arrives: class {}, {:g} prompt tokens ({:g} in the shared prefix), "
+                        "max output {:g}, time budget {:.0f} ms{}",
+                        arrived->id, named ? " (" + id_ + ")" : "", arrived->class_index,
+                        arrived->prompt_tokens, arrived->prefix_tokens, arrived->max_answer_tokens,
+                        Ms(arrived->time_budget), arrived->client_retry ? ", client retry" : ""));
+  } else if (const auto* started = std::get_if<policy::ResponseStarted>(&decision->event);
+             started != nullptr && IsTraced(started->id)) {
+    AddLine(decision->now, fmt::format("first token from {} after {:.1f} ms", ReplicaTitle(started->replica),
+                                       Ms(started->elapsed)));
+  } else if (const auto* ended = std::get_if<policy::AttemptEnded>(&decision->event);
+             ended != nullptr && IsTraced(ended->id)) {
+    AddLine(decision->now, fmt::format("attempt {} at {} ends: {} after {:.1f} ms; {}", ended->attempt,
+                                       ReplicaTitle(ended->replica), ryeglade::Name(ended->outcome),
+                                       Ms(ended->elapsed), StateText(ended->replica, decision->now)));
+    if (ended->outcome == policy::Outcome::kServed) {
+      AddLine(decision->now,
+              fmt::format("served, {:.1f} ms after arrival", Ms(decision->now - arrived_[ended->id])));
+      traced_.erase(ended->id);
     }
-  } else if (const auto* g = std::get_if<policy::ClientDisconnected>(&d->event);
-             g != nullptr && IsTraced(g->id)) {
-    AddLine(d->now,
-            fmt::format("client disconnected, {:.1f} ms after arrival", Ms(d->now - arrived_[g->id])));
+  } else if (const auto* disconnected = std::get_if<policy::ClientDisconnected>(&decision->event);
+             disconnected != nullptr && IsTraced(disconnected->id)) {
+    AddLine(decision->now, fmt::format("client disconnected, {:.1f} ms after arrival",
+                                       Ms(decision->now - arrived_[disconnected->id])));
   }
-  for (const policy::Action& a : d->actions) {
-    if (const auto* send = std::get_if<policy::SendAttempt>(&a); send != nullptr && IsTraced(send->id)) {
-      AddLine(d->now, fmt::format("sent to {}", ReplicaTitle(send->replica)));
-    } else if (const auto* r = std::get_if<policy::RejectRequest>(&a); r != nullptr && IsTraced(r->id)) {
-      AddLine(d->now, fmt::format("rejected, {:.1f} ms after arrival; retry after {:.0f} ms",
-                                  Ms(d->now - arrived_[r->id]), Ms(r->retry_after)));
-      traced_.erase(r->id);
-    } else if (const auto* f = std::get_if<policy::FailRequest>(&a); f != nullptr && IsTraced(f->id)) {
-      AddLine(d->now, fmt::format("failed, {:.1f} ms after arrival", Ms(d->now - arrived_[f->id])));
-      traced_.erase(f->id);
-    } else if (const auto* c = std::get_if<policy::CancelAttempt>(&a); c != nullptr && IsTraced(c->id)) {
-      AddLine(d->now, fmt::format("attempt {} is cancelled", c->attempt));
+  for (const policy::Action& action : decision->actions) {
+    if (const auto* send = std::get_if<policy::SendAttempt>(&action); send != nullptr && IsTraced(send->id)) {
+      AddLine(decision->now, fmt::format("sent to {}", ReplicaTitle(send->replica)));
+    } else if (const auto* reject = std::get_if<policy::RejectRequest>(&action);
+               reject != nullptr && IsTraced(reject->id)) {
+      AddLine(decision->now, fmt::format("rejected, {:.1f} ms after arrival; retry after {:.0f} ms",
+                                         Ms(decision->now - arrived_[reject->id]), Ms(reject->retry_after)));
+      traced_.erase(reject->id);
+    } else if (const auto* fail = std::get_if<policy::FailRequest>(&action);
+               fail != nullptr && IsTraced(fail->id)) {
+      AddLine(decision->now,
+              fmt::format("failed, {:.1f} ms after arrival", Ms(decision->now - arrived_[fail->id])));
+      traced_.erase(fail->id);
+    } else if (const auto* cancel = std::get_if<policy::CancelAttempt>(&action);
+               cancel != nullptr && IsTraced(cancel->id)) {
+      AddLine(decision->now, fmt::format("attempt {} is cancelled", cancel->attempt));
     }
   }
 }
