--- a/src/admin/counters.cpp
+++ b/src/admin/counters.cpp
@@ -14,12 +14,12 @@
 using prometheus::MetricFamily;
 using prometheus::MetricType;
 
-void Add(MetricFamily& family, double value, const std::string& tier = "") {
-  AddSample(family, tier.empty() ? MetricLabels{} : MetricLabels{{"tier", tier}}, value);
+void Add(MetricFamily& family, double value, const std::string& class_name = "") {
+  AddSample(family, class_name.empty() ? MetricLabels{} : MetricLabels{{"tier", class_name}}, value);
 }
 
-void AddRows(MetricFamily& family, const char* label, const std::map<std::string, std::uint64_t>& rows) {
-  for (const auto& [name, n] : rows) AddSample(family, {{label, name}}, static_cast<double>(n));
+void AddSamples(MetricFamily& family, const char* label, const std::map<std::string, std::uint64_t>& counts) {
+  for (const auto& [name, count] : counts) AddSample(family, {{label, name}}, static_cast<double>(count));
 }
 
 }  // namespace
@@ -28,12 +28,12 @@
   MetricFamily success = Family("node_success", "Requests served, by class", MetricType::Counter);
   MetricFamily busy = Family("node_busy", "Requests refused, by class", MetricType::Counter);
   MetricFamily failure = Family("node_failure", "Requests failed, by class", MetricType::Counter);
-  std::map<std::string, NodeCounters::RequestClass> rows = view.counters->by_class;
-  for (const std::string& name : view.classes) rows.try_emplace(name);
-  for (const auto& [name, ends] : rows) {
-    Add(success, static_cast<double>(ends.served), name);
-    Add(busy, static_cast<double>(ends.rejected), name);
-    Add(failure, static_cast<double>(ends.failed), name);
+  std::map<std::string, NodeCounters::RequestClass> by_class = view.counters->by_class;
+  for (const std::string& name : view.classes) by_class.try_emplace(name);
+  for (const auto& [name, counts] : by_class) {
+    Add(success, static_cast<double>(counts.served), name);
+    Add(busy, static_cast<double>(counts.rejected), name);
+    Add(failure, static_cast<double>(counts.failed), name);
   }
   MetricFamily calls =
       Family("node_backend_calls", "Attempts written whole to model replicas", MetricType::Counter);
@@ -51,10 +51,10 @@
       Family("node_reconfig_failed", "Settings files turned down at SIGHUP", MetricType::Counter);
   Add(failed, static_cast<double>(view.counters->reloads_failed));
   MetricFamily ended = Family("node_attempts_ended", "Attempts that ended, by outcome", MetricType::Counter);
-  AddRows(ended, "outcome", view.counters->attempts_ended);
+  AddSamples(ended, "outcome", view.counters->attempts_ended);
   MetricFamily given_up = Family(
       "node_given_up", "Requests refused or failed by the decision module, by reason", MetricType::Counter);
-  AddRows(given_up, "why", view.counters->requests_concluded);
+  AddSamples(given_up, "why", view.counters->requests_concluded);
   MetricFamily guard =
       Family("node_guard_replies", "Requests that the decision module had not answered in time",
              MetricType::Counter);
--- a/src/columnar/columnar_file.cpp
+++ b/src/columnar/columnar_file.cpp
@@ -36,15 +36,15 @@
   if (const auto* numbers = std::get_if<Numbers>(&column.values)) {
     H5::DataSet set = group.createDataSet(column.name, H5::PredType::IEEE_F64LE, space, properties);
     if (rows > 0) set.write(numbers->data(), H5::PredType::NATIVE_DOUBLE);
-  } else if (const auto* wholes = std::get_if<Integers>(&column.values)) {
+  } else if (const auto* integers = std::get_if<Integers>(&column.values)) {
     H5::DataSet set = group.createDataSet(column.name, H5::PredType::STD_I64LE, space, properties);
-    if (rows > 0) set.write(wholes->data(), H5::PredType::NATIVE_INT64);
+    if (rows > 0) set.write(integers->data(), H5::PredType::NATIVE_INT64);
   } else {
-    const auto& words = std::get<Strings>(column.values);
+    const auto& strings = std::get<Strings>(column.values);
     const H5::StrType type = TextType();
     std::vector<const char*> pointers;
-    pointers.reserve(words.size());
-    for (const std::string& w : words) pointers.push_back(w.c_str());
+    pointers.reserve(strings.size());
+    for (const std::string& s : strings) pointers.push_back(s.c_str());
     H5::DataSet set = group.createDataSet(column.name, type, space, properties);
     if (rows > 0) set.write(pointers.data(), type);
   }
@@ -117,8 +117,8 @@
 }  // namespace
 
 const TextTable& ColumnarFile::TableNamed(const std::string& name) const {
-  for (const TextTable& s : tables) {
-    if (s.name == name) return s;
+  for (const TextTable& table : tables) {
+    if (table.name == name) return table;
   }
   throw std::runtime_error("there is no table '" + name + "'");
 }
@@ -143,11 +143,11 @@
     const H5::H5File in(path, H5F_ACC_RDONLY);
     ColumnarFile file;
     for (unsigned i = 0; i < static_cast<unsigned>(in.getNumAttrs()); ++i) {
-      const H5::Attribute a = in.openAttribute(i);
-      if (a.getTypeClass() != H5T_STRING || !a.getStrType().isVariableStr()) continue;
+      const H5::Attribute attribute = in.openAttribute(i);
+      if (attribute.getTypeClass() != H5T_STRING || !attribute.getStrType().isVariableStr()) continue;
       char* pointer = nullptr;
-      a.read(TextType(), &pointer);
-      file.attributes[a.getName()] = pointer == nullptr ? "" : pointer;
+      attribute.read(TextType(), &pointer);
+      file.attributes[attribute.getName()] = pointer == nullptr ? "" : pointer;
       if (pointer != nullptr) H5free_memory(pointer);
     }
     for (hsize_t g = 0; g < in.getNumObjs(); ++g) {
--- a/src/keys/keyring.cpp
+++ b/src/keys/keyring.cpp
@@ -107,14 +107,14 @@
 }
 
 Keyring Keyring::Load(const std::string& path) {
-  struct stat info {};
-  if (stat(path.c_str(), &info) != 0) {
+  struct stat status {};
+  if (stat(path.c_str(), &status) != 0) {
     throw SettingsError(path + ": cannot be read: " + std::strerror(errno) +
                         "; create it with `ryeglade key new`");
   }
-  if ((info.st_mode & 077) != 0) {
+  if ((status.st_mode & 077) != 0) {
     throw SettingsError(fmt::format("{}: is accessible to other users (mode {:o}); run: chmod 600 {}", path,
-                                    static_cast<unsigned>(info.st_mode & 0777), path));
+                                    static_cast<unsigned>(status.st_mode & 0777), path));
   }
   return Parse(path, ReadWholeFile(path));
 }
--- a/src/openai/body.cpp
+++ b/src/openai/body.cpp
@@ -179,9 +179,9 @@
       role_ = v.text;
     }
     if (v.depth == 3 && v.key == "content") {
-      const bool good =
+      const bool valid_kind =
           v.kind == JsonKind::kString || v.kind == JsonKind::kArray || v.kind == JsonKind::kNull;
-      if (!Require(good, "messages.content", "a string, an array of parts or null")) return false;
+      if (!Require(valid_kind, "messages.content", "a string, an array of parts or null")) return false;
     }
     message_.Add(v.key);
     if (v.kind == JsonKind::kString) {
@@ -197,17 +197,17 @@
     if (!Require(!role_.empty(), "messages.role", "given in every message")) return false;
     body_.prompt_bytes += message_bytes_;
     const std::string digest = std::to_string(message_.Value());
-    const bool leads = role_ == "system" || role_ == "developer";
-    if (all_leading_ && leads) {
+    const bool is_leading = role_ == "system" || role_ == "developer";
+    if (all_leading_ && is_leading) {
       leading_.Add(digest);
       leading_bytes_ += message_bytes_;
     }
-    all_leading_ = all_leading_ && leads;
+    all_leading_ = all_leading_ && is_leading;
     // A conversation is identified by its opening: the leading system and developer messages, and the first
     // message after them.
     if (!opening_ended_) {
       opening_.Add(digest);
-      opening_ended_ = !leads;
+      opening_ended_ = !is_leading;
     }
     return true;
   }
@@ -221,8 +221,9 @@
     } else {
       body_.prompt_bytes += kBytesPerTokenId;
     }
-    const bool one = v.kind == JsonKind::kInteger || (v.kind == JsonKind::kString && prompt_entries_ == 1);
-    return RequireSupported(one && !(has_strings_ && prompt_entries_ > 1), "prompt",
+    const bool is_single =
+        v.kind == JsonKind::kInteger || (v.kind == JsonKind::kString && prompt_entries_ == 1);
+    return RequireSupported(is_single && !(has_strings_ && prompt_entries_ > 1), "prompt",
                             "Only one prompt is answered in a request.");
   }
 
