--- a/tests/export_test.cpp
+++ b/tests/export_test.cpp
@@ -1,4 +1,4 @@
-// The columnar file: written by the program, read back with the HDF5 library and compared with the tables.
+// The columnar file is written by the program, read back with the HDF5 library and compared with the tables.
 #include <H5Cpp.h>
 #include <gtest/gtest.h>
 
@@ -18,12 +18,12 @@
 TEST(Hdf5, TheFileHoldsEveryColumnOfEveryTable) {
   const std::string base =
       std::filesystem::temp_directory_path().string() + "/ryeglade-h5-" + std::to_string(getpid());
-  lab::FaultScenarioOptions o;
-  o.seconds = 90;
-  o.fault_at = 30;
-  o.fault_seconds = 20;
-  o.fault = lab::ScriptedFault::kCutOff;
-  lab::WriteFaultScenario(o, base + ".flight");
+  lab::FaultScenarioOptions scenario;
+  scenario.seconds = 90;
+  scenario.fault_at = 30;
+  scenario.fault_seconds = 20;
+  scenario.fault = lab::ScriptedFault::kCutOff;
+  lab::WriteFaultScenario(scenario, base + ".flight");
   const std::string command = std::string(std::getenv("RYEGLADE_PROGRAM")) + " timeline export --hdf5 " +
                               base + ".h5 " + base + ".flight >/dev/null";
   ASSERT_EQ(std::system(command.c_str()), 0);
@@ -39,10 +39,10 @@
       ASSERT_EQ(static_cast<std::size_t>(set.getSpace().getSimpleExtentNpoints()), table.rows())
           << table.name << column.name;
       if (table.rows() == 0) continue;
-      if (const auto* wholes = std::get_if<std::vector<std::int64_t>>(&column.values)) {
+      if (const auto* integers = std::get_if<std::vector<std::int64_t>>(&column.values)) {
         std::vector<std::int64_t> read(table.rows());
         set.read(read.data(), H5::PredType::NATIVE_INT64);
-        EXPECT_EQ(read, *wholes);
+        EXPECT_EQ(read, *integers);
       } else if (const auto* numbers = std::get_if<std::vector<double>>(&column.values)) {
         std::vector<double> read(table.rows());
         set.read(read.data(), H5::PredType::NATIVE_DOUBLE);
@@ -70,9 +70,9 @@
 TEST(Hdf5, AnUnwritablePathIsAnError) {
   const std::string base =
       std::filesystem::temp_directory_path().string() + "/ryeglade-h5-bad-" + std::to_string(getpid());
-  lab::FaultScenarioOptions o;
-  o.seconds = 5;
-  lab::WriteFaultScenario(o, base + ".flight");
+  lab::FaultScenarioOptions scenario;
+  scenario.seconds = 5;
+  lab::WriteFaultScenario(scenario, base + ".flight");
   const std::string command = std::string(std::getenv("RYEGLADE_PROGRAM")) +
                               " timeline export --hdf5 /nowhere/at/all.h5 " + base +
                               ".flight >/dev/null 2>&1";
--- a/tests/replica_timeline_test.cpp
+++ b/tests/replica_timeline_test.cpp
@@ -37,6 +37,7 @@
 
 constexpr Time kSec = 1'000'000;
 
+// A fault scenario, with its records and what was made of them.
 struct PlayedScenario {
   FaultScenarioResult result;
   std::vector<Record> records;
@@ -57,7 +58,8 @@
   return p;
 }
 
-FaultScenarioOptions Short(ScriptedFault fault, std::uint64_t seed = 5) {
+// Returns a scenario of 180 s of virtual time, with the fault from 90 s to 110 s.
+FaultScenarioOptions ShortScenario(ScriptedFault fault, std::uint64_t seed = 5) {
   FaultScenarioOptions o;
   o.seed = seed;
   o.seconds = 180;
@@ -67,19 +69,20 @@
   return o;
 }
 
-const ReplicaTimeline& Of(const ReplicaTimelines& timelines, ReplicaId id) {
+const ReplicaTimeline& TimelineOf(const ReplicaTimelines& timelines, ReplicaId id) {
   return timelines.replicas().at(id);
 }
 
+// Returns kUnlisted for a time before the replica was first listed.
 ReplicaState StateAt(const ReplicaTimelines& timelines, ReplicaId id, Time at) {
-  const StateSpan* s = ReplicaTimelines::SpanAt(Of(timelines, id), at);
+  const StateSpan* s = ReplicaTimelines::SpanAt(TimelineOf(timelines, id), at);
   return s == nullptr ? ReplicaState::kUnlisted : s->state;
 }
 
 // ---- Fault scenarios ----
 
 TEST(FaultScenario, TheSeedDeterminesTheRecord) {
-  FaultScenarioOptions o = Short(ScriptedFault::kErrors);
+  FaultScenarioOptions o = ShortScenario(ScriptedFault::kErrors);
   o.seconds = 20;
   o.fault_at = 5;
   const std::string a = lab::EncodeFaultScenario(o);
@@ -90,7 +93,7 @@
 
 TEST(FaultScenario, EveryScenarioIsReproduced) {
   for (int n = 0; n < static_cast<int>(ScriptedFault::kCount); ++n) {
-    FaultScenarioOptions o = Short(static_cast<ScriptedFault>(n));
+    FaultScenarioOptions o = ShortScenario(static_cast<ScriptedFault>(n));
     o.seconds = 60;
     o.fault_at = 20;
     std::vector<Record> records;
@@ -104,7 +107,7 @@
 
 // Encodes and decodes a record of every kind and compares the bytes.
 TEST(Records, EveryKindIsDecodedAsItWasEncoded) {
-  FaultScenarioOptions o = Short(ScriptedFault::kDark);
+  FaultScenarioOptions o = ShortScenario(ScriptedFault::kDark);
   o.seconds = 130;
   std::vector<Record> records;
   std::string bytes;
@@ -146,12 +149,12 @@
 // ---- States ----
 
 TEST(ReplicaTimelines, AnUnavailableListMakesStatesUnknown) {
-  const PlayedScenario p = Play(Short(ScriptedFault::kDark));
+  const PlayedScenario p = Play(ShortScenario(ScriptedFault::kDark));
   const Time middle = p.result.from + 10 * kSec, after = p.result.to + 5 * kSec;
-  std::size_t gone = 0, ready = 0, fresh = 0;
+  std::size_t gone = 0, ready = 0, started_during_fault = 0;
   for (const auto& [id, replica] : p.timelines.replicas()) {
     if (StateAt(p.timelines, id, p.result.from - kSec) == ReplicaState::kUnlisted) {
-      ++fresh;  // started while the endpoint list was unavailable
+      ++started_during_fault;  // started while the endpoint list was unavailable
       EXPECT_EQ(StateAt(p.timelines, id, middle), ReplicaState::kUnlisted) << replica.Title();
       EXPECT_EQ(StateAt(p.timelines, id, after), ReplicaState::kReady);
       continue;
@@ -167,7 +170,7 @@
   }
   EXPECT_EQ(gone, 6U);
   EXPECT_EQ(ready, 6U);
-  EXPECT_EQ(fresh, 6U);
+  EXPECT_EQ(started_during_fault, 6U);
 }
 
 TEST(ReplicaTimelines, ACachedListLeavesStatesUnknown) {
@@ -177,13 +180,13 @@
   e.id = 4;
   timelines.AddRecord(Decision{101 * kSec, EndpointList{EndpointListScope::kCached, 1, {e}}, {}});
   EXPECT_EQ(StateAt(timelines, 4, 102 * kSec), ReplicaState::kUnknown);
-  EXPECT_EQ(ReplicaTimelines::SpanAt(Of(timelines, 4), 102 * kSec)->last_known, ReplicaState::kReady);
+  EXPECT_EQ(ReplicaTimelines::SpanAt(TimelineOf(timelines, 4), 102 * kSec)->last_known, ReplicaState::kReady);
   timelines.AddRecord(Decision{103 * kSec, EndpointList{EndpointListScope::kFull, 2, {e}}, {}});
   EXPECT_EQ(StateAt(timelines, 4, 104 * kSec), ReplicaState::kReady);
 }
 
 TEST(ReplicaTimelines, AGapIsAnnotatedAndMakesStatesUnknown) {
-  PlayedScenario p = Play(Short(ScriptedFault::kNone));
+  PlayedScenario p = Play(ShortScenario(ScriptedFault::kNone));
   ReplicaTimelines timelines;
   std::size_t n = 0;
   Time gap_at = 0;
@@ -208,11 +211,11 @@
   // The state is known again once the endpoint record is repeated.
   timelines.AddRecord(EndpointRecord{timelines.end() + kSec, 0x1001, "replica-001", "a:1", 0,
                                      EndpointState::kDraining, true});
-  EXPECT_EQ(Of(timelines, 0x1001).spans.back().state, ReplicaState::kDraining);
+  EXPECT_EQ(TimelineOf(timelines, 0x1001).spans.back().state, ReplicaState::kDraining);
 }
 
 TEST(ReplicaTimelines, AReplicaThatReportedNothingHasNoLoad) {
-  PlayedScenario p = Play(Short(ScriptedFault::kCutOff));
+  PlayedScenario p = Play(ShortScenario(ScriptedFault::kCutOff));
   ReplicaTimelines timelines;
   for (Record r : p.records) {
     if (auto* d = std::get_if<Decision>(&r)) {
@@ -257,8 +260,8 @@
   timelines.AddRecord(Start{kFormat, "n", "", 1, kSec});
   timelines.AddRecord(EndpointRecord{2 * kSec, 4, "a", "10.0.0.1:1", 0, EndpointState::kReady, false});
   timelines.AddRecord(EndpointRecord{9 * kSec, 4, "a", "10.0.0.2:1", 0, EndpointState::kReady, false});
-  ASSERT_EQ(Of(timelines, 4).annotations.size(), 1U);
-  EXPECT_EQ(Of(timelines, 4).annotations[0].text, "moved from 10.0.0.1:1 to 10.0.0.2:1");
+  ASSERT_EQ(TimelineOf(timelines, 4).annotations.size(), 1U);
+  EXPECT_EQ(TimelineOf(timelines, 4).annotations[0].text, "moved from 10.0.0.1:1 to 10.0.0.2:1");
 }
 
 // For any length of the record and any number of replicas, memory is bounded and the sums count every attempt
@@ -299,21 +302,23 @@
 
 // ---- Anomalies ----
 
-struct Expected {
+// The anomaly that a fault must cause.
+struct ExpectedAnomaly {
   ScriptedFault fault;
   AnomalyKind kind;
   bool fleet;
 };
 
 TEST(Anomaly, EachFaultIsDetectedAndEnds) {
-  for (const Expected e : {Expected{ScriptedFault::kErrors, AnomalyKind::kErrors, false},
-                           Expected{ScriptedFault::kSlow, AnomalyKind::kFirstToken, false},
-                           Expected{ScriptedFault::kFull, AnomalyKind::kRejections, false},
-                           Expected{ScriptedFault::kLoaded, AnomalyKind::kLoad, false},
-                           Expected{ScriptedFault::kFleetErrors, AnomalyKind::kErrors, true},
-                           Expected{ScriptedFault::kFleetSlow, AnomalyKind::kFirstToken, true},
-                           Expected{ScriptedFault::kDark, AnomalyKind::kEndpointListUnavailable, true}}) {
-    FaultScenarioOptions o = Short(e.fault);
+  for (const ExpectedAnomaly e :
+       {ExpectedAnomaly{ScriptedFault::kErrors, AnomalyKind::kErrors, false},
+        ExpectedAnomaly{ScriptedFault::kSlow, AnomalyKind::kFirstToken, false},
+        ExpectedAnomaly{ScriptedFault::kFull, AnomalyKind::kRejections, false},
+        ExpectedAnomaly{ScriptedFault::kLoaded, AnomalyKind::kLoad, false},
+        ExpectedAnomaly{ScriptedFault::kFleetErrors, AnomalyKind::kErrors, true},
+        ExpectedAnomaly{ScriptedFault::kFleetSlow, AnomalyKind::kFirstToken, true},
+        ExpectedAnomaly{ScriptedFault::kDark, AnomalyKind::kEndpointListUnavailable, true}}) {
+    FaultScenarioOptions o = ShortScenario(e.fault);
     o.seconds = 240;
     o.fault_at = 120;
     o.fault_seconds = 30;
@@ -340,7 +345,7 @@
 // A change of the whole fleet is one anomaly rather than one per replica.
 TEST(Anomaly, AChangeOfAllReplicasIsOneFleetAnomaly) {
   for (const ScriptedFault fault : {ScriptedFault::kFleetErrors, ScriptedFault::kFleetSlow}) {
-    FaultScenarioOptions o = Short(fault);
+    FaultScenarioOptions o = ShortScenario(fault);
     o.replicas = 20;
     o.requests_per_second = 100;
     const PlayedScenario p = Play(o);
@@ -359,7 +364,7 @@
 }
 
 TEST(Anomaly, OneSecondOfErrorsIsNoAnomaly) {
-  const PlayedScenario calm = Play(Short(ScriptedFault::kNone));
+  const PlayedScenario calm = Play(ShortScenario(ScriptedFault::kNone));
   std::vector<Anomaly> events;
   AnomalyDetector detector([&](const Anomaly& anomaly) { events.push_back(anomaly); });
   for (const Record& r : calm.records) {
@@ -455,24 +460,24 @@
   const std::size_t rate = std::size_t{256} * 1024;
   RecordBudget budget(rate);
   Coalescer coalescer;
-  std::string kept;
+  std::string recorded;
   std::uint64_t decisions = 0, counted = 0, failures = 0;
   Time last = 0;
   std::map<Time, std::size_t> by_second;
   const auto flush = [&] {
     if (const auto coalesced = coalescer.TakeCounted()) {
-      const std::size_t before = kept.size();
-      Encode(*coalesced, kept);
-      by_second[last / kSec] += kept.size() - before;
+      const std::size_t before = recorded.size();
+      Encode(*coalesced, recorded);
+      by_second[last / kSec] += recorded.size() - before;
       counted += coalesced->decisions;
       EXPECT_LE(coalesced->replicas.size(), Coalescer::kMaxReplicas);
       EXPECT_GE(coalesced->last, coalesced->first);
       failures += coalesced->outcomes[static_cast<std::size_t>(Outcome::kReset)];
     }
   };
-  std::uint64_t all = 0;
-  const auto take = [&](Time now, const Event& event, const std::vector<Action>& actions) {
-    ++all;
+  std::uint64_t total = 0;
+  const auto handle = [&](Time now, const Event& event, const std::vector<Action>& actions) {
+    ++total;
     last = now;
     if (!budget.MayKeep(now)) {
       coalescer.Count(now, event, actions);
@@ -480,10 +485,10 @@
       return;
     }
     flush();
-    const std::size_t before = kept.size();
-    Encode(now, event, actions, kept);
-    budget.Spend(kept.size() - before);
-    by_second[now / kSec] += kept.size() - before;
+    const std::size_t before = recorded.size();
+    Encode(now, event, actions, recorded);
+    budget.Spend(recorded.size() - before);
+    by_second[now / kSec] += recorded.size() - before;
     ++decisions;
   };
   // Five seconds with 10,000 failures each, at 200 replicas, each followed by another attempt or a rejection.
@@ -493,28 +498,28 @@
     const auto replica = static_cast<ReplicaId>(id % 200);
     const Action next =
         id % 3 == 0 ? Action(RejectRequest{id, kSec}) : Action(SendAttempt{id, replica + 1, 0});
-    take(now, RequestArrived{id}, {SendAttempt{id, replica, 0}});
-    take(now, AttemptEnded{id, 0, replica, Outcome::kReset, 300, false, 0, {}}, {next});
+    handle(now, RequestArrived{id}, {SendAttempt{id, replica, 0}});
+    handle(now, AttemptEnded{id, 0, replica, Outcome::kReset, 300, false, 0, {}}, {next});
   }
   flush();
-  EXPECT_EQ(decisions + counted, all);
+  EXPECT_EQ(decisions + counted, total);
   EXPECT_GT(counted, 50'000U);
   EXPECT_GT(failures, 20'000U);
   for (const auto& [second, bytes] : by_second) EXPECT_LE(bytes, 2 * rate + 4096) << second;
   std::vector<Record> records;
-  Decode(kept, records);
+  Decode(recorded, records);
   ReplicaTimelines timelines;
   timelines.AddRecord(Start{kFormat, "n", "", 1, 0});
   for (const Record& r : records) timelines.AddRecord(r);
   std::uint64_t shown = 0;
   for (const auto& [n, f] : timelines.fleet()) shown += f.coalesced;
-  EXPECT_EQ(shown, counted);  // the timelines show every coalesced decision
+  EXPECT_EQ(shown, counted);  // every coalesced decision is in the timelines
 }
 
 // ---- Merging ----
 
 TEST(TimelineMerge, NodesWithDifferentClocksGiveOneTimelinePerReplica) {
-  FaultScenarioOptions a = Short(ScriptedFault::kSlow), b = a;
+  FaultScenarioOptions a = ShortScenario(ScriptedFault::kSlow), b = a;
   b.node = "n1";
   b.clock_offset = 3 * kSec;
   b.seed = a.seed + 12;  // selects the same victim, as there are 12 replicas
@@ -586,9 +591,9 @@
 // ---- Request traces ----
 
 TEST(RequestTrace, ShowsAttemptsReasonsAndConclusion) {
-  FaultScenarioOptions o = Short(ScriptedFault::kErrors);
+  FaultScenarioOptions o = ShortScenario(ScriptedFault::kErrors);
   const PlayedScenario p = Play(o);
-  // A request with an attempt that failed at the victim.
+  // The id of a request with an attempt that failed at the faulty replica.
   RequestId id = 0;
   for (const Record& r : p.records) {
     const auto* d = std::get_if<Decision>(&r);
@@ -618,7 +623,7 @@
   const std::string path =
       std::filesystem::temp_directory_path().string() + "/ryeglade-reasons-" + std::to_string(getpid());
   std::filesystem::create_directories(path);
-  FaultScenarioOptions o = Short(ScriptedFault::kCutOff);
+  FaultScenarioOptions o = ShortScenario(ScriptedFault::kCutOff);
   o.seconds = 120;
   std::vector<std::string> reasons[2];
   for (const bool recorded : {true, false}) {
@@ -637,7 +642,7 @@
 // ---- Tables and plots ----
 
 TEST(Export, EveryTableIsRectangularAndCsvHasItsRows) {
-  const PlayedScenario p = Play(Short(ScriptedFault::kDark));
+  const PlayedScenario p = Play(ShortScenario(ScriptedFault::kDark));
   ReplicaTimelines timelines = p.timelines;
   for (const Anomaly& anomaly : p.anomalies) timelines.AddRecord(anomaly);
   std::set<std::string> names;
@@ -652,7 +657,7 @@
 }
 
 TEST(Plot, ScriptsAreBoundedAndNamesAreEscaped) {
-  FaultScenarioOptions o = Short(ScriptedFault::kErrors);
+  FaultScenarioOptions o = ShortScenario(ScriptedFault::kErrors);
   for (const int replicas : {3, 200}) {
     o.replicas = replicas;
     ReplicaTimelines timelines = Play(o).timelines;
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -83,6 +83,7 @@
   return out;
 }
 
+// Replays the records in `bytes`.
 Verifier Verify(const std::string& bytes) {
   std::vector<Record> records;
   Decode(bytes, records);
@@ -100,7 +101,7 @@
   }
 }
 
-// Guards against a replay that cannot fail: a Router with one changed setting must be detected.
+// Guards against a replay that always succeeds: a Router with one changed setting must be detected.
 TEST(Flight, ADifferentDecisionIsDetected) {
   std::string changed = kSettings;
   changed.replace(changed.find("max-attempts=4"), 14, "max-attempts=2");
@@ -134,28 +135,29 @@
   for (const Record& r : records) RC_ASSERT(!ToText(r).empty());
 }
 
-std::string MakeFile(std::vector<std::string>* raws) {
+// Returns a file of four blocks, and their raw bytes in `raw_blocks`.
+std::string MakeFile(std::vector<std::string>* raw_blocks) {
   std::string file = FileHeader();
   for (std::uint64_t n = 0; n < 4; ++n) {
-    raws->push_back(RecordTraffic(n).substr(0, 400 + 300 * n));
-    file += MakeBlock(raws->back(), n);
+    raw_blocks->push_back(RecordTraffic(n).substr(0, 400 + 300 * n));
+    file += MakeBlock(raw_blocks->back(), n);
   }
   return file;
 }
 
 TEST(Blocks, CompleteBlocksOfATruncatedFileAreRead) {
-  std::vector<std::string> raws;
-  const std::string file = MakeFile(&raws);
+  std::vector<std::string> raw_blocks;
+  const std::string file = MakeFile(&raw_blocks);
   for (std::size_t cut = FileHeader().size(); cut <= file.size(); ++cut) {
     std::size_t read = 0;
     const ReadReport report =
         ReadBlocks(std::string_view(file).substr(0, cut), [&](std::uint64_t n, std::string_view raw) {
-          EXPECT_EQ(raw, raws[n]);
+          EXPECT_EQ(raw, raw_blocks[n]);
           return ++read > 0;
         });
     std::size_t complete = 0, end = FileHeader().size();
-    while (complete < raws.size() && end + MakeBlock(raws[complete], complete).size() <= cut) {
-      end += MakeBlock(raws[complete], complete).size();
+    while (complete < raw_blocks.size() && end + MakeBlock(raw_blocks[complete], complete).size() <= cut) {
+      end += MakeBlock(raw_blocks[complete], complete).size();
       ++complete;
     }
     ASSERT_EQ(read, complete) << cut;
@@ -164,17 +166,17 @@
 }
 
 TEST(Blocks, AFlippedBitLosesOnlyItsBlockAndIsReported) {
-  std::vector<std::string> raws;
-  const std::string file = MakeFile(&raws);
+  std::vector<std::string> raw_blocks;
+  const std::string file = MakeFile(&raw_blocks);
   for (std::size_t at = FileHeader().size(); at < file.size(); at += 3) {
     std::string bad = file;
     bad[at] = static_cast<char>(bad[at] ^ (1 << (at % 8)));
     std::size_t read = 0;
     const ReadReport report = ReadBlocks(bad, [&](std::uint64_t n, std::string_view raw) {
-      EXPECT_EQ(raw, raws[n]);
+      EXPECT_EQ(raw, raw_blocks[n]);
       return ++read > 0;
     });
-    ASSERT_EQ(read, raws.size() - 1) << at;
+    ASSERT_EQ(read, raw_blocks.size() - 1) << at;
     ASSERT_TRUE(report.lost_bytes > 0 && report.lost_ranges == 1);
   }
   EXPECT_THROW(ReadBlocks("", nullptr), std::runtime_error);
@@ -184,12 +186,14 @@
 
 // ---- A node as a process ----
 
+// A fleet of one node and three replicas. The node writes a flight record to `directory`, by default to its
+// own directory.
 struct RecordingFleet {
-  RecordingFleet(const std::string& more, const std::string& directory = "@DIR@") {
+  RecordingFleet(const std::string& extra_settings, const std::string& directory = "@DIR@") {
     lab::LocalFleetOptions o;
     o.program = std::getenv("RYEGLADE_PROGRAM");
     o.replicas.resize(3);
-    o.extra_settings = "[timeline]\ndirectory = \"" + directory + "\"\n" + more;
+    o.extra_settings = "[timeline]\ndirectory = \"" + directory + "\"\n" + extra_settings;
     fleet = std::make_unique<lab::LocalFleet>(o);
   }
   // Sends requests, some of them with a fault, and returns how many were served.
@@ -206,8 +210,8 @@
     }
     return served;
   }
-  std::string Command(const std::string& words) const {
-    return Shell(std::string(std::getenv("RYEGLADE_PROGRAM")) + " timeline " + words + " " +
+  std::string Command(const std::string& arguments) const {
+    return Shell(std::string(std::getenv("RYEGLADE_PROGRAM")) + " timeline " + arguments + " " +
                  fleet->node().directory());
   }
   std::unique_ptr<lab::LocalFleet> fleet;
@@ -263,17 +267,17 @@
 
 TEST(FlightNode, FilesStayWithinTheirBound) {
   RecordingFleet r("block = \"4KiB\"\nblock_within = \"50ms\"\nsegment = \"64KiB\"\ntotal = \"256KiB\"\n");
-  std::uintmax_t most = 0;
+  std::uintmax_t max_total = 0;
   for (int round = 0; round < 6; ++round) {
     r.SendRequests(60);
-    std::uintmax_t all = 0;
+    std::uintmax_t total = 0;
     for (const auto& e : std::filesystem::directory_iterator(r.fleet->node().directory())) {
-      if (e.path().extension() == ".flight") all += e.file_size();
+      if (e.path().extension() == ".flight") total += e.file_size();
     }
-    most = std::max(most, all);
+    max_total = std::max(max_total, total);
   }
-  EXPECT_GT(most, 0U);
-  EXPECT_LE(most, (256U + 64U) * 1024);
+  EXPECT_GT(max_total, 0U);
+  EXPECT_LE(max_total, (256U + 64U) * 1024);
 }
 
 }  // namespace
