--- a/src/timeline/anomaly_model.cpp
+++ b/src/timeline/anomaly_model.cpp
@@ -259,7 +259,7 @@
 void AnomalyDetector::ComputeValues(Replica& r, double mean_sent, double load_scale) {
   const Counts& counts = r.counts;
   const double ended = counts.ended;
-  auto& values = r.values;
+  auto& values = r.values;  // the index is the AnomalyKind of the series
   values = {};
   if (counts.ended > 0) {
     // With few attempts a single failure is a large share. The floor is the sampling error of a share of
