--- a/src/openai/body.cpp
+++ b/src/openai/body.cpp
@@ -13,8 +13,9 @@
 namespace {
 
 constexpr double kMaxTokens = 1e9;
-constexpr std::size_t kBytesPerTokenId = 4;  // a token given by its number counts like this much text
+constexpr std::size_t kBytesPerTokenId = 4;  // size that a token id in a prompt counts as, in bytes of text
 
+// A hash of a sequence of texts. Each text is preceded by its size, so that the boundaries matter.
 class Hash {
  public:
   void Add(std::string_view text) {
@@ -178,9 +179,9 @@
       role_ = v.text;
     }
     if (v.depth == 3 && v.key == "content") {
-      const bool good =
+      const bool valid_kind =
           v.kind == JsonKind::kString || v.kind == JsonKind::kArray || v.kind == JsonKind::kNull;
-      if (!Require(good, "messages.content", "a string, an array of parts or null")) return false;
+      if (!Require(valid_kind, "messages.content", "a string, an array of parts or null")) return false;
     }
     message_.Add(v.key);
     if (v.kind == JsonKind::kString) {
@@ -196,17 +197,17 @@
     if (!Require(!role_.empty(), "messages.role", "given in every message")) return false;
     body_.prompt_bytes += message_bytes_;
     const std::string digest = std::to_string(message_.Value());
-    const bool leads = role_ == "system" || role_ == "developer";
-    if (leading_now_ && leads) {
+    const bool is_leading = role_ == "system" || role_ == "developer";
+    if (all_leading_ && is_leading) {
       leading_.Add(digest);
       leading_bytes_ += message_bytes_;
     }
-    leading_now_ = leading_now_ && leads;
+    all_leading_ = all_leading_ && is_leading;
     // A conversation is identified by its opening: the leading system and developer messages, and the first
     // message after them.
     if (!opening_ended_) {
       opening_.Add(digest);
-      opening_ended_ = !leads;
+      opening_ended_ = !is_leading;
     }
     return true;
   }
@@ -220,13 +221,15 @@
     } else {
       body_.prompt_bytes += kBytesPerTokenId;
     }
-    const bool one = v.kind == JsonKind::kInteger || (v.kind == JsonKind::kString && prompt_entries_ == 1);
-    return RequireSupported(one && !(has_strings_ && prompt_entries_ > 1), "prompt",
+    const bool is_single =
+        v.kind == JsonKind::kInteger || (v.kind == JsonKind::kString && prompt_entries_ == 1);
+    return RequireSupported(is_single && !(has_strings_ && prompt_entries_ > 1), "prompt",
                             "Only one prompt is answered in a request.");
   }
 
   void CountPrompt(std::string_view text) {
-    // Number of bytes at a prompt's start by which a conversation without a hint is identified.
+    // The first bytes of a prompt, by which a conversation without a hint is identified. A shorter prompt
+    // identifies none.
     constexpr std::size_t kOpeningBytes = 1024;
     body_.prompt_bytes += text.size();
     if (text.size() < kOpeningBytes) return;
@@ -267,7 +270,7 @@
   std::size_t message_bytes_ = 0;   // size of all strings in the current message
   std::size_t leading_bytes_ = 0;   // size of all strings in the leading messages
   std::string role_;                // of the current message; empty if it has none
-  bool leading_now_ = true;         // all messages so far are system or developer messages
+  bool all_leading_ = true;         // all messages so far are system or developer messages
   bool opening_ended_ = false;      // opening_ is complete
 };
 
