--- a/src/openai/strict_json.cpp
+++ b/src/openai/strict_json.cpp
@@ -49,7 +49,7 @@
   bool BeginLevel(bool is_object) {
     if (!Value(is_object ? JsonKind::kObject : JsonKind::kArray)) return false;
     if (depth() >= kMaxJsonDepth) {
-      error = "the text is nested deeper than " + std::to_string(kMaxJsonDepth) + " levels";
+      error = "nested deeper than " + std::to_string(kMaxJsonDepth) + " levels";
       return false;
     }
     levels.push_back({is_object, {}});
@@ -76,7 +76,7 @@
   bool Key(const char* s, rapidjson::SizeType n, bool) {
     key.assign(s, n);
     if (!levels.back().keys.insert(key).second) {
-      error = "the key '" + key.substr(0, 60) + "' occurs twice in one object";
+      error = "the key '" + key.substr(0, 60) + "' comes twice in one object";
       return false;
     }
     value_begin = SkipSpace(bytes.Tell());
@@ -89,10 +89,9 @@
 
 std::string ReadJson(std::string_view text, JsonHandler& handler) {
   // The parser takes a NUL byte for the end of the text and would ignore what follows.
-  if (std::memchr(text.data(), '\0', text.size()) != nullptr) return "the text contains a NUL byte";
+  if (std::memchr(text.data(), '\0', text.size()) != nullptr) return "holds a NUL byte";
   // The parser skips a byte order mark, and even an incomplete one.
-  if (!text.empty() && static_cast<unsigned char>(text.front()) >= 0x80)
-    return "the text does not start with JSON";
+  if (!text.empty() && static_cast<unsigned char>(text.front()) >= 0x80) return "does not start with JSON";
   Bytes bytes(text.data(), text.size());
   rapidjson::EncodedInputStream<rapidjson::UTF8<>, Bytes> decoded(bytes);
   SaxHandler sax{text, bytes, handler, {}, {}, {}, 0};
