--- a/tests/ryeglade_process.sh
+++ b/tests/ryeglade_process.sh
@@ -51,7 +51,7 @@
 check "missing file" 1 "cannot read" serve --config "$dir/none"
 check "not json" 1 "parse error" serve --config "$dir/json"
 check "no settings" 1 "settings are missing" check-config --config "$dir/settings"
-check "bad number" 1 "promise is not a number" check-config --config "$dir/number"
+check "bad number" 1 "promise is not a finite number: 'soon'" check-config --config "$dir/number"
 # Invalid settings: the error names the file and the key.
 check_invalid() { # name, key named in the error, the JSON of the classes, more settings
   echo "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"settings\":{\"classes\":[$3]$4}}" >"$dir/invalid"
