--- a/lab/cluster/baselines.cpp
+++ b/lab/cluster/baselines.cpp
@@ -9,10 +9,11 @@
 namespace {
 
 constexpr std::uint8_t kAlive = 0, kSuspect = 1, kDead = 2;
-constexpr double kSuspicionPeriods = 5;  // times log10 of the number of members, as in the membership model
+constexpr double kSuspicionPeriods =
+    5;  // multiplied by log10 of the number of members, as in the membership model
 
-// SWIM with suspicion and round-robin probing (sections 4.2 and 4.3 of the paper). Updates travel only on its
-// own messages.
+// SWIM with suspicion and round-robin probing (sections 4.2 and 4.3 of the paper). Updates are only
+// piggybacked on its own messages.
 class Swim : public Baseline {
  public:
   explicit Swim(BaselineSetup s)
@@ -34,8 +35,8 @@
       for (int i = 0; i < 3; ++i) {
         const std::size_t helper = RandomMember();
         if (helper == kNobody || helper == probed_) continue;
-        BaselineMessage ask{BaselineMessage::Kind::kPingRequest, seq_, probed_, incarnation_, {}};
-        SendWithUpdates(helper, std::move(ask));
+        BaselineMessage request{BaselineMessage::Kind::kPingRequest, seq_, probed_, incarnation_, {}};
+        SendWithUpdates(helper, std::move(request));
       }
     }
     if (now >= next_probe_) {
@@ -43,11 +44,12 @@
       if (probed_ != kNobody) Suspect(now, probed_, members_[probed_].incarnation);
       Probe(now);
     }
-    const double n = std::max(1.0, std::log10(static_cast<double>(live_members_ + 1)));
+    const double size_factor = std::max(1.0, std::log10(static_cast<double>(live_members_ + 1)));
     for (std::size_t i = 0; i < members_.size(); ++i) {
       Member& m = members_[i];
       if (!m.known || m.state != kSuspect) continue;
-      if (static_cast<double>(now - m.since) < kSuspicionPeriods * n * static_cast<double>(setup_.period))
+      if (static_cast<double>(now - m.since) <
+          kSuspicionPeriods * size_factor * static_cast<double>(setup_.period))
         continue;
       m.state = kDead;
       QueueUpdate(i, kDead, m.incarnation);
@@ -82,11 +84,11 @@
     bool known = false;
     std::uint8_t state = kAlive;
     std::uint64_t incarnation = 0;
-    Time since = 0;
+    Time since = 0;  // the time of the last change of its state
   };
   struct QueuedUpdate {
     BaselineMessage::Update update;
-    int sent = 0;
+    int sent = 0;  // number of messages that carried it
   };
 
   std::size_t RandomMember() {
@@ -162,20 +164,20 @@
   void SendWithUpdates(std::size_t to, BaselineMessage p) {
     std::vector<std::pair<int, std::size_t>> order;
     for (const auto& [i, item] : updates_) order.emplace_back(item.sent, i);
-    const std::size_t most = std::min<std::size_t>(order.size(), 20);
-    std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(most), order.end());
-    const int enough =
+    const std::size_t max_updates = std::min<std::size_t>(order.size(), 20);
+    std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(max_updates), order.end());
+    const int max_transmissions =
         3 * (1 + static_cast<int>(std::ceil(std::log2(static_cast<double>(live_members_ + 2)))));
     if (to < members_.size() && members_[to].known && members_[to].state != kAlive)
       p.updates.push_back(
           {to, members_[to].incarnation, members_[to].state});  // so that the receiver can refute it
-    for (std::size_t k = 0; k < most; ++k) {
+    for (std::size_t k = 0; k < max_updates; ++k) {
       QueuedUpdate& item = updates_[order[k].second];
       p.updates.push_back(item.update);
-      if (++item.sent >= enough) updates_.erase(order[k].second);
+      if (++item.sent >= max_transmissions) updates_.erase(order[k].second);
     }
     const std::size_t bytes =
-        100 + 60 * p.updates.size();  // the size of our membership messages with the same fields
+        100 + 60 * p.updates.size();  // the size of a membership message with the same fields
     setup_.send(to, std::move(p), bytes);
   }
 
@@ -191,9 +193,9 @@
   Time probe_began_ = 0, next_probe_ = 0;
 };
 
-// Each node sends a heartbeat to each other node once a period. A member is dead after a silence of five
-// periods; with phi, as soon as the probability that a heartbeat still comes is under 10^-8 (normal
-// distribution fitted to the last 100 gaps).
+// Each node sends a heartbeat to each other node once a period. A member is dead after five periods without
+// a heartbeat; with phi, as soon as the probability that one still comes is under 10^-8 (normal distribution
+// fitted to the last 100 gaps between heartbeats).
 class Heartbeat : public Baseline {
  public:
   Heartbeat(BaselineSetup s, bool phi)
@@ -251,8 +253,8 @@
     for (const double g : m.gaps) square += (g - mean) * (g - mean);
     const double sigma = std::max(0.1 * static_cast<double>(setup_.period),
                                   std::sqrt(square / static_cast<double>(m.gaps.size())));
-    const double later = 0.5 * std::erfc((silent - mean) / (sigma * std::sqrt(2.0)));
-    return later < 1e-8;
+    const double probability_of_later = 0.5 * std::erfc((silent - mean) / (sigma * std::sqrt(2.0)));
+    return probability_of_later < 1e-8;
   }
   BaselineSetup setup_;
   bool phi_;
--- a/lab/cluster/command.cpp
+++ b/lab/cluster/command.cpp
@@ -24,6 +24,7 @@
 namespace ryeglade::cluster {
 namespace {
 
+// Returns "-" for NaN, which stands for a figure without values.
 std::string FormatFigure(double v, const char* form = "{:.2f}") {
   return std::isnan(v) ? "-" : fmt::format(fmt::runtime(form), v);
 }
@@ -116,7 +117,8 @@
   }
   if (explore_) return RunExplorer();
   if (files_.empty())
-    throw std::runtime_error("cluster: name a scenario file; --list lists the shipped ones");
+    throw std::runtime_error(
+        "cluster: no scenario file given; name one or more (--list lists the shipped ones)");
   if (emulate_) return Emulate(files_);
   return PlayReal(files_, node_program);
 }
@@ -129,11 +131,11 @@
                   s.what.c_str(), s.member.c_str(), s.by.c_str(), static_cast<unsigned long long>(s.value));
   }
   if (out_.empty()) return;
-  InvariantChecker w(scenario);
-  for (NodeEvent& s : events) w.AddEvent(std::move(s));
+  InvariantChecker checker(scenario);
+  for (NodeEvent& event : events) checker.AddEvent(std::move(event));
   ColumnarFile file;
   file.attributes = {{"scenario", scenario.text}, {"how", how}};
-  file.tables.push_back(w.Table());
+  file.tables.push_back(checker.Table());
   WriteColumns(out_, file);
 }
 
@@ -176,7 +178,8 @@
 int Commands::RunExplorer() {
   ExploreOptions o;
   o.nodes = nodes_ > 0 ? nodes_ : 3;
-  if (o.nodes > 6) throw std::runtime_error("--explore takes 2 to 6 nodes");
+  if (o.nodes > 6)
+    throw std::runtime_error(fmt::format("cluster: --explore takes 2 to 6 nodes, not {}", o.nodes));
   o.depth = depth_;
   o.workers = workers_;
   o.variant = variant_;
@@ -263,10 +266,10 @@
                   FormatFigure(bytes.mean(), "{:.0f}").c_str(), tail.c_str());
       if (detector == "ryeglade" && good < results.size()) {
         all_good = false;
-        std::size_t told = 0;
+        std::size_t printed = 0;
         for (std::size_t i = 0; i < results.size(); ++i) {
           for (const std::string& line : results[i].verdict.violations) {
-            if (++told <= 6)
+            if (++printed <= 6)
               std::printf("  seed %s: %s\n", std::to_string(scenario.seed + i).c_str(), line.c_str());
           }
         }
--- a/lab/cluster/command.h
+++ b/lab/cluster/command.h
@@ -16,9 +16,11 @@
 
 class Commands {
  public:
-  explicit Commands(CLI::App& app);  // must live as long as `app`
-  bool chosen() const;
-  int Run(const std::string& node_program);  // returns the exit code; throws std::runtime_error
+  explicit Commands(CLI::App& app);  // adds the subcommand; this object must live as long as `app`
+  bool chosen() const;               // true if the command line has the subcommand
+  // Returns the exit code: 0 if every scenario met its expectations, or the explorer found no violation,
+  // otherwise 1. In virtual time only the detector "ryeglade" counts. Throws std::runtime_error.
+  int Run(const std::string& node_program);
 
  private:
   int RunExplorer();
--- a/lab/cluster/emulated.cpp
+++ b/lab/cluster/emulated.cpp
@@ -19,8 +19,8 @@
 namespace ryeglade::cluster {
 namespace {
 
-constexpr Time kOneWayDelay = 150;        // microseconds of every message, besides its link's faults
-constexpr std::size_t kMaxWaiting = 250;  // datagrams that a paused process's socket holds
+constexpr Time kOneWayDelay = 150;        // microseconds for every message, in addition to its link's faults
+constexpr std::size_t kMaxWaiting = 250;  // datagrams that the socket of a paused process buffers
 // Microseconds from SIGTERM to the exit of a node with few open requests.
 constexpr Time kShutdownTime = 1'500'000;
 // The time origin of incarnations, in milliseconds.
@@ -112,11 +112,11 @@
   };
   struct Event {
     Time at = 0;
-    std::uint64_t order = 0;
+    std::uint64_t order = 0;  // events at the same time are handled in the order of scheduling
     std::size_t node = 0;
     std::uint64_t process_number = 0;  // the process that a tick is for
     std::optional<Arrival> arrival;    // empty for a tick
-    bool last = false;                 // the leaving process exits
+    bool last = false;                 // true if the leaving process exits now
     bool operator<(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
 
@@ -266,8 +266,8 @@
       return;
     }
     const Arrival& a = *e.arrival;
-    if (const auto* plain = std::get_if<BaselineMessage>(a.packet.get())) {
-      n.baseline->Receive(now_, a.from, *plain);
+    if (const auto* baseline_message = std::get_if<BaselineMessage>(a.packet.get())) {
+      n.baseline->Receive(now_, a.from, *baseline_message);
       return;
     }
     const Message& m = std::get<Message>(*a.packet);
@@ -334,18 +334,19 @@
 
   Link& LinkBetween(std::size_t from, std::size_t to) { return links_[from * scenario_.nodes + to]; }
 
+  // See EmulatedResult::periods_to_all.
   double PeriodsToAll() const {
     double start = -1, last = -1;
-    std::string who;
+    std::string started_member;
     for (const NodeEvent& event : checker_.events()) {
       if (event.what == "started" && event.at >= 0) {
         start = event.at;
         last = -1;
-        who = scenario_.NodeName(event.observer);
+        started_member = scenario_.NodeName(event.observer);
       }
-      const bool came =
+      const bool member_added =
           event.what == "member-alive" || event.what == "member-returned" || event.what == "member-restarted";
-      if (start >= 0 && came && event.member == who) last = event.at;
+      if (start >= 0 && member_added && event.member == started_member) last = event.at;
     }
     return last < 0 ? -1 : last - start;
   }
@@ -358,7 +359,8 @@
   std::vector<Link> links_;
   std::vector<std::string> addresses_;
   std::vector<bool> present_;
-  std::vector<std::pair<std::uint64_t, std::uint64_t>> sent_;
+  std::vector<std::pair<std::uint64_t, std::uint64_t>>
+      sent_;  // messages and bytes, by node, after the warm-up
   std::priority_queue<Event> queue_;
   membership::Actions actions_;
   Time now_ = 1'000'000;
@@ -388,7 +390,8 @@
 EmulatedResult PlayEmulated(const Scenario& scenario, const EmulatedOptions& options) {
   const auto& known = Detectors();
   if (std::find(known.begin(), known.end(), options.detector) == known.end())
-    throw std::runtime_error("unknown detector '" + options.detector + "'");
+    throw std::runtime_error(fmt::format("cluster: '{}' is not a known detector; expected one of {}",
+                                         options.detector, fmt::join(known, ", ")));
   return Simulation(scenario, options).Run();
 }
 
--- a/lab/cluster/emulated.h
+++ b/lab/cluster/emulated.h
@@ -1,6 +1,6 @@
 // Plays a scenario in virtual time, with the same membership model that the node runs or with a baseline for
-// comparison, at any number of nodes and over links with the same kinds of faults. A seed gives the same run
-// on every machine.
+// comparison, at any number of nodes and over links with the same kinds of faults. The same seed gives the
+// same run on every machine.
 #pragma once
 
 #include <cstdint>
@@ -22,10 +22,10 @@
 
 struct EmulatedResult {
   Verdict verdict;
-  double messages = 0, bytes = 0;  // mean for a node and period
+  double messages = 0, bytes = 0;  // sent, mean per node and period after the warm-up
   double max_node_bytes = 0;       // bytes per period of the node that sent most
   double periods_to_all = -1;  // periods until all nodes knew the node that started last; -1 if none started
-  std::uint64_t events = 0;
+  std::uint64_t events = 0;    // number of simulated ticks and arrivals
 };
 
 struct EmulatedOptions {
@@ -35,6 +35,7 @@
   std::vector<NodeEvent>* events = nullptr;  // if not null, gets all events
 };
 
+// Throws std::runtime_error if the detector is unknown.
 EmulatedResult PlayEmulated(const Scenario& scenario, const EmulatedOptions& options);
 
 // The options of the membership model for a detector: "ryeglade" or one of its variants. Every other name
--- a/lab/cluster/explorer.cpp
+++ b/lab/cluster/explorer.cpp
@@ -83,14 +83,14 @@
     for (std::size_t i = 0; i < nodes_.size(); ++i) Start(i);
     Run(30, nullptr);
   }
-  Simulation(const Simulation& w)
-      : options_(w.options_),
-        result_(w.result_),
-        states_(w.states_),
-        now_(w.now_),
-        process_count_(w.process_count_),
-        in_flight_(w.in_flight_) {
-    for (const Node& n : w.nodes_) {
+  Simulation(const Simulation& other)
+      : options_(other.options_),
+        result_(other.result_),
+        states_(other.states_),
+        now_(other.now_),
+        process_count_(other.process_count_),
+        in_flight_(other.in_flight_) {
+    for (const Node& n : other.nodes_) {
       Node copy;
       copy.up = n.up;
       copy.stopped = n.stopped;
@@ -101,7 +101,7 @@
     }
     // The copied models draw from random streams of their own.
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      if (w.nodes_[i].model) nodes_[i].model = w.nodes_[i].model->Clone(RandomBitsFor(i));
+      if (other.nodes_[i].model) nodes_[i].model = other.nodes_[i].model->Clone(RandomBitsFor(i));
     }
   }
   Simulation& operator=(const Simulation&) = delete;
@@ -115,7 +115,7 @@
     if (c.what == What::kCrash && !nodes_[c.a].up) Start(c.a);
   }
 
-  // Plays on without faults. Returns false if the views do not agree in time.
+  // Continues without faults. Returns false if the views do not agree within kConvergencePeriods.
   bool ReachesOneView() {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (nodes_[i].stopped) Resume(i);
@@ -256,7 +256,7 @@
       if (what == "member-dead") ++result_->deaths;
       if (what == "member-returned") ++result_->returns;
       if (what == "view-in-doubt") ++result_->doubts;
-      // The node itself decided on this death. It must have reached a majority of its stable view.
+      // The node declared this death itself, so it must have reached a majority of its stable view.
       if (what == "member-dead" && event.reporter == fmt::format("n{}", from) && !violation) {
         const std::size_t n = nodes_[from].model->stable_view_size();
         std::size_t reach = 1;
@@ -389,40 +389,41 @@
     ExplorationResult partial;
     std::unordered_set<std::uint64_t> states;
     const Simulation begin(options, &partial, &states);
-    std::function<void(const Simulation&, const std::string&, int)> below = [&](const Simulation& world,
-                                                                                const std::string& so_far,
-                                                                                int depth) {
-      for (std::size_t c = 0; c < choices.size(); ++c) {
-        if (depth == 0) {  // the workers share the first choices between them
-          c = next++;
-          if (c >= choices.size()) return;
-        }
-        if (broken >= options.stop_at) return;
-        Simulation one(world);
-        const std::string schedule = so_far + (so_far.empty() ? "" : " ") + Describe(choices[c]);
-        one.Apply(choices[c]);
-        if (!one.violation && depth + 1 < options.depth) below(one, schedule, depth + 1);
-        if (!one.violation) {
-          ++partial.schedules;
-          Simulation rest(one);
-          const std::size_t up = rest.up();
-          // With half of the nodes or fewer left, a node can't tell a partition from crashes, and doubt is
-          // right.
-          if (!rest.ReachesOneView() && 2 * up > options.nodes && !rest.violation)
-            rest.violation = Violation{
-                "one-view", "", "after " + std::to_string(kConvergencePeriods) + " periods:" + rest.Views()};
-          if (rest.violation) one.violation = rest.violation;
-        }
-        if (one.violation) {
-          ++broken;
-          one.violation->schedule = schedule;
-          ++partial.by_invariant[one.violation->invariant];
-          partial.violations.push_back(*one.violation);
-        }
-        if (depth == 0) --c;  // undoes the loop's increment; `next` gives the next choice
-      }
-    };
-    below(begin, "", 0);
+    std::function<void(const Simulation&, const std::string&, int)> extend_schedule =
+        [&](const Simulation& simulation, const std::string& earlier_faults, int depth) {
+          for (std::size_t c = 0; c < choices.size(); ++c) {
+            if (depth == 0) {  // the workers share the first choices between them
+              c = next++;
+              if (c >= choices.size()) return;
+            }
+            if (broken >= options.stop_at) return;
+            Simulation one(simulation);
+            const std::string schedule =
+                earlier_faults + (earlier_faults.empty() ? "" : " ") + Describe(choices[c]);
+            one.Apply(choices[c]);
+            if (!one.violation && depth + 1 < options.depth) extend_schedule(one, schedule, depth + 1);
+            if (!one.violation) {
+              ++partial.schedules;
+              Simulation without_faults(one);
+              const std::size_t up = without_faults.up();
+              // With half of the nodes or fewer running, a node can't distinguish a partition from crashes,
+              // and suspecting one is correct.
+              if (!without_faults.ReachesOneView() && 2 * up > options.nodes && !without_faults.violation)
+                without_faults.violation = Violation{
+                    "one-view", "",
+                    "after " + std::to_string(kConvergencePeriods) + " periods:" + without_faults.Views()};
+              if (without_faults.violation) one.violation = without_faults.violation;
+            }
+            if (one.violation) {
+              ++broken;
+              one.violation->schedule = schedule;
+              ++partial.by_invariant[one.violation->invariant];
+              partial.violations.push_back(*one.violation);
+            }
+            if (depth == 0) --c;  // undoes the loop's increment; `next` gives the next choice
+          }
+        };
+    extend_schedule(begin, "", 0);
     const std::lock_guard<std::mutex> lock(mutex);
     total.schedules += partial.schedules;
     total.ticks += partial.ticks;
