--- a/lab/cluster/invariant_checker.cpp
+++ b/lab/cluster/invariant_checker.cpp
@@ -72,7 +72,8 @@
 
   std::map<std::pair<std::size_t, std::string>, std::size_t> returns;
   std::set<std::size_t> doubted, refused, invented;
-  std::map<std::pair<std::size_t, std::string>, double> told;  // the first report of each death
+  // The first report of each death, by observer and member.
+  std::map<std::pair<std::size_t, std::string>, double> death_reports;
   std::vector<std::set<std::string>> views(scenario_.nodes);
   for (const NodeEvent& s : all) {
     if (s.what == "view-in-doubt") {
@@ -83,26 +84,27 @@
     } else if (s.what == "member-suspect") {
       ++f.suspicions;
     } else if (s.what == "member-returned") {
-      // The first return after a real absence is not flapping; Expect::most_returns allows for it.
+      // A return after a real absence is not flapping; Expect::most_returns sets how many are allowed.
       ++returns[{s.observer, s.member}];
     } else if (s.what == "member-dead") {
       ++f.deaths;
       const auto& who = NodesNamed(s.member);
-      bool lives = false, allowed = who.empty();
+      bool runs = false, allowed = who.empty();
       for (const std::size_t n : who) {
-        lives = lives || RunsAt(n, s.at);
+        runs = runs || RunsAt(n, s.at);
         allowed = allowed || In(scenario_.expect.may_remove, n) || In(scenario_.expect.removed, n);
       }
-      if (lives && !allowed) ++f.false_deaths;
-      told.emplace(std::pair{s.observer, s.member}, s.at);
-      if (s.at >= 0) told[{s.observer, s.member}] = std::min(told[{s.observer, s.member}], s.at);
+      if (runs && !allowed) ++f.false_deaths;
+      death_reports.emplace(std::pair{s.observer, s.member}, s.at);
+      if (s.at >= 0)
+        death_reports[{s.observer, s.member}] = std::min(death_reports[{s.observer, s.member}], s.at);
     }
     if (ViewChangeOf(s.what) == ViewChange::kAdds && NodesNamed(s.member).empty())
       invented.insert(s.observer);
   }
   for (const auto& [pair, n] : returns) f.most_returns = std::max(f.most_returns, n);
 
-  // The time of each report of a death, by each node that ran until the report was due.
+  // Finds how long each node that ran until the report was due took to report each expected death.
   std::size_t pairs = 0, missed = 0;
   for (const std::size_t gone : scenario_.expect.removed) {
     double since = std::numeric_limits<double>::quiet_NaN();
@@ -121,10 +123,10 @@
           !BelongsToCluster(o) || !RunsAt(o, since) || !RunsAt(o, until - 0.01))
         continue;
       ++pairs;
-      const auto it = told.find({o, scenario_.NodeName(gone)});
-      if (it == told.end() || it->second > until) {
+      const auto it = death_reports.find({o, scenario_.NodeName(gone)});
+      if (it == death_reports.end() || it->second > until) {
         ++missed;
-        v.violations.push_back(fmt::format("{} did not say within {} periods that {} is dead",
+        v.violations.push_back(fmt::format("{} did not report within {} periods that {} is dead",
                                            scenario_.NodeName(o), scenario_.expect.removed_within,
                                            scenario_.NodeName(gone)));
       } else {
@@ -139,26 +141,26 @@
   for (std::size_t i = 0; i < scenario_.nodes; ++i) {
     if (RunsAt(i, end) && BelongsToCluster(i)) running.insert(scenario_.NodeName(i));
   }
-  // Updated with each event: the number of wrong names in each view that counts, and the number of wrong
-  // views.
+  // The state of one observer's view, updated with each event.
   struct ViewState {
-    bool counts = false, in_doubt = false;
-    std::size_t wrong = 0;
+    bool counts = false,
+         in_doubt = false;  // `counts`: the observer runs at the end and belongs to the cluster
+    std::size_t wrong = 0;  // number of names that the view lacks or wrongly contains
     bool good() const { return !counts || (wrong == 0 && !in_doubt); }
   };
   std::vector<ViewState> view_states(scenario_.nodes);
-  std::size_t bad = 0;
+  std::size_t wrong_views = 0;
   for (std::size_t i = 0; i < scenario_.nodes; ++i) {
     view_states[i].counts = RunsAt(i, end) && BelongsToCluster(i);
     view_states[i].wrong = running.size() - running.count(scenario_.NodeName(i));
-    bad += view_states[i].good() ? 0 : 1;
+    wrong_views += view_states[i].good() ? 0 : 1;
   }
   double since = -1;
-  bool one = false;
+  bool agreed = false;
   std::size_t next = 0;
   const auto apply = [&](const NodeEvent& s) {
     ViewState& of = view_states[s.observer];
-    bad -= of.good() ? 0 : 1;
+    wrong_views -= of.good() ? 0 : 1;
     if (s.what == "started") {
       views[s.observer].clear();
       of.in_doubt = false;
@@ -173,19 +175,19 @@
                                                            : false);
     if (changed)
       of.wrong = running.contains(s.member) == (change == ViewChange::kAdds) ? of.wrong - 1 : of.wrong + 1;
-    bad += of.good() ? 0 : 1;
+    wrong_views += of.good() ? 0 : 1;
   };
   while (next < all.size() && all[next].at <= faults_end) apply(all[next++]);
-  one = bad == 0;
+  agreed = wrong_views == 0;
   since = faults_end;
   for (; next < all.size(); ++next) {
     apply(all[next]);
-    const bool now = bad == 0;
-    if (now && !one) since = all[next].at;
-    one = now;
+    const bool agree_now = wrong_views == 0;
+    if (agree_now && !agreed) since = all[next].at;
+    agreed = agree_now;
   }
-  f.one_view = one ? std::max(0.0, since - faults_end) : -1;
-  if (!one) {
+  f.one_view = agreed ? std::max(0.0, since - faults_end) : -1;
+  if (!agreed) {
     std::string which;
     for (std::size_t i = 0; i < scenario_.nodes; ++i) {
       if (!RunsAt(i, end) || !BelongsToCluster(i)) continue;
--- a/lab/cluster/link_model.cpp
+++ b/lab/cluster/link_model.cpp
@@ -20,7 +20,7 @@
         bytes_per_second > 0 ? std::min(bytes_per_second, o.bytes_per_second) : o.bytes_per_second;
 }
 
-// The time in the queue of a link of limited rate, plus delay and jitter.
+// Returns the arrival time: after the queue of a link of limited rate, the delay and the jitter.
 Time Link::TransitTime(Time now, std::size_t bytes, const LinkState& s) {
   Time at = now;
   if (s.bytes_per_second > 0) {
@@ -37,7 +37,7 @@
   if (s.cut || stream_.Chance(s.drop)) return {};
   const Time at = TransitTime(now, bytes, s);
   if (s.bytes_per_second > 0 && at - now > 2'000'000 + s.delay)
-    return {};  // the queue of a limited link holds 2 s
+    return {};  // the queue of a link of limited rate holds 2 s of bytes
   std::vector<Delivery> all{{at + (stream_.Chance(s.reorder) ? s.reorder_by : 0), stream_.Chance(s.corrupt)}};
   if (stream_.Chance(s.duplicate)) all.push_back({TransitTime(now, bytes, s), stream_.Chance(s.corrupt)});
   return all;
@@ -46,7 +46,7 @@
 Time Link::StreamBytes(Time now, std::size_t bytes, const LinkState& s) {
   if (s.cut) return std::numeric_limits<Time>::max();
   Time at = TransitTime(now, bytes, s);
-  // Lost bytes are retransmitted, which only takes time.
+  // Lost bytes are retransmitted, so a loss only delays them.
   while (stream_.Chance(std::min(s.drop, 0.9))) at += std::max<Time>(200'000, 2 * s.delay);
   last_stream_at_ = std::max(last_stream_at_, at);
   return last_stream_at_;
--- a/lab/cluster/link_model.h
+++ b/lab/cluster/link_model.h
@@ -1,6 +1,6 @@
 // Models one direction of a faulty link between two nodes, for datagrams and for the bytes of connections.
-// Used by the relay between real processes and by the emulated network. Does no I/O, reads no clock, and
-// draws from one seed.
+// The relay between real processes and the emulated network use it. It does no I/O, reads no clock, and draws
+// all random numbers from one seed.
 #pragma once
 
 #include <cstddef>
@@ -23,15 +23,16 @@
   Time reorder_by = 0;          // microseconds by which a reordered datagram is delayed
   double bytes_per_second = 0;  // 0 if unlimited
   void Add(const LinkState& other);
-  bool calm() const {
+  bool calm() const {  // true if the link has no fault
     return !cut && drop == 0 && duplicate == 0 && reorder == 0 && corrupt == 0 && delay == 0 && jitter == 0 &&
            bytes_per_second == 0;
   }
 };
 
+// The arrival of one copy of a datagram.
 struct Delivery {
   Time at = 0;
-  bool corrupt = false;
+  bool corrupt = false;  // the receiver gets it with a flipped bit
 };
 
 class Link {
@@ -39,10 +40,10 @@
   Link(std::uint64_t seed, std::uint64_t number) : stream_(seed, emulator::RandomPurpose::kNetwork, number) {}
   // Returns the arrivals of a datagram of `bytes` sent at `now`: none, one, or two.
   std::vector<Delivery> Datagram(Time now, std::size_t bytes, const LinkState& state);
-  // Returns the arrival of bytes of a connection, which stay in order and are never lost. Returns the maximum
-  // of Time while the link is cut: the bytes have to wait.
+  // Returns the arrival time of bytes of a connection, which stay in order and are never lost. Returns the
+  // maximum of Time while the link is cut; the caller has to try again later.
   Time StreamBytes(Time now, std::size_t bytes, const LinkState& state);
-  // Flips one random bit.
+  // Flips one random bit; does nothing if `bytes` is empty.
   void Corrupt(std::string& bytes);
 
  private:
--- a/lab/cluster/real.cpp
+++ b/lab/cluster/real.cpp
@@ -28,7 +28,7 @@
 namespace ryeglade::cluster {
 namespace {
 
-constexpr Time kPollInterval = 20'000;       // microseconds between two looks at logs and processes
+constexpr Time kPollInterval = 20'000;       // microseconds between two checks of logs and processes
 constexpr std::size_t kNoiseDatagrams = 40;  // random datagrams in each step of a flood
 
 // Returns the value of a field in a log line such as "event=x a=b"; empty if it is not there.
@@ -80,11 +80,15 @@
         checker_(scenario),
         nodes_(scenario.nodes) {
     if (scenario_.nodes > 250)
-      throw std::runtime_error("real processes are limited to 250 nodes; use --emulate");
+      throw std::runtime_error(fmt::format(
+          "cluster: the scenario has {} nodes, but at most 250 can run as real processes; use --emulate",
+          scenario_.nodes));
     if (!scenario_.old_build.empty() && options_.old_program.empty())
-      throw std::runtime_error("the scenario has nodes in old_build; give their program with --old-program");
+      throw std::runtime_error(
+          "cluster: the scenario has nodes in old_build; give their program with --old-program");
     std::string name = std::filesystem::temp_directory_path().string() + "/ryeglade-cluster-XXXXXX";
-    if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot create a directory " + name);
+    if (mkdtemp(name.data()) == nullptr)
+      throw std::runtime_error("cluster: cannot create a directory from the template " + name);
     root_ = name;
     std::vector<std::string> node_addresses, proxy_ips;
     const auto pid = static_cast<unsigned>(getpid());
@@ -174,8 +178,8 @@
     deadlines_.Cancel(wake);
     RealResult r;
     // Waits for the answers to requests that were sent near the end.
-    const Time patience = Now() + 12'000'000;
-    while (Now() < patience &&
+    const Time answers_due = Now() + 12'000'000;
+    while (Now() < answers_due &&
            !std::all_of(clients_.begin(), clients_.end(), [](const auto& c) { return c.second->done(); }))
       uv_run(&loop_, UV_RUN_ONCE);
     CollectLogsAndExits();
@@ -296,10 +300,12 @@
     shares_.push_back(std::move(shares));
   }
 
+  // Gossips the messages that `make_messages` returns, as many as fit into `room` bytes, and ignores all
+  // others.
   struct FalseReports : GossipPort {
-    std::function<std::vector<std::string>()> say;
+    std::function<std::vector<std::string>()> make_messages;
     std::vector<std::string> TakeMessages(std::size_t room, std::size_t overhead) override {
-      std::vector<std::string> all = say();
+      std::vector<std::string> all = make_messages();
       while (!all.empty()) {
         std::size_t size = 0;
         for (const std::string& w : all) size += w.size() + overhead;
@@ -323,9 +329,9 @@
     for (std::size_t k = 0; k < std::min(scenario_.seeds, scenario_.nodes); ++k)
       m.seeds.push_back(network_->proxy_address(k));
     LogOptions log;
-    log.level = Level::kError;  // this member's log about the others is not needed
+    log.level = Level::kError;  // its log of the other members is not needed
     SetUpLog(log);
-    false_reports_.say = [this] { return options_.false_reporter("liar"); };
+    false_reports_.make_messages = [this] { return options_.false_reporter("liar"); };
     false_reporter_ = std::make_unique<membership::Membership>(&run_, m, "liar", scenario_.nodes, nullptr,
                                                                nullptr, root_ + "/liar");
     false_reporter_->CarryGossip(&false_reports_);
@@ -456,9 +462,10 @@
   }
 
   void AddClientResults(RealResult& r) {
-    std::vector<bool> disturbed(scenario_.nodes, false);
+    std::vector<bool> has_process_fault(scenario_.nodes, false);
     for (const Fault& f : scenario_.faults) {
-      for (const std::size_t n : f.nodes) disturbed[n] = disturbed[n] || f.what != Fault::What::kFlood;
+      for (const std::size_t n : f.nodes)
+        has_process_fault[n] = has_process_fault[n] || f.what != Fault::What::kFlood;
     }
     for (const auto& [i, client] : clients_) {
       const auto& tally = client->tally();
@@ -466,7 +473,7 @@
         const auto of = [&](load::Outcome o) { return c.outcomes[static_cast<std::size_t>(o)]; };
         r.asked_all += c.asked;
         r.served_all += of(load::Outcome::kServed);
-        if (disturbed[i]) continue;
+        if (has_process_fault[i]) continue;
         r.asked += c.asked;
         r.served += of(load::Outcome::kServed);
         r.unanswered += of(load::Outcome::kNothing);
@@ -481,14 +488,14 @@
     if (scenario_.rate <= 0) return;
     if (r.two_at_once > 0)
       r.verdict.violations.push_back(
-          fmt::format("{} times two attempts of a request were in flight at once", r.two_at_once));
+          fmt::format("two attempts of a request were in flight at once, {} times", r.two_at_once));
     if (r.unanswered > 0)
       r.verdict.violations.push_back(
           fmt::format("{} requests got no answer at nodes without a process fault", r.unanswered));
     if (static_cast<double>(r.served) < scenario_.expect.served * static_cast<double>(r.asked))
-      r.verdict.violations.push_back(
-          fmt::format("{} of {} requests served at nodes without a process fault, under a share of {}",
-                      r.served, r.asked, scenario_.expect.served));
+      r.verdict.violations.push_back(fmt::format(
+          "{} of {} requests served at nodes without a process fault, under the expected share of {}",
+          r.served, r.asked, scenario_.expect.served));
   }
 
   void StopAll(RealResult& r) {
@@ -528,7 +535,7 @@
   Deadlines deadlines_;
   Runtime run_;
   lab::AttemptCounts attempt_counts_;
-  // The second directory is for nodes that see replica faults of their own.
+  // Nodes with a replica fault that not all nodes see use other_directory_.
   lab::FakeDiscovery directory_, other_directory_;
   std::vector<std::unique_ptr<lab::FakeReplica>> replicas_;
   std::unique_ptr<Network> network_;
--- a/lab/cluster/real.h
+++ b/lab/cluster/real.h
@@ -1,5 +1,5 @@
-// Plays a scenario with real node processes on loopback. Discovery, fake replicas, open-loop clients and the
-// links between the nodes run in this process.
+// Plays a scenario with real node processes on loopback. Fake discovery, fake replicas, open-loop clients and
+// the links between the nodes run in this process.
 #pragma once
 
 #include <cstdint>
@@ -22,8 +22,9 @@
   std::vector<NodeEvent>* events = nullptr;   // if not null, gets all events
   std::function<void(double done)> progress;  // called with the share that is done, 0 to 1
   std::string more_settings;                  // TOML appended to each node's settings
-  std::vector<double> query_shares_at;        // periods at which each node's traffic share is queried
-  // If set, the lab joins the tier as one more member and gossips the messages that this returns.
+  std::vector<double> query_shares_at;  // times, in periods, at which each node's traffic share is queried
+  // If set, the lab joins the tier as one more member under the name that this gets, and gossips the messages
+  // that this returns. The verdict of the checker is then left out.
   std::function<std::vector<std::string>(const std::string& name)> false_reporter;
 };
 
@@ -32,13 +33,13 @@
   // Requests of clients at nodes without a process fault, by outcome.
   std::uint64_t asked = 0, served = 0, unanswered = 0, broken = 0;
   std::uint64_t asked_all = 0, served_all = 0;              // at all nodes
-  std::uint64_t two_at_once = 0, attempts = 0, spoilt = 0;  // as the fake replicas saw them
+  std::uint64_t two_at_once = 0, attempts = 0, spoilt = 0;  // counted by the fake replicas
   // By node: how often it ejected each replica because of reports of its peers.
   std::vector<std::map<std::string, int>> peer_ejections;
   struct TrafficShare {
     std::size_t node = 0;
-    double share = 0, rate = 0;
-    std::string state;
+    double share = 0, rate = 0;  // `part` and its own `rate` in its answer to GET /tier
+    std::string state;           // `state` in that answer
   };
   // One entry for each time in query_shares_at, without the nodes that did not run then.
   std::vector<std::vector<TrafficShare>> shares;
--- a/lab/cluster/relay.cpp
+++ b/lab/cluster/relay.cpp
@@ -25,7 +25,8 @@
 
 sockaddr_storage ParseOrThrow(const std::string& address) {
   sockaddr_storage out{};
-  if (!ParseAddress(address, &out)) throw std::runtime_error("not an address: " + address);
+  if (!ParseAddress(address, &out))
+    throw std::runtime_error("cluster: an address must be ip:port, not '" + address + "'");
   return out;
 }
 
@@ -42,7 +43,7 @@
   const bool good = fd >= 0 && bind(fd, reinterpret_cast<sockaddr*>(&address), length) == 0 &&
                     getsockname(fd, reinterpret_cast<sockaddr*>(&address), &length) == 0;
   if (fd >= 0) close(fd);
-  if (!good) throw std::runtime_error("no free port on " + ip);
+  if (!good) throw std::runtime_error("cannot find a free TCP port on " + ip);
   return FormatAddress(address);
 }
 
@@ -69,19 +70,19 @@
     uv_tcp_init(run_->loop, p.listener);
     p.udp->data = p.listener->data = &p;
     ThrowOnError(uv_udp_bind(p.udp, reinterpret_cast<const sockaddr*>(&p.ip), 0),
-                 "cannot bind a proxy on " + proxy_ips[i]);
+                 "cannot bind the UDP socket of a proxy on " + proxy_ips[i]);
     sockaddr_storage bound{};
     int length = sizeof bound;
     uv_udp_getsockname(p.udp, reinterpret_cast<sockaddr*>(&bound), &length);
     p.address = FormatAddress(bound);
     ThrowOnError(uv_tcp_bind(p.listener, reinterpret_cast<const sockaddr*>(&bound), 0),
-                 "cannot bind a proxy's listener");
+                 "cannot bind the TCP listener of a proxy on " + p.address);
     ThrowOnError(uv_listen(reinterpret_cast<uv_stream_t*>(p.listener), 64,
                            [](uv_stream_t* s, int status) {
                              Proxy* proxy = static_cast<Proxy*>(s->data);
                              if (status == 0) proxy->network->Accept(*proxy);
                            }),
-                 "cannot listen on a proxy");
+                 "cannot listen for connections to a proxy on " + p.address);
     uv_udp_recv_start(
         p.udp,
         [](uv_handle_t*, std::size_t, uv_buf_t* buf) {
@@ -148,8 +149,8 @@
 
 void Network::SendNoise(std::size_t node, std::size_t datagrams) {
   for (std::size_t i = 0; i < datagrams; ++i) {
-    // The noise is cut from bytes that were drawn once: with sanitizers, drawing each byte anew delayed the
-    // relay.
+    // Each random datagram is a part of bytes that were drawn once: in builds with sanitizers, drawing each
+    // byte anew delayed the relay.
     const std::size_t n = noise_random_.Below(1600);
     std::string bytes = noise_bytes_.substr(noise_random_.Below(noise_bytes_.size() - n), n);
     if (noise_random_.Chance(0.5)) {  // a valid message with invented members
@@ -214,7 +215,7 @@
   Forward(side);
 }
 
-// Sends the next bytes over the link; the others wait behind them.
+// Schedules the next queued bytes for their arrival at the other end; the bytes behind them wait.
 void Network::Forward(Handle side) {
   Side* a = sides_.Get(side);
   if (a == nullptr || a->forward_scheduled) return;
--- a/lab/cluster/relay.h
+++ b/lab/cluster/relay.h
@@ -24,7 +24,7 @@
 
 class Network : public TcpOwner {
  public:
-  // Returns the current faults of the link.
+  // Returns the current faults of the link from one node to another.
   using LinkStateOf = std::function<LinkState(std::size_t from, std::size_t to)>;
 
   // `node_addresses` holds the address at which each node listens, `proxy_ips` the IP address of its proxy.
@@ -35,13 +35,16 @@
   Network(const Network&) = delete;
   Network& operator=(const Network&) = delete;
   const std::string& proxy_address(std::size_t node) const { return proxies_[node]->address; }
-  // Sends random datagrams to a node's own port, from an unknown address.
+  // Sends this many datagrams of random bytes or with invented members to a node's own port, from an address
+  // that belongs to no member.
   void SendNoise(std::size_t node, std::size_t datagrams);
-  void Close();
+  void Close();  // closes all proxies and connections
 
   struct Counts {
-    std::uint64_t passed = 0, lost = 0, bytes = 0;  // datagrams
-    std::uint64_t connections = 0;
+    // Datagrams that were forwarded (duplicates included), datagrams that were dropped, and bytes of all
+    // datagrams.
+    std::uint64_t passed = 0, lost = 0, bytes = 0;
+    std::uint64_t connections = 0;  // connections opened
   };
   const std::vector<Counts>& sent() const { return sent_; }  // by sending node
 
@@ -83,7 +86,7 @@
   SlotTable<Side> sides_;
   std::vector<Counts> sent_;
   emulator::RandomStream noise_random_;
-  std::string noise_bytes_;  // random bytes that the noise is cut from
+  std::string noise_bytes_;  // random bytes of which random datagrams are parts
   uv_udp_t* noise_socket_ = nullptr;
   bool closed_ = false;
 };
--- a/lab/cluster/scenario.cpp
+++ b/lab/cluster/scenario.cpp
@@ -11,8 +11,9 @@
 namespace ryeglade::cluster {
 namespace {
 
-constexpr double kNoEnd = 1e9;  // periods; longer than any scenario
+constexpr double kNoEnd = 1e9;  // duration of a fault without an end, in periods; longer than any scenario
 
+// Parses a whole number; returns false if `text` is anything else.
 bool Number(std::string_view text, std::size_t* out) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), *out);
   return error == std::errc() && end == text.data() + text.size();
@@ -67,7 +68,8 @@
   f.times = static_cast<int>(s.Integer("times", 1, 1000, 1));
   f.again_after = s.Number("again_after", 0, 1e6, 0);
   if (f.times > 1 && f.again_after <= f.lasts)
-    s.Fail("again_after", "must be more than `lasts`, in periods, where `times` is over 1");
+    s.Fail("again_after", fmt::format("is {}, but must be more than lasts ({} periods) if times is above 1",
+                                      f.again_after, f.lasts));
   const auto periods = [&](const char* key, double fallback) {
     return static_cast<Time>(s.Number(key, 0, 1000, fallback) * static_cast<double>(scenario.period));
   };
@@ -80,14 +82,14 @@
   }
   if (f.what != Fault::What::kLink) {
     f.nodes = ParseNodes(s, "nodes", scenario, "");
-    if (f.nodes.empty()) s.Fail("nodes", "is missing; name the nodes that the fault concerns");
+    if (f.nodes.empty()) s.Fail("nodes", "is missing or empty; name the nodes that the fault concerns");
     if (f.what == Fault::What::kStarve) {
       f.share = s.Number("share", 0.01, 0.99, f.share);
       f.every = s.Number("every", 0.05, 100, f.every);
     }
     if ((f.what == Fault::What::kPause || f.what == Fault::What::kStarve || f.what == Fault::What::kAbsent) &&
         f.lasts == 0)
-      s.Fail("lasts", "is missing; give the duration of the fault in periods");
+      s.Fail("lasts", "is missing or 0; give the duration of the fault in periods");
     s.RejectUnknownKeys();
     return f;
   }
@@ -151,8 +153,8 @@
   double last_end = 0;
   for (const Fault& f : faults) {
     const double last = f.at + (f.times - 1) * f.again_after + f.lasts;
-    // A fault with `lasts` 0 counts with its beginning: it either never ends and is part of the surroundings,
-    // or it is over at once.
+    // A fault with `lasts` 0 counts with its beginning: it either lasts until the end of the scenario or is
+    // over at once.
     last_end = std::max(last_end, last);
   }
   return last_end;
@@ -179,7 +181,10 @@
   s.other_cluster = ParseNodeNumbers(top, "other_cluster", s);
   s.old_build = ParseNodeNumbers(top, "old_build", s);
   if (const Nodes twins = ParseNodes(top, "same_name", s, ""); !twins.empty()) {
-    if (twins.size() != 2) top.Fail("same_name", "names two nodes: the second is given the first's name");
+    if (twins.size() != 2)
+      top.Fail("same_name",
+               fmt::format("names {} nodes; give exactly two, of which the second gets the name of the first",
+                           twins.size()));
     s.same_name.emplace_back(twins[0], twins[1]);
   }
   s.tier = top.Flag("tier", false);
--- a/lab/cluster/scenario.h
+++ b/lab/cluster/scenario.h
@@ -18,7 +18,7 @@
     kLink,      // between `from` and `to`
     kKill,      // SIGKILL; if `lasts` is set, started again under the same name after it
     kPause,     // SIGSTOP, and SIGCONT after `lasts`
-    kStarve,    // stopped for `share` of every `every` periods
+    kStarve,    // stopped for the share `share` of each interval of `every` periods
     kTerm,      // SIGTERM; if `lasts` is set, started again after it
     kHandOver,  // hot restart: a second process starts, then SIGTERM to the first
     kAbsent,    // not started until `lasts` has passed
@@ -29,20 +29,21 @@
   Nodes from, to;     // of a link fault
   bool both = false;  // a link fault in both directions
   LinkState link;
-  double at = 0, lasts = 0;  // periods; `lasts` 0 means until the end
-  double share = 0.9, every = 1;
-  int times = 1;           // how often the fault occurs
-  double again_after = 0;  // periods from one beginning to the next
+  double at = 0, lasts = 0;       // periods; `lasts` 0 means until the end
+  double share = 0.9, every = 1;  // of kStarve: share of the time, 0 to 1; interval in periods
+  int times = 1;                  // how often the fault occurs
+  double again_after = 0;         // periods from one beginning to the next
 };
 
-// A fault of replicas, seen by all nodes, or only by some nodes because their own network is at fault.
+// A fault of replicas. Only some nodes may see it, as if their own network were faulty.
 struct ReplicaFault {
-  std::string how;  // error, silent, or unreachable; only unreachable may concern some of the nodes
-  std::size_t first = 0, count = 1;
-  Nodes nodes;               // the nodes that see the fault
-  double at = 0, lasts = 0;  // periods; `lasts` 0 means until the end
+  std::string how;  // error, silent, or unreachable; only unreachable may be limited to some of the nodes
+  std::size_t first = 0, count = 1;  // the number of the first replica, and how many replicas are concerned
+  Nodes nodes;                       // the nodes that see the fault
+  double at = 0, lasts = 0;          // periods; `lasts` 0 means until the end
 };
 
+// What the nodes have to report, and what they may report at most.
 struct Expect {
   Nodes removed;                 // every other running node must report that these are dead
   Nodes may_remove;              // reporting one of these as dead is not a false death
@@ -57,12 +58,12 @@
 };
 
 struct Scenario {
-  std::string name, title, text;
-  std::size_t nodes = 5, seeds = 2, zones = 1;
-  double length = 60;     // periods
-  double loss = 0;        // if above 0, replaces the share of every `loss` fault
-  double warm_up = 25;    // periods before the time 0 from which `at` counts
-  Time period = 200'000;  // probe period in microseconds
+  std::string name, title, text;                // `text` is the whole scenario file
+  std::size_t nodes = 5, seeds = 2, zones = 1;  // the first `seeds` nodes are the seeds that others join
+  double length = 60;                           // periods
+  double loss = 0;                              // if above 0, replaces the share of every `loss` fault
+  double warm_up = 25;                          // periods before the time 0 from which `at` counts
+  Time period = 200'000;                        // probe period in microseconds
   std::uint64_t seed = 1;
   double rate = 0;  // requests of clients per second, over all nodes; 0 means no clients
   std::size_t replicas = 3;
@@ -75,8 +76,8 @@
   bool tier = false;  // the nodes gossip their traffic and what they observe of replicas
   Expect expect;
 
-  std::string NodeName(std::size_t node) const;
-  std::string ZoneOf(std::size_t node) const;
+  std::string NodeName(std::size_t node) const;  // takes same_name into account
+  std::string ZoneOf(std::size_t node) const;    // zones take turns, by node number
   // The combined faults of the link at `at` (periods after the warm-up).
   LinkState LinkAt(std::size_t from, std::size_t to, double at) const;
   // The end of the last fault, in periods after the warm-up. Faults without an end count with their
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -83,7 +83,7 @@
   Scenario scenario = ReadExample("kill-one");
   scenario.expect.removed_within = 2;  // no node can detect the death that early
   const EmulatedResult result = PlayEmulated(scenario, {});
-  EXPECT_NE(Violations(result.verdict).find("did not say within 2 periods"), std::string::npos)
+  EXPECT_NE(Violations(result.verdict).find("did not report within 2 periods"), std::string::npos)
       << Violations(result.verdict);
 }
 
