--- a/lab/cluster/invariant_checker.h
+++ b/lab/cluster/invariant_checker.h
@@ -19,10 +19,9 @@
 struct NodeEvent {
   double at = 0;
   std::size_t observer = 0;
-  std::string what;  // the name of the event, as in the log
-  std::string member,
-      by;  // the member concerned and the member that reported it; empty if the event has none
-  std::uint64_t value = 0;  // the event's number, such as a count of nodes; 0 if it has none
+  std::string what;         // the name of the event, as in the log
+  std::string member, by;   // the member concerned; the node or address that reported it; may be empty
+  std::uint64_t value = 0;  // an incarnation or a number of members; 0 if the event has none
 };
 
 struct Figures {
