--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the soak's checker, with histories that keep every rule or break some, and of the soak's plans.
+// Tests of the soak's checker, with histories that break no rule or some rules, and of the soak's plans.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -30,8 +30,8 @@
           {"cell", rules(Idempotency::kIdempotencyKey, DedupScope::kCell)}};
 }
 
-// Builds the history of one node with three replicas: the first two share a zone, the first and the last a
-// cell. Requests come one at a time; each attempt belongs to the latest request.
+// Builds the history of one node with three replicas: the first two share a zone, the first and the third
+// share a cell. Requests come one at a time; each attempt belongs to the latest request.
 struct HistoryBuilder {
   HistoryBuilder() {
     h.begin = kSec;
@@ -67,7 +67,7 @@
     a.end = end;
     return h.attempts.emplace_back(a);
   }
-  // Lets the latest attempt answer the latest request completely, in `pieces` events 10 ms apart.
+  // Completes the latest request with the answer of the latest attempt, in `pieces` events 10 ms apart.
   void ServeByLastAttempt(int pieces = 3) {
     Attempt& a = h.attempts.back();
     ClientRequest& r = h.requests.back();
@@ -91,6 +91,8 @@
 using Rules = std::vector<Rule>;
 using BuildHistory = std::function<void(HistoryBuilder&)>;
 
+// Expects the checker to report exactly the rules `wanted`, in this order, for the history that `build`
+// makes.
 void ExpectBroken(const char* name, const Rules& wanted, const BuildHistory& build) {
   HistoryBuilder s;
   build(s);
@@ -168,15 +170,15 @@
 }
 
 TEST(SoakChecker, ReportsConcurrentAttemptsButNotConsecutiveOnes) {
-  const auto over = [](Time overlap) {
+  const auto overlapping = [](Time overlap) {
     return [=](HistoryBuilder& s) {
       s.AddRequest("free"), s.AddAttempt(0, 10 * kSec, AttemptEnd::kNodeClosed, kSec);
       s.AddAttempt(1, 11 * kSec - overlap), s.ServeByLastAttempt();
     };
   };
-  ExpectBroken("one after the other", {}, over(0));
-  ExpectBroken("overlap within the tolerance for the order of reading", {}, over(90 * kMs));
-  ExpectBroken("overlap beyond the tolerance", {Rule::kTwoAtOnce}, over(110 * kMs));
+  ExpectBroken("one after the other", {}, overlapping(0));
+  ExpectBroken("overlap within the tolerance for the order of reading", {}, overlapping(90 * kMs));
+  ExpectBroken("overlap beyond the tolerance", {Rule::kTwoAtOnce}, overlapping(110 * kMs));
 }
 
 TEST(SoakChecker, ReportsALateOrMissingAnswer) {
@@ -219,21 +221,21 @@
 }
 
 TEST(SoakChecker, ReportsAttemptsAfterTheClientDisconnectedAndTooLargeBudgets) {
-  const auto gone = [](Time after) {
+  const auto attempt_after_disconnect = [](Time after) {
     return [=](HistoryBuilder& s) {
       ClientRequest& r = s.AddRequest("free");
       r.end = ClientEnd::kClientClosed, r.client_closed = r.ended = 11 * kSec;
       s.AddAttempt(0, 11 * kSec + after);
     };
   };
-  ExpectBroken("within 0.1 s of the disconnect plus the tolerance", {}, gone(140 * kMs));
-  ExpectBroken("over 0.1 s after the disconnect", {Rule::kClientGone}, gone(160 * kMs));
-  const auto told = [](Time more) {
+  ExpectBroken("within 0.1 s of the disconnect plus the tolerance", {}, attempt_after_disconnect(140 * kMs));
+  ExpectBroken("over 0.1 s after the disconnect", {Rule::kClientGone}, attempt_after_disconnect(160 * kMs));
+  const auto excess_budget = [](Time more) {
     return
         [=](HistoryBuilder& s) { s.AddRequest("free"), s.AddAttempt(0, 12 * kSec).budget = 3 * kSec + more; };
   };
-  ExpectBroken("budget 0.15 s too large plus the tolerance", {}, told(190 * kMs));
-  ExpectBroken("budget over 0.15 s too large", {Rule::kBudget}, told(210 * kMs));
+  ExpectBroken("budget 0.15 s too large plus the tolerance", {}, excess_budget(190 * kMs));
+  ExpectBroken("budget over 0.15 s too large", {Rule::kBudget}, excess_budget(210 * kMs));
 }
 
 TEST(SoakChecker, ReportsRequestsToADrainingReplicaAfterTheGrace) {
@@ -293,7 +295,7 @@
 }
 
 TEST(SoakChecker, ReportsDelayedEventsInMoreThanOneStreamInTen) {
-  const auto held = [](int late) {
+  const auto with_delayed_streams = [](int late) {
     return [=](HistoryBuilder& s) {
       for (int n = 0; n < 40; ++n) {
         s.AddRequest("free", (10 + n) * kSec), s.AddAttempt(0, (10 + n) * kSec), s.ServeByLastAttempt();
@@ -302,8 +304,8 @@
       }
     };
   };
-  ExpectBroken("delays in one stream in ten", {}, held(4));
-  ExpectBroken("delays in more than one stream in ten", {Rule::kInTime}, held(5));
+  ExpectBroken("delays in one stream in ten", {}, with_delayed_streams(4));
+  ExpectBroken("delays in more than one stream in ten", {Rule::kInTime}, with_delayed_streams(5));
 }
 
 TEST(SoakChecker, ReportsProcessesThatCrashGrowOrDoNotExitInTime) {
@@ -344,7 +346,8 @@
   });
 }
 
-// The checker terminates for any history and counts every request once.
+// The checker terminates for any history, counts every request, and counts each at most once as served,
+// refused or failed.
 RC_GTEST_PROP(SoakChecker, AnyHistoryIsJudged, ()) {
   HistoryBuilder s;
   const auto time = [] { return *rc::gen::inRange<Time>(0, 100 * kSec); };
--- a/tests/soak_tool.sh
+++ b/tests/soak_tool.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A wrong option of the soak gives a failure and an error of one line that names the fault; an interrupted soak fails and
-# leaves no process behind.
+# With a wrong option the soak fails with a one-line error that names the wrong value or key. An interrupted soak fails
+# and leaves no process running.
 # `soak_tool.sh LAB`
 set -euo pipefail
 
@@ -8,6 +8,7 @@
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
 
+# `refused TEXT OPTIONS...`: the soak must fail with these options, with a short error that contains TEXT.
 refused() {
   local named=$1 out
   shift
@@ -25,7 +26,8 @@
 sed 's/"nodes": [0-9]*/"nodes": 99/' "$dir/plan.json" > "$dir/bad.json"
 refused "nodes" --plan "$dir/bad.json"
 
-# The soak keeps its nodes' files under TMPDIR, and the nodes' command lines name them: that finds the nodes in /proc.
+# The soak keeps its nodes' files under TMPDIR, and the nodes' command lines name them: the test finds the nodes in /proc
+# by that path.
 mkdir "$dir/tmp"
 TMPDIR=$dir/tmp "$lab" soak --seeds 1-2 --jobs 2 --seconds 20 > "$dir/out" 2>&1 &
 soak=$!
@@ -35,11 +37,11 @@
 done
 sleep 1
 kill -INT "$soak"
-if wait "$soak"; then echo "an interrupted soak exited with 0"; exit 1; fi
+if wait "$soak"; then echo "the soak exited with 0 after SIGINT, expected a failure"; exit 1; fi
 for _ in $(seq 100); do
   left=$(grep -lz "$dir/tmp" /proc/[0-9]*/cmdline 2> /dev/null || true)
   [ -n "$left" ] || break
   sleep 0.1
 done
-[ -z "$left" ] || { echo "processes left behind: $left"; exit 1; }
+[ -z "$left" ] || { echo "processes still running 10 s after the soak exited: $left"; exit 1; }
 echo ok
