--- a/lab/cluster/baselines.cpp
+++ b/lab/cluster/baselines.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::uint8_t kAlive = 0, kSuspect = 1, kDead = 2;
-constexpr double kSuspicionPeriods =
-    5;  // multiplied by log10 of the number of members, as in the membership model
+// Multiplied by log10 of the number of members, as in the membership model.
+constexpr double kSuspicionPeriods = 5;
 
 // SWIM with suspicion and round-robin probing (sections 4.2 and 4.3 of the paper). Updates are only
 // piggybacked on its own messages.
--- a/lab/cluster/emulated.cpp
+++ b/lab/cluster/emulated.cpp
@@ -359,8 +359,8 @@
   std::vector<Link> links_;
   std::vector<std::string> addresses_;
   std::vector<bool> present_;
-  std::vector<std::pair<std::uint64_t, std::uint64_t>>
-      sent_;  // messages and bytes, by node, after the warm-up
+  // Messages and bytes that each node has sent after the warm-up.
+  std::vector<std::pair<std::uint64_t, std::uint64_t>> sent_;
   std::priority_queue<Event> queue_;
   membership::Actions actions_;
   Time now_ = 1'000'000;
--- a/lab/cluster/invariant_checker.cpp
+++ b/lab/cluster/invariant_checker.cpp
@@ -143,8 +143,8 @@
   }
   // The state of one observer's view, updated with each event.
   struct ViewState {
-    bool counts = false,
-         in_doubt = false;  // `counts`: the observer runs at the end and belongs to the cluster
+    bool counts = false;    // the observer runs at the end and belongs to the cluster
+    bool in_doubt = false;  // its latest report was that its view is in doubt
     std::size_t wrong = 0;  // number of names that the view lacks or wrongly contains
     bool good() const { return !counts || (wrong == 0 && !in_doubt); }
   };
--- a/lab/cluster/relay.cpp
+++ b/lab/cluster/relay.cpp
@@ -177,76 +177,78 @@
 
 void Network::Accept(Proxy& proxy) {
   const Handle in = sides_.Add({});
-  Side* a = sides_.Get(in);
-  a->tcp = Tcp::New(run_->loop, run_->buffers, this, in);
-  if (!a->tcp->Accept(reinterpret_cast<uv_stream_t*>(proxy.listener))) return Drop(in);
-  const sockaddr_storage peer = a->tcp->PeerAddress();
+  Side* incoming = sides_.Get(in);
+  incoming->tcp = Tcp::New(run_->loop, run_->buffers, this, in);
+  if (!incoming->tcp->Accept(reinterpret_cast<uv_stream_t*>(proxy.listener))) return Drop(in);
+  const sockaddr_storage peer = incoming->tcp->PeerAddress();
   const std::size_t from = NodeAt(reinterpret_cast<const sockaddr*>(&peer)), to = proxy.node;
   if (from == SIZE_MAX) return Drop(in);
   ++sent_[from].connections;
-  a->from = from;
-  a->to = to;
-  a->connected = true;
+  incoming->from = from;
+  incoming->to = to;
+  incoming->connected = true;
   const Handle out = sides_.Add({});
-  a = sides_.Get(in);
-  Side* b = sides_.Get(out);
-  b->tcp = Tcp::New(run_->loop, run_->buffers, this, out);
-  b->from = to;
-  b->to = from;
-  a->other = out;
-  b->other = in;
-  if (b->tcp->Bind(proxies_[from]->ip) != 0 || b->tcp->Connect(addresses_[to]) != 0) return Drop(in);
-  a->tcp->StartReading();
+  incoming = sides_.Get(in);
+  Side* outgoing = sides_.Get(out);
+  outgoing->tcp = Tcp::New(run_->loop, run_->buffers, this, out);
+  outgoing->from = to;
+  outgoing->to = from;
+  incoming->other = out;
+  outgoing->other = in;
+  if (outgoing->tcp->Bind(proxies_[from]->ip) != 0 || outgoing->tcp->Connect(addresses_[to]) != 0)
+    return Drop(in);
+  incoming->tcp->StartReading();
 }
 
 void Network::OnConnected(Handle side, int status) {
-  Side* b = sides_.Get(side);
-  if (b == nullptr) return;
+  Side* outgoing = sides_.Get(side);
+  if (outgoing == nullptr) return;
   if (status != 0) return Drop(side);
-  b->connected = true;
-  b->tcp->StartReading();
-  Forward(b->other);
+  outgoing->connected = true;
+  outgoing->tcp->StartReading();
+  Forward(outgoing->other);
 }
 
 void Network::OnRead(Handle side, std::string_view bytes) {
-  Side* a = sides_.Get(side);
-  if (a == nullptr) return;
-  a->queued.emplace_back(bytes);
+  Side* source = sides_.Get(side);
+  if (source == nullptr) return;
+  source->queued.emplace_back(bytes);
   Forward(side);
 }
 
 // Schedules the next queued bytes for their arrival at the other end; the bytes behind them wait.
 void Network::Forward(Handle side) {
-  Side* a = sides_.Get(side);
-  if (a == nullptr || a->forward_scheduled) return;
-  const Side* b = sides_.Get(a->other);
-  if (b == nullptr || !b->connected) return;
-  if (a->queued.empty()) {
-    if (a->ended) Drop(side);
+  Side* source = sides_.Get(side);
+  if (source == nullptr || source->forward_scheduled) return;
+  const Side* target = sides_.Get(source->other);
+  if (target == nullptr || !target->connected) return;
+  if (source->queued.empty()) {
+    if (source->ended) Drop(side);
     return;
   }
-  const LinkState state = link_state_(a->from, a->to);
-  const Time at = LinkBetween(a->from, a->to).StreamBytes(Now(), a->queued.front().size(), state);
+  const LinkState state = link_state_(source->from, source->to);
+  const Time at =
+      LinkBetween(source->from, source->to).StreamBytes(Now(), source->queued.front().size(), state);
   const bool cut = at == std::numeric_limits<Time>::max();
-  a->forward_scheduled = true;
+  source->forward_scheduled = true;
   run_->deadlines->Set(cut ? Now() + kCutRetryInterval : at, [this, side, cut] {
-    Side* s = sides_.Get(side);
-    if (s == nullptr) return;
-    s->forward_scheduled = false;
-    const Side* o = sides_.Get(s->other);
-    if (!cut && o != nullptr) {
-      if (!o->tcp->Write(s->queued.front())) return Drop(side);
-      s->queued.pop_front();
+    Side* source_now = sides_.Get(side);
+    if (source_now == nullptr) return;
+    source_now->forward_scheduled = false;
+    const Side* other_side = sides_.Get(source_now->other);
+    if (!cut && other_side != nullptr) {
+      if (!other_side->tcp->Write(source_now->queued.front())) return Drop(side);
+      source_now->queued.pop_front();
     }
     Forward(side);
   });
 }
 
 void Network::OnDisconnected(Handle side) {
-  Side* a = sides_.Get(side);
-  if (a == nullptr) return;
-  a->ended = true;
-  if (a->queued.empty()) Drop(side);
+  Side* closed_side = sides_.Get(side);
+  if (closed_side == nullptr) return;
+  closed_side->ended = true;
+  if (closed_side->queued.empty()) Drop(side);
 }
 
 // Closes both ends of the connection.
--- a/lab/soak/clients.cpp
+++ b/lab/soak/clients.cpp
@@ -55,7 +55,7 @@
 }
 
 void SoakClients::StartRequest(std::size_t client) {
-  if (halted_ || closed_) return;
+  if (sending_stopped_ || closed_) return;
   Client& c = clients_[client];
   const Link* kept = links_.Get(c.link);
   if (kept != nullptr && kept->connected && kept->awaiting_answer.empty() && kept->bad_client == kNone)
@@ -98,7 +98,7 @@
 
 // Opens an idle connection, which is opened again whenever it closes.
 void SoakClients::OpenIdleConnection(std::size_t node) {
-  if (halted_ || closed_) return;
+  if (sending_stopped_ || closed_) return;
   const auto client = static_cast<std::size_t>(
       std::find_if(clients_.begin(), clients_.end(), [&](const Client& c) { return c.node == node; }) -
       clients_.begin());
@@ -137,7 +137,7 @@
 
 void SoakClients::SendRequest(Handle handle) {
   Link* l = links_.Get(handle);
-  if (l == nullptr || halted_) return;
+  if (l == nullptr || sending_stopped_) return;
   const std::size_t client = l->client;
   Client& c = clients_[client];
   if (c.random.Chance(plan_.habits.partial)) return SendPartialRequest(handle, client);
--- a/lab/soak/clients.h
+++ b/lab/soak/clients.h
@@ -30,8 +30,8 @@
   SoakClients& operator=(const SoakClients&) = delete;
 
   void Start();  // schedules the first request of each client and opens the idle connections
-  void StopSending() { halted_ = true; }  // starts no more requests and lets those in flight finish
-  bool idle() const;                      // true if no request is in flight
+  void StopSending() { sending_stopped_ = true; }  // starts no more requests and lets those in flight finish
+  bool idle() const;                               // true if no request is in flight
   void CloseEverySecondClient();  // closes the connection of every second client that waits for an answer
   void Close();                   // closes all connections; records of requests in flight stay unfinished
 
@@ -90,8 +90,8 @@
   std::vector<BadClient> bad_clients_;
   SlotTable<Link> links_;
   std::uint64_t last_id_ = 0;
-  std::size_t outstanding_ = 0;  // requests in flight
-  bool halted_ = false;          // StopSending was called
+  std::size_t outstanding_ = 0;   // requests in flight
+  bool sending_stopped_ = false;  // StopSending was called
   bool closed_ = false;
 };
 
--- a/lab/soak/link_relay.cpp
+++ b/lab/soak/link_relay.cpp
@@ -69,74 +69,74 @@
     const int fd = l.listener->Accept(&error);
     if (fd < 0) return;
     const Handle in = sides_.Add({});
-    Side* a = sides_.Get(in);
-    a->tcp = Tcp::New(run_->loop, run_->buffers, this, in);
-    a->link = link;
-    a->from_node = a->connected = true;
-    if (!a->tcp->Open(fd)) {
+    Side* node_side = sides_.Get(in);
+    node_side->tcp = Tcp::New(run_->loop, run_->buffers, this, in);
+    node_side->link = link;
+    node_side->from_node = node_side->connected = true;
+    if (!node_side->tcp->Open(fd)) {
       Drop(in);
       continue;
     }
     const Handle out = sides_.Add({});
-    a = sides_.Get(in);
-    Side* b = sides_.Get(out);
-    b->tcp = Tcp::New(run_->loop, run_->buffers, this, out);
-    b->link = link;
-    a->other = out;
-    b->other = in;
-    if (b->tcp->Connect(l.replica) != 0) {
+    node_side = sides_.Get(in);
+    Side* replica_side = sides_.Get(out);
+    replica_side->tcp = Tcp::New(run_->loop, run_->buffers, this, out);
+    replica_side->link = link;
+    node_side->other = out;
+    replica_side->other = in;
+    if (replica_side->tcp->Connect(l.replica) != 0) {
       Drop(in);
       continue;
     }
-    a->tcp->StartReading();
+    node_side->tcp->StartReading();
   }
 }
 
 void LinkRelay::OnConnected(Handle side, int status) {
-  Side* b = sides_.Get(side);
-  if (b == nullptr) return;
+  Side* replica_side = sides_.Get(side);
+  if (replica_side == nullptr) return;
   if (status != 0) return Drop(side);
-  b->connected = true;
-  b->port = PortOf(b->tcp->LocalAddress());
+  replica_side->connected = true;
+  replica_side->port = PortOf(replica_side->tcp->LocalAddress());
   LinkRecord record;
   record.up = Now();
-  if (Side* a = sides_.Get(b->other)) {
-    a->port = b->port;
-    if (!a->queued.empty()) record.began = Now();
+  if (Side* node_side = sides_.Get(replica_side->other)) {
+    node_side->port = replica_side->port;
+    if (!node_side->queued.empty()) record.began = Now();
   }
-  records_[{b->link, b->port}] = record;
-  b->tcp->StartReading();
-  Forward(b->other);
+  records_[{replica_side->link, replica_side->port}] = record;
+  replica_side->tcp->StartReading();
+  Forward(replica_side->other);
 }
 
 void LinkRelay::OnRead(Handle side, std::string_view bytes) {
-  Side* a = sides_.Get(side);
-  if (a == nullptr) return;
-  Link& l = *links_[a->link];
-  if (a->from_node && l.requests_to_reset > 0 && bytes.starts_with("POST ")) {
+  Side* source = sides_.Get(side);
+  if (source == nullptr) return;
+  Link& l = *links_[source->link];
+  if (source->from_node && l.requests_to_reset > 0 && bytes.starts_with("POST ")) {
     --l.requests_to_reset;
-    a->tcp->ResetOnClose();
+    source->tcp->ResetOnClose();
     return Drop(side);
   }
-  if (a->port != 0) {
-    LinkRecord& record = records_[{a->link, a->port}];
-    if (!a->from_node) record.began = 0;
-    if (a->from_node && record.began == 0) record.began = Now();
+  if (source->port != 0) {
+    LinkRecord& record = records_[{source->link, source->port}];
+    if (!source->from_node) record.began = 0;
+    if (source->from_node && record.began == 0) record.began = Now();
   }
-  a->queued.push_back({Now() + l.delay, std::string(bytes)});
-  if (!a->from_node && l.repeat_answers) ScheduleRepeat(side, bytes);
+  source->queued.push_back({Now() + l.delay, std::string(bytes)});
+  if (!source->from_node && l.repeat_answers) ScheduleRepeat(side, bytes);
   Forward(side);
 }
 
 // Collects the answer, and schedules its repetition when it is complete.
 void LinkRelay::ScheduleRepeat(Handle side, std::string_view bytes) {
-  Side& a = *sides_.Get(side);
-  if (bytes.starts_with("HTTP/1.1 ")) a.answer.clear();
-  a.answer.append(bytes);
-  if (a.answer.size() > kMaxRepeatedBytes) a.answer.clear();
-  if (!a.answer.starts_with("HTTP/1.1 200") || !a.answer.ends_with("0\r\n\r\n")) return;
+  Side& source = *sides_.Get(side);
+  if (bytes.starts_with("HTTP/1.1 ")) source.answer.clear();
+  source.answer.append(bytes);
+  if (source.answer.size() > kMaxRepeatedBytes) source.answer.clear();
+  if (!source.answer.starts_with("HTTP/1.1 200") || !source.answer.ends_with("0\r\n\r\n")) return;
   const Time later = 1'000 + Now() % kRepeatDelayRange;
-  run_->deadlines->Set(Now() + later, [this, side, answer = std::exchange(a.answer, {})] {
+  run_->deadlines->Set(Now() + later, [this, side, answer = std::exchange(source.answer, {})] {
     Side* s = sides_.Get(side);
     if (s == nullptr) return;
     s->queued.push_back({Now(), answer});
@@ -147,22 +147,22 @@
 // Writes the bytes that are due to the other end, in order. The others stay queued until they are due and the
 // link is not silent.
 void LinkRelay::Forward(Handle side) {
-  Side* a = sides_.Get(side);
-  if (a == nullptr || a->forward_scheduled) return;
-  Side* b = sides_.Get(a->other);
-  if (b == nullptr || !b->connected) return;
-  const bool silent = links_[a->link]->silent;
-  while (!silent && !a->queued.empty() && a->queued.front().due <= Now()) {
-    const std::string bytes = std::move(a->queued.front().bytes);
-    a->queued.pop_front();
-    if (!b->tcp->Write(bytes)) return Drop(side);
+  Side* source = sides_.Get(side);
+  if (source == nullptr || source->forward_scheduled) return;
+  Side* target = sides_.Get(source->other);
+  if (target == nullptr || !target->connected) return;
+  const bool silent = links_[source->link]->silent;
+  while (!silent && !source->queued.empty() && source->queued.front().due <= Now()) {
+    const std::string bytes = std::move(source->queued.front().bytes);
+    source->queued.pop_front();
+    if (!target->tcp->Write(bytes)) return Drop(side);
   }
-  if (a->queued.empty()) {
-    if (a->ended) Drop(side);
+  if (source->queued.empty()) {
+    if (source->ended) Drop(side);
     return;
   }
-  a->forward_scheduled = true;
-  run_->deadlines->Set(silent ? Now() + kSilentRetryInterval : a->queued.front().due, [this, side] {
+  source->forward_scheduled = true;
+  run_->deadlines->Set(silent ? Now() + kSilentRetryInterval : source->queued.front().due, [this, side] {
     if (Side* s = sides_.Get(side)) {
       s->forward_scheduled = false;
       Forward(side);
@@ -171,18 +171,18 @@
 }
 
 void LinkRelay::OnDisconnected(Handle side) {
-  Side* a = sides_.Get(side);
-  if (a == nullptr) return;
-  if (a->from_node) {
+  Side* closed_side = sides_.Get(side);
+  if (closed_side == nullptr) return;
+  if (closed_side->from_node) {
     // Bytes that are still queued are dropped, because the node has given up the connection.
-    if (a->port != 0) {
-      records_[{a->link, a->port}].closed = Now();
-      if (on_closed_) on_closed_(a->link, a->port);
+    if (closed_side->port != 0) {
+      records_[{closed_side->link, closed_side->port}].closed = Now();
+      if (on_closed_) on_closed_(closed_side->link, closed_side->port);
     }
     return Drop(side);
   }
-  a->ended = true;
-  if (a->queued.empty()) Drop(side);
+  closed_side->ended = true;
+  if (closed_side->queued.empty()) Drop(side);
 }
 
 // Closes both ends of the connection.
