--- a/lab/cluster/real.cpp
+++ b/lab/cluster/real.cpp
@@ -480,15 +480,15 @@
         r.broken += of(load::Outcome::kBroken);
       }
     }
-    r.two_at_once = attempt_counts_.overlapping_attempts;
+    r.overlapping_attempts = attempt_counts_.overlapping_attempts;
     r.attempts = attempt_counts_.attempts;
-    r.spoilt = attempt_counts_.faulty_attempts;
+    r.faulty_attempts = attempt_counts_.faulty_attempts;
     r.peer_ejections = peer_ejections_;
     r.shares = shares_;
     if (scenario_.rate <= 0) return;
-    if (r.two_at_once > 0)
+    if (r.overlapping_attempts > 0)
       r.verdict.violations.push_back(
-          fmt::format("two attempts of a request were in flight at once, {} times", r.two_at_once));
+          fmt::format("two attempts of a request were in flight at once, {} times", r.overlapping_attempts));
     if (r.unanswered > 0)
       r.verdict.violations.push_back(
           fmt::format("{} requests got no answer at nodes without a process fault", r.unanswered));
--- a/lab/cluster/real.h
+++ b/lab/cluster/real.h
@@ -32,8 +32,8 @@
   Verdict verdict;
   // Requests of clients at nodes without a process fault, by outcome.
   std::uint64_t asked = 0, served = 0, unanswered = 0, broken = 0;
-  std::uint64_t asked_all = 0, served_all = 0;              // at all nodes
-  std::uint64_t two_at_once = 0, attempts = 0, spoilt = 0;  // counted by the fake replicas
+  std::uint64_t asked_all = 0, served_all = 0;                                // at all nodes
+  std::uint64_t overlapping_attempts = 0, attempts = 0, faulty_attempts = 0;  // counted by the fake replicas
   // By node: how often it ejected each replica because of reports of its peers.
   std::vector<std::map<std::string, int>> peer_ejections;
   struct TrafficShare {
--- a/tests/gossip_nodes_test.cpp
+++ b/tests/gossip_nodes_test.cpp
@@ -19,7 +19,7 @@
   options.program = std::getenv("RYEGLADE_PROGRAM");
   const RealResult result = PlayReal(scenario, options);
   for (const std::string& line : result.verdict.violations) ADD_FAILURE() << line;
-  EXPECT_EQ(result.two_at_once, 0U);
+  EXPECT_EQ(result.overlapping_attempts, 0U);
   return result;
 }
 
