--- a/lab/cluster/relay.cpp
+++ b/lab/cluster/relay.cpp
@@ -25,7 +25,8 @@
 
 sockaddr_storage ParseOrThrow(const std::string& address) {
   sockaddr_storage out{};
-  if (!ParseAddress(address, &out)) throw std::runtime_error("not an address: " + address);
+  if (!ParseAddress(address, &out))
+    throw std::runtime_error("cluster: an address must be ip:port, not '" + address + "'");
   return out;
 }
 
@@ -42,7 +43,7 @@
   const bool good = fd >= 0 && bind(fd, reinterpret_cast<sockaddr*>(&address), length) == 0 &&
                     getsockname(fd, reinterpret_cast<sockaddr*>(&address), &length) == 0;
   if (fd >= 0) close(fd);
-  if (!good) throw std::runtime_error("no free port on " + ip);
+  if (!good) throw std::runtime_error("cannot find a free TCP port on " + ip);
   return FormatAddress(address);
 }
 
@@ -69,19 +70,19 @@
     uv_tcp_init(run_->loop, p.listener);
     p.udp->data = p.listener->data = &p;
     ThrowOnError(uv_udp_bind(p.udp, reinterpret_cast<const sockaddr*>(&p.ip), 0),
-                 "cannot bind a proxy on " + proxy_ips[i]);
+                 "cannot bind the UDP socket of a proxy on " + proxy_ips[i]);
     sockaddr_storage bound{};
     int length = sizeof bound;
     uv_udp_getsockname(p.udp, reinterpret_cast<sockaddr*>(&bound), &length);
     p.address = FormatAddress(bound);
     ThrowOnError(uv_tcp_bind(p.listener, reinterpret_cast<const sockaddr*>(&bound), 0),
-                 "cannot bind a proxy's listener");
+                 "cannot bind the TCP listener of a proxy on " + p.address);
     ThrowOnError(uv_listen(reinterpret_cast<uv_stream_t*>(p.listener), 64,
                            [](uv_stream_t* s, int status) {
                              Proxy* proxy = static_cast<Proxy*>(s->data);
                              if (status == 0) proxy->network->Accept(*proxy);
                            }),
-                 "cannot listen on a proxy");
+                 "cannot listen for connections to a proxy on " + p.address);
     uv_udp_recv_start(
         p.udp,
         [](uv_handle_t*, std::size_t, uv_buf_t* buf) {
@@ -148,8 +149,8 @@
 
 void Network::SendNoise(std::size_t node, std::size_t datagrams) {
   for (std::size_t i = 0; i < datagrams; ++i) {
-    // The noise is cut from bytes that were drawn once: with sanitizers, drawing each byte anew delayed the
-    // relay.
+    // Each random datagram is a part of bytes that were drawn once: in builds with sanitizers, drawing each
+    // byte anew delayed the relay.
     const std::size_t n = noise_random_.Below(1600);
     std::string bytes = noise_bytes_.substr(noise_random_.Below(noise_bytes_.size() - n), n);
     if (noise_random_.Chance(0.5)) {  // a valid message with invented members
@@ -176,76 +177,78 @@
 
 void Network::Accept(Proxy& proxy) {
   const Handle in = sides_.Add({});
-  Side* a = sides_.Get(in);
-  a->tcp = Tcp::New(run_->loop, run_->buffers, this, in);
-  if (!a->tcp->Accept(reinterpret_cast<uv_stream_t*>(proxy.listener))) return Drop(in);
-  const sockaddr_storage peer = a->tcp->PeerAddress();
+  Side* incoming = sides_.Get(in);
+  incoming->tcp = Tcp::New(run_->loop, run_->buffers, this, in);
+  if (!incoming->tcp->Accept(reinterpret_cast<uv_stream_t*>(proxy.listener))) return Drop(in);
+  const sockaddr_storage peer = incoming->tcp->PeerAddress();
   const std::size_t from = NodeAt(reinterpret_cast<const sockaddr*>(&peer)), to = proxy.node;
   if (from == SIZE_MAX) return Drop(in);
   ++sent_[from].connections;
-  a->from = from;
-  a->to = to;
-  a->connected = true;
+  incoming->from = from;
+  incoming->to = to;
+  incoming->connected = true;
   const Handle out = sides_.Add({});
-  a = sides_.Get(in);
-  Side* b = sides_.Get(out);
-  b->tcp = Tcp::New(run_->loop, run_->buffers, this, out);
-  b->from = to;
-  b->to = from;
-  a->other = out;
-  b->other = in;
-  if (b->tcp->Bind(proxies_[from]->ip) != 0 || b->tcp->Connect(addresses_[to]) != 0) return Drop(in);
-  a->tcp->StartReading();
+  incoming = sides_.Get(in);
+  Side* outgoing = sides_.Get(out);
+  outgoing->tcp = Tcp::New(run_->loop, run_->buffers, this, out);
+  outgoing->from = to;
+  outgoing->to = from;
+  incoming->other = out;
+  outgoing->other = in;
+  if (outgoing->tcp->Bind(proxies_[from]->ip) != 0 || outgoing->tcp->Connect(addresses_[to]) != 0)
+    return Drop(in);
+  incoming->tcp->StartReading();
 }
 
 void Network::OnConnected(Handle side, int status) {
-  Side* b = sides_.Get(side);
-  if (b == nullptr) return;
+  Side* outgoing = sides_.Get(side);
+  if (outgoing == nullptr) return;
   if (status != 0) return Drop(side);
-  b->connected = true;
-  b->tcp->StartReading();
-  Forward(b->other);
+  outgoing->connected = true;
+  outgoing->tcp->StartReading();
+  Forward(outgoing->other);
 }
 
 void Network::OnRead(Handle side, std::string_view bytes) {
-  Side* a = sides_.Get(side);
-  if (a == nullptr) return;
-  a->queued.emplace_back(bytes);
+  Side* source = sides_.Get(side);
+  if (source == nullptr) return;
+  source->queued.emplace_back(bytes);
   Forward(side);
 }
 
-// Sends the next bytes over the link; the others wait behind them.
+// Schedules the next queued bytes for their arrival at the other end; the bytes behind them wait.
 void Network::Forward(Handle side) {
-  Side* a = sides_.Get(side);
-  if (a == nullptr || a->forward_scheduled) return;
-  const Side* b = sides_.Get(a->other);
-  if (b == nullptr || !b->connected) return;
-  if (a->queued.empty()) {
-    if (a->ended) Drop(side);
+  Side* source = sides_.Get(side);
+  if (source == nullptr || source->forward_scheduled) return;
+  const Side* target = sides_.Get(source->other);
+  if (target == nullptr || !target->connected) return;
+  if (source->queued.empty()) {
+    if (source->ended) Drop(side);
     return;
   }
-  const LinkState state = link_state_(a->from, a->to);
-  const Time at = LinkBetween(a->from, a->to).StreamBytes(Now(), a->queued.front().size(), state);
+  const LinkState state = link_state_(source->from, source->to);
+  const Time at =
+      LinkBetween(source->from, source->to).StreamBytes(Now(), source->queued.front().size(), state);
   const bool cut = at == std::numeric_limits<Time>::max();
-  a->forward_scheduled = true;
+  source->forward_scheduled = true;
   run_->deadlines->Set(cut ? Now() + kCutRetryInterval : at, [this, side, cut] {
-    Side* s = sides_.Get(side);
-    if (s == nullptr) return;
-    s->forward_scheduled = false;
-    const Side* o = sides_.Get(s->other);
-    if (!cut && o != nullptr) {
-      if (!o->tcp->Write(s->queued.front())) return Drop(side);
-      s->queued.pop_front();
+    Side* source_now = sides_.Get(side);
+    if (source_now == nullptr) return;
+    source_now->forward_scheduled = false;
+    const Side* other_side = sides_.Get(source_now->other);
+    if (!cut && other_side != nullptr) {
+      if (!other_side->tcp->Write(source_now->queued.front())) return Drop(side);
+      source_now->queued.pop_front();
     }
     Forward(side);
   });
 }
 
 void Network::OnDisconnected(Handle side) {
-  Side* a = sides_.Get(side);
-  if (a == nullptr) return;
-  a->ended = true;
-  if (a->queued.empty()) Drop(side);
+  Side* closed_side = sides_.Get(side);
+  if (closed_side == nullptr) return;
+  closed_side->ended = true;
+  if (closed_side->queued.empty()) Drop(side);
 }
 
 // Closes both ends of the connection.
