--- a/lab/load/agreement.cpp
+++ b/lab/load/agreement.cpp
@@ -107,15 +107,15 @@
   r.queue = o.queue;
   r.memory_tokens = 1e9;
   std::vector<emulator::TracedRequest> trace;
-  for (const ScheduledRequest& d : Arrivals(plan)) {
-    emulator::TracedRequest t;
-    t.at = d.at;
-    t.session = 0x9e3779b97f4a7c15ULL * (trace.size() + 1);
-    t.prefix = 0xc2b2ae3d27d4eb4fULL * (d.prefix + 1);
-    t.prefix_tokens = 110;
-    t.prompt = 110 + static_cast<double>(d.prompt_bytes) / 4;
-    t.answer = static_cast<double>(d.tokens) + 1;
-    trace.push_back(t);
+  for (const ScheduledRequest& request : Arrivals(plan)) {
+    emulator::TracedRequest traced;
+    traced.at = request.at;
+    traced.session = 0x9e3779b97f4a7c15ULL * (trace.size() + 1);
+    traced.prefix = 0xc2b2ae3d27d4eb4fULL * (request.prefix + 1);
+    traced.prefix_tokens = 110;
+    traced.prompt = 110 + static_cast<double>(request.prompt_bytes) / 4;
+    traced.answer = static_cast<double>(request.tokens) + 1;
+    trace.push_back(traced);
   }
   emulator::ScenarioOptions options;
   options.trace = &trace;
--- a/lab/load/command.cpp
+++ b/lab/load/command.cpp
@@ -76,7 +76,9 @@
       "load",
       "send load to a node over loopback: open-loop arrivals, latencies counted from the scheduled times");
   load_->add_option("--to", to_, "ip:port of the node's front; or use --rig");
-  load_->add_option("--rig", fleet_, "start a node with that many fake replicas and send the load to it")
+  load_
+      ->add_option("--rig", replica_count_,
+                   "start a node with that many fake replicas and send the load to it")
       ->check(CLI::Range(1, 64));
   load_->add_option("--protocol", protocol_)->check(CLI::IsMember({"platform", "openai"}));
   load_->add_option("--profile", profile_,
@@ -110,7 +112,7 @@
 int Commands::Run(const std::string& node) { return load_->parsed() ? RunLoad(node) : RunAgree(node); }
 
 int Commands::RunLoad(const std::string& node) {
-  if (to_.empty() == (fleet_ == 0))
+  if (to_.empty() == (replica_count_ == 0))
     throw std::runtime_error("load: give --to ip:port of a node, or --rig N to start one");
   LoadPlan plan;
   plan.profile = ReadProfile(profile_);
@@ -126,11 +128,11 @@
 
   std::unique_ptr<lab::LocalFleet> fleet;
   std::unique_ptr<EventLoop> loop;
-  if (fleet_ > 0) {
+  if (replica_count_ > 0) {
     lab::LocalFleetOptions o;
     o.program = node;
     o.key = key_;
-    o.replicas.resize(fleet_);
+    o.replicas.resize(replica_count_);
     fleet = std::make_unique<lab::LocalFleet>(o);
     target.address = target.openai ? fleet->openai() : fleet->platform();
   } else {
--- a/lab/load/command.h
+++ b/lab/load/command.h
@@ -26,7 +26,7 @@
   CLI::App *load_, *agree_;
   std::string to_, profile_ = "100/s:10s", protocol_ = "openai", key_ = "lab", out_, chart_;
   std::vector<std::string> classes_;
-  std::size_t fleet_ = 0, max_connections_ = 2000;
+  std::size_t replica_count_ = 0, max_connections_ = 2000;
   std::uint64_t seed_ = 1;
   double churn_ = 0.1, seconds_ = 20, bound_ = 0.3;
   std::vector<double> loads_{0.5, 0.8, 1.1};
--- a/lab/load/load_client.cpp
+++ b/lab/load/load_client.cpp
@@ -62,9 +62,9 @@
     }
   }
   if (connections_.size() >= target_.max_connections) {
-    Response a;
-    a.outcome = Outcome::kNotSent;
-    tally_.Record(schedule_[n], a);
+    Response response;
+    response.outcome = Outcome::kNotSent;
+    tally_.Record(schedule_[n], response);
     ++ended_;
     return;
   }
@@ -73,22 +73,22 @@
   c.client = this;
   c.tcp = Tcp::New(run_->loop, run_->buffers, this, handle);
   ++opened_connections_;
-  const bool trying = c.tcp->Connect(to_) == 0;
+  const bool connecting = c.tcp->Connect(to_) == 0;
   SendRequest(handle, n);
-  if (!trying) Finish(handle);
+  if (!connecting) Finish(handle);
 }
 
 void LoadClient::SendRequest(Handle handle, std::size_t n) {
   Connection& c = *connections_.Get(handle);
-  const ScheduledRequest& d = schedule_[n];
-  const LoadClass& k = plan_.classes[d.cls];
+  const ScheduledRequest& request = schedule_[n];
+  const LoadClass& load_class = plan_.classes[request.cls];
   lab::TraceLine line;
-  line.cls = k.name;
-  line.system = "You answer from rule book " + std::to_string(d.prefix) + ". " + std::string(400, 'r');
+  line.cls = load_class.name;
+  line.system = "You answer from rule book " + std::to_string(request.prefix) + ". " + std::string(400, 'r');
   line.prompt = "Question " + std::to_string(n) + " of " + std::to_string(plan_.seed) + ": " +
-                std::string(d.prompt_bytes, 'q');
-  line.max_tokens = d.tokens;
-  line.deadline_ms = k.deadline / 1000;
+                std::string(request.prompt_bytes, 'q');
+  line.max_tokens = request.tokens;
+  line.deadline_ms = load_class.deadline / 1000;
   c.request_text = lab::RequestOf(line, n, target_.openai, target_.key);
   c.request_index = n;
   c.response = {};
@@ -97,7 +97,7 @@
   c.events = EventStream(std::size_t{1} << 20);
   http_parser_init(&c.parser, HTTP_RESPONSE);
   c.response.sent = std::max<Time>(1, Now() - start_);
-  c.give_up = run_->deadlines->Set(start_ + d.at + target_.give_up, [this, handle] { Finish(handle); });
+  c.give_up = run_->deadlines->Set(start_ + request.at + target_.give_up, [this, handle] { Finish(handle); });
   if (c.connected && !c.tcp->Write(c.request_text)) Finish(handle);
 }
 
@@ -168,26 +168,26 @@
   Connection* c = connections_.Get(handle);
   if (c == nullptr) return;
   if (c->request_index == kIdle) return Drop(handle);
-  Response a = c->response;
-  a.ended = std::max<Time>(1, Now() - start_);
-  a.retry_after = c->retry_after;
+  Response response = c->response;
+  response.ended = std::max<Time>(1, Now() - start_);
+  response.retry_after = c->retry_after;
   if (c->status == 0) {
-    a.outcome = Outcome::kNothing;
+    response.outcome = Outcome::kNothing;
   } else if (c->status == 429 || c->status == 503) {
-    a.outcome = Outcome::kRefused;
+    response.outcome = Outcome::kRefused;
   } else if (c->status >= 400 && c->status < 500) {
-    a.outcome = Outcome::kRejected;
+    response.outcome = Outcome::kRejected;
   } else if (c->status != 200) {
-    a.outcome = Outcome::kFailed;
+    response.outcome = Outcome::kFailed;
   } else {
-    a.outcome =
-        c->complete && c->stream_done && !c->error && a.first > 0 ? Outcome::kServed : Outcome::kBroken;
+    response.outcome = c->complete && c->stream_done && !c->error && response.first > 0 ? Outcome::kServed
+                                                                                        : Outcome::kBroken;
   }
   run_->deadlines->Cancel(c->give_up);
   const std::size_t n = c->request_index;
   const bool keep =
       c->complete && c->connected && !schedule_[n].new_connection && http_should_keep_alive(&c->parser) != 0;
-  tally_.Record(schedule_[n], a);
+  tally_.Record(schedule_[n], response);
   ++ended_;
   if (!keep) return Drop(handle);
   c->request_index = kIdle;
--- a/lab/load/load_model.cpp
+++ b/lab/load/load_model.cpp
@@ -78,21 +78,21 @@
   std::vector<ScheduledRequest> all;
   double begin = 0;
   for (const Phase& p : plan.profile) {
-    const double most = std::max(p.from, p.to);
-    for (double t = 0; most > 0;) {
-      t += arrivals.Exponential(1 / most);
+    const double max_rate = std::max(p.from, p.to);
+    for (double t = 0; max_rate > 0;) {
+      t += arrivals.Exponential(1 / max_rate);
       if (t >= p.seconds) break;
-      if (arrivals.Unit() * most >= p.from + (p.to - p.from) * t / p.seconds) continue;
-      ScheduledRequest d;
-      d.at = static_cast<Time>((begin + t) * 1e6);
+      if (arrivals.Unit() * max_rate >= p.from + (p.to - p.from) * t / p.seconds) continue;
+      ScheduledRequest request;
+      request.at = static_cast<Time>((begin + t) * 1e6);
       double u = sizes.Unit() * shares;
-      while (d.cls + 1 < plan.classes.size() && u >= plan.classes[d.cls].share)
-        u -= plan.classes[d.cls++].share;
-      d.prompt_bytes = static_cast<std::size_t>(std::min(20'000.0, sizes.Lognormal(250, 0.8)));
-      d.tokens = 1 + sizes.Below(plan.max_tokens);
-      d.prefix = sessions.Zipf(16, 1);
-      d.new_connection = connections.Chance(plan.churn);
-      all.push_back(d);
+      while (request.cls + 1 < plan.classes.size() && u >= plan.classes[request.cls].share)
+        u -= plan.classes[request.cls++].share;
+      request.prompt_bytes = static_cast<std::size_t>(std::min(20'000.0, sizes.Lognormal(250, 0.8)));
+      request.tokens = 1 + sizes.Below(plan.max_tokens);
+      request.prefix = sessions.Zipf(16, 1);
+      request.new_connection = connections.Chance(plan.churn);
+      all.push_back(request);
     }
     begin += p.seconds;
   }
@@ -100,39 +100,41 @@
 }
 
 const char* Name(Outcome outcome) {
-  static constexpr const char* kWords[] = {"served", "refused", "rejected", "failed",
+  static constexpr const char* kNames[] = {"served", "refused", "rejected", "failed",
                                            "broken", "nothing", "not_sent"};
-  return kWords[static_cast<std::size_t>(outcome)];
+  return kNames[static_cast<std::size_t>(outcome)];
 }
 
 Tally::Tally(const LoadPlan& plan) : plan_(plan), classes_(plan.classes.size()) {}
 
-void Tally::Record(const ScheduledRequest& request, const Response& a) {
-  const LoadClass& k = plan_.classes[request.cls];
+void Tally::Record(const ScheduledRequest& request, const Response& response) {
+  const LoadClass& load_class = plan_.classes[request.cls];
   ByClass& c = classes_[request.cls];
   Second& s = seconds_[request.at / 1'000'000];
   const auto ms = [](Time t) { return static_cast<double>(t) / 1000; };
   ++c.asked;
   ++s.asked;
-  ++c.outcomes[static_cast<std::size_t>(a.outcome)];
-  c.worth_asked += k.worth;
-  if (a.sent > 0) late_(ms(std::max<Time>(0, a.sent - request.at)));
-  if (a.outcome == Outcome::kRefused) {
+  ++c.outcomes[static_cast<std::size_t>(response.outcome)];
+  c.worth_asked += load_class.worth;
+  if (response.sent > 0) late_(ms(std::max<Time>(0, response.sent - request.at)));
+  if (response.outcome == Outcome::kRefused) {
     ++s.refused;
-    c.with_retry_after += a.retry_after ? 1 : 0;
-  } else if (a.outcome != Outcome::kServed) {
+    c.with_retry_after += response.retry_after ? 1 : 0;
+  } else if (response.outcome != Outcome::kServed) {
     ++s.other;
   }
-  if (a.outcome != Outcome::kServed) return;
-  const Time first = a.first - request.at;
+  if (response.outcome != Outcome::kServed) return;
+  const Time first = response.first - request.at;
   c.first(ms(first));
   s.first(ms(first));
-  c.total(ms(a.ended - request.at));
+  c.total(ms(response.ended - request.at));
   c.tokens += static_cast<double>(request.tokens);
-  c.answering_ms += ms(a.ended - a.first);
+  c.answering_ms += ms(response.ended - response.first);
   ++s.served;
-  if (first <= k.latency_objective) ++c.in_time;
-  if (first <= k.deadline) c.worth += first <= k.latency_objective ? k.worth : k.worth * k.late_worth;
+  if (first <= load_class.latency_objective) ++c.in_time;
+  if (first <= load_class.deadline)
+    c.worth +=
+        first <= load_class.latency_objective ? load_class.worth : load_class.worth * load_class.late_worth;
 }
 
 std::string Tally::Table() const {
--- a/tests/load_test.cpp
+++ b/tests/load_test.cpp
@@ -76,19 +76,19 @@
   Tally t(plan);
   ScheduledRequest request;
   request.at = 1'000'000;
-  Response a;  // sent 3 s late, answered in 1 ms: the client waited 3 s
-  a.outcome = Outcome::kServed;
-  a.sent = 4'000'000;
-  a.first = 4'001'000;
-  a.ended = 4'002'000;
-  t.Record(request, a);
+  Response response;  // sent 3 s late, answered in 1 ms: the client waited 3 s
+  response.outcome = Outcome::kServed;
+  response.sent = 4'000'000;
+  response.first = 4'001'000;
+  response.ended = 4'002'000;
+  t.Record(request, response);
   EXPECT_NEAR(lab::QuantileOf(t.classes()[0].first, 0.5), 3'001, 100);
   EXPECT_EQ(t.classes()[0].in_time, 0U);
   EXPECT_NEAR(t.classes()[0].worth, 0.9, 1e-9);
   EXPECT_NE(t.Table().find("THE TOOL IS THE LIMIT"), std::string::npos);
-  a.outcome = Outcome::kRefused;
-  a.retry_after = true;
-  t.Record(request, a);
+  response.outcome = Outcome::kRefused;
+  response.retry_after = true;
+  t.Record(request, response);
   const ColumnarFile file = t.ToFile("how");
   EXPECT_EQ(file.TableNamed("classes").IntegersOf("refused"), Integers{1});
   EXPECT_EQ(file.TableNamed("classes").IntegersOf("asked"), Integers{2});
@@ -123,13 +123,13 @@
   plan.profile = ReadProfile("100/s:2s");
   plan.churn = 0.3;
   for (const bool openai : {false, true}) {
-    LoadRun d({}, plan, openai);
-    ASSERT_TRUE(d.RunToEnd());
-    const Tally::ByClass& c = d.client->tally().classes()[0];
+    LoadRun run({}, plan, openai);
+    ASSERT_TRUE(run.RunToEnd());
+    const Tally::ByClass& c = run.client->tally().classes()[0];
     EXPECT_EQ(c.outcomes[0], c.asked);
-    EXPECT_EQ(c.asked, d.client->scheduled());
-    EXPECT_LT(d.client->connections(), d.client->scheduled());
-    EXPECT_GT(d.client->connections(), d.client->scheduled() / 10);
+    EXPECT_EQ(c.asked, run.client->scheduled());
+    EXPECT_LT(run.client->connections(), run.client->scheduled());
+    EXPECT_GT(run.client->connections(), run.client->scheduled() / 10);
   }
 }
 
@@ -141,14 +141,14 @@
   const auto outcomes = [&](lab::Fault fault, std::size_t connections) {
     lab::FakeReplicaOptions replica;
     replica.fault = fault;
-    LoadRun d(replica, plan, true, connections);
-    EXPECT_TRUE(d.RunToEnd());
-    const Tally::ByClass& c = d.client->tally().classes()[0];
+    LoadRun run(replica, plan, true, connections);
+    EXPECT_TRUE(run.RunToEnd());
+    const Tally::ByClass& c = run.client->tally().classes()[0];
     return std::vector<std::uint64_t>(std::begin(c.outcomes), std::end(c.outcomes));
   };
   const auto broken = outcomes(lab::Fault::kBreak, 500);
   std::uint64_t single_event_answers = 0;  // an answer of a single event can't break off in the middle
-  for (const ScheduledRequest& d : Arrivals(plan)) single_event_answers += d.tokens <= 4 ? 1 : 0;
+  for (const ScheduledRequest& request : Arrivals(plan)) single_event_answers += request.tokens <= 4 ? 1 : 0;
   EXPECT_GT(broken[static_cast<std::size_t>(Outcome::kBroken)], 0U);
   EXPECT_LE(broken[0], single_event_answers);
   const auto rejected = outcomes(lab::Fault::kBadRequest, 500);
