--- a/lab/emulator/command.cpp
+++ b/lab/emulator/command.cpp
@@ -34,7 +34,7 @@
   std::printf(
       "  attempts %llu for %llu tries, %.4f of them wasted; %.3f of prompt tokens cached; %llu preempted\n",
       static_cast<unsigned long long>(r.attempts), static_cast<unsigned long long>(r.tries), r.wasted_share,
-      r.kept_share, static_cast<unsigned long long>(r.preempted));
+      r.cached_share, static_cast<unsigned long long>(r.preempted));
   const auto [least, most] = std::minmax_element(r.served_by_replica.begin(), r.served_by_replica.end());
   std::printf("  served by a replica: %.0f to %.0f\n", *least, *most);
   std::printf("  rule violations: %s\n", r.violations.Describe().c_str());
--- a/lab/emulator/compare.cpp
+++ b/lab/emulator/compare.cpp
@@ -74,24 +74,24 @@
   for (std::size_t r = 0; r < rows.size(); ++r) {
     CompareRow& row = rows[r];
     const CompareRow& first = rows[r - r % o.policies.size()];
-    std::vector<double> share, against, p50, p99, refused, kept;
+    std::vector<double> share, differences, p50, p99, refused, cached;
     for (std::size_t s = 0; s < row.runs.size(); ++s) {
       const ScenarioResult& d = row.runs[s];
       share.push_back(d.Share());
-      against.push_back(d.Share() - first.runs[s].Share());
+      differences.push_back(d.Share() - first.runs[s].Share());
       p50.push_back(d.Quantile(0.5));
       p99.push_back(d.Quantile(0.99));
       refused.push_back(static_cast<double>(d.refused + d.failed + d.broken + d.lost) /
                         static_cast<double>(std::max<std::uint64_t>(1, d.requests)));
-      kept.push_back(d.kept_share);
+      cached.push_back(d.cached_share);
       row.violations += d.violations.all();
     }
     row.share = IntervalOf(share);
-    row.against = IntervalOf(against);
+    row.difference_to_first = IntervalOf(differences);
     row.p50 = IntervalOf(p50);
     row.p99 = IntervalOf(p99);
     row.refused = IntervalOf(refused);
-    row.kept = IntervalOf(kept);
+    row.cached_share = IntervalOf(cached);
   }
   return rows;
 }
@@ -99,9 +99,10 @@
 namespace {
 
 std::string Verdict(const CompareRow& row) {
-  if (row.against.mean == 0 && row.against.half == 0) return "";
-  return std::abs(row.against.mean) > row.against.half && row.against.half > 0
-             ? (row.against.mean > 0 ? "better" : "worse")
+  if (row.difference_to_first.mean == 0 && row.difference_to_first.half == 0) return "";
+  return std::abs(row.difference_to_first.mean) > row.difference_to_first.half &&
+                 row.difference_to_first.half > 0
+             ? (row.difference_to_first.mean > 0 ? "better" : "worse")
              : "noise";
 }
 
@@ -115,8 +116,8 @@
     out += fmt::format(
         "{:<16} {:>5.2f}  {:.4f} +-{:.4f}  {:+.4f} +-{:.4f} {:<7} {:>9.0f} {:>9.0f}  {:>9.4f}  {:>6.3f}  "
         "{:>6}\n",
-        r.policy, r.load, r.share.mean, r.share.half, r.against.mean, r.against.half, Verdict(r), r.p50.mean,
-        r.p99.mean, r.refused.mean, r.kept.mean, r.violations);
+        r.policy, r.load, r.share.mean, r.share.half, r.difference_to_first.mean, r.difference_to_first.half,
+        Verdict(r), r.p50.mean, r.p99.mean, r.refused.mean, r.cached_share.mean, r.violations);
   }
   return out;
 }
@@ -129,8 +130,8 @@
   for (const CompareRow& r : rows) {
     out += fmt::format(
         "| {} | {:.2f} | {:.4f} ± {:.4f} | {:+.4f} ± {:.4f} {} | {:.0f} | {:.0f} | {:.4f} | {:.3f} |\n",
-        r.policy, r.load, r.share.mean, r.share.half, r.against.mean, r.against.half, Verdict(r), r.p50.mean,
-        r.p99.mean, r.refused.mean, r.kept.mean);
+        r.policy, r.load, r.share.mean, r.share.half, r.difference_to_first.mean, r.difference_to_first.half,
+        Verdict(r), r.p50.mean, r.p99.mean, r.refused.mean, r.cached_share.mean);
   }
   return out;
 }
--- a/lab/emulator/compare.h
+++ b/lab/emulator/compare.h
@@ -28,11 +28,11 @@
 struct CompareRow {
   std::string policy;
   double load = 1;
-  Interval share;     // served worth as a share of the requested worth
-  Interval against;   // share minus that of the first policy, paired by seed
-  Interval p50, p99;  // time to the first token, ms
-  Interval refused;   // share of requests that were refused, failed, broken or lost
-  Interval kept;      // share of prompt tokens that were found in prefix caches
+  Interval share;                // served worth as a share of the requested worth
+  Interval difference_to_first;  // share minus that of the first policy, paired by seed
+  Interval p50, p99;             // time to the first token, ms
+  Interval refused;              // share of requests that were refused, failed, broken or lost
+  Interval cached_share;         // share of prompt tokens that were found in prefix caches
   std::uint64_t violations = 0;
   std::vector<ScenarioResult> runs;  // by seed
 };
--- a/lab/emulator/gossip_simulation.cpp
+++ b/lab/emulator/gossip_simulation.cpp
@@ -106,14 +106,16 @@
         if (reports.empty()) break;
         ++messages;
         bytes += static_cast<double>(spec.header_bytes);
-        for (const std::string& w : reports) bytes += static_cast<double>(w.size() + kReportOverheadBytes);
+        for (const std::string& encoded : reports)
+          bytes += static_cast<double>(encoded.size() + kReportOverheadBytes);
         if (random.Chance(spec.loss) || (to < spec.one_way && i % 2 == 0)) continue;
-        for (const std::string& w : reports) {
-          const char* why = "";
-          std::optional<gossip::GossipMessage> t = gossip::Decode(w, &why);
-          if (!t || !nodes[to].shared_state->OnMessage(now, *t)) continue;
-          nodes[to].report_created_at[static_cast<std::size_t>(std::stoi(t->node.substr(5)))] = now - t->age;
-          nodes[to].gossip.Enqueue(now, std::move(*t), false);
+        for (const std::string& encoded : reports) {
+          const char* error = "";
+          std::optional<gossip::GossipMessage> message = gossip::Decode(encoded, &error);
+          if (!message || !nodes[to].shared_state->OnMessage(now, *message)) continue;
+          nodes[to].report_created_at[static_cast<std::size_t>(std::stoi(message->node.substr(5)))] =
+              now - message->age;
+          nodes[to].gossip.Enqueue(now, std::move(*message), false);
         }
       }
       cpu += CpuNow() - before;
--- a/lab/emulator/policies.cpp
+++ b/lab/emulator/policies.cpp
@@ -72,7 +72,7 @@
   void OnEndpointList(const EndpointList& list) {
     if (list.scope == EndpointListScope::kFailed) return;
     if (list.scope != EndpointListScope::kDelta) {
-      for (ReplicaState& k : fleet_) k.ready = false;
+      for (ReplicaState& replica : fleet_) replica.ready = false;
     }
     for (const Endpoint& e : list.endpoints) {
       if (fleet_.size() <= e.id) fleet_.resize(e.id + 1);
@@ -80,29 +80,30 @@
       fleet_[e.id].ready = e.state == EndpointState::kReady;
     }
     ready_.clear();
-    for (const ReplicaState& k : fleet_) {
-      if (k.ready) ready_.push_back(&k);
+    for (const ReplicaState& replica : fleet_) {
+      if (replica.ready) ready_.push_back(&replica);
     }
   }
 
   void Send(RequestId id, std::vector<Action>& actions) {
-    OpenRequest& o = open_.at(id);
+    OpenRequest& open = open_.at(id);
     const std::vector<const ReplicaState*>* options = &ready_;
-    if (!o.tried.empty()) {
+    if (!open.tried.empty()) {
       options_.clear();
-      for (const ReplicaState* k : ready_) {
-        if (std::find(o.tried.begin(), o.tried.end(), k->id) == o.tried.end()) options_.push_back(k);
+      for (const ReplicaState* replica : ready_) {
+        if (std::find(open.tried.begin(), open.tried.end(), replica->id) == open.tried.end())
+          options_.push_back(replica);
       }
       options = &options_;
     }
-    if (options->empty() || o.tried.size() >= static_cast<std::size_t>(settings_.max_attempts)) {
+    if (options->empty() || open.tried.size() >= static_cast<std::size_t>(settings_.max_attempts)) {
       actions.emplace_back(RejectRequest{id, settings_.max_retry_after});
       open_.erase(id);
       return;
     }
-    const ReplicaId to = Choose(o.request, *options).id;
-    o.tried.push_back(to);
-    o.in_flight = true;
+    const ReplicaId to = Choose(open.request, *options).id;
+    open.tried.push_back(to);
+    open.in_flight = true;
     ++fleet_[to].in_flight;
     actions.emplace_back(SendAttempt{id, to, 0});
   }
@@ -133,34 +134,39 @@
 
 class RandomChoice : public Baseline {
   using Baseline::Baseline;
-  const ReplicaState& Choose(const RequestArrived&, const std::vector<const ReplicaState*>& o) override {
-    return *o[random().Below(o.size())];
+  const ReplicaState& Choose(const RequestArrived&,
+                             const std::vector<const ReplicaState*>& options) override {
+    return *options[random().Below(options.size())];
   }
 };
 
 class RoundRobin : public Baseline {
   using Baseline::Baseline;
-  const ReplicaState& Choose(const RequestArrived&, const std::vector<const ReplicaState*>& o) override {
-    return *o[turn_++ % o.size()];
+  const ReplicaState& Choose(const RequestArrived&,
+                             const std::vector<const ReplicaState*>& options) override {
+    return *options[turn_++ % options.size()];
   }
   std::size_t turn_ = 0;
 };
 
 class LeastInFlight : public Baseline {
   using Baseline::Baseline;
-  const ReplicaState& Choose(const RequestArrived&, const std::vector<const ReplicaState*>& o) override {
-    std::size_t best = random().Below(o.size());  // a random start breaks ties
-    for (std::size_t i = 0; i < o.size(); ++i) {
-      if (o[i]->in_flight < o[best]->in_flight) best = i;
+  const ReplicaState& Choose(const RequestArrived&,
+                             const std::vector<const ReplicaState*>& options) override {
+    std::size_t best = random().Below(options.size());  // a random start breaks ties
+    for (std::size_t i = 0; i < options.size(); ++i) {
+      if (options[i]->in_flight < options[best]->in_flight) best = i;
     }
-    return *o[best];
+    return *options[best];
   }
 };
 
 class TwoChoices : public Baseline {
   using Baseline::Baseline;
-  const ReplicaState& Choose(const RequestArrived&, const std::vector<const ReplicaState*>& o) override {
-    const ReplicaState &a = *o[random().Below(o.size())], &b = *o[random().Below(o.size())];
+  const ReplicaState& Choose(const RequestArrived&,
+                             const std::vector<const ReplicaState*>& options) override {
+    const ReplicaState &a = *options[random().Below(options.size())],
+                       &b = *options[random().Below(options.size())];
     return b.in_flight < a.in_flight ? b : a;
   }
 };
@@ -171,13 +177,14 @@
       : Baseline(s, seed), true_queue_(std::move(true_queue)) {}
 
  private:
-  const ReplicaState& Choose(const RequestArrived&, const std::vector<const ReplicaState*>& o) override {
-    const ReplicaState* best = o.front();
+  const ReplicaState& Choose(const RequestArrived&,
+                             const std::vector<const ReplicaState*>& options) override {
+    const ReplicaState* best = options.front();
     double least = true_queue_(best->id);
-    for (const ReplicaState* k : o) {
-      const double queue = true_queue_(k->id);
+    for (const ReplicaState* replica : options) {
+      const double queue = true_queue_(replica->id);
       if (queue < least) {
-        best = k;
+        best = replica;
         least = queue;
       }
     }
@@ -188,24 +195,28 @@
 
 class Affinity : public Baseline {
   using Baseline::Baseline;
-  const ReplicaState& Choose(const RequestArrived& r, const std::vector<const ReplicaState*>& o) override {
+  const ReplicaState& Choose(const RequestArrived& request,
+                             const std::vector<const ReplicaState*>& options) override {
     constexpr double kBound = 1.25;
     double total = 0;
-    for (const ReplicaState* k : o) total += k->in_flight;
-    const double most = std::max(1.0, std::ceil(kBound * (total + 1) / static_cast<double>(o.size())));
-    const std::uint64_t key = r.prefix != 0 ? r.prefix : r.session != 0 ? r.session : r.id;
+    for (const ReplicaState* replica : options) total += replica->in_flight;
+    const double max_in_flight =
+        std::max(1.0, std::ceil(kBound * (total + 1) / static_cast<double>(options.size())));
+    const std::uint64_t key = request.prefix != 0    ? request.prefix
+                              : request.session != 0 ? request.session
+                                                     : request.id;
     const ReplicaState* best = nullptr;
     std::uint64_t rank = 0;
-    for (const ReplicaState* k : o) {
-      if (k->in_flight + 1 > most) continue;
-      const std::uint64_t words[] = {key, k->id};
-      const std::uint64_t h = XXH3_64bits(words, sizeof words);
-      if (best == nullptr || h > rank) {
-        best = k;
-        rank = h;
+    for (const ReplicaState* replica : options) {
+      if (replica->in_flight + 1 > max_in_flight) continue;
+      const std::uint64_t hash_input[] = {key, replica->id};
+      const std::uint64_t hash = XXH3_64bits(hash_input, sizeof hash_input);
+      if (best == nullptr || hash > rank) {
+        best = replica;
+        rank = hash;
       }
     }
-    return best == nullptr ? *o[random().Below(o.size())] : *best;
+    return best == nullptr ? *options[random().Below(options.size())] : *best;
   }
 };
 
--- a/lab/emulator/replica_model.cpp
+++ b/lab/emulator/replica_model.cpp
@@ -6,8 +6,8 @@
 namespace ryeglade::emulator {
 namespace {
 
-constexpr double kRoomSteps = 64;        // steps that memory is freed for at once
-constexpr double kColdPlanUs = 100'000;  // longest plan while the replica's speed still rises
+constexpr double kEvictionSteps = 64;       // steps that memory is freed for at once
+constexpr double kMaxColdPlanUs = 100'000;  // longest plan while the replica's speed still rises
 
 }  // namespace
 
@@ -72,7 +72,7 @@
   request.order = ++order_;
   unread_ += request.unread;
   waiting_.push_back(requests_.Add(request));
-  if (busy() < spec_.slots || spec_.shortest_first) Shorten(now);
+  if (busy() < spec_.slots || spec_.shortest_first) TruncatePlan(now);
   return true;
 }
 
@@ -90,22 +90,22 @@
   if (found == all.end()) return false;
   const Handle id = *found;
   // The step in progress is not undone; its memory is released together with the request.
-  Request& p = At(id);
-  switch (p.state) {
+  Request& request = At(id);
+  switch (request.state) {
     case Request::State::kWaiting:
       std::erase(waiting_, id);
-      unread_ -= p.unread;
+      unread_ -= request.unread;
       break;
     case Request::State::kReading:
-      Shorten(now);
+      TruncatePlan(now);
       std::erase(reading_, id);
-      unread_ -= p.unread;
-      context_ -= p.context;
+      unread_ -= request.unread;
+      context_ -= request.context;
       break;
     case Request::State::kRunning:
-      Shorten(now);
+      TruncatePlan(now);
       --running_;
-      context_ -= p.context + static_cast<double>(step_ - p.since);
+      context_ -= request.context + static_cast<double>(step_ - request.since);
       break;
   }
   requests_.Remove(id);
@@ -113,7 +113,7 @@
 }
 
 // Applies the steps that are over, and ends the plan with the step in progress.
-void Replica::Shorten(Time now) {
+void Replica::TruncatePlan(Time now) {
   if (plan_.steps == 0) {
     Admit();
     return MakePlan(now);
@@ -136,7 +136,7 @@
 
 void Replica::SetSpeed(Time now, double speed) {
   spec_.speed = speed;
-  if (plan_.steps > 0) Shorten(now);
+  if (plan_.steps > 0) TruncatePlan(now);
 }
 
 void Replica::Run(Time now, std::vector<JobEvent>& events) {
@@ -158,58 +158,60 @@
   read_tokens_ += static_cast<std::uint64_t>(read);
   while (read > 1e-9 && !reading_.empty()) {
     const Handle head = reading_.front();
-    Request& p = At(head);
-    const double part = std::min(read, p.unread);
-    p.unread -= part;
-    p.context += part;
+    Request& request = At(head);
+    const double part = std::min(read, request.unread);
+    request.unread -= part;
+    request.context += part;
     unread_ -= part;
     context_ += part;
     read -= part;
-    if (p.unread > 1e-9) break;
+    if (request.unread > 1e-9) break;
     reading_.pop_front();
-    p.state = Request::State::kRunning;
-    p.since = step_;
-    p.answered += 1;
-    p.context += 1;  // its first token, or the next one if it was preempted
+    request.state = Request::State::kRunning;
+    request.since = step_;
+    request.answered += 1;
+    request.context += 1;  // its first token, or the next one if it was preempted
     context_ += 1;
     ++answered_tokens_;
     ++running_;
-    p.finish = step_ + static_cast<std::uint64_t>(std::max(0.0, p.job.answer - p.answered));
-    finishing_.push({p.finish, head});
-    if (events != nullptr && p.answered == 1) events->push_back({JobEvent::Kind::kFirst, p.job.id, p.cached});
+    request.finish = step_ + static_cast<std::uint64_t>(std::max(0.0, request.job.answer - request.answered));
+    finishing_.push({request.finish, head});
+    if (events != nullptr && request.answered == 1)
+      events->push_back({JobEvent::Kind::kFirst, request.job.id, request.cached});
   }
   while (!finishing_.empty() && finishing_.top().step <= step_) {
     const Finish f = finishing_.top();
     finishing_.pop();
     const Request* there = requests_.Get(f.id);
     if (there == nullptr || there->state != Request::State::kRunning || there->finish != f.step) continue;
-    const Request p = *there;
+    const Request request = *there;
     requests_.Remove(f.id);
     --running_;
-    context_ -= p.context + static_cast<double>(step_ - p.since);
-    Cache(p.job.session, p.job.prompt + p.job.answer);
-    Cache(p.job.prefix, p.job.prefix_tokens);
-    if (events != nullptr) events->push_back({JobEvent::Kind::kDone, p.job.id, p.cached});
+    context_ -= request.context + static_cast<double>(step_ - request.since);
+    Cache(request.job.session, request.job.prompt + request.job.answer);
+    Cache(request.job.prefix, request.job.prefix_tokens);
+    if (events != nullptr) events->push_back({JobEvent::Kind::kDone, request.job.id, request.cached});
   }
 }
 
-double Replica::Left(const Request& p) const {
-  const double running = p.state == Request::State::kRunning ? static_cast<double>(step_ - p.since) : 0;
-  return p.job.answer - p.answered - running;
+double Replica::RemainingAnswer(const Request& request) const {
+  const double running =
+      request.state == Request::State::kRunning ? static_cast<double>(step_ - request.since) : 0;
+  return request.job.answer - request.answered - running;
 }
 
 // Sorts the waiting requests by what is left of their answers, and preempts running requests that have more
 // left than the first of them.
 void Replica::PreemptLongest() {
   std::stable_sort(waiting_.begin(), waiting_.end(),
-                   [this](Handle a, Handle b) { return Left(At(a)) < Left(At(b)); });
+                   [this](Handle a, Handle b) { return RemainingAnswer(At(a)) < RemainingAnswer(At(b)); });
   while (!waiting_.empty() && busy() >= spec_.slots) {
     Handle longest = 0;
-    double most = Left(At(waiting_.front()));
+    double most = RemainingAnswer(At(waiting_.front()));
     for (const Handle h : requests_.All()) {
-      const Request& p = At(h);
-      if (p.state != Request::State::kRunning || Left(p) <= most) continue;
-      most = Left(p);
+      const Request& request = At(h);
+      if (request.state != Request::State::kRunning || RemainingAnswer(request) <= most) continue;
+      most = RemainingAnswer(request);
       longest = h;
     }
     if (longest == 0) return;
@@ -223,19 +225,19 @@
 void Replica::Admit() {
   if (spec_.shortest_first) PreemptLongest();
   while (!waiting_.empty() && busy() < spec_.slots) {
-    Request& p = At(waiting_.front());
-    const double cached = p.answered > 0 ? 0 : FindCached(p.job);
-    const double need = p.job.prompt + p.answered;
+    Request& request = At(waiting_.front());
+    const double cached = request.answered > 0 ? 0 : FindCached(request.job);
+    const double need = request.job.prompt + request.answered;
     // If there is no room for its prompt and the next token of every request, it waits, and so do all behind
     // it.
     if (context_ + need + busy() + 1 > spec_.memory_tokens && busy() > 0) return;
     EvictFor(need - cached);
-    if (p.answered == 0) p.cached = cached;
+    if (request.answered == 0) request.cached = cached;
     unread_ -= cached;
-    p.unread = std::max(1.0, need - cached);
-    p.context = need - p.unread;
-    context_ += p.context;
-    p.state = Request::State::kReading;
+    request.unread = std::max(1.0, need - cached);
+    request.context = need - request.unread;
+    context_ += request.context;
+    request.state = Request::State::kReading;
     reading_.push_back(waiting_.front());
     waiting_.pop_front();
   }
@@ -246,9 +248,9 @@
   Handle last = 0;
   std::uint64_t order = 0;
   for (const Handle h : requests_.All()) {
-    const Request& p = At(h);
-    if (p.state == Request::State::kWaiting || p.order < order) continue;
-    order = p.order;
+    const Request& request = At(h);
+    if (request.state == Request::State::kWaiting || request.order < order) continue;
+    order = request.order;
     last = h;
   }
   return last;
@@ -256,22 +258,22 @@
 
 // Returns a request to the head of the queue; it will read its prompt and its answer so far again.
 void Replica::Preempt(Handle id) {
-  Request& p = At(id);
-  if (p.state == Request::State::kRunning) {
-    const double ran = static_cast<double>(step_ - p.since);
-    p.answered += ran;
-    context_ -= p.context + ran;
+  Request& request = At(id);
+  if (request.state == Request::State::kRunning) {
+    const double ran = static_cast<double>(step_ - request.since);
+    request.answered += ran;
+    context_ -= request.context + ran;
     --running_;
   } else {
     std::erase(reading_, id);
-    unread_ -= p.unread;
-    context_ -= p.context;
+    unread_ -= request.unread;
+    context_ -= request.context;
   }
-  p.context = 0;
-  p.finish = 0;
-  p.unread = p.job.prompt + p.answered;
-  unread_ += p.unread;
-  p.state = Request::State::kWaiting;
+  request.context = 0;
+  request.finish = 0;
+  request.unread = request.job.prompt + request.answered;
+  unread_ += request.unread;
+  request.state = Request::State::kWaiting;
   waiting_.push_front(id);
   ++preempted_;
 }
@@ -291,7 +293,7 @@
   };
   read = next_read();
   // Frees memory for many steps at once; freeing it step by step would make each step an event of its own.
-  EvictFor(std::min(0.05 * spec_.memory_tokens, kRoomSteps * (running_ + read)));
+  EvictFor(std::min(0.05 * spec_.memory_tokens, kEvictionSteps * (running_ + read)));
   while (context_ + running_ + read > spec_.memory_tokens && busy() > 1) {
     Preempt(LastArrived());
     read = next_read();
@@ -313,8 +315,8 @@
   }
   while (!finishing_.empty()) {
     const Finish& f = finishing_.top();
-    const Request* p = requests_.Get(f.id);
-    if (p != nullptr && p->state == Request::State::kRunning && p->finish == f.step) {
+    const Request* request = requests_.Get(f.id);
+    if (request != nullptr && request->state == Request::State::kRunning && request->finish == f.step) {
       steps = std::min(steps, std::max(1.0, static_cast<double>(f.step) - static_cast<double>(step_)));
       break;
     }
@@ -325,7 +327,7 @@
   if (grows > 0)
     steps =
         std::min(steps, std::max(1.0, std::floor((spec_.memory_tokens - context_ - cached_tokens_) / grows)));
-  if (speed != spec_.speed) steps = std::min(steps, std::max(1.0, std::floor(plan_.StepsIn(kColdPlanUs))));
+  if (speed != spec_.speed) steps = std::min(steps, std::max(1.0, std::floor(plan_.StepsIn(kMaxColdPlanUs))));
   plan_.steps = static_cast<std::uint64_t>(steps);
   plan_end_ = now + std::max<Time>(1, static_cast<Time>(plan_.Length(steps)));
 }
--- a/lab/emulator/replica_model.h
+++ b/lab/emulator/replica_model.h
@@ -121,11 +121,11 @@
   void Admit();
   void MakePlan(Time now);
   // Ends the plan with the step that is in progress, so that a change takes effect from the next step on.
-  void Shorten(Time now);
+  void TruncatePlan(Time now);
   double FindCached(const Job& job);
   void Cache(std::uint64_t key, double tokens);
   void EvictFor(double wanted);
-  double Left(const Request& request) const;  // answer tokens not produced yet
+  double RemainingAnswer(const Request& request) const;  // answer tokens not produced yet
   void PreemptLongest();
   void Preempt(Handle request);
   Handle LastArrived();
--- a/lab/emulator/routing_tier.cpp
+++ b/lab/emulator/routing_tier.cpp
@@ -52,14 +52,14 @@
   if (nodes_[n].shared_state && !spec_.oracle()) nodes_[n].shared_state->OnArrival(now, prefix);
 }
 
-void RoutingTier::UpdateView(std::size_t o, Time now) {
-  Node& node = nodes_[o];
-  const Time detect = static_cast<Time>(spec_.detect * 1e6);
+void RoutingTier::UpdateView(std::size_t observer, Time now) {
+  Node& node = nodes_[observer];
+  const Time detection_delay = static_cast<Time>(spec_.detection_delay_s * 1e6);
   std::size_t reached = 1, live = 1;
   bool changed = false;
   for (std::size_t m = 0; m < nodes_.size(); ++m) {
-    if (m == o) continue;
-    if (CanReach(m, o) && CanReach(o, m)) {
+    if (m == observer) continue;
+    if (CanReach(m, observer) && CanReach(observer, m)) {
       node.unreachable_since[m] = -1;
       ++reached;
       changed = changed || !node.in_view[m];
@@ -71,8 +71,9 @@
   const bool no_majority = node.settled_size >= 2 && 2 * reached <= node.settled_size;
   std::vector<gossip::OutlierConsensusModel::Peer> members;
   for (std::size_t m = 0; m < nodes_.size(); ++m) {
-    if (m == o || !node.in_view[m]) continue;
-    if (!no_majority && node.unreachable_since[m] >= 0 && now - node.unreachable_since[m] >= detect) {
+    if (m == observer || !node.in_view[m]) continue;
+    if (!no_majority && node.unreachable_since[m] >= 0 &&
+        now - node.unreachable_since[m] >= detection_delay) {
       node.in_view[m] = false;
       changed = true;
       continue;
@@ -81,9 +82,9 @@
     ++live;
   }
   if (changed) node.changed_at = now;
-  const bool settled = !no_majority && now - node.changed_at >= static_cast<Time>(spec_.settles * 1e6);
+  const bool settled = !no_majority && now - node.changed_at >= static_cast<Time>(spec_.settle_time_s * 1e6);
   if (settled) node.settled_size = live;
-  const std::string zone = zones_ > 1 ? names_[o % static_cast<std::size_t>(zones_)] : "";
+  const std::string zone = zones_ > 1 ? names_[observer % static_cast<std::size_t>(zones_)] : "";
   node.shared_state->SetMembers(now, members, zone, !no_majority && live > 1, settled);
 }
 
@@ -100,8 +101,8 @@
   const auto shared = std::make_shared<const gossip::NodeReport>(std::move(report));
   for (std::size_t m = 0; m < nodes_.size(); ++m) {
     if (m == from || !CanReach(from, m) || random_.Chance(spec_.loss)) continue;
-    in_transit_.push(
-        {now + static_cast<Time>(random_.Exponential(spec_.delay) * 1e6), ++order_, m, from, now, shared});
+    in_transit_.push({now + static_cast<Time>(random_.Exponential(spec_.mean_delay_s) * 1e6), ++order_, m,
+                      from, now, shared});
   }
 }
 
@@ -119,10 +120,11 @@
     return events;
   }
   while (!in_transit_.empty() && in_transit_.top().due <= now) {
-    const Delivery w = in_transit_.top();
+    const Delivery delivery = in_transit_.top();
     in_transit_.pop();
-    if (nodes_[w.to].up)
-      nodes_[w.to].shared_state->OnMessage(now, {names_[w.from], now - w.created_at, *w.report});
+    if (nodes_[delivery.to].up)
+      nodes_[delivery.to].shared_state->OnMessage(
+          now, {names_[delivery.from], now - delivery.created_at, *delivery.report});
   }
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     Node& node = nodes_[i];
--- a/lab/emulator/routing_tier.h
+++ b/lab/emulator/routing_tier.h
@@ -34,10 +34,10 @@
   bool shares_outlier_reports() const { return Uses("-evidence"); }
   bool shares_prefix_traffic() const { return Uses("-beginnings"); }
   bool IsValid() const;
-  double loss = 0;          // share of messages
-  double detect = 10;       // seconds until a failed or unreachable node is removed from a view
-  double settles = 5;       // seconds without a change until a view counts as settled
-  double delay = 1;         // mean seconds until a report has reached a node by way of others
+  double loss = 0;                // share of messages
+  double detection_delay_s = 10;  // seconds until a failed or unreachable node is removed from a view
+  double settle_time_s = 5;       // seconds without a change until a view counts as settled
+  double mean_delay_s = 1;        // mean seconds until a report has reached a node by way of others
   int byzantine_node = -1;  // reports a thousand times its rate, and that all replicas fail; -1: no such node
 
  private:
--- a/lab/emulator/simulation.cpp
+++ b/lab/emulator/simulation.cpp
@@ -153,7 +153,8 @@
     std::uint32_t replica = 0;
     int n = 0;  // index within its try
     Time sent = 0;
-    bool at_replica = false, made = false;  // the replica has accepted it; has produced the whole answer
+    bool at_replica = false;       // the replica has accepted it
+    bool answer_complete = false;  // the replica has produced the whole answer
     bool started = false;
     bool over = false;             // its end is known to the node, or the node has died
     Time first_token_at_node = 0;  // the end of the answer must not arrive earlier
@@ -240,12 +241,12 @@
     if (spec_.fleet.skew <= 0 && spec_.fleet.tier.gossip_mode.empty()) return;
     RandomStream random(spec_.seed, RandomPurpose::kBalancing, 1);
     std::vector<double> weights;
-    double whole = 0;
+    double total_weight = 0;
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
       weights.push_back(random.Lognormal(1, spec_.fleet.skew));
-      whole += weights.back();
+      total_weight += weights.back();
     }
-    for (double& w : weights) w /= whole;
+    for (double& w : weights) w /= total_weight;
     for (const double w : weights)
       traffic_cdf_.push_back((traffic_cdf_.empty() ? 0 : traffic_cdf_.back()) + w);
     if (!spec_.fleet.tier.gossip_mode.empty())
@@ -493,9 +494,9 @@
         }
         continue;
       }
-      a->made = true;
+      a->answer_complete = true;
       ++h.served;
-      CountShare(replica);
+      CountServed(replica);
       // If the answer is lost on the way, the node waits until its silence timeout.
       if (lost) {
         Push(now_ + Micros(spec_.fleet.silence_timeout_s), EventKind::kEnded, 0,
@@ -508,7 +509,7 @@
     ScheduleReplica(replica);
   }
 
-  void CountShare(std::uint32_t replica) {
+  void CountServed(std::uint32_t replica) {
     if (spec_.replica_series_interval_s <= 0) return;
     const auto n = static_cast<std::size_t>(Seconds(now_ - kBegin) / spec_.replica_series_interval_s);
     while (result_.served_in.size() <= n) result_.served_in.emplace_back(hosts_.size());
@@ -567,7 +568,7 @@
       e.load_report = {static_cast<double>(h.replica->busy() + h.replica->waiting())};
     const std::uint64_t try_handle = ended.try_handle;
     if (outcome == Outcome::kServed) {
-      if (!ended.made) ++result_.violations.not_made;
+      if (!ended.answer_complete) ++result_.violations.not_made;
       if (t != nullptr) {
         const bool again = t->final && requests_.Get(t->request) != nullptr;
         if (again) ++result_.violations.two_answers;
@@ -625,16 +626,16 @@
   // the probability of the current rate divided by the highest.
   void NextArrival() {
     const ClientSpec& c = spec_.clients;
-    double most = c.per_second * (1 + std::abs(c.wave)) * std::max(1.0, c.burst) / c.session_turns;
-    for (const FaultSpec& f : spec_.faults) most *= f.what == "load" ? std::max(1.0, f.factor) : 1;
-    if (most <= 0) return;
-    Push(now_ + std::max<Time>(1, Micros(arrivals_.Exponential(1 / most))), EventKind::kArrive, 0, 0,
-         static_cast<std::uint64_t>(most * 1e6));
+    double max_rate = c.per_second * (1 + std::abs(c.wave)) * std::max(1.0, c.burst) / c.session_turns;
+    for (const FaultSpec& f : spec_.faults) max_rate *= f.what == "load" ? std::max(1.0, f.factor) : 1;
+    if (max_rate <= 0) return;
+    Push(now_ + std::max<Time>(1, Micros(arrivals_.Exponential(1 / max_rate))), EventKind::kArrive, 0, 0,
+         static_cast<std::uint64_t>(max_rate * 1e6));
   }
 
-  void OnArrive(double most) {
+  void OnArrive(double max_rate) {
     if (now_ < end_) NextArrival();
-    if (now_ >= end_ || arrivals_.Unit() * most >= Rate()) return;
+    if (now_ >= end_ || arrivals_.Unit() * max_rate >= Rate()) return;
     ClientRequest c;
     const double u = sizes_.Unit();
     c.cls =
@@ -815,10 +816,10 @@
     if (t != nullptr) {
       t->final = true;
       const std::uint32_t node = t->node;
-      const bool told = t->at_node;
+      const bool node_informed = t->at_node;
       EndRequest(request);
-      if (told) Push(now_ + ClientDelay(), EventKind::kClientGone, node, 0, try_handle);
-      if (!told) RemoveTry(try_handle);
+      if (node_informed) Push(now_ + ClientDelay(), EventKind::kClientGone, node, 0, try_handle);
+      if (!node_informed) RemoveTry(try_handle);
       return;
     }
     EndRequest(request);
@@ -1067,8 +1068,8 @@
         ++result_.violations.cold_pushed;
     }
     if (all > 0 && now_ >= kBegin + Micros(spec_.warm_up_s)) {
-      crowd_sum_ += most * static_cast<double>(hosts_.size()) / all;
-      ++crowd_samples_;
+      peak_to_mean_sum_ += most * static_cast<double>(hosts_.size()) / all;
+      ++peak_to_mean_samples_;
     }
     result_.joint_overshoot = std::max(result_.joint_overshoot, s.caps / std::max(1.0, slots));
     if (now_ < end_) Push(now_ + 1'000'000, EventKind::kSecond, 0, 0, 0);
@@ -1134,8 +1135,8 @@
       result_.served_by_replica.push_back(static_cast<double>(h.served));
       result_.preempted += h.replica->preempted();
     }
-    result_.crowd = crowd_samples_ > 0 ? crowd_sum_ / crowd_samples_ : 0;
-    result_.kept_share = prompt_tokens_ > 0 ? cached_tokens_ / prompt_tokens_ : 0;
+    result_.peak_to_mean_load = peak_to_mean_samples_ > 0 ? peak_to_mean_sum_ / peak_to_mean_samples_ : 0;
+    result_.cached_share = prompt_tokens_ > 0 ? cached_tokens_ / prompt_tokens_ : 0;
     result_.wasted_share =
         result_.attempts > 0 ? static_cast<double>(unserved_attempts_) / static_cast<double>(result_.attempts)
                              : 0;
@@ -1172,8 +1173,8 @@
   std::uint32_t generation_ = 1;
   bool discovery_down_ = false, discovery_contradicts_ = false;
   double discovery_delay_factor_ = 1, load_factor_ = 1, cached_tokens_ = 0, prompt_tokens_ = 0,
-         crowd_sum_ = 0;
-  int crowd_samples_ = 0;
+         peak_to_mean_sum_ = 0;
+  int peak_to_mean_samples_ = 0;
   ScenarioResult result_;
 };
 
--- a/lab/emulator/simulation.h
+++ b/lab/emulator/simulation.h
@@ -141,12 +141,13 @@
   // The whole run. `full` counts attempts that a replica rejected because it was at capacity.
   std::uint64_t calls = 0, tries = 0, attempts = 0, full = 0, errors = 0, decisions = 0, events = 0,
                 preempted = 0;
-  double kept_share = 0;       // share of prompt tokens that were found in replicas' prefix caches
+  double cached_share = 0;     // share of prompt tokens that were found in replicas' prefix caches
   double wasted_share = 0;     // share of attempts that did not end as served
   double joint_shares = 0;     // largest sum of all nodes' traffic shares, see RoutingTierSpec; ideally 1
   double joint_overshoot = 0;  // largest sum of all nodes' concurrency limits, relative to the fleet's slots
-  double crowd = 0;            // requests at the fullest replica relative to the mean, averaged over seconds
-  Histogram first_token;       // ms, of counted requests that were served
+  // Requests at the fullest replica relative to the mean, averaged over seconds.
+  double peak_to_mean_load = 0;
+  Histogram first_token;  // ms, of counted requests that were served
   std::vector<double> served_by_replica;
   std::vector<std::vector<std::uint32_t>>
       served_in;  // by interval of replica_series_interval_s, then replica
--- a/lab/experiment/command.cpp
+++ b/lab/experiment/command.cpp
@@ -54,10 +54,10 @@
   return all;
 }
 
-std::uint64_t ViolationsOf(const emulator::RuleViolations& b, const std::string& rule) {
-  if (rule == "any") return b.all();
+std::uint64_t ViolationsOf(const emulator::RuleViolations& violations, const std::string& rule) {
+  if (rule == "any") return violations.all();
   for (const auto& [name, count] : Rules()) {
-    if (name == rule) return b.*count;
+    if (name == rule) return violations.*count;
   }
   return 0;
 }
@@ -156,23 +156,23 @@
   CatchSignals();
   emulator::ScenarioOptions options;
   options.stop = [] { return interrupted != 0; };
-  const auto fails = [&](const ScenarioSpec& d) {
-    const ScenarioResult r = emulator::RunScenario(d, options);
+  const auto fails = [&](const ScenarioSpec& candidate) {
+    const ScenarioResult r = emulator::RunScenario(candidate, options);
     if (!rule_.empty()) return ViolationsOf(r.violations, rule_) > 0;
     if (r.requests < 20) return false;  // too few for a comparison
-    ScenarioSpec other = d;
+    ScenarioSpec other = candidate;
     other.policy = baseline_;
     return emulator::RunScenario(other, options).Share() - r.Share() >= margin_;
   };
-  ShrinkOptions so;
-  so.max_runs = max_runs_;
+  ShrinkOptions shrink_options;
+  shrink_options.max_runs = max_runs_;
   if (const auto bar = lab::ProgressLine())
-    so.progress = [&, bar](std::size_t n, double) {
+    shrink_options.progress = [&, bar](std::size_t n, double) {
       bar(static_cast<double>(n) / static_cast<double>(max_runs_));
     };
   ShrinkResult s;
   try {
-    s = Shrink(scenario, fails, so);
+    s = Shrink(scenario, fails, shrink_options);
   } catch (const emulator::SimulationStopped&) {
     throw std::runtime_error("interrupted; nothing was written");
   }
--- a/lab/experiment/measures.cpp
+++ b/lab/experiment/measures.cpp
@@ -16,62 +16,62 @@
 const std::vector<Measure>& Measures() {
   static const std::vector<Measure> all = {
       {"share", "share of the worth asked for", 1, 4,
-       [](const ScenarioResult& d, double) { return d.Share(); }},
+       [](const ScenarioResult& result, double) { return result.Share(); }},
       {"goodput", "answers in time, 1/s", 1, 1,
-       [](const ScenarioResult& d, double s) { return Whole(d.in_time) / std::max(1e-9, s); }},
+       [](const ScenarioResult& result, double s) { return Whole(result.in_time) / std::max(1e-9, s); }},
       {"unserved", "share of requests not served", -1, 4,
-       [](const ScenarioResult& d, double) {
-         return Per(Whole(d.refused + d.failed + d.broken + d.lost), d.requests);
+       [](const ScenarioResult& result, double) {
+         return Per(Whole(result.refused + result.failed + result.broken + result.lost), result.requests);
        }},
       {"p50_ms", "first token, p50, ms", -1, 0,
-       [](const ScenarioResult& d, double) { return d.Quantile(0.5); }},
+       [](const ScenarioResult& result, double) { return result.Quantile(0.5); }},
       {"p90_ms", "first token, p90, ms", -1, 0,
-       [](const ScenarioResult& d, double) { return d.Quantile(0.9); }},
+       [](const ScenarioResult& result, double) { return result.Quantile(0.9); }},
       {"p99_ms", "first token, p99, ms", -1, 0,
-       [](const ScenarioResult& d, double) { return d.Quantile(0.99); }},
+       [](const ScenarioResult& result, double) { return result.Quantile(0.99); }},
       {"kept", "share of prompt tokens kept", 1, 3,
-       [](const ScenarioResult& d, double) { return d.kept_share; }},
+       [](const ScenarioResult& result, double) { return result.cached_share; }},
       {"wasted", "share of attempts not served", -1, 4,
-       [](const ScenarioResult& d, double) { return d.wasted_share; }},
+       [](const ScenarioResult& result, double) { return result.wasted_share; }},
       {"attempts_a_request", "attempts a try", -1, 3,
-       [](const ScenarioResult& d, double) { return Per(Whole(d.attempts), d.tries); }},
+       [](const ScenarioResult& result, double) { return Per(Whole(result.attempts), result.tries); }},
       {"tries_a_request", "tries a request", -1, 3,
-       [](const ScenarioResult& d, double) { return Per(Whole(d.tries), d.calls); }},
+       [](const ScenarioResult& result, double) { return Per(Whole(result.tries), result.calls); }},
       {"refused", "share of requests refused", -1, 4,
-       [](const ScenarioResult& d, double) { return Per(Whole(d.refused), d.requests); }},
+       [](const ScenarioResult& result, double) { return Per(Whole(result.refused), result.requests); }},
       {"failed", "share of requests failed", -1, 4,
-       [](const ScenarioResult& d, double) { return Per(Whole(d.failed), d.requests); }},
+       [](const ScenarioResult& result, double) { return Per(Whole(result.failed), result.requests); }},
       {"broken", "share of requests broken", -1, 4,
-       [](const ScenarioResult& d, double) { return Per(Whole(d.broken), d.requests); }},
+       [](const ScenarioResult& result, double) { return Per(Whole(result.broken), result.requests); }},
       {"lost", "share of requests whose client left", -1, 4,
-       [](const ScenarioResult& d, double) { return Per(Whole(d.lost), d.requests); }},
+       [](const ScenarioResult& result, double) { return Per(Whole(result.lost), result.requests); }},
       {"preempted", "requests put back", -1, 0,
-       [](const ScenarioResult& d, double) { return Whole(d.preempted); }},
+       [](const ScenarioResult& result, double) { return Whole(result.preempted); }},
       {"overshoot", "all nodes' caps to the fleet's slots, most", 0, 2,
-       [](const ScenarioResult& d, double) { return d.joint_overshoot; }},
+       [](const ScenarioResult& result, double) { return result.joint_overshoot; }},
       {"joint_shares", "all nodes' parts of the tier together, most", 0, 3,
-       [](const ScenarioResult& d, double) { return d.joint_shares; }},
+       [](const ScenarioResult& result, double) { return result.joint_shares; }},
       {"crowd", "fullest replica's requests to the mean", -1, 2,
-       [](const ScenarioResult& d, double) { return d.crowd; }},
+       [](const ScenarioResult& result, double) { return result.peak_to_mean_load; }},
       {"full", "attempts turned away full, share", -1, 4,
-       [](const ScenarioResult& d, double) { return Per(Whole(d.full), d.attempts); }},
+       [](const ScenarioResult& result, double) { return Per(Whole(result.full), result.attempts); }},
       {"errors", "errors, silences and failed connections, a thousand requests", -1, 2,
-       [](const ScenarioResult& d, double) { return 1000 * Per(Whole(d.errors), d.calls); }},
+       [](const ScenarioResult& result, double) { return 1000 * Per(Whole(result.errors), result.calls); }},
       {"back_s", "seconds after the last fault until 95% of the steady worth", -1, 1,
-       [](const ScenarioResult& d, double) { return d.recovery_s; }},
+       [](const ScenarioResult& result, double) { return result.recovery_s; }},
       {"cold_pushed", "seconds that cold replicas had too much to read", -1, 1,
-       [](const ScenarioResult& d, double) { return Whole(d.violations.cold_pushed); }},
+       [](const ScenarioResult& result, double) { return Whole(result.violations.cold_pushed); }},
       {"worst_replica", "most served by one replica to the mean", -1, 2,
-       [](const ScenarioResult& d, double) {
+       [](const ScenarioResult& result, double) {
          double sum = 0, most = 0;
-         for (const double v : d.served_by_replica) {
+         for (const double v : result.served_by_replica) {
            sum += v;
            most = std::max(most, v);
          }
-         return sum > 0 ? most * static_cast<double>(d.served_by_replica.size()) / sum : 0;
+         return sum > 0 ? most * static_cast<double>(result.served_by_replica.size()) / sum : 0;
        }},
       {"breaks", "rules broken", -1, 0,
-       [](const ScenarioResult& d, double) { return Whole(d.violations.all()); }},
+       [](const ScenarioResult& result, double) { return Whole(result.violations.all()); }},
   };
   return all;
 }
--- a/lab/experiment/report.cpp
+++ b/lab/experiment/report.cpp
@@ -111,7 +111,7 @@
     for (std::size_t p = 0; p < e.policies.size(); ++p) {
       std::string lines;
       for (const std::size_t c : cells) {
-        const std::vector<double> values = WithoutNaN(r.Of(c, p, measure.name));
+        const std::vector<double> values = WithoutNaN(r.ValuesOf(c, p, measure.name));
         if (values.empty()) continue;
         const Interval i = IntervalOf(values);
         lines += fmt::format("{} {:.6g} {:.6g}\n", e.axes[axis].numbers[e.cells[c].at[axis]], i.mean, i.half);
@@ -258,16 +258,16 @@
   }
   Difference d;
   d.pairs = by.size();
-  d.of = IntervalOf(by);
+  d.interval = IntervalOf(by);
   if (by.size() < 2) return d;
   const auto n = static_cast<double>(by.size());
   const boost::math::students_t t(n - 1);
-  const double error = d.of.half / boost::math::quantile(t, 0.975);
+  const double error = d.interval.half / boost::math::quantile(t, 0.975);
   if (error <= 0) {  // all pairs have the same difference
-    d.p = d.of.mean == 0 ? 1 : 0;
+    d.p = d.interval.mean == 0 ? 1 : 0;
     return d;
   }
-  d.p = 2 * boost::math::cdf(boost::math::complement(t, std::abs(d.of.mean) / error));
+  d.p = 2 * boost::math::cdf(boost::math::complement(t, std::abs(d.interval.mean) / error));
   return d;
 }
 
@@ -310,7 +310,7 @@
     std::vector<Difference> differences;
     for (std::size_t c = 0; c < e.cells.size(); ++c) {
       for (std::size_t p = 1; p < e.policies.size(); ++p) {
-        differences.push_back(PairedDifference(r.Of(c, 0, name), r.Of(c, p, name)));
+        differences.push_back(PairedDifference(r.ValuesOf(c, 0, name), r.ValuesOf(c, p, name)));
         ps.push_back(differences.back().p);
       }
     }
@@ -321,7 +321,7 @@
         out += "|";
         for (std::size_t a = 0; a < e.axes.size(); ++a)
           out += " " + e.axes[a].values[e.cells[c].at[a]] + " |";
-        const std::vector<double> values = WithoutNaN(r.Of(c, p, name));
+        const std::vector<double> values = WithoutNaN(r.ValuesOf(c, p, name));
         out += " " + e.policies[p] + " | " +
                (values.empty() ? "not run" : FormatInterval(IntervalOf(values), m.digits, false)) + " |";
         if (p == 0) {
@@ -332,8 +332,8 @@
         if (d.pairs < 2) {
           out += " | too few seeds |\n";
         } else {
-          out += " " + FormatInterval(d.of, m.digits, true) + " | " +
-                 Verdict(d.of.mean, m.better, significant[at]) + " |\n";
+          out += " " + FormatInterval(d.interval, m.digits, true) + " | " +
+                 Verdict(d.interval.mean, m.better, significant[at]) + " |\n";
         }
         ++at;
       }
@@ -394,9 +394,9 @@
       if (other == eb.policies.end()) continue;
       const auto q = static_cast<std::size_t>(other - eb.policies.begin());
       for (const std::string& name : ea.measures) {
-        const std::vector<double> was = a.Of(c, p, name);
+        const std::vector<double> was = a.ValuesOf(c, p, name);
         rows.push_back({ea.CellName(c), ea.policies[p], &MeasureOf(name), IntervalOf(WithoutNaN(was)),
-                        PairedDifference(was, b.Of(c, q, name))});
+                        PairedDifference(was, b.ValuesOf(c, q, name))});
       }
     }
   }
@@ -410,10 +410,11 @@
   for (std::size_t n = 0; n < rows.size(); ++n) {
     const Row& row = rows[n];
     const int digits = row.measure->digits;
-    out += fmt::format(
-        "| {} | {} | {} | {} | {} | {:.3g} | {} |\n", row.cell, row.policy, row.measure->name,
-        FormatInterval(row.was, digits, false), FormatInterval(row.by.of, digits, true), row.by.p,
-        row.by.pairs < 2 ? "too few seeds" : Verdict(row.by.of.mean, row.measure->better, significant[n]));
+    out += fmt::format("| {} | {} | {} | {} | {} | {:.3g} | {} |\n", row.cell, row.policy, row.measure->name,
+                       FormatInterval(row.was, digits, false), FormatInterval(row.by.interval, digits, true),
+                       row.by.p,
+                       row.by.pairs < 2 ? "too few seeds"
+                                        : Verdict(row.by.interval.mean, row.measure->better, significant[n]));
   }
   return out + fmt::format("\n{} of {} differences are significant at 5% over all of them together (Holm).\n",
                            *differs, rows.size());
--- a/lab/experiment/report.h
+++ b/lab/experiment/report.h
@@ -12,9 +12,9 @@
 
 // The difference of two series of values with one value per seed; seeds that lack either value are left out.
 struct Difference {
-  emulator::Interval of;  // b minus a; 95% interval by Student's t distribution
-  double p = 1;           // two-sided p-value of the hypothesis of no difference
-  std::size_t pairs = 0;  // with fewer than two, `p` is 1 and the interval has no width
+  emulator::Interval interval;  // b minus a; 95% interval by Student's t distribution
+  double p = 1;                 // two-sided p-value of the hypothesis of no difference
+  std::size_t pairs = 0;        // with fewer than two, `p` is 1 and the interval has no width
 };
 Difference PairedDifference(const std::vector<double>& a, const std::vector<double>& b);
 
--- a/lab/experiment/results.cpp
+++ b/lab/experiment/results.cpp
@@ -16,38 +16,38 @@
 
 using emulator::ScenarioResult;
 
-std::map<std::string, std::int64_t> CountsOf(const ScenarioResult& d) {
+std::map<std::string, std::int64_t> CountsOf(const ScenarioResult& result) {
   const auto n = [](std::uint64_t v) { return static_cast<std::int64_t>(v); };
-  return {{"requests", n(d.requests)},
-          {"in_time", n(d.in_time)},
-          {"late", n(d.late)},
-          {"count_refused", n(d.refused)},
-          {"count_failed", n(d.failed)},
-          {"count_broken", n(d.broken)},
-          {"count_lost", n(d.lost)},
-          {"tries", n(d.tries)},
-          {"attempts", n(d.attempts)},
-          {"decisions", n(d.decisions)},
-          {"events", n(d.events)},
-          {"break_no_answer", n(d.violations.no_answer)},
-          {"break_two_answers", n(d.violations.two_answers)},
-          {"break_two_attempts", n(d.violations.two_attempts)},
-          {"break_after_drain", n(d.violations.after_drain)},
-          {"break_cold_pushed", n(d.violations.cold_pushed)},
-          {"break_not_made", n(d.violations.not_made)}};
+  return {{"requests", n(result.requests)},
+          {"in_time", n(result.in_time)},
+          {"late", n(result.late)},
+          {"count_refused", n(result.refused)},
+          {"count_failed", n(result.failed)},
+          {"count_broken", n(result.broken)},
+          {"count_lost", n(result.lost)},
+          {"tries", n(result.tries)},
+          {"attempts", n(result.attempts)},
+          {"decisions", n(result.decisions)},
+          {"events", n(result.events)},
+          {"break_no_answer", n(result.violations.no_answer)},
+          {"break_two_answers", n(result.violations.two_answers)},
+          {"break_two_attempts", n(result.violations.two_attempts)},
+          {"break_after_drain", n(result.violations.after_drain)},
+          {"break_cold_pushed", n(result.violations.cold_pushed)},
+          {"break_not_made", n(result.violations.not_made)}};
 }
 
-std::vector<SeriesPoint> SeriesOf(const ScenarioResult& d, double every) {
+std::vector<SeriesPoint> SeriesOf(const ScenarioResult& result, double every) {
   std::vector<SeriesPoint> out;
   if (every <= 0) return out;
   std::vector<int> in;
-  for (std::size_t s = 0; s < d.seconds.size(); ++s) {
+  for (std::size_t s = 0; s < result.seconds.size(); ++s) {
     const auto n = static_cast<std::size_t>(static_cast<double>(s) / std::max(1.0, every));
     if (out.size() <= n) {
       out.resize(n + 1);
       in.resize(n + 1);
     }
-    const emulator::SecondStats& x = d.seconds[s];
+    const emulator::SecondStats& x = result.seconds[s];
     SeriesPoint& p = out[n];
     ++in[n];
     p.arrived += x.arrived;
@@ -83,12 +83,14 @@
 }  // namespace
 
 const ScenarioRow* Results::Find(std::size_t simulation) const {
-  const auto it = std::lower_bound(rows.begin(), rows.end(), simulation,
-                                   [](const ScenarioRow& r, std::size_t d) { return r.simulation < d; });
+  const auto it =
+      std::lower_bound(rows.begin(), rows.end(), simulation,
+                       [](const ScenarioRow& r, std::size_t wanted) { return r.simulation < wanted; });
   return it != rows.end() && it->simulation == simulation ? &*it : nullptr;
 }
 
-std::vector<double> Results::Of(std::size_t cell, std::size_t policy, const std::string& measure) const {
+std::vector<double> Results::ValuesOf(std::size_t cell, std::size_t policy,
+                                      const std::string& measure) const {
   std::vector<double> out;
   for (std::size_t s = 0; s < experiment.seeds; ++s) {
     const ScenarioRow* row = Find((cell * experiment.policies.size() + policy) * experiment.seeds + s);
--- a/lab/experiment/results.h
+++ b/lab/experiment/results.h
@@ -36,7 +36,7 @@
 
   const ScenarioRow* Find(std::size_t simulation) const;  // nullptr if it was not run
   // Returns the values of a measure by seed, for a cell and policy. NaN: the simulation was not run.
-  std::vector<double> Of(std::size_t cell, std::size_t policy, const std::string& measure) const;
+  std::vector<double> ValuesOf(std::size_t cell, std::size_t policy, const std::string& measure) const;
 };
 
 ScenarioRow RowOf(std::size_t simulation, const emulator::ScenarioSpec& spec,
--- a/lab/experiment/run.cpp
+++ b/lab/experiment/run.cpp
@@ -78,7 +78,7 @@
       const std::lock_guard lock(mutex);
       const auto place =
           std::lower_bound(results.rows.begin(), results.rows.end(), n,
-                           [](const ScenarioRow& r, std::size_t d) { return r.simulation < d; });
+                           [](const ScenarioRow& r, std::size_t wanted) { return r.simulation < wanted; });
       results.rows.insert(place, std::move(row));
       ++outcome.completed;
       if (o.progress) o.progress(outcome.found + outcome.completed, e.simulations());
--- a/lab/experiment/scenario_fields.h
+++ b/lab/experiment/scenario_fields.h
@@ -66,8 +66,8 @@
   v.Number("skew", f.skew, 0, 3);
   v.Text("talk", f.tier.gossip_mode);
   v.Number("talk_loss", f.tier.loss, 0, 1);
-  v.Seconds("talk_detect", f.tier.detect, 0, 3600);
-  v.Seconds("talk_delay", f.tier.delay, 0, 60);
+  v.Seconds("talk_detect", f.tier.detection_delay_s, 0, 3600);
+  v.Seconds("talk_delay", f.tier.mean_delay_s, 0, 60);
   v.Whole("talk_liar", f.tier.byzantine_node, -1, 4096);
 }
 
--- a/lab/experiment/shrink.cpp
+++ b/lab/experiment/shrink.cpp
@@ -10,10 +10,12 @@
 namespace ryeglade::experiment {
 namespace {
 
-double SizeOf(const ScenarioSpec& d) {
-  const double more = d.clients.burst_every > 0 ? std::max(1.0, d.clients.burst) : 1;
-  return d.seconds * (1 + d.clients.per_second * more + d.fleet.replicas + d.fleet.nodes) +
-         static_cast<double>(d.faults.size() + d.classes.size() + d.fleet.kinds.size());
+double SizeOf(const ScenarioSpec& candidate) {
+  const double burst = candidate.clients.burst_every > 0 ? std::max(1.0, candidate.clients.burst) : 1;
+  return candidate.seconds *
+             (1 + candidate.clients.per_second * burst + candidate.fleet.replicas + candidate.fleet.nodes) +
+         static_cast<double>(candidate.faults.size() + candidate.classes.size() +
+                             candidate.fleet.kinds.size());
 }
 
 class Shrinker {
@@ -73,10 +75,11 @@
       const std::size_t size = (best_.faults.size() + parts - 1) / parts;
       bool removed = false;
       for (std::size_t at = 0; at < best_.faults.size() && !BudgetSpent(); at += size) {
-        ScenarioSpec d = best_;
-        d.faults.erase(d.faults.begin() + static_cast<std::ptrdiff_t>(at),
-                       d.faults.begin() + static_cast<std::ptrdiff_t>(std::min(at + size, d.faults.size())));
-        if (!Accept(d)) continue;
+        ScenarioSpec candidate = best_;
+        candidate.faults.erase(candidate.faults.begin() + static_cast<std::ptrdiff_t>(at),
+                               candidate.faults.begin() +
+                                   static_cast<std::ptrdiff_t>(std::min(at + size, candidate.faults.size())));
+        if (!Accept(candidate)) continue;
         reduced = removed = true;
         parts = std::max<std::size_t>(2, parts - 1);
         break;
@@ -92,9 +95,9 @@
   bool RemoveFrom(std::vector<T> ScenarioSpec::*list, std::size_t least) {
     bool reduced = false;
     for (std::size_t n = 0; n < (best_.*list).size() && (best_.*list).size() > least;) {
-      ScenarioSpec d = best_;
-      (d.*list).erase((d.*list).begin() + static_cast<std::ptrdiff_t>(n));
-      if (Accept(d)) {
+      ScenarioSpec candidate = best_;
+      (candidate.*list).erase((candidate.*list).begin() + static_cast<std::ptrdiff_t>(n));
+      if (Accept(candidate)) {
         reduced = true;
       } else {
         ++n;
@@ -106,9 +109,9 @@
   bool RemoveKinds() {
     bool reduced = false;
     for (std::size_t n = 0; n < best_.fleet.kinds.size() && best_.fleet.kinds.size() > 1;) {
-      ScenarioSpec d = best_;
-      d.fleet.kinds.erase(d.fleet.kinds.begin() + static_cast<std::ptrdiff_t>(n));
-      if (Accept(d)) {
+      ScenarioSpec candidate = best_;
+      candidate.fleet.kinds.erase(candidate.fleet.kinds.begin() + static_cast<std::ptrdiff_t>(n));
+      if (Accept(candidate)) {
         reduced = true;
       } else {
         ++n;
@@ -118,20 +121,20 @@
   }
 
   // Finds the smallest value from `least` on that still fails, by bisection to within a twentieth (to within
-  // 1 if `whole`). If failing is not monotonic in the value, the result is some value that fails.
+  // 1 if `integral`). If failing is not monotonic in the value, the result is some value that fails.
   template <class Set>
-  bool Bisect(double least, double now, bool whole, Set set) {
+  bool Bisect(double least, double now, bool integral, Set set) {
     if (now <= least || BudgetSpent()) return false;
     const auto at = [&](double v) {
-      ScenarioSpec d = best_;
-      set(d, v);
-      return d;
+      ScenarioSpec candidate = best_;
+      set(candidate, v);
+      return candidate;
     };
     if (Accept(at(least))) return true;
     double low = least, high = now;  // fails at high, does not at low
-    while (!BudgetSpent() && (whole ? high - low > 1 : high - low > 0.05 * high)) {
+    while (!BudgetSpent() && (integral ? high - low > 1 : high - low > 0.05 * high)) {
       double middle = low > 0 && high / low > 4 ? std::sqrt(low * high) : (low + high) / 2;
-      if (whole) middle = std::clamp(std::floor(middle), low + 1, high - 1);
+      if (integral) middle = std::clamp(std::floor(middle), low + 1, high - 1);
       if (Accept(at(middle))) {
         high = middle;
       } else {
@@ -142,11 +145,12 @@
   }
 
   bool ReduceLength() {
-    bool reduced = Bisect(0, best_.warm_up_s, false,
-                          [](ScenarioSpec& d, double v) { d.warm_up_s = std::round(v * 10) / 10; });
+    bool reduced = Bisect(0, best_.warm_up_s, false, [](ScenarioSpec& candidate, double v) {
+      candidate.warm_up_s = std::round(v * 10) / 10;
+    });
     const double least = std::max(1.0, best_.warm_up_s + 1);
     reduced |= Bisect(least, best_.seconds, false,
-                      [](ScenarioSpec& d, double v) { d.seconds = std::ceil(v * 10) / 10; });
+                      [](ScenarioSpec& candidate, double v) { candidate.seconds = std::ceil(v * 10) / 10; });
     return reduced;
   }
 
@@ -154,32 +158,36 @@
     bool reduced = false;
     // First halves the fleet together with the load, so that the load of each replica stays the same.
     for (int n = 0; n < 12 && best_.fleet.replicas > 1 && !BudgetSpent(); ++n) {
-      ScenarioSpec d = best_;
-      d.fleet.replicas = (d.fleet.replicas + 1) / 2;
-      d.clients.per_second *= static_cast<double>(d.fleet.replicas) / best_.fleet.replicas;
-      for (FaultSpec& f : d.faults) {
-        f.first = std::min(f.first, d.fleet.replicas - 1);
+      ScenarioSpec candidate = best_;
+      candidate.fleet.replicas = (candidate.fleet.replicas + 1) / 2;
+      candidate.clients.per_second *= static_cast<double>(candidate.fleet.replicas) / best_.fleet.replicas;
+      for (FaultSpec& f : candidate.faults) {
+        f.first = std::min(f.first, candidate.fleet.replicas - 1);
         f.count = std::max(1, (f.count + 1) / 2);
       }
-      if (!Accept(d)) break;
+      if (!Accept(candidate)) break;
       reduced = true;
     }
-    reduced |= Bisect(1, best_.fleet.replicas, true,
-                      [](ScenarioSpec& d, double v) { d.fleet.replicas = static_cast<int>(v); });
+    reduced |= Bisect(1, best_.fleet.replicas, true, [](ScenarioSpec& candidate, double v) {
+      candidate.fleet.replicas = static_cast<int>(v);
+    });
     reduced |= Bisect(1, best_.fleet.nodes, true,
-                      [](ScenarioSpec& d, double v) { d.fleet.nodes = static_cast<int>(v); });
+                      [](ScenarioSpec& candidate, double v) { candidate.fleet.nodes = static_cast<int>(v); });
     reduced |= Bisect(1, best_.fleet.zones, true,
-                      [](ScenarioSpec& d, double v) { d.fleet.zones = static_cast<int>(v); });
+                      [](ScenarioSpec& candidate, double v) { candidate.fleet.zones = static_cast<int>(v); });
     reduced |= Bisect(1, best_.fleet.racks, true,
-                      [](ScenarioSpec& d, double v) { d.fleet.racks = static_cast<int>(v); });
+                      [](ScenarioSpec& candidate, double v) { candidate.fleet.racks = static_cast<int>(v); });
     reduced |= Bisect(0, best_.clients.per_second, false,
-                      [](ScenarioSpec& d, double v) { d.clients.per_second = v; });
-    reduced |= Bisect(1, static_cast<double>(best_.clients.prefixes), true,
-                      [](ScenarioSpec& d, double v) { d.clients.prefixes = static_cast<std::uint64_t>(v); });
+                      [](ScenarioSpec& candidate, double v) { candidate.clients.per_second = v; });
+    reduced |=
+        Bisect(1, static_cast<double>(best_.clients.prefixes), true, [](ScenarioSpec& candidate, double v) {
+          candidate.clients.prefixes = static_cast<std::uint64_t>(v);
+        });
     reduced |= Bisect(1, best_.clients.session_turns, false,
-                      [](ScenarioSpec& d, double v) { d.clients.session_turns = v; });
-    reduced |= Bisect(1, best_.clients.max_tries, true,
-                      [](ScenarioSpec& d, double v) { d.clients.max_tries = static_cast<int>(v); });
+                      [](ScenarioSpec& candidate, double v) { candidate.clients.session_turns = v; });
+    reduced |= Bisect(1, best_.clients.max_tries, true, [](ScenarioSpec& candidate, double v) {
+      candidate.clients.max_tries = static_cast<int>(v);
+    });
     return reduced;
   }
 
@@ -187,46 +195,50 @@
     bool reduced = false;
     for (std::size_t n = 0; n < best_.faults.size(); ++n) {
       const FaultSpec f = best_.faults[n];
-      reduced |= Bisect(0, f.at, false,
-                        [n](ScenarioSpec& d, double v) { d.faults[n].at = std::round(v * 10) / 10; });
-      reduced |= Bisect(0, f.lasts, false,
-                        [n](ScenarioSpec& d, double v) { d.faults[n].lasts = std::ceil(v * 10) / 10; });
-      reduced |= Bisect(1, f.count, true,
-                        [n](ScenarioSpec& d, double v) { d.faults[n].count = static_cast<int>(v); });
-      reduced |= Bisect(0, f.first, true,
-                        [n](ScenarioSpec& d, double v) { d.faults[n].first = static_cast<int>(v); });
+      reduced |= Bisect(0, f.at, false, [n](ScenarioSpec& candidate, double v) {
+        candidate.faults[n].at = std::round(v * 10) / 10;
+      });
+      reduced |= Bisect(0, f.lasts, false, [n](ScenarioSpec& candidate, double v) {
+        candidate.faults[n].lasts = std::ceil(v * 10) / 10;
+      });
+      reduced |= Bisect(1, f.count, true, [n](ScenarioSpec& candidate, double v) {
+        candidate.faults[n].count = static_cast<int>(v);
+      });
+      reduced |= Bisect(0, f.first, true, [n](ScenarioSpec& candidate, double v) {
+        candidate.faults[n].first = static_cast<int>(v);
+      });
     }
     return reduced;
   }
 
-  // Visits the fields in order and sets the one with index `turn` back to its default. With turn SIZE_MAX it
+  // Visits the fields in order and sets field number `index` back to its default. If `index` is SIZE_MAX,
   // collects the defaults instead.
   class Reset {
    public:
-    Reset(std::size_t turn, std::vector<double>* defaults) : turn_(turn), defaults_(defaults) {}
-    void Number(const char*, double& field, double, double) { One(field); }
+    Reset(std::size_t index, std::vector<double>* defaults) : index_(index), defaults_(defaults) {}
+    void Number(const char*, double& field, double, double) { ResetField(field); }
     template <class T>
     void Whole(const char*, T& field, std::int64_t, std::uint64_t) {
-      One(field);
+      ResetField(field);
     }
-    void Span(const char*, Time& field, Time, Time) { One(field); }
-    void Seconds(const char*, double& field, double, double) { One(field); }
-    void Rate(const char*, double& field, double, double) { One(field); }
+    void Span(const char*, Time& field, Time, Time) { ResetField(field); }
+    void Seconds(const char*, double& field, double, double) { ResetField(field); }
+    void Rate(const char*, double& field, double, double) { ResetField(field); }
     void Text(const char*, std::string&) {}
-    void Flag(const char*, bool& field) { One(field); }
+    void Flag(const char*, bool& field) { ResetField(field); }
     bool changed() const { return changed_; }
 
    private:
     template <class T>
-    void One(T& field) {
-      if (defaults_->size() <= at_ && turn_ == SIZE_MAX) defaults_->push_back(static_cast<double>(field));
-      if (at_ == turn_ && static_cast<double>(field) != (*defaults_)[at_]) {
+    void ResetField(T& field) {
+      if (defaults_->size() <= at_ && index_ == SIZE_MAX) defaults_->push_back(static_cast<double>(field));
+      if (at_ == index_ && static_cast<double>(field) != (*defaults_)[at_]) {
         field = static_cast<T>((*defaults_)[at_]);
         changed_ = true;
       }
       ++at_;
     }
-    std::size_t turn_, at_ = 0;
+    std::size_t index_, at_ = 0;
     std::vector<double>* defaults_;
     bool changed_ = false;
   };
@@ -237,22 +249,22 @@
     ScenarioSpec default_spec;
     Reset collect(SIZE_MAX, &defaults);
     visit(collect, part(default_spec));
-    for (std::size_t turn = 0; turn < defaults.size() && !BudgetSpent(); ++turn) {
-      ScenarioSpec d = best_;
-      Reset reset(turn, &defaults);
-      visit(reset, part(d));
-      if (reset.changed() && SizeOf(d) <= SizeOf(best_) * 1.05) Accept(d);
+    for (std::size_t index = 0; index < defaults.size() && !BudgetSpent(); ++index) {
+      ScenarioSpec candidate = best_;
+      Reset reset(index, &defaults);
+      visit(reset, part(candidate));
+      if (reset.changed() && SizeOf(candidate) <= SizeOf(best_) * 1.05) Accept(candidate);
     }
   }
 
   void RestoreDefaults() {
-    RestoreDefaultsOf([](ScenarioSpec& d) -> ClientSpec& { return d.clients; },
+    RestoreDefaultsOf([](ScenarioSpec& candidate) -> ClientSpec& { return candidate.clients; },
                       [](auto& v, auto& x) { VisitClients(v, x); });
-    RestoreDefaultsOf([](ScenarioSpec& d) -> FleetSpec& { return d.fleet; },
+    RestoreDefaultsOf([](ScenarioSpec& candidate) -> FleetSpec& { return candidate.fleet; },
                       [](auto& v, auto& x) { VisitFleet(v, x); });
-    RestoreDefaultsOf([](ScenarioSpec& d) -> KindSpec& { return d.fleet.kinds.front(); },
+    RestoreDefaultsOf([](ScenarioSpec& candidate) -> KindSpec& { return candidate.fleet.kinds.front(); },
                       [](auto& v, auto& x) { VisitKind(v, x); });
-    RestoreDefaultsOf([](ScenarioSpec& d) -> ClassSpec& { return d.classes.front(); },
+    RestoreDefaultsOf([](ScenarioSpec& candidate) -> ClassSpec& { return candidate.classes.front(); },
                       [](auto& v, auto& x) { VisitClass(v, x); });
   }
 
--- a/lab/experiment/spec.cpp
+++ b/lab/experiment/spec.cpp
@@ -65,8 +65,10 @@
   void Whole(const char* key, T& field, std::int64_t, std::uint64_t) {
     Put(key, fmt::format("{}", field));
   }
-  void Span(const char* key, Time& field, Time, Time) { Put(key, InUnits(static_cast<double>(field))); }
-  void Seconds(const char* key, double& field, double, double) { Put(key, InUnits(std::round(field * 1e6))); }
+  void Span(const char* key, Time& field, Time, Time) { Put(key, DurationText(static_cast<double>(field))); }
+  void Seconds(const char* key, double& field, double, double) {
+    Put(key, DurationText(std::round(field * 1e6)));
+  }
   void Rate(const char* key, double& field, double, double) { Put(key, fmt::format("\"{}/s\"", field)); }
   void Text(const char* key, std::string& field) {
     std::ostringstream out;
@@ -85,7 +87,7 @@
   }
 
  private:
-  static std::string InUnits(double micros) {
+  static std::string DurationText(double micros) {
     return std::fmod(micros, 1e6) == 0 ? fmt::format("\"{}s\"", micros / 1e6)
                                        : fmt::format("\"{}ms\"", micros / 1e3);
   }
@@ -96,9 +98,9 @@
 
 // The defaults of experiment files where they differ from those of the emulator.
 ScenarioSpec DefaultScenario() {
-  ScenarioSpec d;
-  d.series_interval_s = 1;
-  return d;
+  ScenarioSpec scenario;
+  scenario.series_interval_s = 1;
+  return scenario;
 }
 
 FaultSpec DefaultFault() {
@@ -115,10 +117,10 @@
 }
 
 ScenarioSpec ReadScenario(TomlSection& root) {
-  ScenarioSpec d = DefaultScenario();
-  Fill(root.Table("day"), d, [](auto& v, auto& x) { VisitScenario(v, x); });
-  Fill(root.Table("clients"), d.clients, [](auto& v, auto& x) { VisitClients(v, x); });
-  Fill(root.Table("fleet"), d.fleet, [](auto& v, auto& x) { VisitFleet(v, x); });
+  ScenarioSpec scenario = DefaultScenario();
+  Fill(root.Table("day"), scenario, [](auto& v, auto& x) { VisitScenario(v, x); });
+  Fill(root.Table("clients"), scenario.clients, [](auto& v, auto& x) { VisitClients(v, x); });
+  Fill(root.Table("fleet"), scenario.fleet, [](auto& v, auto& x) { VisitFleet(v, x); });
   const auto all = [&](const char* key, auto& list, const auto& defaults, auto visit) {
     const std::vector<TomlSection> tables = root.Tables(key);
     if (tables.empty()) return;
@@ -128,21 +130,22 @@
       Fill(t, list.back(), visit);
     }
   };
-  all("kind", d.fleet.kinds, KindSpec{}, [](auto& v, auto& x) { VisitKind(v, x); });
-  all("class", d.classes, ClassSpec{}, [](auto& v, auto& x) { VisitClass(v, x); });
+  all("kind", scenario.fleet.kinds, KindSpec{}, [](auto& v, auto& x) { VisitKind(v, x); });
+  all("class", scenario.classes, ClassSpec{}, [](auto& v, auto& x) { VisitClass(v, x); });
   const std::vector<TomlSection> faults = root.Tables("fault");
   for (TomlSection t : faults) {
     FaultSpec f = DefaultFault();
     f.what = t.Choice("what", emulator::FaultNames(), "");
     Fill(t, f, [](auto& v, auto& x) { VisitFault(v, x); });
-    d.faults.push_back(f);
+    scenario.faults.push_back(f);
   }
-  if (d.warm_up_s >= d.seconds) root.Fail("day", "warm must be shorter than length, or nothing is counted");
-  for (const ClassSpec& c : d.classes) {
+  if (scenario.warm_up_s >= scenario.seconds)
+    root.Fail("day", "warm must be shorter than length, or nothing is counted");
+  for (const ClassSpec& c : scenario.classes) {
     if (c.latency_objective > c.deadline)
       root.Fail("class", "'" + c.name + "': its aim is later than its deadline");
   }
-  return d;
+  return scenario;
 }
 
 std::string ValueText(const toml::node& node) {
@@ -173,32 +176,33 @@
 }
 
 // Sets `value` at a path like "clients.rate" or "fault.0.factor". Missing tables on the path are created.
-void PutAt(toml::table& root, const std::string& path, const toml::node& value, const TomlSection& sweep) {
+void SetAtPath(toml::table& root, const std::string& path, const toml::node& value,
+               const TomlSection& sweep) {
   toml::node* at = &root;
   std::size_t from = 0;
   for (;;) {
     const std::size_t dot = path.find('.', from);
-    const std::string word = path.substr(from, dot - from);
+    const std::string name = path.substr(from, dot - from);
     const bool last = dot == std::string::npos;
-    if (word.empty())
+    if (name.empty())
       sweep.Fail("key", "is \"" + path + "\"; expected names separated by dots, as in \"clients.rate\"");
     if (toml::table* table = at->as_table()) {
       if (last) {
-        value.visit([&](const auto& v) { table->insert_or_assign(word, v); });
+        value.visit([&](const auto& v) { table->insert_or_assign(name, v); });
         return;
       }
-      toml::node* next = table->get(word);
-      if (next == nullptr) next = &table->insert(word, toml::table{}).first->second;
+      toml::node* next = table->get(name);
+      if (next == nullptr) next = &table->insert(name, toml::table{}).first->second;
       at = next;
     } else if (toml::array* list = at->as_array()) {
       std::size_t n = 0;
-      const auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), n);
-      if (error != std::errc() || end != word.data() + word.size() || n >= list->size() || last)
-        sweep.Fail("key", fmt::format("is \"{}\"; '{}' is not an index of that list, 0 to {}", path, word,
+      const auto [end, error] = std::from_chars(name.data(), name.data() + name.size(), n);
+      if (error != std::errc() || end != name.data() + name.size() || n >= list->size() || last)
+        sweep.Fail("key", fmt::format("is \"{}\"; '{}' is not an index of that list, 0 to {}", path, name,
                                       list->size() - 1));
       at = list->get(n);
     } else {
-      sweep.Fail("key", fmt::format("is \"{}\"; there is no table at '{}'", path, word));
+      sweep.Fail("key", fmt::format("is \"{}\"; there is no table at '{}'", path, name));
     }
     from = dot + 1;
   }
@@ -207,10 +211,10 @@
 }  // namespace
 
 ScenarioSpec Experiment::Scenario(std::size_t n) const {
-  ScenarioSpec d = cells[CellOf(n)].scenario;
-  d.policy = policies[PolicyOf(n)];
-  d.seed = first_seed + SeedOf(n);
-  return d;
+  ScenarioSpec scenario = cells[CellOf(n)].scenario;
+  scenario.policy = policies[PolicyOf(n)];
+  scenario.seed = first_seed + SeedOf(n);
+  return scenario;
 }
 
 std::string Experiment::CellName(std::size_t cell) const {
@@ -289,7 +293,7 @@
     double load = 1;
     for (std::size_t a = 0; a < e.axes.size(); ++a) {
       if (e.axes[a].key != "load") {
-        PutAt(changed, e.axes[a].key, *values[a]->get(cell.at[a]), sweeps[a]);
+        SetAtPath(changed, e.axes[a].key, *values[a]->get(cell.at[a]), sweeps[a]);
       } else if (e.axes[a].numbers.empty() || e.axes[a].numbers[cell.at[a]] < 0) {
         sweeps[a].Fail("values",
                        "of \"load\" must be numbers of 0 or more, by which clients.rate is multiplied");
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -224,13 +224,13 @@
 // ---- Scenarios ----
 
 ScenarioSpec SmallScenario() {
-  ScenarioSpec d;
-  d.seconds = 40;
-  d.warm_up_s = 10;
-  d.fleet.nodes = 2;
-  d.fleet.replicas = 6;
-  d.clients.per_second = 60;
-  return d;
+  ScenarioSpec scenario;
+  scenario.seconds = 40;
+  scenario.warm_up_s = 10;
+  scenario.fleet.nodes = 2;
+  scenario.fleet.replicas = 6;
+  scenario.clients.per_second = 60;
+  return scenario;
 }
 
 std::string Summary(const ScenarioResult& r) {
@@ -242,15 +242,15 @@
 
 TEST(Scenario, TheSameSeedGivesTheSameResultAndEveryRequestIsCounted) {
   for (const std::string& policy : PolicyNames()) {
-    ScenarioSpec d = SmallScenario();
-    d.policy = policy;
-    const ScenarioResult a = RunScenario(d), b = RunScenario(d);
+    ScenarioSpec scenario = SmallScenario();
+    scenario.policy = policy;
+    const ScenarioResult a = RunScenario(scenario), b = RunScenario(scenario);
     EXPECT_EQ(Summary(a), Summary(b)) << policy;
     EXPECT_EQ(a.requests, a.in_time + a.late + a.refused + a.failed + a.broken + a.lost) << policy;
     EXPECT_EQ(a.violations.all(), 0U) << policy << a.violations.Describe();
     EXPECT_GT(a.Share(), 0.9) << policy;
-    d.seed = 2;
-    EXPECT_NE(Summary(a), Summary(RunScenario(d)));
+    scenario.seed = 2;
+    EXPECT_NE(Summary(a), Summary(RunScenario(scenario)));
   }
 }
 
@@ -266,9 +266,9 @@
 }
 
 TEST(Scenario, RunsWithoutAnyRequest) {
-  ScenarioSpec d = SmallScenario();
-  d.clients.per_second = 0;
-  const ScenarioResult r = RunScenario(d);
+  ScenarioSpec scenario = SmallScenario();
+  scenario.clients.per_second = 0;
+  const ScenarioResult r = RunScenario(scenario);
   EXPECT_EQ(r.requests, 0U);
   EXPECT_EQ(r.Share(), 0);
   EXPECT_EQ(r.Quantile(0.5), 0);
@@ -276,33 +276,36 @@
 
 TEST(Scenario, AnInvalidScenarioIsRejectedNamingTheField) {
   const auto error_of = [](const std::function<void(ScenarioSpec&)>& change) {
-    ScenarioSpec d = SmallScenario();
-    change(d);
+    ScenarioSpec scenario = SmallScenario();
+    change(scenario);
     try {
-      RunScenario(d);
+      RunScenario(scenario);
     } catch (const std::runtime_error& e) {
       return std::string(e.what());
     }
     return std::string("taken");
   };
-  EXPECT_NE(error_of([](ScenarioSpec& d) { d.fleet.nodes = 0; }).find("fleet.nodes"), std::string::npos);
-  EXPECT_NE(error_of([](ScenarioSpec& d) { d.warm_up_s = 99; }).find("warm"), std::string::npos);
-  EXPECT_NE(error_of([](ScenarioSpec& d) { d.faults.push_back({"drian"}); }).find("drian"),
+  EXPECT_NE(error_of([](ScenarioSpec& scenario) { scenario.fleet.nodes = 0; }).find("fleet.nodes"),
+            std::string::npos);
+  EXPECT_NE(error_of([](ScenarioSpec& scenario) { scenario.warm_up_s = 99; }).find("warm"),
+            std::string::npos);
+  EXPECT_NE(error_of([](ScenarioSpec& scenario) { scenario.faults.push_back({"drian"}); }).find("drian"),
+            std::string::npos);
+  EXPECT_NE(error_of([](ScenarioSpec& scenario) { scenario.policy = "rooter"; }).find("round-robin"),
             std::string::npos);
-  EXPECT_NE(error_of([](ScenarioSpec& d) { d.policy = "rooter"; }).find("round-robin"), std::string::npos);
 }
 
 // Under every fault, the Router violates no rule and each request ends exactly once.
 TEST(Scenario, TheRouterViolatesNoRuleUnderAnyFault) {
   for (const std::string& what : FaultNames()) {
     if (what == "invent") continue;
-    ScenarioSpec d = SmallScenario();
-    d.seconds = 60;
-    d.fleet.zones = 2;
-    d.fleet.replicas = 12;
-    d.fleet.nodes = 4;
-    d.fleet.kinds.front().replica.slow_start_window = 20'000'000;
-    d.fleet.kinds.front().replica.slow_start_min_share = 0.2;
+    ScenarioSpec scenario = SmallScenario();
+    scenario.seconds = 60;
+    scenario.fleet.zones = 2;
+    scenario.fleet.replicas = 12;
+    scenario.fleet.nodes = 4;
+    scenario.fleet.kinds.front().replica.slow_start_window = 20'000'000;
+    scenario.fleet.kinds.front().replica.slow_start_min_share = 0.2;
     FaultSpec f;
     f.what = what;
     f.at = 20;
@@ -310,10 +313,10 @@
     f.count = what == "node-dies" || what == "zone" || what == "rack" ? 1 : 3;
     f.other = 1;
     f.factor = what == "load" ? 3 : 4;
-    d.faults.push_back(f);
-    if (what == "dark") d.faults.push_back({"restart", 22, 5, 0, 2});
-    if (what == "contradict") d.faults.push_back({"drain", 21, 10, 0, 2});
-    const ScenarioResult r = RunScenario(d);
+    scenario.faults.push_back(f);
+    if (what == "dark") scenario.faults.push_back({"restart", 22, 5, 0, 2});
+    if (what == "contradict") scenario.faults.push_back({"drain", 21, 10, 0, 2});
+    const ScenarioResult r = RunScenario(scenario);
     EXPECT_EQ(r.violations.all(), 0U) << what << ": " << r.violations.Describe();
     EXPECT_EQ(r.requests, r.in_time + r.late + r.refused + r.failed + r.broken + r.lost) << what;
     EXPECT_GT(r.Share(), 0.5) << what;
@@ -321,15 +324,15 @@
 }
 
 TEST(Scenario, CachedPrefixesAreNotReadAgain) {
-  ScenarioSpec d = SmallScenario();
-  d.clients.prefixes = 4;
-  d.clients.prefix_tokens = 3000;
-  d.policy = "affinity";
-  const double kept = RunScenario(d).kept_share;
-  d.policy = "random";
-  d.fleet.kinds.front().replica.memory_tokens = 12'000;  // cached prefixes are evicted soon
+  ScenarioSpec scenario = SmallScenario();
+  scenario.clients.prefixes = 4;
+  scenario.clients.prefix_tokens = 3000;
+  scenario.policy = "affinity";
+  const double kept = RunScenario(scenario).cached_share;
+  scenario.policy = "random";
+  scenario.fleet.kinds.front().replica.memory_tokens = 12'000;  // cached prefixes are evicted soon
   EXPECT_GT(kept, 0.5);
-  EXPECT_LT(RunScenario(d).kept_share, kept);
+  EXPECT_LT(RunScenario(scenario).cached_share, kept);
 }
 
 // ---- Each checker must find a policy that breaks its rule ----
@@ -368,12 +371,12 @@
   std::unique_ptr<NodePolicy> inner_;
 };
 
-RuleViolations RunRuleBreaker(RuleBreakingPolicy::Rule rule, ScenarioSpec d = SmallScenario()) {
+RuleViolations RunRuleBreaker(RuleBreakingPolicy::Rule rule, ScenarioSpec scenario = SmallScenario()) {
   ScenarioOptions o;
   o.policy = [&](int, const Settings& s, Time now) {
     return std::make_unique<RuleBreakingPolicy>(rule, s, now);
   };
-  return RunScenario(d, o).violations;
+  return RunScenario(scenario, o).violations;
 }
 
 TEST(Checkers, EachFindsAPolicyThatBreaksItsRule) {
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -116,24 +116,25 @@
 }
 
 RC_GTEST_PROP(SpecProperty, AWrittenScenarioIsReadBackUnchanged, ()) {
-  ScenarioSpec d;
-  d.seconds = *rc::gen::inRange(20, 500) / 4.0;
-  d.warm_up_s = *rc::gen::inRange(0, 40) / 10.0;
-  d.seed = *rc::gen::inRange<std::uint64_t>(0, 1 << 30);
-  d.series_interval_s = *rc::gen::element(0.0, 0.5, 1.0, 5.0);
-  d.clients.per_second = *rc::gen::inRange(0, 100'000) / 7.0;
-  d.clients.honors_retry_after = *rc::gen::inRange(0, 1000) / 1000.0;
-  d.clients.max_tries = *rc::gen::inRange(1, 9);
-  d.fleet.nodes = *rc::gen::inRange(1, 64);
-  d.fleet.replicas = *rc::gen::inRange(1, 1000);
-  d.fleet.discovery_delay_s = *rc::gen::inRange(0, 1'000'000) / 1e6;
-  d.fleet.kinds.resize(*rc::gen::inRange<std::size_t>(1, 4));
-  d.fleet.kinds.back().replica.speed = *rc::gen::inRange(1, 400) / 64.0;
-  d.fleet.kinds.back().replica.slow_start_window = *rc::gen::inRange<Time>(0, 60'000'000);
-  d.classes.front().name = *rc::gen::string<std::string>();
-  for (char& c : d.classes.front().name) c = static_cast<char>(' ' + static_cast<unsigned char>(c) % 94);
-  d.classes.front().latency_objective = *rc::gen::inRange<Time>(1'000, 9'000'000);
-  d.classes.resize(*rc::gen::inRange<std::size_t>(1, 3), d.classes.front());
+  ScenarioSpec scenario;
+  scenario.seconds = *rc::gen::inRange(20, 500) / 4.0;
+  scenario.warm_up_s = *rc::gen::inRange(0, 40) / 10.0;
+  scenario.seed = *rc::gen::inRange<std::uint64_t>(0, 1 << 30);
+  scenario.series_interval_s = *rc::gen::element(0.0, 0.5, 1.0, 5.0);
+  scenario.clients.per_second = *rc::gen::inRange(0, 100'000) / 7.0;
+  scenario.clients.honors_retry_after = *rc::gen::inRange(0, 1000) / 1000.0;
+  scenario.clients.max_tries = *rc::gen::inRange(1, 9);
+  scenario.fleet.nodes = *rc::gen::inRange(1, 64);
+  scenario.fleet.replicas = *rc::gen::inRange(1, 1000);
+  scenario.fleet.discovery_delay_s = *rc::gen::inRange(0, 1'000'000) / 1e6;
+  scenario.fleet.kinds.resize(*rc::gen::inRange<std::size_t>(1, 4));
+  scenario.fleet.kinds.back().replica.speed = *rc::gen::inRange(1, 400) / 64.0;
+  scenario.fleet.kinds.back().replica.slow_start_window = *rc::gen::inRange<Time>(0, 60'000'000);
+  scenario.classes.front().name = *rc::gen::string<std::string>();
+  for (char& c : scenario.classes.front().name)
+    c = static_cast<char>(' ' + static_cast<unsigned char>(c) % 94);
+  scenario.classes.front().latency_objective = *rc::gen::inRange<Time>(1'000, 9'000'000);
+  scenario.classes.resize(*rc::gen::inRange<std::size_t>(1, 3), scenario.classes.front());
   for (int n = *rc::gen::inRange(0, 4); n > 0; --n) {
     FaultSpec f;
     f.what = *rc::gen::elementOf(emulator::FaultNames());
@@ -141,19 +142,19 @@
     f.count = *rc::gen::inRange(1, 9);
     f.one_way = *rc::gen::arbitrary<bool>();
     f.factor = *rc::gen::inRange(0, 99) / 3.0;
-    d.faults.push_back(f);
+    scenario.faults.push_back(f);
   }
-  const std::string text = WriteExperiment("n", "t", d);
+  const std::string text = WriteExperiment("n", "t", scenario);
   const Experiment e = ParseExperiment("written", text);
   RC_ASSERT(e.cells.size() == 1U);
-  RC_ASSERT(e.Scenario(0).seed == d.seed);
+  RC_ASSERT(e.Scenario(0).seed == scenario.seed);
   ScenarioSpec read = e.Scenario(0);
   RC_ASSERT(WriteExperiment("n", "t", read) == text);
-  RC_ASSERT(read.seconds == d.seconds && read.clients.per_second == d.clients.per_second);
-  RC_ASSERT(read.faults.size() == d.faults.size() && read.classes.size() == d.classes.size());
+  RC_ASSERT(read.seconds == scenario.seconds && read.clients.per_second == scenario.clients.per_second);
+  RC_ASSERT(read.faults.size() == scenario.faults.size() && read.classes.size() == scenario.classes.size());
   RC_ASSERT(read.fleet.kinds.back().replica.slow_start_window ==
-            d.fleet.kinds.back().replica.slow_start_window);
-  RC_ASSERT(read.classes.front().name == d.classes.front().name);
+            scenario.fleet.kinds.back().replica.slow_start_window);
+  RC_ASSERT(read.classes.front().name == scenario.classes.front().name);
 }
 
 std::string Bytes(const std::string& path) {
@@ -278,8 +279,8 @@
   RunExperiment(e, o);
   const Results r = ReadResults(o.out);
   ASSERT_EQ(r.rows.size(), 12U);
-  const emulator::ScenarioResult d = RunScenario(e.Scenario(7));
-  const ScenarioRow fresh = RowOf(7, e.Scenario(7), d);
+  const emulator::ScenarioResult result = RunScenario(e.Scenario(7));
+  const ScenarioRow fresh = RowOf(7, e.Scenario(7), result);
   EXPECT_EQ(r.rows[7].measures, fresh.measures);
   EXPECT_EQ(r.rows[7].counts, fresh.counts);
   EXPECT_EQ(r.rows[7].first_token, fresh.first_token);
@@ -299,7 +300,7 @@
 
 TEST(Statistics, PairedDifferencesAndHolmsProcedure) {
   const Difference none = PairedDifference({1, 2, 3}, {1, 2, 3});
-  EXPECT_EQ(none.of.mean, 0);
+  EXPECT_EQ(none.interval.mean, 0);
   EXPECT_EQ(none.p, 1);
   // Differences 1, 2, 3: t = 2 / (1 / sqrt 3) = 3.4641 with two degrees of freedom, p = 0.0742.
   const Difference some = PairedDifference({1, 1, 1}, {2, 3, 4});
@@ -334,26 +335,26 @@
 // The failure needs two of the seven faults, three replicas, 20 requests per second and 12 s; all else must
 // be removed.
 TEST(Shrinking, FindsTheSmallestScenarioThatFails) {
-  ScenarioSpec d;
-  d.seconds = 300;
-  d.warm_up_s = 30;
-  d.clients.per_second = 4'000;
-  d.fleet.replicas = 500;
-  d.fleet.nodes = 16;
-  d.fleet.zones = 3;
-  d.classes.resize(4);
+  ScenarioSpec scenario;
+  scenario.seconds = 300;
+  scenario.warm_up_s = 30;
+  scenario.clients.per_second = 4'000;
+  scenario.fleet.replicas = 500;
+  scenario.fleet.nodes = 16;
+  scenario.fleet.zones = 3;
+  scenario.classes.resize(4);
   for (const char* what : {"dark", "slow", "rack", "drain", "late", "vanish", "load"}) {
     FaultSpec f;
     f.what = what;
     f.at = 100;
-    d.faults.push_back(f);
+    scenario.faults.push_back(f);
   }
   const auto fails = [](const ScenarioSpec& x) {
     int needed = 0;
     for (const FaultSpec& f : x.faults) needed += f.what == "slow" || f.what == "vanish" ? 1 : 0;
     return needed == 2 && x.fleet.replicas >= 3 && x.clients.per_second >= 20 && x.seconds >= 12;
   };
-  const ShrinkResult s = Shrink(d, fails);
+  const ShrinkResult s = Shrink(scenario, fails);
   EXPECT_TRUE(s.done);
   EXPECT_TRUE(fails(s.scenario));
   EXPECT_EQ(s.scenario.faults.size(), 2U);
@@ -363,10 +364,10 @@
   EXPECT_LT(s.scenario.clients.per_second, 22);
   EXPECT_LT(s.scenario.seconds, 13);
   EXPECT_LT(s.size, 0.001 * s.size_before);
-  EXPECT_THROW(Shrink(d, [](const ScenarioSpec&) { return false; }), std::runtime_error);
+  EXPECT_THROW(Shrink(scenario, [](const ScenarioSpec&) { return false; }), std::runtime_error);
   ShrinkOptions few;
   few.max_runs = 5;
-  const ShrinkResult truncated = Shrink(d, fails, few);
+  const ShrinkResult truncated = Shrink(scenario, fails, few);
   EXPECT_FALSE(truncated.done);
   EXPECT_EQ(truncated.runs, 5U);
   EXPECT_TRUE(fails(truncated.scenario));
@@ -386,7 +387,9 @@
     if (node == 1) return std::make_unique<SilentPolicy>();
     return emulator::MakePolicy("two-choices", s, 1, now, {});
   };
-  const auto fails = [&](const ScenarioSpec& d) { return RunScenario(d, options).violations.no_answer > 0; };
+  const auto fails = [&](const ScenarioSpec& scenario) {
+    return RunScenario(scenario, options).violations.no_answer > 0;
+  };
   const ShrinkResult s = Shrink(e.cells[1].scenario, fails);
   EXPECT_TRUE(s.done);
   EXPECT_EQ(s.scenario.faults.size(), 0U);
@@ -421,15 +424,15 @@
 };
 
 TEST(Scenario, VirtualTimeThatStopsAdvancingIsAnError) {
-  ScenarioSpec d;
-  d.seconds = 5;
-  d.warm_up_s = 1;
+  ScenarioSpec scenario;
+  scenario.seconds = 5;
+  scenario.warm_up_s = 1;
   ScenarioOptions options;
   options.policy = [](int, const policy::Settings&, Time) {
     return std::make_unique<ZeroDelayTimerPolicy>();
   };
   try {
-    RunScenario(d, options);
+    RunScenario(scenario, options);
     FAIL() << "ended";
   } catch (const std::runtime_error& e) {
     EXPECT_NE(std::string(e.what()).find("time stands still"), std::string::npos) << e.what();
