--- a/lab/experiment/command.cpp
+++ b/lab/experiment/command.cpp
@@ -71,12 +71,12 @@
   run_->add_option("--out", out_, "the results file; default: the experiment's name with .h5");
   run_->add_option("--workers", workers_, "simulations in parallel; 0: one for each core")
       ->check(CLI::Range(0, 256));
-  run_->add_flag("--anew", rerun_, "run all simulations again, also those that the results file has");
+  run_->add_flag("--anew", rerun_, "also run the simulations again that the results file has");
 
   report_ = app.add_subcommand("report", "write tables and charts of a results file as Markdown");
   report_->add_option("results", file_)->required();
   report_->add_option("--out", out_, "the directory; default: the experiment's name");
-  report_->add_flag("--png", png_, "charts as PNG instead of SVG");
+  report_->add_flag("--png", png_, "write charts as PNG instead of SVG");
 
   shrink_ = app.add_subcommand("shrink", "find a smaller scenario that still fails in the same way");
   shrink_->add_option("file", file_, "the experiment, TOML")->required();
@@ -91,8 +91,10 @@
   shrink_->add_option("--behind", baseline_, "the failure is a lower share of worth than with this policy")
       ->check(CLI::IsMember(emulator::PolicyNames()))
       ->excludes(breaks);
-  shrink_->add_option("--by", margin_, "with --behind: by at least that much")->check(CLI::Range(0.0, 1.0));
-  shrink_->add_option("--plays", max_runs_, "most simulations to run")->check(CLI::Range(1, 1'000'000));
+  shrink_->add_option("--by", margin_, "with --behind: the least difference between the shares")
+      ->check(CLI::Range(0.0, 1.0));
+  shrink_->add_option("--plays", max_runs_, "maximum number of simulations to run")
+      ->check(CLI::Range(1, 1'000'000));
 }
 
 bool Commands::chosen() const { return run_->parsed() || report_->parsed() || shrink_->parsed(); }
@@ -123,7 +125,7 @@
     std::printf("the file could not be saved %zu times during the run: %s\n", r.failed_saves,
                 r.save_error.c_str());
   if (r.left > 0) {
-    std::printf("interrupted; run the same command again to continue\n");
+    std::printf("interrupted; run the same command again to continue with the rest\n");
     return 130;
   }
   return r.violations == 0 ? 0 : 1;
--- a/lab/experiment/command.h
+++ b/lab/experiment/command.h
@@ -10,11 +10,14 @@
 
 namespace ryeglade::experiment {
 
+// The sub-commands `run`, `report` and `shrink`. Their options are stored in this object, which must outlive
+// every use of `app`.
 class Commands {
  public:
-  explicit Commands(CLI::App& app);  // adds the sub-commands; must outlive `app`
-  bool chosen() const;
-  int Run();  // returns the exit code; throws std::runtime_error and SettingsError
+  explicit Commands(CLI::App& app);  // adds the sub-commands to `app`
+  bool chosen() const;               // one of the sub-commands is on the command line
+  // Runs the chosen sub-command and returns the exit code. Throws std::runtime_error and SettingsError.
+  int Run();
 
  private:
   int RunExperimentFile();
@@ -30,7 +33,7 @@
   std::uint64_t seed_ = 0;
 };
 
-// Prints the differences between two results files. Returns 0.
+// Prints the differences between two results files. Returns 0, the exit code. Throws std::runtime_error.
 int CompareFiles(const std::string& a, const std::string& b);
 
 }  // namespace ryeglade::experiment
--- a/lab/experiment/measures.cpp
+++ b/lab/experiment/measures.cpp
@@ -15,9 +15,9 @@
 
 const std::vector<Measure>& Measures() {
   static const std::vector<Measure> all = {
-      {"share", "share of the worth asked for", 1, 4,
+      {"share", "served share of the requested worth", 1, 4,
        [](const ScenarioResult& result, double) { return result.Share(); }},
-      {"goodput", "answers in time, 1/s", 1, 1,
+      {"goodput", "answers within the latency objective, 1/s", 1, 1,
        [](const ScenarioResult& result, double s) { return Whole(result.in_time) / std::max(1e-9, s); }},
       {"unserved", "share of requests not served", -1, 4,
        [](const ScenarioResult& result, double) {
@@ -29,13 +29,13 @@
        [](const ScenarioResult& result, double) { return result.Quantile(0.9); }},
       {"p99_ms", "first token, p99, ms", -1, 0,
        [](const ScenarioResult& result, double) { return result.Quantile(0.99); }},
-      {"kept", "share of prompt tokens kept", 1, 3,
+      {"kept", "share of prompt tokens found in caches", 1, 3,
        [](const ScenarioResult& result, double) { return result.cached_share; }},
       {"wasted", "share of attempts not served", -1, 4,
        [](const ScenarioResult& result, double) { return result.wasted_share; }},
-      {"attempts_a_request", "attempts a try", -1, 3,
+      {"attempts_a_request", "attempts per try", -1, 3,
        [](const ScenarioResult& result, double) { return Per(Whole(result.attempts), result.tries); }},
-      {"tries_a_request", "tries a request", -1, 3,
+      {"tries_a_request", "tries per request", -1, 3,
        [](const ScenarioResult& result, double) { return Per(Whole(result.tries), result.calls); }},
       {"refused", "share of requests refused", -1, 4,
        [](const ScenarioResult& result, double) { return Per(Whole(result.refused), result.requests); }},
@@ -43,25 +43,25 @@
        [](const ScenarioResult& result, double) { return Per(Whole(result.failed), result.requests); }},
       {"broken", "share of requests broken", -1, 4,
        [](const ScenarioResult& result, double) { return Per(Whole(result.broken), result.requests); }},
-      {"lost", "share of requests whose client left", -1, 4,
+      {"lost", "share of requests whose client gave up", -1, 4,
        [](const ScenarioResult& result, double) { return Per(Whole(result.lost), result.requests); }},
-      {"preempted", "requests put back", -1, 0,
+      {"preempted", "requests preempted", -1, 0,
        [](const ScenarioResult& result, double) { return Whole(result.preempted); }},
-      {"overshoot", "all nodes' caps to the fleet's slots, most", 0, 2,
+      {"overshoot", "concurrency limits of all nodes / slots of the fleet, max", 0, 2,
        [](const ScenarioResult& result, double) { return result.joint_overshoot; }},
-      {"joint_shares", "all nodes' parts of the tier together, most", 0, 3,
+      {"joint_shares", "sum of the traffic shares of all nodes, max", 0, 3,
        [](const ScenarioResult& result, double) { return result.joint_shares; }},
-      {"crowd", "fullest replica's requests to the mean", -1, 2,
+      {"crowd", "requests at the fullest replica / mean", -1, 2,
        [](const ScenarioResult& result, double) { return result.peak_to_mean_load; }},
-      {"full", "attempts turned away full, share", -1, 4,
+      {"full", "share of attempts rejected at capacity", -1, 4,
        [](const ScenarioResult& result, double) { return Per(Whole(result.full), result.attempts); }},
-      {"errors", "errors, silences and failed connections, a thousand requests", -1, 2,
+      {"errors", "errors, resets, timeouts, failed connections per 1000 requests", -1, 2,
        [](const ScenarioResult& result, double) { return 1000 * Per(Whole(result.errors), result.calls); }},
-      {"back_s", "seconds after the last fault until 95% of the steady worth", -1, 1,
+      {"back_s", "recovery to 95% of the share of worth before the faults, s", -1, 1,
        [](const ScenarioResult& result, double) { return result.recovery_s; }},
-      {"cold_pushed", "seconds that cold replicas had too much to read", -1, 1,
+      {"cold_pushed", "seconds in which cold replicas were overloaded", -1, 1,
        [](const ScenarioResult& result, double) { return Whole(result.violations.cold_pushed); }},
-      {"worst_replica", "most served by one replica to the mean", -1, 2,
+      {"worst_replica", "requests served by the busiest replica / mean", -1, 2,
        [](const ScenarioResult& result, double) {
          double sum = 0, most = 0;
          for (const double v : result.served_by_replica) {
@@ -70,7 +70,7 @@
          }
          return sum > 0 ? most * static_cast<double>(result.served_by_replica.size()) / sum : 0;
        }},
-      {"breaks", "rules broken", -1, 0,
+      {"breaks", "rule violations", -1, 0,
        [](const ScenarioResult& result, double) { return Whole(result.violations.all()); }},
   };
   return all;
--- a/lab/experiment/measures.h
+++ b/lab/experiment/measures.h
@@ -8,11 +8,12 @@
 
 namespace ryeglade::experiment {
 
+// One measure of a simulation. Its name is part of experiment files and results files.
 struct Measure {
-  std::string name;   // also its column in the results
-  std::string label;  // with its unit
+  std::string name;   // also the column in results files
+  std::string label;  // in reports and charts, with the unit
   int better;         // 1: higher is better; -1: lower is better; 0: neither
-  int digits;         // after the decimal point, in tables
+  int digits;         // number of digits after the decimal point in tables
   // `counted_s` is the length of the simulation without its warm-up.
   double (*of)(const emulator::ScenarioResult& result, double counted_s);
 };
--- a/lab/experiment/report.cpp
+++ b/lab/experiment/report.cpp
@@ -291,7 +291,7 @@
                      r.build);
   std::vector<double> breaks(e.policies.size());
   for (const ScenarioRow& row : r.rows) breaks[e.PolicyOf(row.simulation)] += row.measures.at("breaks");
-  out += "Rules broken:";
+  out += "Rule violations:";
   for (std::size_t p = 0; p < breaks.size(); ++p)
     out += fmt::format("{} {} {:.0f}", p > 0 ? "," : "", e.policies[p], breaks[p]);
   out += fmt::format(
--- a/lab/experiment/report.h
+++ b/lab/experiment/report.h
@@ -34,7 +34,7 @@
                                                               const std::string& ending);
 
 // Returns a table of the differences between two results of the same cells, policies and seeds. `differs` is
-// set to the number of significant rows. Throws std::runtime_error if the cells or seeds differ.
+// set to the number of significant differences. Throws std::runtime_error if the cells or seeds differ.
 std::string CompareResults(const Results& a, const Results& b, std::size_t* differs);
 
 }  // namespace ryeglade::experiment
--- a/lab/experiment/results.cpp
+++ b/lab/experiment/results.cpp
@@ -223,7 +223,8 @@
     auto& spans = row_of(of[n]).served_in;
     if (span[n] < 0 || replica[n] < 0 || static_cast<std::size_t>(span[n]) > spans.size() ||
         replica[n] > 1'000'000)
-      throw std::runtime_error("table replicas is not ordered");
+      throw std::runtime_error(
+          "table replicas: rows are not ordered by span, or a replica index is not from 0 to 1000000");
     if (static_cast<std::size_t>(span[n]) == spans.size()) spans.emplace_back();
     auto& list = spans[static_cast<std::size_t>(span[n])];
     if (list.size() <= static_cast<std::size_t>(replica[n]))
--- a/lab/experiment/results.h
+++ b/lab/experiment/results.h
@@ -20,6 +20,7 @@
   double at = 0, arrived = 0, worth_asked = 0, worth = 0, refused = 0, held = 0, caps = 0, busy = 0;
 };
 
+// The results of one simulation.
 struct ScenarioRow {
   std::size_t simulation = 0;
   std::map<std::string, double> measures;              // by name
@@ -31,7 +32,7 @@
 
 struct Results {
   Experiment experiment;
-  std::string build;
+  std::string build;              // BuildDescription() of the program that ran the simulations
   std::vector<ScenarioRow> rows;  // ordered by simulation
 
   const ScenarioRow* Find(std::size_t simulation) const;  // nullptr if it was not run
@@ -39,11 +40,13 @@
   std::vector<double> ValuesOf(std::size_t cell, std::size_t policy, const std::string& measure) const;
 };
 
+// Extracts the row of a simulation from its result.
 ScenarioRow RowOf(std::size_t simulation, const emulator::ScenarioSpec& spec,
                   const emulator::ScenarioResult& result);
 ColumnarFile ToFile(const Results& results);
 // Throws std::runtime_error if the file holds no results or has an unknown schema.
 Results FromFile(const ColumnarFile& file);
+// Reads a results file. Throws std::runtime_error with the path.
 Results ReadResults(const std::string& path);
 
 // Returns the version of this program and its compiler.
--- a/lab/experiment/run.cpp
+++ b/lab/experiment/run.cpp
@@ -27,8 +27,9 @@
                              "'; give another --out, or --anew to replace them");
   }
   if (before.build != BuildDescription()) {
-    throw std::runtime_error(o.out + ": was made by " + before.build + ", this is " + BuildDescription() +
-                             "; results of two builds can't be mixed: give another --out, or --anew");
+    throw std::runtime_error(
+        o.out + ": was made by " + before.build + ", this is " + BuildDescription() +
+        "; results of two builds can't be mixed: give another --out, or --anew to replace them");
   }
   return std::move(before.rows);
 }
@@ -51,6 +52,7 @@
   std::exception_ptr failed;
   std::atomic<std::size_t> next = 0;
   double saved_at = WallNow(), save_interval_s = o.save_interval_s;
+  // A worker whose simulation fails sets `next` far beyond the end, which also ends simulations in progress.
   const auto stop = [&] { return next.load() >= todo.size() + 1'000'000 || (o.stop && o.stop()); };
   const auto work = [&] {
     for (;;) {
--- a/lab/experiment/shrink.cpp
+++ b/lab/experiment/shrink.cpp
@@ -120,8 +120,8 @@
     return reduced;
   }
 
-  // Finds the smallest value from `least` on that still fails, by bisection to within a twentieth (to within
-  // 1 if `integral`). If failing is not monotonic in the value, the result is some value that fails.
+  // Finds the smallest value from `least` on that still fails, by bisection to within 5% (to within 1 if
+  // `integral`). If failing is not monotonic in the value, the result is some value that fails.
   template <class Set>
   bool Bisect(double least, double now, bool integral, Set set) {
     if (now <= least || BudgetSpent()) return false;
--- a/lab/experiment/shrink.h
+++ b/lab/experiment/shrink.h
@@ -11,7 +11,7 @@
 namespace ryeglade::experiment {
 
 struct ShrinkOptions {
-  std::size_t max_runs = 400;
+  std::size_t max_runs = 400;  // maximum number of simulations
   // Called after each run with the number of runs so far, and the size of the smallest failing scenario.
   std::function<void(std::size_t runs, double size)> progress;
 };
@@ -20,7 +20,7 @@
   emulator::ScenarioSpec scenario;
   std::size_t runs = 0;
   double size_before = 0, size = 0;  // of the scenario: roughly its requests plus replica-seconds
-  bool done = false;                 // false: stopped by max_runs
+  bool done = false;                 // false: max_runs was reached before the end
 };
 
 // Removes faults by delta debugging (Zeller and Hildebrandt, IEEE TSE 2002), then classes and replica kinds.
--- a/lab/experiment/spec.h
+++ b/lab/experiment/spec.h
@@ -11,13 +11,15 @@
 
 namespace ryeglade::experiment {
 
+// A setting that is varied, with its values.
 struct Axis {
   std::string key;    // "clients.rate", "fault.0.factor", or "load", a factor of clients.rate
-  std::string label;  // in tables and charts
+  std::string label;  // name in tables and charts
   std::vector<std::string> values;
   std::vector<double> numbers;  // the values as numbers; empty if one of them is not numeric
 };
 
+// One combination of values of all axes.
 struct Cell {
   std::vector<std::size_t> at;      // index of the value of each axis
   emulator::ScenarioSpec scenario;  // without policy and seed
@@ -25,7 +27,7 @@
 
 struct Experiment {
   std::string name, title;
-  std::string text;  // the whole file
+  std::string text;  // content of the file
   // Hash of everything that the simulations depend on. A results file with another fingerprint belongs to
   // another experiment.
   std::uint64_t fingerprint = 0;
@@ -42,10 +44,10 @@
   std::size_t PolicyOf(std::size_t n) const { return n / seeds % policies.size(); }
   std::size_t SeedOf(std::size_t n) const { return n % seeds; }
   emulator::ScenarioSpec Scenario(std::size_t n) const;
-  std::string CellName(std::size_t cell) const;  // "load=0.9, nodes=16"
+  std::string CellName(std::size_t cell) const;  // "load 0.9, nodes 16"; empty without axes
 };
 
-// Throws SettingsError.
+// Parses the text of an experiment file; `file` is its name in errors. Both throw SettingsError.
 Experiment ParseExperiment(const std::string& file, const std::string& text);
 Experiment ReadExperiment(const std::string& path);
 
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -290,7 +290,7 @@
   // The report has every policy and measure; a result compared with itself has no difference.
   const std::string report = ReportMarkdown(r, {"p.svg"});
   for (const char* word :
-       {"random", "p99", "Rules broken: router 0, random 0", "rate = \"60/s\"", "p.svg", "| load |"})
+       {"random", "p99", "Rule violations: router 0, random 0", "rate = \"60/s\"", "p.svg", "| load |"})
     EXPECT_NE(report.find(word), std::string::npos) << word;
   EXPECT_EQ(ReportCharts(r, "x", "svg").size(), 4U);
   std::size_t differs = 9;
