--- a/lab/load/agreement.cpp
+++ b/lab/load/agreement.cpp
@@ -31,7 +31,8 @@
 
 struct RealResult {
   Side side;
-  double late_ms = 0, step_ms = 0;  // measured time per token
+  double late_ms = 0;  // see Agreement::late_ms
+  double step_ms = 0;  // measured time per token
 };
 
 RealResult RunRealNode(const AgreementOptions& o, const LoadPlan& plan) {
--- a/lab/load/command.cpp
+++ b/lab/load/command.cpp
@@ -45,7 +45,7 @@
   c.deadline = static_cast<Time>(number(3, 0.001, static_cast<double>(c.deadline) / 1e6) * 1e6);
   c.worth = number(4, 0, c.worth);
   if (c.latency_objective > c.deadline)
-    throw std::runtime_error("--class " + text + ": the aim is later than the deadline");
+    throw std::runtime_error("--class " + text + ": AIM_S is later than DEADLINE_S");
   return c;
 }
 
@@ -87,7 +87,7 @@
   load_->add_option("--churn", churn_, "share of requests on new connections")->check(CLI::Range(0.0, 1.0));
   load_
       ->add_option("--connections", max_connections_,
-                   "most at the same time; requests beyond that count as not_sent")
+                   "maximum number of open connections; requests beyond it count as not_sent")
       ->check(CLI::Range(1, 20'000));
   load_->add_option("--key", key_, "API key for the OpenAI-style front");
   load_->add_option("--seed", seed_);
@@ -97,7 +97,7 @@
   agree_ = app.add_subcommand(
       "agree",
       "run the same trace through a real node with fake replicas and through the emulator, and compare");
-  agree_->add_option("--loads", loads_, "relative to the capacity of the replicas")
+  agree_->add_option("--loads", loads_, "loads relative to the capacity of the replicas, separated by commas")
       ->delimiter(',')
       ->check(CLI::Range(0.01, 3.0));
   agree_->add_option("--seconds", seconds_)->check(CLI::Range(1.0, 3600.0));
@@ -181,7 +181,9 @@
                 a.requests, a.real.p50_ms, a.emulated.p50_ms, a.real.p99_ms, a.emulated.p99_ms, a.real.share,
                 a.emulated.share, a.real.unserved, a.emulated.unserved);
     if (a.late_ms > 20)
-      std::printf("      this tool itself was late by %.0f ms (p99); that row says little\n", a.late_ms);
+      std::printf(
+          "      the load client itself sent requests %.0f ms late (p99), so this row is unreliable\n",
+          a.late_ms);
   }
   return good ? 0 : 1;
 }
--- a/lab/load/command.h
+++ b/lab/load/command.h
@@ -11,12 +11,14 @@
 
 namespace ryeglade::load {
 
+// The sub-commands `load` and `agree`. Their options are stored in this object, which must outlive every use
+// of `app`.
 class Commands {
  public:
-  explicit Commands(CLI::App& app);  // adds the sub-commands; must outlive `app`
-  bool chosen() const;
-  // Returns the exit code; throws std::runtime_error. `node` is the path of the node's program, for commands
-  // that start a node.
+  explicit Commands(CLI::App& app);  // adds the sub-commands to `app`
+  bool chosen() const;               // one of the sub-commands is on the command line
+  // Runs the chosen sub-command and returns the exit code. Throws std::runtime_error. `node` is the path of
+  // the node's program, for commands that start a node.
   int Run(const std::string& node);
 
  private:
--- a/lab/load/load_client.h
+++ b/lab/load/load_client.h
@@ -15,12 +15,13 @@
 
 namespace ryeglade::load {
 
+// The node that the load is sent to.
 struct LoadTarget {
-  std::string address;  // ip:port; must be on loopback
-  bool openai = true;   // the OpenAI-style front; false: the platform's
-  std::string key = "lab";
+  std::string address;      // ip:port; must be on loopback
+  bool openai = true;       // the OpenAI-style front; false: the platform's
+  std::string key = "lab";  // API key
   std::size_t max_connections = 2000;
-  Time give_up = 60'000'000;  // after the scheduled time of a request
+  Time give_up = 60'000'000;  // microseconds after its scheduled time at which a request is given up
 };
 
 class LoadClient : public TcpOwner {
@@ -30,12 +31,12 @@
   ~LoadClient() override;
   LoadClient(const LoadClient&) = delete;
   LoadClient& operator=(const LoadClient&) = delete;
-  // done() must be true before the object is destroyed.
+  // Starts the run. done() must be true before the object is destroyed.
   void Start();
   // Sends no more requests. Those already sent are still waited for.
   void Halt() { schedule_.resize(next_); }
   bool done() const { return ended_ == schedule_.size(); }
-  std::size_t ended() const { return ended_; }
+  std::size_t ended() const { return ended_; }  // requests that have an outcome
   std::size_t scheduled() const { return schedule_.size(); }
   const Tally& tally() const { return tally_; }
   std::size_t connections() const { return opened_connections_; }  // opened in total
@@ -50,12 +51,12 @@
     Tcp* tcp = nullptr;
     http_parser parser{};
     LoadClient* client = nullptr;
-    std::size_t request_index = kIdle;  // in `schedule_`; kIdle: kept open without a request
+    std::size_t request_index = kIdle;  // index in `schedule_`; kIdle: kept open without a request
     Time idle_since = 0;
     bool connected = false;
     std::string request_text;
     Response response;
-    int status = 0;
+    int status = 0;  // HTTP status; 0: no response yet
     bool stream_done = false, error = false, complete = false, retry_after = false, in_retry_after = false;
     EventStream events{std::size_t{1} << 20};
     DeadlineId give_up{};
@@ -66,7 +67,7 @@
   void SendRequest(Handle connection, std::size_t n);
   // Records the outcome of the connection's request, and keeps the connection or closes it.
   void Finish(Handle connection);
-  void Drop(Handle connection);
+  void Drop(Handle connection);  // closes the connection
   static const http_parser_settings& Callbacks();
 
   const Runtime* run_;
--- a/lab/load/load_model.cpp
+++ b/lab/load/load_model.cpp
@@ -154,10 +154,11 @@
   }
   const double late = lab::QuantileOf(late_, 0.99);
   out += fmt::format(
-      "latencies count from when a request was due; sent late by the tool itself: p50 {:.2f} ms, p99 {:.2f} "
+      "latencies count from the scheduled times; delay of the load client itself: p50 {:.2f} ms, p99 {:.2f} "
       "ms{}\n",
       lab::QuantileOf(late_, 0.5), late,
-      late > 20 ? ": THE TOOL IS THE LIMIT; ask for less, or give it a core" : "");
+      late > 20 ? ": the load client is the bottleneck; lower the rate or give it a CPU core of its own"
+                : "");
   return out;
 }
 
@@ -212,7 +213,8 @@
   s += fmt::format("set multiplot layout 1,2 title \"{}\"\nset grid lc rgb \"#dddddd\"\nset autoscale xfix\n",
                    title);
   s +=
-      "set xlabel \"second in which they were due\"\nset yrange [0:*]\nset ylabel \"requests\"\nset key top "
+      "set xlabel \"second in which they were scheduled\"\nset yrange [0:*]\nset ylabel \"requests\"\nset "
+      "key top "
       "left\n"
       "plot $d using 1:2 with lines lw 1.6 title \"asked\", $d using 1:3 with lines lw 1.6 title \"served\", "
       "$d using 1:4 with lines lw 1.6 title \"refused\", $d using 1:5 with lines lw 1.6 title \"other\"\n"
--- a/tests/load_test.cpp
+++ b/tests/load_test.cpp
@@ -85,7 +85,7 @@
   EXPECT_NEAR(lab::QuantileOf(t.classes()[0].first, 0.5), 3'001, 100);
   EXPECT_EQ(t.classes()[0].in_time, 0U);
   EXPECT_NEAR(t.classes()[0].worth, 0.9, 1e-9);
-  EXPECT_NE(t.Table().find("THE TOOL IS THE LIMIT"), std::string::npos);
+  EXPECT_NE(t.Table().find("the load client is the bottleneck"), std::string::npos);
   response.outcome = Outcome::kRefused;
   response.retry_after = true;
   t.Record(request, response);
