--- a/lab/emulator/routing_tier.h
+++ b/lab/emulator/routing_tier.h
@@ -38,8 +38,8 @@
   double detection_delay_s = 10;  // until a failed or unreachable node is removed from a view
   double settle_time_s = 5;       // time without a change until a view counts as settled
   double mean_delay_s = 1;        // until a report has reached a node by way of others
-  int byzantine_node =
-      -1;  // index of a node that falsely reports 1000 times its rate and that all replicas fail; -1: none
+  // Index of a node that falsely reports 1000 times its rate and that all replicas fail; -1: none.
+  int byzantine_node = -1;
 
  private:
   bool Uses(std::string_view what) const {
--- a/lab/load/agreement.h
+++ b/lab/load/agreement.h
@@ -11,8 +11,8 @@
 struct AgreementOptions {
   std::string program;  // path of the node's program
   int replicas = 4, batch = 4, queue = 8;
-  double token_ms =
-      5;  // time of a fake replica per token, and from the admission of a request to its first token
+  // Time of a fake replica per token, and from the admission of a request to its first token.
+  double token_ms = 5;
   double load = 0.8;  // relative to the capacity of the replicas
   double seconds = 20;
   std::uint64_t seed = 1;
