--- a/lab/emulator/compare.cpp
+++ b/lab/emulator/compare.cpp
@@ -76,15 +76,15 @@
     const CompareRow& first = rows[r - r % o.policies.size()];
     std::vector<double> share, differences, p50, p99, refused, cached;
     for (std::size_t s = 0; s < row.runs.size(); ++s) {
-      const ScenarioResult& d = row.runs[s];
-      share.push_back(d.Share());
-      differences.push_back(d.Share() - first.runs[s].Share());
-      p50.push_back(d.Quantile(0.5));
-      p99.push_back(d.Quantile(0.99));
-      refused.push_back(static_cast<double>(d.refused + d.failed + d.broken + d.lost) /
-                        static_cast<double>(std::max<std::uint64_t>(1, d.requests)));
-      cached.push_back(d.cached_share);
-      row.violations += d.violations.all();
+      const ScenarioResult& result = row.runs[s];
+      share.push_back(result.Share());
+      differences.push_back(result.Share() - first.runs[s].Share());
+      p50.push_back(result.Quantile(0.5));
+      p99.push_back(result.Quantile(0.99));
+      refused.push_back(static_cast<double>(result.refused + result.failed + result.broken + result.lost) /
+                        static_cast<double>(std::max<std::uint64_t>(1, result.requests)));
+      cached.push_back(result.cached_share);
+      row.violations += result.violations.all();
     }
     row.share = IntervalOf(share);
     row.difference_to_first = IntervalOf(differences);
--- a/lab/experiment/report.cpp
+++ b/lab/experiment/report.cpp
@@ -256,19 +256,19 @@
   for (std::size_t s = 0; s < a.size() && s < b.size(); ++s) {
     if (!std::isnan(a[s]) && !std::isnan(b[s])) by.push_back(b[s] - a[s]);
   }
-  Difference d;
-  d.pairs = by.size();
-  d.interval = IntervalOf(by);
-  if (by.size() < 2) return d;
+  Difference difference;
+  difference.pairs = by.size();
+  difference.interval = IntervalOf(by);
+  if (by.size() < 2) return difference;
   const auto n = static_cast<double>(by.size());
   const boost::math::students_t t(n - 1);
-  const double error = d.interval.half / boost::math::quantile(t, 0.975);
+  const double error = difference.interval.half / boost::math::quantile(t, 0.975);
   if (error <= 0) {  // all pairs have the same difference
-    d.p = d.interval.mean == 0 ? 1 : 0;
-    return d;
+    difference.p = difference.interval.mean == 0 ? 1 : 0;
+    return difference;
   }
-  d.p = 2 * boost::math::cdf(boost::math::complement(t, std::abs(d.interval.mean) / error));
-  return d;
+  difference.p = 2 * boost::math::cdf(boost::math::complement(t, std::abs(difference.interval.mean) / error));
+  return difference;
 }
 
 std::vector<bool> HolmSignificant(const std::vector<double>& p) {
@@ -328,12 +328,12 @@
           out += " | |\n";
           continue;
         }
-        const Difference& d = differences[at];
-        if (d.pairs < 2) {
+        const Difference& difference = differences[at];
+        if (difference.pairs < 2) {
           out += " | too few seeds |\n";
         } else {
-          out += " " + FormatInterval(d.interval, m.digits, true) + " | " +
-                 Verdict(d.interval.mean, m.better, significant[at]) + " |\n";
+          out += " " + FormatInterval(difference.interval, m.digits, true) + " | " +
+                 Verdict(difference.interval.mean, m.better, significant[at]) + " |\n";
         }
         ++at;
       }
