--- a/lab/emulator/simulation.cpp
+++ b/lab/emulator/simulation.cpp
@@ -23,7 +23,7 @@
 constexpr Time kVanishedRemovalDelay = 10'000'000;     // until discovery removes a vanished replica
 constexpr std::uint64_t kMaxEventsAtOnce = 5'000'000;  // limit of events in the same microsecond
 constexpr Time kQueueHorizon = 1 << 18;  // later events are kept in buckets of this width, see RefillQueue
-constexpr Time kPrefixDecayTime = 20'000'000;
+constexpr Time kPrefixDecayTime = 20'000'000;       // of the use counts of prefixes, gossip mode "oracle"
 constexpr Time kDiscoveryFailureDelay = 2'800'000;  // until nodes notice that discovery is unavailable
 
 double Seconds(Time t) { return static_cast<double>(t) / 1e6; }
