--- a/lab/experiment/measures.cpp
+++ b/lab/experiment/measures.cpp
@@ -8,70 +8,73 @@
 
 using emulator::ScenarioResult;
 
-double Whole(std::uint64_t n) { return static_cast<double>(n); }
-double Per(double part, std::uint64_t all) { return all > 0 ? part / Whole(all) : 0; }
+double ToDouble(std::uint64_t n) { return static_cast<double>(n); }
+double Ratio(double part, std::uint64_t all) { return all > 0 ? part / ToDouble(all) : 0; }
 
 }  // namespace
 
 const std::vector<Measure>& Measures() {
   static const std::vector<Measure> all = {
-      {"share", "share of the worth asked for", 1, 4,
-       [](const ScenarioResult& d, double) { return d.Share(); }},
-      {"goodput", "answers in time, 1/s", 1, 1,
-       [](const ScenarioResult& d, double s) { return Whole(d.in_time) / std::max(1e-9, s); }},
+      {"share", "served share of the requested worth", 1, 4,
+       [](const ScenarioResult& result, double) { return result.Share(); }},
+      {"goodput", "answers within the latency objective, 1/s", 1, 1,
+       [](const ScenarioResult& result, double s) { return ToDouble(result.in_time) / std::max(1e-9, s); }},
       {"unserved", "share of requests not served", -1, 4,
-       [](const ScenarioResult& d, double) {
-         return Per(Whole(d.refused + d.failed + d.broken + d.lost), d.requests);
+       [](const ScenarioResult& result, double) {
+         return Ratio(ToDouble(result.refused + result.failed + result.broken + result.lost),
+                      result.requests);
        }},
       {"p50_ms", "first token, p50, ms", -1, 0,
-       [](const ScenarioResult& d, double) { return d.Quantile(0.5); }},
+       [](const ScenarioResult& result, double) { return result.Quantile(0.5); }},
       {"p90_ms", "first token, p90, ms", -1, 0,
-       [](const ScenarioResult& d, double) { return d.Quantile(0.9); }},
+       [](const ScenarioResult& result, double) { return result.Quantile(0.9); }},
       {"p99_ms", "first token, p99, ms", -1, 0,
-       [](const ScenarioResult& d, double) { return d.Quantile(0.99); }},
-      {"kept", "share of prompt tokens kept", 1, 3,
-       [](const ScenarioResult& d, double) { return d.kept_share; }},
+       [](const ScenarioResult& result, double) { return result.Quantile(0.99); }},
+      {"kept", "share of prompt tokens found in caches", 1, 3,
+       [](const ScenarioResult& result, double) { return result.cached_share; }},
       {"wasted", "share of attempts not served", -1, 4,
-       [](const ScenarioResult& d, double) { return d.wasted_share; }},
-      {"attempts_a_request", "attempts a try", -1, 3,
-       [](const ScenarioResult& d, double) { return Per(Whole(d.attempts), d.tries); }},
-      {"tries_a_request", "tries a request", -1, 3,
-       [](const ScenarioResult& d, double) { return Per(Whole(d.tries), d.calls); }},
+       [](const ScenarioResult& result, double) { return result.wasted_share; }},
+      {"attempts_a_request", "attempts per try", -1, 3,
+       [](const ScenarioResult& result, double) { return Ratio(ToDouble(result.attempts), result.tries); }},
+      {"tries_a_request", "tries per request", -1, 3,
+       [](const ScenarioResult& result, double) { return Ratio(ToDouble(result.tries), result.calls); }},
       {"refused", "share of requests refused", -1, 4,
-       [](const ScenarioResult& d, double) { return Per(Whole(d.refused), d.requests); }},
+       [](const ScenarioResult& result, double) { return Ratio(ToDouble(result.refused), result.requests); }},
       {"failed", "share of requests failed", -1, 4,
-       [](const ScenarioResult& d, double) { return Per(Whole(d.failed), d.requests); }},
+       [](const ScenarioResult& result, double) { return Ratio(ToDouble(result.failed), result.requests); }},
       {"broken", "share of requests broken", -1, 4,
-       [](const ScenarioResult& d, double) { return Per(Whole(d.broken), d.requests); }},
-      {"lost", "share of requests whose client left", -1, 4,
-       [](const ScenarioResult& d, double) { return Per(Whole(d.lost), d.requests); }},
-      {"preempted", "requests put back", -1, 0,
-       [](const ScenarioResult& d, double) { return Whole(d.preempted); }},
-      {"overshoot", "all nodes' caps to the fleet's slots, most", 0, 2,
-       [](const ScenarioResult& d, double) { return d.joint_overshoot; }},
-      {"joint_shares", "all nodes' parts of the tier together, most", 0, 3,
-       [](const ScenarioResult& d, double) { return d.joint_shares; }},
-      {"crowd", "fullest replica's requests to the mean", -1, 2,
-       [](const ScenarioResult& d, double) { return d.crowd; }},
-      {"full", "attempts turned away full, share", -1, 4,
-       [](const ScenarioResult& d, double) { return Per(Whole(d.full), d.attempts); }},
-      {"errors", "errors, silences and failed connections, a thousand requests", -1, 2,
-       [](const ScenarioResult& d, double) { return 1000 * Per(Whole(d.errors), d.calls); }},
-      {"back_s", "seconds after the last fault until 95% of the steady worth", -1, 1,
-       [](const ScenarioResult& d, double) { return d.recovery_s; }},
-      {"cold_pushed", "seconds that cold replicas had too much to read", -1, 1,
-       [](const ScenarioResult& d, double) { return Whole(d.violations.cold_pushed); }},
-      {"worst_replica", "most served by one replica to the mean", -1, 2,
-       [](const ScenarioResult& d, double) {
+       [](const ScenarioResult& result, double) { return Ratio(ToDouble(result.broken), result.requests); }},
+      {"lost", "share of requests whose client gave up", -1, 4,
+       [](const ScenarioResult& result, double) { return Ratio(ToDouble(result.lost), result.requests); }},
+      {"preempted", "requests preempted", -1, 0,
+       [](const ScenarioResult& result, double) { return ToDouble(result.preempted); }},
+      {"overshoot", "concurrency limits of all nodes / slots of the fleet, max", 0, 2,
+       [](const ScenarioResult& result, double) { return result.joint_overshoot; }},
+      {"joint_shares", "sum of the traffic shares of all nodes, max", 0, 3,
+       [](const ScenarioResult& result, double) { return result.joint_shares; }},
+      {"crowd", "requests at the fullest replica / mean", -1, 2,
+       [](const ScenarioResult& result, double) { return result.peak_to_mean_load; }},
+      {"full", "share of attempts rejected at capacity", -1, 4,
+       [](const ScenarioResult& result, double) { return Ratio(ToDouble(result.full), result.attempts); }},
+      {"errors", "errors, resets, timeouts, failed connections per 1000 requests", -1, 2,
+       [](const ScenarioResult& result, double) {
+         return 1000 * Ratio(ToDouble(result.errors), result.calls);
+       }},
+      {"back_s", "recovery to 95% of the share of worth before the faults, s", -1, 1,
+       [](const ScenarioResult& result, double) { return result.recovery_s; }},
+      {"cold_pushed", "seconds in which cold replicas were overloaded", -1, 1,
+       [](const ScenarioResult& result, double) { return ToDouble(result.violations.cold_pushed); }},
+      {"worst_replica", "requests served by the busiest replica / mean", -1, 2,
+       [](const ScenarioResult& result, double) {
          double sum = 0, most = 0;
-         for (const double v : d.served_by_replica) {
+         for (const double v : result.served_by_replica) {
            sum += v;
            most = std::max(most, v);
          }
-         return sum > 0 ? most * static_cast<double>(d.served_by_replica.size()) / sum : 0;
+         return sum > 0 ? most * static_cast<double>(result.served_by_replica.size()) / sum : 0;
        }},
-      {"breaks", "rules broken", -1, 0,
-       [](const ScenarioResult& d, double) { return Whole(d.violations.all()); }},
+      {"breaks", "rule violations", -1, 0,
+       [](const ScenarioResult& result, double) { return ToDouble(result.violations.all()); }},
   };
   return all;
 }
