--- a/lab/rollout/command.cpp
+++ b/lab/rollout/command.cpp
@@ -18,31 +18,32 @@
 }
 
 // Returns 1 if a run violated an invariant, and 0 otherwise.
-int PrintRow(const std::string& name, const char* rule, const SimulationTotals& s, bool print_ends) {
-  const double n = s.runs;
+int PrintRow(const std::string& name, const char* rule, const SimulationTotals& totals, bool print_ends) {
+  const double runs = totals.runs;
   std::printf("%-28s %-10s %5d %6d %6d %6d %7d | %7.2f %10.0f %8.4f%% | %7.0f %zu\n", name.c_str(), rule,
-              s.runs, s.done, s.stopped, s.other, s.stopped_in_first_stage, s.exposed_nodes / n,
-              s.exposed_requests / n, 100 * s.worth_lost / s.worth, s.seconds / n, s.violations.size());
-  for (std::size_t i = 0; i < std::min<std::size_t>(4, s.violations.size()); ++i)
-    std::printf("  %s\n", s.violations[i].c_str());
+              totals.runs, totals.done, totals.stopped, totals.other, totals.stopped_in_first_stage,
+              totals.exposed_nodes / runs, totals.exposed_requests / runs,
+              100 * totals.worth_lost / totals.worth, totals.seconds / runs, totals.violations.size());
+  for (std::size_t i = 0; i < std::min<std::size_t>(4, totals.violations.size()); ++i)
+    std::printf("  %s\n", totals.violations[i].c_str());
   if (print_ends) {
-    for (const std::string& end : s.ends) std::printf("  %s\n", end.c_str());
+    for (const std::string& end : totals.ends) std::printf("  %s\n", end.c_str());
   }
   std::fflush(stdout);
-  return s.violations.empty() ? 0 : 1;
+  return totals.violations.empty() ? 0 : 1;
 }
 
 std::vector<std::pair<std::string, ReleaseDefects>> DefectCases() {
   std::vector<std::pair<std::string, ReleaseDefects>> all(1, {"no worse (A/A)", {}});
   for (const int percent : {1, 2, 5, 20}) {
-    ReleaseDefects h;
-    h.failed_share = percent / 100.0;
-    all.emplace_back("fails " + std::to_string(percent) + "% more", h);
+    ReleaseDefects defects;
+    defects.failed_share = percent / 100.0;
+    all.emplace_back("fails " + std::to_string(percent) + "% more", defects);
   }
   for (const int percent : {10, 30, 100}) {
-    ReleaseDefects h;
-    h.first_token_slowdown = percent / 100.0;
-    all.emplace_back("first token " + std::to_string(percent) + "% slower", h);
+    ReleaseDefects defects;
+    defects.first_token_slowdown = percent / 100.0;
+    all.emplace_back("first token " + std::to_string(percent) + "% slower", defects);
   }
   ReleaseDefects rejects;
   rejects.rejected_share = 0.5;
@@ -55,14 +56,14 @@
   crashes.crash_at_request = 50;
   all.emplace_back("crashes at the 50th request", crashes);
   for (const auto& [name, set] : std::vector<std::pair<std::string, void (*)(ReleaseDefects&)>>{
-           {"does not start", [](ReleaseDefects& h) { h.does_not_start = true; }},
-           {"never becomes ready", [](ReleaseDefects& h) { h.never_ready = true; }},
-           {"reports no metrics", [](ReleaseDefects& h) { h.no_metrics = true; }},
-           {"ignores SIGTERM", [](ReleaseDefects& h) { h.ignores_sigterm = true; }},
-           {"unreadable at one node", [](ReleaseDefects& h) { h.unreadable_on_node = "n7"; }}}) {
-    ReleaseDefects h;
-    set(h);
-    all.emplace_back(name, h);
+           {"does not start", [](ReleaseDefects& defects) { defects.does_not_start = true; }},
+           {"never becomes ready", [](ReleaseDefects& defects) { defects.never_ready = true; }},
+           {"reports no metrics", [](ReleaseDefects& defects) { defects.no_metrics = true; }},
+           {"ignores SIGTERM", [](ReleaseDefects& defects) { defects.ignores_sigterm = true; }},
+           {"unreadable at one node", [](ReleaseDefects& defects) { defects.unreadable_on_node = "n7"; }}}) {
+    ReleaseDefects defects;
+    set(defects);
+    all.emplace_back(name, defects);
   }
   return all;
 }
@@ -106,51 +107,54 @@
 bool Commands::chosen() const { return rollout_->parsed(); }
 
 int Commands::Explore() const {
-  RolloutExploreOptions o;
-  o.nodes = nodes_ > 0 ? nodes_ : 3;
-  o.faults = faults_;
-  o.workers = workers_;
-  o.variant = variant_;
-  const RolloutExploration e = ExploreRollout(o);
+  RolloutExploreOptions options;
+  options.nodes = nodes_ > 0 ? nodes_ : 3;
+  options.faults = faults_;
+  options.workers = workers_;
+  options.variant = variant_;
+  const RolloutExploration exploration = ExploreRollout(options);
   const auto number = [](std::uint64_t n) { return static_cast<unsigned long long>(n); };
-  std::printf("%d nodes, %d faults%s%s: %llu states, %llu steps, %llu executions to their end\n", o.nodes,
-              o.faults, o.variant.empty() ? "" : ", variant ", o.variant.c_str(), number(e.states),
-              number(e.steps), number(e.executions));
-  for (const auto& [end, n] : e.ends) std::printf("  %-42s %llu\n", end.c_str(), number(n));
-  for (const auto& [name, n] : e.by_invariant)
+  std::printf("%d nodes, %d faults%s%s: %llu states, %llu steps, %llu executions to their end\n",
+              options.nodes, options.faults, options.variant.empty() ? "" : ", variant ",
+              options.variant.c_str(), number(exploration.states), number(exploration.steps),
+              number(exploration.executions));
+  for (const auto& [end, n] : exploration.ends) std::printf("  %-42s %llu\n", end.c_str(), number(n));
+  for (const auto& [name, n] : exploration.by_invariant)
     std::printf("broken: %s, %llu executions\n", name.c_str(), number(n));
-  for (std::size_t i = 0; i < std::min<std::size_t>(5, e.violations.size()); ++i)
-    std::printf("  %s: %s:%s\n", e.violations[i].invariant.c_str(), e.violations[i].what.c_str(),
-                e.violations[i].trace.c_str());
-  return e.violations.empty() ? 0 : 1;
+  for (std::size_t i = 0; i < std::min<std::size_t>(5, exploration.violations.size()); ++i)
+    std::printf("  %s: %s:%s\n", exploration.violations[i].invariant.c_str(),
+                exploration.violations[i].what.c_str(), exploration.violations[i].trace.c_str());
+  return exploration.violations.empty() ? 0 : 1;
 }
 
 int Commands::Real(const std::string& node_program) const {
-  LocalTierTrial t;
-  t.program = node_program;
-  t.nodes = nodes_ > 0 ? static_cast<std::size_t>(nodes_) : 16;
-  t.rate = rate_;
-  t.kills = kills_;
-  t.seed = static_cast<std::uint64_t>(seed_);
-  const LocalTierTrialResult r = RunLocalTierTrial(t);
+  LocalTierTrial trial;
+  trial.program = node_program;
+  trial.nodes = nodes_ > 0 ? static_cast<std::size_t>(nodes_) : 16;
+  trial.rate = rate_;
+  trial.kills = kills_;
+  trial.seed = static_cast<std::uint64_t>(seed_);
+  const LocalTierTrialResult result = RunLocalTierTrial(trial);
   std::printf(
       "%zu nodes, %.0f requests per second each: %d of %d rollouts done in %.1f s in total, %d drivers "
       "killed, "
       "at most %zu nodes changing at once\n"
       "share of the requested worth that was served: %.4f before, %.4f during (ratio %.4f)\n"
       "%llu requests: %llu unanswered, %llu failed or broken, %llu overlapping attempts\n",
-      t.nodes, t.rate, r.done, r.rollouts, r.seconds, r.drivers_killed, r.max_in_change, r.worth_share_before,
-      r.worth_share_during, r.worth_share_during / std::max(1e-9, r.worth_share_before),
-      static_cast<unsigned long long>(r.asked), static_cast<unsigned long long>(r.unanswered),
-      static_cast<unsigned long long>(r.other), static_cast<unsigned long long>(r.overlapping_attempts));
-  for (const std::string& b : r.violations) std::printf("broken: %s\n", b.c_str());
-  return r.violations.empty() ? 0 : 1;
+      trial.nodes, trial.rate, result.done, result.rollouts, result.seconds, result.drivers_killed,
+      result.max_in_change, result.worth_share_before, result.worth_share_during,
+      result.worth_share_during / std::max(1e-9, result.worth_share_before),
+      static_cast<unsigned long long>(result.asked), static_cast<unsigned long long>(result.unanswered),
+      static_cast<unsigned long long>(result.other),
+      static_cast<unsigned long long>(result.overlapping_attempts));
+  for (const std::string& violation : result.violations) std::printf("broken: %s\n", violation.c_str());
+  return result.violations.empty() ? 0 : 1;
 }
 
 int Commands::Run(const std::string& node_program) {
   if (explore_) return Explore();
   if (real_) return Real(node_program);
-  int bad = 0;
+  int violating_rows = 0;
   PrintHeader();
   if (set_ == "harms") {
     for (const auto& [name, defects] : DefectCases()) {
@@ -162,10 +166,10 @@
         s.defects = defects;
         s.rule = rule;
         s.max_seconds = 900;
-        bad += PrintRow(name, rule_name, RunSimulations(s, runs_, workers_), ends_);
+        violating_rows += PrintRow(name, rule_name, RunSimulations(s, runs_, workers_), ends_);
       }
     }
-    return bad > 0 ? 1 : 0;
+    return violating_rows > 0 ? 1 : 0;
   }
   std::vector<std::pair<std::string, SimulationSpec>> rows;
   SimulationSpec base;
@@ -237,8 +241,8 @@
     return detected == static_cast<int>(rows.size()) ? 0 : 1;
   }
   for (const auto& [name, s] : rows)
-    bad += PrintRow(name, "verdict", RunSimulations(s, runs_, workers_), ends_);
-  return bad > 0 ? 1 : 0;
+    violating_rows += PrintRow(name, "verdict", RunSimulations(s, runs_, workers_), ends_);
+  return violating_rows > 0 ? 1 : 0;
 }
 
 }  // namespace ryeglade::rollout_lab
--- a/lab/rollout/explorer.cpp
+++ b/lab/rollout/explorer.cpp
@@ -70,16 +70,16 @@
 // One execution of a rollout, up to some state. A copy goes on independently.
 class Execution {
  public:
-  explicit Execution(const RolloutExploreOptions& o)
-      : o_(&o), node_simulator_(RulesOf(o)), faults_left_(o.faults) {
+  explicit Execution(const RolloutExploreOptions& options)
+      : options_(&options), node_simulator_(RulesOf(options)), faults_left_(options.faults) {
     node_simulator_.now = kSecond;
-    for (int i = 0; i < o.nodes; ++i) {
-      SupervisedNode n;
-      n.name = fmt::format("n{}", i);
-      n.saved_state.active = n.saved_state.last_good = {"old", "/old", "", "", "", "", ""};
-      nodes_.push_back(std::move(n));
+    for (int i = 0; i < options.nodes; ++i) {
+      SupervisedNode node;
+      node.name = fmt::format("n{}", i);
+      node.saved_state.active = node.saved_state.last_good = {"old", "/old", "", "", "", "", ""};
+      nodes_.push_back(std::move(node));
     }
-    for (SupervisedNode& n : nodes_) node_simulator_.StartSupervisor(n);
+    for (SupervisedNode& node : nodes_) node_simulator_.StartSupervisor(node);
     AdvanceOneSecond();
     AdvanceOneSecond();
     NewDriver(false);
@@ -98,21 +98,22 @@
     std::vector<Step> all;
     bool driver_can_act = false;
     for (std::size_t i = 0; i < driver_runs_.size(); ++i) {
-      const DriverRun& p = driver_runs_[i];
-      if (p.finished || p.paused > 0 || p.round_done) continue;
+      const DriverRun& run = driver_runs_[i];
+      if (run.finished || run.paused > 0 || run.round_done) continue;
       driver_can_act = true;
       all.push_back({i, std::nullopt, Delivery::kDelivered, 0, false});
       if (faults_left_ == 0) continue;
-      for (const Delivery f : {Delivery::kLost, Delivery::kReplyLost})
-        all.push_back({i, std::nullopt, f, 0, false});
+      for (const Delivery delivery : {Delivery::kLost, Delivery::kReplyLost})
+        all.push_back({i, std::nullopt, delivery, 0, false});
       // A delayed claim is not explored: the driver does not wait for its reply, so it is like a lost one. A
       // delayed command may still be executed.
-      if (p.claims_done) {
-        for (const Delivery f : {Delivery::kDelayed1, Delivery::kDelayed3, Delivery::kDelayed5})
-          all.push_back({i, std::nullopt, f, 0, false});
+      if (run.claims_done) {
+        for (const Delivery delivery : {Delivery::kDelayed1, Delivery::kDelayed3, Delivery::kDelayed5})
+          all.push_back({i, std::nullopt, delivery, 0, false});
       }
-      for (const FaultKind m : {FaultKind::kDriverDies, FaultKind::kDriverPauses2, FaultKind::kDriverPauses6})
-        all.push_back({i, m, Delivery::kDelivered, 0, false});
+      for (const FaultKind kind :
+           {FaultKind::kDriverDies, FaultKind::kDriverPauses2, FaultKind::kDriverPauses6})
+        all.push_back({i, kind, Delivery::kDelivered, 0, false});
     }
     if (driver_can_act) return all;
     all.push_back({0, std::nullopt, Delivery::kDelivered, 0, true});
@@ -125,9 +126,9 @@
     }
     bool driver_is_running = false;
     for (std::size_t i = 0; i < driver_runs_.size(); ++i) {
-      const DriverRun& p = driver_runs_[i];
-      driver_is_running = driver_is_running || !p.finished;
-      if (!p.finished && p.paused == 0)
+      const DriverRun& run = driver_runs_[i];
+      driver_is_running = driver_is_running || !run.finished;
+      if (!run.finished && run.paused == 0)
         all.push_back({i, FaultKind::kStopRequested, Delivery::kDelivered, 0, true});
     }
     if (driver_is_running && driver_runs_.size() < kMaxDriverRuns) {
@@ -165,57 +166,59 @@
   std::uint64_t Fingerprint() const {
     std::string all = fmt::format("{} {} {} {} {}|", faults_left_, highest_executed_epoch_,
                                   rounds_without_driver_, second_plan_, nodes_killed_);
-    for (const SupervisedNode& n : nodes_) {
-      const SupervisorState& m = n.saved_state;
-      all += fmt::format("{} {} {} {} {} {} {} {} {} {} {} {} {}", m.epoch, m.driver, m.directive,
-                         m.directive_number, m.active.id, m.last_good.id, m.pending ? m.pending->id : "-",
-                         m.failed_release, m.failure_reason,
-                         n.supervisor_down ? n.supervisor_restart_at - node_simulator_.now : 0, m.plan.size(),
-                         m.current.pid > 0, m.next.pid > 0);
-      if (!n.supervisor_down) {
-        const SupervisorStatus s = n.supervisor->Status();
+    for (const SupervisedNode& node : nodes_) {
+      const SupervisorState& state = node.saved_state;
+      all += fmt::format("{} {} {} {} {} {} {} {} {} {} {} {} {}", state.epoch, state.driver, state.directive,
+                         state.directive_number, state.active.id, state.last_good.id,
+                         state.pending ? state.pending->id : "-", state.failed_release, state.failure_reason,
+                         node.supervisor_down ? node.supervisor_restart_at - node_simulator_.now : 0,
+                         state.plan.size(), state.current.pid > 0, state.next.pid > 0);
+      if (!node.supervisor_down) {
+        const SupervisorStatus s = node.supervisor->Status();
         all += fmt::format(" {} {} {}", static_cast<int>(s.phase), s.crashes,
                            s.claimed_at == 0 ? -1 : std::min(node_simulator_.now - s.claimed_at, 2 * kLease));
-        all += fmt::format(" {} {}", n.supervisor->current(), n.supervisor->next());
+        all += fmt::format(" {} {}", node.supervisor->current(), node.supervisor->next());
       }
-      for (const auto& [number, p] : n.processes)
-        all += fmt::format(" {}:{}{}{}{}{}", number, p.release.id, p.ready, p.terminating,
-                           node_simulator_.now - p.started,
-                           p.ends_at < 0 ? -1 : p.ends_at - node_simulator_.now);
+      for (const auto& [number, process] : node.processes)
+        all += fmt::format(" {}:{}{}{}{}{}", number, process.release.id, process.ready, process.terminating,
+                           node_simulator_.now - process.started,
+                           process.ends_at < 0 ? -1 : process.ends_at - node_simulator_.now);
       all += ";";
     }
-    for (const DriverRun& p : driver_runs_) {
-      if (p.finished) continue;
-      all += fmt::format("p{} {} {} {} {} {} [", p.number, p.second_plan, p.paused, p.round_done,
-                         p.claims_sent, p.claims_done);
-      for (const auto& [name, v] : p.responses)
+    for (const DriverRun& run : driver_runs_) {
+      if (run.finished) continue;
+      all += fmt::format("p{} {} {} {} {} {} [", run.number, run.second_plan, run.paused, run.round_done,
+                         run.claims_sent, run.claims_done);
+      for (const auto& [name, v] : run.responses)
         all += fmt::format("{} {} {} {},", name, v.claimed, v.status->active.id, v.status->pending);
-      for (const NodeCommand& o : p.commands)
-        all += fmt::format("{} {} {},", o.node, static_cast<int>(o.command.kind),
-                           o.command.claimed_at > 0 ? node_simulator_.now - o.command.claimed_at : -1);
-      all += "]" + p.driver.StateFingerprint(node_simulator_.now) + ";";
+      for (const NodeCommand& node_command : run.commands)
+        all += fmt::format(
+            "{} {} {},", node_command.node, static_cast<int>(node_command.command.kind),
+            node_command.command.claimed_at > 0 ? node_simulator_.now - node_command.command.claimed_at : -1);
+      all += "]" + run.driver.StateFingerprint(node_simulator_.now) + ";";
     }
-    for (const DelayedCommand& l : delayed_)
+    for (const DelayedCommand& delayed : delayed_)
       all +=
-          fmt::format("l{} {} {} {} {};", l.rounds, l.to, static_cast<int>(l.command.kind), l.command.epoch,
-                      l.command.claimed_at > 0 ? node_simulator_.now - l.command.claimed_at : -1);
+          fmt::format("l{} {} {} {} {};", delayed.rounds, delayed.to, static_cast<int>(delayed.command.kind),
+                      delayed.command.epoch,
+                      delayed.command.claimed_at > 0 ? node_simulator_.now - delayed.command.claimed_at : -1);
     return XXH3_64bits(all.data(), all.size());
   }
   // Called if the execution has returned to an earlier state without a fault.
   void ReportCycle() { AddViolation("ends", "the execution repeats its states for ever"); }
 
  private:
-  static NodeSimulator::Rules RulesOf(const RolloutExploreOptions& o) {
-    NodeSimulator::Rules r;
-    r.limits.lease = o.variant == "no-lease" || o.variant == "hasty" ? Time{1} << 50 : kLease;
-    r.limits.ready_timeout = 3 * kSecond;
-    r.limits.stop_timeout = 3 * kSecond;
-    r.limits.crash_window = 1000 * kSecond;
-    r.limits.initial_backoff = kSecond;
-    r.stop_duration = kSecond;
-    return r;
+  static NodeSimulator::Rules RulesOf(const RolloutExploreOptions& options) {
+    NodeSimulator::Rules rules;
+    rules.limits.lease = options.variant == "no-lease" || options.variant == "hasty" ? Time{1} << 50 : kLease;
+    rules.limits.ready_timeout = 3 * kSecond;
+    rules.limits.stop_timeout = 3 * kSecond;
+    rules.limits.crash_window = 1000 * kSecond;
+    rules.limits.initial_backoff = kSecond;
+    rules.stop_duration = kSecond;
+    return rules;
   }
-  bool HasVariant(const char* variant) const { return o_->variant == variant; }
+  bool HasVariant(const char* variant) const { return options_->variant == variant; }
 
   rollout::Plan PlanOf(bool second) const {
     rollout::Plan plan;
@@ -234,8 +237,8 @@
 
   void NewDriver(bool second) {
     std::uint64_t epoch = 0;
-    for (const SupervisedNode& n : nodes_) {
-      if (!n.supervisor_down) epoch = std::max(epoch, n.supervisor->Status().epoch);
+    for (const SupervisedNode& node : nodes_) {
+      if (!node.supervisor_down) epoch = std::max(epoch, node.supervisor->Status().epoch);
     }
     const int number = ++driver_count_;
     driver_runs_.push_back({Driver(PlanOf(second), epoch + 1, fmt::format("d{}", number),
@@ -255,14 +258,14 @@
     if (step.begins_round && step.fault &&
         (*step.fault == FaultKind::kSupervisorDies || *step.fault == FaultKind::kNodeDies))
       return "(n" + std::to_string(step.node) + ")";
-    const DriverRun& p = driver_runs_[step.driver_run];
-    if (step.begins_round) return fmt::format("(d{})", p.number);
-    const std::string to = !p.claims_done ? fmt::format("claim n{}", p.claims_sent)
-                           : p.commands.empty()
+    const DriverRun& run = driver_runs_[step.driver_run];
+    if (step.begins_round) return fmt::format("(d{})", run.number);
+    const std::string to = !run.claims_done ? fmt::format("claim n{}", run.claims_sent)
+                           : run.commands.empty()
                                ? "-"
-                               : fmt::format("{} {}", static_cast<int>(p.commands.front().command.kind),
-                                             p.commands.front().node);
-    return fmt::format("(d{} {})", p.number, to);
+                               : fmt::format("{} {}", static_cast<int>(run.commands.front().command.kind),
+                                             run.commands.front().node);
+    return fmt::format("(d{} {})", run.number, to);
   }
 
   void InjectFault(const Step& step) {
@@ -280,21 +283,22 @@
         driver_runs_[step.driver_run].driver.SetDirective("back", "stopped");
         break;
       case FaultKind::kSupervisorDies: {
-        SupervisedNode& n = nodes_[step.node];
-        n.supervisor_down = true;
-        n.supervisor_restart_at = node_simulator_.now + kSupervisorRestartRounds * kSecond;
-        if (HasVariant("forgetful")) n.saved_state.last_good = {};
+        SupervisedNode& node = nodes_[step.node];
+        node.supervisor_down = true;
+        node.supervisor_restart_at = node_simulator_.now + kSupervisorRestartRounds * kSecond;
+        if (HasVariant("forgetful")) node.saved_state.last_good = {};
         break;
       }
       case FaultKind::kNodeDies: {
-        SupervisedNode& n = nodes_[step.node];
-        const auto at = std::find_if(n.processes.begin(), n.processes.end(),
-                                     [](const auto& p) { return p.second.ready && !p.second.terminating; });
-        if (at == n.processes.end()) break;
+        SupervisedNode& node = nodes_[step.node];
+        const auto at = std::find_if(node.processes.begin(), node.processes.end(), [](const auto& process) {
+          return process.second.ready && !process.second.terminating;
+        });
+        if (at == node.processes.end()) break;
         const int number = at->first;
-        n.processes.erase(at);
+        node.processes.erase(at);
         nodes_killed_ |= 1U << step.node;
-        if (!n.supervisor_down) node_simulator_.EndProcess(n, number);
+        if (!node.supervisor_down) node_simulator_.EndProcess(node, number);
         break;
       }
       case FaultKind::kNewDriver:
@@ -307,36 +311,36 @@
 
   // Sends the driver's next message. After its last claim the driver decides on the commands of the round.
   void SendNext(std::size_t number, Delivery delivery) {
-    DriverRun& p = driver_runs_[number];
-    if (!p.claims_done) {
-      const std::size_t to = p.claims_sent++;
-      NodeCommand claim{nodes_[to].name, p.driver.MakeClaim()};
+    DriverRun& run = driver_runs_[number];
+    if (!run.claims_done) {
+      const std::size_t to = run.claims_sent++;
+      NodeCommand claim{nodes_[to].name, run.driver.MakeClaim()};
       if (const auto reply = Send(to, claim.command, delivery)) {
-        p.responses[claim.node] = {reply->status, reply->accepted};
-        if (!reply->accepted) p.driver.OnRejected(reply->reason);
+        run.responses[claim.node] = {reply->status, reply->accepted};
+        if (!reply->accepted) run.driver.OnRejected(reply->reason);
       }
-      if (p.claims_sent < nodes_.size()) return;
-      p.claims_done = true;
-      if (!p.driver.ended()) {
-        p.commands = p.driver.RunRound(node_simulator_.now, p.responses);
-        std::stable_partition(p.commands.begin(), p.commands.end(), [](const NodeCommand& o) {
-          return o.command.kind == CommandKind::kSetDirective;
+      if (run.claims_sent < nodes_.size()) return;
+      run.claims_done = true;
+      if (!run.driver.ended()) {
+        run.commands = run.driver.RunRound(node_simulator_.now, run.responses);
+        std::stable_partition(run.commands.begin(), run.commands.end(), [](const NodeCommand& node_command) {
+          return node_command.command.kind == CommandKind::kSetDirective;
         });
       }
     } else {
-      const NodeCommand command = p.commands.front();
-      p.commands.erase(p.commands.begin());
+      const NodeCommand command = run.commands.front();
+      run.commands.erase(run.commands.begin());
       const std::size_t to = static_cast<std::size_t>(std::stoul(command.node.substr(1)));
       const auto reply = Send(to, command.command, delivery);
-      if (reply && !reply->accepted) p.driver.OnRejected(reply->reason);
+      if (reply && !reply->accepted) run.driver.OnRejected(reply->reason);
     }
     // All commands of a round are sent, as by the real driver, even after a reply that rejects a stale epoch.
-    if (!p.commands.empty()) return;
-    p.round_done = true;
-    if (p.driver.state() == RolloutState::kSuperseded) {
-      p.finished = true;
-    } else if (p.driver.ended() || p.driver.state() == RolloutState::kPaused) {
-      End(p);
+    if (!run.commands.empty()) return;
+    run.round_done = true;
+    if (run.driver.state() == RolloutState::kSuperseded) {
+      run.finished = true;
+    } else if (run.driver.ended() || run.driver.state() == RolloutState::kPaused) {
+      End(run);
     }
   }
 
@@ -362,25 +366,26 @@
   }
 
   std::optional<CommandReply> Deliver(std::size_t to, const SupervisorCommand& command) {
-    SupervisedNode& n = nodes_[to];
-    if (n.supervisor_down) return std::nullopt;
-    SupervisorCommand c = command;
-    if (HasVariant("no-token") || HasVariant("hasty")) c.claimed_at = 0;
+    SupervisedNode& node = nodes_[to];
+    if (node.supervisor_down) return std::nullopt;
+    SupervisorCommand delivered = command;
+    if (HasVariant("no-token") || HasVariant("hasty")) delivered.claimed_at = 0;
     if (HasVariant("any-epoch")) {
-      const SupervisorStatus s = n.supervisor->Status();
-      if (c.epoch < s.epoch) c.epoch = s.epoch;
-      if (c.epoch == s.epoch && s.epoch > 0) c.driver = s.driver;
+      const SupervisorStatus s = node.supervisor->Status();
+      if (delivered.epoch < s.epoch) delivered.epoch = s.epoch;
+      if (delivered.epoch == s.epoch && s.epoch > 0) delivered.driver = s.driver;
     }
     std::vector<SupervisorEffect> effects;
-    CommandReply reply = n.supervisor->HandleCommand(node_simulator_.now, c, effects);
-    const bool executed = reply.accepted && !effects.empty() &&
-                          (c.kind == CommandKind::kChange || c.kind == CommandKind::kRollBack);
-    node_simulator_.CarryOut(n, std::move(effects));
+    CommandReply reply = node.supervisor->HandleCommand(node_simulator_.now, delivered, effects);
+    const bool executed =
+        reply.accepted && !effects.empty() &&
+        (delivered.kind == CommandKind::kChange || delivered.kind == CommandKind::kRollBack);
+    node_simulator_.CarryOut(node, std::move(effects));
     if (executed) {
       if (command.epoch < highest_executed_epoch_)
         AddViolation("one-driver",
                      fmt::format("a command of epoch {} was executed at {} after one of epoch {}",
-                                 command.epoch, n.name, highest_executed_epoch_));
+                                 command.epoch, node.name, highest_executed_epoch_));
       highest_executed_epoch_ = std::max(highest_executed_epoch_, command.epoch);
     }
     reply.status.metrics = NodeMetrics{};
@@ -392,27 +397,27 @@
 
   // Advances the clock by one second and lets supervisors and processes restart, become ready or end.
   void AdvanceOneSecond() {
-    for (SupervisedNode& n : nodes_) {
-      if (n.supervisor_down && node_simulator_.now >= n.supervisor_restart_at)
-        node_simulator_.StartSupervisor(n);
-      std::vector<int> gone;
-      for (const auto& [number, p] : n.processes) {
-        if (p.ends_at >= 0 && node_simulator_.now >= p.ends_at) gone.push_back(number);
+    for (SupervisedNode& node : nodes_) {
+      if (node.supervisor_down && node_simulator_.now >= node.supervisor_restart_at)
+        node_simulator_.StartSupervisor(node);
+      std::vector<int> ended;
+      for (const auto& [number, process] : node.processes) {
+        if (process.ends_at >= 0 && node_simulator_.now >= process.ends_at) ended.push_back(number);
       }
-      for (const int number : gone) {
-        n.processes.erase(number);
-        if (!n.supervisor_down) node_simulator_.EndProcess(n, number);
+      for (const int number : ended) {
+        node.processes.erase(number);
+        if (!node.supervisor_down) node_simulator_.EndProcess(node, number);
       }
-      if (n.supervisor_down) continue;
-      for (auto& [number, p] : n.processes) {
-        if (p.ready || node_simulator_.now - p.started < kSecond) continue;
-        p.ready = true;
+      if (node.supervisor_down) continue;
+      for (auto& [number, process] : node.processes) {
+        if (process.ready || node_simulator_.now - process.started < kSecond) continue;
+        process.ready = true;
         std::vector<SupervisorEffect> effects;
-        n.supervisor->OnProcessReady(node_simulator_.now, number, effects);
-        node_simulator_.CarryOut(n, std::move(effects));
+        node.supervisor->OnProcessReady(node_simulator_.now, number, effects);
+        node_simulator_.CarryOut(node, std::move(effects));
         break;
       }
-      node_simulator_.TickSupervisor(n);
+      node_simulator_.TickSupervisor(node);
     }
     node_simulator_.EndUnstartedProcesses();
     node_simulator_.now += kSecond;
@@ -422,23 +427,23 @@
     ++round_;
     AdvanceOneSecond();
     std::vector<DelayedCommand> due;
-    for (DelayedCommand& l : delayed_) {
-      if (--l.rounds <= 0) due.push_back(l);
+    for (DelayedCommand& delayed : delayed_) {
+      if (--delayed.rounds <= 0) due.push_back(delayed);
     }
-    std::erase_if(delayed_, [](const DelayedCommand& l) { return l.rounds <= 0; });
-    for (const DelayedCommand& l : due) Deliver(l.to, l.command);
+    std::erase_if(delayed_, [](const DelayedCommand& delayed) { return delayed.rounds <= 0; });
+    for (const DelayedCommand& delayed : due) Deliver(delayed.to, delayed.command);
     bool driver_is_running = false;
-    for (DriverRun& p : driver_runs_) {
-      if (p.finished) continue;
-      if (p.paused > 0) {
-        --p.paused;
+    for (DriverRun& run : driver_runs_) {
+      if (run.finished) continue;
+      if (run.paused > 0) {
+        --run.paused;
         continue;  // does not count as running, so another driver may be started
       }
       driver_is_running = true;
-      if (!p.round_done) continue;
-      p.round_done = p.claims_done = false;
-      p.claims_sent = 0;
-      p.responses.clear();
+      if (!run.round_done) continue;
+      run.round_done = run.claims_done = false;
+      run.claims_sent = 0;
+      run.responses.clear();
     }
     if (!driver_is_running && outcome_.empty()) {
       if (++rounds_without_driver_ >= 2) {
@@ -448,32 +453,33 @@
     } else {
       rounds_without_driver_ = 0;
     }
-    if (round_ > o_->rounds) AddViolation("ends", "the execution did not end");
+    if (round_ > options_->rounds) AddViolation("ends", "the execution did not end");
   }
 
-  void End(DriverRun& p) {
-    switch (p.driver.state()) {
+  void End(DriverRun& run) {
+    switch (run.driver.state()) {
       case RolloutState::kCompleted:
-        outcome_ = p.second_plan ? "second done" : "done";
-        for (const SupervisedNode& n : nodes_) {
-          if (n.saved_state.active.id != p.driver.plan().release.id && p.driver.skipped_nodes().empty())
+        outcome_ = run.second_plan ? "second done" : "done";
+        for (const SupervisedNode& node : nodes_) {
+          if (node.saved_state.active.id != run.driver.plan().release.id &&
+              run.driver.skipped_nodes().empty())
             AddViolation("all-changed",
-                         n.name + " runs " + n.saved_state.active.id + " although the rollout is done");
+                         node.name + " runs " + node.saved_state.active.id + " although the rollout is done");
         }
         break;
       case RolloutState::kRolledBack:
         outcome_ = "back";
-        for (const SupervisedNode& n : nodes_) {
-          if (n.supervisor_down || n.saved_state.active.id != p.driver.plan().release.id) continue;
-          const auto gone = p.driver.skipped_nodes();
-          if (n.saved_state.last_good.id != n.saved_state.active.id &&
-              std::find(gone.begin(), gone.end(), n.name) == gone.end())
-            AddViolation("stop-reaches", "the rollback did not reach " + n.name);
+        for (const SupervisedNode& node : nodes_) {
+          if (node.supervisor_down || node.saved_state.active.id != run.driver.plan().release.id) continue;
+          const auto skipped = run.driver.skipped_nodes();
+          if (node.saved_state.last_good.id != node.saved_state.active.id &&
+              std::find(skipped.begin(), skipped.end(), node.name) == skipped.end())
+            AddViolation("stop-reaches", "the rollback did not reach " + node.name);
         }
         break;
       case RolloutState::kPaused:
         // An operator would continue it. The execution ends here.
-        outcome_ = "paused: " + p.driver.reason();
+        outcome_ = "paused: " + run.driver.reason();
         break;
       default:
         break;
@@ -483,20 +489,22 @@
   void Check() {
     std::size_t changing = 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      const SupervisedNode& n = nodes_[i];
-      const SupervisorState& m = n.saved_state;
-      if (m.last_good.program.empty()) AddViolation("good-release", n.name + " has no last good release");
-      if (m.active.program.empty()) AddViolation("good-release", n.name + " has no active release");
-      if (m.pending && *m.pending != m.last_good) ++changing;
+      const SupervisedNode& node = nodes_[i];
+      const SupervisorState& state = node.saved_state;
+      if (state.last_good.program.empty())
+        AddViolation("good-release", node.name + " has no last good release");
+      if (state.active.program.empty()) AddViolation("good-release", node.name + " has no active release");
+      if (state.pending && *state.pending != state.last_good) ++changing;
       std::size_t living = 0, serving = 0;
-      for (const auto& [number, p] : n.processes) {
+      for (const auto& [number, process] : node.processes) {
         // A killed process does not count as living.
-        living += p.terminating || (p.ends_at >= 0 && p.ends_at <= node_simulator_.now) ? 0 : 1;
-        serving += p.ready && !p.terminating ? 1 : 0;
+        living +=
+            process.terminating || (process.ends_at >= 0 && process.ends_at <= node_simulator_.now) ? 0 : 1;
+        serving += process.ready && !process.terminating ? 1 : 0;
       }
-      if (living > 2) AddViolation("two-processes", fmt::format("{} has {} processes", n.name, living));
+      if (living > 2) AddViolation("two-processes", fmt::format("{} has {} processes", node.name, living));
       if (serving == 0 && (nodes_killed_ >> i & 1U) == 0 && round_ > 0)
-        AddViolation("serves", n.name + " has no serving process although none was killed");
+        AddViolation("serves", node.name + " has no serving process although none was killed");
     }
     if (changing > 1)
       AddViolation("at-once", fmt::format("{} nodes are changing at once, 1 allowed", changing));
@@ -506,7 +514,7 @@
     if (!violation_) violation_ = RolloutExploration::Violation{invariant, what, trace_};
   }
 
-  const RolloutExploreOptions* o_;
+  const RolloutExploreOptions* options_;
   NodeSimulator node_simulator_;
   int faults_left_;
   std::vector<SupervisedNode> nodes_;
@@ -524,12 +532,13 @@
 // them for the others while the queue has room.
 class Search {
  public:
-  explicit Search(const RolloutExploreOptions& o) : o_(o) {}
+  explicit Search(const RolloutExploreOptions& options) : options_(options) {}
 
   RolloutExploration Run() {
-    pending_.push_back(Execution(o_));
-    const int workers =
-        o_.workers > 0 ? o_.workers : std::max(1, static_cast<int>(std::thread::hardware_concurrency()));
+    pending_.push_back(Execution(options_));
+    const int workers = options_.workers > 0
+                            ? options_.workers
+                            : std::max(1, static_cast<int>(std::thread::hardware_concurrency()));
     std::vector<std::thread> threads;
     threads.reserve(static_cast<std::size_t>(workers));
     for (int i = 0; i < workers; ++i) threads.emplace_back([this] { RunWorker(); });
@@ -559,15 +568,15 @@
         changed_.notify_all();
         return;
       }
-      Execution c = std::move(pending_.back());
+      Execution execution = std::move(pending_.back());
       pending_.pop_back();
       ++busy_workers_;
       lock.unlock();
-      Counts t;
-      ExploreFrom(std::move(c), t);
+      Counts counts;
+      ExploreFrom(std::move(execution), counts);
       lock.lock();
       --busy_workers_;
-      Merge(t);
+      Merge(counts);
       changed_.notify_all();
     }
   }
@@ -579,37 +588,37 @@
   };
 
   // Follows the steps without a fault to the end of the execution, and explores each other step from a copy.
-  void ExploreFrom(Execution c, Counts& t) {
+  void ExploreFrom(Execution execution, Counts& counts) {
     std::unordered_set<std::uint64_t> own;  // fingerprints since the last fault
     while (true) {
-      if (c.finished()) {
-        ++t.executions;
-        if (c.violation()) {
-          t.violations.push_back(*c.violation());
+      if (execution.finished()) {
+        ++counts.executions;
+        if (execution.violation()) {
+          counts.violations.push_back(*execution.violation());
         } else {
-          ++t.ends[c.outcome().substr(0, 40)];
+          ++counts.ends[execution.outcome().substr(0, 40)];
         }
         return;
       }
-      const std::uint64_t fingerprint = c.Fingerprint();
-      if (!own.insert(fingerprint).second) c.ReportCycle();
-      if (c.finished()) continue;
+      const std::uint64_t fingerprint = execution.Fingerprint();
+      if (!own.insert(fingerprint).second) execution.ReportCycle();
+      if (execution.finished()) continue;
       if (!IsNewState(fingerprint)) return;
-      const std::vector<Execution::Step> steps_from_here = c.NextSteps();
+      const std::vector<Execution::Step> steps_from_here = execution.NextSteps();
       for (std::size_t i = 1; i < steps_from_here.size(); ++i) {
-        Execution branch = c;
+        Execution branch = execution;
         branch.Apply(steps_from_here[i]);
-        ++t.steps;
+        ++counts.steps;
         if (QueueHasRoom()) {
           const std::lock_guard<std::mutex> lock(mutex_);
           pending_.push_back(std::move(branch));
           changed_.notify_one();
         } else {
-          ExploreFrom(std::move(branch), t);
+          ExploreFrom(std::move(branch), counts);
         }
       }
-      c.Apply(steps_from_here.front());
-      ++t.steps;
+      execution.Apply(steps_from_here.front());
+      ++counts.steps;
     }
   }
 
@@ -618,17 +627,17 @@
     return pending_.size() < kMaxPending;
   }
 
-  void Merge(const Counts& t) {
-    result_.steps += t.steps;
-    result_.executions += t.executions;
-    for (const auto& [outcome, n] : t.ends) result_.ends[outcome] += n;
-    for (const auto& b : t.violations) {
+  void Merge(const Counts& counts) {
+    result_.steps += counts.steps;
+    result_.executions += counts.executions;
+    for (const auto& [outcome, n] : counts.ends) result_.ends[outcome] += n;
+    for (const auto& b : counts.violations) {
       ++result_.by_invariant[b.invariant];
       if (result_.violations.size() < kMaxViolations) result_.violations.push_back(b);
     }
   }
 
-  const RolloutExploreOptions& o_;
+  const RolloutExploreOptions& options_;
   std::array<Shard, 64> shards_;
   std::mutex mutex_;
   std::condition_variable changed_;
--- a/lab/rollout/local_tier.cpp
+++ b/lab/rollout/local_tier.cpp
@@ -36,10 +36,10 @@
 
 }  // namespace
 
-ChildProcess::ChildProcess(const std::vector<std::string>& words, const std::string& log) : log_(log) {
+ChildProcess::ChildProcess(const std::vector<std::string>& arguments, const std::string& log) : log_(log) {
   std::vector<char*> argv;
-  argv.reserve(words.size() + 1);
-  for (const std::string& w : words) argv.push_back(const_cast<char*>(w.c_str()));
+  argv.reserve(arguments.size() + 1);
+  for (const std::string& argument : arguments) argv.push_back(const_cast<char*>(argument.c_str()));
   argv.push_back(nullptr);
   pid_ = fork();
   if (pid_ < 0) throw std::runtime_error("cannot start a process");
@@ -66,9 +66,9 @@
   if (pid_ > 0) kill(pid_, number);
 }
 
-int ChildProcess::Wait(Time timeout, const std::function<void()>& turn) {
+int ChildProcess::Wait(Time timeout, const std::function<void()>& poll) {
   const Time end = Now() + timeout;
-  while (IsRunning() && Now() < end) turn();
+  while (IsRunning() && Now() < end) poll();
   if (pid_ > 0) return -1;
   return WIFEXITED(status_) ? WEXITSTATUS(status_) : 128 + WTERMSIG(status_);
 }
@@ -115,19 +115,19 @@
   std::vector<std::string> addresses{cluster::FreeAddress(driver_ip_)};
   std::vector<std::string> proxy_ips{fmt::format("127.{}.{}.250", 120 + pid % 60, pid / 60 % 250 + 1)};
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    Node& n = nodes_[i];
-    n.ip = fmt::format("127.{}.{}.{}", 20 + pid % 60, pid / 60 % 250 + 1, i + 1);
-    n.control = cluster::FreeAddress(n.ip);
-    n.client = cluster::FreeAddress(n.ip);
-    n.directory = fmt::format("{}/k{}", root_, i);
-    n.config = fmt::format("{}/n{}.json", root_, i);
+    Node& node = nodes_[i];
+    node.ip = fmt::format("127.{}.{}.{}", 20 + pid % 60, pid / 60 % 250 + 1, i + 1);
+    node.control = cluster::FreeAddress(node.ip);
+    node.client = cluster::FreeAddress(node.ip);
+    node.directory = fmt::format("{}/k{}", root_, i);
+    node.config = fmt::format("{}/n{}.json", root_, i);
     nlohmann::json config =
-        nlohmann::json::parse(lab::ConfigJson(n.client, discovery, discovery_.Text(true)));
+        nlohmann::json::parse(lab::ConfigJson(node.client, discovery, discovery_.Text(true)));
     config["name"] = fmt::format("n{}", i);
     config["settings"]["balancers"] = nodes_.size();
     if (options_.memory_mb > 0) config["limits"]["memory_mb"] = options_.memory_mb;
-    WriteFile(n.config, config.dump());
-    addresses.push_back(n.control);
+    WriteFile(node.config, config.dump());
+    addresses.push_back(node.control);
     proxy_ips.push_back(fmt::format("127.{}.{}.{}", 120 + pid % 60, pid / 60 % 250 + 1, i + 1));
   }
   if (options_.membership) WriteMembership();
@@ -147,9 +147,9 @@
 // Members reach each other directly, not over the links: the tests of membership stop the nodes themselves.
 void LocalTier::WriteMembership() {
   std::vector<std::string> listen;
-  for (Node& n : nodes_) {
-    listen.push_back(cluster::FreeAddress(n.ip));
-    n.status = cluster::FreeAddress(n.ip);
+  for (Node& node : nodes_) {
+    listen.push_back(cluster::FreeAddress(node.ip));
+    node.status = cluster::FreeAddress(node.ip);
   }
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     nodes_[i].settings = fmt::format("{}/n{}.toml", root_, i);
@@ -164,7 +164,7 @@
 
 LocalTier::~LocalTier() {
   clients_.clear();
-  for (Node& n : nodes_) n.supervisor.reset();
+  for (Node& node : nodes_) node.supervisor.reset();
   // Nodes whose supervisors were killed still run. They are found by the files of this tier's directory.
   try {
     for (const pid_t pid : ProcessesWith("serve")) kill(pid, SIGKILL);
@@ -183,21 +183,21 @@
 }
 
 void LocalTier::StartSupervisor(std::size_t i) {
-  Node& n = nodes_[i];
-  n.supervisor.reset();
-  std::vector<std::string> words{options_.program, "keep",
-                                 "--node",         fmt::format("n{}", i),
-                                 "--zone",         i % 2 == 0 ? "a" : "b",
-                                 "--directory",    n.directory,
-                                 "--control",      n.control,
-                                 "--program",      options_.program,
-                                 "--config",       n.config,
-                                 "--release",      "old",
-                                 "--lease",        options_.lease,
-                                 "--ready-within", options_.ready_within,
-                                 "--end-within",   options_.end_within};
-  if (!n.settings.empty()) words.insert(words.end(), {"--settings", n.settings});
-  n.supervisor = std::make_unique<ChildProcess>(words, fmt::format("{}/keeper-{}.log", root_, i));
+  Node& node = nodes_[i];
+  node.supervisor.reset();
+  std::vector<std::string> arguments{options_.program, "keep",
+                                     "--node",         fmt::format("n{}", i),
+                                     "--zone",         i % 2 == 0 ? "a" : "b",
+                                     "--directory",    node.directory,
+                                     "--control",      node.control,
+                                     "--program",      options_.program,
+                                     "--config",       node.config,
+                                     "--release",      "old",
+                                     "--lease",        options_.lease,
+                                     "--ready-within", options_.ready_within,
+                                     "--end-within",   options_.end_within};
+  if (!node.settings.empty()) arguments.insert(arguments.end(), {"--settings", node.settings});
+  node.supervisor = std::make_unique<ChildProcess>(arguments, fmt::format("{}/keeper-{}.log", root_, i));
 }
 
 void LocalTier::KillSupervisor(std::size_t i) {
@@ -270,15 +270,15 @@
   return view && view->joined && view->in_doubt;
 }
 
-std::vector<pid_t> LocalTier::ProcessesWith(const std::string& word, const std::string& file) const {
+std::vector<pid_t> LocalTier::ProcessesWith(const std::string& argument, const std::string& file) const {
   std::vector<pid_t> all;
   for (const auto& entry : std::filesystem::directory_iterator("/proc")) {
     const std::string name = entry.path().filename().string();
     if (name.find_first_not_of("0123456789") != std::string::npos) continue;
     const std::string command = ReadFileIfPresent(entry.path().string() + "/cmdline");
-    const bool has_word =
-        command.find(std::string("\0", 1) + word + std::string("\0", 1)) != std::string::npos;
-    if (has_word && command.find(file.empty() ? root_ : file) != std::string::npos)
+    const bool has_argument =
+        command.find(std::string("\0", 1) + argument + std::string("\0", 1)) != std::string::npos;
+    if (has_argument && command.find(file.empty() ? root_ : file) != std::string::npos)
       all.push_back(std::stoi(name));
   }
   return all;
@@ -336,7 +336,7 @@
   if (rest.find("most_passed_over") == std::string::npos) text += rest;
   if (options_.membership) {
     text += "[membership]\nstatus = [";
-    for (const Node& n : nodes_) text += fmt::format("\"{}\", ", n.status);
+    for (const Node& node : nodes_) text += fmt::format("\"{}\", ", node.status);
     text += "]\n";
   }
   std::string path = fmt::format("{}/{}.toml", root_, name);
@@ -347,12 +347,12 @@
 std::unique_ptr<ChildProcess> LocalTier::StartRolloutCommand(const std::string& verb, const std::string& plan,
                                                              const std::string& driver,
                                                              const std::vector<std::string>& more) {
-  std::vector<std::string> words{options_.program, "rollout", verb,     "--plan",  plan,
-                                 "--driver",       driver,    "--from", driver_ip_};
+  std::vector<std::string> arguments{options_.program, "rollout", verb,     "--plan",  plan,
+                                     "--driver",       driver,    "--from", driver_ip_};
   if (verb != "plan" && verb != "pause")
-    words.insert(words.end(), {"--round", "0.2", "--lease", options_.lease});
-  words.insert(words.end(), more.begin(), more.end());
-  return std::make_unique<ChildProcess>(words, fmt::format("{}/driver-{}.log", root_, driver_logs_++));
+    arguments.insert(arguments.end(), {"--round", "0.2", "--lease", options_.lease});
+  arguments.insert(arguments.end(), more.begin(), more.end());
+  return std::make_unique<ChildProcess>(arguments, fmt::format("{}/driver-{}.log", root_, driver_logs_++));
 }
 
 void LocalTier::CutLink(std::size_t i, bool to_supervisor, bool from_supervisor) {
@@ -361,20 +361,23 @@
 void LocalTier::SetLinkDelay(Time one_way) { delay_ = one_way; }
 
 LocalTier::RequestCounts LocalTier::request_counts() const {
-  RequestCounts s;
-  s.overlapping_attempts = attempt_counts_.overlapping_attempts;
+  RequestCounts counts;
+  counts.overlapping_attempts = attempt_counts_.overlapping_attempts;
   for (const auto& client : clients_) {
-    for (const auto& c : client->tally().classes()) {
-      const auto of = [&](load::Outcome o) { return c.outcomes[static_cast<std::size_t>(o)]; };
-      s.asked += c.asked;
-      s.worth += c.worth, s.worth_asked += c.worth_asked;
-      s.served += of(load::Outcome::kServed);
-      s.refused += of(load::Outcome::kRefused);
-      s.unanswered += of(load::Outcome::kNothing) + of(load::Outcome::kNotSent);
-      s.other += of(load::Outcome::kRejected) + of(load::Outcome::kFailed) + of(load::Outcome::kBroken);
+    for (const auto& class_tally : client->tally().classes()) {
+      const auto count_of = [&](load::Outcome outcome) {
+        return class_tally.outcomes[static_cast<std::size_t>(outcome)];
+      };
+      counts.asked += class_tally.asked;
+      counts.worth += class_tally.worth, counts.worth_asked += class_tally.worth_asked;
+      counts.served += count_of(load::Outcome::kServed);
+      counts.refused += count_of(load::Outcome::kRefused);
+      counts.unanswered += count_of(load::Outcome::kNothing) + count_of(load::Outcome::kNotSent);
+      counts.other += count_of(load::Outcome::kRejected) + count_of(load::Outcome::kFailed) +
+                      count_of(load::Outcome::kBroken);
     }
   }
-  return s;
+  return counts;
 }
 
 }  // namespace ryeglade::rollout_lab
--- a/lab/rollout/local_tier.h
+++ b/lab/rollout/local_tier.h
@@ -23,15 +23,15 @@
 // A child process with its output in a file. It gets SIGTERM from the destructor, and when the lab dies.
 class ChildProcess {
  public:
-  ChildProcess(const std::vector<std::string>& words, const std::string& log);
+  ChildProcess(const std::vector<std::string>& arguments, const std::string& log);
   ~ChildProcess();
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
   bool IsRunning();
   void Signal(int number) const;
-  // Calls `turn` until the process has ended. Returns its exit code, 128 plus the number of the signal that
+  // Calls `poll` until the process has ended. Returns its exit code, 128 plus the number of the signal that
   // killed it, or -1 if it still runs after `timeout`.
-  int Wait(Time timeout, const std::function<void()>& turn);
+  int Wait(Time timeout, const std::function<void()>& poll);
   std::string Log() const;
   pid_t pid() const { return pid_; }
 
@@ -113,9 +113,9 @@
   static uv_loop_t* Init(uv_loop_t* loop);
   void WriteMembership();
   std::optional<rollout::NodeClusterView> ClusterView(std::size_t node) const;
-  // Returns the processes whose command line has the argument `word` and names `file`, or any file of this
-  // tier if `file` is empty.
-  std::vector<pid_t> ProcessesWith(const std::string& word, const std::string& file = "") const;
+  // Returns the processes whose command line has the argument `argument` and names `file`, or any file of
+  // this tier if `file` is empty.
+  std::vector<pid_t> ProcessesWith(const std::string& argument, const std::string& file = "") const;
 
   LocalTierOptions options_;
   uv_loop_t loop_{};
--- a/lab/rollout/local_tier_trial.cpp
+++ b/lab/rollout/local_tier_trial.cpp
@@ -16,12 +16,12 @@
 constexpr double kWarmUpSeconds = 6, kBaselineSeconds = 20;
 constexpr Time kRolloutTimeout = 180 * kSecond;  // for one rollout
 
-std::string PlanStages(const LocalTierTrial& t) {
+std::string PlanStages(const LocalTierTrial& trial) {
   std::string text = "[[stage]]\ncount = 1\nsoak = \"2s\"\nrequests = 50\n";
-  if (t.nodes > 4)
-    text += fmt::format("[[stage]]\ncount = {}\nat_once = {}\nsoak = \"2s\"\nrequests = 100\n", t.nodes / 4,
-                        t.max_concurrent);
-  return text + fmt::format("[[stage]]\nat_once = {}\nsoak = \"2s\"\nrequests = 100\n", t.max_concurrent);
+  if (trial.nodes > 4)
+    text += fmt::format("[[stage]]\ncount = {}\nat_once = {}\nsoak = \"2s\"\nrequests = 100\n",
+                        trial.nodes / 4, trial.max_concurrent);
+  return text + fmt::format("[[stage]]\nat_once = {}\nsoak = \"2s\"\nrequests = 100\n", trial.max_concurrent);
 }
 
 // Wide limits, because a few seconds on a busy machine say little. The trial measures the change of release,
@@ -32,18 +32,18 @@
 
 }  // namespace
 
-LocalTierTrialResult RunLocalTierTrial(const LocalTierTrial& t) {
-  LocalTierTrialResult r;
-  LocalTierOptions o;
-  o.program = t.program;
-  o.nodes = t.nodes;
-  o.rate = t.rate;
-  o.seed = t.seed;
-  o.seconds = 3600;
-  LocalTier tier(o);
+LocalTierTrialResult RunLocalTierTrial(const LocalTierTrial& trial) {
+  LocalTierTrialResult result;
+  LocalTierOptions options;
+  options.program = trial.program;
+  options.nodes = trial.nodes;
+  options.rate = trial.rate;
+  options.seed = trial.seed;
+  options.seconds = 3600;
+  LocalTier tier(options);
   if (!tier.WaitUntilRunning()) {
-    r.violations.emplace_back("not all nodes of the tier serve after 30 s");
-    return r;
+    result.violations.emplace_back("not all nodes of the tier serve after 30 s");
+    return result;
   }
   tier.StartClients();
   const auto wait = [&](double seconds) {
@@ -53,79 +53,80 @@
   const auto after_warm_up = tier.request_counts();
   wait(kBaselineSeconds);
   const auto before_rollouts = tier.request_counts();
-  r.worth_share_before = (before_rollouts.worth - after_warm_up.worth) /
-                         std::max(1.0, before_rollouts.worth_asked - after_warm_up.worth_asked);
+  result.worth_share_before = (before_rollouts.worth - after_warm_up.worth) /
+                              std::max(1.0, before_rollouts.worth_asked - after_warm_up.worth_asked);
 
-  emulator::RandomStream random(t.seed, emulator::RandomPurpose::kFailures);
+  emulator::RandomStream random(trial.seed, emulator::RandomPurpose::kFailures);
   const std::string copy = tier.root() + "/ryeglade-2";
-  std::filesystem::copy_file(t.program, copy);
+  std::filesystem::copy_file(trial.program, copy);
   Time next_poll = 0;
   const auto watch = [&] {
     if (Now() < next_poll) return;
     next_poll = Now() + kPollInterval;
     std::size_t changing = 0;
-    for (std::size_t i = 0; i < t.nodes; ++i) {
+    for (std::size_t i = 0; i < trial.nodes; ++i) {
       const auto s = tier.Status(i);
       changing += s && !s->pending.empty() ? 1 : 0;
     }
-    r.max_in_change = std::max(r.max_in_change, changing);
+    result.max_in_change = std::max(result.max_in_change, changing);
   };
-  const auto add_violation = [&](const std::string& what) { r.violations.push_back(what); };
+  const auto add_violation = [&](const std::string& what) { result.violations.push_back(what); };
   do {
-    const std::string id = fmt::format("r{}", ++r.rollouts);
+    const std::string id = fmt::format("r{}", ++result.rollouts);
     const std::string plan = tier.WritePlan(
-        id, fmt::format("id = \"{}\"\nprogram = \"{}\"", id, r.rollouts % 2 == 1 ? copy : t.program),
+        id, fmt::format("id = \"{}\"\nprogram = \"{}\"", id, result.rollouts % 2 == 1 ? copy : trial.program),
         PlanStages(t), kGuards);
     const Time began = Now();
     int code = -1;
-    for (int driver = 0; code != 0 && Now() - began < kRolloutTimeout; ++driver) {
-      auto d = tier.StartRolloutCommand("start", plan, fmt::format("{}-d{}", id, driver));
-      const bool kill = r.drivers_killed < t.kills;
-      const Time lifetime = kill ? 1'200'000 + static_cast<Time>(random.Below(3'000'000)) : kRolloutTimeout;
+    for (int driver_number = 0; code != 0 && Now() - began < kRolloutTimeout; ++driver_number) {
+      auto driver = tier.StartRolloutCommand("start", plan, fmt::format("{}-d{}", id, driver_number));
+      const bool kills_driver = result.drivers_killed < trial.kills;
+      const Time lifetime =
+          kills_driver ? 1'200'000 + static_cast<Time>(random.Below(3'000'000)) : kRolloutTimeout;
       tier.Until(
           [&] {
             watch();
-            return !d->IsRunning();
+            return !driver->IsRunning();
           },
           lifetime);
-      if (d->IsRunning()) {
-        d->Signal(SIGKILL);
-        ++r.drivers_killed;
-        d->Wait(5 * kSecond, [&] { wait(0.02); });
+      if (driver->IsRunning()) {
+        driver->Signal(SIGKILL);
+        ++result.drivers_killed;
+        driver->Wait(5 * kSecond, [&] { wait(0.02); });
         continue;
       }
-      code = d->Wait(5 * kSecond, [&] { wait(0.02); });
+      code = driver->Wait(5 * kSecond, [&] { wait(0.02); });
       if (code != 0 && code != 4) {
-        add_violation(
-            fmt::format("the driver of {} ended with exit code {}: {}", id, code, d->Log().substr(0, 2000)));
+        add_violation(fmt::format("the driver of {} ended with exit code {}: {}", id, code,
+                                  driver->Log().substr(0, 2000)));
         break;
       }
     }
-    r.seconds += static_cast<double>(Now() - began) / 1e6;
-    if (code == 0 && tier.CountRunning(id) == t.nodes) {
-      ++r.done;
+    result.seconds += static_cast<double>(Now() - began) / 1e6;
+    if (code == 0 && tier.CountRunning(id) == trial.nodes) {
+      ++result.done;
     } else {
       add_violation(
-          fmt::format("release {} is active on {} of {} nodes", id, tier.CountRunning(id), t.nodes));
+          fmt::format("release {} is active on {} of {} nodes", id, tier.CountRunning(id), trial.nodes));
       break;
     }
-  } while (r.drivers_killed < t.kills);
+  } while (result.drivers_killed < trial.kills);
   const auto after_rollouts = tier.request_counts();
-  r.worth_share_during = (after_rollouts.worth - before_rollouts.worth) /
-                         std::max(1.0, after_rollouts.worth_asked - before_rollouts.worth_asked);
+  result.worth_share_during = (after_rollouts.worth - before_rollouts.worth) /
+                              std::max(1.0, after_rollouts.worth_asked - before_rollouts.worth_asked);
   tier.StopClients();
   const auto all = tier.request_counts();
-  r.asked = all.asked, r.unanswered = all.unanswered, r.other = all.other,
-  r.overlapping_attempts = all.overlapping_attempts;
-  if (r.overlapping_attempts > 0)
+  result.asked = all.asked, result.unanswered = all.unanswered, result.other = all.other,
+  result.overlapping_attempts = all.overlapping_attempts;
+  if (result.overlapping_attempts > 0)
     add_violation(fmt::format("{} attempts began while another of the same request was running",
-                              r.overlapping_attempts));
-  if (r.max_in_change > t.max_concurrent)
-    add_violation(
-        fmt::format("{} nodes were changing at once, {} allowed", r.max_in_change, t.max_concurrent));
+                              result.overlapping_attempts));
+  if (result.max_in_change > trial.max_concurrent)
+    add_violation(fmt::format("{} nodes were changing at once, {} allowed", result.max_in_change,
+                              trial.max_concurrent));
   if (all.asked != all.served + all.refused + all.unanswered + all.other)
     add_violation("some requests have no outcome");
-  return r;
+  return result;
 }
 
 }  // namespace ryeglade::rollout_lab
--- a/lab/rollout/simulation.cpp
+++ b/lab/rollout/simulation.cpp
@@ -51,43 +51,44 @@
 
 class Simulation {
  public:
-  explicit Simulation(const SimulationSpec& s)
-      : s_(s),
-        traffic_random_(s.seed, RandomPurpose::kArrivals),
-        fault_random_(s.seed, RandomPurpose::kFailures),
-        node_random_(s.seed, RandomPurpose::kSizes),
-        node_simulator_(RulesOf(s_)) {
+  explicit Simulation(const SimulationSpec& spec)
+      : spec_(spec),
+        traffic_random_(spec.seed, RandomPurpose::kArrivals),
+        fault_random_(spec.seed, RandomPurpose::kFailures),
+        node_random_(spec.seed, RandomPurpose::kSizes),
+        node_simulator_(RulesOf(spec_)) {
     std::string text = fmt::format(
         "name = \"trial\"\nunreached_after = \"20s\"\nmost_passed_over = 2\nask_after = \"600s\"\n"
         "back_at_once = {}\n[release]\nid = \"new\"\nprogram = \"/new\"\n",
-        std::max<std::size_t>(4, s.max_concurrent));
-    for (int i = 0; i < s.nodes; ++i) {
+        std::max<std::size_t>(4, spec.max_concurrent));
+    for (int i = 0; i < spec.nodes; ++i) {
       text += fmt::format("[[node]]\nname = \"n{}\"\nkeeper = \"127.0.0.1:{}\"\nzone = \"z{}\"\n", i,
-                          1000 + i, i % s.zones);
+                          1000 + i, i % spec.zones);
     }
-    std::vector<int> stages = s.stages;
-    if (s.rule == StopRule::kAllAtOnce) stages.clear();
+    std::vector<int> stages = spec.stages;
+    if (spec.rule == StopRule::kAllAtOnce) stages.clear();
     const std::size_t at_once =
-        s.rule == StopRule::kAllAtOnce ? static_cast<std::size_t>(s.nodes) : s.max_concurrent;
+        spec.rule == StopRule::kAllAtOnce ? static_cast<std::size_t>(spec.nodes) : spec.max_concurrent;
     for (const int n : stages)
       text += fmt::format("[[stage]]\ncount = {}\nat_once = {}\nsoak = \"{}s\"\nrequests = {}\n", n, at_once,
-                          s.soak_seconds, s.requests);
-    text += fmt::format("[[stage]]\nat_once = {}\nsoak = \"{}s\"\nrequests = {}\n", at_once, s.soak_seconds,
-                        s.requests);
+                          spec.soak_seconds, spec.requests);
+    text += fmt::format("[[stage]]\nat_once = {}\nsoak = \"{}s\"\nrequests = {}\n", at_once,
+                        spec.soak_seconds, spec.requests);
     // With the two simple rules the canary analysis must never stop the rollout, so its limits are as wide as
     // they can be.
-    if (s.rule != StopRule::kCanaryAnalysis)
+    if (spec.rule != StopRule::kCanaryAnalysis)
       text +=
           "[guards]\nfailed = 1\nrefused = 1\nlate = 1\nslower = 10\nattempts = 10\ngrowth = 1000\nworld = "
           "1\n";
     plan_ = ParsePlan("trial", text);
-    for (int i = 0; i < s.nodes; ++i) {
+    for (int i = 0; i < spec.nodes; ++i) {
       auto node = std::make_unique<SimulatedNode>();
       node->name = fmt::format("n{}", i);
-      node->zone = fmt::format("z{}", i % s.zones);
-      node->rate = node_random_.Lognormal(s.rate, s.spread);
-      node->baseline_failed_share = node_random_.Lognormal(s.baseline_failed_share, s.overdispersion);
-      node->baseline_rejected_share = node_random_.Lognormal(s.baseline_rejected_share, s.overdispersion);
+      node->zone = fmt::format("z{}", i % spec.zones);
+      node->rate = node_random_.Lognormal(spec.rate, spec.spread);
+      node->baseline_failed_share = node_random_.Lognormal(spec.baseline_failed_share, spec.overdispersion);
+      node->baseline_rejected_share =
+          node_random_.Lognormal(spec.baseline_rejected_share, spec.overdispersion);
       node->saved_state.active = node->saved_state.last_good = {"old", "/old", "/c", "", "", "", ""};
       nodes_.push_back(std::move(node));
     }
@@ -98,7 +99,7 @@
     for (now_ = kTick; now_ < kWarmUp; now_ += kTick) Tick();
     started_at_ = now_;
     NewDriver();
-    while (now_ - started_at_ < static_cast<Time>(s_.max_seconds * 1e6) && !finished_) {
+    while (now_ - started_at_ < static_cast<Time>(spec_.max_seconds * 1e6) && !finished_) {
       now_ += kTick;
       Tick();
       RunDrivers();
@@ -112,9 +113,9 @@
   double SecondsSinceStart() const { return static_cast<double>(now_ - started_at_) / 1e6; }
   bool Unreachable(std::size_t index) const {
     const auto n = static_cast<int>(index);
-    return nodes_[index]->lost || (s_.partition_first >= 0 && n >= s_.partition_first &&
-                                   n <= s_.partition_last && SecondsSinceStart() >= s_.partition_at &&
-                                   SecondsSinceStart() < s_.partition_at + s_.partition_seconds);
+    return nodes_[index]->lost || (spec_.partition_first >= 0 && n >= spec_.partition_first &&
+                                   n <= spec_.partition_last && SecondsSinceStart() >= spec_.partition_at &&
+                                   SecondsSinceStart() < spec_.partition_at + spec_.partition_seconds);
   }
   void AddViolation(const std::string& what) {
     if (result_.violations.size() < 8)
@@ -123,24 +124,25 @@
 
   // ---- Nodes and supervisors ----
 
-  static NodeSimulator::Rules RulesOf(const SimulationSpec& s) {
-    NodeSimulator::Rules r;
-    r.limits.lease = s.no_lease ? Time{1} << 50 : kLease;
-    r.limits.ready_timeout = 3 * kSecond;
-    r.limits.stop_timeout = 5 * kSecond;
-    r.memory_limit = kMemoryLimitBytes;
-    r.fails_to_start = [&s](const SupervisedNode& node, const Release& release) {
-      return release.id == "new" && (s.defects.does_not_start || s.defects.unreadable_on_node == node.name);
+  static NodeSimulator::Rules RulesOf(const SimulationSpec& spec) {
+    NodeSimulator::Rules rules;
+    rules.limits.lease = spec.no_lease ? Time{1} << 50 : kLease;
+    rules.limits.ready_timeout = 3 * kSecond;
+    rules.limits.stop_timeout = 5 * kSecond;
+    rules.memory_limit = kMemoryLimitBytes;
+    rules.fails_to_start = [&spec](const SupervisedNode& node, const Release& release) {
+      return release.id == "new" &&
+             (spec.defects.does_not_start || spec.defects.unreadable_on_node == node.name);
     };
-    r.ignores_sigterm = [&s](const Release& release) {
-      return release.id == "new" && s.defects.ignores_sigterm;
+    rules.ignores_sigterm = [&spec](const Release& release) {
+      return release.id == "new" && spec.defects.ignores_sigterm;
     };
-    return r;
+    return rules;
   }
 
   void StartSupervisor(SimulatedNode& node, bool is_restart) {
     if (is_restart) node.history.clear();  // a supervisor keeps it in memory only
-    if (s_.forgets_last_good && is_restart) node.saved_state.last_good = {};
+    if (spec_.forgets_last_good && is_restart) node.saved_state.last_good = {};
     node_simulator_.StartSupervisor(node);
   }
 
@@ -149,33 +151,34 @@
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       SimulatedNode& node = *nodes_[i];
       if (node.lost) continue;
-      if (static_cast<int>(i) == s_.lost_machine && started_at_ > 0 &&
-          SecondsSinceStart() >= s_.lost_machine_at) {
+      if (static_cast<int>(i) == spec_.lost_machine && started_at_ > 0 &&
+          SecondsSinceStart() >= spec_.lost_machine_at) {
         node.lost = true;
         node.processes.clear();
         continue;
       }
       const double tick_seconds = static_cast<double>(kTick) / 1e6;
       if (started_at_ > 0 && !node.supervisor_down &&
-          fault_random_.Chance(s_.supervisor_kills_per_second * tick_seconds)) {
+          fault_random_.Chance(spec_.supervisor_kills_per_second * tick_seconds)) {
         node.supervisor_down = true;
         node.supervisor_restart_at = now_ + 2 * kSecond;
         ++result_.supervisors_killed;
       }
       if (node.supervisor_down && now_ >= node.supervisor_restart_at) StartSupervisor(node, true);
       ServeRequests(node);
-      std::vector<int> gone;
+      std::vector<int> ended;
       for (auto& [number, p] : node.processes) {
-        const bool killed = started_at_ > 0 && fault_random_.Chance(s_.node_kills_per_second * tick_seconds);
-        if (killed || (p.ends_at >= 0 && now_ >= p.ends_at)) gone.push_back(number);
+        const bool killed =
+            started_at_ > 0 && fault_random_.Chance(spec_.node_kills_per_second * tick_seconds);
+        if (killed || (p.ends_at >= 0 && now_ >= p.ends_at)) ended.push_back(number);
       }
-      for (const int number : gone) {
+      for (const int number : ended) {
         node.processes.erase(number);
         if (!node.supervisor_down) node_simulator_.EndProcess(node, number);
       }
       if (node.supervisor_down) continue;
       for (auto& [number, p] : node.processes) {
-        const bool never_ready = p.release.id == "new" && s_.defects.never_ready;
+        const bool never_ready = p.release.id == "new" && spec_.defects.never_ready;
         if (!p.ready && !never_ready && now_ - p.started >= kSecond) {
           p.ready = true;
           std::vector<SupervisorEffect> effects;
@@ -195,7 +198,7 @@
     const auto at = node.processes.find(node.supervisor->current());
     node.last_metrics.reset();
     if (at == node.processes.end() || !at->second.ready) return;
-    if (at->second.release.id == "new" && s_.defects.no_metrics) return;
+    if (at->second.release.id == "new" && spec_.defects.no_metrics) return;
     node.last_metrics = at->second.metrics;
     node.last_metrics->measured_at = now_;
     if (node.history.empty() || now_ - node.history.back().metrics.measured_at >= 10 * kSecond)
@@ -207,10 +210,10 @@
     if (mean <= 0) return 0;
     const double limit = std::exp(-mean);
     int n = 0;
-    double p = traffic_random_.Unit();
-    while (p > limit) {
+    double product = traffic_random_.Unit();
+    while (product > limit) {
       ++n;
-      p *= traffic_random_.Unit();
+      product *= traffic_random_.Unit();
     }
     return n;
   }
@@ -221,12 +224,13 @@
     for (auto& [number, p] : node.processes) {
       if (p.ready && !p.terminating && (process == nullptr || p.started > process->started)) process = &p;
     }
-    const bool load_peak = s_.load_peak_at >= 0 && SecondsSinceStart() >= s_.load_peak_at &&
-                           SecondsSinceStart() < s_.load_peak_at + s_.load_peak_seconds && started_at_ > 0;
-    const bool fleet_failure = s_.fleet_failure_at >= 0 && SecondsSinceStart() >= s_.fleet_failure_at &&
-                               SecondsSinceStart() < s_.fleet_failure_at + s_.fleet_failure_seconds &&
+    const bool load_peak = spec_.load_peak_at >= 0 && SecondsSinceStart() >= spec_.load_peak_at &&
+                           SecondsSinceStart() < spec_.load_peak_at + spec_.load_peak_seconds &&
+                           started_at_ > 0;
+    const bool fleet_failure = spec_.fleet_failure_at >= 0 && SecondsSinceStart() >= spec_.fleet_failure_at &&
+                               SecondsSinceStart() < spec_.fleet_failure_at + spec_.fleet_failure_seconds &&
                                started_at_ > 0;
-    const double load_factor = load_peak ? s_.load_peak_factor : 1;
+    const double load_factor = load_peak ? spec_.load_peak_factor : 1;
     const int n = Poisson(node.rate * load_factor * static_cast<double>(kTick) / 1e6);
     for (int k = 0; k < n; ++k) {
       const bool agent = traffic_random_.Chance(0.2);
@@ -238,46 +242,48 @@
         continue;
       }
       const bool new_release = process->release.id == "new";
-      const bool defective = new_release && (s_.defects.only_class.empty() || s_.defects.only_class == cls);
-      ClassMetrics& c = process->metrics.classes[cls];
-      c.priority_weight = worth;
-      const double u = traffic_random_.Unit();
+      const bool defective =
+          new_release && (spec_.defects.only_class.empty() || spec_.defects.only_class == cls);
+      ClassMetrics& class_metrics = process->metrics.classes[cls];
+      class_metrics.priority_weight = worth;
+      const double outcome_draw = traffic_random_.Unit();
       const double baseline_failed_share =
-          std::min(0.9, node.baseline_failed_share + (fleet_failure ? s_.fleet_failure_share : 0));
+          std::min(0.9, node.baseline_failed_share + (fleet_failure ? spec_.fleet_failure_share : 0));
       const double baseline_rejected_share =
           std::min(0.9 - baseline_failed_share, node.baseline_rejected_share * (load_peak ? 10 : 1));
-      const double extra_failed_share = defective ? s_.defects.failed_share : 0,
-                   extra_rejected_share = defective ? s_.defects.rejected_share : 0;
+      const double extra_failed_share = defective ? spec_.defects.failed_share : 0,
+                   extra_rejected_share = defective ? spec_.defects.rejected_share : 0;
       const double attempts = 1 + (traffic_random_.Chance(0.05) ? 1 : 0);
-      c.attempts_sum += attempts, c.attempts_sum_of_squares += attempts * attempts;
+      class_metrics.attempts_sum += attempts, class_metrics.attempts_sum_of_squares += attempts * attempts;
       if (new_release) result_.exposed_requests += 1;
-      if (u < baseline_failed_share) {
-        ++c.failed;
-      } else if (u < baseline_failed_share + baseline_rejected_share) {
-        ++c.rejected;
-      } else if (u < baseline_failed_share + baseline_rejected_share + extra_failed_share) {
-        ++c.failed;
+      if (outcome_draw < baseline_failed_share) {
+        ++class_metrics.failed;
+      } else if (outcome_draw < baseline_failed_share + baseline_rejected_share) {
+        ++class_metrics.rejected;
+      } else if (outcome_draw < baseline_failed_share + baseline_rejected_share + extra_failed_share) {
+        ++class_metrics.failed;
         result_.worth_lost += worth;
-      } else if (u < baseline_failed_share + baseline_rejected_share + extra_failed_share +
-                         extra_rejected_share) {
-        ++c.rejected;
+      } else if (outcome_draw < baseline_failed_share + baseline_rejected_share + extra_failed_share +
+                                    extra_rejected_share) {
+        ++class_metrics.rejected;
         result_.worth_lost += worth;
       } else {
         double ms = traffic_random_.Lognormal(kFirstTokenMs, kFirstTokenSigma) * (load_peak ? 1.5 : 1);
-        if (defective) ms *= 1 + s_.defects.first_token_slowdown;
-        ++c.served;
-        ++c.started;
-        if (ms < 800) ++c.in_time;
-        c.first_token_ln_sum += std::log(ms);
-        c.first_token_ln_sum_of_squares += std::log(ms) * std::log(ms);
+        if (defective) ms *= 1 + spec_.defects.first_token_slowdown;
+        ++class_metrics.served;
+        ++class_metrics.started;
+        if (ms < 800) ++class_metrics.in_time;
+        class_metrics.first_token_ln_sum += std::log(ms);
+        class_metrics.first_token_ln_sum_of_squares += std::log(ms) * std::log(ms);
       }
       process->requests += 1;
-      if (new_release && s_.defects.crash_at_request > 0 && process->requests >= s_.defects.crash_at_request)
+      if (new_release && spec_.defects.crash_at_request > 0 &&
+          process->requests >= spec_.defects.crash_at_request)
         process->ends_at = now_;
     }
     if (process != nullptr && process->release.id == "new")
       process->metrics.memory_bytes +=
-          static_cast<std::uint64_t>(s_.defects.leak_bytes_per_second * static_cast<double>(kTick) / 1e6);
+          static_cast<std::uint64_t>(spec_.defects.leak_bytes_per_second * static_cast<double>(kTick) / 1e6);
   }
 
   // ---- Drivers ----
@@ -290,10 +296,10 @@
   std::optional<CommandReply> Send(const NodeCommand& command) {
     const std::size_t index = IndexOf(command.node);
     SimulatedNode& node = *nodes_[index];
-    if (Unreachable(index) || node.supervisor_down || fault_random_.Chance(s_.message_loss))
+    if (Unreachable(index) || node.supervisor_down || fault_random_.Chance(spec_.message_loss))
       return std::nullopt;
     SupervisorCommand c = command.command;
-    if (s_.accepts_any_epoch) {
+    if (spec_.accepts_any_epoch) {
       const SupervisorStatus s = node.supervisor->Status();
       if (c.epoch < s.epoch) c.epoch = s.epoch;
       if (c.epoch == s.epoch && s.epoch > 0) c.driver = s.driver;
@@ -314,36 +320,36 @@
     reply.status.now = now_;
     if (reply.accepted && node.supervisor->state().epoch > epoch)
       reply.status.history.assign(node.history.begin(), node.history.end());
-    if (s_.accepts_any_epoch) reply.status.epoch = std::min(reply.status.epoch, command.command.epoch);
-    if (fault_random_.Chance(s_.message_loss)) return std::nullopt;  // the command was executed
+    if (spec_.accepts_any_epoch) reply.status.epoch = std::min(reply.status.epoch, command.command.epoch);
+    if (fault_random_.Chance(spec_.message_loss)) return std::nullopt;  // the command was executed
     return reply;
   }
 
   void NewDriver() {
     std::uint64_t epoch = 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      if (!Unreachable(i) && !nodes_[i]->supervisor_down && !fault_random_.Chance(s_.message_loss))
+      if (!Unreachable(i) && !nodes_[i]->supervisor_down && !fault_random_.Chance(spec_.message_loss))
         epoch = std::max(epoch, nodes_[i]->supervisor->Status().epoch);
     }
-    DriverRun p;
+    DriverRun run;
     Plan plan = plan_;
-    if (s_.ignores_max_concurrent) {
+    if (spec_.ignores_max_concurrent) {
       for (Stage& stage : plan.stages) stage.max_concurrent = 100;
     }
-    p.driver = std::make_unique<Driver>(plan, epoch + 1, fmt::format("d{}", ++result_.drivers),
-                                        s_.no_lease ? 0 : kLease * 12 / 10);
-    p.next_round = now_;
-    driver_runs_.push_back(std::move(p));
+    run.driver = std::make_unique<Driver>(plan, epoch + 1, fmt::format("d{}", ++result_.drivers),
+                                          spec_.no_lease ? 0 : kLease * 12 / 10);
+    run.next_round = now_;
+    driver_runs_.push_back(std::move(run));
   }
 
   void RunDrivers() {
-    if (s_.concurrent_drivers && now_ % (20 * kSecond) == 0) NewDriver();
+    if (spec_.concurrent_drivers && now_ % (20 * kSecond) == 0) NewDriver();
     bool alive = false;
     for (std::size_t i = 0; i < driver_runs_.size(); ++i) {
       if (!driver_runs_[i].ended) RunDriver(driver_runs_[i]);
       alive = alive || !driver_runs_[i].ended;
     }
-    std::erase_if(driver_runs_, [](const DriverRun& p) { return p.ended; });
+    std::erase_if(driver_runs_, [](const DriverRun& run) { return run.ended; });
     if (!alive && !finished_ && next_driver_at_ < 0)
       next_driver_at_ = now_ + kSecond + static_cast<Time>(fault_random_.Below(4'000'000));
     if (next_driver_at_ >= 0 && now_ >= next_driver_at_) {
@@ -353,73 +359,74 @@
   }
 
   // Returns true if the driver was killed.
-  bool KillAtRandom(DriverRun& p) {
-    if (!fault_random_.Chance(s_.driver_kill_probability)) return false;
-    p.ended = true;
+  bool KillAtRandom(DriverRun& run) {
+    if (!fault_random_.Chance(spec_.driver_kill_probability)) return false;
+    run.ended = true;
     return true;
   }
 
-  void RunDriver(DriverRun& p) {
-    if (p.paused_until >= 0) {
-      if (now_ < p.paused_until) return;
-      p.paused_until = -1;  // sends what it had left to send
+  void RunDriver(DriverRun& run) {
+    if (run.paused_until >= 0) {
+      if (now_ < run.paused_until) return;
+      run.paused_until = -1;  // sends what it had left to send
     } else {
-      if (now_ < p.next_round) return;
-      p.next_round = now_ + kRoundInterval;
+      if (now_ < run.next_round) return;
+      run.next_round = now_ + kRoundInterval;
       std::map<std::string, SupervisorResponse> responses;
       for (const PlanNode& n : plan_.nodes) {
-        if (KillAtRandom(p)) return;
-        const auto reply = Send({n.name, p.driver->MakeClaim()});
+        if (KillAtRandom(run)) return;
+        const auto reply = Send({n.name, run.driver->MakeClaim()});
         if (!reply) continue;
         responses[n.name] = {reply->status, reply->accepted};
-        if (!reply->accepted) p.driver->OnRejected(reply->reason);
+        if (!reply->accepted) run.driver->OnRejected(reply->reason);
       }
-      if (!p.driver->ended()) {
-        const std::vector<NodeCommand> commands = p.driver->RunRound(now_, responses);
+      if (!run.driver->ended()) {
+        const std::vector<NodeCommand> commands = run.driver->RunRound(now_, responses);
         // Directives are sent first, as by the real driver.
         for (const bool directives : {true, false}) {
           for (const NodeCommand& c : commands) {
-            if ((c.command.kind == CommandKind::kSetDirective) == directives) p.unsent_commands.push_back(c);
+            if ((c.command.kind == CommandKind::kSetDirective) == directives)
+              run.unsent_commands.push_back(c);
           }
         }
       }
-      ApplyThreshold(p);
-      if (fault_random_.Chance(s_.driver_pause_probability)) {
-        p.paused_until = now_ + static_cast<Time>(s_.driver_pause_seconds * 1e6);
+      ApplyThreshold(run);
+      if (fault_random_.Chance(spec_.driver_pause_probability)) {
+        run.paused_until = now_ + static_cast<Time>(spec_.driver_pause_seconds * 1e6);
         return;
       }
     }
-    while (!p.unsent_commands.empty()) {
-      if (KillAtRandom(p)) return;
-      const NodeCommand command = p.unsent_commands.front();
-      p.unsent_commands.pop_front();
+    while (!run.unsent_commands.empty()) {
+      if (KillAtRandom(run)) return;
+      const NodeCommand command = run.unsent_commands.front();
+      run.unsent_commands.pop_front();
       if (command.command.kind == CommandKind::kSetDirective && command.command.directive == "back" &&
           result_.stopped_at < 0) {
         result_.stopped_at = SecondsSinceStart();
-        result_.stopped_stage = p.driver->stage() + 1;
+        result_.stopped_stage = run.driver->stage() + 1;
         result_.stop_reason = command.command.directive_reason;
       }
       const auto reply = Send(command);
-      if (reply && !reply->accepted) p.driver->OnRejected(reply->reason);
+      if (reply && !reply->accepted) run.driver->OnRejected(reply->reason);
     }
-    switch (p.driver->state()) {
+    switch (run.driver->state()) {
       case RolloutState::kCompleted:
       case RolloutState::kRolledBack:
         finished_ = true;
-        result_.end = p.driver->state() == RolloutState::kCompleted ? "done" : "back";
+        result_.end = run.driver->state() == RolloutState::kCompleted ? "done" : "back";
         break;
       case RolloutState::kPaused:
         // In production an operator would look at it. Here the run ends, unless the rollout leaves the pause
         // within kPauseTimeout or a partition still lasts.
         if (paused_since_ < 0) paused_since_ = now_;
         if (now_ - paused_since_ > kPauseTimeout &&
-            SecondsSinceStart() > s_.partition_at + s_.partition_seconds) {
-          result_.end = "paused: " + p.driver->reason();
+            SecondsSinceStart() > spec_.partition_at + spec_.partition_seconds) {
+          result_.end = "paused: " + run.driver->reason();
           finished_ = true;
         }
         break;
       case RolloutState::kSuperseded:
-        p.ended = true;
+        run.ended = true;
         break;
       default:
         paused_since_ = -1;
@@ -428,8 +435,8 @@
 
   // StopRule::kThreshold: rolls back once the new release has concluded 100 requests and more than 5% of
   // them have failed or were rejected.
-  void ApplyThreshold(DriverRun& p) {
-    if (s_.rule != StopRule::kThreshold || p.driver->ended()) return;
+  void ApplyThreshold(DriverRun& run) {
+    if (spec_.rule != StopRule::kThreshold || run.driver->ended()) return;
     double bad = 0, n = 0;
     for (const auto& node : nodes_) {
       if (!node->last_metrics) continue;
@@ -439,7 +446,7 @@
         n += static_cast<double>(c.concluded()), bad += static_cast<double>(c.failed + c.rejected);
     }
     if (n >= 100 && bad / n > 0.05)
-      p.driver->SetDirective("back", fmt::format("{:.3f} of requests bad", bad / n));
+      run.driver->SetDirective("back", fmt::format("{:.3f} of requests bad", bad / n));
   }
 
   // ---- Invariants ----
@@ -448,10 +455,10 @@
     std::size_t changing = 0;
     for (const auto& node : nodes_) {
       if (node->lost) continue;
-      const SupervisorState& m = node->saved_state;
-      if (m.last_good.program.empty()) AddViolation(node->name + " has no last good release");
-      if (m.active.program.empty()) AddViolation(node->name + " has no active release");
-      if (m.pending && m.pending->id == "new") ++changing;
+      const SupervisorState& state = node->saved_state;
+      if (state.last_good.program.empty()) AddViolation(node->name + " has no last good release");
+      if (state.active.program.empty()) AddViolation(node->name + " has no active release");
+      if (state.pending && state.pending->id == "new") ++changing;
       std::size_t living = 0;
       for (const auto& [number, p] : node->processes) {
         living += p.terminating ? 0 : 1;
@@ -459,7 +466,7 @@
       }
       if (living > 2) AddViolation(fmt::format("{} has {} processes", node->name, living));
     }
-    const std::size_t allowed = s_.rule == StopRule::kAllAtOnce ? nodes_.size() : s_.max_concurrent;
+    const std::size_t allowed = spec_.rule == StopRule::kAllAtOnce ? nodes_.size() : spec_.max_concurrent;
     if (changing > allowed)
       AddViolation(fmt::format("{} nodes are changing at once, {} allowed", changing, allowed));
   }
@@ -487,7 +494,7 @@
     }
   }
 
-  SimulationSpec s_;
+  SimulationSpec spec_;
   Plan plan_;
   RandomStream traffic_random_, fault_random_, node_random_;
   NodeSimulator node_simulator_;
@@ -513,22 +520,22 @@
     for (int i = next++; i < runs; i = next++) {
       SimulationSpec s = spec;
       s.seed = spec.seed + static_cast<std::uint64_t>(i);
-      const SimulationResult r = RunSimulation(s);
+      const SimulationResult result = RunSimulation(s);
       const std::lock_guard<std::mutex> lock(mutex);
       ++totals.runs;
-      if (r.end == "done") ++totals.done;
-      if (r.stopped_at >= 0) ++totals.stopped;
-      if (r.end != "done" && r.stopped_at < 0) ++totals.other;
-      if (r.stopped_at >= 0 && r.stopped_stage <= 1) ++totals.stopped_in_first_stage;
-      totals.exposed_nodes += static_cast<double>(r.exposed_nodes);
-      totals.exposed_requests += r.exposed_requests;
-      totals.worth_lost += r.worth_lost;
-      totals.worth += r.worth;
-      totals.seconds += r.seconds;
-      if (r.end != "done")
-        totals.ends.push_back(
-            fmt::format("seed {}: {}{}", s.seed, r.end, r.stop_reason.empty() ? "" : ": " + r.stop_reason));
-      for (const std::string& b : r.violations)
+      if (result.end == "done") ++totals.done;
+      if (result.stopped_at >= 0) ++totals.stopped;
+      if (result.end != "done" && result.stopped_at < 0) ++totals.other;
+      if (result.stopped_at >= 0 && result.stopped_stage <= 1) ++totals.stopped_in_first_stage;
+      totals.exposed_nodes += static_cast<double>(result.exposed_nodes);
+      totals.exposed_requests += result.exposed_requests;
+      totals.worth_lost += result.worth_lost;
+      totals.worth += result.worth;
+      totals.seconds += result.seconds;
+      if (result.end != "done")
+        totals.ends.push_back(fmt::format("seed {}: {}{}", s.seed, result.end,
+                                          result.stop_reason.empty() ? "" : ": " + result.stop_reason));
+      for (const std::string& b : result.violations)
         totals.violations.push_back(fmt::format("seed {}: {}", s.seed, b));
     }
   };
