--- a/lab/client.cpp
+++ b/lab/client.cpp
@@ -23,16 +23,16 @@
 void Client::Send(const std::string& to, std::string request, Time timeout, Done done) {
   const Handle handle = calls_.Add({});
   Call& c = *calls_.Get(handle);
-  c.tcp = Tcp::New(run_->loop, run_->buffers, this, handle);
+  c.tcp = Tcp::New(runtime_->loop, runtime_->buffers, this, handle);
   c.request = std::move(request);
   c.done = std::move(done);
   c.reply.headers = "\n";
   c.reply.started = Now();
   http_parser_init(&c.parser, HTTP_RESPONSE);
-  c.deadline = run_->deadlines->Set(Now() + timeout, [this, handle] { End(handle); });
+  c.deadline = runtime_->deadlines->Set(Now() + timeout, [this, handle] { End(handle); });
   sockaddr_storage address{};
   if (!ParseAddress(to, &address) || c.tcp->Connect(address) != 0) {
-    run_->deadlines->Set(Now(), [this, handle] { End(handle); });
+    runtime_->deadlines->Set(Now(), [this, handle] { End(handle); });
   }
 }
 
@@ -50,7 +50,7 @@
     http_parser_settings_init(&s);
     s.on_header_field = [](http_parser* p, const char* at, std::size_t n) {
       Call& c = *static_cast<Call*>(p->data);
-      if (std::exchange(c.value_next, false)) c.reply.headers += "\n";
+      if (std::exchange(c.has_header_value, false)) c.reply.headers += "\n";
       for (std::size_t i = 0; i < n; ++i) {
         c.reply.headers += static_cast<char>(std::tolower(static_cast<unsigned char>(at[i])));
       }
@@ -58,7 +58,7 @@
     };
     s.on_header_value = [](http_parser* p, const char* at, std::size_t n) {
       Call& c = *static_cast<Call*>(p->data);
-      if (!std::exchange(c.value_next, true)) c.reply.headers += ": ";
+      if (!std::exchange(c.has_header_value, true)) c.reply.headers += ": ";
       c.reply.headers.append(at, n);
       return 0;
     };
@@ -97,7 +97,7 @@
 void Client::End(Handle handle) {
   Call* c = calls_.Get(handle);
   if (c == nullptr) return;
-  run_->deadlines->Cancel(c->deadline);
+  runtime_->deadlines->Cancel(c->deadline);
   c->tcp->Close();
   Reply reply = std::move(c->reply);
   reply.ended = Now();
--- a/lab/client.h
+++ b/lab/client.h
@@ -24,7 +24,7 @@
 class Client : public TcpOwner {
  public:
   using Done = std::function<void(const Reply&)>;
-  explicit Client(const Runtime* run) : run_(run) {}
+  explicit Client(const Runtime* runtime) : runtime_(runtime) {}
 
   // Sends the bytes of `request` to `to` (ip:port) and calls `done` with the response, or after `timeout`
   // with what has been received by then.
@@ -42,14 +42,14 @@
     Reply reply;
     http_parser parser{};
     std::string field;
-    bool value_next = false;
+    bool has_header_value = false;
     Done done;
     DeadlineId deadline{};
   };
   void End(Handle call);
   static const http_parser_settings& Callbacks();
 
-  const Runtime* run_;
+  const Runtime* runtime_;
   SlotTable<Call> calls_;
 };
 
--- a/lab/fake_discovery.cpp
+++ b/lab/fake_discovery.cpp
@@ -21,8 +21,9 @@
 
 }  // namespace
 
-FakeDiscovery::FakeDiscovery(const Runtime* run)
-    : run_(run), server_(run, this, {.listen = "127.0.0.1:0", .max_connections = 256, .admits = {}}) {}
+FakeDiscovery::FakeDiscovery(const Runtime* runtime)
+    : runtime_(runtime),
+      server_(runtime, this, {.listen = "127.0.0.1:0", .max_connections = 256, .admits = {}}) {}
 
 std::string FakeDiscovery::Text(bool full) const {
   nlohmann::json instances = nlohmann::json::array();
@@ -67,24 +68,25 @@
   if (!request.target.starts_with("/catalog/members")) return server_.Reply(connection, 404, "", "");
   if (silent_) return;
   const bool follow = request.target.find("follow=1") != std::string::npos;
-  if (reply_delay_ == 0) return Answer(connection, follow);
-  run_->deadlines->Set(Now() + reply_delay_, [this, connection, follow] { Answer(connection, follow); });
+  if (reply_delay_ == 0) return SendList(connection, follow);
+  runtime_->deadlines->Set(Now() + reply_delay_,
+                           [this, connection, follow] { SendList(connection, follow); });
 }
 
-void FakeDiscovery::Answer(Handle connection, bool follow) {
+void FakeDiscovery::SendList(Handle connection, bool follow) {
   if (unavailable_ || silent_ || !server_.Connected(connection)) return;
   if (!follow) {
     server_.Reply(connection, 200, "Content-Type: application/json\r\n", Text(true));
-    return AnnounceAll();
+    return ReportAllEntries();
   }
   watches_.insert(connection);
   server_.BeginChunks(connection, "Content-Type: application/json\r\n");
   server_.Chunk(connection, Text(true) + "\n");
-  AnnounceAll();
+  ReportAllEntries();
   if (!keep_alive_scheduled_) SendKeepAlive();
 }
 
-void FakeDiscovery::AnnounceAll() {
+void FakeDiscovery::ReportAllEntries() {
   if (!listed_callback_) return;
   for (const Entry& e : entries_) listed_callback_(e.name, e.entry.lifecycle);
 }
@@ -92,7 +94,7 @@
 void FakeDiscovery::SendKeepAlive() {
   keep_alive_scheduled_ = !watches_.empty();
   if (!keep_alive_scheduled_) return;
-  run_->deadlines->Set(Now() + kKeepAliveInterval, [this] {
+  runtime_->deadlines->Set(Now() + kKeepAliveInterval, [this] {
     for (const Handle watch : watches_) {
       if (!silent_) server_.Chunk(watch, "\n");
     }
--- a/lab/fake_discovery.h
+++ b/lab/fake_discovery.h
@@ -23,7 +23,7 @@
 
 class FakeDiscovery : public Front {
  public:
-  explicit FakeDiscovery(const Runtime* run);
+  explicit FakeDiscovery(const Runtime* runtime);
   std::string Listen() { return server_.Listen(); }
   void Close() { server_.Close(); }
   // Adds an endpoint or changes it, and reports it to the watches. `host_port` is ip:port.
@@ -51,11 +51,11 @@
     std::string name, host_port;
     DiscoveryEntry entry;
   };
-  void Answer(Handle connection, bool follow);
-  void AnnounceAll();
+  void SendList(Handle connection, bool follow);
+  void ReportAllEntries();
   void SendKeepAlive();
 
-  const Runtime* run_;
+  const Runtime* runtime_;
   Downstream server_;
   std::vector<Entry> entries_;
   std::set<Handle> watches_;
--- a/lab/fake_replica.cpp
+++ b/lab/fake_replica.cpp
@@ -16,13 +16,13 @@
 
 }  // namespace
 
-FakeReplica::FakeReplica(const Runtime* run, AttemptCounts* attempt_counts, FakeReplicaOptions options)
-    : run_(run),
+FakeReplica::FakeReplica(const Runtime* runtime, AttemptCounts* attempt_counts, FakeReplicaOptions options)
+    : runtime_(runtime),
       attempt_counts_(attempt_counts),
       options_(options),
-      chance_(options.seed, emulator::RandomPurpose::kFailures, options.number),
+      fault_random_(options.seed, emulator::RandomPurpose::kFailures, options.number),
       server_(
-          run, this,
+          runtime, this,
           {.listen = "127.0.0.1:0", .max_connections = 4096, .request_timeout = 60'000'000, .admits = {}}) {}
 
 std::string FakeReplica::Listen() { return server_.Listen(); }
@@ -68,7 +68,7 @@
     job.tokens = std::min(job.tokens, static_cast<std::size_t>(job.max_tokens));
   }
   job.fault = FaultInPrompt(body);
-  if (job.fault == Fault::kNone && chance_.Chance(options_.fault_share)) job.fault = options_.fault;
+  if (job.fault == Fault::kNone && fault_random_.Chance(options_.fault_share)) job.fault = options_.fault;
   if (options_.observer != nullptr) {
     options_.observer->OnRequestReceived(options_.number, connection, request, server_.PeerOf(connection));
   }
@@ -110,7 +110,7 @@
   const auto it = jobs_.find(connection);
   if (it == jobs_.end()) return;
   if (options_.observer != nullptr) options_.observer->OnAttemptEnded(options_.number, connection, how);
-  run_->deadlines->Cancel(it->second.next);
+  runtime_->deadlines->Cancel(it->second.next);
   --attempt_counts_->running[it->second.prompt];
   if (it->second.running) {
     --running_;
@@ -128,7 +128,8 @@
     Job& job = jobs_.at(connection);
     job.running = true;
     ++running_;
-    job.next = run_->deadlines->Set(Now() + options_.first_token, [this, connection] { Start(connection); });
+    job.next =
+        runtime_->deadlines->Set(Now() + options_.first_token, [this, connection] { Start(connection); });
   }
 }
 
@@ -180,7 +181,7 @@
   for (; job.sent < to; ++job.sent) text += Token(job.prompt, options_.seed, job.sent);
   const bool last = job.sent >= job.tokens;
   Send(connection, Event(job, text, last));
-  job.next = run_->deadlines->Set(
+  job.next = runtime_->deadlines->Set(
       Now() + spent, [this, connection, last] { last ? Finish(connection) : SendNextEvent(connection); });
 }
 
--- a/lab/fake_replica.h
+++ b/lab/fake_replica.h
@@ -60,7 +60,7 @@
 
 class FakeReplica : public Front {
  public:
-  FakeReplica(const Runtime* run, AttemptCounts* attempt_counts, FakeReplicaOptions options);
+  FakeReplica(const Runtime* runtime, AttemptCounts* attempt_counts, FakeReplicaOptions options);
   std::string Listen();  // its ip:port
   void Close() {
     if (!std::exchange(closed_, true)) server_.Close();
@@ -93,10 +93,10 @@
   std::string Event(const Job& job, const std::string& text, bool last) const;
   std::string Usage(const Job& job) const;
 
-  const Runtime* run_;
+  const Runtime* runtime_;
   AttemptCounts* attempt_counts_;
   FakeReplicaOptions options_;
-  emulator::RandomStream chance_;
+  emulator::RandomStream fault_random_;
   Downstream server_;
   std::map<Handle, Job> jobs_;
   std::deque<Handle> waiting_;
--- a/lab/fault_scenarios.cpp
+++ b/lab/fault_scenarios.cpp
@@ -43,69 +43,71 @@
     "limits.max-attempts=3\nlimits.max-retry-after=1000000\nobligations.answer-slack=16000\n"
     "obligations.cold=20000000\nobligations.cold-from=0.3\n";
 
-constexpr int kBatch = 16;
-constexpr std::size_t kQueue = 64;
+constexpr int kBatchSize = 16;
+constexpr std::size_t kQueueCapacity = 64;
 constexpr double kBackgroundFailures = 0.002;  // share of attempts
 
 // Each purpose has a random stream of its own, so that a changed option does not change the draws of the
 // others.
-enum Stream : std::uint64_t { kArrivals = 1, kPrompts, kSpeeds, kServing, kFailing };
+enum Stream : std::uint64_t { kArrivals = 1, kPrompts, kTimeFactors, kServing, kFailing };
 
 class FaultScenario : public DecisionObserver {
  public:
-  FaultScenario(const FaultScenarioOptions& o, const std::function<void(const Record&)>& sink)
-      : o_(o),
+  FaultScenario(const FaultScenarioOptions& options, const std::function<void(const Record&)>& sink)
+      : options_(options),
         sink_(sink),
-        arrivals_(o.seed, kArrivals),
-        prompts_(o.seed, kPrompts),
-        serving_(o.seed, kServing),
-        failing_(o.seed, kFailing),
-        router_(wire::ReadSettings(kSettings), o.seed, o.start_time + o.clock_offset),
-        now_(o.start_time) {
-    if (o.record_reasons) router_.SetObserver(this);
+        arrivals_(options.seed, kArrivals),
+        prompts_(options.seed, kPrompts),
+        serving_(options.seed, kServing),
+        failing_(options.seed, kFailing),
+        router_(wire::ReadSettings(kSettings), options.seed, options.start_time + options.clock_offset),
+        now_(options.start_time) {
+    if (options.record_reasons) router_.SetObserver(this);
   }
 
   FaultScenarioResult Play() {
-    sink_(Start{timeline::kFormat, o_.node, kSettings, o_.seed, Clock()});
-    pcg64 speeds(o_.seed, kSpeeds);
-    boost::random::lognormal_distribution<double> speed(0, 0.08);
-    for (int i = 0; i < o_.replicas; ++i) {
-      Server s;
+    sink_(Start{timeline::kFormat, options_.node, kSettings, options_.seed, Clock()});
+    pcg64 time_factors(options_.seed, kTimeFactors);
+    boost::random::lognormal_distribution<double> time_factor(0, 0.08);
+    for (int i = 0; i < options_.replicas; ++i) {
+      SimulatedReplica s;
       s.entry.id = 0x1000U + static_cast<ReplicaId>(i);
       s.name = fmt::format("replica-{:03}", i);
       s.address = fmt::format("10.0.{}.{}:8000", i / 200, i % 200 + 1);
-      s.speed = speed(speeds);
-      servers_.emplace(s.entry.id, std::move(s));
+      s.time_factor = time_factor(time_factors);
+      replicas_.emplace(s.entry.id, std::move(s));
     }
-    result_.victim = 0x1000U + static_cast<ReplicaId>(o_.seed % static_cast<std::uint64_t>(o_.replicas));
+    result_.victim =
+        0x1000U + static_cast<ReplicaId>(options_.seed % static_cast<std::uint64_t>(options_.replicas));
     PublishList(EndpointListScope::kFull, "watch");
-    const Time from = o_.start_time + static_cast<Time>(o_.fault_at * 1e6),
-               to = from + static_cast<Time>(o_.fault_seconds * 1e6);
-    result_.from = from + o_.clock_offset;
-    result_.to = to + o_.clock_offset;
+    const Time from = options_.start_time + static_cast<Time>(options_.fault_at * 1e6),
+               to = from + static_cast<Time>(options_.fault_seconds * 1e6);
+    result_.from = from + options_.clock_offset;
+    result_.to = to + options_.clock_offset;
     // The list gets a new generation every 30 s.
-    for (int k = 1; k * 30 < static_cast<int>(o_.seconds); ++k)
-      After(static_cast<Time>(k) * 30'000'000, [this] { PublishList(EndpointListScope::kDelta, "watch"); });
-    if (o_.fault != ScriptedFault::kNone) {
-      At(from, [this] { BeginFault(); });
-      At(to, [this] { EndFault(); });
+    for (int k = 1; k * 30 < static_cast<int>(options_.seconds); ++k)
+      ScheduleAfter(static_cast<Time>(k) * 30'000'000,
+                    [this] { PublishList(EndpointListScope::kDelta, "watch"); });
+    if (options_.fault != ScriptedFault::kNone) {
+      ScheduleAt(from, [this] { BeginFault(); });
+      ScheduleAt(to, [this] { EndFault(); });
     }
     ScheduleArrival();
-    const Time end = o_.start_time + static_cast<Time>(o_.seconds * 1e6);
+    const Time end = options_.start_time + static_cast<Time>(options_.seconds * 1e6);
     while (!queue_.empty() && queue_.top().at <= end) {
-      const Item item = queue_.top();
+      const ScheduledCallback item = queue_.top();
       queue_.pop();
       now_ = item.at;
-      auto what = std::move(todo_[item.order]);
-      todo_.erase(item.order);
+      auto what = std::move(callbacks_[item.order]);
+      callbacks_.erase(item.order);
       what();
     }
     return result_;
   }
 
-  void OnDispatch(const DispatchRecord& n) override { reasons_.push_back({Clock(), n}); }
-  void OnConclusion(const ConclusionRecord& n) override { reasons_.push_back({Clock(), n}); }
-  void OnEjection(const EjectionRecord& n) override { reasons_.push_back({Clock(), n}); }
+  void OnDispatch(const DispatchRecord& record) override { reasons_.push_back({Clock(), record}); }
+  void OnConclusion(const ConclusionRecord& record) override { reasons_.push_back({Clock(), record}); }
+  void OnEjection(const EjectionRecord& record) override { reasons_.push_back({Clock(), record}); }
 
  private:
   struct Job {
@@ -114,27 +116,27 @@
     double first_token, rest;  // seconds, from the time that it leaves the queue
     Time sent;
   };
-  struct Server {
+  struct SimulatedReplica {
     Endpoint entry;
     std::string name, address;
-    double speed = 1;
+    double time_factor = 1;
     int running = 0;
     std::deque<Job> waiting;
   };
-  struct Item {
+  struct ScheduledCallback {
     Time at;
     std::uint64_t order;
-    bool operator<(const Item& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
+    bool operator<(const ScheduledCallback& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
   };
 
-  Time Clock() const { return now_ + o_.clock_offset; }
-  void At(Time when, std::function<void()> what) {
+  Time Clock() const { return now_ + options_.clock_offset; }
+  void ScheduleAt(Time when, std::function<void()> what) {
     queue_.push({std::max(when, now_), ++order_});
-    todo_[order_] = std::move(what);
+    callbacks_[order_] = std::move(what);
   }
-  void After(Time span, std::function<void()> what) { At(now_ + span, std::move(what)); }
-  void After(double seconds, std::function<void()> what) {
-    After(static_cast<Time>(seconds * 1e6), std::move(what));
+  void ScheduleAfter(Time span, std::function<void()> what) { ScheduleAt(now_ + span, std::move(what)); }
+  void ScheduleAfter(double seconds, std::function<void()> what) {
+    ScheduleAfter(static_cast<Time>(seconds * 1e6), std::move(what));
   }
 
   // Lets the router decide on the event, records the decision with its reasons and sets its timers. Attempts
@@ -146,11 +148,11 @@
     router_.Handle(d.now, event, d.actions);
     ++result_.decisions;
     sink_(d);
-    for (const ReasonRecord& n : std::exchange(reasons_, {})) sink_(n);
+    for (const ReasonRecord& record : std::exchange(reasons_, {})) sink_(record);
     for (const Action& a : d.actions) {
       if (const auto* send = std::get_if<SendAttempt>(&a)) send_it(*send);
       if (const auto* timer = std::get_if<SetTimer>(&a))
-        After(timer->delay, [this, token = timer->token] { Handle(TimerFired{token}); });
+        ScheduleAfter(timer->delay, [this, token = timer->token] { Handle(TimerFired{token}); });
     }
   }
 
@@ -162,7 +164,7 @@
     if (list_unavailable_) return;
     ++generation_;
     EndpointList list{scope, generation_, {}};
-    for (auto& [id, s] : servers_) {
+    for (auto& [id, s] : replicas_) {
       if (scope == EndpointListScope::kDelta && id != result_.victim) continue;
       list.endpoints.push_back(s.entry);
       sink_(EndpointRecord{Clock(), id, s.name, s.address, s.entry.started_at, s.entry.state, false});
@@ -172,8 +174,8 @@
   }
 
   void ScheduleArrival() {
-    boost::random::exponential_distribution<double> gap(o_.requests_per_second * rate_);
-    After(gap(arrivals_), [this] {
+    boost::random::exponential_distribution<double> gap(options_.requests_per_second * rate_factor_);
+    ScheduleAfter(gap(arrivals_), [this] {
       boost::random::lognormal_distribution<double> prompt(std::log(700.0), 0.8), answer(std::log(60.0), 0.5);
       boost::random::uniform_int_distribution<int> rank(1, 36);
       RequestArrived a;
@@ -186,8 +188,8 @@
       a.prefix = 0xbe91 + static_cast<std::uint64_t>(at);
       a.prefix_tokens = std::min(300.0, a.prompt_tokens / 2);
       a.time_budget = 8'000'000;
-      answers_[a.id] = a.max_answer_tokens;
-      prompts_of_[a.id] = a.prompt_tokens;
+      response_tokens_[a.id] = a.max_answer_tokens;
+      prompt_tokens_[a.id] = a.prompt_tokens;
       sink_(timeline::CallIdRecord{Clock(), a.id, fmt::format("call-{}", a.id)});
       Handle(a);
       ScheduleArrival();
@@ -195,51 +197,53 @@
   }
 
   bool HasFault(ReplicaId id, ScriptedFault fault) const {
-    return fault_active_ && o_.fault == fault && id == result_.victim;
+    return fault_active_ && options_.fault == fault && id == result_.victim;
   }
-  bool FleetHasFault(ScriptedFault fault) const { return fault_active_ && o_.fault == fault; }
+  bool FleetHasFault(ScriptedFault fault) const { return fault_active_ && options_.fault == fault; }
 
   void Send(const SendAttempt& send) {
     const int attempt = attempts_[send.id]++;
-    const auto it = servers_.find(send.replica);
+    const auto it = replicas_.find(send.replica);
     const auto fail = [&](double after, Outcome outcome) {
-      After(after, [this, id = send.id, attempt, replica = send.replica, outcome, after] {
+      ScheduleAfter(after, [this, id = send.id, attempt, replica = send.replica, outcome, after] {
         EndAttempt(id, attempt, replica, outcome, static_cast<Time>(after * 1e6));
       });
     };
-    if (it == servers_.end() || HasFault(send.replica, ScriptedFault::kCutOff))
+    if (it == replicas_.end() || HasFault(send.replica, ScriptedFault::kCutOff))
       return fail(0.0005, Outcome::kConnectFailed);
-    boost::random::bernoulli_distribution<double> background(kBackgroundFailures), half(0.5), six(0.6),
-        three(0.3);
+    boost::random::bernoulli_distribution<double> background(kBackgroundFailures), half(0.5), six_in_ten(0.6),
+        three_in_ten(0.3);
     if (background(failing_)) return fail(0.02, Outcome::kReset);
     if (HasFault(send.replica, ScriptedFault::kErrors) && half(failing_)) return fail(0.01, Outcome::kError);
-    if (HasFault(send.replica, ScriptedFault::kFull) && six(failing_))
+    if (HasFault(send.replica, ScriptedFault::kFull) && six_in_ten(failing_))
       return fail(0.003, Outcome::kAtCapacity);
-    if (FleetHasFault(ScriptedFault::kFleetErrors) && three(failing_)) return fail(0.01, Outcome::kError);
-    Server& s = it->second;
-    if (s.waiting.size() >= kQueue) return fail(0.003, Outcome::kAtCapacity);
+    if (FleetHasFault(ScriptedFault::kFleetErrors) && three_in_ten(failing_))
+      return fail(0.01, Outcome::kError);
+    SimulatedReplica& s = it->second;
+    if (s.waiting.size() >= kQueueCapacity) return fail(0.003, Outcome::kAtCapacity);
     boost::random::lognormal_distribution<double> noise(0, 0.25);
     const double slow =
         HasFault(send.replica, ScriptedFault::kSlow) || FleetHasFault(ScriptedFault::kFleetSlow) ? 4 : 1;
-    const double first = (0.03 + prompts_of_[send.id] / 6000) * noise(serving_) * s.speed * slow;
-    s.waiting.push_back({send.id, attempt, first, answers_[send.id] * 0.004 * s.speed * slow, now_});
+    const double first = (0.03 + prompt_tokens_[send.id] / 6000) * noise(serving_) * s.time_factor * slow;
+    s.waiting.push_back(
+        {send.id, attempt, first, response_tokens_[send.id] * 0.004 * s.time_factor * slow, now_});
     Serve(send.replica);
   }
 
   void Serve(ReplicaId id) {
-    Server& s = servers_.at(id);
-    while (s.running < kBatch && !s.waiting.empty()) {
+    SimulatedReplica& s = replicas_.at(id);
+    while (s.running < kBatchSize && !s.waiting.empty()) {
       const Job r = s.waiting.front();
       s.waiting.pop_front();
       ++s.running;
-      After(r.first_token, [this, id, r] {
-        if (!servers_.contains(id)) return EndAttempt(r.id, r.attempt, id, Outcome::kReset, now_ - r.sent);
+      ScheduleAfter(r.first_token, [this, id, r] {
+        if (!replicas_.contains(id)) return EndAttempt(r.id, r.attempt, id, Outcome::kReset, now_ - r.sent);
         Handle(ResponseStarted{r.id, r.attempt, id, now_ - r.sent});
-        After(r.rest, [this, id, r] {
-          if (!servers_.contains(id)) return EndAttempt(r.id, r.attempt, id, Outcome::kReset, now_ - r.sent);
-          --servers_.at(id).running;
+        ScheduleAfter(r.rest, [this, id, r] {
+          if (!replicas_.contains(id)) return EndAttempt(r.id, r.attempt, id, Outcome::kReset, now_ - r.sent);
+          --replicas_.at(id).running;
           EndAttempt(r.id, r.attempt, id, Outcome::kServed, now_ - r.sent);
-          if (servers_.contains(id)) Serve(id);
+          if (replicas_.contains(id)) Serve(id);
         });
       });
     }
@@ -247,69 +251,69 @@
 
   void EndAttempt(RequestId id, int attempt, ReplicaId replica, Outcome outcome, Time elapsed) {
     AttemptEnded e{id, attempt, replica, outcome, elapsed, outcome == Outcome::kServed, 0, {}};
-    const auto it = servers_.find(replica);
-    if (it != servers_.end() && outcome != Outcome::kConnectFailed) {
+    const auto it = replicas_.find(replica);
+    if (it != replicas_.end() && outcome != Outcome::kConnectFailed) {
       const double load = it->second.running + static_cast<double>(it->second.waiting.size());
       e.load_report = {HasFault(replica, ScriptedFault::kLoaded) ? 3 * load + 6 : load};
     }
     Handle(e);
     if (outcome == Outcome::kServed) {
-      answers_.erase(id);
-      prompts_of_.erase(id);
+      response_tokens_.erase(id);
+      prompt_tokens_.erase(id);
       attempts_.erase(id);
     }
   }
 
   void BeginFault() {
     fault_active_ = true;
-    if (o_.fault == ScriptedFault::kDark) {
+    if (options_.fault == ScriptedFault::kDark) {
       list_unavailable_ = true;
       sink_(EndpointListRecord{Clock(), "watch", generation_, "silent", false});
       Handle(EndpointList{EndpointListScope::kFailed, 0, {}});
       // Half of the fleet is replaced while no list is available.
       int n = 0;
       std::vector<ReplicaId> replaced;
-      for (const auto& [id, s] : servers_) {
+      for (const auto& [id, s] : replicas_) {
         if (n++ % 2 == 0) replaced.push_back(id);
       }
       for (const ReplicaId id : replaced) ReplaceReplica(id);
-    } else if (o_.fault == ScriptedFault::kReplaced) {
+    } else if (options_.fault == ScriptedFault::kReplaced) {
       ReplaceReplica(result_.victim);
       PublishList(EndpointListScope::kFull, "watch");
-    } else if (o_.fault == ScriptedFault::kDrained) {
-      rate_ = 2;
-      servers_.at(result_.victim).entry.state = EndpointState::kDraining;
+    } else if (options_.fault == ScriptedFault::kDrained) {
+      rate_factor_ = 2;
+      replicas_.at(result_.victim).entry.state = EndpointState::kDraining;
       PublishList(EndpointListScope::kDelta, "watch");
     }
-    if (o_.burst_failures_per_second > 0) AddFailingRequests();
+    if (options_.burst_failures_per_second > 0) AddFailingRequests();
   }
 
   void EndFault() {
     fault_active_ = false;
-    rate_ = 1;
+    rate_factor_ = 1;
     if (std::exchange(list_unavailable_, false)) PublishList(EndpointListScope::kFull, "watch");
-    if (o_.fault == ScriptedFault::kDrained) {
-      servers_.at(result_.victim).entry.state = EndpointState::kReady;
+    if (options_.fault == ScriptedFault::kDrained) {
+      replicas_.at(result_.victim).entry.state = EndpointState::kReady;
       PublishList(EndpointListScope::kDelta, "watch");
     }
   }
 
   // Replaces the replica by another at the same address, with an id and a name of its own. Its attempts fail.
   void ReplaceReplica(ReplicaId id) {
-    Server fresh = servers_.at(id);
-    Kill(id);
+    SimulatedReplica fresh = replicas_.at(id);
+    RemoveReplica(id);
     fresh.entry.id += 0x100000;
     fresh.entry.started_at = Clock();
     fresh.name += "-b";
     fresh.running = 0;
     fresh.waiting.clear();
-    servers_.emplace(fresh.entry.id, std::move(fresh));
+    replicas_.emplace(fresh.entry.id, std::move(fresh));
   }
 
-  void Kill(ReplicaId id) {
-    Server& s = servers_.at(id);
+  void RemoveReplica(ReplicaId id) {
+    SimulatedReplica& s = replicas_.at(id);
     const std::deque<Job> waiting = std::move(s.waiting);
-    servers_.erase(id);
+    replicas_.erase(id);
     for (const Job& r : waiting) EndAttempt(r.id, r.attempt, id, Outcome::kReset, now_ - r.sent);
   }
 
@@ -325,49 +329,49 @@
         Handle(AttemptEnded{send.id, attempts_[send.id]++, send.replica, Outcome::kReset, 300, false, 0, {}});
       });
     }
-    After(100 / o_.burst_failures_per_second, [this] { AddFailingRequests(); });
+    ScheduleAfter(100 / options_.burst_failures_per_second, [this] { AddFailingRequests(); });
   }
 
-  FaultScenarioOptions o_;
+  FaultScenarioOptions options_;
   const std::function<void(const Record&)>& sink_;
   pcg64 arrivals_, prompts_, serving_, failing_;
   Router router_;
   Time now_;
-  std::priority_queue<Item> queue_;
-  std::unordered_map<std::uint64_t, std::function<void()>> todo_;
+  std::priority_queue<ScheduledCallback> queue_;
+  std::unordered_map<std::uint64_t, std::function<void()>> callbacks_;
   std::uint64_t order_ = 0;
-  std::map<ReplicaId, Server> servers_;
-  std::unordered_map<RequestId, double> answers_, prompts_of_;
+  std::map<ReplicaId, SimulatedReplica> replicas_;
+  std::unordered_map<RequestId, double> response_tokens_, prompt_tokens_;
   std::unordered_map<RequestId, int> attempts_;
   std::uint64_t requests_ = 0;
   std::uint32_t generation_ = 0;
-  double rate_ = 1;
+  double rate_factor_ = 1;
   bool fault_active_ = false, list_unavailable_ = false;
   std::vector<ReasonRecord> reasons_;
   FaultScenarioResult result_;
 };
 
 // Returns true if the anomaly is the one that the fault should raise.
-bool IsExpected(ScriptedFault fault, const Anomaly& u, ReplicaId victim) {
-  const bool of_victim = !u.fleet && u.replica == victim;
+bool IsExpected(ScriptedFault fault, const Anomaly& anomaly, ReplicaId victim) {
+  const bool of_victim = !anomaly.fleet && anomaly.replica == victim;
   switch (fault) {
     case ScriptedFault::kErrors:
-      return of_victim && u.kind == AnomalyKind::kErrors;
+      return of_victim && anomaly.kind == AnomalyKind::kErrors;
     case ScriptedFault::kSlow:
-      return of_victim && u.kind == AnomalyKind::kFirstToken;
+      return of_victim && anomaly.kind == AnomalyKind::kFirstToken;
     case ScriptedFault::kFull:
-      return of_victim && u.kind == AnomalyKind::kRejections;
+      return of_victim && anomaly.kind == AnomalyKind::kRejections;
     case ScriptedFault::kCutOff:
       return of_victim &&
-             (u.kind == AnomalyKind::kErrors || u.kind == AnomalyKind::kEndpointListContradicted);
+             (anomaly.kind == AnomalyKind::kErrors || anomaly.kind == AnomalyKind::kEndpointListContradicted);
     case ScriptedFault::kLoaded:
-      return of_victim && u.kind == AnomalyKind::kLoad;
+      return of_victim && anomaly.kind == AnomalyKind::kLoad;
     case ScriptedFault::kFleetSlow:
-      return u.fleet && u.kind == AnomalyKind::kFirstToken;
+      return anomaly.fleet && anomaly.kind == AnomalyKind::kFirstToken;
     case ScriptedFault::kFleetErrors:
-      return u.fleet && u.kind == AnomalyKind::kErrors;
+      return anomaly.fleet && anomaly.kind == AnomalyKind::kErrors;
     case ScriptedFault::kDark:
-      return u.fleet && u.kind == AnomalyKind::kEndpointListUnavailable;
+      return anomaly.fleet && anomaly.kind == AnomalyKind::kEndpointListUnavailable;
     default:
       return false;
   }
@@ -440,18 +444,18 @@
       o.fault = fault;
       o.record_reasons = false;
       std::vector<Anomaly> events;
-      timeline::AnomalyDetector detector([&](const Anomaly& u) {
-        if (u.begins) events.push_back(u);
+      timeline::AnomalyDetector detector([&](const Anomaly& anomaly) {
+        if (anomaly.begins) events.push_back(anomaly);
       });
       const FaultScenarioResult result = PlayFaultScenario(o, [&](const Record& r) { detector.OnRecord(r); });
-      ++row.hours;
+      ++row.scenarios;
       double first = -1;
-      for (const Anomaly& u : events) {
+      for (const Anomaly& anomaly : events) {
         // Events while the fault lasts, and for 30 s after it while the fleet recovers, are explained by it.
-        const bool explained =
-            fault != ScriptedFault::kNone && u.now >= result.from && u.now < result.to + 30'000'000;
-        if (explained && IsExpected(fault, u, result.victim) && first < 0)
-          first = static_cast<double>(u.now - result.from) / 1e6;
+        const bool explained = fault != ScriptedFault::kNone && anomaly.now >= result.from &&
+                               anomaly.now < result.to + 30'000'000;
+        if (explained && IsExpected(fault, anomaly, result.victim) && first < 0)
+          first = static_cast<double>(anomaly.now - result.from) / 1e6;
         if (!explained) ++row.other;
       }
       if (first >= 0) {
@@ -478,7 +482,7 @@
                        r.delays[static_cast<std::size_t>(q * static_cast<double>(r.delays.size() - 1))]);
     };
     out += fmt::format("{:<14} {:>6} {:>6} {:>10} {:>10} {:>10} {:>13}\n",
-                       r.fault == ScriptedFault::kNone ? "calm (3600 s)" : Name(r.fault), r.hours,
+                       r.fault == ScriptedFault::kNone ? "calm (3600 s)" : Name(r.fault), r.scenarios,
                        r.fault == ScriptedFault::kNone ? std::string("-") : std::to_string(r.found), at(0.5),
                        at(0.9), at(1), r.other);
   }
--- a/lab/fault_scenarios.h
+++ b/lab/fault_scenarios.h
@@ -72,7 +72,7 @@
 // How well the anomaly detector finds one kind of fault, over a set of scenarios.
 struct DetectionRow {
   ScriptedFault fault = ScriptedFault::kNone;
-  int hours = 0;               // scenarios played
+  int scenarios = 0;           // scenarios played
   int found = 0;               // scenarios in which the expected event was raised
   std::vector<double> delays;  // seconds from the begin of the fault to the event, of those found, sorted
   int other = 0;               // false alarms: events that the fault does not explain
--- a/lab/local_fleet.h
+++ b/lab/local_fleet.h
@@ -45,13 +45,13 @@
   const std::string& platform() const { return platform_; }  // ip:port of the node's two fronts
   const std::string& openai() const { return openai_; }
 
-  void Turn() { uv_run(&loop_, UV_RUN_ONCE); }
+  void RunLoopOnce() { uv_run(&loop_, UV_RUN_ONCE); }
   // Runs the event loop until `done` returns true. Returns false if that takes longer than `timeout`.
   template <class Condition>
   bool Until(Condition done, Time timeout) {
     const Time end = Now() + timeout;
     DeadlineId wake = deadlines_.Set(end, [] {});
-    while (!done() && Now() < end) Turn();
+    while (!done() && Now() < end) RunLoopOnce();
     deadlines_.Cancel(wake);
     return done();
   }
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -72,7 +72,7 @@
   return 0;
 }
 
-void Progress(std::size_t done, std::size_t all) {
+void PrintProgress(std::size_t done, std::size_t all) {
   std::fprintf(stderr, "  %zu of %zu answered\n", done, all);
 }
 
@@ -99,7 +99,7 @@
 
 int ReplayOne(const std::vector<TraceLine>& trace, const std::string& program, const std::string& front,
               const std::string& dialect, const std::string& log) {
-  const ReplayResult result = Replay(trace, {program, DialectOf(dialect), front == "openai", Progress});
+  const ReplayResult result = Replay(trace, {program, DialectOf(dialect), front == "openai", PrintProgress});
   std::fputs(Table(trace, result).c_str(), stdout);
   if (!log.empty() && !(std::ofstream(log) << result.log).flush())
     throw std::runtime_error("cannot write " + log);
@@ -115,7 +115,7 @@
       const std::string name = std::string(front) + " front, " + dialect + " dialect";
       std::fprintf(stderr, "%s\n", name.c_str());
       all.emplace_back(
-          name, Replay(trace, {program, DialectOf(dialect), std::string(front) == "openai", Progress}));
+          name, Replay(trace, {program, DialectOf(dialect), std::string(front) == "openai", PrintProgress}));
       std::printf("%s\n%s\n", name.c_str(), Table(trace, all.back().second).c_str());
     }
   }
@@ -153,34 +153,37 @@
   CLI::App* demo = app.add_subcommand("demo", "run a node, discovery and three fake replicas until Ctrl-C");
   demo->add_option("--port", port, "port of the node's API")->check(CLI::Range(0, 65535));
   demo->add_option("--key", key, "API key of the clients");
-  LiveFaultScenarioOptions scenario;
-  demo->add_option("--bad-hour", scenario.name, "play a fault scenario under load and record it instead")
+  LiveFaultScenarioOptions live_scenario;
+  demo->add_option("--bad-hour", live_scenario.name, "play a fault scenario under load and record it instead")
       ->check(CLI::IsMember(LiveFaultScenarioNames()));
-  demo->add_option("--record", scenario.record, "directory for the flight record");
-  demo->add_option("--seconds", scenario.seconds, "length of the scenario")->check(CLI::Range(6.0, 3600.0));
-  demo->add_option("--rate", scenario.requests_per_second, "requests per second")
+  demo->add_option("--record", live_scenario.record, "directory for the flight record");
+  demo->add_option("--seconds", live_scenario.seconds, "length of the scenario")
+      ->check(CLI::Range(6.0, 3600.0));
+  demo->add_option("--rate", live_scenario.requests_per_second, "requests per second")
       ->check(CLI::Range(1.0, 1000.0));
-  demo->add_option("--replicas", scenario.replicas)->check(CLI::Range(std::size_t{2}, std::size_t{64}));
+  demo->add_option("--replicas", live_scenario.replicas)->check(CLI::Range(std::size_t{2}, std::size_t{64}));
 
-  FaultScenarioOptions hour;
+  FaultScenarioOptions virtual_scenario;
   std::string fault = "none", out;
-  double ahead = 0;
-  CLI::App* hours = app.add_subcommand("hour", "write the flight record of a fault scenario in virtual time");
-  hours->add_option("--thing", fault, "the fault: errors, slow, full, cut-off, loaded, fleet-slow, ...");
-  hours->add_option("--out", out, "path of the .flight file")->required();
-  hours->add_option("--seconds", hour.seconds)->check(CLI::Range(1.0, 1e6));
-  hours->add_option("--at", hour.fault_at, "seconds until the fault begins");
-  hours->add_option("--lasts", hour.fault_seconds, "length of the fault in seconds");
-  hours->add_option("--replicas", hour.replicas)->check(CLI::Range(1, 4096));
-  hours->add_option("--per-second", hour.requests_per_second, "request rate")->check(CLI::Range(0.1, 1e5));
-  hours->add_option("--seed", hour.seed);
-  hours->add_option("--node", hour.node, "name of the node");
-  hours->add_option("--ahead", ahead, "seconds that the node's clock is ahead");
-  int each = 100, calm = 100;
+  double clock_ahead_seconds = 0;
+  CLI::App* hour = app.add_subcommand("hour", "write the flight record of a fault scenario in virtual time");
+  hour->add_option("--thing", fault, "the fault: errors, slow, full, cut-off, loaded, fleet-slow, ...");
+  hour->add_option("--out", out, "path of the .flight file")->required();
+  hour->add_option("--seconds", virtual_scenario.seconds)->check(CLI::Range(1.0, 1e6));
+  hour->add_option("--at", virtual_scenario.fault_at, "seconds until the fault begins");
+  hour->add_option("--lasts", virtual_scenario.fault_seconds, "length of the fault in seconds");
+  hour->add_option("--replicas", virtual_scenario.replicas)->check(CLI::Range(1, 4096));
+  hour->add_option("--per-second", virtual_scenario.requests_per_second, "request rate")
+      ->check(CLI::Range(0.1, 1e5));
+  hour->add_option("--seed", virtual_scenario.seed);
+  hour->add_option("--node", virtual_scenario.node, "name of the node");
+  hour->add_option("--ahead", clock_ahead_seconds, "seconds that the node's clock is ahead");
+  int scenarios_per_fault = 100, calm_hours = 100;
   CLI::App* detection =
       app.add_subcommand("detection", "measure how soon faults are detected, and count false alarms");
-  detection->add_option("--each", each, "scenarios with each fault")->check(CLI::Range(1, 10'000));
-  detection->add_option("--calm", calm, "hours without a fault")->check(CLI::Range(1, 10'000));
+  detection->add_option("--each", scenarios_per_fault, "scenarios with each fault")
+      ->check(CLI::Range(1, 10'000));
+  detection->add_option("--calm", calm_hours, "hours without a fault")->check(CLI::Range(1, 10'000));
 
   CLI::App* trace = app.add_subcommand("trace", "write a trace to standard output");
   trace->add_option("--requests", requests)->check(CLI::Range(std::size_t{1}, std::size_t{1'000'000}));
@@ -201,54 +204,55 @@
   parity->add_option("--seed", seed);
   parity->add_option("--rate", rate, "requests per second")->check(CLI::Range(0.1, 1e5));
 
-  ryeglade::emulator::Commands emulated(app, ryeglade::experiment::CompareFiles);
-  ryeglade::experiment::Commands experiments(app);
-  ryeglade::load::Commands loads(app);
-  ryeglade::cluster::Commands clusters(app);
-  ryeglade::rollout_lab::Commands rollouts(app);
-  ryeglade::soak::Commands soaks(app);
+  ryeglade::emulator::Commands emulator_commands(app, ryeglade::experiment::CompareFiles);
+  ryeglade::experiment::Commands experiment_commands(app);
+  ryeglade::load::Commands load_commands(app);
+  ryeglade::cluster::Commands cluster_commands(app);
+  ryeglade::rollout_lab::Commands rollout_commands(app);
+  ryeglade::soak::Commands soak_commands(app);
 
   CLI11_PARSE(app, argc, argv);
-  if (emulated.chosen()) return emulated.Run();
-  if (experiments.chosen()) return experiments.Run();
-  if (loads.chosen()) return loads.Run(NodeProgram(program));
-  if (rollouts.chosen()) return rollouts.Run(NodeProgram(program));
-  if (soaks.chosen()) return soaks.Run(NodeProgram(program));
-  if (clusters.chosen()) return clusters.Run(NodeProgram(program));
-  const auto lines = [&] {
+  if (emulator_commands.chosen()) return emulator_commands.Run();
+  if (experiment_commands.chosen()) return experiment_commands.Run();
+  if (load_commands.chosen()) return load_commands.Run(NodeProgram(program));
+  if (rollout_commands.chosen()) return rollout_commands.Run(NodeProgram(program));
+  if (soak_commands.chosen()) return soak_commands.Run(NodeProgram(program));
+  if (cluster_commands.chosen()) return cluster_commands.Run(NodeProgram(program));
+  const auto trace_lines = [&] {
     return path.empty() ? MakeTrace(requests, seed, rate) : ReadTrace(ReadFile(path));
   };
-  const bool with_node = !*hours && !*detection;
+  const bool with_node = !*hour && !*detection;
   const std::string node = with_node ? NodeProgram(program) : "";
-  if (*hours) {
-    hour.fault = ParseScriptedFault(fault);
-    hour.clock_offset = static_cast<Time>(ahead * 1e6);
-    const FaultScenarioResult r = WriteFaultScenario(hour, out, ProgressLine());
+  if (*hour) {
+    virtual_scenario.fault = ParseScriptedFault(fault);
+    virtual_scenario.clock_offset = static_cast<Time>(clock_ahead_seconds * 1e6);
+    const FaultScenarioResult r = WriteFaultScenario(virtual_scenario, out, ProgressLine());
     std::printf("%s: %llu requests, %llu decisions\n", out.c_str(),
                 static_cast<unsigned long long>(r.requests), static_cast<unsigned long long>(r.decisions));
     return 0;
   }
   if (*detection) {
-    const auto bar = ProgressLine();
-    std::fputs(DetectionTable(MeasureDetection(each, calm,
+    const auto print_progress = ProgressLine();
+    std::fputs(DetectionTable(MeasureDetection(scenarios_per_fault, calm_hours,
                                                [&](int done, int of) {
-                                                 if (bar) bar(static_cast<double>(done) / of);
+                                                 if (print_progress)
+                                                   print_progress(static_cast<double>(done) / of);
                                                }))
                    .c_str(),
                stdout);
     return 0;
   }
-  if (*demo && !scenario.name.empty()) {
-    if (scenario.record.empty()) throw std::runtime_error("--bad-hour needs --record DIRECTORY");
-    std::filesystem::create_directories(scenario.record);
-    scenario.program = node;
-    scenario.progress = ProgressLine();
-    return RunLiveFaultScenario(scenario);
+  if (*demo && !live_scenario.name.empty()) {
+    if (live_scenario.record.empty()) throw std::runtime_error("--bad-hour needs --record DIRECTORY");
+    std::filesystem::create_directories(live_scenario.record);
+    live_scenario.program = node;
+    live_scenario.progress = ProgressLine();
+    return RunLiveFaultScenario(live_scenario);
   }
   if (*demo) return Demo(node, port, key);
   if (*trace) return std::fputs(WriteTrace(MakeTrace(requests, seed, rate)).c_str(), stdout) < 0 ? 1 : 0;
-  if (*replay) return ReplayOne(lines(), node, front, dialect, log);
-  return Parity(lines(), node);
+  if (*replay) return ReplayOne(trace_lines(), node, front, dialect, log);
+  return Parity(trace_lines(), node);
 }
 
 }  // namespace
--- a/lab/replay.cpp
+++ b/lab/replay.cpp
@@ -130,14 +130,14 @@
 
 std::string WriteTrace(const std::vector<TraceLine>& trace) {
   std::string out;
-  for (const TraceLine& l : trace) {
-    out += json({{"at_ms", l.at_ms},
-                 {"class", l.cls},
-                 {"system", l.system},
-                 {"prompt", l.prompt},
-                 {"max_tokens", l.max_tokens},
-                 {"deadline_ms", l.deadline_ms},
-                 {"fault", Name(l.fault)}})
+  for (const TraceLine& line : trace) {
+    out += json({{"at_ms", line.at_ms},
+                 {"class", line.cls},
+                 {"system", line.system},
+                 {"prompt", line.prompt},
+                 {"max_tokens", line.max_tokens},
+                 {"deadline_ms", line.deadline_ms},
+                 {"fault", Name(line.fault)}})
                .dump() +
            "\n";
   }
@@ -155,19 +155,19 @@
     if (line.empty()) continue;
     try {
       const json j = json::parse(line);
-      TraceLine l;
-      l.at_ms = j.at("at_ms").get<std::int64_t>();
-      l.cls = j.at("class").get<std::string>();
-      l.system = j.at("system").get<std::string>();
-      l.prompt = j.at("prompt").get<std::string>();
-      l.max_tokens = j.at("max_tokens").get<std::size_t>();
-      l.deadline_ms = j.at("deadline_ms").get<std::int64_t>();
+      TraceLine entry;
+      entry.at_ms = j.at("at_ms").get<std::int64_t>();
+      entry.cls = j.at("class").get<std::string>();
+      entry.system = j.at("system").get<std::string>();
+      entry.prompt = j.at("prompt").get<std::string>();
+      entry.max_tokens = j.at("max_tokens").get<std::size_t>();
+      entry.deadline_ms = j.at("deadline_ms").get<std::int64_t>();
       const auto fault = ParseFault(j.at("fault").get<std::string>());
       if (!fault) throw std::runtime_error("unknown fault");
-      if (l.cls != "docs" && l.cls != "agent")
+      if (entry.cls != "docs" && entry.cls != "agent")
         throw std::runtime_error("the class is neither docs nor agent");
-      l.fault = *fault;
-      trace.push_back(std::move(l));
+      entry.fault = *fault;
+      trace.push_back(std::move(entry));
     } catch (const std::exception& e) {
       throw std::runtime_error(fmt::format("line {} of the trace: {}", number, e.what()));
     }
