--- a/lab/rollout/command.cpp
+++ b/lab/rollout/command.cpp
@@ -77,15 +77,13 @@
   rollout_->add_option("--runs", runs_, "runs for each row of the table, with consecutive seeds")
       ->check(CLI::Range(1, 100'000));
   rollout_->add_option("--seed", seed_, "seed of the first run");
-  rollout_->add_flag("--ends", ends_, "print how the runs ended that were not done");
+  rollout_->add_flag("--ends", ends_, "print the outcome of each run that was not done");
   rollout_->add_option("--workers", workers_, "number of threads")->check(CLI::Range(1, 256));
   rollout_
       ->add_option("--set", set_,
                    "harms: defective releases, with three rules that stop them; faults: drivers, supervisors "
-                   "and links "
-                   "that fail; world: a fleet that fails independently of the release; variants: faults "
-                   "planted in the "
-                   "program's rules, which must be detected")
+                   "and links that fail; world: a fleet that fails independently of the release; "
+                   "variants: faults planted in the program's rules, which must be detected")
       ->check(CLI::IsMember({"harms", "faults", "world", "variants"}));
   rollout_->add_flag("--explore", explore_,
                      "explore every execution over --nodes nodes with up to --faults faults instead");
@@ -137,8 +135,7 @@
   const LocalTierTrialResult result = RunLocalTierTrial(trial);
   std::printf(
       "%zu nodes, %.0f requests per second each: %d of %d rollouts done in %.1f s in total, %d drivers "
-      "killed, "
-      "at most %zu nodes changing at once\n"
+      "killed, at most %zu nodes changing at once\n"
       "share of the requested worth that was served: %.4f before, %.4f during (ratio %.4f)\n"
       "%llu requests: %llu unanswered, %llu failed or broken, %llu overlapping attempts\n",
       trial.nodes, trial.rate, result.done, result.rollouts, result.seconds, result.drivers_killed,
--- a/lab/rollout/command.h
+++ b/lab/rollout/command.h
@@ -10,11 +10,14 @@
 
 namespace ryeglade::rollout_lab {
 
+// The subcommand `rollout` with its options.
 class Commands {
  public:
   explicit Commands(CLI::App& app);  // must live as long as `app`, which holds references to its members
-  bool chosen() const;
-  int Run(const std::string& node_program);  // returns the exit code
+  bool chosen() const;               // true if the command line contains the subcommand
+  // `node_program` is the path of `ryeglade`. Returns the exit code: 0, or 1 if an invariant was violated, or
+  // if a planted fault was not detected.
+  int Run(const std::string& node_program);
 
  private:
   CLI::App* rollout_;
--- a/lab/rollout/explorer.cpp
+++ b/lab/rollout/explorer.cpp
@@ -24,11 +24,11 @@
 
 constexpr Time kSecond = 1'000'000;
 constexpr Time kLease = 2 * kSecond;
-constexpr Time kDriverWait = kLease * 12 / 10;  // of a new driver, before its first command after the claims
+constexpr Time kDriverWait = kLease * 12 / 10;  // of a new driver, between its claims and its first command
 constexpr int kSupervisorRestartRounds = 2;     // from a supervisor's death to its restart
-constexpr std::size_t kMaxDriverRuns = 6;       // in one execution, above which no fault starts another
-constexpr std::size_t kMaxPending = 64;         // executions queued for other workers
-constexpr std::size_t kMaxViolations = 200;     // that are kept with their traces
+constexpr std::size_t kMaxDriverRuns = 6;  // in one execution; at this number no fault starts another driver
+constexpr std::size_t kMaxPending = 64;    // executions queued for other workers
+constexpr std::size_t kMaxViolations = 200;  // kept with their traces; further ones are only counted
 
 // What happens to a message. kDelayed1, 3 and 5 arrive after that many rounds.
 enum class Delivery : std::uint8_t { kDelivered, kLost, kReplyLost, kDelayed1, kDelayed3, kDelayed5 };
@@ -62,12 +62,12 @@
 };
 
 struct DelayedCommand {
-  int rounds = 0;  // until it arrives
-  std::size_t to = 0;
+  int rounds = 0;      // until it arrives
+  std::size_t to = 0;  // index of the node
   SupervisorCommand command;
 };
 
-// One execution of a rollout, up to some state. A copy goes on independently.
+// The state of one execution of a rollout. A copy can be continued independently of the original.
 class Execution {
  public:
   explicit Execution(const RolloutExploreOptions& options)
@@ -205,7 +205,9 @@
     return XXH3_64bits(all.data(), all.size());
   }
   // Called if the execution has returned to an earlier state without a fault.
-  void ReportCycle() { AddViolation("ends", "the execution repeats its states for ever"); }
+  void ReportCycle() {
+    AddViolation("ends", "the execution returned to an earlier state without a fault, so it never ends");
+  }
 
  private:
   static NodeSimulator::Rules RulesOf(const RolloutExploreOptions& options) {
@@ -453,7 +455,8 @@
     } else {
       rounds_without_driver_ = 0;
     }
-    if (round_ > options_->rounds) AddViolation("ends", "the execution did not end");
+    if (round_ > options_->rounds)
+      AddViolation("ends", fmt::format("the execution did not end within {} rounds", options_->rounds));
   }
 
   void End(DriverRun& run) {
@@ -502,7 +505,9 @@
             process.terminating || (process.ends_at >= 0 && process.ends_at <= node_simulator_.now) ? 0 : 1;
         serving += process.ready && !process.terminating ? 1 : 0;
       }
-      if (living > 2) AddViolation("two-processes", fmt::format("{} has {} processes", node.name, living));
+      if (living > 2)
+        AddViolation("two-processes",
+                     fmt::format("{} has {} running processes, at most 2 allowed", node.name, living));
       if (serving == 0 && (nodes_killed_ >> i & 1U) == 0 && round_ > 0)
         AddViolation("serves", node.name + " has no serving process although none was killed");
     }
@@ -581,6 +586,7 @@
     }
   }
 
+  // Results of one worker that have not been merged yet.
   struct Counts {
     std::uint64_t steps = 0, executions = 0;
     std::map<std::string, std::uint64_t> ends;
@@ -631,9 +637,9 @@
     result_.steps += counts.steps;
     result_.executions += counts.executions;
     for (const auto& [outcome, n] : counts.ends) result_.ends[outcome] += n;
-    for (const auto& b : counts.violations) {
-      ++result_.by_invariant[b.invariant];
-      if (result_.violations.size() < kMaxViolations) result_.violations.push_back(b);
+    for (const auto& violation : counts.violations) {
+      ++result_.by_invariant[violation.invariant];
+      if (result_.violations.size() < kMaxViolations) result_.violations.push_back(violation);
     }
   }
 
@@ -651,8 +657,12 @@
 RolloutExploration ExploreRollout(const RolloutExploreOptions& options) {
   static const std::set<std::string> known{"",       "any-epoch", "no-lease", "no-token",
                                            "greedy", "forgetful", "hasty"};
-  if (!known.contains(options.variant)) throw std::runtime_error("unknown variant '" + options.variant + "'");
-  if (options.nodes < 2 || options.nodes > 5) throw std::runtime_error("the number of nodes must be 2 to 5");
+  if (!known.contains(options.variant))
+    throw std::runtime_error(
+        "unknown variant '" + options.variant +
+        "'; the variants are any-epoch, no-lease, no-token, greedy, forgetful and hasty");
+  if (options.nodes < 2 || options.nodes > 5)
+    throw std::runtime_error("the number of nodes must be 2 to 5, but is " + std::to_string(options.nodes));
   return Search(options).Run();
 }
 
--- a/lab/rollout/explorer.h
+++ b/lab/rollout/explorer.h
@@ -1,7 +1,7 @@
 // Explores every execution of a rollout over a few nodes with up to a given number of faults, and checks the
 // invariants in every state. The driver and the supervisors are the program's own. Faults: a message is lost,
-// its reply is lost, or it arrives late; a driver dies, pauses or is joined by another one between any two
-// messages; a supervisor or a node's process dies; a stop is requested at any time. See
+// its reply is lost, or it arrives late; a driver dies or pauses, or another one starts beside it, between
+// any two messages; a supervisor or a node's process dies; a stop is requested at any time. See
 // docs/notes/rollout.md.
 #pragma once
 
@@ -28,20 +28,21 @@
 };
 
 struct RolloutExploration {
-  std::uint64_t states = 0;                   // distinct ones
-  std::uint64_t steps = 0;                    // between states
-  std::uint64_t executions = 0;               // explored to their end
-  std::map<std::string, std::uint64_t> ends;  // executions by how they ended, without those in violation
+  std::uint64_t states = 0;      // distinct states reached
+  std::uint64_t steps = 0;       // transitions between states
+  std::uint64_t executions = 0;  // explored to their end
+  std::map<std::string, std::uint64_t>
+      ends;  // number of executions by outcome; those that violate an invariant are left out
   struct Violation {
     std::string invariant;  // its name
-    std::string what;       // what was seen instead
+    std::string what;       // describes the state that violates it
     std::string trace;      // the faults of the execution, in order
   };
   std::vector<Violation> violations;                  // the first 200
   std::map<std::string, std::uint64_t> by_invariant;  // number of executions that violate it
 };
 
-// Throws std::runtime_error for a variant that does not exist.
+// Throws std::runtime_error for an unknown variant or a number of nodes outside 2 to 5.
 RolloutExploration ExploreRollout(const RolloutExploreOptions& options);
 
 }  // namespace ryeglade::rollout_lab
--- a/lab/rollout/local_tier.cpp
+++ b/lab/rollout/local_tier.cpp
@@ -22,8 +22,8 @@
 namespace ryeglade::rollout_lab {
 namespace {
 
-constexpr int kReplyTimeoutMs = 1000;
-constexpr Time kPollInterval = 20'000;
+constexpr int kReplyTimeoutMs = 1000;   // of a supervisor or a status address
+constexpr Time kPollInterval = 20'000;  // at which Until checks its condition
 constexpr Time kStartTimeout = 30'000'000;
 constexpr Time kClientTimeout = 15'000'000;  // after which a client gives up a request
 constexpr int kReplicas = 3;
@@ -42,9 +42,9 @@
   for (const std::string& argument : arguments) argv.push_back(const_cast<char*>(argument.c_str()));
   argv.push_back(nullptr);
   pid_ = fork();
-  if (pid_ < 0) throw std::runtime_error("cannot start a process");
+  if (pid_ < 0) throw std::runtime_error("cannot fork a process for " + arguments.front());
   if (pid_ == 0) {
-    prctl(PR_SET_PDEATHSIG, SIGTERM);  // on which a supervisor ends its node
+    prctl(PR_SET_PDEATHSIG, SIGTERM);  // a supervisor that receives it ends its node as well
     for (const char* variable :
          {"EDGE_CONFIG", "EDGE_NAME", "EDGE_LISTEN", "EDGE_DISCOVERY", "EDGE_MANAGEMENT"})
       unsetenv(variable);
@@ -144,7 +144,8 @@
   for (std::size_t i = 0; i < nodes_.size(); ++i) StartSupervisor(i);
 }
 
-// Members reach each other directly, not over the links: the tests of membership stop the nodes themselves.
+// Members reach each other directly, not over the links that can be cut, because the membership tests stop
+// the nodes themselves.
 void LocalTier::WriteMembership() {
   std::vector<std::string> listen;
   for (Node& node : nodes_) {
@@ -165,7 +166,7 @@
 LocalTier::~LocalTier() {
   clients_.clear();
   for (Node& node : nodes_) node.supervisor.reset();
-  // Nodes whose supervisors were killed still run. They are found by the files of this tier's directory.
+  // Nodes whose supervisors were killed still run. Their command lines name files in this tier's directory.
   try {
     for (const pid_t pid : ProcessesWith("serve")) kill(pid, SIGKILL);
   } catch (const std::exception&) {
--- a/lab/rollout/local_tier.h
+++ b/lab/rollout/local_tier.h
@@ -1,6 +1,6 @@
 // A tier of real processes on loopback, on which rollouts are run: a supervisor and its node for each member,
 // fake replicas, discovery, clients that send requests, and a link between the driver and each supervisor
-// that can be cut in one direction or delayed. Every process is ended by its id.
+// that can be cut in one direction or delayed. Processes are signalled by their ids only.
 #pragma once
 
 #include <sys/types.h>
@@ -20,9 +20,11 @@
 
 namespace ryeglade::rollout_lab {
 
-// A child process with its output in a file. It gets SIGTERM from the destructor, and when the lab dies.
+// A child process whose output is appended to a log file. The destructor sends it SIGTERM, and SIGKILL after
+// 20 s. If the lab dies, the kernel sends it SIGTERM.
 class ChildProcess {
  public:
+  // Starts the program arguments[0]. Throws std::runtime_error if it cannot fork.
   ChildProcess(const std::vector<std::string>& arguments, const std::string& log);
   ~ChildProcess();
   ChildProcess(const ChildProcess&) = delete;
@@ -32,7 +34,7 @@
   // Calls `poll` until the process has ended. Returns its exit code, 128 plus the number of the signal that
   // killed it, or -1 if it still runs after `timeout`.
   int Wait(Time timeout, const std::function<void()>& poll);
-  std::string Log() const;
+  std::string Log() const;  // contents of the log file
   pid_t pid() const { return pid_; }
 
  private:
@@ -42,7 +44,7 @@
 };
 
 struct LocalTierOptions {
-  std::string program;
+  std::string program;  // path of `ryeglade`
   std::size_t nodes = 4;
   double rate = 40;                                               // requests a second at each node
   double seconds = 60;                                            // for which the clients send requests
@@ -63,7 +65,7 @@
   bool Until(const std::function<bool()>& done, Time timeout);
   // Waits until the supervisors report that all nodes serve. Returns false if that takes more than 30 s.
   bool WaitUntilRunning();
-  void StartClients();
+  void StartClients();  // one for each node
   // Writes a plan for this tier to a file and returns its path. `release` is the TOML of [release], `stages`
   // that of the stages. `rest` follows the stages; if it sets most_passed_over, only its
   // first line is used.
@@ -79,8 +81,8 @@
   std::string SupervisorLog(std::size_t node) const;
   std::size_t CountRunning(const std::string& release) const;  // number of nodes on which it is active
   void KillSupervisor(std::size_t node);                       // SIGKILL
-  void StartSupervisor(std::size_t node);
-  pid_t NodePid(std::size_t node) const;  // -1: unknown
+  void StartSupervisor(std::size_t node);                      // ends one that still runs first
+  pid_t NodePid(std::size_t node) const;                       // -1: unknown
   void SignalNode(std::size_t node, int number) const;
   // Returns how many members are alive in that node's cluster view, itself included. Returns 0 if the view is
   // in doubt or has not settled.
@@ -90,8 +92,8 @@
   // Cuts the link between drivers and a node's supervisor in the directions that are true, and restores it in
   // the others.
   void CutLink(std::size_t node, bool to_supervisor, bool from_supervisor);
-  void SetLinkDelay(Time one_way);  // of all links
-  void StopClients();               // and waits until all requests have an outcome
+  void SetLinkDelay(Time one_way);  // delay in each direction, of all links
+  void StopClients();               // waits until all requests have an outcome
 
   struct RequestCounts {
     std::uint64_t asked = 0, served = 0, refused = 0;
@@ -107,14 +109,16 @@
 
  private:
   struct Node {
+    // `control`, `client` and `status` are ip:port; `directory`, `config` and `settings` are paths. Without
+    // membership `settings` and `status` are empty.
     std::string ip, control, client, directory, config, settings, status;
     std::unique_ptr<ChildProcess> supervisor;
   };
   static uv_loop_t* Init(uv_loop_t* loop);
   void WriteMembership();
   std::optional<rollout::NodeClusterView> ClusterView(std::size_t node) const;
-  // Returns the processes whose command line has the argument `argument` and names `file`, or any file of
-  // this tier if `file` is empty.
+  // Returns the processes whose command line contains `argument` and names `file`, or any file of this
+  // tier if `file` is empty.
   std::vector<pid_t> ProcessesWith(const std::string& argument, const std::string& file = "") const;
 
   LocalTierOptions options_;
--- a/lab/rollout/local_tier_trial.cpp
+++ b/lab/rollout/local_tier_trial.cpp
@@ -24,8 +24,8 @@
   return text + fmt::format("[[stage]]\nat_once = {}\nsoak = \"2s\"\nrequests = 100\n", trial.max_concurrent);
 }
 
-// Wide limits, because a few seconds on a busy machine say little. The trial measures the change of release,
-// not the canary analysis.
+// Wide limits, because samples of a few seconds on a busy machine are noisy. The trial measures the change of
+// release, not the canary analysis.
 constexpr const char* kGuards =
     "[guards]\nlate = 0.5\nrefused = 0.2\nfailed = 0.05\nsure = 0.2\nworld = 1\nslower = 1\nwindow = "
     "\"2s\"\n";
@@ -125,7 +125,8 @@
     add_violation(fmt::format("{} nodes were changing at once, {} allowed", result.max_in_change,
                               trial.max_concurrent));
   if (all.asked != all.served + all.refused + all.unanswered + all.other)
-    add_violation("some requests have no outcome");
+    add_violation(fmt::format("{} requests were made, but {} have an outcome", all.asked,
+                              all.served + all.refused + all.unanswered + all.other));
   return result;
 }
 
--- a/lab/rollout/simulation.cpp
+++ b/lab/rollout/simulation.cpp
@@ -25,16 +25,18 @@
 using emulator::RandomStream;
 
 constexpr Time kSecond = 1'000'000;
-constexpr Time kTick = 100'000;           // microseconds, as all Times
-constexpr Time kRoundInterval = 500'000;  // of drivers, and between two readings of a node's metrics
+constexpr Time kTick = 100'000;  // microseconds, as all Times
+constexpr Time kRoundInterval =
+    500'000;  // between a driver's rounds, and between readings of a node's metrics
 constexpr Time kLease = 3 * kSecond;
-constexpr Time kWarmUp = 5 * kSecond;  // before the rollout starts, without faults
-constexpr Time kPauseTimeout = 60 * kSecond;
-constexpr double kFirstTokenMs = 200, kFirstTokenSigma = 0.5;
+constexpr Time kWarmUp = 5 * kSecond;         // before the rollout starts, without faults
+constexpr Time kPauseTimeout = 60 * kSecond;  // a run ends once its rollout has been paused for longer
+constexpr double kFirstTokenMs = 200, kFirstTokenSigma = 0.5;  // median, and sigma of its logarithm
 constexpr std::uint64_t kMemoryLimitBytes = std::uint64_t{192} << 20;
 
 struct SimulatedNode : SupervisedNode {
   bool lost = false;  // its machine has disappeared
+  // Requests per second, and the shares of requests that fail or are rejected on any release.
   double rate = 0, baseline_failed_share = 0, baseline_rejected_share = 0;
   std::optional<NodeMetrics> last_metrics;  // as its supervisor last read them
   std::deque<MetricsSample> history;        // one sample every 10 s, since its supervisor started
@@ -206,6 +208,7 @@
     if (node.history.size() > 180) node.history.pop_front();
   }
 
+  // Returns a random number from the Poisson distribution, by Knuth's method.
   int Poisson(double mean) {
     if (mean <= 0) return 0;
     const double limit = std::exp(-mean);
@@ -218,7 +221,8 @@
     return n;
   }
 
-  // Requests go to the newest process that is ready and was not told to terminate. Without one they are lost.
+  // Sends the requests of one tick to the newest process that is ready and was not told to terminate. Without
+  // such a process they are lost.
   void ServeRequests(SimulatedNode& node) {
     SimulatedProcess* process = nullptr;
     for (auto& [number, p] : node.processes) {
@@ -368,7 +372,7 @@
   void RunDriver(DriverRun& run) {
     if (run.paused_until >= 0) {
       if (now_ < run.paused_until) return;
-      run.paused_until = -1;  // sends what it had left to send
+      run.paused_until = -1;  // goes on with the commands that it had not sent before the pause
     } else {
       if (now_ < run.next_round) return;
       run.next_round = now_ + kRoundInterval;
@@ -464,7 +468,8 @@
         living += p.terminating ? 0 : 1;
         if (p.release.id == "new" && p.ready) exposed_nodes_.insert(node->name);
       }
-      if (living > 2) AddViolation(fmt::format("{} has {} processes", node->name, living));
+      if (living > 2)
+        AddViolation(fmt::format("{} has {} running processes, at most 2 allowed", node->name, living));
     }
     const std::size_t allowed = spec_.rule == StopRule::kAllAtOnce ? nodes_.size() : spec_.max_concurrent;
     if (changing > allowed)
@@ -476,7 +481,7 @@
     result_.exposed_nodes = exposed_nodes_.size();
     if (result_.end.empty()) result_.end = "unfinished";
     const bool ended = result_.end == "done" || result_.end == "back" || result_.end.starts_with("paused: ");
-    if (!ended) AddViolation("the rollout did not end");
+    if (!ended) AddViolation(fmt::format("the rollout did not end within {} s", spec_.max_seconds));
     if (result_.end == "back") {
       for (std::size_t i = 0; i < nodes_.size(); ++i) {
         const SimulatedNode& node = *nodes_[i];
@@ -490,7 +495,8 @@
       for (const auto& node : nodes_)
         unchanged += !node->lost && node->saved_state.active.id != "new" ? 1 : 0;
       if (unchanged > plan_.max_skipped)
-        AddViolation(fmt::format("the rollout is done, but {} nodes do not run the release", unchanged));
+        AddViolation(fmt::format("the rollout is done, but {} nodes do not run the release, {} allowed",
+                                 unchanged, plan_.max_skipped));
     }
   }
 
@@ -535,8 +541,8 @@
       if (result.end != "done")
         totals.ends.push_back(fmt::format("seed {}: {}{}", s.seed, result.end,
                                           result.stop_reason.empty() ? "" : ": " + result.stop_reason));
-      for (const std::string& b : result.violations)
-        totals.violations.push_back(fmt::format("seed {}: {}", s.seed, b));
+      for (const std::string& violation : result.violations)
+        totals.violations.push_back(fmt::format("seed {}: {}", s.seed, violation));
     }
   };
   std::vector<std::thread> threads;
--- a/lab/rollout/simulation.h
+++ b/lab/rollout/simulation.h
@@ -22,7 +22,7 @@
   double rejected_share = 0;         // of requests, in addition to those that the fleet rejects anyway
   std::string only_class;            // request class that is affected; empty: all classes
   double first_token_slowdown = 0;   // 0.3: first tokens take 30% longer
-  double leak_bytes_per_second = 0;  // memory
+  double leak_bytes_per_second = 0;  // growth of a process's memory
   int crash_at_request = 0;          // number of the request at which a process dies; 0: never
   bool never_ready = false;
   bool does_not_start = false;
@@ -38,6 +38,7 @@
   kAllAtOnce        // nothing: all nodes change at once, without stages
 };
 
+// One simulated rollout: the fleet, the plan, the defects of the release and the faults to inject.
 struct SimulationSpec {
   std::uint64_t seed = 1;
   int nodes = 16, zones = 2;
@@ -48,10 +49,11 @@
   double overdispersion = 0.3;  // sigma of the logarithms of the baseline shares
   ReleaseDefects defects;       // of the new release
   StopRule rule = StopRule::kCanaryAnalysis;
-  double soak_seconds = 60;       // of each stage
-  std::uint64_t requests = 500;   // that each stage waits for
-  std::vector<int> stages{1, 3};  // nodes of the first stages; a last stage takes the remaining nodes
-  std::size_t max_concurrent = 2;
+  double soak_seconds = 60;      // of each stage
+  std::uint64_t requests = 500;  // number that each stage waits for
+  std::vector<int> stages{
+      1, 3};  // number of nodes in each of the first stages; a last stage takes the remaining nodes
+  std::size_t max_concurrent = 2;          // nodes that may change at once
   double message_loss = 0;                 // probability for each message and for each reply
   double driver_kill_probability = 0;      // at each message
   double driver_pause_probability = 0;     // at each round; the driver then goes on where it was
@@ -76,6 +78,7 @@
   bool forgets_last_good = false;       // a restarted supervisor has lost its last good release
 };
 
+// Outcome of one simulated rollout.
 struct SimulationResult {
   std::vector<std::string> violations;  // of invariants, at most 8
   std::string end;                      // "done", "back", "paused: REASON" or "unfinished"
@@ -86,10 +89,12 @@
   double worth_lost = 0;  // priority weight of requests lost to the new release or to no process
   double worth = 0;       // priority weight of all requests
   double seconds = 0;     // length of the rollout
-  int drivers = 0, supervisors_killed = 0;
+  int drivers = 0;        // number that were started
+  int supervisors_killed = 0;
   std::string stop_reason;  // given by the driver that rolled back; empty: none did
 };
 
+// Runs one rollout in virtual time. The result depends on the spec only.
 SimulationResult RunSimulation(const SimulationSpec& spec);
 
 // Sums over a set of runs.
--- a/lab/rollout/supervised_node.h
+++ b/lab/rollout/supervised_node.h
@@ -1,6 +1,6 @@
 // A node in virtual time: the program's own supervisor, the state that it has saved, and the processes that
-// it started. Of a process only its release is modelled, and when it becomes ready and ends. Used by the
-// simulation and by the explorer.
+// it started. A process is modelled by its release and by the times at which it becomes ready and ends. Used
+// by the simulation and by the explorer.
 #pragma once
 
 #include <cstdint>
@@ -23,9 +23,9 @@
   std::int64_t pid = 0;
   Time started = 0;
   bool ready = false, terminating = false;
-  Time ends_at = -1;  // -1: not until it is told to
+  Time ends_at = -1;  // -1: no end is scheduled
   rollout::NodeMetrics metrics;
-  double requests = 0;  // that it got
+  double requests = 0;  // sent to it
 };
 
 struct SupervisedNode {
@@ -53,9 +53,11 @@
   Time now = 0;
   // Starts the node's first supervisor, or one in place of another, which adopts the living processes.
   void StartSupervisor(SupervisedNode& node);
+  // Applies the effects to the node's saved state and processes, and the effects that follow from them.
   void CarryOut(SupervisedNode& node, std::vector<rollout::SupervisorEffect> effects);
   // Reports the end of a process to the node's supervisor, which must be running.
   void EndProcess(SupervisedNode& node, int number);
+  // Calls the supervisor's periodic work for the current time.
   void TickSupervisor(SupervisedNode& node);
   // Reports the end of the processes that failed to start to their supervisors.
   void EndUnstartedProcesses();
@@ -63,7 +65,7 @@
  private:
   Rules rules_;
   std::int64_t last_pid_ = 0;
-  std::vector<std::pair<SupervisedNode*, int>> unstarted_;
+  std::vector<std::pair<SupervisedNode*, int>> unstarted_;  // processes that failed to start, by number
 };
 
 }  // namespace ryeglade::rollout_lab
