--- a/lab/client.h
+++ b/lab/client.h
@@ -42,7 +42,7 @@
     Reply reply;
     http_parser parser{};
     std::string field;
-    bool has_header_value = false;
+    bool has_header_value = false;  // set once a part of the current header's value was received
     Done done;
     DeadlineId deadline{};
   };
--- a/lab/fake_discovery.h
+++ b/lab/fake_discovery.h
@@ -24,7 +24,7 @@
 class FakeDiscovery : public Front {
  public:
   explicit FakeDiscovery(const Runtime* runtime);
-  std::string Listen() { return server_.Listen(); }
+  std::string Listen() { return server_.Listen(); }  // on a free port; returns ip:port
   void Close() { server_.Close(); }
   // Adds an endpoint or changes it, and reports it to the watches. `host_port` is ip:port.
   void Set(const std::string& name, const std::string& host_port, const std::string& lifecycle = "active");
@@ -52,7 +52,7 @@
     DiscoveryEntry entry;
   };
   void SendList(Handle connection, bool follow);
-  void ReportAllEntries();
+  void ReportAllEntries();  // to the listed callback
   void SendKeepAlive();
 
   const Runtime* runtime_;
--- a/lab/fake_replica.h
+++ b/lab/fake_replica.h
@@ -43,7 +43,7 @@
   int queue = 32;                       // requests that may wait beyond the batch; more are rejected
   Fault fault = Fault::kNone;           // of requests whose prompt names no fault
   std::size_t tokens = 64;              // length of the longest response
-  double fault_share = 1;               // of those requests that get `fault`
+  double fault_share = 1;               // share of these requests that get `fault`
   std::size_t number = 0;               // replica number that the observer is given
   AttemptObserver* observer = nullptr;  // null: none
 };
@@ -66,7 +66,7 @@
     if (!std::exchange(closed_, true)) server_.Close();
   }
   FakeReplicaOptions& options() { return options_; }  // may change while it runs
-  void CloseIdle() { server_.CloseIdle(); }           // idle connections, though a request may be on its way
+  void CloseIdle() { server_.CloseIdle(); }           // connections, even if a request is on its way to them
 
   void OnRequest(Handle connection, HttpRequest request) override;
   void OnClientDisconnected(Handle connection) override;
@@ -74,13 +74,15 @@
 
  private:
   struct Job {
-    std::uint64_t prompt = 0;
+    std::uint64_t prompt = 0;          // PromptKey
     std::size_t tokens = 0, sent = 0;  // length of the response, and how much of it was sent
     std::size_t prompt_tokens = 0;
-    bool chat = true, usage = false, running = false;
+    bool chat = true;       // false: a completions request
+    bool usage = false;     // a usage event follows the response
+    bool running = false;   // in the batch; false: waits for it, or never enters it
     double max_tokens = 0;  // as requested; 0: not set
     Fault fault = Fault::kNone;
-    DeadlineId next{};
+    DeadlineId next{};  // of the next event
   };
 
   void StartWaitingJobs();
--- a/lab/fault_scenarios.h
+++ b/lab/fault_scenarios.h
@@ -49,7 +49,7 @@
   double fault_at = 300, fault_seconds = 60;  // seconds after the start
   Time clock_offset = 0;                      // microseconds that this node's clock is ahead
   Time start_time = 1'760'000'000'000'000;    // microseconds since the epoch
-  // Additional attempts that fail at once while the fault lasts.
+  // Additional attempts that fail at once while the fault lasts. 0: none.
   double burst_failures_per_second = 0;
   bool record_reasons = true;  // set: the record contains the reasons of the decisions
 };
@@ -65,21 +65,23 @@
                                       const std::function<void(const timeline::Record&)>& sink);
 // Returns the records as they are encoded in a file, without blocks.
 std::string EncodeFaultScenario(const FaultScenarioOptions& options, FaultScenarioResult* result = nullptr);
-// Writes a .flight file of blocks of 64 KiB. Throws std::runtime_error.
+// Writes a .flight file of blocks of 64 KiB and calls `progress` with the share that is done. Throws
+// std::runtime_error if the file cannot be written.
 FaultScenarioResult WriteFaultScenario(const FaultScenarioOptions& options, const std::string& path,
                                        const std::function<void(double done)>& progress = nullptr);
 
 // How well the anomaly detector finds one kind of fault, over a set of scenarios.
 struct DetectionRow {
   ScriptedFault fault = ScriptedFault::kNone;
-  int scenarios = 0;           // scenarios played
+  int scenarios = 0;           // number played
   int found = 0;               // scenarios in which the expected event was raised
-  std::vector<double> delays;  // seconds from the begin of the fault to the event, of those found, sorted
+  std::vector<double> delays;  // seconds from the start of the fault to the event, of those found, sorted
   int other = 0;               // false alarms: events that the fault does not explain
 };
 // Plays `hours_each` scenarios for each fault and `calm_hours` without a fault.
 std::vector<DetectionRow> MeasureDetection(int hours_each, int calm_hours,
                                            const std::function<void(int done, int of)>& progress = nullptr);
+// Formats the rows as a text table.
 std::string DetectionTable(const std::vector<DetectionRow>& rows);
 
 }  // namespace ryeglade::lab
--- a/lab/live_fault_scenario.h
+++ b/lab/live_fault_scenario.h
@@ -18,13 +18,13 @@
 
 struct LiveFaultScenarioOptions {
   std::string program;  // the node's
-  std::string name;     // one of LiveFaultScenarioNames(); throws std::runtime_error for others
+  std::string name;     // one of LiveFaultScenarioNames()
   std::string record;   // directory for the flight record
   double seconds = 30;  // the fault begins after one third of it and ends after two thirds
   double requests_per_second = 40;
   std::size_t replicas = 6;
-  std::string extra_timeline_settings;  // appended to the TOML table [timeline]
-  std::function<void(double done)> progress;
+  std::string extra_timeline_settings;        // appended to the TOML table [timeline]
+  std::function<void(double done)> progress;  // gets the share that is done, every second; null: none
 };
 
 struct LiveFaultScenarioResult {
@@ -37,6 +37,8 @@
   std::string log;                         // the node's
 };
 
+// Starts a local fleet, plays the scenario and stops the node. Throws std::runtime_error for an unknown name,
+// or if the node does not start.
 LiveFaultScenarioResult PlayLiveFaultScenario(const LiveFaultScenarioOptions& options);
 
 }  // namespace ryeglade::lab
--- a/lab/local_fleet.h
+++ b/lab/local_fleet.h
@@ -19,10 +19,10 @@
 struct LocalFleetOptions {
   std::string program;  // the node's
   std::vector<FakeReplicaOptions> replicas;
-  std::string openai_listen = "127.0.0.1:0";
-  std::string key;             // of the clients; empty: the node requires no keys
-  std::string extra_settings;  // TOML appended to the settings
-  std::string limits;          // TOML of [openai.limits]
+  std::string openai_listen = "127.0.0.1:0";  // of the OpenAI-style front
+  std::string key;                            // of the clients; empty: the node requires no keys
+  std::string extra_settings;                 // TOML appended to the settings
+  std::string limits;                         // TOML of [openai.limits]
   std::int64_t latency_objective_ms = 20'000, deadline_ms = 30'000;  // of both classes
   std::string effect = "free";  // of both classes: free, single_shot or guarded
 };
@@ -55,11 +55,12 @@
     deadlines_.Cancel(wake);
     return done();
   }
-  // Sends one request and waits for the response.
+  // Sends one request and waits for the response, or for what has been received after `timeout`.
   Reply SendAndWait(const std::string& to, const std::string& request, Time timeout = 60'000'000);
   std::string Ledger();  // stops the node and returns the ledger that it wrote
 
  private:
+  // Returns the address that the node logged with the event; empty: not logged yet.
   std::string LoggedAddress(const std::string& event) const;
 
   uv_loop_t loop_{};
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -161,19 +161,24 @@
       ->check(CLI::Range(6.0, 3600.0));
   demo->add_option("--rate", live_scenario.requests_per_second, "requests per second")
       ->check(CLI::Range(1.0, 1000.0));
-  demo->add_option("--replicas", live_scenario.replicas)->check(CLI::Range(std::size_t{2}, std::size_t{64}));
+  demo->add_option("--replicas", live_scenario.replicas, "number of fake replicas")
+      ->check(CLI::Range(std::size_t{2}, std::size_t{64}));
 
   FaultScenarioOptions virtual_scenario;
   std::string fault = "none", out;
   double clock_ahead_seconds = 0;
   CLI::App* hour = app.add_subcommand("hour", "write the flight record of a fault scenario in virtual time");
-  hour->add_option("--thing", fault, "the fault: errors, slow, full, cut-off, loaded, fleet-slow, ...");
+  hour->add_option("--thing", fault,
+                   "the fault: none, errors, slow, full, cut-off, loaded, fleet-slow, fleet-errors, dark, "
+                   "replaced or drained");
   hour->add_option("--out", out, "path of the .flight file")->required();
-  hour->add_option("--seconds", virtual_scenario.seconds)->check(CLI::Range(1.0, 1e6));
+  hour->add_option("--seconds", virtual_scenario.seconds, "length of the scenario")
+      ->check(CLI::Range(1.0, 1e6));
   hour->add_option("--at", virtual_scenario.fault_at, "seconds until the fault begins");
   hour->add_option("--lasts", virtual_scenario.fault_seconds, "length of the fault in seconds");
-  hour->add_option("--replicas", virtual_scenario.replicas)->check(CLI::Range(1, 4096));
-  hour->add_option("--per-second", virtual_scenario.requests_per_second, "request rate")
+  hour->add_option("--replicas", virtual_scenario.replicas, "number of simulated replicas")
+      ->check(CLI::Range(1, 4096));
+  hour->add_option("--per-second", virtual_scenario.requests_per_second, "requests per second")
       ->check(CLI::Range(0.1, 1e5));
   hour->add_option("--seed", virtual_scenario.seed);
   hour->add_option("--node", virtual_scenario.node, "name of the node");
@@ -194,7 +199,6 @@
   replay->add_option("trace", path)->required();
   replay->add_option("--front", front)->check(CLI::IsMember({"platform", "openai"}));
   replay->add_option("--dialect", dialect)->check(CLI::IsMember({"platform", "openai"}));
-
   replay->add_option("--log", log, "file for the node's log");
 
   CLI::App* parity = app.add_subcommand(
--- a/lab/node_process.h
+++ b/lab/node_process.h
@@ -1,4 +1,4 @@
-// Runs a node as a child process, with its files in a temporary directory that is removed with it.
+// Runs a node as a child process, with its files in a temporary directory that the destructor removes.
 #pragma once
 
 #include <sys/types.h>
--- a/lab/replay.cpp
+++ b/lab/replay.cpp
@@ -19,8 +19,8 @@
 
 constexpr std::uint64_t kSeed = 1;
 constexpr std::size_t kTokens = 32;  // length of the longest response
-// With this many replicas and few faults no replica stays ejected for long, so that the fate of one request
-// does not change the outcome of another.
+// With this many replicas and few faults no replica stays ejected for long, so that the outcome of one
+// request does not change that of another.
 constexpr std::size_t kReplicas = 8;
 constexpr Time kRequestTimeout = 45'000'000;
 constexpr std::array<const char*, 7> kEnds = {"served", "refused", "failed", "rejected",
@@ -163,9 +163,9 @@
       entry.max_tokens = j.at("max_tokens").get<std::size_t>();
       entry.deadline_ms = j.at("deadline_ms").get<std::int64_t>();
       const auto fault = ParseFault(j.at("fault").get<std::string>());
-      if (!fault) throw std::runtime_error("unknown fault");
+      if (!fault) throw std::runtime_error("unknown fault '" + j.at("fault").get<std::string>() + "'");
       if (entry.cls != "docs" && entry.cls != "agent")
-        throw std::runtime_error("the class is neither docs nor agent");
+        throw std::runtime_error("class '" + entry.cls + "' is neither docs nor agent");
       entry.fault = *fault;
       trace.push_back(std::move(entry));
     } catch (const std::exception& e) {
--- a/lab/replay.h
+++ b/lab/replay.h
@@ -37,7 +37,7 @@
 enum class End : std::uint8_t {
   kServed,    // complete, with the expected text
   kRefused,   // 429 or 503
-  kFailed,    // another status but 200 or 4xx
+  kFailed,    // a status other than 200, 4xx and 503
   kRejected,  // another 4xx
   kBroken,    // 200, and an expected text that ends early or with an error event
   kSpoilt,    // 200, and a text or an event that is wrong
@@ -53,7 +53,7 @@
 };
 
 struct ReplayResult {
-  std::vector<End> ends;                                 // by line of the trace
+  std::vector<End> ends;                                 // outcome of each line of the trace
   double worth = 0, worth_asked = 0;                     // priority weight of the served requests, and of all
   std::uint64_t attempts = 0, overlapping_attempts = 0;  // as counted by the replicas
   std::map<ledger::Ledger::Id, ledger::Row> ledger;      // of the OpenAI-style front
@@ -61,7 +61,10 @@
   double seconds = 0;
 };
 
+// Starts a local fleet and sends the requests at the times of the trace. Throws std::runtime_error if the
+// node does not start.
 ReplayResult Replay(const std::vector<TraceLine>& trace, const ReplayOptions& options);
+// Formats the outcomes by class, the attempts and the ledger as text.
 std::string Table(const std::vector<TraceLine>& trace, const ReplayResult& result);
 
 }  // namespace ryeglade::lab
