--- a/bench/fronts_bench.cpp
+++ b/bench/fronts_bench.cpp
@@ -65,7 +65,7 @@
 // replica.
 void FirstToken(benchmark::State& state) {
   const auto fleet = MakeFleet(ReplicaDialect::kOpenAi, 8);
-  FakeReplica direct_replica(fleet->run(), &fleet->attempt_counts(),
+  FakeReplica direct_replica(fleet->runtime(), &fleet->attempt_counts(),
                              {.first_token = 0, .per_token = 0, .tokens = 8});
   const std::string direct_address = direct_replica.Listen();
   std::vector<double> through_ms, straight_ms;
--- a/lab/load/agreement.cpp
+++ b/lab/load/agreement.cpp
@@ -53,7 +53,7 @@
   LoadTarget target;
   target.address = fleet.platform();
   target.openai = false;
-  LoadClient client(fleet.run(), plan, target);
+  LoadClient client(fleet.runtime(), plan, target);
   client.Start();
   Time reported_at = Now();
   fleet.Until(
--- a/lab/load/command.cpp
+++ b/lab/load/command.cpp
@@ -136,7 +136,7 @@
   } else {
     loop = std::make_unique<EventLoop>();
   }
-  const Runtime* run = fleet ? fleet->run() : &loop->run;
+  const Runtime* run = fleet ? fleet->runtime() : &loop->run;
   LoadClient client(run, plan, target);
   const auto bar = lab::ProgressLine();
   client.Start();
--- a/lab/local_fleet.cpp
+++ b/lab/local_fleet.cpp
@@ -24,11 +24,11 @@
 LocalFleet::LocalFleet(const LocalFleetOptions& options)
     : buffers_(std::size_t{256} * 1024 * 1024),
       deadlines_(Init(&loop_)),
-      run_{&loop_, &deadlines_, &buffers_},
-      client_(&run_),
-      discovery_(&run_) {
+      runtime_{&loop_, &deadlines_, &buffers_},
+      client_(&runtime_),
+      discovery_(&runtime_) {
   for (std::size_t i = 0; i < options.replicas.size(); ++i) {
-    replicas_.push_back(std::make_unique<FakeReplica>(&run_, &attempt_counts_, options.replicas[i]));
+    replicas_.push_back(std::make_unique<FakeReplica>(&runtime_, &attempt_counts_, options.replicas[i]));
     addresses_.push_back(replicas_.back()->Listen());
     discovery_.Set("stand-in-" + std::to_string(i), addresses_.back());
   }
@@ -92,7 +92,7 @@
   return reply;
 }
 
-std::string LocalFleet::Ledger() {
+std::string LocalFleet::StopAndReadLedger() {
   node_.Signal(SIGTERM);
   Until(
       [&] {
--- a/lab/local_fleet.h
+++ b/lab/local_fleet.h
@@ -35,7 +35,7 @@
   LocalFleet(const LocalFleet&) = delete;
   LocalFleet& operator=(const LocalFleet&) = delete;
 
-  const Runtime* run() const { return &run_; }
+  const Runtime* runtime() const { return &runtime_; }
   Client& client() { return client_; }
   NodeProcess& node() { return node_; }
   AttemptCounts& attempt_counts() { return attempt_counts_; }
@@ -57,7 +57,7 @@
   }
   // Sends one request and waits for the response, or for what has been received after `timeout`.
   Reply SendAndWait(const std::string& to, const std::string& request, Time timeout = 60'000'000);
-  std::string Ledger();  // stops the node and returns the ledger that it wrote
+  std::string StopAndReadLedger();  // returns the ledger that the node wrote
 
  private:
   // Returns the address that the node logged with the event; empty: not logged yet.
@@ -66,7 +66,7 @@
   uv_loop_t loop_{};
   BufferPool buffers_;
   Deadlines deadlines_;
-  Runtime run_;
+  Runtime runtime_;
   AttemptCounts attempt_counts_;
   Client client_;
   FakeDiscovery discovery_;
--- a/lab/replay.cpp
+++ b/lab/replay.cpp
@@ -196,7 +196,7 @@
   std::size_t done = 0;
   const Time start = Now();
   for (std::size_t n = 0; n < trace.size(); ++n) {
-    fleet.run()->deadlines->Set(start + trace[n].at_ms * 1000, [&, n] {
+    fleet.runtime()->deadlines->Set(start + trace[n].at_ms * 1000, [&, n] {
       fleet.client().Send(to, RequestOf(trace[n], n, options.openai_front, "lab"), kRequestTimeout,
                           [&, n](const Reply& reply) {
                             result.ends[n] = OutcomeOf(trace[n], reply);
@@ -219,7 +219,7 @@
     result.worth_asked += Worth(trace[n].cls);
     if (result.ends[n] == End::kServed) result.worth += Worth(trace[n].cls);
   }
-  const std::string ledger = fleet.Ledger();
+  const std::string ledger = fleet.StopAndReadLedger();
   result.log = fleet.node().Log();
   if (!ledger.empty()) result.ledger = ledger::RowsFromJson(ledger);
   result.attempts = fleet.attempt_counts().attempts;
--- a/tests/load_test.cpp
+++ b/tests/load_test.cpp
@@ -108,7 +108,7 @@
     target.openai = openai;
     target.max_connections = connections;
     target.give_up = 20'000'000;
-    client = std::make_unique<LoadClient>(fleet->run(), plan, target);
+    client = std::make_unique<LoadClient>(fleet->runtime(), plan, target);
     client->Start();
   }
   bool RunToEnd() {
@@ -166,7 +166,7 @@
   for (const char* address : {"10.0.0.1:80", "[2001:db8::1]:80", "nowhere", "127.0.0.1"}) {
     LoadTarget target;
     target.address = address;
-    EXPECT_THROW(LoadClient(fleet.run(), {}, target), std::runtime_error) << address;
+    EXPECT_THROW(LoadClient(fleet.runtime(), {}, target), std::runtime_error) << address;
   }
 }
 
--- a/tests/openai_front_test.cpp
+++ b/tests/openai_front_test.cpp
@@ -46,7 +46,7 @@
   // Stops the node and returns the sum of all rows of its ledger.
   ledger::Row Ledger() {
     ledger::Row total;
-    for (const auto& [id, row] : ledger::RowsFromJson(fleet->Ledger())) total.Add(row);
+    for (const auto& [id, row] : ledger::RowsFromJson(fleet->StopAndReadLedger())) total.Add(row);
     return total;
   }
   std::unique_ptr<LocalFleet> fleet;
@@ -364,7 +364,7 @@
   }
   ASSERT_TRUE(fleet.Until([&] { return answers.size() == 2; }, 30'000'000));
   EXPECT_EQ(answers[0], answers[1]);
-  const auto rows = ledger::RowsFromJson(fleet.Ledger());
+  const auto rows = ledger::RowsFromJson(fleet.StopAndReadLedger());
   ASSERT_EQ(rows.size(), 2U);
   for (const auto& [id, row] : rows) EXPECT_EQ(CountOf(row, ledger::Outcome::kServed), 1U) << id.first;
 }
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -220,7 +220,7 @@
 TEST(FlightNode, FaultyTrafficIsReproducedAndTracedByRequest) {
   RecordingFleet r("");
   EXPECT_GT(r.SendRequests(60), 40);
-  r.fleet->Ledger();  // stops the node gracefully
+  r.fleet->StopAndReadLedger();  // stops the node gracefully
   const std::string output = r.Command("verify");
   EXPECT_NE(output.find("1 starts"), std::string::npos) << output;
   EXPECT_EQ(output.find("failed"), std::string::npos) << output;
