--- a/lab/fake_discovery.h
+++ b/lab/fake_discovery.h
@@ -23,8 +23,8 @@
 
 class FakeDiscovery : public Front {
  public:
-  explicit FakeDiscovery(const Runtime* run);
-  std::string Listen() { return server_.Listen(); }
+  explicit FakeDiscovery(const Runtime* runtime);
+  std::string Listen() { return server_.Listen(); }  // on a free port; returns ip:port
   void Close() { server_.Close(); }
   // Adds an endpoint or changes it, and reports it to the watches. `host_port` is ip:port.
   void Set(const std::string& name, const std::string& host_port, const std::string& lifecycle = "active");
@@ -51,11 +51,11 @@
     std::string name, host_port;
     DiscoveryEntry entry;
   };
-  void Answer(Handle connection, bool follow);
-  void AnnounceAll();
+  void SendList(Handle connection, bool follow);
+  void ReportAllEntries();  // to the listed callback
   void SendKeepAlive();
 
-  const Runtime* run_;
+  const Runtime* runtime_;
   Downstream server_;
   std::vector<Entry> entries_;
   std::set<Handle> watches_;
--- a/lab/replay.cpp
+++ b/lab/replay.cpp
@@ -19,8 +19,8 @@
 
 constexpr std::uint64_t kSeed = 1;
 constexpr std::size_t kTokens = 32;  // length of the longest response
-// With this many replicas and few faults no replica stays ejected for long, so that the fate of one request
-// does not change the outcome of another.
+// With this many replicas and few faults no replica stays ejected for long, so that the outcome of one
+// request does not change that of another.
 constexpr std::size_t kReplicas = 8;
 constexpr Time kRequestTimeout = 45'000'000;
 constexpr std::array<const char*, 7> kEnds = {"served", "refused", "failed", "rejected",
@@ -130,14 +130,14 @@
 
 std::string WriteTrace(const std::vector<TraceLine>& trace) {
   std::string out;
-  for (const TraceLine& l : trace) {
-    out += json({{"at_ms", l.at_ms},
-                 {"class", l.cls},
-                 {"system", l.system},
-                 {"prompt", l.prompt},
-                 {"max_tokens", l.max_tokens},
-                 {"deadline_ms", l.deadline_ms},
-                 {"fault", Name(l.fault)}})
+  for (const TraceLine& line : trace) {
+    out += json({{"at_ms", line.at_ms},
+                 {"class", line.cls},
+                 {"system", line.system},
+                 {"prompt", line.prompt},
+                 {"max_tokens", line.max_tokens},
+                 {"deadline_ms", line.deadline_ms},
+                 {"fault", Name(line.fault)}})
                .dump() +
            "\n";
   }
@@ -155,19 +155,19 @@
     if (line.empty()) continue;
     try {
       const json j = json::parse(line);
-      TraceLine l;
-      l.at_ms = j.at("at_ms").get<std::int64_t>();
-      l.cls = j.at("class").get<std::string>();
-      l.system = j.at("system").get<std::string>();
-      l.prompt = j.at("prompt").get<std::string>();
-      l.max_tokens = j.at("max_tokens").get<std::size_t>();
-      l.deadline_ms = j.at("deadline_ms").get<std::int64_t>();
+      TraceLine entry;
+      entry.at_ms = j.at("at_ms").get<std::int64_t>();
+      entry.cls = j.at("class").get<std::string>();
+      entry.system = j.at("system").get<std::string>();
+      entry.prompt = j.at("prompt").get<std::string>();
+      entry.max_tokens = j.at("max_tokens").get<std::size_t>();
+      entry.deadline_ms = j.at("deadline_ms").get<std::int64_t>();
       const auto fault = ParseFault(j.at("fault").get<std::string>());
-      if (!fault) throw std::runtime_error("unknown fault");
-      if (l.cls != "docs" && l.cls != "agent")
-        throw std::runtime_error("the class is neither docs nor agent");
-      l.fault = *fault;
-      trace.push_back(std::move(l));
+      if (!fault) throw std::runtime_error("unknown fault '" + j.at("fault").get<std::string>() + "'");
+      if (entry.cls != "docs" && entry.cls != "agent")
+        throw std::runtime_error("class '" + entry.cls + "' is neither docs nor agent");
+      entry.fault = *fault;
+      trace.push_back(std::move(entry));
     } catch (const std::exception& e) {
       throw std::runtime_error(fmt::format("line {} of the trace: {}", number, e.what()));
     }
@@ -196,7 +196,7 @@
   std::size_t done = 0;
   const Time start = Now();
   for (std::size_t n = 0; n < trace.size(); ++n) {
-    fleet.run()->deadlines->Set(start + trace[n].at_ms * 1000, [&, n] {
+    fleet.runtime()->deadlines->Set(start + trace[n].at_ms * 1000, [&, n] {
       fleet.client().Send(to, RequestOf(trace[n], n, options.openai_front, "lab"), kRequestTimeout,
                           [&, n](const Reply& reply) {
                             result.ends[n] = OutcomeOf(trace[n], reply);
@@ -219,7 +219,7 @@
     result.worth_asked += Worth(trace[n].cls);
     if (result.ends[n] == End::kServed) result.worth += Worth(trace[n].cls);
   }
-  const std::string ledger = fleet.Ledger();
+  const std::string ledger = fleet.StopAndReadLedger();
   result.log = fleet.node().Log();
   if (!ledger.empty()) result.ledger = ledger::RowsFromJson(ledger);
   result.attempts = fleet.attempt_counts().attempts;
