--- a/tests/operations.cpp
+++ b/tests/operations.cpp
@@ -399,17 +399,18 @@
 
 int main(int argc, char** argv) {
   using namespace scripted;
-  const std::map<std::string, void (*)()> scenarios = {{"calls", AdminCalls},
-                                                       {"by-hand", DisabledByOperator},
-                                                       {"slow-callers", IdleAdminCallers},
-                                                       {"beside", TwoProcessesOnOneAddress},
-                                                       {"holds-pass", DisabledReplicasPassToNextProcess},
-                                                       {"holds-torn", InvalidDisabledReplicasFile},
-                                                       {"retunes", ReloadSettings},
-                                                       {"hands-over", HotRestart},
-                                                       {"takes-up-again", OldProcessResumesAccepting},
-                                                       {"state-aside", HotRestartWithoutState},
-                                                       {"hands-over-newer", HotRestartWithNewerList}};
+  const std::map<std::string, void (*)()> scenarios = {
+      {"admin-calls", AdminCalls},
+      {"disabled-by-operator", DisabledByOperator},
+      {"idle-admin-callers", IdleAdminCallers},
+      {"two-processes", TwoProcessesOnOneAddress},
+      {"disabled-replicas-pass", DisabledReplicasPassToNextProcess},
+      {"invalid-disabled-replicas-file", InvalidDisabledReplicasFile},
+      {"reload-settings", ReloadSettings},
+      {"hot-restart", HotRestart},
+      {"old-process-resumes", OldProcessResumesAccepting},
+      {"hot-restart-without-state", HotRestartWithoutState},
+      {"hot-restart-newer-list", HotRestartWithNewerList}};
   signal(SIGPIPE, SIG_IGN);
   assert(argc == 3 && scenarios.contains(argv[2]));
   program = argv[1];
--- a/tests/races.cpp
+++ b/tests/races.cpp
@@ -249,12 +249,12 @@
   const std::map<std::string, std::function<void()>> scenarios = {
       {"idle-close", RequestDuringIdleClose},
       {"make-room", RequestWhileMakingRoom},
-      {"held-up-idle", SuspendedBeyondIdleClose},
+      {"suspended-beyond-idle-close", SuspendedBeyondIdleClose},
       {"budget", BudgetWithinOwnWait},
-      {"clients-fields", ClientHeadersReachEveryAttempt},
+      {"client-headers", ClientHeadersReachEveryAttempt},
       {"indented-lists", IndentedLists},
       {"old-watch", OldWatchDeliversAfterNewList},
-      {"move-in-back-off", DiscoveryChangesDuringBackOff},
+      {"discovery-changes-in-back-off", DiscoveryChangesDuringBackOff},
       {"signals-in-a-row", SignalsInARow}};
   signal(SIGPIPE, SIG_IGN);
   assert(argc == 4 && scenarios.contains(argv[3]));
