--- a/tests/fault_injection.cpp
+++ b/tests/fault_injection.cpp
@@ -1,6 +1,6 @@
-// Scenarios of failures around a node as a process: system calls that fail for a while (by a preloaded
-// library), clients that disconnect unnoticed, an early shutdown, an outdated endpoint list. `fault_injection
-// PROGRAM LIBRARY NAME` runs one of them.
+// Scenarios of failures around a node, which runs as a process: system calls that a preloaded library makes
+// fail for a while, clients whose disconnection is hard to notice, an early shutdown, an outdated endpoint
+// list. `fault_injection PROGRAM LIBRARY NAME` runs one of them, with fault_library as LIBRARY.
 #include <atomic>
 #include <cerrno>
 #include <chrono>
@@ -15,8 +15,10 @@
 namespace {
 
 std::string program;
-const std::string kNoDiscovery = "127.0.0.1:9";  // for nodes that need no discovery
+// An address at which nothing listens, for nodes that need no discovery.
+const std::string kNoDiscovery = "127.0.0.1:9";
 
+// A full endpoint list with `host` as the ready replica s-a.
 nlohmann::json ListOf(const ScriptedServer& host, int generation = 1) {
   return EndpointListJson(generation, true, {InstanceJson("s-a", host.address())});
 }
@@ -30,7 +32,7 @@
     const Node node(program, ListOf(host), kNoDiscovery);
     Connection client = node.Connect();
     ServeOne(host, client);
-    assert(fault.affected_calls() > 0 && fault.affected_calls() < 200);
+    assert(fault.affected_calls() > 0 && fault.affected_calls() < 200);  // a spinning loop makes more calls
   }
 }
 
@@ -59,7 +61,7 @@
   }
 }
 
-// The host can't be reached: the failure counts against the host.
+// connect fails because the host can't be reached: the failure counts against the host.
 void ConnectFailsAtTheHost() {
   const ScriptedServer host;
   const PreloadedFault fault("connect:" + std::to_string(EHOSTUNREACH) +
@@ -70,15 +72,15 @@
   node.WaitForLog("outcome=connect-failed");
 }
 
-// The node stops reading from a client that has pipelined much. It still notices that the client has closed
-// the connection, and ends the attempt.
+// The node stops reading from a client that has pipelined more requests than it buffers. It still notices
+// that the client has closed the connection, and ends the attempt.
 void ClientClosesBehindPipelined() {
   const ScriptedServer host;
   const Node node(program, ListOf(host), kNoDiscovery);
   Connection client = node.Connect();
-  std::string many = RequestText("1");
-  while (many.size() < 100'000) many += RequestText(std::to_string(many.size()));
-  client.Send(many);
+  std::string pipelined = RequestText("1");
+  while (pipelined.size() < 100'000) pipelined += RequestText(std::to_string(pipelined.size()));
+  client.Send(pipelined);
   Connection upstream = host.Accept();
   upstream.ReadMessage();
   usleep(100'000);
@@ -134,8 +136,8 @@
   assert(node.WaitForExit() == 0);
 }
 
-// Waits until the node has exited by itself and returns how long that took, in ms. Fails if it takes
-// `limit_ms`.
+// Waits until the node has exited by itself and returns how long that took, in ms. The test fails if the node
+// still runs after `limit_ms`.
 long WaitForExitWithin(const Node& node, long limit_ms) {
   const auto start = std::chrono::steady_clock::now();
   const auto elapsed_ms = [&] {
@@ -149,6 +151,8 @@
   return elapsed_ms();
 }
 
+// The settings of `node`, with `deadline_us` as the deadline of its class and half of that as its latency
+// objective.
 nlohmann::json WithDeadline(const Node& node, long deadline_us) {
   nlohmann::json settings = node.config()["settings"];
   settings["classes"][0]["deadline"] = deadline_us;
@@ -190,7 +194,7 @@
   WaitForExitWithin(node, 1'700);
   stop = true;
   for (std::thread& client : clients) client.join();
-  std::printf("%d answered, %d not\n", answered.load(), unanswered.load());
+  std::printf("%d connections answered, %d not answered\n", answered.load(), unanswered.load());
   assert(answered > 0 && unanswered == 0);
 }
 
@@ -261,14 +265,14 @@
 
 // SIGHUP and SIGTERM arrive while the process still reads its large configuration: it exits with status 0.
 void SignalsAtStart() {
-  std::vector<nlohmann::json> many;
-  for (int n = 0; n < 20'000; ++n) many.push_back(InstanceJson("s-" + std::to_string(n), "127.0.0.1:9"));
-  char path[] = "/tmp/ryeglade-story-XXXXXX";
+  std::vector<nlohmann::json> instances;
+  for (int n = 0; n < 20'000; ++n) instances.push_back(InstanceJson("s-" + std::to_string(n), "127.0.0.1:9"));
+  char path[] = "/tmp/ryeglade-test-XXXXXX";
   const int fd = mkstemp(path);
   const std::string text =
       nlohmann::json{{"listen", "127.0.0.1:0"},
                      {"discovery", kNoDiscovery},
-                     {"known", EndpointListJson(1, true, many)},
+                     {"known", EndpointListJson(1, true, instances)},
                      {"settings", {{"classes", {{{"name", "docs"}, {"deadline", 500'000}}}}}}}
           .dump();
   assert(write(fd, text.data(), text.size()) == static_cast<ssize_t>(text.size()));
@@ -289,7 +293,7 @@
 }
 
 // The endpoint list in a node's configuration may be outdated: the node accepts no client before discovery
-// has answered.
+// has answered. `mode` is the setting membership-mode: "ask" polls discovery, "push" opens a watch.
 void ListensOnlyAfterFirstList(const char* mode) {
   const ScriptedServer discovery, gone, host;
   Connection watch;
@@ -306,8 +310,9 @@
   ServeOne(host, client);
   assert(!gone.HasConnectionWithin(0));
 }
+
 void FirstPolledListComesFirst() { ListensOnlyAfterFirstList("ask"); }
-// The same where discovery pushes the lists.
+
 void FirstPushedListComesFirst() { ListensOnlyAfterFirstList("push"); }
 
 // Where discovery pushes the lists, the node opens a watch by itself and opens it again after it has ended.
--- a/tests/fault_library.cpp
+++ b/tests/fault_library.cpp
@@ -1,9 +1,9 @@
 // Preloaded into a node under test: makes one system call fail for a while with an error that Linux documents
 // for it. RYEGLADE_TEST_FAULT is "CALL:ERRNO:MILLISECONDS[:PORT]": CALL is accept4 or connect, the time
 // counts from the first call that fails, and with PORT only calls to that port fail. With CALL "end" no call
-// fails, but each shutdown or close of an accepted connection is delayed by that time, as on a busy machine.
-// The library writes the number of calls that have failed or been delayed, as text, to the file that
-// RYEGLADE_TEST_FAULT_COUNT names.
+// fails and ERRNO is ignored, but each shutdown or close of an accepted connection is delayed by that time,
+// as on a busy machine. The library writes the number of calls that have failed or been delayed, as text, to
+// the file that RYEGLADE_TEST_FAULT_COUNT names.
 #include <arpa/inet.h>
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -25,12 +25,13 @@
 using Clock = std::chrono::steady_clock;
 
 struct Fault {
-  std::string call;
-  int error = 0;
-  std::chrono::milliseconds duration{0};
-  int port = 0;  // 0 means any port
+  std::string call;                       // "accept4", "connect" or "end"; empty: no fault
+  int error = 0;                          // errno of the calls that fail
+  std::chrono::milliseconds duration{0};  // of the time in which calls fail, or of each delay
+  int port = 0;                           // 0 means any port
 };
 
+// The fault that RYEGLADE_TEST_FAULT configures; none if the variable is not set or malformed.
 const Fault& ConfiguredFault() {
   static const Fault fault = [] {
     Fault f;
@@ -48,6 +49,7 @@
   return fault;
 }
 
+// Counts a call that fails or is delayed, and writes the count to the file.
 void CountAffectedCall() {
   static int affected_calls = 0;
   ++affected_calls;
@@ -60,26 +62,30 @@
   close(fd);
 }
 
+// Returns true if this call of `call` to `port` must fail. Then it has set errno and counted the call.
 bool ShouldFail(const char* call, int port) {
   const Fault& fault = ConfiguredFault();
   if (fault.call != call || (fault.port != 0 && fault.port != port)) return false;
-  static const Clock::time_point first = Clock::now();
-  if (Clock::now() - first >= fault.duration) return false;
+  static const Clock::time_point first_failure = Clock::now();
+  if (Clock::now() - first_failure >= fault.duration) return false;
   CountAffectedCall();
   errno = fault.error;
   return true;
 }
 
 constexpr int kMaxDescriptors = 4096;
-bool accepted[kMaxDescriptors];  // indexed by descriptor; unsynchronised, as one thread of a node under test
-                                 // uses sockets
+// Whether a descriptor is that of an accepted connection. Unsynchronised, because only one thread of a node
+// under test uses sockets.
+bool accepted[kMaxDescriptors];
 
+// Delays the calling shutdown or close if `fd` is an accepted connection and the fault is "end".
 void DelayClose(int fd) {
   if (fd < 0 || fd >= kMaxDescriptors || !accepted[fd] || ConfiguredFault().call != "end") return;
   CountAffectedCall();
   std::this_thread::sleep_for(ConfiguredFault().duration);
 }
 
+// Returns the function `name` that this library replaces.
 template <class Function>
 Function NextFunction(const char* name) {
   return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
--- a/tests/operations.cpp
+++ b/tests/operations.cpp
@@ -9,10 +9,11 @@
 namespace {
 
 std::string program;
-const std::string kNoDiscovery = "127.0.0.1:9";  // for nodes that need no discovery
+// An address at which nothing listens, for nodes that need no discovery.
+const std::string kNoDiscovery = "127.0.0.1:9";
 const nlohmann::json kAdmin = {{"management", "127.0.0.1:0"}};
 
-// A node with one upstream host and an admin listener.
+// A node with an admin listener, and the one upstream host in its endpoint list.
 struct NodeWithOneHost {
   ScriptedServer host;
   Node node{program,      EndpointListJson(1, true, {InstanceJson("s-a", host.address())}),
@@ -22,6 +23,7 @@
             kAdmin};
 };
 
+// Returns RequestText(id) with the class `cls` in place of docs.
 std::string RequestWithClass(const std::string& id, const std::string& cls) {
   std::string request = RequestText(id);
   request.replace(request.find("X-Call-Class: docs"), 18, "X-Call-Class: " + cls);
@@ -107,9 +109,9 @@
   ScriptedServer host;
   Node old_process(program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNoDiscovery,
                    "push", 1024, 192, "", false, kAdmin);
-  const std::string at = "127.0.0.1:" + std::to_string(old_process.port());
+  const std::string listen_address = "127.0.0.1:" + std::to_string(old_process.port());
   Node new_process(program, EndpointListJson(1, true, {InstanceJson("s-a", host.address())}), kNoDiscovery,
-                   "push", 1024, 192, "", false, {{"management", "127.0.0.1:0"}, {"listen", at}});
+                   "push", 1024, 192, "", false, {{"management", "127.0.0.1:0"}, {"listen", listen_address}});
   assert(new_process.port() == old_process.port() && new_process.admin_port() != old_process.admin_port());
   assert(new_process.AdminRequest("GET", "/control/ready").rfind("HTTP/1.1 200", 0) == 0);
   old_process.SendSigterm();
@@ -121,9 +123,9 @@
 // disabled at the new one from its start, and the old one applies what is disabled or enabled at the new one
 // while both run.
 void DisabledReplicasPassToNextProcess() {
-  ScriptedServer a, b;
-  const nlohmann::json list =
-      EndpointListJson(1, true, {InstanceJson("s-a", a.address()), InstanceJson("s-b", b.address())});
+  ScriptedServer host_a, host_b;
+  const nlohmann::json list = EndpointListJson(
+      1, true, {InstanceJson("s-a", host_a.address()), InstanceJson("s-b", host_b.address())});
   Node old_process(program, list, kNoDiscovery, "push", 1024, 192, "", false, kAdmin);
   assert(old_process.AdminRequest("POST", "/control/model-replicas/s-a/offline").rfind("HTTP/1.1 200", 0) ==
          0);
@@ -142,8 +144,8 @@
   assert(new_process.AdminRequest("POST", "/control/model-replicas/s-a/online").rfind("HTTP/1.1 200", 0) ==
          0);
   old_process.WaitForLog("disabled-replicas-applied out=1 start=false");
-  ServeRequest(old_process, a, "1");  // enabled again at both
-  ServeRequest(new_process, a, "2");
+  ServeRequest(old_process, host_a, "1");  // enabled again at both processes
+  ServeRequest(new_process, host_a, "2");
   old_process.SendSigterm();
   assert(old_process.WaitForExit() == 0);
 }
@@ -151,7 +153,7 @@
 // A file of disabled replicas that is truncated, garbled or of another node is ignored as a whole: the node
 // starts as if there were none.
 void InvalidDisabledReplicasFile() {
-  char dir[] = "/tmp/ryeglade-story-tmp-XXXXXX";
+  char dir[] = "/tmp/ryeglade-test-tmp-XXXXXX";
   assert(mkdtemp(dir) != nullptr);
   const std::string path = std::string(dir) + "/ryeglade-holds-n0";
   for (const std::string& text :
@@ -168,11 +170,12 @@
   rmdir(dir);
 }
 
+// Reads a response and returns the beginning of its status line up to the code, such as "HTTP/1.1 400".
 std::string StatusLine(Connection& client) { return client.ReadMessage().substr(0, 12); }
 
 // SIGHUP with changed settings: an added class is served at once, requests of a removed class are refused,
-// and an open request keeps the class version it arrived with. No part of an invalid file is applied, and it
-// is counted.
+// and an open request keeps the class version it arrived with. No part of an invalid file is applied, and the
+// failed reload is counted.
 void ReloadSettings() {
   NodeWithOneHost setup;
   nlohmann::json settings = setup.node.config()["settings"];
@@ -201,7 +204,8 @@
     setup.node.Reload("settings", agent_only);
     setup.node.WaitForLog("event=classes-updated classes=1 versions=3 attempts=2");
     upstream.SendChunk("");
-    client.ReadUntil("0\r\n\r\n");  // complete, and counted under the class it arrived with
+    client.ReadUntil(
+        "0\r\n\r\n");  // the response is complete, and counted under the class that the request arrived with
   }
   Connection refused = setup.node.Connect();
   refused.Send(RequestText("3"));
@@ -214,7 +218,7 @@
 
   // Invalid files: each is rejected as a whole, and the settings in force stay.
   const nlohmann::json good = setup.node.config();
-  std::vector<std::string> broken = {"", good.dump().substr(0, good.dump().size() / 2)};
+  std::vector<std::string> invalid_files = {"", good.dump().substr(0, good.dump().size() / 2)};
   for (const auto& [key, value] : std::vector<std::pair<std::string, nlohmann::json>>{
            {"deadline", 0}, {"deadline", -5}, {"promise", "soon"}, {"name", nullptr}}) {
     nlohmann::json file = good;
@@ -223,19 +227,19 @@
     } else {
       file["settings"]["classes"][0][key] = value;
     }
-    broken.push_back(file.dump());
+    invalid_files.push_back(file.dump());
   }
   nlohmann::json attempts = good;
   attempts["settings"]["limits"]["max-attempts"] = 0;
-  broken.push_back(attempts.dump());
+  invalid_files.push_back(attempts.dump());
   nlohmann::json no_limits = good;
   no_limits["settings"].erase("limits");
-  broken.push_back(no_limits.dump());
+  invalid_files.push_back(no_limits.dump());
   nlohmann::json no_deadline = good;
   no_deadline["settings"]["classes"][0].erase("deadline");
-  broken.push_back(no_deadline.dump());
-  for (std::size_t i = 0; i < broken.size(); ++i) {
-    setup.node.WriteConfig(broken[i]);
+  invalid_files.push_back(no_deadline.dump());
+  for (std::size_t i = 0; i < invalid_files.size(); ++i) {
+    setup.node.WriteConfig(invalid_files[i]);
     setup.node.SendSighup();
     const std::string expected = "node_reconfig_failed " + std::to_string(i + 1) + "\n";
     for (int n = 0; !Contains(setup.node.AdminRequest("GET", "/control/counters"), expected); ++n) {
@@ -247,10 +251,11 @@
   counters = setup.node.AdminRequest("GET", "/control/counters");
   assert(Contains(counters, "node_reconfig_ok 2\n"));
   ServeRequest(setup.node, setup.host, "5", "agent");
-  setup.node.WriteConfig(good.dump());  // valid again for the end of the node
+  setup.node.WriteConfig(good.dump());  // so that the file is valid when the node ends
 }
 
-// An address with a port that is free now: both processes of a node must be configured with the same one.
+// Returns an address whose port is free now. Both processes of a node must be configured with the same
+// address, so the kernel can't choose the port when they start.
 std::string FreeAddress() {
   const ScriptedServer peer;
   return peer.address();
@@ -259,7 +264,7 @@
 // Starts processes of one node, which share $TMPDIR and the address for clients. Removes their files at the
 // end.
 struct SiblingProcesses {
-  char dir[40] = "/tmp/ryeglade-story-tmp-XXXXXX";
+  char dir[40] = "/tmp/ryeglade-test-tmp-XXXXXX";
   ScriptedServer host;
   std::string listen_address = FreeAddress();
   nlohmann::json list = EndpointListJson(1, true, {InstanceJson("s-a", host.address())});
@@ -342,9 +347,9 @@
   assert(old_process->WaitForExit() == 0);
   processes.list = EndpointListJson(
       3, true, {InstanceJson("s-a", processes.host.address())});  // older than the handed-over list
-  auto third = processes.Start();
+  auto third_process = processes.Start();
   new_process->WaitForLog("event=hand-over-yields");
-  ServeRequest(*third, other, "3");
+  ServeRequest(*third_process, other, "3");
 }
 
 // A new process that hangs, is killed or gets SIGTERM after it has taken over: the old process accepts
@@ -388,7 +393,8 @@
   old_process->Suspend();  // cannot hand over its state
   auto new_process = processes.Start();
   assert(Contains(new_process->Log(), "event=hand-over-serves why=no-state"));
-  // While the old process is suspended, the kernel still assigns it a share of the connections.
+  // The old process is resumed before a client connects, because the kernel assigns it a share of the new
+  // connections even while it is suspended.
   old_process->Resume();
   old_process->WaitForLog("event=hand-over-yields");
   ServeRequest(*new_process, processes.host, "1");
--- a/tests/races.cpp
+++ b/tests/races.cpp
@@ -1,7 +1,7 @@
-// Scenarios of two events at the same time around a node as a process: a close, a signal or an endpoint list
-// that coincides with a request. Scripted peers, delayed system calls or a stopped process force each of
-// them, so none depends on chance. `races PROGRAM LIBRARY NAME` runs one of them; docs/guarantees.md has the
-// table.
+// Scenarios in which two events coincide at a node, which runs as a process: a close, a signal or an endpoint
+// list together with a request. Scripted peers, delayed system calls or a stopped process force the order of
+// the events, so that no result depends on chance. `races PROGRAM LIBRARY NAME` runs one of them, with
+// fault_library as LIBRARY; docs/guarantees.md has a table of them.
 #include <cerrno>
 #include <chrono>
 #include <functional>
@@ -15,15 +15,17 @@
 namespace {
 
 std::string program;
-const std::string kNoDiscovery = "127.0.0.1:9";  // for nodes that need no discovery
+// An address at which nothing listens, for nodes that need no discovery.
+const std::string kNoDiscovery = "127.0.0.1:9";
 const std::string kHealth = "GET /_health HTTP/1.1\r\nHost: node\r\n\r\n";
 
+// A full endpoint list with `host` as the ready replica s-a.
 nlohmann::json ListOf(const ScriptedServer& host, int generation = 1) {
   return EndpointListJson(generation, true, {InstanceJson("s-a", host.address())});
 }
 
-// Waits for the end of a connection. Returns 0 if the peer closed it in order, otherwise the errno of the
-// read.
+// Waits for the end of a connection. Returns 0 if the peer closed it without a reset, otherwise the errno of
+// the read.
 int WaitForClose(const Connection& connection) {
   char byte = 0;
   assert(connection.ReadableWithin(kTimeoutMs));
@@ -32,7 +34,7 @@
   return n == 0 ? 0 : errno;
 }
 
-std::size_t Count(const std::string& text, const std::string& word) {
+std::size_t CountOccurrences(const std::string& text, const std::string& word) {
   std::size_t n = 0;
   for (std::size_t at = text.find(word); at != std::string::npos; at = text.find(word, at + 1)) ++n;
   return n;
@@ -133,7 +135,8 @@
   assert(std::stod(head.substr(head.find(name) + name.size())) <= 29.985);
 }
 
-// Replicas recognise duplicate requests by a header of the client's: every attempt carries it unchanged.
+// Replicas recognise duplicate requests by a header that the client sends: every attempt carries it
+// unchanged.
 void ClientHeadersReachEveryAttempt() {
   const ScriptedServer host;
   const Node node(program, ListOf(host), kNoDiscovery);
@@ -150,6 +153,7 @@
   }
 }
 
+// Accepts a watch request and sends the head of the response, but no list.
 Connection AcceptWatch(const ScriptedServer& discovery) {
   Connection watch = discovery.Accept();
   assert(Contains(watch.ReadMessage(), "follow=1"));
@@ -178,7 +182,7 @@
 }
 
 // After a reload has changed the discovery address, the old watch delivers its last lines after the new
-// address has given its full list: what they say of the replicas is outdated and must not be applied.
+// address has sent its full list: those lines are outdated and must not be applied.
 void OldWatchDeliversAfterNewList() {
   const ScriptedServer before, after, old_host, host, third;
   std::future<Connection> first_watch = AnswerWatchAtStart(before, EndpointListJson(1, false, {}));
@@ -211,14 +215,14 @@
 void DiscoveryChangesDuringBackOff() {
   const ScriptedServer host, after;
   Node node(program, ListOf(host), kNoDiscovery, "ask");
-  while (Count(node.Log(), "discovery-failed") < 6) usleep(5'000);
-  node.Reload("discovery",
-              after.address());  // by the back-off the next call would come a second later at the soonest
+  while (CountOccurrences(node.Log(), "discovery-failed") < 6) usleep(5'000);
+  node.Reload("discovery", after.address());
+  // With the back-off the next call would follow a second later at the earliest.
   assert(after.HasConnectionWithin(800));
 }
 
-// SIGTERM, SIGHUP and again SIGTERM: the open stream is passed on to its end, and the later signals do not
-// postpone the exit.
+// SIGTERM, SIGHUP and again SIGTERM: the open stream is passed on to its end, and the signals after the first
+// do not postpone the exit.
 void SignalsInARow() {
   const ScriptedServer host;
   Node node(program, ListOf(host), kNoDiscovery);
