--- a/tests/node.h
+++ b/tests/node.h
@@ -1,5 +1,5 @@
-// A test harness for one node of the routing tier: passes events to a Router, records its actions and fires
-// its timers.
+// A test harness for the decision module of one node: passes events to a Router, records its actions and
+// fires its timers in virtual time.
 #pragma once
 
 #include <optional>
@@ -14,6 +14,7 @@
 inline constexpr Time kMs = 1000;
 inline constexpr Time kSecond = 1'000'000;
 
+// Settings with one class. Attempts may be cancelled, but requests are not hedged.
 inline Settings BasicSettings() {
   Settings settings;
   settings.classes.resize(1);
@@ -48,10 +49,12 @@
   return list;
 }
 
+// A Router with a virtual clock. The members are public, so that tests can inspect them.
 class Node {
  public:
   explicit Node(const Settings& settings, std::uint64_t seed = 7) : router(settings, seed, now) {}
 
+  // Passes `event` to the router at the time `now`, records the actions and starts the timers that they set.
   template <class E>
   void Handle(const E& event) {
     const std::size_t before = actions.size();
@@ -80,11 +83,12 @@
   }
   void Advance(Time span) { AdvanceTo(now + span); }
 
+  // Passes a new version of the endpoint list to the router.
   void SetEndpoints(std::vector<Endpoint> entries, EndpointListScope scope = EndpointListScope::kFull) {
     Handle(EndpointList{scope, ++version, std::move(entries)});
   }
 
-  // A request of class 0 arrives; returns its id.
+  // Reports the arrival of a request of class 0 and returns its id. `session` and `prefix` are ids; 0: none.
   RequestId Arrive(Time time_budget = 4 * kSecond, double prompt = 1000, std::uint64_t session = 0,
                    std::uint64_t prefix = 0) {
     RequestArrived arrival;
@@ -99,7 +103,8 @@
     return arrival.id;
   }
 
-  // Ends an attempt that was sent, `elapsed` after it was sent.
+  // Reports the end of an attempt to the router as if it came `elapsed` after the attempt was sent; does not
+  // advance the time. With `concluded` nothing is left to send to the client.
   void EndAttempt(RequestId id, int attempt, Outcome outcome, bool concluded, Time elapsed = 500 * kMs) {
     AttemptEnded ended;
     ended.id = id;
@@ -111,7 +116,8 @@
     Handle(ended);
   }
 
-  // Serves an attempt: its first token comes after a quarter of `elapsed`, its end after all of it.
+  // Reports that an attempt was served: its first token after a quarter of `elapsed`, its end after all of
+  // it.
   void Serve(RequestId id, int attempt = 0, Time elapsed = 500 * kMs) {
     Handle(ResponseStarted{id, attempt, AttemptsOf(id).at(static_cast<std::size_t>(attempt)).replica,
                            elapsed / 4});
@@ -142,9 +148,9 @@
   }
 
   Time now = 100 * kSecond;
-  std::vector<Action> actions;
+  std::vector<Action> actions;                         // all since the start
   std::vector<std::pair<Time, std::uint64_t>> timers;  // due time and token of the timers that have not fired
-  std::uint32_t version = 0;                           // of the last endpoint list
+  std::uint32_t version = 0;                           // version of the last endpoint list
   RequestId last_request = 0;                          // id of the last request that arrived
   Router router;
 };
--- a/tests/operations.cpp
+++ b/tests/operations.cpp
@@ -204,8 +204,8 @@
     setup.node.Reload("settings", agent_only);
     setup.node.WaitForLog("event=classes-updated classes=1 versions=3 attempts=2");
     upstream.SendChunk("");
-    client.ReadUntil(
-        "0\r\n\r\n");  // the response is complete, and counted under the class that the request arrived with
+    // The response is complete, and counted under the class that the request arrived with.
+    client.ReadUntil("0\r\n\r\n");
   }
   Connection refused = setup.node.Connect();
   refused.Send(RequestText("3"));
--- a/tests/scripted_peers.h
+++ b/tests/scripted_peers.h
@@ -1,5 +1,6 @@
 // Scripted peers for integration tests: blocking sockets on loopback with ports chosen by the kernel, and the
-// node as a process. A wait ends as soon as its condition holds, and fails the test after kTimeoutMs.
+// node as a process. A wait ends as soon as its condition holds. The test fails if that takes longer than
+// kTimeoutMs.
 #pragma once
 #undef NDEBUG
 
@@ -27,7 +28,8 @@
 
 inline constexpr int kTimeoutMs = 30'000;
 
-// A blocking TCP connection with a buffer of what was received but not consumed yet.
+// A blocking TCP connection with a buffer of what was received but not consumed yet. It owns the descriptor;
+// -1 means no connection.
 class Connection {
  public:
   explicit Connection(int fd = -1) : fd_(fd) {}
@@ -58,6 +60,8 @@
     std::snprintf(size, sizeof size, "%zx\r\n", bytes.size());
     Send(size + bytes + "\r\n");
   }
+  // Returns true if the socket has bytes or the end of the connection to read within `ms` milliseconds. What
+  // the buffer holds does not count.
   bool ReadableWithin(int ms) const {
     pollfd p{fd_, POLLIN, 0};
     return poll(&p, 1, ms) == 1;
@@ -84,6 +88,7 @@
     if (body != nullptr) *body = text;
     return head;
   }
+  // Returns everything until the peer closes or resets the connection.
   std::string ReadToEnd() {
     while (ReadMore()) {
     }
@@ -91,6 +96,7 @@
   }
 
  private:
+  // Adds received bytes to the buffer. Returns false at the end of the connection.
   bool ReadMore() {
     assert(ReadableWithin(kTimeoutMs));
     char buffer[65536];
@@ -99,9 +105,10 @@
     return n > 0;
   }
   int fd_;
-  std::string text_;
+  std::string text_;  // received but not consumed yet
 };
 
+// The address 127.0.0.1 with `port`.
 inline sockaddr_in Loopback(int port) {
   sockaddr_in a{};
   a.sin_family = AF_INET;
@@ -128,12 +135,14 @@
     port_ = ntohs(a.sin_port);
   }
   ~ScriptedServer() { StopListening(); }
+  // Closes the listening socket, so that later connections are refused.
   void StopListening() {
     if (fd_ >= 0) close(fd_);
     fd_ = -1;
   }
   int port() const { return port_; }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
+  // Returns true if a connection waits to be accepted within `ms` milliseconds.
   bool HasConnectionWithin(int ms) const {
     pollfd p{fd_, POLLIN, 0};
     return poll(&p, 1, ms) == 1;
@@ -147,12 +156,16 @@
   int fd_, port_ = 0;
 };
 
+// An entry of an endpoint list in the format of service discovery: replica `name` at the address `at`
+// (ip:port).
 inline nlohmann::json InstanceJson(const std::string& name, const std::string& at,
                                    const std::string& lifecycle = "active") {
   return {{"instanceId", name}, {"hostPort", at}, {"zone", "z"},      {"machineType", "m"},
           {"cell", 0},          {"weight", 1.0},  {"startedAtMs", 0}, {"lifecycle", lifecycle}};
 }
 
+// An endpoint list in the format of service discovery. It is complete if `reset` is set, otherwise it holds
+// only the entries that have changed.
 inline nlohmann::json EndpointListJson(int generation, bool reset, std::vector<nlohmann::json> instances) {
   return {{"generation", generation}, {"reset", reset}, {"instances", std::move(instances)}};
 }
@@ -162,8 +175,10 @@
  public:
   // Starts a node and waits until it listens. `cached_list` is the endpoint list that it knows at the start,
   // `discovery` the address of service discovery, `mode` the setting membership-mode, and
-  // `discovery_variable` the value of EDGE_DISCOVERY, which is not set if empty. `extra_settings` are merged
-  // into the config file.
+  // `discovery_variable` the value of EDGE_DISCOVERY, which is not set if empty. `sockets` and `memory_mb`
+  // are the limits of the process, and `resume` says whether clients resume a stream that ends early.
+  // `extra_settings` are merged into the config file, except for the key "_tmpdir", which is the path of an
+  // existing directory to use as $TMPDIR.
   Node(const std::string& program, const nlohmann::json& cached_list, const std::string& discovery,
        const std::string& mode = "push", int sockets = 1024, int memory_mb = 192,
        const std::string& discovery_variable = "", bool resume = false,
@@ -203,9 +218,9 @@
     const int fd = mkstemp(name);
     assert(fd >= 0);
     close(fd);
-    path_ = name;
+    config_path_ = name;
     WriteConfig(config_.dump());
-    log_ = path_ + ".log";
+    log_path_ = config_path_ + ".log";
     pid_ = fork();
     assert(pid_ >= 0);
     if (pid_ == 0) {
@@ -214,8 +229,8 @@
         unsetenv(name_of);
       if (!discovery_variable.empty()) setenv("EDGE_DISCOVERY", discovery_variable.c_str(), 1);
       setenv("TMPDIR", tmpdir_.c_str(), 1);
-      if (std::freopen(log_.c_str(), "w", stderr) == nullptr) _exit(9);
-      execl(program.c_str(), program.c_str(), "serve", "--config", path_.c_str(), nullptr);
+      if (std::freopen(log_path_.c_str(), "w", stderr) == nullptr) _exit(9);
+      execl(program.c_str(), program.c_str(), "serve", "--config", config_path_.c_str(), nullptr);
       _exit(9);
     }
     const std::string event = "listening addr=127.0.0.1:";
@@ -226,20 +241,20 @@
     if (log.find(admin) != std::string::npos)
       admin_port_ = std::atoi(log.c_str() + log.find(admin) + admin.size());
   }
-  int admin_port() const { return admin_port_; }
+  int admin_port() const { return admin_port_; }  // 0: there is no admin listener
   // Sends a request to the admin listener and returns the complete response.
   std::string AdminRequest(const std::string& method, const std::string& path) const {
-    Connection c = ConnectTo(admin_port_);
-    c.Send(method + " " + path + " HTTP/1.1\r\nHost: node\r\nContent-Length: 0\r\n\r\n");
-    return c.ReadToEnd();
+    Connection connection = ConnectTo(admin_port_);
+    connection.Send(method + " " + path + " HTTP/1.1\r\nHost: node\r\nContent-Length: 0\r\n\r\n");
+    return connection.ReadToEnd();
   }
   ~Node() {
     if (pid_ > 0) {
       kill(pid_, SIGTERM);
       assert(WaitForExit() == 0);  // the node must shut down cleanly whatever the test did to it
     }
-    std::remove(path_.c_str());
-    std::remove(log_.c_str());
+    std::remove(config_path_.c_str());
+    std::remove(log_path_.c_str());
     if (own_tmpdir_) {
       std::remove((tmpdir_ + "/ryeglade-holds-n0").c_str());
       rmdir(tmpdir_.c_str());
@@ -250,7 +265,7 @@
   int port() const { return port_; }
   Connection Connect() const { return ConnectTo(port_); }
   std::string Log() const {
-    std::ifstream in(log_);
+    std::ifstream in(log_path_);
     return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
   }
   void WaitForLog(const std::string& text) const {
@@ -260,16 +275,18 @@
     }
   }
   void SendSigterm() const { kill(pid_, SIGTERM); }
+  // Returns true if the process has ended. Leaves its exit status to WaitForExit.
   bool HasExited() const {
     siginfo_t info{};
     return waitid(P_PID, static_cast<id_t>(pid_), &info, WEXITED | WNOHANG | WNOWAIT) == 0 &&
            info.si_pid == pid_;
   }
-  void Kill() {  // sends SIGKILL; the destructor then has no process to end
+  // Ends the process by SIGKILL. The destructor then has no process to end.
+  void Kill() {
     kill(pid_, SIGKILL);
     waitpid(std::exchange(pid_, -1), nullptr, 0);
   }
-  void WriteConfig(const std::string& text) const { std::ofstream(path_) << text; }
+  void WriteConfig(const std::string& text) const { std::ofstream(config_path_) << text; }
   // Changes one top-level key of the config file and sends SIGHUP.
   void Reload(const std::string& key, const nlohmann::json& value) {
     config_[key] = value;
@@ -279,11 +296,13 @@
   void Suspend() const { kill(pid_, SIGSTOP); }
   void Resume() const { kill(pid_, SIGCONT); }
   void SendSighup() const { kill(pid_, SIGHUP); }
+  // Waits for the end of the process. Returns its exit status, or 128 if a signal ended it.
   int WaitForExit() {
     int status = 0;
     assert(waitpid(std::exchange(pid_, -1), &status, 0) > 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : 128;
   }
+  // Resident memory of the process in KiB; 0 if it can't be read.
   long ResidentKb() const {
     std::ifstream in("/proc/" + std::to_string(pid_) + "/status");
     for (std::string line; std::getline(in, line);) {
@@ -293,13 +312,15 @@
   }
 
  private:
-  std::string path_, log_, tmpdir_;
-  bool own_tmpdir_ = false;
+  std::string config_path_, log_path_, tmpdir_;
+  bool own_tmpdir_ = false;  // whether the destructor removes tmpdir_
   nlohmann::json config_;
-  pid_t pid_ = -1;
+  pid_t pid_ = -1;  // -1: the process has ended
   int port_ = 0, admin_port_ = 0;
 };
 
+// A request of class docs as clients of the platform send it. `id` is its request id and `budget` its time
+// budget in seconds.
 inline std::string RequestText(const std::string& id, const std::string& body = "{\"stream\":true}",
                                const std::string& budget = "30.000") {
   return "POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: service\r\nX-Call-Id: " + id +
@@ -308,6 +329,7 @@
          std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
+// The head of a streamed response; chunks follow.
 inline const std::string kStreamHead =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -315,6 +337,7 @@
   return text.find(part) != std::string::npos;
 }
 
+// The status code of a response with this head.
 inline int StatusOf(const std::string& head) { return std::atoi(head.c_str() + head.find(' ') + 1); }
 
 // Accepts a watch request and sends `list` on it.
@@ -340,11 +363,11 @@
 inline void ServeOne(const ScriptedServer& host, Connection& client, const std::string& id = "1",
                      const std::string& request = "") {
   client.Send(request.empty() ? RequestText(id) : request);
-  Connection up = host.Accept();
-  assert(Contains(up.ReadMessage(), "X-Call-Id: " + id));
-  up.Send(kStreamHead);
-  up.SendChunk("data: x\n\n");
-  up.SendChunk("");
+  Connection upstream = host.Accept();
+  assert(Contains(upstream.ReadMessage(), "X-Call-Id: " + id));
+  upstream.Send(kStreamHead);
+  upstream.SendChunk("data: x\n\n");
+  upstream.SendChunk("");
   assert(Contains(client.ReadUntil("0\r\n\r\n"), "data: x"));
 }
 
