--- a/fuzz/event_stream_fuzz.cpp
+++ b/fuzz/event_stream_fuzz.cpp
@@ -1,4 +1,4 @@
-// Reads any bytes as an event stream, unsplit and split at a place that the first byte selects: the events
+// Reads any bytes as an event stream, unsplit and split at a position that the first byte selects: the events
 // are the same and no byte is lost.
 #include <cstdint>
 #include <cstdlib>
@@ -10,6 +10,8 @@
 
 namespace {
 
+// Returns the events of `text`, which is fed in two pieces, or "stopped" if the stream rejects it. Aborts if
+// the bytes of the events and the rest don't add up to the text.
 std::string Read(std::string_view text, std::size_t split) {
   ryeglade::EventStream stream(4096);
   std::string events, raw;
@@ -31,7 +33,8 @@
   if (size == 0) return 0;
   const std::string_view text(reinterpret_cast<const char*>(data) + 1, size - 1);
   const std::string unsplit = Read(text, 0);
-  // Where the stream is split decides when an event block over the size limit is noticed.
+  // The place of the split decides when an event block over the size limit of 4096 bytes is noticed, so the
+  // results for a longer text may differ.
   if (text.size() <= 4096 && Read(text, data[0] % (text.size() + 1)) != unsplit) std::abort();
   ryeglade::ResponseObserver watch(true);
   std::string out;
--- a/fuzz/membership_fuzz.cpp
+++ b/fuzz/membership_fuzz.cpp
@@ -1,5 +1,5 @@
-// Messages that peers may send to a node: bytes with a valid checksum, decoded and passed to the membership
-// model.
+// Reads any bytes as a message of a peer, with a valid checksum, and passes what is decoded to the membership
+// model and to the gossip model.
 #include <xxhash.h>
 
 #include <cmath>
@@ -16,7 +16,8 @@
 
 namespace {
 
-// Aborts if a gossip message, whoever sent it, moves a value out of its bounds.
+// Aborts if a gossip message loses outlier reports when it is encoded and decoded again, or moves a value out
+// of its bounds.
 void CheckGossip(const ryeglade::gossip::GossipMessage& message) {
   const char* why = "";
   const auto again = ryeglade::gossip::Decode(ryeglade::gossip::Encode(message), &why);
@@ -55,11 +56,11 @@
   bytes += payload;
   const std::optional<Message> m = Decode(bytes, &why);
   if (!m) return 0;
-  // A decoded message that is encoded and decoded again is the same.
+  // A decoded message that is encoded and decoded again has the same sender and as many updates.
   const std::optional<Message> again = Decode(Encode(*m), &why);
   if (!again || again->updates.size() != m->updates.size() || again->sender.name != m->sender.name)
     std::abort();
-  // The gossip messages that it carries.
+  // The gossip messages that it carries are checked, and so is the payload itself as a gossip message.
   for (const std::string& gossip_bytes : m->gossip) {
     const std::optional<ryeglade::gossip::GossipMessage> message =
         ryeglade::gossip::Decode(gossip_bytes, &why);
--- a/fuzz/rollout_fuzz.cpp
+++ b/fuzz/rollout_fuzz.cpp
@@ -1,6 +1,6 @@
-// Input from another process or a driver: leases, handed-over state, commands, statuses, metrics, a
-// supervisor's state file, rollout records. Whatever it is, it is either rejected or accepted; what is
-// accepted can be encoded and decoded again.
+// Reads any bytes as input from another process or a driver: leases, handed-over state, commands, statuses,
+// metrics, a supervisor's state file, rollout records. The first byte selects the kind. The input is either
+// rejected or accepted; accepted leases, learned state and metrics can be encoded and decoded again.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
