--- a/bench/fronts_bench.cpp
+++ b/bench/fronts_bench.cpp
@@ -68,28 +68,29 @@
   FakeReplica direct_replica(fleet->run(), &fleet->attempt_counts(),
                              {.first_token = 0, .per_token = 0, .tokens = 8});
   const std::string direct_address = direct_replica.Listen();
-  std::vector<double> through_ms, straight_ms;
+  std::vector<double> via_node_ms, direct_ms;
   for (auto _ : state) {
     for (std::size_t n = 0; n < 2000; ++n) {
       const Reply a = fleet->SendAndWait(fleet->openai(), Request(true, n, 1024, 8)),
                   b = fleet->SendAndWait(direct_address, Request(true, n, 1024, 8));
-      through_ms.push_back(static_cast<double>(a.first_byte - a.started) / 1000);
-      straight_ms.push_back(static_cast<double>(b.first_byte - b.started) / 1000);
+      via_node_ms.push_back(static_cast<double>(a.first_byte - a.started) / 1000);
+      direct_ms.push_back(static_cast<double>(b.first_byte - b.started) / 1000);
     }
   }
   const auto quantile = [](std::vector<double>& v, double q) {
     std::sort(v.begin(), v.end());
     return v[static_cast<std::size_t>(q * static_cast<double>(v.size() - 1))];
   };
-  state.counters["through_p50_ms"] = quantile(through_ms, 0.5);
-  state.counters["through_p99_ms"] = quantile(through_ms, 0.99);
-  state.counters["straight_p50_ms"] = quantile(straight_ms, 0.5);
-  state.counters["straight_p99_ms"] = quantile(straight_ms, 0.99);
+  state.counters["through_p50_ms"] = quantile(via_node_ms, 0.5);
+  state.counters["through_p99_ms"] = quantile(via_node_ms, 0.99);
+  state.counters["straight_p50_ms"] = quantile(direct_ms, 0.5);
+  state.counters["straight_p99_ms"] = quantile(direct_ms, 0.99);
   direct_replica.Close();
 }
 BENCHMARK(FirstToken)->Iterations(1)->Unit(benchmark::kSecond);
 
-// Response time of clients with a valid key while a thousand connections keep sending an invalid one.
+// Response time of clients with a valid key, without other load and while a thousand connections keep sending
+// an invalid one.
 void BadKeys(benchmark::State& state) {
   const auto fleet = MakeFleet(ReplicaDialect::kOpenAi, 8);
   const std::string bad =
--- a/bench/gossip_bench.cpp
+++ b/bench/gossip_bench.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-void Talk(benchmark::State& state) {
+void GossipCost(benchmark::State& state) {
   ryeglade::emulator::GossipSimulationSpec spec;
   spec.nodes = static_cast<std::size_t>(state.range(0));
   spec.loss = static_cast<double>(state.range(1)) / 100;
@@ -23,7 +23,7 @@
   }
   state.SetLabel("400 replicas, 5 of them failing; nodes, loss in percent");
 }
-BENCHMARK(Talk)
+BENCHMARK(GossipCost)
     ->Args({16, 0})
     ->Args({100, 0})
     ->Args({100, 30})
--- a/bench/measure.h
+++ b/bench/measure.h
@@ -1,5 +1,5 @@
-// Shared parts of the benchmarks: a fleet whose replicas answer at once, requests, and the CPU time of a node
-// as the kernel counts it, in nanoseconds.
+// Shared parts of the benchmarks: a fleet whose replicas answer at once, requests, and the CPU time of a
+// node, which the kernel counts in nanoseconds.
 #pragma once
 
 #include <algorithm>
@@ -16,6 +16,7 @@
 
 namespace ryeglade::lab {
 
+// Path of the node's program; null if the variable is not set.
 inline const char* Program() { return std::getenv("RYEGLADE_PROGRAM"); }
 
 // CPU time in seconds: of the event loop's thread, and of the whole process.
@@ -23,6 +24,7 @@
   double loop = 0, all = 0;
 };
 
+// CPU time of a process since its start. Its event loop runs in its first thread.
 inline Cpu CpuTimeOf(pid_t pid) {
   Cpu cpu;
   const std::string base = "/proc/" + std::to_string(pid) + "/task";
@@ -36,6 +38,7 @@
   return cpu;
 }
 
+// A streamed chat request for the OpenAI-style front or the platform's. `n` and `mark` make its text unique.
 inline std::string Request(bool openai_front, std::size_t n, std::size_t body_bytes, std::size_t tokens,
                            const std::string& mark = "") {
   const std::string body =
@@ -114,6 +117,7 @@
   return result;
 }
 
+// Sorts `v` and returns its quantile `q` (0 to 1); 0 if it is empty.
 inline double Quantile(std::vector<double>& v, double q) {
   if (v.empty()) return 0;
   std::sort(v.begin(), v.end());
--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -75,6 +75,7 @@
   MembershipModel model;
 };
 
+// The work of one probe period and the memory that a node holds.
 void Period(benchmark::State& state) {
   const std::size_t before = mallinfo2().uordblks;
   auto cluster = std::make_unique<Cluster>(static_cast<int>(state.range(0)));
@@ -105,6 +106,7 @@
 }
 BENCHMARK(LongestTick)->Arg(100)->Arg(1000)->Iterations(2000)->Unit(benchmark::kMicrosecond);
 
+// A received ping with ten updates: it is decoded and handled, and the messages in reply are encoded.
 void MessageInAndOut(benchmark::State& state) {
   Cluster cluster(100);
   Message m = cluster.From(1, MessageKind::kPing, 7);
--- a/bench/timeline_bench.cpp
+++ b/bench/timeline_bench.cpp
@@ -18,8 +18,8 @@
 
 namespace fs = std::filesystem;
 
-// First argument: 0 if no attempt fails, 1 if all fail, made as fast as possible. Second: 1 if reasons are
-// recorded.
+// First argument: 0 if no attempt fails, 1 if all fail. Second: 1 if the reasons of decisions are recorded.
+// Requests are sent as fast as possible, at most eight open at a time.
 void Recorder(benchmark::State& state) {
   const bool failing = state.range(0) != 0;
   const std::string extra_settings = std::string("[timeline]\ndirectory = \"@DIR@\"\nreasons = ") +
@@ -70,10 +70,11 @@
 BENCHMARK(Recorder)->ArgsProduct({{0, 1}, {0, 1}})->Iterations(1)->Unit(benchmark::kSecond);
 
 struct ProcessResult {
-  double seconds = 0, rss_mb = 0;
-  int status = 0;
+  double seconds = 0, rss_mb = 0;  // elapsed time, and peak resident memory in MiB
+  int status = 0;                  // as wait4 gives it; 0: it exited with status 0
 };
 
+// Runs a program, found through PATH, without its standard output, and waits for its end.
 ProcessResult RunWithoutOutput(const std::vector<std::string>& words) {
   std::vector<char*> argv;
   for (const std::string& w : words) argv.push_back(const_cast<char*>(w.c_str()));
@@ -91,7 +92,8 @@
   return {static_cast<double>(Now() - before) / 1e6, static_cast<double>(usage.ru_maxrss) / 1024, status};
 }
 
-// Reads a file of ten million records, compared with `zstd -d` of the same bytes as one stream.
+// Time and memory for reading a file of ten million records, compared with `zstd -d` of the same bytes as one
+// stream.
 void Reading(benchmark::State& state) {
   const fs::path directory = fs::temp_directory_path() / ("ryeglade-reading-" + std::to_string(getpid()));
   fs::create_directories(directory);
