--- a/lab/rollout/local_tier_trial.cpp
+++ b/lab/rollout/local_tier_trial.cpp
@@ -75,7 +75,7 @@
     const std::string id = fmt::format("r{}", ++result.rollouts);
     const std::string plan = tier.WritePlan(
         id, fmt::format("id = \"{}\"\nprogram = \"{}\"", id, result.rollouts % 2 == 1 ? copy : trial.program),
-        PlanStages(t), kGuards);
+        PlanStages(trial), kGuards);
     const Time began = Now();
     int code = -1;
     for (int driver_number = 0; code != 0 && Now() - began < kRolloutTimeout; ++driver_number) {
