--- a/simhost/host.cpp
+++ b/simhost/host.cpp
@@ -12,10 +12,8 @@
 std::string Host::HandleBatch(std::string_view frame) {
   Reader in(frame, "batch");
   const std::uint32_t size = in.U32("length");
-  if (size != frame.size()) {
-    in.Fail("length " + std::to_string(size) + " differs from the frame's size of " +
-            std::to_string(frame.size()) + " bytes");
-  }
+  if (size != frame.size())
+    in.Fail("length " + std::to_string(size) + ", but the frame has " + std::to_string(frame.size()));
   const Time now = static_cast<Time>(in.U64("clock"));
 
   Writer out;
